--- a/cmd/sumac/calls.go
+++ b/cmd/sumac/calls.go
@@ -23,22 +23,22 @@
 
 	"github.com/sumactrestle/sumactrestle/internal/api"
 	"github.com/sumactrestle/sumactrestle/internal/checker"
-	"github.com/sumactrestle/sumactrestle/internal/fault"
-	"github.com/sumactrestle/sumactrestle/internal/guise"
-	"github.com/sumactrestle/sumactrestle/internal/mark"
-	"github.com/sumactrestle/sumactrestle/internal/plan"
-	"github.com/sumactrestle/sumactrestle/internal/usage"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
+	"github.com/sumactrestle/sumactrestle/internal/commandline"
+	"github.com/sumactrestle/sumactrestle/internal/controlplane"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
+	"github.com/sumactrestle/sumactrestle/internal/gatewayapi"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 	"github.com/sumactrestle/sumactrestle/platform"
 )
 
 func client(cmd *cli.Command) (*api.Client, error) {
 	if cmd.String("api") == "" {
-		return nil, fault.New(fault.BadCall, "--api names no address; see %s --help", cmd.FullName())
+		return nil, errcode.New(errcode.BadCall, "--api names no address; see %s --help", cmd.FullName())
 	}
 	c, err := api.NewClient("http://" + cmd.String("api"))
 	if err != nil {
-		return nil, fault.New(fault.BadCall, "--api: %v", err)
+		return nil, errcode.New(errcode.BadCall, "--api: %v", err)
 	}
 	return c, nil
 }
@@ -47,14 +47,14 @@
 func clear(err error) error {
 	var p *api.ProblemStatusCodeWithHeaders
 	if errors.As(err, &p) {
-		code, ok := fault.Codes[p.Response.Code]
+		code, ok := errcode.Codes[p.Response.Code]
 		if !ok {
-			code = fault.Internal
+			code = errcode.Internal
 		}
-		return &fault.Problem{Code: code, Note: p.Response.Note.Or(""), Paths: p.Response.Paths}
+		return &errcode.Problem{Code: code, Note: p.Response.Note.Or(""), Paths: p.Response.Paths}
 	}
 	if err != nil {
-		return fault.New(fault.Unreached, "%v", err)
+		return errcode.New(errcode.Unreached, "%v", err)
 	}
 	return nil
 }
@@ -70,7 +70,7 @@
 		parser = koanfjson.Parser()
 	}
 	if err := k.Load(file.Provider(path), parser); err != nil {
-		return nil, fault.New(fault.BadChange, "%s: %v", path, err)
+		return nil, errcode.New(errcode.BadChange, "%s: %v", path, err)
 	}
 	tree := k.Raw()
 	if _, ok := tree["id"]; !ok {
@@ -81,11 +81,11 @@
 	}
 	raw, err := json.Marshal(tree)
 	if err != nil {
-		return nil, fault.New(fault.BadChange, "%s: %v", path, err)
+		return nil, errcode.New(errcode.BadChange, "%s: %v", path, err)
 	}
 	change := &api.Change{}
 	if err := change.UnmarshalJSON(raw); err != nil {
-		return nil, fault.New(fault.BadChange, "%s: %v", path, err)
+		return nil, errcode.New(errcode.BadChange, "%s: %v", path, err)
 	}
 	return change, nil
 }
@@ -94,9 +94,9 @@
 func readObjects(path string) (*api.Change, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fault.New(fault.BadChange, "%v", err)
+		return nil, errcode.New(errcode.BadChange, "%v", err)
 	}
-	set, err := guise.Read(raw)
+	set, err := gatewayapi.Read(raw)
 	if err != nil {
 		return nil, err
 	}
@@ -108,10 +108,10 @@
 	change, settings := cmd.String("change"), cmd.String("settings")
 	isProps := cmd.IsSet("props") || cmd.IsSet("set")
 	if change != "" && settings != "" || isProps && change+settings != "" {
-		return fault.New(fault.BadCall, "--change, --settings and --props with --set are checked one at a time; see sumac check --help")
+		return errcode.New(errcode.BadCall, "--change, --settings and --props with --set are checked one at a time; see sumac check --help")
 	}
 	if change == "" && cmd.Bool("objects") {
-		return fault.New(fault.BadCall, "--objects is of --change, which is missing; see sumac check --help")
+		return errcode.New(errcode.BadCall, "--objects is of --change, which is missing; see sumac check --help")
 	}
 	switch {
 	case change != "":
@@ -136,11 +136,11 @@
 	if change.ID == "" {
 		change.ID = "check"
 	}
-	var set wire.Change
+	var set rpc.Change
 	if err := recast(change, &set); err != nil {
 		return err
 	}
-	var config wire.Config
+	var config rpc.Config
 	if cmd.String("api") != "" {
 		c, err := client(cmd)
 		if err != nil {
@@ -154,9 +154,9 @@
 			return err
 		}
 	}
-	next, paths := plan.Lay(config, &set)
+	next, paths := controlplane.Lay(config, &set)
 	if len(paths) > 0 {
-		return fault.At(fault.BadChange, paths)
+		return errcode.At(errcode.BadChange, paths)
 	}
 	fmt.Printf("%s: the change set is in order; with it there are %d mappings and %d services\n", path, len(next.Mappings), len(next.Services))
 	return nil
@@ -168,7 +168,7 @@
 		err = json.Unmarshal(raw, into)
 	}
 	if err != nil {
-		return fault.New(fault.BadCall, "%v", err)
+		return errcode.New(errcode.BadCall, "%v", err)
 	}
 	return nil
 }
@@ -186,7 +186,7 @@
 		change.ID = id
 	}
 	if change.ID == "" {
-		change.ID = mark.NewID()
+		change.ID = ids.NewID()
 	}
 	if cmd.IsSet("base") {
 		change.Base = cmd.Uint64("base")
@@ -208,7 +208,7 @@
 	receipt, err := c.Submit(limited, change)
 	if err != nil {
 		problem := clear(err)
-		if p := fault.Of(problem); p.Code.No == fault.ChangeUnknown.No || p.Code.No == fault.Unreached.No {
+		if p := errcode.Of(problem); p.Code.No == errcode.ChangeUnknown.No || p.Code.No == errcode.Unreached.No {
 			fmt.Fprintf(os.Stderr, "sumac: ask with: sumac ask %s\n", change.ID)
 		}
 		return problem
@@ -257,7 +257,7 @@
 	}
 	raw, err := json.MarshalIndent(view, "", "  ")
 	if err != nil {
-		return fault.New(fault.Internal, "%v", err)
+		return errcode.New(errcode.Internal, "%v", err)
 	}
 	fmt.Println(string(raw))
 	return nil
@@ -283,7 +283,7 @@
 			break
 		}
 		if last = query(ctx, c, words, os.Stdout); last != nil {
-			fmt.Fprintln(os.Stderr, usage.Describe(last))
+			fmt.Fprintln(os.Stderr, commandline.Describe(last))
 		}
 	}
 	return last
@@ -324,7 +324,7 @@
 	}
 	what := api.ShowWhat(words[0])
 	if what.Validate() != nil {
-		return fault.New(fault.BadCall, "no query %q; try help", words[0])
+		return errcode.New(errcode.BadCall, "no query %q; try help", words[0])
 	}
 	rows, err := c.Show(limited, api.ShowParams{What: what})
 	if err != nil {
@@ -352,7 +352,7 @@
 	verdict := checker.Judge(records)
 	fmt.Print(verdict)
 	if !verdict.IsClean() {
-		return fault.New(fault.BadCall, "the history breaks a rule")
+		return errcode.New(errcode.BadCall, "the history breaks a rule")
 	}
 	return nil
 }
--- a/cmd/sumac/main.go
+++ b/cmd/sumac/main.go
@@ -13,12 +13,12 @@
 
 	"github.com/urfave/cli/v3"
 
-	"github.com/sumactrestle/sumactrestle/internal/fault"
-	"github.com/sumactrestle/sumactrestle/internal/props"
-	"github.com/sumactrestle/sumactrestle/internal/realm"
-	"github.com/sumactrestle/sumactrestle/internal/seat"
-	"github.com/sumactrestle/sumactrestle/internal/sign"
-	"github.com/sumactrestle/sumactrestle/internal/usage"
+	"github.com/sumactrestle/sumactrestle/internal/commandline"
+	"github.com/sumactrestle/sumactrestle/internal/config"
+	"github.com/sumactrestle/sumactrestle/internal/environment"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
+	"github.com/sumactrestle/sumactrestle/internal/eventlog"
+	"github.com/sumactrestle/sumactrestle/internal/node"
 	"github.com/sumactrestle/sumactrestle/platform"
 )
 
@@ -27,13 +27,13 @@
 
 func main() {
 	if err := app().Run(context.Background(), os.Args); err != nil {
-		fmt.Fprintln(os.Stderr, "sumac:", usage.Describe(err))
-		os.Exit(usage.ExitCode(err))
+		fmt.Fprintln(os.Stderr, "sumac:", commandline.Describe(err))
+		os.Exit(commandline.ExitCode(err))
 	}
 }
 
 func app() *cli.Command {
-	return usage.Strict(&cli.Command{
+	return commandline.Strict(&cli.Command{
 		Name:        "sumac",
 		Usage:       "an API gateway whose many nodes act as one",
 		Description: "A call that was not done ends with 1, one that can't be read with 2; both name a numbered code and all that is wrong. Codes, settings, events and metrics are listed in the docs folder.",
@@ -75,16 +75,16 @@
 	return &cli.BoolFlag{Name: "objects", Usage: "the file holds Kubernetes-style objects (HTTPRoute)"}
 }
 
-func readProps(cmd *cli.Command) (*props.Props, error) {
+func readProps(cmd *cli.Command) (*config.Props, error) {
 	flags := map[string]string{}
 	for _, pair := range cmd.StringSlice("set") {
 		key, value, ok := strings.Cut(pair, "=")
 		if !ok {
-			return nil, fault.New(fault.BadProps, "--set %q is not KEY=VALUE", pair)
+			return nil, errcode.New(errcode.BadProps, "--set %q is not KEY=VALUE", pair)
 		}
 		flags[key] = value
 	}
-	return props.Load(cmd.String("props"), flags)
+	return config.Load(cmd.String("props"), flags)
 }
 
 func runNode(ctx context.Context, cmd *cli.Command) error {
@@ -96,20 +96,20 @@
 	if p.LogFile != "" {
 		file, err := os.OpenFile(p.LogFile, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o644)
 		if err != nil {
-			return fault.New(fault.BadProps, "log.file: %v", err)
+			return errcode.New(errcode.BadProps, "log.file: %v", err)
 		}
 		defer file.Close()
 		out = file
 	}
 	if p.DataFolder != "" {
 		if err := os.MkdirAll(p.DataFolder, 0o755); err != nil {
-			return fault.New(fault.BadProps, "data.folder: %v", err)
+			return errcode.New(errcode.BadProps, "data.folder: %v", err)
 		}
 	}
-	r := realm.New(ctx, p, sign.New(out, p.LogLevel, p.Name), realm.Host(p.WireAddress))
+	r := environment.New(ctx, p, eventlog.New(out, p.LogLevel, p.Name), environment.Host(p.WireAddress))
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
-	node, err := seat.StartUnless(signals, r)
+	node, err := node.StartUnless(signals, r)
 	if err != nil || node == nil {
 		return err
 	}
@@ -123,6 +123,6 @@
 		return nil
 	case <-failed:
 		r.End()
-		return fault.New(fault.StorageBroken, "%s", p.DataFolder)
+		return errcode.New(errcode.StorageBroken, "%s", p.DataFolder)
 	}
 }
--- a/cmd/sumac/main_test.go
+++ b/cmd/sumac/main_test.go
@@ -9,7 +9,7 @@
 	"strings"
 	"testing"
 
-	"github.com/sumactrestle/sumactrestle/internal/usage"
+	"github.com/sumactrestle/sumactrestle/internal/commandline"
 	"github.com/sumactrestle/sumactrestle/platform"
 )
 
@@ -61,12 +61,12 @@
 			if err == nil {
 				t.Fatal("it was done")
 			}
-			if exit := usage.ExitCode(err); exit != c.exit {
+			if exit := commandline.ExitCode(err); exit != c.exit {
 				t.Errorf("exit %d, want %d", exit, c.exit)
 			}
 			for _, word := range c.says {
-				if !strings.Contains(usage.Describe(err), word) {
-					t.Errorf("%q does not say %q", usage.Describe(err), word)
+				if !strings.Contains(commandline.Describe(err), word) {
+					t.Errorf("%q does not say %q", commandline.Describe(err), word)
 				}
 			}
 		})
--- a/cmd/troupe/hollow.go
+++ b/cmd/troupe/hollow.go
@@ -11,7 +11,7 @@
 
 	"github.com/urfave/cli/v3"
 
-	"github.com/sumactrestle/sumactrestle/internal/fault"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
 	"github.com/sumactrestle/sumactrestle/internal/hollow"
 )
 
@@ -55,7 +55,7 @@
 	for _, pair := range cmd.StringSlice("set") {
 		key, value, ok := strings.Cut(pair, "=")
 		if !ok {
-			return fault.New(fault.BadCall, "--set %q is not KEY=VALUE", pair)
+			return errcode.New(errcode.BadCall, "--set %q is not KEY=VALUE", pair)
 		}
 		size.Settings[key] = value
 	}
@@ -82,11 +82,11 @@
 	for _, path := range cmd.Args().Slice() {
 		raw, err := os.ReadFile(path)
 		if err != nil {
-			return fault.New(fault.BadCall, "%v", err)
+			return errcode.New(errcode.BadCall, "%v", err)
 		}
 		var report hollow.Report
 		if err := json.Unmarshal(raw, &report); err != nil {
-			return fault.New(fault.BadCall, "%s: %v", path, err)
+			return errcode.New(errcode.BadCall, "%s: %v", path, err)
 		}
 		reports = append(reports, report)
 	}
--- a/cmd/troupe/main.go
+++ b/cmd/troupe/main.go
@@ -16,42 +16,42 @@
 
 	"github.com/urfave/cli/v3"
 
-	"github.com/sumactrestle/sumactrestle/internal/fault"
-	"github.com/sumactrestle/sumactrestle/internal/fleet"
-	"github.com/sumactrestle/sumactrestle/internal/usage"
+	"github.com/sumactrestle/sumactrestle/internal/commandline"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
+	"github.com/sumactrestle/sumactrestle/internal/harness"
 )
 
 func main() {
 	ctx, end := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer end()
 	if err := app().Run(ctx, os.Args); err != nil {
-		fmt.Fprintln(os.Stderr, "troupe:", usage.Describe(err))
-		os.Exit(usage.ExitCode(err))
+		fmt.Fprintln(os.Stderr, "troupe:", commandline.Describe(err))
+		os.Exit(commandline.ExitCode(err))
 	}
 }
 
 func app() *cli.Command {
 	binary := &cli.StringFlag{Name: "sumac", Value: "bin/sumac", Usage: "the `PROGRAM` to run"}
 	folder := &cli.StringFlag{Name: "folder", Usage: "`FOLDER` for data and logs; a fresh temporary one if empty"}
-	return usage.Strict(&cli.Command{
+	return commandline.Strict(&cli.Command{
 		Name:        "troupe",
 		Usage:       "run fleets of sumac on this machine",
 		Description: "All runs on loopback addresses. A run that broke a rule or did not come to its end ends with 1 and keeps its logs, a call that can't be read with 2.",
 		Commands: append([]*cli.Command{
 			{Name: "smoke", Usage: "the bounded run of the whole path", Description: "Starts three core nodes, two proxies and stand-in servers, carries a change set to every proxy, kills and wipes nodes, and judges the history.", Flags: []cli.Flag{binary, folder}, Action: func(ctx context.Context, cmd *cli.Command) error {
 				return inFolder(cmd, func(folder string) error {
-					return fleet.Smoke(ctx, cmd.String("sumac"), folder, os.Stdout)
+					return harness.Smoke(ctx, cmd.String("sumac"), folder, os.Stdout)
 				})
 			}},
 			{Name: "up", Usage: "keep a fleet with stand-in servers running, to look at and to hurt", Description: "Prints how to call it and to look at it, and runs until it is interrupted.", Flags: []cli.Flag{binary, folder,
 				&cli.StringFlag{Name: "shape", Value: "small", Usage: "quoteline, municipality or small"},
 			}, Action: func(ctx context.Context, cmd *cli.Command) error {
-				shape, err := fleet.ShapeOf(cmd.String("shape"))
+				shape, err := harness.ShapeOf(cmd.String("shape"))
 				if err != nil {
 					return err
 				}
 				return inFolder(cmd, func(folder string) error {
-					return fleet.Up(ctx, cmd.String("sumac"), folder, shape, os.Stdout)
+					return harness.Up(ctx, cmd.String("sumac"), folder, shape, os.Stdout)
 				})
 			}},
 			{Name: "run", Usage: "run a whole deployment under load, with faults drawn from a seed", Description: "Real processes, callers, operators and applications under a load for some time; faults of the kind named are drawn meanwhile. The history is judged at the end, and what was served, sent and spent is printed.", Flags: []cli.Flag{binary, folder,
@@ -75,18 +75,18 @@
 }
 
 func deployment(ctx context.Context, cmd *cli.Command) error {
-	shape, err := fleet.ShapeOf(cmd.String("shape"))
+	shape, err := harness.ShapeOf(cmd.String("shape"))
 	if err != nil {
 		return err
 	}
 	if f := cmd.Float("factor"); f <= 0 || f > 10 || cmd.Int("seconds") < 1 || cmd.Int("seconds") > 3600 {
-		return fault.New(fault.BadCall, "the factor must be above 0 and at most 10, the seconds 1 to 3600")
+		return errcode.New(errcode.BadCall, "the factor must be above 0 and at most 10, the seconds 1 to 3600")
 	}
 	if cmd.Duration("work") < 0 || cmd.Duration("work") > time.Minute || cmd.Float("eager") > 1 {
-		return fault.New(fault.BadCall, "the work must be 0 to 1m, the eager share at most 1")
+		return errcode.New(errcode.BadCall, "the work must be 0 to 1m, the eager share at most 1")
 	}
-	if _, ok := fleet.Faults[cmd.String("faults")]; !ok {
-		return fault.New(fault.BadCall, "there are no faults %q", cmd.String("faults"))
+	if _, ok := harness.Faults[cmd.String("faults")]; !ok {
+		return errcode.New(errcode.BadCall, "there are no faults %q", cmd.String("faults"))
 	}
 	first, last, err := seedsOf(cmd.String("seeds"))
 	if err != nil {
@@ -95,7 +95,7 @@
 	var history io.Writer
 	if path := cmd.String("history"); path != "" {
 		if first != last {
-			return fault.New(fault.BadCall, "a history is of one seed")
+			return errcode.New(errcode.BadCall, "a history is of one seed")
 		}
 		file, err := os.Create(path)
 		if err != nil {
@@ -106,7 +106,7 @@
 	}
 	failed := 0
 	for seed := first; seed <= last; seed++ {
-		run := &fleet.Run{Factor: cmd.Float("factor"), Seconds: cmd.Int("seconds"), Seed: seed, Fault: cmd.String("faults"), Mapped: cmd.Int("mappings"), Profile: cmd.String("profile"),
+		run := &harness.Run{Factor: cmd.Float("factor"), Seconds: cmd.Int("seconds"), Seed: seed, Fault: cmd.String("faults"), Mapped: cmd.Int("mappings"), Profile: cmd.String("profile"),
 			IsTwice: cmd.Bool("twice"), Other: cmd.String("other"), IsSmall: cmd.Bool("small"), Work: cmd.Duration("work"), Eager: cmd.Float("eager"), History: history}
 		if err := inFolder(cmd, func(folder string) error { return run.Go(ctx, cmd.String("sumac"), folder, shape, os.Stdout) }); err != nil {
 			if ctx.Err() != nil || first == last {
@@ -136,7 +136,7 @@
 		last, err = strconv.ParseUint(other, 10, 64)
 	}
 	if err != nil || last < first || last-first > 10000 {
-		return 0, 0, fault.New(fault.BadCall, "--seeds %q is neither a number nor FIRST:LAST", text)
+		return 0, 0, errcode.New(errcode.BadCall, "--seeds %q is neither a number nor FIRST:LAST", text)
 	}
 	return first, last, nil
 }
--- a/cmd/troupe/report.go
+++ b/cmd/troupe/report.go
@@ -11,7 +11,7 @@
 	"github.com/urfave/cli/v3"
 
 	"github.com/sumactrestle/sumactrestle/internal/checker"
-	"github.com/sumactrestle/sumactrestle/internal/fault"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
 	"github.com/sumactrestle/sumactrestle/internal/hollow"
 	"github.com/sumactrestle/sumactrestle/internal/report"
 )
@@ -33,7 +33,7 @@
 	for _, path := range cmd.Args().Slice() {
 		raw, err := os.ReadFile(path)
 		if err != nil {
-			return fault.New(fault.BadCall, "%v", err)
+			return errcode.New(errcode.BadCall, "%v", err)
 		}
 		var run hollow.Report
 		if json.Unmarshal(raw, &run) == nil && run.Figures != nil {
@@ -42,7 +42,7 @@
 		}
 		records, err := checker.Read(path)
 		if err != nil {
-			return fault.New(fault.BadCall, "%s: neither the figures of a hollow run nor a history: %v", path, err)
+			return errcode.New(errcode.BadCall, "%s: neither the figures of a hollow run nor a history: %v", path, err)
 		}
 		section, err := report.History(filepath.Base(path), records)
 		if err != nil {
@@ -59,10 +59,10 @@
 	}
 	var page bytes.Buffer
 	if err := report.Write(&page, cmd.String("title"), sections); err != nil {
-		return fault.New(fault.Internal, "%v", err)
+		return errcode.New(errcode.Internal, "%v", err)
 	}
 	if err := os.WriteFile(cmd.String("out"), page.Bytes(), 0o644); err != nil {
-		return fault.New(fault.BadCall, "--out: %v", err)
+		return errcode.New(errcode.BadCall, "--out: %v", err)
 	}
 	_, err := cmd.Root().Writer.Write([]byte(cmd.String("out") + "\n"))
 	return err
--- a/cmd/troupe/usage_test.go
+++ b/cmd/troupe/usage_test.go
@@ -15,7 +15,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"github.com/sumactrestle/sumactrestle/internal/usage"
+	"github.com/sumactrestle/sumactrestle/internal/commandline"
 )
 
 var approve = flag.Bool("approve", false, "take over the transcripts as they are now")
@@ -35,7 +35,7 @@
 
 func TestTranscriptHelp(t *testing.T) {
 	var out bytes.Buffer
-	if err := usage.Helps(app, &out); err != nil {
+	if err := commandline.Helps(app, &out); err != nil {
 		t.Fatal(err)
 	}
 	approved(t, "help.txt", out.String())
@@ -91,7 +91,7 @@
 		root.Writer, root.ErrWriter = io.Discard, io.Discard
 		fmt.Fprintf(&out, "$ troupe %s\n", call)
 		if err := root.Run(context.Background(), append([]string{"troupe"}, strings.Fields(call)...)); err != nil {
-			fmt.Fprintf(&out, "%s\nexit %d\n\n", usage.Describe(err), usage.ExitCode(err))
+			fmt.Fprintf(&out, "%s\nexit %d\n\n", commandline.Describe(err), commandline.ExitCode(err))
 		} else {
 			t.Errorf("%s was done", call)
 		}
--- a/internal/checker/history.go
+++ b/internal/checker/history.go
@@ -12,7 +12,7 @@
 	"sync"
 	"time"
 
-	"github.com/sumactrestle/sumactrestle/internal/fault"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
 )
 
 // What a record tells of.
@@ -125,7 +125,7 @@
 func Read(path string) ([]Record, error) {
 	file, err := os.Open(path)
 	if err != nil {
-		return nil, fault.New(fault.BadCall, "%v", err)
+		return nil, errcode.New(errcode.BadCall, "%v", err)
 	}
 	defer file.Close()
 	var records []Record
@@ -134,7 +134,7 @@
 	for lines.Scan() {
 		var r Record
 		if err := json.Unmarshal(lines.Bytes(), &r); err != nil {
-			return nil, fault.New(fault.BadCall, "line %d: %v", len(records)+1, err)
+			return nil, errcode.New(errcode.BadCall, "line %d: %v", len(records)+1, err)
 		}
 		records = append(records, r)
 	}
--- a/internal/usage/usage.go
+++ b/internal/commandline/usage.go
@@ -2,7 +2,7 @@
 // or an argument that is not known, a value that can't be read and a flag that is
 // missing are refused by a numbered problem that names the help to look at, and
 // nothing is run. A call that can't be read ends with 2, one that was not done with 1.
-package usage
+package commandline
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 
 	"github.com/urfave/cli/v3"
 
-	"github.com/sumactrestle/sumactrestle/internal/fault"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
 )
 
 // Strict holds a program to it, with all its commands.
@@ -23,7 +23,7 @@
 	root.OnUsageError = refuse
 	root.Action = func(_ context.Context, cmd *cli.Command) error {
 		if cmd.Args().Present() {
-			return fault.New(fault.BadCall, "no command %q; see %s --help", cmd.Args().First(), cmd.FullName())
+			return errcode.New(errcode.BadCall, "no command %q; see %s --help", cmd.Args().First(), cmd.FullName())
 		}
 		return cli.ShowRootCommandHelp(cmd)
 	}
@@ -42,7 +42,7 @@
 }
 
 func refuse(_ context.Context, cmd *cli.Command, err error, _ bool) error {
-	return fault.New(fault.BadCall, "%v; see %s --help", err, cmd.FullName())
+	return errcode.New(errcode.BadCall, "%v; see %s --help", err, cmd.FullName())
 }
 
 // count holds the arguments against what the command's help says of them: none,
@@ -64,7 +64,7 @@
 		if n > 0 {
 			given = fmt.Sprintf(", not %s", strings.Join(cmd.Args().Slice(), " "))
 		}
-		return fault.New(fault.BadCall, "%s%s; see %s --help", need, given, cmd.FullName())
+		return errcode.New(errcode.BadCall, "%s%s; see %s --help", need, given, cmd.FullName())
 	}
 	return nil
 }
@@ -75,8 +75,8 @@
 	if errors.As(err, &unknown) {
 		return 2
 	}
-	switch fault.Of(err).Code.No {
-	case fault.BadProps.No, fault.BadCall.No, fault.BadChange.No:
+	switch errcode.Of(err).Code.No {
+	case errcode.BadProps.No, errcode.BadCall.No, errcode.BadChange.No:
 		return 2
 	}
 	return 1
@@ -85,8 +85,8 @@
 // Describe is a problem as an operator reads it: its number, its text, and a line
 // for each path.
 func Describe(err error) string {
-	p := fault.Of(err)
-	if p.Code.No == fault.Internal.No {
+	p := errcode.Of(err)
+	if p.Code.No == errcode.Internal.No {
 		return err.Error()
 	}
 	text := fmt.Sprintf("%d %s", p.Code.No, p.Code.Text)
--- a/internal/props/props.go
+++ b/internal/config/props.go
@@ -1,7 +1,7 @@
 // Package props loads a node's settings with koanf from defaults, a file,
 // variables and flags, in that order, and checks them: every fault is named by
 // its key, unknown keys included, and nothing starts on faulty settings.
-package props
+package config
 
 import (
 	"fmt"
@@ -21,7 +21,7 @@
 	"github.com/knadh/koanf/providers/file"
 	"github.com/knadh/koanf/v2"
 
-	"github.com/sumactrestle/sumactrestle/internal/fault"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
 )
 
 type entry struct {
@@ -41,7 +41,7 @@
 		}
 	}
 	if err := k.Load(confmap.Provider(fallbacks, "."), nil); err != nil {
-		return nil, fault.New(fault.BadProps, "%v", err)
+		return nil, errcode.New(errcode.BadProps, "%v", err)
 	}
 	if path != "" {
 		var parser koanf.Parser = yaml.Parser()
@@ -52,11 +52,11 @@
 		// to one form first, for else which one is found is a matter of luck.
 		raw := koanf.New("\x00")
 		if err := raw.Load(file.Provider(path), parser); err != nil {
-			return nil, fault.New(fault.BadProps, "%s: %v", path, err)
+			return nil, errcode.New(errcode.BadProps, "%s: %v", path, err)
 		}
 		flat, _ := maps.Flatten(raw.Raw(), nil, ".")
 		if err := k.Load(confmap.Provider(flat, "."), nil); err != nil {
-			return nil, fault.New(fault.BadProps, "%s: %v", path, err)
+			return nil, errcode.New(errcode.BadProps, "%s: %v", path, err)
 		}
 	}
 	rename := func(name string) string {
@@ -67,14 +67,14 @@
 		return key
 	}
 	if err := k.Load(env.Provider("SUMAC_", ".", rename), nil); err != nil {
-		return nil, fault.New(fault.BadProps, "%v", err)
+		return nil, errcode.New(errcode.BadProps, "%v", err)
 	}
 	given := map[string]any{}
 	for key, value := range flags {
 		given[key] = value
 	}
 	if err := k.Load(confmap.Provider(given, "."), nil); err != nil {
-		return nil, fault.New(fault.BadProps, "%v", err)
+		return nil, errcode.New(errcode.BadProps, "%v", err)
 	}
 	p := &Props{}
 	var faults []string
@@ -94,7 +94,7 @@
 	faults = append(faults, p.check()...)
 	if len(faults) > 0 {
 		sort.Strings(faults)
-		return nil, fault.At(fault.BadProps, faults)
+		return nil, errcode.At(errcode.BadProps, faults)
 	}
 	return p, nil
 }
--- a/internal/props/props_test.go
+++ b/internal/config/props_test.go
@@ -1,5 +1,5 @@
 // Faulty settings are all named by their keys, unknown ones too.
-package props
+package config
 
 import (
 	"os"
@@ -8,7 +8,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"github.com/sumactrestle/sumactrestle/internal/fault"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
 )
 
 func TestEveryFaultIsNamed(t *testing.T) {
@@ -23,7 +23,7 @@
 pact: {snapshot: many}
 `), 0o644)
 	_, err := Load(path, map[string]string{"strength": "0"})
-	if !fault.Is(err, fault.BadProps) {
+	if !errcode.Is(err, errcode.BadProps) {
 		t.Fatal(err)
 	}
 	want := []string{
@@ -39,7 +39,7 @@
 		`wire.address: "10.0.0.1" is not an IP number with a port`,
 		`wire.address: is missing`,
 	}
-	if diff := cmp.Diff(want, fault.Of(err).Paths); diff != "" {
+	if diff := cmp.Diff(want, errcode.Of(err).Paths); diff != "" {
 		t.Fatal(diff)
 	}
 }
--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -8,11 +8,11 @@
 	"context"
 	"time"
 
-	"github.com/sumactrestle/sumactrestle/internal/fault"
-	"github.com/sumactrestle/sumactrestle/internal/mark"
-	"github.com/sumactrestle/sumactrestle/internal/sign"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
+	"github.com/sumactrestle/sumactrestle/internal/eventlog"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 	"github.com/sumactrestle/sumactrestle/internal/storage"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
 )
 
 const promiseTime = 800 * time.Millisecond
@@ -53,13 +53,13 @@
 }
 
 // promise answers a member that stands.
-func (t *Part) promise(ask *wire.PromiseAsk) (*wire.PromiseReceipt, error) {
+func (t *Part) promise(ask *rpc.PromiseAsk) (*rpc.PromiseReceipt, error) {
 	t.mu.Lock()
 	if err := t.checkTerm(ask.Term, ask.From); err != nil {
 		t.mu.Unlock()
 		return nil, err
 	}
-	receipt := &wire.PromiseReceipt{From: t.p.me, Promised: t.promised}
+	receipt := &rpc.PromiseReceipt{From: t.p.me, Promised: t.promised}
 	isHeard := !ask.Invited && t.p.r.Since(t.heard) < t.p.r.Props.PactSilence*3/4 && !t.heard.IsZero()
 	if receipt.Outside = t.isRemoved(ask); receipt.Outside {
 		t.mu.Unlock()
@@ -106,7 +106,7 @@
 // isRemoved tells whether a candidate has no vote in a group that is known to be
 // committed, and lacks what says so. Its promises would count for nothing, and its
 // term would only end the work of an owner.
-func (t *Part) isRemoved(ask *wire.PromiseAsk) bool {
+func (t *Part) isRemoved(ask *rpc.PromiseAsk) bool {
 	last, lastTerm := t.last()
 	isBehind := ask.LastTerm.Less(lastTerm) || ask.LastTerm == lastTerm && ask.Last <= last
 	return isBehind && t.commit >= t.votersAt && !t.voters.Holds(ask.From)
@@ -118,7 +118,7 @@
 // isAheadOf tells whether a candidate lacks so much of this member's log that it can't
 // come with a promise: a snapshot, or many entries. So this member stands itself, if it
 // can lead.
-func (t *Part) isAheadOf(ask *wire.PromiseAsk) bool {
+func (t *Part) isAheadOf(ask *rpc.PromiseAsk) bool {
 	if !t.voters.Holds(t.p.me) || t.isOutside || t.p.IsGoing() {
 		return false
 	}
@@ -138,7 +138,7 @@
 
 // sharedWith is up to where a candidate surely has the entries of this log: all of its
 // own if this log runs through its last one, else what it knows to be committed.
-func (t *Part) sharedWith(ask *wire.PromiseAsk) mark.Stamp {
+func (t *Part) sharedWith(ask *rpc.PromiseAsk) ids.Stamp {
 	if term, isThere := t.at(ask.Last); isThere && term == ask.LastTerm {
 		return ask.Last
 	}
@@ -150,7 +150,7 @@
 func (t *Part) noteOutside(isOutside bool) {
 	if isOutside && !t.isOutside {
 		t.isOutside = true
-		t.p.say(sign.MemberRemoved, "part", int(t.no), "last_members", t.voters.String())
+		t.p.say(eventlog.MemberRemoved, "part", int(t.no), "last_members", t.voters.String())
 	}
 }
 
@@ -160,10 +160,10 @@
 const mostRounds = 1 << 32
 
 // checkTerm refuses a term that no election can have come to.
-func (t *Part) checkTerm(term mark.Term, from wire.Peer) error {
+func (t *Part) checkTerm(term ids.Term, from rpc.Peer) error {
 	if term.Round > t.promised.Round && term.Round-t.promised.Round > mostRounds {
-		err := fault.New(fault.BadMessage, "part %d: term %s is out of all order after %s", t.no, term, t.promised)
-		t.p.say(sign.MessageRefused, "code", fault.BadMessage.No, "part", int(t.no), "from", string(from.Name), "cause", err.Error())
+		err := errcode.New(errcode.BadMessage, "part %d: term %s is out of all order after %s", t.no, term, t.promised)
+		t.p.say(eventlog.MessageRefused, "code", errcode.BadMessage.No, "part", int(t.no), "from", string(from.Name), "cause", err.Error())
 		return err
 	}
 	return nil
@@ -171,7 +171,7 @@
 
 // isInvitedBy tells whether an invitation comes from the owner that this member
 // knows; one that is late must not end the work of the next owner.
-func (t *Part) isInvitedBy(ask *wire.InviteAsk) bool {
+func (t *Part) isInvitedBy(ask *rpc.InviteAsk) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.promised == ask.Term
@@ -185,7 +185,7 @@
 		return
 	}
 	round := max(t.promised.Round, t.seen) + 1
-	term := mark.Term{Round: round, Node: t.p.me.Name}
+	term := ids.Term{Round: round, Node: t.p.me.Name}
 	t.promised, t.matchIn, t.matched = term, term, 0
 	t.trace(Trace{Kind: TraceRaised, Term: term})
 	t.since = t.p.r.Now()
@@ -193,7 +193,7 @@
 	t.putPromise(w)
 	t.p.store.Hand(w)
 	commit := t.commit
-	mine := &wire.PromiseReceipt{From: t.p.me, Granted: true, Group: t.voters.Current, Former: t.voters.Former}
+	mine := &rpc.PromiseReceipt{From: t.p.me, Granted: true, Group: t.voters.Current, Former: t.voters.Former}
 	mine.Last, mine.LastTerm = t.last()
 	t.mu.Unlock()
 	if w.Wait() != nil {
@@ -201,9 +201,9 @@
 	}
 	t.trace(Trace{Kind: TracePromised, Term: term})
 	sent := t.p.r.Now()
-	best, granted := t.gatherPromises(&wire.PromiseAsk{Part: t.no, Term: term, From: t.p.me, Commit: commit, Last: mine.Last, LastTerm: mine.LastTerm, Invited: isInvited}, mine)
+	best, granted := t.gatherPromises(&rpc.PromiseAsk{Part: t.no, Term: term, From: t.p.me, Commit: commit, Last: mine.Last, LastTerm: mine.LastTerm, Invited: isInvited}, mine)
 	if best == nil || !votersOf(best).Holds(t.p.me) {
-		t.p.say(sign.StandFailed, "part", int(t.no), "term", term.String())
+		t.p.say(eventlog.StandFailed, "part", int(t.no), "term", term.String())
 		return
 	}
 	t.mu.Lock()
@@ -222,8 +222,8 @@
 			t.cut(w, max(best.Last, t.commit))
 		}
 		if err := t.adopt(w, best.Entries); err != nil {
-			t.p.say(sign.StandFailed, "part", int(t.no), "cause", err.Error())
-			if fault.Is(err, fault.Internal) {
+			t.p.say(eventlog.StandFailed, "part", int(t.no), "cause", err.Error())
+			if errcode.Is(err, errcode.Internal) {
 				t.broken(err.Error(), "from", string(best.From.Name))
 			}
 			t.p.store.Hand(w)
@@ -238,13 +238,13 @@
 // gatherPromises asks for promises until a majority of the group that the most
 // advanced log among them names has given one, and returns that log. The group
 // that this member knows may be old: only the adopted log tells who has a vote.
-func (t *Part) gatherPromises(ask *wire.PromiseAsk, mine *wire.PromiseReceipt) (*wire.PromiseReceipt, []wire.Peer) {
+func (t *Part) gatherPromises(ask *rpc.PromiseAsk, mine *rpc.PromiseReceipt) (*rpc.PromiseReceipt, []rpc.Peer) {
 	ctx, end := context.WithTimeout(t.p.r, promiseTime)
 	defer end()
-	receipts := make(chan *wire.PromiseReceipt)
-	asked := map[wire.Peer]bool{t.p.me: true}
+	receipts := make(chan *rpc.PromiseReceipt)
+	asked := map[rpc.Peer]bool{t.p.me: true}
 	pending := 0
-	askAll := func(group []wire.Peer) {
+	askAll := func(group []rpc.Peer) {
 		for _, peer := range group {
 			if !asked[peer] {
 				asked[peer] = true
@@ -259,7 +259,7 @@
 			}
 		}
 	}
-	best, granted := mine, []wire.Peer{t.p.me}
+	best, granted := mine, []rpc.Peer{t.p.me}
 	askAll(votersOf(best).All())
 	for {
 		if votersOf(best).IsDecidedBy(granted) {
@@ -286,17 +286,17 @@
 }
 
 // votersOf is the voters that the log behind a promise names.
-func votersOf(receipt *wire.PromiseReceipt) Voters {
+func votersOf(receipt *rpc.PromiseReceipt) Voters {
 	return Voters{Current: receipt.Group, Former: receipt.Former}
 }
 
 // askPromise asks one member; nil if it can't be asked or refuses.
-func (t *Part) askPromise(ctx context.Context, ask *wire.PromiseAsk, peer wire.Peer) *wire.PromiseReceipt {
+func (t *Part) askPromise(ctx context.Context, ask *rpc.PromiseAsk, peer rpc.Peer) *rpc.PromiseReceipt {
 	m, ok := t.p.k.View()[peer.Name]
 	if !ok || m.Birth != peer.Birth {
 		return nil
 	}
-	receipt := &wire.PromiseReceipt{}
+	receipt := &rpc.PromiseReceipt{}
 	if err := t.p.w.Ask(ctx, m.Wire, "pact.promise", ask, receipt); err != nil || receipt.From != peer {
 		return nil
 	}
@@ -311,17 +311,17 @@
 }
 
 // becomeOwner makes this member the owner; it serves when its first entry commits.
-func (t *Part) becomeOwner(w *storage.Batch, sent time.Time, granted []wire.Peer) {
+func (t *Part) becomeOwner(w *storage.Batch, sent time.Time, granted []rpc.Peer) {
 	t.isOwner, t.isServing = true, false
 	t.ctx, t.end = context.WithCancel(t.p.r)
-	t.match, t.acks, t.replicating = map[wire.Peer]mark.Stamp{}, map[wire.Peer]time.Time{}, map[wire.Peer]bool{}
-	t.progress = map[wire.Peer]time.Time{}
+	t.match, t.acks, t.replicating = map[rpc.Peer]ids.Stamp{}, map[rpc.Peer]time.Time{}, map[rpc.Peer]bool{}
+	t.progress = map[rpc.Peer]time.Time{}
 	for _, peer := range granted {
 		t.acks[peer] = sent
 	}
 	last, _ := t.last()
 	t.began = last + 1
-	t.append(w, wire.Entry{Kind: ownEntry})
+	t.append(w, rpc.Entry{Kind: ownEntry})
 	t.replicateToAll()
 	t.p.kickAll()
 }
@@ -335,14 +335,14 @@
 	t.end()
 	t.failWaiters(0)
 	t.since = t.p.r.Now()
-	t.p.say(sign.PartLost, "part", int(t.no), "term", t.promised.String(), "cause", cause)
+	t.p.say(eventlog.PartLost, "part", int(t.no), "term", t.promised.String(), "cause", cause)
 	t.notify()
 }
 
 // broken is for what the rules on terms and majorities rule out: it is said, and
 // the part is given up rather than written to.
 func (t *Part) broken(what string, pairs ...any) {
-	t.p.say(sign.PartBroken, append([]any{"part", int(t.no), "term", t.promised.String(), "cause", what}, pairs...)...)
+	t.p.say(eventlog.PartBroken, append([]any{"part", int(t.no), "term", t.promised.String(), "cause", what}, pairs...)...)
 	t.stepDown("copies contradict one another")
 }
 
@@ -370,7 +370,7 @@
 	}
 	last, _ := t.last()
 	term := t.promised
-	var next *wire.Member
+	var next *rpc.Member
 	for _, peer := range Order(t.no, t.voters.All()) {
 		m, ok := t.p.k.Of(peer.Name)
 		if peer != t.p.me && ok && m.Birth == peer.Birth && t.match[peer] == last {
@@ -383,6 +383,6 @@
 	if next != nil {
 		limited, end := context.WithTimeout(ctx, time.Second)
 		defer end()
-		t.p.w.Ask(limited, next.Wire, "pact.invite", &wire.InviteAsk{Part: t.no, Term: term}, nil)
+		t.p.w.Ask(limited, next.Wire, "pact.invite", &rpc.InviteAsk{Part: t.no, Term: term}, nil)
 	}
 }
--- a/internal/consensus/founding.go
+++ b/internal/consensus/founding.go
@@ -11,10 +11,10 @@
 	"sort"
 	"time"
 
-	"github.com/sumactrestle/sumactrestle/internal/fault"
-	"github.com/sumactrestle/sumactrestle/internal/mark"
-	"github.com/sumactrestle/sumactrestle/internal/sign"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
+	"github.com/sumactrestle/sumactrestle/internal/eventlog"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
 const foundTime = 2 * time.Second
@@ -27,17 +27,17 @@
 			continue
 		}
 		ctx, end := context.WithTimeout(p.r, foundTime)
-		var charter wire.Charter
+		var charter rpc.Charter
 		err := p.w.Ask(ctx, m.Wire, "pact.charter", struct{}{}, &charter)
 		end()
 		if err == nil && charter.Open && p.putCharter(&charter, charter.Round) == nil {
-			p.say(sign.FleetJoined, "fleet", charter.Fleet)
+			p.say(eventlog.FleetJoined, "fleet", charter.Fleet)
 			return
 		}
 	}
 	me := p.k.Me()
 	sort.Slice(cores, func(i, j int) bool { return cores[i].Name < cores[j].Name })
-	var founders []wire.Member
+	var founders []rpc.Member
 	for _, m := range cores {
 		if m.Fleet != "" {
 			return
@@ -53,20 +53,20 @@
 }
 
 // propose runs one round of founding with all founders.
-func (p *Node) propose(founders []wire.Member) {
+func (p *Node) propose(founders []rpc.Member) {
 	p.mu.Lock()
-	round := mark.Term{Round: p.pledge.Round + 1, Node: p.me.Name}
+	round := ids.Term{Round: p.pledge.Round + 1, Node: p.me.Name}
 	p.mu.Unlock()
-	charter := &wire.Charter{Fleet: mark.NewID(), Members: founders, Parts: mark.Parts}
-	receipts, ok := p.askAll(founders, &wire.FoundAsk{Step: "promise", Round: round, From: p.me})
-	var newest mark.Term
+	charter := &rpc.Charter{Fleet: ids.NewID(), Members: founders, Parts: ids.Parts}
+	receipts, ok := p.askAll(founders, &rpc.FoundAsk{Step: "promise", Round: round, From: p.me})
+	var newest ids.Term
 	for _, receipt := range receipts {
 		if receipt.Charter != nil && newest.Less(receipt.Charter.Round) {
 			newest, charter = receipt.Charter.Round, receipt.Charter
 		}
 		p.mu.Lock()
 		if p.pledge.Round < receipt.Promised.Round {
-			p.pledge = mark.Term{Round: receipt.Promised.Round, Node: p.pledge.Node}
+			p.pledge = ids.Term{Round: receipt.Promised.Round, Node: p.pledge.Node}
 		}
 		p.mu.Unlock()
 	}
@@ -77,21 +77,21 @@
 		// A founder lost its disk before the charter opened. All founders have promised
 		// now, none of them has it open, and none takes part in anything while it is not:
 		// nothing can have been written under it.
-		charter = &wire.Charter{Fleet: mark.NewID(), Members: founders, Parts: mark.Parts}
+		charter = &rpc.Charter{Fleet: ids.NewID(), Members: founders, Parts: ids.Parts}
 	}
 	charter.Round = round
-	if _, ok := p.askAll(charter.Members, &wire.FoundAsk{Step: "accept", Round: round, Charter: charter, From: p.me}); !ok {
+	if _, ok := p.askAll(charter.Members, &rpc.FoundAsk{Step: "accept", Round: round, Charter: charter, From: p.me}); !ok {
 		return
 	}
 	opened := *charter
 	opened.Open = true
-	p.askAll(charter.Members, &wire.FoundAsk{Step: "open", Round: round, Charter: &opened, From: p.me})
+	p.askAll(charter.Members, &rpc.FoundAsk{Step: "open", Round: round, Charter: &opened, From: p.me})
 }
 
 // isReborn tells whether two lists name the same nodes, of which one at least has
 // another birth now.
-func isReborn(members, founders []wire.Member) bool {
-	births := map[mark.Name]mark.Birth{}
+func isReborn(members, founders []rpc.Member) bool {
+	births := map[ids.Name]ids.Birth{}
 	for _, m := range members {
 		births[m.Name] = m.Birth
 	}
@@ -107,17 +107,17 @@
 }
 
 // askAll is true only if every one agreed.
-func (p *Node) askAll(founders []wire.Member, ask *wire.FoundAsk) ([]*wire.FoundReceipt, bool) {
+func (p *Node) askAll(founders []rpc.Member, ask *rpc.FoundAsk) ([]*rpc.FoundReceipt, bool) {
 	ctx, end := context.WithTimeout(p.r, foundTime)
 	defer end()
 	type result struct {
-		receipt *wire.FoundReceipt
+		receipt *rpc.FoundReceipt
 		ok      bool
 	}
 	results := make(chan result, len(founders))
 	for _, m := range founders {
 		p.r.Go(func() {
-			receipt := &wire.FoundReceipt{}
+			receipt := &rpc.FoundReceipt{}
 			var err error
 			if m.Name == p.me.Name {
 				receipt, err = p.found(ask)
@@ -132,7 +132,7 @@
 		})
 	}
 	isAll := true
-	var receipts []*wire.FoundReceipt
+	var receipts []*rpc.FoundReceipt
 	for range founders {
 		got := <-results
 		isAll = isAll && got.ok
@@ -144,14 +144,14 @@
 }
 
 // found answers a step of founding.
-func (p *Node) found(ask *wire.FoundAsk) (*wire.FoundReceipt, error) {
+func (p *Node) found(ask *rpc.FoundAsk) (*rpc.FoundReceipt, error) {
 	p.mu.Lock()
-	receipt := &wire.FoundReceipt{From: p.me, Promised: p.pledge, Charter: p.charter}
+	receipt := &rpc.FoundReceipt{From: p.me, Promised: p.pledge, Charter: p.charter}
 	isOpen := p.charter != nil && p.charter.Open
 	isLower := ask.Round.Less(p.pledge)
 	p.mu.Unlock()
 	if ask.Step != "promise" && ask.Charter == nil {
-		return nil, fault.New(fault.BadMessage, "no charter in step %q", ask.Step)
+		return nil, errcode.New(errcode.BadMessage, "no charter in step %q", ask.Step)
 	}
 	switch {
 	case isOpen || isLower && ask.Step != "open":
@@ -172,17 +172,17 @@
 			return nil, err
 		}
 		if ask.Step == "open" {
-			p.say(sign.FleetFounded, "fleet", ask.Charter.Fleet, "members", len(ask.Charter.Members))
+			p.say(eventlog.FleetFounded, "fleet", ask.Charter.Fleet, "members", len(ask.Charter.Members))
 		}
 	default:
-		return nil, fault.New(fault.BadMessage, "no step %q", ask.Step)
+		return nil, errcode.New(errcode.BadMessage, "no step %q", ask.Step)
 	}
 	receipt.Ok, receipt.Promised = true, ask.Round
 	return receipt, nil
 }
 
 // putCharter syncs a charter and, if it is open, enters the fleet.
-func (p *Node) putCharter(charter *wire.Charter, round mark.Term) error {
+func (p *Node) putCharter(charter *rpc.Charter, round ids.Term) error {
 	p.mu.Lock()
 	if p.charter != nil && p.charter.Open {
 		p.mu.Unlock()
@@ -190,7 +190,7 @@
 	}
 	if round.Less(p.pledge) && !charter.Open {
 		p.mu.Unlock()
-		return fault.New(fault.NotOwner, "a higher round of founding was promised")
+		return errcode.New(errcode.NotOwner, "a higher round of founding was promised")
 	}
 	p.charter, p.pledge = charter, round
 	raw, _ := json.Marshal(charter)
@@ -211,7 +211,7 @@
 }
 
 // enter shows the fleet to others and gives every part its first group.
-func (p *Node) enter(charter *wire.Charter) {
+func (p *Node) enter(charter *rpc.Charter) {
 	for _, t := range p.parts {
 		t.mu.Lock()
 		if t.base.Index == 0 && len(t.base.Group) == 0 {
@@ -221,6 +221,6 @@
 		t.since = t.p.r.Now()
 		t.mu.Unlock()
 	}
-	p.k.Amend(func(m *wire.Member) { m.Fleet = charter.Fleet })
+	p.k.Amend(func(m *rpc.Member) { m.Fleet = charter.Fleet })
 	close(p.Ready)
 }
--- a/internal/consensus/heartbeat.go
+++ b/internal/consensus/heartbeat.go
@@ -8,9 +8,9 @@
 	"context"
 	"time"
 
-	"github.com/sumactrestle/sumactrestle/internal/fault"
-	"github.com/sumactrestle/sumactrestle/internal/mark"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
 type heartbeater struct {
@@ -37,7 +37,7 @@
 		}
 	}
 	for name, m := range view {
-		peer := wire.Peer{Name: name, Birth: m.Birth}
+		peer := rpc.Peer{Name: name, Birth: m.Birth}
 		if !m.Core || name == p.r.Name || p.rounds[peer] != nil {
 			continue
 		}
@@ -49,7 +49,7 @@
 }
 
 // kickHeartbeats has the members of a group asked at once.
-func (p *Node) kickHeartbeats(group []wire.Peer) {
+func (p *Node) kickHeartbeats(group []rpc.Peer) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, peer := range group {
@@ -75,7 +75,7 @@
 }
 
 // isVoter tells whether a peer has a say in a part that this node owns.
-func (p *Node) isVoter(peer wire.Peer) bool {
+func (p *Node) isVoter(peer rpc.Peer) bool {
 	for _, t := range p.parts {
 		t.mu.Lock()
 		is := t.isOwner && t.voters.Holds(peer)
@@ -87,7 +87,7 @@
 	return false
 }
 
-func (p *Node) round(ctx context.Context, peer wire.Peer, r *heartbeater) {
+func (p *Node) round(ctx context.Context, peer rpc.Peer, r *heartbeater) {
 	wakeup := time.NewTimer(1)
 	defer wakeup.Stop()
 	for {
@@ -112,7 +112,7 @@
 		}
 		sent := p.r.Now()
 		limited, end := context.WithTimeout(ctx, 500*time.Millisecond)
-		var receipt wire.RoundReceipt
+		var receipt rpc.RoundReceipt
 		ask := r.ask(p.me, claims)
 		err := p.w.Ask(limited, m.Wire, "pact.round", ask, &receipt)
 		end()
@@ -131,11 +131,11 @@
 	}
 }
 
-func (p *Node) claims() (claims []wire.Claim) {
+func (p *Node) claims() (claims []rpc.Claim) {
 	for _, t := range p.parts {
 		t.mu.Lock()
 		if t.isOwner {
-			claims = append(claims, wire.Claim{Part: t.no, Term: t.promised, Commit: t.commit, Serving: t.isServing})
+			claims = append(claims, rpc.Claim{Part: t.no, Term: t.promised, Commit: t.commit, Serving: t.isServing})
 		}
 		t.mu.Unlock()
 	}
@@ -143,8 +143,8 @@
 }
 
 // creditHeartbeat notes a member's word on each claim it did not refuse.
-func (p *Node) creditHeartbeat(peer wire.Peer, sent time.Time, claims []wire.Claim, receipt *wire.RoundReceipt) {
-	no := map[mark.Part]mark.Term{}
+func (p *Node) creditHeartbeat(peer rpc.Peer, sent time.Time, claims []rpc.Claim, receipt *rpc.RoundReceipt) {
+	no := map[ids.Part]ids.Term{}
 	for _, refused := range receipt.Refused {
 		no[refused.Part] = refused.Term
 	}
@@ -165,8 +165,8 @@
 }
 
 // answerHeartbeat answers a round.
-func (p *Node) answerHeartbeat(ask *wire.RoundAsk) *wire.RoundReceipt {
-	receipt := &wire.RoundReceipt{From: p.me, No: ask.No}
+func (p *Node) answerHeartbeat(ask *rpc.RoundAsk) *rpc.RoundReceipt {
+	receipt := &rpc.RoundReceipt{From: p.me, No: ask.No}
 	claims, ok := p.whole(ask)
 	if !ok {
 		receipt.Lost = true
@@ -179,7 +179,7 @@
 		}
 		t.mu.Lock()
 		if claim.Term.Less(t.promised) {
-			receipt.Refused = append(receipt.Refused, wire.Claim{Part: claim.Part, Term: t.promised})
+			receipt.Refused = append(receipt.Refused, rpc.Claim{Part: claim.Part, Term: t.promised})
 			t.mu.Unlock()
 			continue
 		}
@@ -195,7 +195,7 @@
 	return receipt
 }
 
-func (p *Node) noteOwner(no mark.Part, name mark.Name, term mark.Term) {
+func (p *Node) noteOwner(no ids.Part, name ids.Name, term ids.Term) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if old := p.owners[no]; !term.Less(old.term) {
@@ -206,7 +206,7 @@
 // confirmed is the moment as of which a majority confirms the owner's term.
 func (t *Part) confirmed() time.Time {
 	now := t.p.r.Now()
-	age := t.voters.Reached(func(peer wire.Peer) int64 {
+	age := t.voters.Reached(func(peer rpc.Peer) int64 {
 		if peer == t.p.me {
 			return 0
 		}
@@ -220,14 +220,14 @@
 
 // nearestMajority is the members that make a majority with this node: own zone first, and
 // those that seem live.
-func (p *Node) nearestMajority(voters Voters) []wire.Peer {
+func (p *Node) nearestMajority(voters Voters) []rpc.Peer {
 	group := voters.Current
 	if voters.IsJoint() {
 		return voters.All()
 	}
-	var some []wire.Peer
+	var some []rpc.Peer
 	for _, m := range p.k.Cores() {
-		peer := wire.Peer{Name: m.Name, Birth: m.Birth}
+		peer := rpc.Peer{Name: m.Name, Birth: m.Birth}
 		if peer != p.me && holds(group, peer) && len(some) < len(group)/2 {
 			some = append(some, peer)
 		}
@@ -244,7 +244,7 @@
 		t.mu.Lock()
 		if !t.isServing {
 			t.mu.Unlock()
-			return fault.New(fault.NotOwner, "part %d", t.no)
+			return errcode.New(errcode.NotOwner, "part %d", t.no)
 		}
 		if !t.confirmed().Before(since) {
 			t.trace(Trace{Kind: TraceRead, Term: t.promised, Index: t.applied, Since: time.Now().Add(-t.p.r.Since(since))})
@@ -265,7 +265,7 @@
 			late = nil
 			t.p.kickHeartbeats(voters.All())
 		case <-ctx.Done():
-			return fault.New(fault.NoOwner, "part %d can't be confirmed: %v", t.no, ctx.Err())
+			return errcode.New(errcode.NoOwner, "part %d can't be confirmed: %v", t.no, ctx.Err())
 		}
 	}
 }
--- a/internal/consensus/heartbeat_delta.go
+++ b/internal/consensus/heartbeat_delta.go
@@ -7,18 +7,18 @@
 import (
 	"math/rand/v2"
 
-	"github.com/sumactrestle/sumactrestle/internal/mark"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
 // claimSet is all that one message claims, by its number.
 type claimSet struct {
 	no     uint64
-	claims map[mark.Part]wire.Claim
+	claims map[ids.Part]rpc.Claim
 }
 
-func byPart(claims []wire.Claim) map[mark.Part]wire.Claim {
-	set := make(map[mark.Part]wire.Claim, len(claims))
+func byPart(claims []rpc.Claim) map[ids.Part]rpc.Claim {
+	set := make(map[ids.Part]rpc.Claim, len(claims))
 	for _, c := range claims {
 		set[c.Part] = c
 	}
@@ -27,12 +27,12 @@
 
 // ask makes the next message; numbers begin anywhere, so that those of an earlier
 // life of this node are not met again.
-func (r *heartbeater) ask(from wire.Peer, claims []wire.Claim) *wire.RoundAsk {
+func (r *heartbeater) ask(from rpc.Peer, claims []rpc.Claim) *rpc.RoundAsk {
 	if r.no == 0 {
 		r.no = rand.Uint64() >> 2
 	}
 	r.no++
-	ask := &wire.RoundAsk{From: from, No: r.no, Base: r.heard.no}
+	ask := &rpc.RoundAsk{From: from, No: r.no, Base: r.heard.no}
 	now := byPart(claims)
 	for _, c := range claims {
 		if old, ok := r.heard.claims[c.Part]; !ok || old != c {
@@ -48,7 +48,7 @@
 }
 
 // took notes that a message was heard, or that its base was lost.
-func (r *heartbeater) took(ask *wire.RoundAsk, claims []wire.Claim, isLost bool) {
+func (r *heartbeater) took(ask *rpc.RoundAsk, claims []rpc.Claim, isLost bool) {
 	r.heard = claimSet{}
 	if !isLost {
 		r.heard = claimSet{no: ask.No, claims: byPart(claims)}
@@ -56,14 +56,14 @@
 }
 
 // whole is all that a message claims; false if its base is not the last heard.
-func (p *Node) whole(ask *wire.RoundAsk) (map[mark.Part]wire.Claim, bool) {
+func (p *Node) whole(ask *rpc.RoundAsk) (map[ids.Part]rpc.Claim, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	last := p.claimSets[ask.From]
 	if ask.Base != 0 && last.no != ask.Base {
 		return nil, false
 	}
-	set := map[mark.Part]wire.Claim{}
+	set := map[ids.Part]rpc.Claim{}
 	if ask.Base != 0 {
 		for no, c := range last.claims {
 			set[no] = c
--- a/internal/consensus/membership.go
+++ b/internal/consensus/membership.go
@@ -13,9 +13,9 @@
 	"sync"
 	"time"
 
-	"github.com/sumactrestle/sumactrestle/internal/mark"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
 	"github.com/sumactrestle/sumactrestle/internal/membership"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
 const (
@@ -53,7 +53,7 @@
 
 // lostMembers is the members that came back under another birth, or are gone for
 // long.
-func (t *Part) lostMembers(group []wire.Peer) (lost []wire.Peer) {
+func (t *Part) lostMembers(group []rpc.Peer) (lost []rpc.Peer) {
 	view, long := t.p.k.View(), t.p.r.Props.PactGone
 	for _, peer := range group {
 		m, isKnown := view[peer.Name]
@@ -69,15 +69,15 @@
 
 // replacement is one member that comes in, for one that goes out if there is one.
 type replacement struct {
-	in, out wire.Peer
+	in, out rpc.Peer
 }
 
 // replacements pairs each lost member with the core node that takes its place: the
 // one of its own name, or a spare of the zone with the fewest members; and it fills
 // a group that is smaller than the fleet allows.
-func (t *Part) replacements(group, lost []wire.Peer) (wanted []replacement) {
+func (t *Part) replacements(group, lost []rpc.Peer) (wanted []replacement) {
 	view := t.p.k.View()
-	isTaken, zones := map[mark.Name]bool{}, map[string]int{}
+	isTaken, zones := map[ids.Name]bool{}, map[string]int{}
 	for _, peer := range group {
 		if !holds(lost, peer) {
 			isTaken[peer.Name] = true
@@ -85,8 +85,8 @@
 		}
 	}
 	cores := t.fleetCores()
-	take := func(out wire.Peer, isFit func(wire.Member) bool) bool {
-		var best *wire.Member
+	take := func(out rpc.Peer, isFit func(rpc.Member) bool) bool {
+		var best *rpc.Member
 		for _, m := range cores {
 			if !isTaken[m.Name] && isFit(m) && (best == nil || zones[m.Zone] < zones[best.Zone]) {
 				best = &m
@@ -97,27 +97,27 @@
 		}
 		isTaken[best.Name] = true
 		zones[best.Zone]++
-		wanted = append(wanted, replacement{in: wire.Peer{Name: best.Name, Birth: best.Birth}, out: out})
+		wanted = append(wanted, replacement{in: rpc.Peer{Name: best.Name, Birth: best.Birth}, out: out})
 		return true
 	}
-	isLost := map[mark.Name]bool{}
+	isLost := map[ids.Name]bool{}
 	for _, out := range lost {
 		isLost[out.Name] = true
 	}
 	for _, out := range lost {
-		isBack := take(out, func(m wire.Member) bool { return m.Name == out.Name })
+		isBack := take(out, func(m rpc.Member) bool { return m.Name == out.Name })
 		if !isBack && isGone(view, out, t.p.r.Props.PactGone) {
-			take(out, func(m wire.Member) bool { return !isLost[m.Name] })
+			take(out, func(m rpc.Member) bool { return !isLost[m.Name] })
 		}
 	}
 	if size := Size(t.no, len(cores), t.p.r.Props.PactLosses); len(lost) == 0 && len(group) < size {
-		take(wire.Peer{}, func(wire.Member) bool { return true })
+		take(rpc.Peer{}, func(rpc.Member) bool { return true })
 	}
 	return wanted
 }
 
 // fleetCores is the core nodes of this fleet that seem live.
-func (t *Part) fleetCores() (cores []wire.Member) {
+func (t *Part) fleetCores() (cores []rpc.Member) {
 	for _, m := range t.p.k.Cores() {
 		if m.Fleet == t.p.fleet() {
 			cores = append(cores, m)
@@ -128,7 +128,7 @@
 
 // replace has the newcomers catch up side by side, and puts those that did into
 // the group in one change.
-func (t *Part) replace(group []wire.Peer, wanted []replacement) {
+func (t *Part) replace(group []rpc.Peer, wanted []replacement) {
 	caughtUp := make([]bool, len(wanted))
 	var all sync.WaitGroup
 	for i, r := range wanted {
@@ -155,14 +155,14 @@
 
 // returnOwnership passes the part to the first in its order once that one is live
 // again and has shown that its disk works, so that owners stay spread.
-func (t *Part) returnOwnership(group []wire.Peer) {
+func (t *Part) returnOwnership(group []rpc.Peer) {
 	first := Order(t.no, group)[0]
 	if first == t.p.me || !t.p.k.IsLive(first) || time.Since(t.p.k.View()[first.Name].Since) < settleTime || t.p.r.Since(t.servedAt()) < settleTime {
 		return
 	}
 	ctx, end := context.WithTimeout(t.p.r, time.Second)
 	defer end()
-	index, _, err := t.propose(ctx, wire.Entry{Kind: ownEntry})
+	index, _, err := t.propose(ctx, rpc.Entry{Kind: ownEntry})
 	if err != nil {
 		return
 	}
@@ -181,7 +181,7 @@
 }
 
 // isGone tells whether a name has not been live, under any birth, for long.
-func isGone(view map[mark.Name]membership.Standing, peer wire.Peer, long time.Duration) bool {
+func isGone(view map[ids.Name]membership.Standing, peer rpc.Peer, long time.Duration) bool {
 	m, ok := view[peer.Name]
 	return !ok || m.State != membership.Alive && m.State != membership.Suspect && time.Since(m.Since) > long
 }
@@ -199,7 +199,7 @@
 	return ""
 }
 
-func without(group []wire.Peer, gone wire.Peer) (rest []wire.Peer) {
+func without(group []rpc.Peer, gone rpc.Peer) (rest []rpc.Peer) {
 	for _, peer := range group {
 		if peer != gone {
 			rest = append(rest, peer)
@@ -210,7 +210,7 @@
 
 // catchUpLearner feeds a learner until it is close behind, as long as it comes
 // closer.
-func (t *Part) catchUpLearner(peer wire.Peer) bool {
+func (t *Part) catchUpLearner(peer rpc.Peer) bool {
 	t.mu.Lock()
 	if !t.isServing {
 		t.mu.Unlock()
@@ -243,7 +243,7 @@
 func (t *Part) changeVoters(next Voters) bool {
 	ctx, end := context.WithTimeout(t.p.r, changeTime)
 	defer end()
-	_, _, err := t.propose(ctx, wire.Entry{Kind: groupEntry, Group: next.Current, Former: next.Former})
+	_, _, err := t.propose(ctx, rpc.Entry{Kind: groupEntry, Group: next.Current, Former: next.Former})
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if !t.isOwner {
--- a/internal/consensus/model/conformance.go
+++ b/internal/consensus/model/conformance.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"github.com/sumactrestle/sumactrestle/internal/consensus"
-	"github.com/sumactrestle/sumactrestle/internal/mark"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
 // Invariants that only running code can break, beside those of the walk.
@@ -24,28 +24,28 @@
 	Breached func(invariant, detail string)
 
 	mu    sync.Mutex
-	parts map[mark.Part]*observed
+	parts map[ids.Part]*observed
 	steps int
 }
 
 // observed is what the steps of one part have shown so far.
 type observed struct {
-	promised  map[wire.Peer]mark.Term
-	owners    map[mark.Term]wire.Peer
-	committed map[mark.Stamp]committedEntry
-	newest    mark.Stamp // the highest index that an owner has committed
+	promised  map[rpc.Peer]ids.Term
+	owners    map[ids.Term]rpc.Peer
+	committed map[ids.Stamp]committedEntry
+	newest    ids.Stamp // the highest index that an owner has committed
 	voters    consensus.Voters
-	votersAt  mark.Stamp
+	votersAt  ids.Stamp
 }
 
 type committedEntry struct {
-	term mark.Term // of the entry
-	by   mark.Term // of the first owner that committed it; none if a member told first
+	term ids.Term // of the entry
+	by   ids.Term // of the first owner that committed it; none if a member told first
 	at   time.Time
 }
 
 func newObserved() *observed {
-	return &observed{promised: map[wire.Peer]mark.Term{}, owners: map[mark.Term]wire.Peer{}, committed: map[mark.Stamp]committedEntry{}}
+	return &observed{promised: map[rpc.Peer]ids.Term{}, owners: map[ids.Term]rpc.Peer{}, committed: map[ids.Stamp]committedEntry{}}
 }
 
 // Observe takes one step of a node; steps that are no Trace are passed over.
@@ -58,7 +58,7 @@
 	defer c.mu.Unlock()
 	c.steps++
 	if c.parts == nil {
-		c.parts = map[mark.Part]*observed{}
+		c.parts = map[ids.Part]*observed{}
 	}
 	o := c.parts[trace.Part]
 	if o == nil {
@@ -120,7 +120,7 @@
 		}
 	}
 	for index, entry := range o.committed {
-		if !entry.by.Less(step.Term) || entry.by == (mark.Term{}) {
+		if !entry.by.Less(step.Term) || entry.by == (ids.Term{}) {
 			continue
 		}
 		if index > step.Index {
@@ -140,7 +140,7 @@
 	if !isKnown {
 		entry = committedEntry{term: step.EntryTerm, at: time.Now()}
 	}
-	if step.IsOwner && entry.by == (mark.Term{}) {
+	if step.IsOwner && entry.by == (ids.Term{}) {
 		entry.by, entry.at = step.Term, time.Now()
 		o.newest = max(o.newest, step.Index)
 	}
@@ -156,7 +156,7 @@
 // read demands that what was committed before a read began is answered from.
 func (o *observed) read(step consensus.Trace, breach breachFunc) {
 	for index := o.newest; index > step.Index; index-- {
-		if entry := o.committed[index]; entry.by != (mark.Term{}) && entry.at.Before(step.Since) {
+		if entry := o.committed[index]; entry.by != (ids.Term{}) && entry.at.Before(step.Since) {
 			breach(ReadIsOld, "answered up to %d, entry %d was committed under %s %s before", step.Index, index, entry.by, step.Since.Sub(entry.at))
 			return
 		}
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -12,19 +12,19 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/sumactrestle/sumactrestle/internal/fault"
-	"github.com/sumactrestle/sumactrestle/internal/mark"
+	"github.com/sumactrestle/sumactrestle/internal/environment"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
+	"github.com/sumactrestle/sumactrestle/internal/eventlog"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
 	"github.com/sumactrestle/sumactrestle/internal/membership"
-	"github.com/sumactrestle/sumactrestle/internal/realm"
-	"github.com/sumactrestle/sumactrestle/internal/sign"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 	"github.com/sumactrestle/sumactrestle/internal/storage"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
 )
 
 // Machine is what a part's entries are folded into. Apply must come out the
 // same on every member; the receipt goes to whoever proposed the entry.
 type Machine interface {
-	Apply(index mark.Stamp, body json.RawMessage) any
+	Apply(index ids.Stamp, body json.RawMessage) any
 	// Capture takes hold of the state as it is now; what it returns writes it out, while
 	// further entries are applied.
 	Capture() func() (json.RawMessage, error)
@@ -33,107 +33,107 @@
 
 // Node is all the parts of one core node.
 type Node struct {
-	r     *realm.Realm
-	w     *wire.Wire
+	r     *environment.Realm
+	w     *rpc.Wire
 	k     *membership.Kin
 	store *storage.Store
-	me    wire.Peer
+	me    rpc.Peer
 	parts []*Part
 
 	mu        sync.Mutex
-	charter   *wire.Charter
-	pledge    mark.Term
-	owners    map[mark.Part]claimed
-	rounds    map[wire.Peer]*heartbeater
-	claimSets map[wire.Peer]claimSet
-	isBusy    map[mark.Part]bool
+	charter   *rpc.Charter
+	pledge    ids.Term
+	owners    map[ids.Part]claimed
+	rounds    map[rpc.Peer]*heartbeater
+	claimSets map[rpc.Peer]claimSet
+	isBusy    map[ids.Part]bool
 	isGoing   bool
 	started   time.Time
-	isAsking  atomic.Bool                 // whether to stand
-	transfers map[wire.Peer]chan struct{} // of snapshots, one at a time to each member
+	isAsking  atomic.Bool                // whether to stand
+	transfers map[rpc.Peer]chan struct{} // of snapshots, one at a time to each member
 	Ready     chan struct{}
 }
 
 type claimed struct {
-	name mark.Name
-	term mark.Term
+	name ids.Name
+	term ids.Term
 	at   time.Time
 }
 
 // Born reads the birth from the store, or makes one for an empty store.
-func Born(store *storage.Store) (mark.Birth, error) {
+func Born(store *storage.Store) (ids.Birth, error) {
 	raw, err := store.Get("birth")
 	if err != nil {
 		return "", err
 	}
 	if raw != nil {
-		return mark.Birth(raw), nil
+		return ids.Birth(raw), nil
 	}
-	birth := mark.NewBirth()
+	birth := ids.NewBirth()
 	w := store.Begin()
 	w.Put("birth", []byte(birth))
 	store.Hand(w)
 	return birth, w.Wait()
 }
 
-func New(r *realm.Realm, w *wire.Wire, k *membership.Kin, store *storage.Store, machines []Machine) (*Node, error) {
+func New(r *environment.Realm, w *rpc.Wire, k *membership.Kin, store *storage.Store, machines []Machine) (*Node, error) {
 	me := k.Me()
-	p := &Node{r: r, w: w, k: k, store: store, me: wire.Peer{Name: me.Name, Birth: me.Birth},
-		owners: map[mark.Part]claimed{}, rounds: map[wire.Peer]*heartbeater{}, claimSets: map[wire.Peer]claimSet{}, isBusy: map[mark.Part]bool{}, transfers: map[wire.Peer]chan struct{}{}, started: r.Now(), Ready: make(chan struct{})}
+	p := &Node{r: r, w: w, k: k, store: store, me: rpc.Peer{Name: me.Name, Birth: me.Birth},
+		owners: map[ids.Part]claimed{}, rounds: map[rpc.Peer]*heartbeater{}, claimSets: map[rpc.Peer]claimSet{}, isBusy: map[ids.Part]bool{}, transfers: map[rpc.Peer]chan struct{}{}, started: r.Now(), Ready: make(chan struct{})}
 	for no, machine := range machines {
-		p.parts = append(p.parts, newPart(p, mark.Part(no), machine))
+		p.parts = append(p.parts, newPart(p, ids.Part(no), machine))
 	}
 	if err := p.load(); err != nil {
 		return nil, err
 	}
-	handle(w, "pact.promise", func(c *wire.Call, ask *wire.PromiseAsk) (any, error) {
+	handle(w, "pact.promise", func(c *rpc.Call, ask *rpc.PromiseAsk) (any, error) {
 		part, err := p.openPart(ask.Part)
 		if err != nil {
 			return nil, err
 		}
 		return part.promise(ask)
 	})
-	handle(w, "pact.prevote", func(c *wire.Call, ask *wire.PrevoteAsk) (any, error) { return p.answerPrevote(ask), nil })
-	handle(w, "pact.append", func(c *wire.Call, ask *wire.AppendAsk) (any, error) {
+	handle(w, "pact.prevote", func(c *rpc.Call, ask *rpc.PrevoteAsk) (any, error) { return p.answerPrevote(ask), nil })
+	handle(w, "pact.append", func(c *rpc.Call, ask *rpc.AppendAsk) (any, error) {
 		part, err := p.openPart(ask.Part)
 		if err != nil {
 			return nil, err
 		}
 		return part.accept(ask)
 	})
-	handle(w, "pact.chunk", func(c *wire.Call, ask *wire.ChunkAsk) (any, error) {
+	handle(w, "pact.chunk", func(c *rpc.Call, ask *rpc.ChunkAsk) (any, error) {
 		part, err := p.openPart(ask.Part)
 		if err != nil {
 			return nil, err
 		}
 		return part.acceptChunk(ask)
 	})
-	handle(w, "pact.round", func(c *wire.Call, ask *wire.RoundAsk) (any, error) { return p.answerHeartbeat(ask), nil })
-	handle(w, "pact.invite", func(c *wire.Call, ask *wire.InviteAsk) (any, error) {
+	handle(w, "pact.round", func(c *rpc.Call, ask *rpc.RoundAsk) (any, error) { return p.answerHeartbeat(ask), nil })
+	handle(w, "pact.invite", func(c *rpc.Call, ask *rpc.InviteAsk) (any, error) {
 		part, err := p.part(ask.Part)
 		if err != nil {
 			return nil, err
 		}
 		if !part.isInvitedBy(ask) {
-			return nil, fault.New(fault.NotOwner, "part %d: the invitation is of an old term", ask.Part)
+			return nil, errcode.New(errcode.NotOwner, "part %d: the invitation is of an old term", ask.Part)
 		}
 		p.r.Go(func() { part.campaign(true) })
 		return struct{}{}, nil
 	})
 	p.openRepair()
-	handle(w, "pact.found", func(c *wire.Call, ask *wire.FoundAsk) (any, error) { return p.found(ask) })
-	handle(w, "pact.charter", func(c *wire.Call, ask *struct{}) (any, error) {
+	handle(w, "pact.found", func(c *rpc.Call, ask *rpc.FoundAsk) (any, error) { return p.found(ask) })
+	handle(w, "pact.charter", func(c *rpc.Call, ask *struct{}) (any, error) {
 		if charter := p.Charter(); charter != nil {
 			return charter, nil
 		}
-		return nil, fault.New(fault.NoOwner, "no charter here")
+		return nil, errcode.New(errcode.NoOwner, "no charter here")
 	})
 	return p, nil
 }
 
 // handle reads the ask before the verb sees it.
-func handle[T any](w *wire.Wire, kind string, verb func(*wire.Call, *T) (any, error)) {
-	w.Handle(kind, func(c *wire.Call) (any, error) {
+func handle[T any](w *rpc.Wire, kind string, verb func(*rpc.Call, *T) (any, error)) {
+	w.Handle(kind, func(c *rpc.Call) (any, error) {
 		var ask T
 		if err := c.Read(&ask); err != nil {
 			return nil, err
@@ -142,9 +142,9 @@
 	})
 }
 
-func (p *Node) part(no mark.Part) (*Part, error) {
+func (p *Node) part(no ids.Part) (*Part, error) {
 	if no < 0 || int(no) >= len(p.parts) {
-		return nil, fault.New(fault.BadMessage, "no part %d", no)
+		return nil, errcode.New(errcode.BadMessage, "no part %d", no)
 	}
 	return p.parts[no], nil
 }
@@ -155,19 +155,19 @@
 
 // openPart is a part of a fleet whose charter is open here. Before that this node has
 // no vote: the charter may yet be given up for another.
-func (p *Node) openPart(no mark.Part) (*Part, error) {
+func (p *Node) openPart(no ids.Part) (*Part, error) {
 	part, err := p.part(no)
 	if err == nil && p.Charter() == nil {
-		err = fault.New(fault.NotOwner, "part %d: no charter is open here", no)
+		err = errcode.New(errcode.NotOwner, "part %d: no charter is open here", no)
 	}
 	if err == nil && p.store.Stalled() > stallTime {
-		err = fault.New(fault.StorageBroken, "part %d: the disk takes nothing", no)
+		err = errcode.New(errcode.StorageBroken, "part %d: the disk takes nothing", no)
 	}
 	return part, err
 }
 
 // Part is one of the parts; the number is known to be right.
-func (p *Node) Part(no mark.Part) *Part { return p.parts[no] }
+func (p *Node) Part(no ids.Part) *Part { return p.parts[no] }
 
 // Parts is all of them.
 func (p *Node) Parts() []*Part { return p.parts }
@@ -178,9 +178,9 @@
 		return err
 	}
 	if raw != nil {
-		charter := &wire.Charter{}
+		charter := &rpc.Charter{}
 		if err := json.Unmarshal(raw, charter); err != nil {
-			return fault.New(fault.StorageBroken, "charter: %v", err)
+			return errcode.New(errcode.StorageBroken, "charter: %v", err)
 		}
 		p.charter, p.pledge = charter, charter.Round
 	}
@@ -189,7 +189,7 @@
 	}
 	if raw != nil {
 		if err := json.Unmarshal(raw, &p.pledge); err != nil {
-			return fault.New(fault.StorageBroken, "pledge: %v", err)
+			return errcode.New(errcode.StorageBroken, "pledge: %v", err)
 		}
 	}
 	for _, part := range p.parts {
@@ -211,7 +211,7 @@
 }
 
 // Charter is the open charter, or nil.
-func (p *Node) Charter() *wire.Charter {
+func (p *Node) Charter() *rpc.Charter {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.charter == nil || !p.charter.Open {
@@ -221,7 +221,7 @@
 }
 
 // Owner is who last claimed a part, as far as this node heard.
-func (p *Node) Owner(no mark.Part) (mark.Name, bool) {
+func (p *Node) Owner(no ids.Part) (ids.Name, bool) {
 	if p.parts[no].IsOwner() {
 		return p.r.Name, true
 	}
@@ -235,7 +235,7 @@
 // owner: as the owner by the word of the others, else by the word of the owner, which
 // gives the part up when it has none of a majority. A node without contact may hold
 // old state and not know it, so it gives nothing out.
-func (p *Node) HasContact(no mark.Part) bool {
+func (p *Node) HasContact(no ids.Part) bool {
 	if age, isServing := p.parts[no].Age(); isServing {
 		return age < p.r.Props.PactContact
 	}
@@ -245,7 +245,7 @@
 
 // HasLostContact tells whether contact is lost for so long that a call is better
 // taken to another node than held until it is back.
-func (p *Node) HasLostContact(no mark.Part) bool {
+func (p *Node) HasLostContact(no ids.Part) bool {
 	if p.HasContact(no) {
 		return false
 	}
@@ -261,7 +261,7 @@
 // supervise is the slow hand: founding, rounds to new peers, standing, membership.
 func (p *Node) supervise() {
 	isNext := 0
-	for p.r.Pause(realm.Jitter(100 * time.Millisecond)) {
+	for p.r.Pause(environment.Jitter(100 * time.Millisecond)) {
 		if p.Charter() == nil {
 			p.seekCharter()
 			continue
@@ -294,17 +294,17 @@
 // showKeeping lets others know whether this node holds the configuration part, for
 // only such a node can tell proxies of it.
 func (p *Node) showKeeping() {
-	t := p.parts[mark.Config]
+	t := p.parts[ids.Config]
 	t.mu.Lock()
 	keeps := t.voters.Holds(p.me)
 	t.mu.Unlock()
 	if p.k.Me().Keeps != keeps {
-		p.k.Amend(func(m *wire.Member) { m.Keeps = keeps })
+		p.k.Amend(func(m *rpc.Member) { m.Keeps = keeps })
 	}
 }
 
 // once runs a task for a part unless one is under way.
-func (p *Node) once(no mark.Part, task func()) {
+func (p *Node) once(no ids.Part, task func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.isBusy[no] {
@@ -367,7 +367,7 @@
 		t.mu.Lock()
 		voters := t.voters
 		t.mu.Unlock()
-		var others []wire.Peer
+		var others []rpc.Peer
 		for _, peer := range voters.All() {
 			m := view[peer.Name]
 			if peer != p.me && m.Birth == peer.Birth && m.State == membership.Alive {
@@ -381,4 +381,4 @@
 	return false
 }
 
-func (p *Node) say(e sign.Event, pairs ...any) { p.r.Sign.Say(e, pairs...) }
+func (p *Node) say(e eventlog.Event, pairs ...any) { p.r.Sign.Say(e, pairs...) }
--- a/internal/consensus/part.go
+++ b/internal/consensus/part.go
@@ -11,11 +11,11 @@
 	"sync"
 	"time"
 
-	"github.com/sumactrestle/sumactrestle/internal/fault"
-	"github.com/sumactrestle/sumactrestle/internal/mark"
-	"github.com/sumactrestle/sumactrestle/internal/sign"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
+	"github.com/sumactrestle/sumactrestle/internal/eventlog"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 	"github.com/sumactrestle/sumactrestle/internal/storage"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
 )
 
 // Kinds of entries that are the part's own; all others are the machine's.
@@ -25,28 +25,28 @@
 )
 
 type waiter struct {
-	term mark.Term
+	term ids.Term
 	done chan any
 }
 
 // Part is one part on one member.
 type Part struct {
 	p       *Node
-	no      mark.Part
+	no      ids.Part
 	machine Machine
 
 	mu       sync.Mutex
 	change   chan struct{}
-	promised mark.Term
+	promised ids.Term
 	seen     uint64
-	base     wire.Snapshot
-	entries  []wire.Entry
-	commit   mark.Stamp
-	applied  mark.Stamp
+	base     rpc.Snapshot
+	entries  []rpc.Entry
+	commit   ids.Stamp
+	applied  ids.Stamp
 	voters   Voters
-	votersAt mark.Stamp
-	matched  mark.Stamp
-	matchIn  mark.Term
+	votersAt ids.Stamp
+	matched  ids.Stamp
+	matchIn  ids.Term
 	heard    time.Time
 	since    time.Time
 
@@ -54,27 +54,27 @@
 	isOwner     bool
 	isServing   bool
 	served      time.Time
-	began       mark.Stamp
+	began       ids.Stamp
 	ctx         context.Context
 	end         context.CancelFunc
-	match       map[wire.Peer]mark.Stamp
-	acks        map[wire.Peer]time.Time
-	replicating map[wire.Peer]bool
-	progress    map[wire.Peer]time.Time // when each member last got something new
-	sending     int                     // snapshots on their way to members
+	match       map[rpc.Peer]ids.Stamp
+	acks        map[rpc.Peer]time.Time
+	replicating map[rpc.Peer]bool
+	progress    map[rpc.Peer]time.Time // when each member last got something new
+	sending     int                    // snapshots on their way to members
 	sent        *packedSnapshot
 	isFolding   bool
-	tail        []wire.Entry // the newest entries that the snapshot holds
+	tail        []rpc.Entry // the newest entries that the snapshot holds
 	incoming    *incoming
-	waiters     map[mark.Stamp]waiter
+	waiters     map[ids.Stamp]waiter
 }
 
-func newPart(p *Node, no mark.Part, machine Machine) *Part {
-	return &Part{p: p, no: no, machine: machine, change: make(chan struct{}), since: p.r.Now(), waiters: map[mark.Stamp]waiter{}}
+func newPart(p *Node, no ids.Part, machine Machine) *Part {
+	return &Part{p: p, no: no, machine: machine, change: make(chan struct{}), since: p.r.Now(), waiters: map[ids.Stamp]waiter{}}
 }
 
 func (t *Part) key(kind string) string { return fmt.Sprintf("p/%02d/%s", t.no, kind) }
-func (t *Part) entryKey(index mark.Stamp) string {
+func (t *Part) entryKey(index ids.Stamp) string {
 	return t.key(fmt.Sprintf("e/%016x", uint64(index)))
 }
 
@@ -88,27 +88,27 @@
 		return json.Unmarshal(raw, into)
 	}
 	if err := read("promised", &t.promised); err != nil {
-		return fault.New(fault.StorageBroken, "part %d: promise: %v", t.no, err)
+		return errcode.New(errcode.StorageBroken, "part %d: promise: %v", t.no, err)
 	}
 	if err := read("base", &t.base); err != nil {
-		return fault.New(fault.StorageBroken, "part %d: snapshot: %v", t.no, err)
+		return errcode.New(errcode.StorageBroken, "part %d: snapshot: %v", t.no, err)
 	}
 	if t.base.State != nil {
 		if err := t.machine.Load(t.base.State); err != nil {
-			return fault.New(fault.StorageBroken, "part %d: state: %v", t.no, err)
+			return errcode.New(errcode.StorageBroken, "part %d: state: %v", t.no, err)
 		}
 	}
 	next := t.base.Index + 1
 	err := t.p.store.Walk(t.key("e/"), func(key string, value []byte) error {
-		var e wire.Entry
+		var e rpc.Entry
 		if err := json.Unmarshal(value, &e); err != nil {
-			return fault.New(fault.StorageBroken, "part %d: %s: %v", t.no, key, err)
+			return errcode.New(errcode.StorageBroken, "part %d: %s: %v", t.no, key, err)
 		}
 		if e.Index != next {
-			return fault.New(fault.StorageBroken, "part %d: entry %d stands where %d should", t.no, e.Index, next)
+			return errcode.New(errcode.StorageBroken, "part %d: entry %d stands where %d should", t.no, e.Index, next)
 		}
 		if t.promised.Less(e.Term) {
-			return fault.New(fault.StorageBroken, "part %d: entry %d is above the promise", t.no, e.Index)
+			return errcode.New(errcode.StorageBroken, "part %d: entry %d is above the promise", t.no, e.Index)
 		}
 		t.entries = append(t.entries, e)
 		next++
@@ -128,12 +128,12 @@
 	last, _ := t.last()
 	t.voters, t.votersAt = t.votersAsOf(last)
 	if before != t.votersAt {
-		t.p.say(sign.GroupChanged, "part", int(t.no), "members", t.voters.String(), "index", uint64(t.votersAt))
+		t.p.say(eventlog.GroupChanged, "part", int(t.no), "members", t.voters.String(), "index", uint64(t.votersAt))
 	}
 }
 
 // votersAsOf is the voters that the log names at an index, and where it does.
-func (t *Part) votersAsOf(index mark.Stamp) (Voters, mark.Stamp) {
+func (t *Part) votersAsOf(index ids.Stamp) (Voters, ids.Stamp) {
 	for i := int(index - t.base.Index); i > 0; i-- {
 		if e := t.entries[i-1]; e.Kind == groupEntry {
 			return Voters{Current: e.Group, Former: e.Former}, e.Index
@@ -144,25 +144,25 @@
 
 // checkSteps refuses entries that don't follow one another, or of which one changes
 // the voters by more than a step.
-func (t *Part) checkSteps(after mark.Stamp, entries []wire.Entry) error {
+func (t *Part) checkSteps(after ids.Stamp, entries []rpc.Entry) error {
 	voters, _ := t.votersAsOf(after)
 	for i, e := range entries {
-		if e.Index != after+1+mark.Stamp(i) {
-			return fault.New(fault.BadMessage, "part %d: entry %d stands where %d should", t.no, e.Index, after+1+mark.Stamp(i))
+		if e.Index != after+1+ids.Stamp(i) {
+			return errcode.New(errcode.BadMessage, "part %d: entry %d stands where %d should", t.no, e.Index, after+1+ids.Stamp(i))
 		}
 		next := Voters{Current: e.Group, Former: e.Former}
 		if e.Kind != groupEntry {
 			continue
 		}
 		if !voters.mayBecome(next) {
-			return fault.New(fault.BadMessage, "part %d: entry %d skips a step from %s to %s", t.no, e.Index, voters, next)
+			return errcode.New(errcode.BadMessage, "part %d: entry %d skips a step from %s to %s", t.no, e.Index, voters, next)
 		}
 		voters = next
 	}
 	return nil
 }
 
-func (t *Part) last() (mark.Stamp, mark.Term) {
+func (t *Part) last() (ids.Stamp, ids.Term) {
 	if n := len(t.entries); n > 0 {
 		return t.entries[n-1].Index, t.entries[n-1].Term
 	}
@@ -170,22 +170,22 @@
 }
 
 // at is the entry's term; false if it is not in the log.
-func (t *Part) at(index mark.Stamp) (mark.Term, bool) {
+func (t *Part) at(index ids.Stamp) (ids.Term, bool) {
 	if index == t.base.Index {
 		return t.base.Term, true
 	}
-	if index < t.base.Index || index > t.base.Index+mark.Stamp(len(t.entries)) {
-		return mark.Term{}, false
+	if index < t.base.Index || index > t.base.Index+ids.Stamp(len(t.entries)) {
+		return ids.Term{}, false
 	}
 	return t.entries[index-t.base.Index-1].Term, true
 }
 
 // after is a copy of the entries above an index, which is in the log.
-func (t *Part) after(index mark.Stamp) []wire.Entry {
+func (t *Part) after(index ids.Stamp) []rpc.Entry {
 	if index < t.base.Index {
 		index = t.base.Index
 	}
-	return append([]wire.Entry(nil), t.entries[index-t.base.Index:]...)
+	return append([]rpc.Entry(nil), t.entries[index-t.base.Index:]...)
 }
 
 func (t *Part) notify() {
@@ -199,7 +199,7 @@
 	w.Put(t.key("promised"), raw)
 }
 
-func (t *Part) putEntries(w *storage.Batch, entries []wire.Entry) {
+func (t *Part) putEntries(w *storage.Batch, entries []rpc.Entry) {
 	for _, e := range entries {
 		raw, _ := json.Marshal(e)
 		w.Put(t.entryKey(e.Index), raw)
@@ -207,17 +207,17 @@
 }
 
 // cut drops the entries above an index, on disk too.
-func (t *Part) cut(w *storage.Batch, index mark.Stamp) {
+func (t *Part) cut(w *storage.Batch, index ids.Stamp) {
 	for _, e := range t.entries[index-t.base.Index:] {
 		w.Delete(t.entryKey(e.Index))
 	}
-	t.entries = append([]wire.Entry(nil), t.entries[:index-t.base.Index]...)
+	t.entries = append([]rpc.Entry(nil), t.entries[:index-t.base.Index]...)
 }
 
 // install replaces everything below and including a snapshot's index.
-func (t *Part) install(w *storage.Batch, s *wire.Snapshot) error {
+func (t *Part) install(w *storage.Batch, s *rpc.Snapshot) error {
 	if err := t.machine.Load(s.State); err != nil {
-		return fault.New(fault.BadMessage, "part %d: snapshot: %v", t.no, err)
+		return errcode.New(errcode.BadMessage, "part %d: snapshot: %v", t.no, err)
 	}
 	t.cut(w, t.base.Index)
 	t.base, t.tail = *s, nil
@@ -230,7 +230,7 @@
 
 // adopt writes entries that follow prev into the log; those already there
 // under the same term stay, the first that differs cuts all after it.
-func (t *Part) adopt(w *storage.Batch, entries []wire.Entry) error {
+func (t *Part) adopt(w *storage.Batch, entries []rpc.Entry) error {
 	for i, e := range entries {
 		if e.Index <= t.base.Index {
 			continue
@@ -240,14 +240,14 @@
 			continue
 		}
 		if last, _ := t.last(); e.Index > last+1 {
-			return fault.New(fault.BadMessage, "part %d: entry %d does not follow %d", t.no, e.Index, last)
+			return errcode.New(errcode.BadMessage, "part %d: entry %d does not follow %d", t.no, e.Index, last)
 		}
 		if err := t.checkSteps(e.Index-1, entries[i:]); err != nil {
 			return err
 		}
 		if isThere {
 			if e.Index <= t.commit {
-				return fault.New(fault.Internal, "part %d: entry %d is committed and differs", t.no, e.Index)
+				return errcode.New(errcode.Internal, "part %d: entry %d is committed and differs", t.no, e.Index)
 			}
 			t.cut(w, e.Index-1)
 			t.failWaiters(e.Index)
@@ -260,7 +260,7 @@
 	return nil
 }
 
-func (t *Part) failWaiters(from mark.Stamp) {
+func (t *Part) failWaiters(from ids.Stamp) {
 	for index, wait := range t.waiters {
 		if index >= from {
 			close(wait.done)
@@ -270,7 +270,7 @@
 }
 
 // advance moves the commit and folds what it now covers.
-func (t *Part) advance(commit mark.Stamp) {
+func (t *Part) advance(commit ids.Stamp) {
 	if last, _ := t.last(); commit > last {
 		commit = last
 	}
@@ -297,7 +297,7 @@
 	}
 	if t.isOwner && !t.isServing && t.commit >= t.began {
 		t.isServing, t.served = true, t.p.r.Now()
-		t.p.say(sign.PartOwned, "part", int(t.no), "term", t.promised.String(), "commit", uint64(t.commit))
+		t.p.say(eventlog.PartOwned, "part", int(t.no), "term", t.promised.String(), "commit", uint64(t.commit))
 	}
 	t.notify()
 	t.fold()
@@ -308,7 +308,7 @@
 	if !t.isOwner {
 		return
 	}
-	index := mark.Stamp(t.voters.Reached(func(peer wire.Peer) int64 { return int64(t.match[peer]) }))
+	index := ids.Stamp(t.voters.Reached(func(peer rpc.Peer) int64 { return int64(t.match[peer]) }))
 	if term, ok := t.at(index); ok && term == t.promised && index > t.commit {
 		t.advance(index)
 	}
@@ -327,7 +327,7 @@
 }
 
 // Serving tells since when this member serves the part, and under which term.
-func (t *Part) Serving() (mark.Term, time.Time, bool) {
+func (t *Part) Serving() (ids.Term, time.Time, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.promised, t.served, t.isServing
@@ -342,14 +342,14 @@
 
 // Status is what the shell shows of a part.
 type Status struct {
-	Part      mark.Part
-	Promised  mark.Term
-	Commit    mark.Stamp
-	Last      mark.Stamp
+	Part      ids.Part
+	Promised  ids.Term
+	Commit    ids.Stamp
+	Last      ids.Stamp
 	IsOwner   bool
 	IsServing bool
-	Group     []wire.Peer
-	Former    []wire.Peer // not empty while a change of members is under way
+	Group     []rpc.Peer
+	Former    []rpc.Peer // not empty while a change of members is under way
 	Age       time.Duration
 }
 
--- a/internal/consensus/placement.go
+++ b/internal/consensus/placement.go
@@ -6,16 +6,16 @@
 	"fmt"
 	"sort"
 
-	"github.com/sumactrestle/sumactrestle/internal/mark"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
 // Order is the agreed order of a part's group.
-func Order(no mark.Part, group []wire.Peer) []wire.Peer {
-	order := append([]wire.Peer(nil), group...)
+func Order(no ids.Part, group []rpc.Peer) []rpc.Peer {
+	order := append([]rpc.Peer(nil), group...)
 	word := fmt.Sprint("part", no)
 	sort.Slice(order, func(i, j int) bool {
-		a, b := mark.Score(word, string(order[i].Name)), mark.Score(word, string(order[j].Name))
+		a, b := ids.Score(word, string(order[i].Name)), ids.Score(word, string(order[j].Name))
 		if a != b {
 			return a > b
 		}
@@ -25,15 +25,15 @@
 }
 
 // Placement picks the group of a part: spread over zones first, then by order.
-func Placement(no mark.Part, members []wire.Member, losses int) []wire.Peer {
-	var all []wire.Peer
-	zones := map[mark.Name]string{}
+func Placement(no ids.Part, members []rpc.Member, losses int) []rpc.Peer {
+	var all []rpc.Peer
+	zones := map[ids.Name]string{}
 	for _, m := range members {
-		all = append(all, wire.Peer{Name: m.Name, Birth: m.Birth})
+		all = append(all, rpc.Peer{Name: m.Name, Birth: m.Birth})
 		zones[m.Name] = m.Zone
 	}
 	size := Size(no, len(all), losses)
-	var group []wire.Peer
+	var group []rpc.Peer
 	used := map[string]int{}
 	order := Order(no, all)
 	for level := 0; len(group) < size; level++ {
@@ -50,9 +50,9 @@
 // Size is how many members a part has in a fleet of so many core nodes. It is
 // odd where it can be: a fourth member would have to be heard for a majority
 // and would leave nobody to take a lost one's place.
-func Size(no mark.Part, cores, losses int) int {
+func Size(no ids.Part, cores, losses int) int {
 	size := 2*losses + 1
-	if no == mark.Config && cores >= 5 {
+	if no == ids.Config && cores >= 5 {
 		size = max(size, 5)
 	}
 	return min(size, cores)
--- a/internal/consensus/prevote.go
+++ b/internal/consensus/prevote.go
@@ -11,9 +11,9 @@
 	"slices"
 	"time"
 
-	"github.com/sumactrestle/sumactrestle/internal/mark"
-	"github.com/sumactrestle/sumactrestle/internal/realm"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
+	"github.com/sumactrestle/sumactrestle/internal/environment"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
 // How long all members are waited for, and how long the others are once one has
@@ -29,7 +29,7 @@
 func (t *Part) hasHeardNobody() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return !t.isOwner && !t.isOutside && t.voters.Holds(t.p.me) && t.heard.IsZero() && t.matchIn == mark.Term{}
+	return !t.isOwner && !t.isOutside && t.voters.Holds(t.p.me) && t.heard.IsZero() && t.matchIn == ids.Term{}
 }
 
 // hasOwner tells whether this member owns the part, heard its owner of late, or
@@ -39,13 +39,13 @@
 	defer t.mu.Unlock()
 	silence := t.p.r.Props.PactSilence
 	isHeard := !t.heard.IsZero() && t.p.r.Since(t.heard) < silence*3/4
-	isPromised := t.matchIn != mark.Term{} && t.p.r.Since(t.since) < silence/2
+	isPromised := t.matchIn != ids.Term{} && t.p.r.Since(t.since) < silence/2
 	return t.isOwner || isHeard || isPromised
 }
 
 // answerPrevote answers a pre-vote.
-func (p *Node) answerPrevote(ask *wire.PrevoteAsk) *wire.PrevoteReceipt {
-	receipt := &wire.PrevoteReceipt{From: p.me}
+func (p *Node) answerPrevote(ask *rpc.PrevoteAsk) *rpc.PrevoteReceipt {
+	receipt := &rpc.PrevoteReceipt{From: p.me}
 	for _, no := range ask.Parts {
 		if t, err := p.part(no); err != nil || t.hasOwner() {
 			receipt.Spoken = append(receipt.Spoken, no)
@@ -62,8 +62,8 @@
 	case <-p.r.Done():
 		return
 	}
-	for p.r.Pause(realm.Jitter(prevotePause)) && !p.IsGoing() {
-		var parts []mark.Part
+	for p.r.Pause(environment.Jitter(prevotePause)) && !p.IsGoing() {
+		var parts []ids.Part
 		for _, t := range p.parts {
 			if t.hasHeardNobody() {
 				parts = append(parts, t.no)
@@ -90,7 +90,7 @@
 	}
 	p.r.Go(func() {
 		defer p.isAsking.Store(false)
-		var parts []mark.Part
+		var parts []ids.Part
 		for _, t := range due {
 			parts = append(parts, t.no)
 		}
@@ -104,11 +104,11 @@
 }
 
 // mayCampaign tells whether enough members to decide know of no owner.
-func (t *Part) mayCampaign(receipts map[wire.Peer]*wire.PrevoteReceipt) bool {
+func (t *Part) mayCampaign(receipts map[rpc.Peer]*rpc.PrevoteReceipt) bool {
 	t.mu.Lock()
 	voters := t.voters
 	t.mu.Unlock()
-	free := []wire.Peer{t.p.me}
+	free := []rpc.Peer{t.p.me}
 	for peer, receipt := range receipts {
 		if !slices.Contains(receipt.Spoken, t.no) {
 			free = append(free, peer)
@@ -117,26 +117,26 @@
 	return voters.IsDecidedBy(free)
 }
 
-func (p *Node) askPrevote(parts []mark.Part) map[wire.Peer]*wire.PrevoteReceipt {
+func (p *Node) askPrevote(parts []ids.Part) map[rpc.Peer]*rpc.PrevoteReceipt {
 	ctx, end := context.WithTimeout(p.r, prevoteTime)
 	defer end()
-	var cores []wire.Member
+	var cores []rpc.Member
 	for _, m := range p.k.Cores() {
 		if m.Name != p.r.Name {
 			cores = append(cores, m)
 		}
 	}
-	answers := make(chan *wire.PrevoteReceipt, len(cores))
+	answers := make(chan *rpc.PrevoteReceipt, len(cores))
 	for _, m := range cores {
 		p.r.Go(func() {
-			receipt := &wire.PrevoteReceipt{}
-			if p.w.Ask(ctx, m.Wire, "pact.prevote", &wire.PrevoteAsk{Parts: parts}, receipt) != nil {
+			receipt := &rpc.PrevoteReceipt{}
+			if p.w.Ask(ctx, m.Wire, "pact.prevote", &rpc.PrevoteAsk{Parts: parts}, receipt) != nil {
 				receipt = nil
 			}
 			answers <- receipt
 		})
 	}
-	receipts := map[wire.Peer]*wire.PrevoteReceipt{}
+	receipts := map[rpc.Peer]*rpc.PrevoteReceipt{}
 	var late <-chan time.Time
 	for range cores {
 		select {
@@ -159,11 +159,11 @@
 
 // mayCampaignEarly tells whether a majority answered, all who did know of no owner, and this
 // member is the first of them.
-func (t *Part) mayCampaignEarly(receipts map[wire.Peer]*wire.PrevoteReceipt) bool {
+func (t *Part) mayCampaignEarly(receipts map[rpc.Peer]*rpc.PrevoteReceipt) bool {
 	t.mu.Lock()
 	voters := t.voters
 	t.mu.Unlock()
-	var there []wire.Peer
+	var there []rpc.Peer
 	for _, peer := range voters.All() {
 		receipt := receipts[peer]
 		if peer != t.p.me && receipt == nil {
--- a/internal/consensus/repair.go
+++ b/internal/consensus/repair.go
@@ -9,9 +9,9 @@
 	"encoding/json"
 	"time"
 
-	"github.com/sumactrestle/sumactrestle/internal/mark"
-	"github.com/sumactrestle/sumactrestle/internal/sign"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
+	"github.com/sumactrestle/sumactrestle/internal/eventlog"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
 const (
@@ -27,14 +27,14 @@
 }
 
 func (p *Node) openRepair() {
-	handle(p.w, "pact.compare", func(c *wire.Call, ask *wire.CompareAsk) (any, error) {
+	handle(p.w, "pact.compare", func(c *rpc.Call, ask *rpc.CompareAsk) (any, error) {
 		t, err := p.part(ask.Part)
 		if err != nil {
 			return nil, err
 		}
 		return t.compare(ask), nil
 	})
-	handle(p.w, "pact.mend", func(c *wire.Call, ask *wire.MendAsk) (any, error) {
+	handle(p.w, "pact.mend", func(c *rpc.Call, ask *rpc.MendAsk) (any, error) {
 		t, err := p.part(ask.Part)
 		if err != nil {
 			return nil, err
@@ -54,7 +54,7 @@
 
 // still runs a verb while the part stands still at a stamp; the zero stamp is
 // whatever it stands at.
-func (t *Part) still(stamp mark.Stamp, term mark.Term, verb func(stamp mark.Stamp)) bool {
+func (t *Part) still(stamp ids.Stamp, term ids.Term, verb func(stamp ids.Stamp)) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if stamp != 0 && t.applied != stamp || term.Less(t.promised) {
@@ -70,20 +70,20 @@
 		return
 	}
 	term, _, _ := t.Serving()
-	ask := &wire.CompareAsk{Part: t.no, Term: term}
-	t.still(0, term, func(stamp mark.Stamp) { ask.Stamp, ask.Digests = stamp, ranged.Digests() })
+	ask := &rpc.CompareAsk{Part: t.no, Term: term}
+	t.still(0, term, func(stamp ids.Stamp) { ask.Stamp, ask.Digests = stamp, ranged.Digests() })
 	t.mu.Lock()
 	group := t.voters.Current
 	t.mu.Unlock()
 	t.p.kickHeartbeats(group)
-	agree, against := 1, []wire.Member{}
-	differ := map[mark.Name][]string{}
+	agree, against := 1, []rpc.Member{}
+	differ := map[ids.Name][]string{}
 	for _, peer := range group {
 		m, ok := t.p.k.Of(peer.Name)
 		if peer == t.p.me || !ok || m.Birth != peer.Birth {
 			continue
 		}
-		var receipt wire.CompareReceipt
+		var receipt rpc.CompareReceipt
 		for range 3 {
 			ctx, end := context.WithTimeout(t.p.r, compareTime)
 			err := t.p.w.Ask(ctx, m.Wire, "pact.compare", ask, &receipt)
@@ -115,9 +115,9 @@
 	}
 }
 
-func (t *Part) mendOne(ranged Ranged, term mark.Term, m wire.Member, names []string) {
-	ask := &wire.MendAsk{Part: t.no, Term: term, Ranges: map[string]json.RawMessage{}}
-	t.still(0, term, func(stamp mark.Stamp) {
+func (t *Part) mendOne(ranged Ranged, term ids.Term, m rpc.Member, names []string) {
+	ask := &rpc.MendAsk{Part: t.no, Term: term, Ranges: map[string]json.RawMessage{}}
+	t.still(0, term, func(stamp ids.Stamp) {
 		ask.Stamp = stamp
 		for _, name := range names {
 			if data, err := ranged.Range(name); err == nil {
@@ -130,13 +130,13 @@
 	t.p.w.Ask(ctx, m.Wire, "pact.mend", ask, nil)
 }
 
-func (t *Part) compare(ask *wire.CompareAsk) *wire.CompareReceipt {
-	receipt := &wire.CompareReceipt{From: t.p.me}
+func (t *Part) compare(ask *rpc.CompareAsk) *rpc.CompareReceipt {
+	receipt := &rpc.CompareReceipt{From: t.p.me}
 	ranged, ok := t.machine.(Ranged)
 	if !ok {
 		return receipt
 	}
-	receipt.IsThere = t.still(ask.Stamp, ask.Term, func(mark.Stamp) {
+	receipt.IsThere = t.still(ask.Stamp, ask.Term, func(ids.Stamp) {
 		mine := ranged.Digests()
 		for name, digest := range ask.Digests {
 			if mine[name] != digest {
@@ -154,20 +154,20 @@
 // mend takes ranges over, if the part still stands at their stamp, and keeps
 // the mended whole as a snapshot, so that a restart does not bring the fault
 // back.
-func (t *Part) mend(ask *wire.MendAsk) error {
+func (t *Part) mend(ask *rpc.MendAsk) error {
 	ranged, ok := t.machine.(Ranged)
 	if !ok {
 		return nil
 	}
 	var err error
-	t.still(ask.Stamp, ask.Term, func(mark.Stamp) {
+	t.still(ask.Stamp, ask.Term, func(ids.Stamp) {
 		for name, data := range ask.Ranges {
 			if err = ranged.Mend(name, data); err != nil {
 				return
 			}
 		}
 		t.takeSnapshot()
-		t.p.say(sign.PartMended, "part", int(t.no), "stamp", uint64(ask.Stamp), "ranges", len(ask.Ranges))
+		t.p.say(eventlog.PartMended, "part", int(t.no), "stamp", uint64(ask.Stamp), "ranges", len(ask.Ranges))
 	})
 	return err
 }
--- a/internal/consensus/replicate.go
+++ b/internal/consensus/replicate.go
@@ -8,11 +8,11 @@
 	"encoding/json"
 	"time"
 
-	"github.com/sumactrestle/sumactrestle/internal/fault"
-	"github.com/sumactrestle/sumactrestle/internal/mark"
-	"github.com/sumactrestle/sumactrestle/internal/sign"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
+	"github.com/sumactrestle/sumactrestle/internal/eventlog"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 	"github.com/sumactrestle/sumactrestle/internal/storage"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
 )
 
 const (
@@ -24,11 +24,11 @@
 )
 
 // append adds an entry of the owner's own term.
-func (t *Part) append(w *storage.Batch, e wire.Entry) mark.Stamp {
+func (t *Part) append(w *storage.Batch, e rpc.Entry) ids.Stamp {
 	last, _ := t.last()
 	e.Index, e.Term = last+1, t.promised
 	t.entries = append(t.entries, e)
-	t.putEntries(w, []wire.Entry{e})
+	t.putEntries(w, []rpc.Entry{e})
 	if e.Kind == groupEntry {
 		t.refreshVoters()
 	}
@@ -51,29 +51,29 @@
 
 // Propose writes an entry and waits until it is committed and folded. Without
 // ownership nothing is written; once written, only the receipt is certain.
-func (t *Part) Propose(ctx context.Context, body any) (mark.Stamp, any, error) {
+func (t *Part) Propose(ctx context.Context, body any) (ids.Stamp, any, error) {
 	raw, err := json.Marshal(body)
 	if err != nil {
-		return 0, nil, fault.New(fault.Internal, "%v", err)
+		return 0, nil, errcode.New(errcode.Internal, "%v", err)
 	}
-	return t.propose(ctx, wire.Entry{Body: raw})
+	return t.propose(ctx, rpc.Entry{Body: raw})
 }
 
 // Barrier returns once everything that is in the log now is committed.
 func (t *Part) Barrier(ctx context.Context) error {
-	_, _, err := t.propose(ctx, wire.Entry{Kind: ownEntry})
+	_, _, err := t.propose(ctx, rpc.Entry{Kind: ownEntry})
 	return err
 }
 
-func (t *Part) propose(ctx context.Context, e wire.Entry) (mark.Stamp, any, error) {
+func (t *Part) propose(ctx context.Context, e rpc.Entry) (ids.Stamp, any, error) {
 	t.mu.Lock()
 	if !t.isServing {
 		t.mu.Unlock()
-		return 0, nil, fault.New(fault.NotOwner, "part %d", t.no)
+		return 0, nil, errcode.New(errcode.NotOwner, "part %d", t.no)
 	}
 	if e.Kind == groupEntry && (t.commit < t.votersAt || !t.voters.mayBecome(Voters{Current: e.Group, Former: e.Former})) {
 		t.mu.Unlock()
-		return 0, nil, fault.New(fault.NotOwner, "part %d: the members have changed meanwhile", t.no)
+		return 0, nil, errcode.New(errcode.NotOwner, "part %d: the members have changed meanwhile", t.no)
 	}
 	w := t.p.store.Begin()
 	wait := waiter{term: t.promised, done: make(chan any, 1)}
@@ -84,13 +84,13 @@
 	select {
 	case receipt, ok := <-wait.done:
 		if !ok {
-			return index, nil, fault.New(fault.Unsure, "part %d changed its owner", t.no)
+			return index, nil, errcode.New(errcode.Unsure, "part %d changed its owner", t.no)
 		}
 		return index, receipt, nil
 	case <-ctx.Done():
-		return index, nil, fault.New(fault.Unsure, "part %d: %v", t.no, ctx.Err())
+		return index, nil, errcode.New(errcode.Unsure, "part %d: %v", t.no, ctx.Err())
 	case <-t.p.r.Done():
-		return index, nil, fault.New(fault.Unsure, "part %d: stopping", t.no)
+		return index, nil, errcode.New(errcode.Unsure, "part %d: stopping", t.no)
 	}
 }
 
@@ -100,7 +100,7 @@
 	}
 }
 
-func (t *Part) startReplicating(peer wire.Peer) {
+func (t *Part) startReplicating(peer rpc.Peer) {
 	if peer == t.p.me || t.replicating[peer] {
 		return
 	}
@@ -110,12 +110,12 @@
 }
 
 // replicate keeps one member up to date while the term lasts.
-func (t *Part) replicate(ctx context.Context, term mark.Term, peer wire.Peer) {
+func (t *Part) replicate(ctx context.Context, term ids.Term, peer rpc.Peer) {
 	t.mu.Lock()
 	next, _ := t.last()
 	t.mu.Unlock()
 	isKnown := false
-	told := mark.Stamp(0)
+	told := ids.Stamp(0)
 	pause := func(d time.Duration) {
 		wakeup := time.NewTimer(d)
 		defer wakeup.Stop()
@@ -131,7 +131,7 @@
 			return
 		}
 		last, _ := t.last()
-		isTold := t.no != mark.Config || told >= t.commit
+		isTold := t.no != ids.Config || told >= t.commit
 		if isKnown && next > last && isTold {
 			change := t.change
 			t.mu.Unlock()
@@ -141,7 +141,7 @@
 			}
 			continue
 		}
-		ask := &wire.AppendAsk{Part: t.no, Term: term, From: t.p.me, Commit: t.commit}
+		ask := &rpc.AppendAsk{Part: t.no, Term: term, From: t.p.me, Commit: t.commit}
 		prevTerm, entries, isThere := t.entriesFrom(next)
 		if !isThere {
 			t.mu.Unlock()
@@ -169,7 +169,7 @@
 			continue
 		}
 		limited, end := context.WithTimeout(ctx, feedTime+time.Duration(size)*time.Second/slowestLink)
-		var receipt wire.AppendReceipt
+		var receipt rpc.AppendReceipt
 		err := t.p.w.Ask(limited, m.Wire, "pact.append", ask, &receipt)
 		end()
 		if err != nil || receipt.From != peer {
@@ -202,13 +202,13 @@
 
 // contains tells whether the log already runs through a snapshot's entry. A
 // snapshot that comes late must not cut away what was synced since.
-func (t *Part) contains(s *wire.Snapshot) bool {
+func (t *Part) contains(s *rpc.Snapshot) bool {
 	term, ok := t.at(s.Index)
 	return ok && term == s.Term
 }
 
 // follow takes an owner's term for the one in force.
-func (t *Part) follow(w *storage.Batch, term mark.Term) {
+func (t *Part) follow(w *storage.Batch, term ids.Term) {
 	if t.promised.Less(term) {
 		t.stepDown("a higher term owns")
 		t.promised = term
@@ -222,9 +222,9 @@
 }
 
 // accept is a member's answer to what it is fed.
-func (t *Part) accept(ask *wire.AppendAsk) (*wire.AppendReceipt, error) {
+func (t *Part) accept(ask *rpc.AppendAsk) (*rpc.AppendReceipt, error) {
 	t.mu.Lock()
-	receipt := &wire.AppendReceipt{From: t.p.me, Promised: t.promised}
+	receipt := &rpc.AppendReceipt{From: t.p.me, Promised: t.promised}
 	if err := t.checkTerm(ask.Term, ask.From); err != nil {
 		t.mu.Unlock()
 		return nil, err
@@ -247,16 +247,16 @@
 	}
 	if err := t.adopt(w, ask.Entries); err != nil {
 		t.p.store.Hand(w)
-		if fault.Is(err, fault.Internal) {
+		if errcode.Is(err, errcode.Internal) {
 			t.broken(err.Error(), "from", string(ask.From.Name))
 		} else {
-			t.p.say(sign.MessageRefused, "kind", "pact.append", "part", int(t.no), "from", string(ask.From.Name), "cause", err.Error())
+			t.p.say(eventlog.MessageRefused, "kind", "pact.append", "part", int(t.no), "from", string(ask.From.Name), "cause", err.Error())
 		}
 		t.mu.Unlock()
 		return nil, err
 	}
 	t.p.store.Hand(w)
-	receipt.Ok, receipt.Match = true, max(ask.Prev+mark.Stamp(len(ask.Entries)), t.base.Index)
+	receipt.Ok, receipt.Match = true, max(ask.Prev+ids.Stamp(len(ask.Entries)), t.base.Index)
 	t.matched = max(t.matched, receipt.Match)
 	t.advance(min(ask.Commit, t.matched))
 	t.mu.Unlock()
--- a/internal/consensus/snapshot.go
+++ b/internal/consensus/snapshot.go
@@ -15,11 +15,11 @@
 	"encoding/json"
 	"io"
 
-	"github.com/sumactrestle/sumactrestle/internal/fault"
-	"github.com/sumactrestle/sumactrestle/internal/mark"
-	"github.com/sumactrestle/sumactrestle/internal/sign"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
+	"github.com/sumactrestle/sumactrestle/internal/eventlog"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 	"github.com/sumactrestle/sumactrestle/internal/storage"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
 )
 
 const (
@@ -34,16 +34,16 @@
 
 // packedSnapshot is a snapshot as it is sent.
 type packedSnapshot struct {
-	index  mark.Stamp
-	term   mark.Term
+	index  ids.Stamp
+	term   ids.Term
 	digest string
 	data   []byte
 }
 
 // incoming is what a member has of a snapshot that is on its way.
 type incoming struct {
-	index  mark.Stamp
-	term   mark.Term
+	index  ids.Stamp
+	term   ids.Term
 	digest string
 	data   []byte
 }
@@ -79,7 +79,7 @@
 }
 
 // compact puts a snapshot in the place of the entries up to its index.
-func (t *Part) compact(index mark.Stamp, state json.RawMessage) {
+func (t *Part) compact(index ids.Stamp, state json.RawMessage) {
 	term, _ := t.at(index)
 	voters, _ := t.votersAsOf(index)
 	w := t.p.store.Begin()
@@ -89,7 +89,7 @@
 	}
 	t.keepTail(folded)
 	t.entries = t.after(index)
-	t.base = wire.Snapshot{Index: index, Term: term, Group: voters.Current, Former: voters.Former, State: state}
+	t.base = rpc.Snapshot{Index: index, Term: term, Group: voters.Current, Former: voters.Former, State: state}
 	raw, _ := json.Marshal(t.base)
 	w.Put(t.key("base"), raw)
 	t.votersAt = max(t.votersAt, index)
@@ -97,8 +97,8 @@
 }
 
 // keepTail keeps the newest of the entries that a snapshot holds, by number and bytes.
-func (t *Part) keepTail(folded []wire.Entry) {
-	all := append(append([]wire.Entry(nil), t.tail...), folded...)
+func (t *Part) keepTail(folded []rpc.Entry) {
+	all := append(append([]rpc.Entry(nil), t.tail...), folded...)
 	first, size := len(all), 0
 	for first > 0 && len(all)-first < t.p.r.Props.PactTail {
 		if size += len(all[first-1].Body); size > t.p.r.Props.PactTailBytes {
@@ -106,22 +106,22 @@
 		}
 		first--
 	}
-	t.tail = append([]wire.Entry(nil), all[first:]...)
+	t.tail = append([]rpc.Entry(nil), all[first:]...)
 }
 
 // entriesFrom is the entries from an index on, with the term of the one before; false
 // if some of them are only in the snapshot.
-func (t *Part) entriesFrom(next mark.Stamp) (prevTerm mark.Term, entries []wire.Entry, isThere bool) {
+func (t *Part) entriesFrom(next ids.Stamp) (prevTerm ids.Term, entries []rpc.Entry, isThere bool) {
 	if next > t.base.Index {
 		prevTerm, isThere = t.at(next - 1)
 		return prevTerm, t.entries[next-1-t.base.Index:], isThere
 	}
-	first := t.base.Index + 1 - mark.Stamp(len(t.tail))
+	first := t.base.Index + 1 - ids.Stamp(len(t.tail))
 	if next <= first {
-		return mark.Term{}, nil, false
+		return ids.Term{}, nil, false
 	}
 	below := t.tail[next-first:]
-	return t.tail[next-1-first].Term, append(append([]wire.Entry(nil), below...), t.entries...), true
+	return t.tail[next-1-first].Term, append(append([]rpc.Entry(nil), below...), t.entries...), true
 }
 
 // packed is the snapshot as it is sent, made once; the part's lock is not held.
@@ -140,7 +140,7 @@
 	return made
 }
 
-func packSnapshot(index mark.Stamp, term mark.Term, raw []byte) *packedSnapshot {
+func packSnapshot(index ids.Stamp, term ids.Term, raw []byte) *packedSnapshot {
 	var data bytes.Buffer
 	writer, _ := flate.NewWriter(&data, flate.BestSpeed)
 	writer.Write(raw)
@@ -151,7 +151,7 @@
 
 // sendSnapshot sends the snapshot to a member, from where it has it, and tells up to
 // where the member's log is synced then.
-func (t *Part) sendSnapshot(ctx context.Context, term mark.Term, peer wire.Peer) (matched mark.Stamp, err error) {
+func (t *Part) sendSnapshot(ctx context.Context, term ids.Term, peer rpc.Peer) (matched ids.Stamp, err error) {
 	t.mu.Lock()
 	t.sending++
 	t.mu.Unlock()
@@ -171,27 +171,27 @@
 	for ctx.Err() == nil {
 		m, ok := t.p.k.View()[peer.Name]
 		if !ok || m.Birth != peer.Birth {
-			return 0, fault.New(fault.Unreached, "%s", peer.Name)
+			return 0, errcode.New(errcode.Unreached, "%s", peer.Name)
 		}
 		size := int64(len(snapshot.data))
-		ask := &wire.ChunkAsk{Part: t.no, Term: term, From: t.p.me, Index: snapshot.index, Of: snapshot.term, Digest: snapshot.digest, Size: size, Offset: offset}
+		ask := &rpc.ChunkAsk{Part: t.no, Term: term, From: t.p.me, Index: snapshot.index, Of: snapshot.term, Digest: snapshot.digest, Size: size, Offset: offset}
 		ask.Data = snapshot.data[offset:min(size, offset+int64(t.p.r.Props.PactChunk))]
 		limited, end := context.WithTimeout(ctx, feedTime)
-		var receipt wire.ChunkReceipt
+		var receipt rpc.ChunkReceipt
 		err := t.p.w.Ask(limited, m.Wire, "pact.chunk", ask, &receipt)
 		end()
 		switch {
 		case err != nil:
 			return 0, err
 		case receipt.From != peer:
-			return 0, fault.New(fault.Unreached, "%s is %s now", peer.Name, receipt.From.Name)
+			return 0, errcode.New(errcode.Unreached, "%s is %s now", peer.Name, receipt.From.Name)
 		case term.Less(receipt.Promised):
 			t.deposed(term, receipt.Promised)
-			return 0, fault.New(fault.NotOwner, "part %d", t.no)
+			return 0, errcode.New(errcode.NotOwner, "part %d", t.no)
 		case receipt.Match > 0:
 			return receipt.Match, nil
 		case receipt.Have < 0 || receipt.Have > size:
-			return 0, fault.New(fault.BadMessage, "%d bytes of %d", receipt.Have, size)
+			return 0, errcode.New(errcode.BadMessage, "%d bytes of %d", receipt.Have, size)
 		}
 		if offset = receipt.Have; offset > 0 {
 			t.noteProgress(peer)
@@ -202,7 +202,7 @@
 
 // transferTo is the turn for sending a member a snapshot: one part after another, so
 // that what is small finds room on its link between two chunks.
-func (p *Node) transferTo(peer wire.Peer) chan struct{} {
+func (p *Node) transferTo(peer rpc.Peer) chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.transfers[peer] == nil {
@@ -212,14 +212,14 @@
 }
 
 // noteProgress notes that a member has got something new.
-func (t *Part) noteProgress(peer wire.Peer) {
+func (t *Part) noteProgress(peer rpc.Peer) {
 	t.mu.Lock()
 	t.progress[peer] = t.p.r.Now()
 	t.mu.Unlock()
 }
 
 // deposed gives the part up to a higher term that a member promised.
-func (t *Part) deposed(term, higher mark.Term) {
+func (t *Part) deposed(term, higher ids.Term) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.seen = max(t.seen, higher.Round)
@@ -229,9 +229,9 @@
 }
 
 // acceptChunk takes a piece of a snapshot, and the snapshot when it is whole.
-func (t *Part) acceptChunk(ask *wire.ChunkAsk) (*wire.ChunkReceipt, error) {
+func (t *Part) acceptChunk(ask *rpc.ChunkAsk) (*rpc.ChunkReceipt, error) {
 	t.mu.Lock()
-	receipt := &wire.ChunkReceipt{From: t.p.me, Promised: t.promised}
+	receipt := &rpc.ChunkReceipt{From: t.p.me, Promised: t.promised}
 	if err := t.checkTerm(ask.Term, ask.From); err != nil {
 		t.mu.Unlock()
 		return nil, err
@@ -248,7 +248,7 @@
 	t.p.store.Hand(w)
 	if err != nil {
 		t.incoming = nil
-		t.p.say(sign.MessageRefused, "kind", "pact.chunk", "part", int(t.no), "from", string(ask.From.Name), "cause", err.Error())
+		t.p.say(eventlog.MessageRefused, "kind", "pact.chunk", "part", int(t.no), "from", string(ask.From.Name), "cause", err.Error())
 	}
 	t.mu.Unlock()
 	if err != nil {
@@ -259,11 +259,11 @@
 
 // takeChunk adds a chunk to what there is; one that does not fit is answered with how
 // much is there.
-func (t *Part) takeChunk(w *storage.Batch, ask *wire.ChunkAsk, receipt *wire.ChunkReceipt) error {
+func (t *Part) takeChunk(w *storage.Batch, ask *rpc.ChunkAsk, receipt *rpc.ChunkReceipt) error {
 	if ask.Size <= 0 || ask.Size > snapshotMost || ask.Offset < 0 || ask.Offset+int64(len(ask.Data)) > ask.Size {
-		return fault.New(fault.BadMessage, "part %d: chunk of %d bytes at %d of %d", t.no, len(ask.Data), ask.Offset, ask.Size)
+		return errcode.New(errcode.BadMessage, "part %d: chunk of %d bytes at %d of %d", t.no, len(ask.Data), ask.Offset, ask.Size)
 	}
-	if held := (&wire.Snapshot{Index: ask.Index, Term: ask.Of}); ask.Index <= t.commit || t.contains(held) {
+	if held := (&rpc.Snapshot{Index: ask.Index, Term: ask.Of}); ask.Index <= t.commit || t.contains(held) {
 		t.incoming = nil
 		receipt.Match = ask.Index
 		t.matched = max(t.matched, ask.Index)
@@ -294,21 +294,21 @@
 }
 
 // unpack checks the whole and reads it.
-func (in *incoming) unpack() (*wire.Snapshot, error) {
+func (in *incoming) unpack() (*rpc.Snapshot, error) {
 	sum := sha256.Sum256(in.data)
 	if digest := hex.EncodeToString(sum[:]); digest != in.digest {
-		return nil, fault.New(fault.BadMessage, "snapshot %d is damaged: its digest is %.8s, not %.8s", in.index, digest, in.digest)
+		return nil, errcode.New(errcode.BadMessage, "snapshot %d is damaged: its digest is %.8s, not %.8s", in.index, digest, in.digest)
 	}
 	raw, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(in.data)), unpackedMost))
 	if err != nil {
-		return nil, fault.New(fault.BadMessage, "snapshot %d: %v", in.index, err)
+		return nil, errcode.New(errcode.BadMessage, "snapshot %d: %v", in.index, err)
 	}
-	snapshot := &wire.Snapshot{}
+	snapshot := &rpc.Snapshot{}
 	if err := json.Unmarshal(raw, snapshot); err != nil {
-		return nil, fault.New(fault.BadMessage, "snapshot %d: %v", in.index, err)
+		return nil, errcode.New(errcode.BadMessage, "snapshot %d: %v", in.index, err)
 	}
 	if snapshot.Index != in.index || snapshot.Term != in.term || len(snapshot.Group) == 0 {
-		return nil, fault.New(fault.BadMessage, "snapshot %d of %s is another's: %d of %s", in.index, in.term, snapshot.Index, snapshot.Term)
+		return nil, errcode.New(errcode.BadMessage, "snapshot %d of %s is another's: %d of %s", in.index, in.term, snapshot.Index, snapshot.Term)
 	}
 	return snapshot, nil
 }
--- a/internal/consensus/trace.go
+++ b/internal/consensus/trace.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"github.com/sumactrestle/sumactrestle/internal/mark"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
 // TraceKind is what a Trace tells of.
@@ -23,19 +23,19 @@
 // against the invariants of the protocol; in a running node nobody listens.
 type Trace struct {
 	Kind      TraceKind
-	Part      mark.Part
-	Member    wire.Peer
-	Term      mark.Term
-	Index     mark.Stamp
-	EntryTerm mark.Term
+	Part      ids.Part
+	Member    rpc.Peer
+	Term      ids.Term
+	Index     ids.Stamp
+	EntryTerm ids.Term
 	IsOwner   bool
 	IsChange  bool // the entry names voters
 	Voters    Voters
-	Granted   []wire.Peer
+	Granted   []rpc.Peer
 	Since     time.Time
 	// TermAt is the term of the entry at an index of the new owner's log; false if
 	// the entry lies below its snapshot. It is called at once only.
-	TermAt func(mark.Stamp) (mark.Term, bool)
+	TermAt func(ids.Stamp) (ids.Term, bool)
 }
 
 // CharterTrace is a charter that a node has synced, accepted or open.
--- a/internal/consensus/voters.go
+++ b/internal/consensus/voters.go
@@ -9,20 +9,20 @@
 	"sort"
 	"strings"
 
-	"github.com/sumactrestle/sumactrestle/internal/wire"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
 // Voters is who decides; Former is empty unless a change is under way.
 type Voters struct {
-	Current []wire.Peer
-	Former  []wire.Peer
+	Current []rpc.Peer
+	Former  []rpc.Peer
 }
 
 // IsJoint tells whether a change of members is under way.
 func (v Voters) IsJoint() bool { return len(v.Former) > 0 }
 
 // All is every member with a vote, in the order of the lists.
-func (v Voters) All() []wire.Peer {
+func (v Voters) All() []rpc.Peer {
 	all := slices.Clone(v.Current)
 	for _, peer := range v.Former {
 		if !holds(all, peer) {
@@ -33,16 +33,16 @@
 }
 
 // Holds tells whether a member has a vote.
-func (v Voters) Holds(peer wire.Peer) bool { return holds(v.Current, peer) || holds(v.Former, peer) }
+func (v Voters) Holds(peer rpc.Peer) bool { return holds(v.Current, peer) || holds(v.Former, peer) }
 
 // IsDecidedBy tells whether some members are enough to decide.
-func (v Voters) IsDecidedBy(some []wire.Peer) bool {
+func (v Voters) IsDecidedBy(some []rpc.Peer) bool {
 	return isMajority(v.Current, some) && (!v.IsJoint() || isMajority(v.Former, some))
 }
 
 // Reached is the highest value that enough members reach to decide; below zero if
 // there are no voters.
-func (v Voters) Reached(value func(wire.Peer) int64) int64 {
+func (v Voters) Reached(value func(rpc.Peer) int64) int64 {
 	reached := majorityOf(v.Current, value)
 	if v.IsJoint() {
 		reached = min(reached, majorityOf(v.Former, value))
@@ -69,7 +69,7 @@
 func Meet(a, b Voters) bool {
 	all := Voters{Current: a.All(), Former: b.All()}.All()
 	for set := range 1 << len(all) {
-		var some, rest []wire.Peer
+		var some, rest []rpc.Peer
 		for i, peer := range all {
 			if set>>i&1 == 1 {
 				some = append(some, peer)
@@ -85,7 +85,7 @@
 }
 
 // countMissing is how many members of one list another lacks.
-func countMissing(list, other []wire.Peer) (n int) {
+func countMissing(list, other []rpc.Peer) (n int) {
 	for _, peer := range list {
 		if !holds(other, peer) {
 			n++
@@ -102,7 +102,7 @@
 }
 
 // names tells members by name and the beginning of their birth.
-func names(peers []wire.Peer) string {
+func names(peers []rpc.Peer) string {
 	var words []string
 	for _, peer := range peers {
 		words = append(words, fmt.Sprintf("%s/%.4s", peer.Name, peer.Birth))
@@ -111,7 +111,7 @@
 }
 
 // isMajority tells whether more than half of a list are among some members.
-func isMajority(list, some []wire.Peer) bool {
+func isMajority(list, some []rpc.Peer) bool {
 	n := 0
 	for _, peer := range list {
 		if holds(some, peer) {
@@ -122,7 +122,7 @@
 }
 
 // majorityOf is the value that more than half of a list reach.
-func majorityOf(list []wire.Peer, value func(wire.Peer) int64) int64 {
+func majorityOf(list []rpc.Peer, value func(rpc.Peer) int64) int64 {
 	if len(list) == 0 {
 		return -1
 	}
@@ -134,4 +134,4 @@
 	return all[len(list)/2]
 }
 
-func holds(list []wire.Peer, peer wire.Peer) bool { return slices.Contains(list, peer) }
+func holds(list []rpc.Peer, peer rpc.Peer) bool { return slices.Contains(list, peer) }
--- a/internal/consensus/voters_test.go
+++ b/internal/consensus/voters_test.go
@@ -3,13 +3,13 @@
 import (
 	"testing"
 
-	"github.com/sumactrestle/sumactrestle/internal/mark"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-func peers(names string) (list []wire.Peer) {
+func peers(names string) (list []rpc.Peer) {
 	for _, name := range names {
-		list = append(list, wire.Peer{Name: mark.Name("core-" + string(name)), Birth: "b"})
+		list = append(list, rpc.Peer{Name: ids.Name("core-" + string(name)), Birth: "b"})
 	}
 	return list
 }
@@ -22,11 +22,11 @@
 		}
 	}
 	value := map[string]int64{"A": 9, "B": 5, "C": 1, "D": 7}
-	if got := joint.Reached(func(p wire.Peer) int64 { return value[string(p.Name[len(p.Name)-1:])] }); got != 5 {
+	if got := joint.Reached(func(p rpc.Peer) int64 { return value[string(p.Name[len(p.Name)-1:])] }); got != 5 {
 		t.Errorf("reached %d, want 5: the former majority is A and B", got)
 	}
-	reborn := wire.Peer{Name: peers("A")[0].Name, Birth: "other"}
-	if joint.IsDecidedBy([]wire.Peer{reborn, peers("B")[0]}) {
+	reborn := rpc.Peer{Name: peers("A")[0].Name, Birth: "other"}
+	if joint.IsDecidedBy([]rpc.Peer{reborn, peers("B")[0]}) {
 		t.Error("another birth of a member has its vote")
 	}
 }
--- a/internal/plan/binding.go
+++ b/internal/controlplane/binding.go
@@ -2,7 +2,7 @@
 // that a target takes nothing more: whoever goes on with an epoch from before that does
 // harm. One that only brings targets or shares binds nobody, and a proxy that has not
 // taken it yet serves as rightly as one that has.
-package plan
+package controlplane
 
 import "strings"
 
--- a/internal/plan/binding_test.go
+++ b/internal/controlplane/binding_test.go
@@ -1,38 +1,38 @@
-package plan
+package controlplane
 
 import (
 	"encoding/json"
 	"testing"
 
-	"github.com/sumactrestle/sumactrestle/internal/mark"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
 func TestOnlyWhatTakesAwayOrWasSubmittedBinds(t *testing.T) {
 	l := NewLedger()
-	step := func(change *wire.ChangeReceipt, put map[string]any, drop ...string) mark.Epoch {
+	step := func(change *rpc.ChangeReceipt, put map[string]any, drop ...string) ids.Epoch {
 		t.Helper()
-		planned := &wire.Planned{Epoch: l.Sheet().Epoch + 1, Change: change, Put: map[string]json.RawMessage{}, Drop: drop}
+		planned := &rpc.Planned{Epoch: l.Sheet().Epoch + 1, Change: change, Put: map[string]json.RawMessage{}, Drop: drop}
 		for name, v := range put {
 			planned.Put[name], _ = json.Marshal(v)
 		}
 		raw, _ := json.Marshal(planned)
-		if l.Apply(mark.Stamp(planned.Epoch), raw) != true {
+		if l.Apply(ids.Stamp(planned.Epoch), raw) != true {
 			t.Fatal("not applied")
 		}
 		return l.Sheet().Binding
 	}
-	list := func(targets ...wire.Target) map[string]any { return map[string]any{Targets + "rates": targets} }
-	a, b := wire.Target{Instance: "a", Address: "10.0.0.1:80", Weight: 100}, wire.Target{Instance: "b", Address: "10.0.0.2:80", Weight: 100}
+	list := func(targets ...rpc.Target) map[string]any { return map[string]any{Targets + "rates": targets} }
+	a, b := rpc.Target{Instance: "a", Address: "10.0.0.1:80", Weight: 100}, rpc.Target{Instance: "b", Address: "10.0.0.2:80", Weight: 100}
 	moved, drained, lighter := b, b, b
 	moved.Address, drained.Weight, lighter.Weight = "10.0.0.3:80", 0, 50
 	for i, one := range []struct {
-		change *wire.ChangeReceipt
+		change *rpc.ChangeReceipt
 		put    map[string]any
 		drop   []string
-		want   mark.Epoch
+		want   ids.Epoch
 	}{
-		{&wire.ChangeReceipt{Id: "first", Epoch: 1}, list(a), nil, 1},
+		{&rpc.ChangeReceipt{Id: "first", Epoch: 1}, list(a), nil, 1},
 		{nil, list(a, b), nil, 1},
 		{nil, map[string]any{Shares: map[string]int{"proxy1": 100}}, nil, 1},
 		{nil, list(a, lighter), nil, 1},
@@ -41,7 +41,7 @@
 		{nil, list(a), nil, 6},
 		{nil, list(), nil, 8},
 		{nil, list(b), nil, 8},
-		{&wire.ChangeReceipt{Id: "second", Epoch: 10}, nil, nil, 10},
+		{&rpc.ChangeReceipt{Id: "second", Epoch: 10}, nil, nil, 10},
 		{nil, list(b, a), nil, 10},
 		{nil, nil, []string{Targets + "rates"}, 12},
 	} {
--- a/internal/plan/check.go
+++ b/internal/controlplane/check.go
@@ -1,13 +1,13 @@
 // Checking a change set: it is laid over the configuration in force and the
 // whole result is checked before anything is proposed. Every fault is named by
 // its path; one fault refuses all of it.
-package plan
+package controlplane
 
 import (
 	"fmt"
 	"strings"
 
-	"github.com/sumactrestle/sumactrestle/internal/wire"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
 const (
@@ -16,22 +16,22 @@
 )
 
 // Lay puts a change set over a configuration and checks the result.
-func Lay(config wire.Config, change *wire.Change) (wire.Config, []string) {
+func Lay(config rpc.Config, change *rpc.Change) (rpc.Config, []string) {
 	var paths []string
 	fail := func(format string, args ...any) { paths = append(paths, fmt.Sprintf(format, args...)) }
 	if change.Id == "" || len(change.Id) > 128 {
 		fail("id: is missing or longer than 128 bytes")
 	}
 	if change.Whole {
-		config = wire.Config{}
+		config = rpc.Config{}
 		if len(change.Drop.Mappings)+len(change.Drop.Services)+len(change.Drop.Limits) > 0 {
 			fail("drop: has no place in a whole configuration")
 		}
 	}
-	next := wire.Config{}
-	next.Mappings = lay(config.Mappings, change.Put.Mappings, change.Drop.Mappings, func(m wire.Mapping) string { return m.Name }, "mappings", fail)
-	next.Services = lay(config.Services, change.Put.Services, change.Drop.Services, func(s wire.Service) string { return s.Name }, "services", fail)
-	next.Limits = lay(config.Limits, change.Put.Limits, change.Drop.Limits, func(l wire.Limit) string { return l.Service }, "limits", fail)
+	next := rpc.Config{}
+	next.Mappings = lay(config.Mappings, change.Put.Mappings, change.Drop.Mappings, func(m rpc.Mapping) string { return m.Name }, "mappings", fail)
+	next.Services = lay(config.Services, change.Put.Services, change.Drop.Services, func(s rpc.Service) string { return s.Name }, "services", fail)
+	next.Limits = lay(config.Limits, change.Put.Limits, change.Drop.Limits, func(l rpc.Limit) string { return l.Service }, "limits", fail)
 	next.Manners = config.Manners
 	if change.Put.Manners != nil {
 		next.Manners = change.Put.Manners
@@ -71,7 +71,7 @@
 	return append(next, put...)
 }
 
-func checkConfig(c *wire.Config, fail func(string, ...any)) {
+func checkConfig(c *rpc.Config, fail func(string, ...any)) {
 	if len(c.Mappings) > mostMappings {
 		fail("mappings: %d are more than %d", len(c.Mappings), mostMappings)
 	}
@@ -162,7 +162,7 @@
 	checkManners(c.Manners, fail)
 }
 
-func checkManners(m *wire.Manners, fail func(string, ...any)) {
+func checkManners(m *rpc.Manners, fail func(string, ...any)) {
 	if m == nil {
 		return
 	}
--- a/internal/plan/delta.go
+++ b/internal/controlplane/delta.go
@@ -1,22 +1,22 @@
 // What differs between two target lists. Lists are long and change by a few targets
 // at a time, so proxies that hold an earlier one get the difference; whoever takes
 // it over holds the result against the digest of the whole.
-package plan
+package controlplane
 
 import (
 	"encoding/json"
 	"sort"
 
-	"github.com/sumactrestle/sumactrestle/internal/wire"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
 // Delta is what leads from one list to another; false if the whole is as short.
-func Delta(from, to json.RawMessage) (put []wire.Target, gone []string, ok bool) {
-	var old, now []wire.Target
+func Delta(from, to json.RawMessage) (put []rpc.Target, gone []string, ok bool) {
+	var old, now []rpc.Target
 	if json.Unmarshal(from, &old) != nil || json.Unmarshal(to, &now) != nil {
 		return nil, nil, false
 	}
-	before := make(map[string]wire.Target, len(old))
+	before := make(map[string]rpc.Target, len(old))
 	for _, t := range old {
 		before[t.Instance] = t
 	}
@@ -34,8 +34,8 @@
 }
 
 // Patch lays a difference over a list.
-func Patch(from json.RawMessage, put []wire.Target, gone []string) (json.RawMessage, error) {
-	var old []wire.Target
+func Patch(from json.RawMessage, put []rpc.Target, gone []string) (json.RawMessage, error) {
+	var old []rpc.Target
 	if err := json.Unmarshal(from, &old); err != nil {
 		return nil, err
 	}
@@ -46,7 +46,7 @@
 	for _, t := range put {
 		out[t.Instance] = true
 	}
-	next := []wire.Target{}
+	next := []rpc.Target{}
 	for _, t := range old {
 		if !out[t.Instance] {
 			next = append(next, t)
--- a/internal/plan/delta_test.go
+++ b/internal/controlplane/delta_test.go
@@ -1,4 +1,4 @@
-package plan
+package controlplane
 
 import (
 	"encoding/json"
@@ -6,16 +6,16 @@
 	"math/rand/v2"
 	"testing"
 
-	"github.com/sumactrestle/sumactrestle/internal/wire"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
 func TestADifferenceLeadsFromOneListToTheOther(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
 	draw := func() json.RawMessage {
-		list := []wire.Target{}
+		list := []rpc.Target{}
 		for i := range 40 {
 			if r.IntN(4) > 0 {
-				list = append(list, wire.Target{Instance: fmt.Sprintf("i%02d", i), Address: fmt.Sprint("10.0.0.1:", r.IntN(2)+1), Zone: "a", Weight: 100})
+				list = append(list, rpc.Target{Instance: fmt.Sprintf("i%02d", i), Address: fmt.Sprint("10.0.0.1:", r.IntN(2)+1), Zone: "a", Weight: 100})
 			}
 		}
 		raw, _ := json.Marshal(list)
--- a/internal/plan/ledger.go
+++ b/internal/controlplane/ledger.go
@@ -2,7 +2,7 @@
 // Ledger is the replicated state of the configuration part: the groups of the
 // epoch in force, and the receipts of the change sets that were accepted. Each
 // entry is one whole epoch, written as what differs from the one before.
-package plan
+package controlplane
 
 import (
 	"crypto/md5"
@@ -15,8 +15,8 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/sumactrestle/sumactrestle/internal/mark"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
 // The groups by name; each service has a target list beside them.
@@ -35,17 +35,17 @@
 // bucket is the group that a mapping lies in. Routes are cut into a few groups
 // by name, so that a small change to a large configuration moves a small group.
 func bucket(name string) string {
-	return fmt.Sprintf("%s%02d", Routes, mark.Score("mapping", name)%routeBuckets)
+	return fmt.Sprintf("%s%02d", Routes, ids.Score("mapping", name)%routeBuckets)
 }
 
 // Sheet is one epoch as it stands; it is never written to after it was made.
 type Sheet struct {
-	Binding mark.Epoch // the last that bore a change set or took a target away
-	Epoch   mark.Epoch
-	Changed mark.Epoch
-	Version mark.Version
-	Groups  map[string]wire.Group
-	Changes []wire.ChangeReceipt
+	Binding ids.Epoch // the last that bore a change set or took a target away
+	Epoch   ids.Epoch
+	Changed ids.Epoch
+	Version ids.Version
+	Groups  map[string]rpc.Group
+	Changes []rpc.ChangeReceipt
 
 	sum  atomic.Pointer[string]
 	made time.Time // when it was folded here
@@ -62,10 +62,10 @@
 	mu    sync.RWMutex
 	sheet *Sheet
 	past  []*Sheet // the epochs before, newest last
-	Told  func(*Sheet, *wire.Planned)
+	Told  func(*Sheet, *rpc.Planned)
 }
 
-func NewLedger() *Ledger { return &Ledger{sheet: &Sheet{Groups: map[string]wire.Group{}}} }
+func NewLedger() *Ledger { return &Ledger{sheet: &Sheet{Groups: map[string]rpc.Group{}}} }
 
 // Digest is the MD5 that the distribution tells groups apart by.
 func Digest(data []byte) string {
@@ -74,8 +74,8 @@
 }
 
 // Apply folds one epoch; one that does not follow the last is not taken.
-func (l *Ledger) Apply(index mark.Stamp, body json.RawMessage) any {
-	var planned wire.Planned
+func (l *Ledger) Apply(index ids.Stamp, body json.RawMessage) any {
+	var planned rpc.Planned
 	if err := json.Unmarshal(body, &planned); err != nil {
 		return false
 	}
@@ -87,7 +87,7 @@
 	}
 	sheet := &Sheet{Epoch: planned.Epoch, Changed: old.Changed, Version: old.Version, Groups: maps.Clone(old.Groups), Changes: old.Changes, made: time.Now()}
 	for name, data := range planned.Put {
-		sheet.Groups[name] = wire.Group{Digest: Digest(data), Stamp: mark.Stamp(planned.Epoch), Data: data}
+		sheet.Groups[name] = rpc.Group{Digest: Digest(data), Stamp: ids.Stamp(planned.Epoch), Data: data}
 	}
 	for _, name := range planned.Drop {
 		delete(sheet.Groups, name)
@@ -116,7 +116,7 @@
 
 // remember adds a change set to those that are remembered. How many they may be
 // stands in the entry, so that all members fold the same whatever their settings say.
-func remember(old []wire.ChangeReceipt, change *wire.ChangeReceipt, most int) []wire.ChangeReceipt {
+func remember(old []rpc.ChangeReceipt, change *rpc.ChangeReceipt, most int) []rpc.ChangeReceipt {
 	if most == 0 {
 		most = memoryOfOld
 	}
@@ -127,7 +127,7 @@
 }
 
 // Past is an epoch that was in force lately, or is; nil if it is not kept.
-func (l *Ledger) Past(epoch mark.Epoch) *Sheet {
+func (l *Ledger) Past(epoch ids.Epoch) *Sheet {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
 	if l.sheet.Epoch == epoch {
@@ -167,16 +167,16 @@
 }
 
 func (s *Sheet) write() (json.RawMessage, error) {
-	return json.Marshal(wire.LedgerState{Epoch: s.Epoch, Changed: s.Changed, Version: s.Version, Groups: s.Groups, Changes: s.Changes})
+	return json.Marshal(rpc.LedgerState{Epoch: s.Epoch, Changed: s.Changed, Version: s.Version, Groups: s.Groups, Changes: s.Changes})
 }
 
 func (l *Ledger) Load(raw json.RawMessage) error {
-	var state wire.LedgerState
+	var state rpc.LedgerState
 	if err := json.Unmarshal(raw, &state); err != nil {
 		return err
 	}
 	if state.Groups == nil {
-		state.Groups = map[string]wire.Group{}
+		state.Groups = map[string]rpc.Group{}
 	}
 	l.mu.Lock()
 	l.sheet = &Sheet{Epoch: state.Epoch, Binding: state.Epoch, Changed: state.Changed, Version: state.Version, Groups: state.Groups, Changes: state.Changes}
--- a/internal/plan/ledger_test.go
+++ b/internal/controlplane/ledger_test.go
@@ -1,5 +1,5 @@
 // The ledger keeps the operators' version and text; proxies get neither.
-package plan
+package controlplane
 
 import (
 	"encoding/json"
@@ -7,29 +7,29 @@
 	"strings"
 	"testing"
 
-	"github.com/sumactrestle/sumactrestle/internal/mark"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
 // commit lays a change set over a ledger and applies the epoch.
-func commit(t *testing.T, l *Ledger, change *wire.Change) *Sheet {
+func commit(t *testing.T, l *Ledger, change *rpc.Change) *Sheet {
 	t.Helper()
 	sheet := l.Sheet()
 	config, paths := Lay(sheet.Config(), change)
 	if len(paths) > 0 {
 		t.Fatal(paths)
 	}
-	planned := &wire.Planned{Epoch: sheet.Epoch + 1, Put: map[string]json.RawMessage{}, Change: &wire.ChangeReceipt{Id: change.Id, Epoch: sheet.Epoch + 1, Version: change.Version}}
+	planned := &rpc.Planned{Epoch: sheet.Epoch + 1, Put: map[string]json.RawMessage{}, Change: &rpc.ChangeReceipt{Id: change.Id, Epoch: sheet.Epoch + 1, Version: change.Version}}
 	differ(planned, sheet, groupsOf(config))
 	raw, err := json.Marshal(planned)
-	if err != nil || l.Apply(mark.Stamp(planned.Epoch), raw) != true {
+	if err != nil || l.Apply(ids.Stamp(planned.Epoch), raw) != true {
 		t.Fatal("not applied", err)
 	}
 	return l.Sheet()
 }
 
-func mappingFrom(name, source string) wire.Mapping {
-	return wire.Mapping{Name: name, Path: "/" + name, To: []wire.Split{{Service: "s", Weight: 1}}, Source: json.RawMessage(source)}
+func mappingFrom(name, source string) rpc.Mapping {
+	return rpc.Mapping{Name: name, Path: "/" + name, To: []rpc.Split{{Service: "s", Weight: 1}}, Source: json.RawMessage(source)}
 }
 
 func sourcesOf(s *Sheet) map[string]string {
@@ -79,21 +79,21 @@
 
 func TestSourcesComeBackAndAreNotCarried(t *testing.T) {
 	l := NewLedger()
-	put := wire.Config{
-		Mappings: []wire.Mapping{mappingFrom("a", `{"x":1}`), mappingFrom("b", `{"x":2}`), mappingFrom("c", "")},
-		Services: []wire.Service{{Name: "s", Source: json.RawMessage(`{"y":1}`)}, {Name: "t"}},
-		Manners:  &wire.Manners{Body: 1, Source: json.RawMessage(`{"z":1}`)},
+	put := rpc.Config{
+		Mappings: []rpc.Mapping{mappingFrom("a", `{"x":1}`), mappingFrom("b", `{"x":2}`), mappingFrom("c", "")},
+		Services: []rpc.Service{{Name: "s", Source: json.RawMessage(`{"y":1}`)}, {Name: "t"}},
+		Manners:  &rpc.Manners{Body: 1, Source: json.RawMessage(`{"z":1}`)},
 	}
 	want := map[string]string{"mappings/a": `{"x":1}`, "mappings/b": `{"x":2}`, "mappings/c": "", "services/s": `{"y":1}`, "services/t": "", "manners": `{"z":1}`}
-	sheet := commit(t, l, &wire.Change{Id: "1", Put: put})
+	sheet := commit(t, l, &rpc.Change{Id: "1", Put: put})
 	wantSources(t, sheet, want)
 	if string(put.Mappings[0].Source) == "" || string(put.Manners.Source) == "" {
 		t.Error("the change set itself was written to")
 	}
-	sheet = commit(t, l, &wire.Change{Id: "2", Put: wire.Config{Mappings: []wire.Mapping{mappingFrom("a", `{"x":9}`)}}})
+	sheet = commit(t, l, &rpc.Change{Id: "2", Put: rpc.Config{Mappings: []rpc.Mapping{mappingFrom("a", `{"x":9}`)}}})
 	want["mappings/a"] = `{"x":9}`
 	wantSources(t, sheet, want)
-	sheet = commit(t, l, &wire.Change{Id: "3", Put: wire.Config{Mappings: []wire.Mapping{mappingFrom("a", "")}}, Drop: wire.Drops{Mappings: []string{"b"}}})
+	sheet = commit(t, l, &rpc.Change{Id: "3", Put: rpc.Config{Mappings: []rpc.Mapping{mappingFrom("a", "")}}, Drop: rpc.Drops{Mappings: []string{"b"}}})
 	want["mappings/a"] = ""
 	delete(want, "mappings/b")
 	wantSources(t, sheet, want)
@@ -103,7 +103,7 @@
 		t.Fatal(err)
 	}
 	wantSources(t, other.Sheet(), want)
-	sheet = commit(t, l, &wire.Change{Id: "4", Whole: true, Put: wire.Config{Services: []wire.Service{{Name: "s"}}}})
+	sheet = commit(t, l, &rpc.Change{Id: "4", Whole: true, Put: rpc.Config{Services: []rpc.Service{{Name: "s"}}}})
 	wantSources(t, sheet, map[string]string{"services/s": ""})
 	for name := range sheet.Groups {
 		if strings.HasPrefix(name, Sources) || name == Manners {
@@ -114,8 +114,8 @@
 
 func TestTheVersionIsKept(t *testing.T) {
 	l := NewLedger()
-	for i, c := range []struct{ sent, want mark.Version }{{0, 0}, {3, 3}, {0, 3}, {8, 8}} {
-		if got := commit(t, l, &wire.Change{Id: string(rune('a' + i)), Version: c.sent}).Version; got != c.want {
+	for i, c := range []struct{ sent, want ids.Version }{{0, 0}, {3, 3}, {0, 3}, {8, 8}} {
+		if got := commit(t, l, &rpc.Change{Id: string(rune('a' + i)), Version: c.sent}).Version; got != c.want {
 			t.Errorf("%d: version %d, want %d", i, got, c.want)
 		}
 	}
--- a/internal/plan/news.go
+++ b/internal/controlplane/news.go
@@ -1,6 +1,6 @@
 // The Roll's news: the target lists of the parts owned here. A new owner of a
 // part keeps silent until it has listened for a while, or says that it is young.
-package plan
+package controlplane
 
 import (
 	"context"
@@ -12,27 +12,27 @@
 	"time"
 
 	"github.com/sumactrestle/sumactrestle/internal/coordination"
-	"github.com/sumactrestle/sumactrestle/internal/mark"
-	"github.com/sumactrestle/sumactrestle/internal/sign"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
+	"github.com/sumactrestle/sumactrestle/internal/eventlog"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
 // News is the lists of all parts owned here, each with an age that proves that
 // everything known at that time is in the list.
-func (l *Roll) News(ctx context.Context, ask *wire.NewsAsk) *wire.NewsReceipt {
+func (l *Roll) News(ctx context.Context, ask *rpc.NewsAsk) *rpc.NewsReceipt {
 	began := l.r.Now()
-	receipt := &wire.NewsReceipt{}
+	receipt := &rpc.NewsReceipt{}
 	for no := range l.books {
-		part := l.p.Part(mark.Part(no))
+		part := l.p.Part(ids.Part(no))
 		term, since, isServing := part.Serving()
 		isYoung := l.r.Since(since) < l.r.Props.PlanSettle
 		if !isServing || isYoung && !l.r.Props.PlanKeep || part.Confirm(ctx, began) != nil {
 			continue
 		}
-		lists := l.lists(mark.Part(no), term, isYoung)
-		digest := l.digest(mark.Part(no), lists)
-		news := wire.PartNews{Part: mark.Part(no), Term: term, Digest: digest, Young: isYoung, Age: l.r.Since(began).Microseconds() + 1}
-		if ask.Known[mark.Part(no)] != digest {
+		lists := l.lists(ids.Part(no), term, isYoung)
+		digest := l.digest(ids.Part(no), lists)
+		news := rpc.PartNews{Part: ids.Part(no), Term: term, Digest: digest, Young: isYoung, Age: l.r.Since(began).Microseconds() + 1}
+		if ask.Known[ids.Part(no)] != digest {
 			news.Lists = lists
 		}
 		receipt.Parts = append(receipt.Parts, news)
@@ -42,16 +42,16 @@
 
 // lists is what was heard of a part. A young owner also names those that are
 // known to be out and weren't heard from yet.
-func (l *Roll) lists(no mark.Part, term mark.Term, isYoung bool) map[string][]wire.Listed {
+func (l *Roll) lists(no ids.Part, term ids.Term, isYoung bool) map[string][]rpc.Listed {
 	marks, _ := l.books[no].All(coordination.Mark, "")
-	marked := map[string]wire.BondRecord{}
+	marked := map[string]rpc.BondRecord{}
 	for _, m := range marks {
 		marked[m.Name] = m
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.renew(no, term)
-	lists := map[string][]wire.Listed{}
+	lists := map[string][]rpc.Listed{}
 	for service, instances := range l.beats[no] {
 		for instance, h := range instances {
 			out := ""
@@ -68,9 +68,9 @@
 			}
 			if isIn := out == ""; isIn != h.isIn {
 				h.isIn = isIn
-				event := sign.TargetOut
+				event := eventlog.TargetOut
 				if isIn {
-					event = sign.TargetIn
+					event = eventlog.TargetIn
 				}
 				l.r.Sign.Say(event, "service", service, "instance", instance, "address", h.beat.Address, "why", out)
 			}
@@ -79,13 +79,13 @@
 					l.r.Go(func() {
 						limited, end := context.WithTimeout(l.r, time.Second)
 						defer end()
-						l.propose(limited, l.p.Part(no), &wire.BondOp{Op: "unmark", Name: service + "/" + instance, Seq: m.Seq})
+						l.propose(limited, l.p.Part(no), &rpc.BondOp{Op: "unmark", Name: service + "/" + instance, Seq: m.Seq})
 					})
 				}
 				delete(instances, instance)
 				continue
 			}
-			lists[service] = append(lists[service], wire.Listed{Instance: instance, Address: h.beat.Address, Zone: h.beat.Zone, Weight: h.beat.Weight, Slots: h.beat.Slots, Cold: h.cold, Since: l.r.Since(h.first).Microseconds(), Out: out})
+			lists[service] = append(lists[service], rpc.Listed{Instance: instance, Address: h.beat.Address, Zone: h.beat.Zone, Weight: h.beat.Weight, Slots: h.beat.Slots, Cold: h.cold, Since: l.r.Since(h.first).Microseconds(), Out: out})
 		}
 		if len(instances) == 0 {
 			delete(l.beats[no], service)
@@ -93,7 +93,7 @@
 	}
 	for name, m := range marked {
 		if service, instance, _ := strings.Cut(name, "/"); isYoung {
-			lists[service] = append(lists[service], wire.Listed{Instance: instance, Out: m.Holder})
+			lists[service] = append(lists[service], rpc.Listed{Instance: instance, Out: m.Holder})
 		}
 	}
 	for _, list := range lists {
@@ -103,7 +103,7 @@
 }
 
 // digest is made anew only when a list says something else than the last time.
-func (l *Roll) digest(no mark.Part, lists map[string][]wire.Listed) string {
+func (l *Roll) digest(no ids.Part, lists map[string][]rpc.Listed) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	last, ok := l.told[no]
@@ -114,9 +114,9 @@
 	return last.digest
 }
 
-func isSame(one, two map[string][]wire.Listed) bool {
-	return maps.EqualFunc(one, two, func(a, b []wire.Listed) bool {
-		return slices.EqualFunc(a, b, func(x, y wire.Listed) bool {
+func isSame(one, two map[string][]rpc.Listed) bool {
+	return maps.EqualFunc(one, two, func(a, b []rpc.Listed) bool {
+		return slices.EqualFunc(a, b, func(x, y rpc.Listed) bool {
 			x.Since, y.Since = 0, 0
 			return x == y
 		})
@@ -124,10 +124,10 @@
 }
 
 // digestOf leaves out the ages, which change all the time.
-func digestOf(lists map[string][]wire.Listed) string {
-	bare := make(map[string][]wire.Listed, len(lists))
+func digestOf(lists map[string][]rpc.Listed) string {
+	bare := make(map[string][]rpc.Listed, len(lists))
 	for service, list := range lists {
-		list = append([]wire.Listed(nil), list...)
+		list = append([]rpc.Listed(nil), list...)
 		for i := range list {
 			list[i].Since = 0
 		}
--- a/internal/plan/planner.go
+++ b/internal/controlplane/planner.go
@@ -2,7 +2,7 @@
 // parts' news, makes whole epochs of them and of accepted change sets, and
 // knows of each part as of when the epoch in force reflects it: only once all
 // that the part held at that time is in a committed epoch.
-package plan
+package controlplane
 
 import (
 	"bytes"
@@ -13,35 +13,35 @@
 	"time"
 
 	"github.com/sumactrestle/sumactrestle/internal/consensus"
-	"github.com/sumactrestle/sumactrestle/internal/fault"
-	"github.com/sumactrestle/sumactrestle/internal/mark"
+	"github.com/sumactrestle/sumactrestle/internal/environment"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
+	"github.com/sumactrestle/sumactrestle/internal/eventlog"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
 	"github.com/sumactrestle/sumactrestle/internal/membership"
-	"github.com/sumactrestle/sumactrestle/internal/realm"
-	"github.com/sumactrestle/sumactrestle/internal/sign"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
 type news struct {
-	wire.PartNews
+	rpc.PartNews
 	asOf time.Time
 	got  time.Time
 }
 
 // Planner is one core node's.
 type Planner struct {
-	r      *realm.Realm
-	w      *wire.Wire
+	r      *environment.Realm
+	w      *rpc.Wire
 	k      *membership.Kin
 	part   *consensus.Part
 	ledger *Ledger
 	kick   chan struct{}
 
-	planning realm.Turn
+	planning environment.Turn
 	mu       sync.Mutex
-	term     mark.Term
-	news     map[mark.Part]*news
-	elders   map[mark.Part]map[string]bool
-	reflects map[mark.Part]time.Time
+	term     ids.Term
+	news     map[ids.Part]*news
+	elders   map[ids.Part]map[string]bool
+	reflects map[ids.Part]time.Time
 	settled  *Sheet
 	clashes  map[clash]bool
 	zero     time.Time
@@ -49,16 +49,16 @@
 	isAwaited bool // a target waits for the epoch after the one planned last
 }
 
-func NewPlanner(r *realm.Realm, w *wire.Wire, k *membership.Kin, p *consensus.Node, ledger *Ledger) *Planner {
-	l := &Planner{r: r, w: w, k: k, part: p.Part(mark.Config), ledger: ledger, kick: make(chan struct{}, 1), clashes: map[clash]bool{}, zero: r.Now(), planning: realm.NewTurn()}
-	l.reset(mark.Term{})
+func NewPlanner(r *environment.Realm, w *rpc.Wire, k *membership.Kin, p *consensus.Node, ledger *Ledger) *Planner {
+	l := &Planner{r: r, w: w, k: k, part: p.Part(ids.Config), ledger: ledger, kick: make(chan struct{}, 1), clashes: map[clash]bool{}, zero: r.Now(), planning: environment.NewTurn()}
+	l.reset(ids.Term{})
 	return l
 }
 
-func (l *Planner) reset(term mark.Term) {
+func (l *Planner) reset(term ids.Term) {
 	l.term = term
-	l.news, l.reflects = map[mark.Part]*news{}, map[mark.Part]time.Time{}
-	l.elders, l.settled = map[mark.Part]map[string]bool{}, nil
+	l.news, l.reflects = map[ids.Part]*news{}, map[ids.Part]time.Time{}
+	l.elders, l.settled = map[ids.Part]map[string]bool{}, nil
 }
 
 // Open starts the planner's task.
@@ -99,12 +99,12 @@
 }
 
 // collect asks every live core node for the news of the parts it owns.
-func (l *Planner) collect(term mark.Term) {
+func (l *Planner) collect(term ids.Term) {
 	l.mu.Lock()
 	if l.term != term {
 		l.reset(term)
 	}
-	known := map[mark.Part]string{}
+	known := map[ids.Part]string{}
 	for no, n := range l.news {
 		known[no] = n.Digest
 	}
@@ -117,8 +117,8 @@
 		l.r.Go(func() {
 			defer all.Done()
 			sent := l.r.Now()
-			var receipt wire.NewsReceipt
-			if l.w.Ask(ctx, m.Wire, "plan.news", &wire.NewsAsk{Known: known}, &receipt) == nil {
+			var receipt rpc.NewsReceipt
+			if l.w.Ask(ctx, m.Wire, "plan.news", &rpc.NewsAsk{Known: known}, &receipt) == nil {
 				l.fold(term, sent, &receipt)
 			}
 		})
@@ -126,7 +126,7 @@
 	all.Wait()
 }
 
-func (l *Planner) fold(term mark.Term, sent time.Time, receipt *wire.NewsReceipt) {
+func (l *Planner) fold(term ids.Term, sent time.Time, receipt *rpc.NewsReceipt) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.term != term {
@@ -163,26 +163,26 @@
 }
 
 // plan commits an epoch if what it should say differs from the one in force.
-func (l *Planner) plan(ctx context.Context, change *wire.ChangeReceipt, config *wire.Config) error {
+func (l *Planner) plan(ctx context.Context, change *rpc.ChangeReceipt, config *rpc.Config) error {
 	if change == nil {
 		l.planning.Lock()
 		defer l.planning.Unlock()
 	}
 	term, _, isServing := l.part.Serving()
 	if !isServing {
-		return fault.New(fault.NotOwner, "configuration part")
+		return errcode.New(errcode.NotOwner, "configuration part")
 	}
 	sheet := l.ledger.Sheet()
 	l.mu.Lock()
 	if l.term != term {
 		l.reset(term)
 	}
-	asOf := map[mark.Part]time.Time{}
+	asOf := map[ids.Part]time.Time{}
 	for no, n := range l.news {
 		asOf[no] = n.asOf
 	}
 	shares := l.shares()
-	planned := &wire.Planned{Epoch: sheet.Epoch + 1, Change: change, Put: map[string]json.RawMessage{}}
+	planned := &rpc.Planned{Epoch: sheet.Epoch + 1, Change: change, Put: map[string]json.RawMessage{}}
 	if change != nil || l.settled != sheet || !bytes.Equal(sheet.Groups[Shares].Data, shares) {
 		differ(planned, sheet, l.want(sheet, config, shares))
 		if len(planned.Put)+len(planned.Drop) == 0 {
@@ -199,7 +199,7 @@
 			return err
 		}
 		if taken != true {
-			return fault.New(fault.NotOwner, "epoch %d was planned by another", planned.Epoch)
+			return errcode.New(errcode.NotOwner, "epoch %d was planned by another", planned.Epoch)
 		}
 	}
 	l.mu.Lock()
@@ -218,7 +218,7 @@
 }
 
 // differ puts into an epoch what is wanted and isn't in the one in force.
-func differ(planned *wire.Planned, sheet *Sheet, want map[string]json.RawMessage) {
+func differ(planned *rpc.Planned, sheet *Sheet, want map[string]json.RawMessage) {
 	for name, data := range want {
 		if old, ok := sheet.Groups[name]; !ok || !bytes.Equal(old.Data, data) {
 			planned.Put[name] = data
@@ -234,7 +234,7 @@
 
 // shares is the strength of every proxy that is there.
 func (l *Planner) shares() json.RawMessage {
-	shares := map[mark.Name]int{}
+	shares := map[ids.Name]int{}
 	for name, m := range l.k.View() {
 		// One that went is kept for a while: most come back at once, and a share that
 		// is too small does no harm, where an epoch for each coming and going does.
@@ -244,7 +244,7 @@
 	}
 	if l.r.Since(l.zero) < l.r.Props.PlanLinger {
 		// Whoever has just started does not know yet who is there.
-		var before map[mark.Name]int
+		var before map[ids.Name]int
 		json.Unmarshal(l.ledger.Sheet().Groups[Shares].Data, &before)
 		for name, strength := range before {
 			if _, isKnown := l.k.View()[name]; !isKnown {
@@ -258,9 +258,9 @@
 
 // want is what every group of the next epoch should hold. Without a change set
 // the operators' groups are taken over as they are.
-func (l *Planner) want(sheet *Sheet, config *wire.Config, shares json.RawMessage) map[string]json.RawMessage {
+func (l *Planner) want(sheet *Sheet, config *rpc.Config, shares json.RawMessage) map[string]json.RawMessage {
 	want := map[string]json.RawMessage{}
-	var services []wire.Service
+	var services []rpc.Service
 	if config == nil {
 		for name, group := range sheet.Groups {
 			if isOperators(name) {
@@ -278,12 +278,12 @@
 	for _, c := range clashes {
 		if !l.clashes[c] {
 			l.clashes[c] = true
-			l.r.Sign.Say(sign.AddressClash, "address", c.address, "one", c.one, "two", c.two)
+			l.r.Sign.Say(eventlog.AddressClash, "address", c.address, "one", c.one, "two", c.two)
 		}
 	}
 	for _, s := range services {
 		old, isOld := sheet.Groups[Targets+s.Name]
-		if isOld && l.news[mark.PartOf(s.Name)] == nil {
+		if isOld && l.news[ids.PartOf(s.Name)] == nil {
 			want[Targets+s.Name] = old.Data
 			continue
 		}
--- a/internal/plan/ranges.go
+++ b/internal/controlplane/ranges.go
@@ -1,13 +1,13 @@
 // The ledger's state cut into ranges: each group is one, and the change sets
 // with the epoch's numbers are another.
-package plan
+package controlplane
 
 import (
 	"encoding/json"
 	"maps"
 	"strings"
 
-	"github.com/sumactrestle/sumactrestle/internal/wire"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
 const (
@@ -15,8 +15,8 @@
 	headRange  = "head"
 )
 
-func (l *Ledger) head(s *Sheet) wire.LedgerState {
-	return wire.LedgerState{Epoch: s.Epoch, Changed: s.Changed, Version: s.Version, Changes: s.Changes}
+func (l *Ledger) head(s *Sheet) rpc.LedgerState {
+	return rpc.LedgerState{Epoch: s.Epoch, Changed: s.Changed, Version: s.Version, Changes: s.Changes}
 }
 
 // Digests is one digest for each range. A group's is made of its data anew.
@@ -50,7 +50,7 @@
 	old := l.sheet
 	sheet := &Sheet{Epoch: old.Epoch, Changed: old.Changed, Version: old.Version, Groups: maps.Clone(old.Groups), Changes: old.Changes}
 	if group, ok := strings.CutPrefix(name, groupRange); ok {
-		var g *wire.Group
+		var g *rpc.Group
 		if err := json.Unmarshal(data, &g); err != nil {
 			return err
 		}
@@ -60,7 +60,7 @@
 			sheet.Groups[group] = *g
 		}
 	} else {
-		var head wire.LedgerState
+		var head rpc.LedgerState
 		if err := json.Unmarshal(data, &head); err != nil {
 			return err
 		}
--- a/internal/plan/roll.go
+++ b/internal/controlplane/roll.go
@@ -1,7 +1,7 @@
 // The Roll holds what servers report, in memory, at the owner of the service's
 // part. Drains and sign-offs are committed in the part before the beat is
 // answered; all else is only what was heard.
-package plan
+package controlplane
 
 import (
 	"context"
@@ -13,11 +13,11 @@
 
 	"github.com/sumactrestle/sumactrestle/internal/consensus"
 	"github.com/sumactrestle/sumactrestle/internal/coordination"
-	"github.com/sumactrestle/sumactrestle/internal/fault"
-	"github.com/sumactrestle/sumactrestle/internal/mark"
-	"github.com/sumactrestle/sumactrestle/internal/realm"
-	"github.com/sumactrestle/sumactrestle/internal/sign"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
+	"github.com/sumactrestle/sumactrestle/internal/environment"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
+	"github.com/sumactrestle/sumactrestle/internal/eventlog"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
 const (
@@ -30,7 +30,7 @@
 )
 
 type heard struct {
-	beat  wire.Beat
+	beat  rpc.Beat
 	cold  int64
 	first time.Time
 	at    time.Time
@@ -39,7 +39,7 @@
 
 // Roll is one core node's, over all parts.
 type Roll struct {
-	r      *realm.Realm
+	r      *environment.Realm
 	p      *consensus.Node
 	books  []*coordination.Book
 	ledger *Ledger
@@ -49,23 +49,23 @@
 	isStirring atomic.Bool
 
 	mu    sync.Mutex
-	beats map[mark.Part]map[string]map[string]*heard
-	terms map[mark.Part]mark.Term
-	told  map[mark.Part]told
+	beats map[ids.Part]map[string]map[string]*heard
+	terms map[ids.Part]ids.Term
+	told  map[ids.Part]told
 }
 
 // told is what the last news of a part said, ages aside, and its digest.
 type told struct {
-	lists  map[string][]wire.Listed
+	lists  map[string][]rpc.Listed
 	digest string
 }
 
-func NewRoll(r *realm.Realm, p *consensus.Node, books []*coordination.Book, ledger *Ledger) *Roll {
-	return &Roll{r: r, p: p, books: books, ledger: ledger, beats: map[mark.Part]map[string]map[string]*heard{}, terms: map[mark.Part]mark.Term{}, told: map[mark.Part]told{}}
+func NewRoll(r *environment.Realm, p *consensus.Node, books []*coordination.Book, ledger *Ledger) *Roll {
+	return &Roll{r: r, p: p, books: books, ledger: ledger, beats: map[ids.Part]map[string]map[string]*heard{}, terms: map[ids.Part]ids.Term{}, told: map[ids.Part]told{}}
 }
 
 // CheckBeat names what is wrong with a beat.
-func CheckBeat(b *wire.Beat) error {
+func CheckBeat(b *rpc.Beat) error {
 	var paths []string
 	if b.Service == "" || strings.ContainsAny(b.Service, "/ ") || len(b.Service) > 128 {
 		paths = append(paths, "service: is empty, too long, or holds a slash or a space")
@@ -89,26 +89,26 @@
 		paths = append(paths, "state: is none of serving, draining, leaving")
 	}
 	if len(paths) > 0 {
-		return fault.At(fault.BadBeat, paths)
+		return errcode.At(errcode.BadBeat, paths)
 	}
 	return nil
 }
 
 // Take folds one beat into the part owned here.
-func (l *Roll) Take(ctx context.Context, b *wire.Beat) error {
+func (l *Roll) Take(ctx context.Context, b *rpc.Beat) error {
 	if err := CheckBeat(b); err != nil {
-		l.r.Sign.Say(sign.BeatRefused, "service", b.Service, "instance", b.Instance, "cause", err.Error())
+		l.r.Sign.Say(eventlog.BeatRefused, "service", b.Service, "instance", b.Instance, "cause", err.Error())
 		return err
 	}
-	no := mark.PartOf(b.Service)
+	no := ids.PartOf(b.Service)
 	part := l.p.Part(no)
 	term, _, isServing := part.Serving()
 	if !isServing {
-		return fault.New(fault.NotOwner, "part %d", no)
+		return errcode.New(errcode.NotOwner, "part %d", no)
 	}
 	if sheet := l.ledger.Sheet(); !l.r.Props.PlanStrangers && sheet.Epoch > 0 && !sheet.Has(b.Service) {
-		l.r.Sign.Say(sign.BeatRefused, "service", b.Service, "instance", b.Instance, "cause", "no such service")
-		return fault.New(fault.UnknownService, "%q", b.Service)
+		l.r.Sign.Say(eventlog.BeatRefused, "service", b.Service, "instance", b.Instance, "cause", "no such service")
+		return errcode.New(errcode.UnknownService, "%q", b.Service)
 	}
 	name := b.Service + "/" + b.Instance
 	marked, isMarked := l.books[no].Get(coordination.Mark, name)
@@ -138,12 +138,12 @@
 		h.beat = *b
 	}
 	l.mu.Unlock()
-	var op *wire.BondOp
+	var op *rpc.BondOp
 	switch {
 	case b.State == Serving && isMarked && marked.Holder == Draining && b.Seq > marked.Seq:
-		op = &wire.BondOp{Op: "unmark", Name: name, Seq: b.Seq}
+		op = &rpc.BondOp{Op: "unmark", Name: name, Seq: b.Seq}
 	case b.State != Serving && (!isMarked || marked.Holder != b.State && marked.Holder != Leaving):
-		op = &wire.BondOp{Op: "mark", Name: name, Holder: b.State, Seq: b.Seq}
+		op = &rpc.BondOp{Op: "mark", Name: name, Holder: b.State, Seq: b.Seq}
 	}
 	if op != nil {
 		if err := l.propose(ctx, part, op); err != nil {
@@ -161,7 +161,7 @@
 }
 
 // isOther tells whether a beat says of its server what the last did not.
-func isOther(last, b *wire.Beat) bool {
+func isOther(last, b *rpc.Beat) bool {
 	return last.State != b.State || last.Address != b.Address || last.Zone != b.Zone || last.Weight != b.Weight || last.Slots != b.Slots
 }
 
@@ -175,13 +175,13 @@
 	}
 }
 
-func (l *Roll) propose(ctx context.Context, part *consensus.Part, op *wire.BondOp) error {
+func (l *Roll) propose(ctx context.Context, part *consensus.Part, op *rpc.BondOp) error {
 	_, _, err := part.Propose(ctx, op)
 	return err
 }
 
 // linger lets a moment pass between what is in force and the word that it is.
-func linger(ctx context.Context, r *realm.Realm) {
+func linger(ctx context.Context, r *environment.Realm) {
 	if r.Props.PlanHold == 0 {
 		return
 	}
@@ -195,7 +195,7 @@
 }
 
 // renew forgets what was heard under another term.
-func (l *Roll) renew(no mark.Part, term mark.Term) {
+func (l *Roll) renew(no ids.Part, term ids.Term) {
 	if l.terms[no] == term {
 		return
 	}
--- a/internal/plan/settle.go
+++ b/internal/controlplane/settle.go
@@ -1,15 +1,15 @@
 // Making the target lists of an epoch out of the parts' news. While a part's
 // owner is young, the targets of the epoch in force stay in, but for those that
 // the news names as out and those whose address was passed on.
-package plan
+package controlplane
 
 import (
 	"math"
 	"sort"
 	"strings"
 
-	"github.com/sumactrestle/sumactrestle/internal/mark"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
 // elder is the first beat of whatever was in the epoch in force when the part
@@ -19,15 +19,15 @@
 type clash struct{ address, one, two string }
 
 // merge adds to a young list the targets held that it doesn't name at all.
-func merge(held []wire.Target, list []wire.Listed) []wire.Listed {
+func merge(held []rpc.Target, list []rpc.Listed) []rpc.Listed {
 	named := map[string]bool{}
 	for _, t := range list {
 		named[t.Instance] = true
 	}
-	merged := append([]wire.Listed(nil), list...)
+	merged := append([]rpc.Listed(nil), list...)
 	for _, t := range held {
 		if !named[t.Instance] {
-			merged = append(merged, wire.Listed{Instance: t.Instance, Address: t.Address, Zone: t.Zone, Weight: t.Weight, Slots: t.Slots, Cold: t.Cold, Since: elder})
+			merged = append(merged, rpc.Listed{Instance: t.Instance, Address: t.Address, Zone: t.Zone, Weight: t.Weight, Slots: t.Slots, Cold: t.Cold, Since: elder})
 		}
 	}
 	return merged
@@ -37,13 +37,13 @@
 // which there is news the targets that are in. The newest claim stands and older
 // ones go out in the same epoch; an address that another service holds in the
 // epoch in force comes in only once that epoch is past; it tells whether one waits so.
-func settle(sheet *Sheet, services []wire.Service, all map[mark.Part]*news) (map[string][]wire.Target, []clash, bool) {
-	lists := map[string][]wire.Listed{}
+func settle(sheet *Sheet, services []rpc.Service, all map[ids.Part]*news) (map[string][]rpc.Target, []clash, bool) {
+	lists := map[string][]rpc.Listed{}
 	owners, newest := map[string]string{}, map[string]int64{}
 	holders := map[string]string{}
 	var clashes []clash
 	for _, s := range services {
-		n := all[mark.PartOf(s.Name)]
+		n := all[ids.PartOf(s.Name)]
 		if n == nil {
 			continue
 		}
@@ -78,12 +78,12 @@
 			}
 		}
 	}
-	targets := map[string][]wire.Target{}
+	targets := map[string][]rpc.Target{}
 	for service, list := range lists {
-		targets[service] = []wire.Target{}
+		targets[service] = []rpc.Target{}
 		for _, t := range list {
 			if t.Out == "" && t.Address != "" && owners[t.Address] == service+"/"+t.Instance {
-				targets[service] = append(targets[service], wire.Target{Instance: t.Instance, Address: t.Address, Zone: t.Zone, Weight: t.Weight, Slots: t.Slots, Cold: t.Cold})
+				targets[service] = append(targets[service], rpc.Target{Instance: t.Instance, Address: t.Address, Zone: t.Zone, Weight: t.Weight, Slots: t.Slots, Cold: t.Cold})
 			}
 		}
 		sort.Slice(targets[service], func(i, j int) bool { return targets[service][i].Instance < targets[service][j].Instance })
@@ -92,10 +92,10 @@
 }
 
 // elders names the targets of a part that are in an epoch.
-func elders(sheet *Sheet, no mark.Part) map[string]bool {
+func elders(sheet *Sheet, no ids.Part) map[string]bool {
 	names := map[string]bool{}
 	for name := range sheet.Groups {
-		if service, ok := strings.CutPrefix(name, Targets); ok && mark.PartOf(service) == no {
+		if service, ok := strings.CutPrefix(name, Targets); ok && ids.PartOf(service) == no {
 			for _, t := range sheet.Targets(service) {
 				names[claimName(service, t.Instance, t.Address)] = true
 			}
@@ -110,7 +110,7 @@
 
 // date turns the ages of first beats into times since the planner's zero, and
 // forgets the elders that a settled owner doesn't know.
-func date(p *wire.PartNews, sent int64, known map[string]bool) {
+func date(p *rpc.PartNews, sent int64, known map[string]bool) {
 	named := map[string]bool{}
 	for service, list := range p.Lists {
 		for i, t := range list {
--- /dev/null
+++ b/internal/controlplane/settle_test.go
@@ -0,0 +1,175 @@
+// A young owner's news is merged with the epoch in force, and addresses go to
+// the newest claim.
+package controlplane
+
+import (
+	"encoding/json"
+	"io"
+	"reflect"
+	"testing"
+	"time"
+
+	"github.com/sumactrestle/sumactrestle/internal/config"
+	"github.com/sumactrestle/sumactrestle/internal/coordination"
+	"github.com/sumactrestle/sumactrestle/internal/environment"
+	"github.com/sumactrestle/sumactrestle/internal/eventlog"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
+)
+
+func sheetWith(targets map[string][]rpc.Target) *Sheet {
+	sheet := &Sheet{Epoch: 1, Groups: map[string]rpc.Group{}}
+	for service, list := range targets {
+		raw, _ := json.Marshal(list)
+		sheet.Groups[Targets+service] = rpc.Group{Data: raw}
+	}
+	return sheet
+}
+
+func TestListsAreSettled(t *testing.T) {
+	held := func(instance, address string) rpc.Target {
+		return rpc.Target{Instance: instance, Address: address, Weight: 1, Slots: 4, Cold: 7}
+	}
+	heard := func(instance, address string, since int64, out string) rpc.Listed {
+		return rpc.Listed{Instance: instance, Address: address, Weight: 1, Slots: 4, Cold: 7, Since: since, Out: out}
+	}
+	inForce := []rpc.Target{held("a", "A"), held("b", "B")}
+	for name, c := range map[string]struct {
+		young bool
+		list  []rpc.Listed
+		want  []rpc.Target
+	}{
+		"unheard is kept":              {true, []rpc.Listed{heard("a", "A", 5, "")}, inForce},
+		"nobody is heard":              {true, nil, inForce},
+		"unheard goes when settled":    {false, []rpc.Listed{heard("a", "A", 5, "")}, inForce[:1]},
+		"new comes in":                 {true, []rpc.Listed{heard("c", "C", 5, "")}, []rpc.Target{inForce[0], inForce[1], held("c", "C")}},
+		"drained goes":                 {true, []rpc.Listed{heard("b", "B", 5, Draining)}, inForce[:1]},
+		"marked and unheard goes":      {true, []rpc.Listed{{Instance: "b", Out: Leaving}}, inForce[:1]},
+		"silent goes":                  {true, []rpc.Listed{heard("b", "B", 5, Silent)}, inForce[:1]},
+		"address is passed on":         {true, []rpc.Listed{heard("c", "B", 5, "")}, []rpc.Target{inForce[0], held("c", "B")}},
+		"heard at another address":     {true, []rpc.Listed{heard("b", "D", 5, "")}, []rpc.Target{inForce[0], held("b", "D")}},
+		"newest of two":                {false, []rpc.Listed{heard("a", "A", 5, ""), heard("c", "A", 6, "")}, []rpc.Target{held("c", "A")}},
+		"an elder against a new":       {true, []rpc.Listed{heard("b", "B", elder, ""), heard("c", "B", -3, "")}, []rpc.Target{inForce[0], held("c", "B")}},
+		"two marked without address":   {true, []rpc.Listed{{Instance: "x", Out: Draining}, {Instance: "y", Out: Draining}}, inForce},
+		"no address is never a target": {true, []rpc.Listed{{Instance: "x"}}, inForce},
+	} {
+		sheet := sheetWith(map[string][]rpc.Target{"s": inForce})
+		all := map[ids.Part]*news{ids.PartOf("s"): {PartNews: rpc.PartNews{Young: c.young, Lists: map[string][]rpc.Listed{"s": c.list}}}}
+		got, _, _ := settle(sheet, []rpc.Service{{Name: "s"}}, all)
+		if !reflect.DeepEqual(got["s"], c.want) {
+			t.Errorf("%s: %+v, want %+v", name, got["s"], c.want)
+		}
+	}
+}
+
+func TestAnAddressChangesServiceInTwoEpochs(t *testing.T) {
+	services := []rpc.Service{{Name: "s"}, {Name: "t"}}
+	all := map[ids.Part]*news{}
+	for _, s := range services {
+		all[ids.PartOf(s.Name)] = &news{PartNews: rpc.PartNews{Young: true, Lists: map[string][]rpc.Listed{}}}
+	}
+	all[ids.PartOf("t")].Lists["t"] = []rpc.Listed{{Instance: "n", Address: "A", Since: 5}}
+	all[ids.PartOf("t")].Lists["stranger"] = []rpc.Listed{{Instance: "o", Address: "A", Since: 9}}
+	sheet := sheetWith(map[string][]rpc.Target{"s": {{Instance: "a", Address: "A"}}, "t": {}})
+	one, _, _ := settle(sheet, services, all)
+	if len(one["s"])+len(one["t"]) != 0 {
+		t.Fatalf("%+v", one)
+	}
+	two, _, _ := settle(sheetWith(one), services, all)
+	if len(two["s"]) != 0 || len(two["t"]) != 1 {
+		t.Fatalf("%+v", two)
+	}
+}
+
+func TestEldersStayOldUntilTheyGo(t *testing.T) {
+	no := ids.PartOf("s")
+	sheet := sheetWith(map[string][]rpc.Target{"s": {{Instance: "a", Address: "A"}, {Instance: "b", Address: "B"}}})
+	known := elders(sheet, no)
+	p := &rpc.PartNews{Young: true, Lists: map[string][]rpc.Listed{"s": {{Instance: "a", Address: "A", Since: 3}, {Instance: "b", Address: "N", Since: 3}, {Instance: "c", Address: "A", Since: 4}}}}
+	date(p, 10, known)
+	if l := p.Lists["s"]; l[0].Since != elder || l[1].Since != 7 || l[2].Since != 6 || len(known) != 2 {
+		t.Fatalf("%+v %v", p, known)
+	}
+	date(&rpc.PartNews{Lists: map[string][]rpc.Listed{"s": {{Instance: "a", Address: "A"}}}}, 10, known)
+	if len(known) != 1 || !known[claimName("s", "a", "A")] {
+		t.Fatal(known)
+	}
+	if len(elders(sheet, (no+1)%ids.Parts)) != 0 {
+		t.Fatal("another part's")
+	}
+}
+
+// newRoll is a roll without a fleet.
+func newRoll(t *testing.T) *Roll {
+	p := &config.Props{Name: "n", PlanSilence: time.Hour}
+	r := environment.New(t.Context(), p, eventlog.New(io.Discard, "info", "n"), environment.Net{})
+	var books []*coordination.Book
+	for range ids.Parts {
+		books = append(books, coordination.NewBook())
+	}
+	return NewRoll(r, nil, books, NewLedger())
+}
+
+func (l *Roll) hear(no ids.Part, cold int64, b rpc.Beat) {
+	if l.beats[no] == nil {
+		l.beats[no] = map[string]map[string]*heard{}
+	}
+	if l.beats[no][b.Service] == nil {
+		l.beats[no][b.Service] = map[string]*heard{}
+	}
+	l.beats[no][b.Service][b.Instance] = &heard{beat: b, cold: cold, first: l.r.Now(), at: l.r.Now()}
+}
+
+func putMark(t *testing.T, book *coordination.Book, name, holder string) {
+	t.Helper()
+	raw, _ := json.Marshal(rpc.BondOp{Op: "mark", Name: name, Holder: holder, Seq: 1})
+	book.Apply(1, raw)
+}
+
+func TestListsNameSlotsFirstColdAndMarks(t *testing.T) {
+	l, no, term := newRoll(t), ids.PartOf("s"), ids.Term{Round: 1}
+	l.lists(no, term, true)
+	l.hear(no, 900, rpc.Beat{Service: "s", Instance: "a", Address: "A", State: Serving, Slots: 3, Cold: 900})
+	putMark(t, l.books[no], "s/gone", Leaving)
+	young := l.lists(no, term, true)["s"]
+	if len(young) != 2 || young[0].Slots != 3 || young[0].Cold != 900 || young[1].Instance != "gone" || young[1].Out != Leaving || young[1].Address != "" {
+		t.Fatalf("%+v", young)
+	}
+	one := l.digest(no, l.lists(no, term, false))
+	h := l.beats[no]["s"]["a"]
+	h.beat.Cold, h.first = 100, h.first.Add(-time.Minute)
+	lists := l.lists(no, term, false)
+	if two := l.digest(no, lists); one != two || one != digestOf(lists) {
+		t.Fatal("the digest changed with time")
+	}
+	if len(lists["s"]) != 1 {
+		t.Fatalf("%+v", lists)
+	}
+	h.beat.Slots = 4
+	if lists = l.lists(no, term, false); l.digest(no, lists) == one || l.digest(no, lists) != digestOf(lists) {
+		t.Fatal("the digest stayed when slots changed")
+	}
+}
+
+func TestWhoseIsAnInstance(t *testing.T) {
+	l := newRoll(t)
+	l.ledger.sheet = sheetWith(map[string][]rpc.Target{"s": {{Instance: "planned"}, {Instance: "both"}}})
+	l.hear(ids.PartOf("u"), 0, rpc.Beat{Service: "u", Instance: "both"})
+	putMark(t, l.books[ids.PartOf("t")], "t/marked", Draining)
+	for instance, want := range map[string]string{"planned": "s", "both": "u", "marked": "t", "none": "", "": ""} {
+		if got := l.Whose(instance); got != want {
+			t.Errorf("%q is of %q, want %q", instance, got, want)
+		}
+	}
+}
+
+func TestStirredIsToldAndMayBeMissing(t *testing.T) {
+	l := newRoll(t)
+	l.stir()
+	heard := make(chan bool, 4)
+	l.Stirred = func() { heard <- true }
+	l.stir()
+	<-heard
+	l.stir()
+	<-heard
+}
--- a/internal/plan/sheet.go
+++ b/internal/controlplane/sheet.go
@@ -1,6 +1,6 @@
 // The Sheet is one epoch as it stands: what a change set is judged by, what the
 // distribution carries to the proxies, and what operators see of it.
-package plan
+package controlplane
 
 import (
 	"encoding/json"
@@ -8,38 +8,38 @@
 	"sort"
 	"strings"
 
-	"github.com/sumactrestle/sumactrestle/internal/fault"
-	"github.com/sumactrestle/sumactrestle/internal/mark"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
 // Find is the receipt of an accepted change set.
-func (s *Sheet) Find(id string) (wire.ChangeReceipt, bool) {
+func (s *Sheet) Find(id string) (rpc.ChangeReceipt, bool) {
 	for i := len(s.Changes) - 1; i >= 0; i-- {
 		if s.Changes[i].Id == id {
 			return s.Changes[i], true
 		}
 	}
-	return wire.ChangeReceipt{}, false
+	return rpc.ChangeReceipt{}, false
 }
 
 // Judge tells whether a change set has its place after this epoch. A repeat
 // gets the first receipt, and no receipt means that the set is a new one.
-func (s *Sheet) Judge(change *wire.Change, digest string) (*wire.ChangeReceipt, error) {
+func (s *Sheet) Judge(change *rpc.Change, digest string) (*rpc.ChangeReceipt, error) {
 	if first, ok := s.Find(change.Id); ok {
 		if first.Digest != digest {
-			return nil, fault.New(fault.ChangeReused, "%q", change.Id)
+			return nil, errcode.New(errcode.ChangeReused, "%q", change.Id)
 		}
 		return &first, nil
 	}
 	if change.Over != nil && *change.Over != s.Version {
-		return nil, fault.New(fault.ChangeConflict, "version %d was named, version %d is in force", *change.Over, s.Version)
+		return nil, errcode.New(errcode.ChangeConflict, "version %d was named, version %d is in force", *change.Over, s.Version)
 	}
 	if change.Version > 0 && change.Version <= s.Version {
-		return nil, fault.At(fault.BadChange, []string{fmt.Sprintf("version: is not above %d, which is in force", s.Version)})
+		return nil, errcode.At(errcode.BadChange, []string{fmt.Sprintf("version: is not above %d, which is in force", s.Version)})
 	}
 	if change.Over == nil && (change.Base < s.Changed || change.Base > s.Epoch) {
-		return nil, fault.New(fault.ChangeConflict, "epoch %d was named, the last change set was accepted in epoch %d, epoch %d is in force", change.Base, s.Changed, s.Epoch)
+		return nil, errcode.New(errcode.ChangeConflict, "epoch %d was named, the last change set was accepted in epoch %d, epoch %d is in force", change.Base, s.Changed, s.Epoch)
 	}
 	return nil, nil
 }
@@ -51,42 +51,42 @@
 }
 
 // Targets is a service's target list.
-func (s *Sheet) Targets(service string) (list []wire.Target) {
+func (s *Sheet) Targets(service string) (list []rpc.Target) {
 	json.Unmarshal(s.Groups[Targets+service].Data, &list)
 	return list
 }
 
 // Carried is a group that goes to the proxies.
-func (s *Sheet) Carried(name string) (wire.Group, bool) {
+func (s *Sheet) Carried(name string) (rpc.Group, bool) {
 	if strings.HasPrefix(name, Sources) {
-		return wire.Group{}, false
+		return rpc.Group{}, false
 	}
 	group, ok := s.Groups[name]
 	return group, ok
 }
 
 // Manifest names every group that goes to the proxies, with its digest and stamp.
-func (s *Sheet) Manifest() map[string]wire.Held {
-	manifest := make(map[string]wire.Held, len(s.Groups))
+func (s *Sheet) Manifest() map[string]rpc.Held {
+	manifest := make(map[string]rpc.Held, len(s.Groups))
 	for name := range s.Groups {
 		if group, ok := s.Carried(name); ok {
-			manifest[name] = wire.Held{Digest: group.Digest, Stamp: group.Stamp}
+			manifest[name] = rpc.Held{Digest: group.Digest, Stamp: group.Stamp}
 		}
 	}
 	return manifest
 }
 
 // Config is the operators' part of the epoch, with the text they sent.
-func (s *Sheet) Config() wire.Config {
+func (s *Sheet) Config() rpc.Config {
 	config := s.bare()
 	attach(&config, s.sources())
 	return config
 }
 
-func (s *Sheet) bare() (config wire.Config) {
+func (s *Sheet) bare() (config rpc.Config) {
 	for name, group := range s.Groups {
 		if strings.HasPrefix(name, Routes) {
-			var some []wire.Mapping
+			var some []rpc.Mapping
 			json.Unmarshal(group.Data, &some)
 			config.Mappings = append(config.Mappings, some...)
 		}
@@ -100,8 +100,8 @@
 
 // View is the epoch as operators see it. The text they sent is left out, for it
 // may hold the keys.
-func (s *Sheet) View() *wire.EpochView {
-	view := &wire.EpochView{Epoch: s.Epoch, Changed: s.Changed, Manifest: s.Manifest(), Config: s.bare(), Targets: map[string][]wire.Target{}, Shares: map[mark.Name]int{}}
+func (s *Sheet) View() *rpc.EpochView {
+	view := &rpc.EpochView{Epoch: s.Epoch, Changed: s.Changed, Manifest: s.Manifest(), Config: s.bare(), Targets: map[string][]rpc.Target{}, Shares: map[ids.Name]int{}}
 	for name := range s.Groups {
 		if service, ok := strings.CutPrefix(name, Targets); ok {
 			view.Targets[service] = s.Targets(service)
@@ -116,7 +116,7 @@
 	return view
 }
 
-func sortConfig(c *wire.Config) {
+func sortConfig(c *rpc.Config) {
 	sort.Slice(c.Mappings, func(i, j int) bool { return c.Mappings[i].Name < c.Mappings[j].Name })
 	sort.Slice(c.Services, func(i, j int) bool { return c.Services[i].Name < c.Services[j].Name })
 	sort.Slice(c.Limits, func(i, j int) bool { return c.Limits[i].Service < c.Limits[j].Service })
@@ -133,7 +133,7 @@
 }
 
 // SumOf is one digest over a manifest.
-func SumOf(manifest map[string]wire.Held) string {
+func SumOf(manifest map[string]rpc.Held) string {
 	raw, _ := json.Marshal(manifest)
 	return Digest(raw)
 }
--- a/internal/plan/source.go
+++ b/internal/controlplane/source.go
@@ -1,7 +1,7 @@
 // The operators' own text of an item is replicated with the configuration but
 // is of no use to a proxy: it lies in groups of its own, which aren't carried,
 // and is put back on the items when the configuration is read.
-package plan
+package controlplane
 
 import (
 	"encoding/json"
@@ -9,8 +9,8 @@
 	"slices"
 	"strings"
 
-	"github.com/sumactrestle/sumactrestle/internal/mark"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
 const (
@@ -20,14 +20,14 @@
 )
 
 func sourceBucket(item string) string {
-	return fmt.Sprintf("%s%02d", Sources, mark.Score("source", item)%sourceBuckets)
+	return fmt.Sprintf("%s%02d", Sources, ids.Score("source", item)%sourceBuckets)
 }
 
 func mappingItem(name string) string { return "mappings/" + name }
 func serviceItem(name string) string { return "services/" + name }
 
 // detach takes the texts off a copy of the configuration; they come by item.
-func detach(config wire.Config) (wire.Config, map[string]json.RawMessage) {
+func detach(config rpc.Config) (rpc.Config, map[string]json.RawMessage) {
 	sources := map[string]json.RawMessage{}
 	take := func(item string, source *json.RawMessage) {
 		if len(*source) > 0 && string(*source) != "null" {
@@ -50,7 +50,7 @@
 	return config, sources
 }
 
-func attach(config *wire.Config, sources map[string]json.RawMessage) {
+func attach(config *rpc.Config, sources map[string]json.RawMessage) {
 	for i := range config.Mappings {
 		config.Mappings[i].Source = sources[mappingItem(config.Mappings[i].Name)]
 	}
@@ -79,7 +79,7 @@
 }
 
 // groupsOf cuts a configuration into its groups.
-func groupsOf(config wire.Config) map[string]json.RawMessage {
+func groupsOf(config rpc.Config) map[string]json.RawMessage {
 	groups := map[string]json.RawMessage{}
 	put := func(name string, value any) { groups[name], _ = json.Marshal(value) }
 	config, sources := detach(config)
@@ -88,7 +88,7 @@
 	if config.Manners != nil {
 		put(Manners, config.Manners)
 	}
-	routes := map[string][]wire.Mapping{}
+	routes := map[string][]rpc.Mapping{}
 	for _, m := range config.Mappings {
 		routes[bucket(m.Name)] = append(routes[bucket(m.Name)], m)
 	}
--- a/internal/plan/submit.go
+++ b/internal/controlplane/submit.go
@@ -1,19 +1,19 @@
 // What operators ask of the planner: to take a change set whole, to tell what
 // became of one, and to show the epoch in force.
-package plan
+package controlplane
 
 import (
 	"context"
 	"encoding/json"
 
-	"github.com/sumactrestle/sumactrestle/internal/fault"
-	"github.com/sumactrestle/sumactrestle/internal/mark"
-	"github.com/sumactrestle/sumactrestle/internal/sign"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
+	"github.com/sumactrestle/sumactrestle/internal/eventlog"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
 // Submit takes a change set whole, or not at all.
-func (l *Planner) Submit(ctx context.Context, change *wire.Change) (*wire.ChangeReceipt, error) {
+func (l *Planner) Submit(ctx context.Context, change *rpc.Change) (*rpc.ChangeReceipt, error) {
 	receipt, isNew, err := l.submit(ctx, change)
 	if isNew {
 		linger(ctx, l.r)
@@ -21,7 +21,7 @@
 	return receipt, err
 }
 
-func (l *Planner) submit(ctx context.Context, change *wire.Change) (receipt *wire.ChangeReceipt, isNew bool, err error) {
+func (l *Planner) submit(ctx context.Context, change *rpc.Change) (receipt *rpc.ChangeReceipt, isNew bool, err error) {
 	l.planning.Lock()
 	defer l.planning.Unlock()
 	if err := l.part.Confirm(ctx, l.r.Now()); err != nil {
@@ -34,33 +34,33 @@
 	if first != nil {
 		return first, false, nil
 	}
-	var config wire.Config
+	var config rpc.Config
 	if err == nil {
 		var paths []string
 		if config, paths = Lay(sheet.Config(), change); len(paths) > 0 {
-			err = fault.At(fault.BadChange, paths)
+			err = errcode.At(errcode.BadChange, paths)
 		}
 	}
 	if err != nil {
-		if !fault.Is(err, fault.ChangeReused) {
-			l.r.Sign.Say(sign.ChangeRefused, "id", change.Id, "code", fault.Of(err).Code.No)
+		if !errcode.Is(err, errcode.ChangeReused) {
+			l.r.Sign.Say(eventlog.ChangeRefused, "id", change.Id, "code", errcode.Of(err).Code.No)
 		}
 		return nil, false, err
 	}
-	receipt = &wire.ChangeReceipt{Id: change.Id, State: "accepted", Digest: digest, Version: change.Version}
+	receipt = &rpc.ChangeReceipt{Id: change.Id, State: "accepted", Digest: digest, Version: change.Version}
 	if err := l.plan(ctx, receipt, &config); err != nil {
-		if fault.Is(err, fault.NotOwner) {
+		if errcode.Is(err, errcode.NotOwner) {
 			return nil, false, err
 		}
-		return nil, false, fault.New(fault.ChangeUnknown, "%v", err)
+		return nil, false, errcode.New(errcode.ChangeUnknown, "%v", err)
 	}
-	l.r.Sign.Say(sign.ChangeAccepted, "id", change.Id, "epoch", uint64(receipt.Epoch))
+	l.r.Sign.Say(eventlog.ChangeAccepted, "id", change.Id, "epoch", uint64(receipt.Epoch))
 	return receipt, true, nil
 }
 
 // AskChange tells what became of a change set. It waits for all that is in the
 // log, so that "absent" can't be followed by a late acceptance.
-func (l *Planner) AskChange(ctx context.Context, id string) (*wire.ChangeReceipt, error) {
+func (l *Planner) AskChange(ctx context.Context, id string) (*rpc.ChangeReceipt, error) {
 	l.planning.Lock()
 	defer l.planning.Unlock()
 	if err := l.part.Barrier(ctx); err != nil {
@@ -69,11 +69,11 @@
 	if receipt, ok := l.ledger.Sheet().Find(id); ok {
 		return &receipt, nil
 	}
-	return nil, fault.New(fault.ChangeAbsent, "%q", id)
+	return nil, errcode.New(errcode.ChangeAbsent, "%q", id)
 }
 
 // View is the epoch in force, confirmed since the call came.
-func (l *Planner) View(ctx context.Context) (*wire.EpochView, error) {
+func (l *Planner) View(ctx context.Context) (*rpc.EpochView, error) {
 	if err := l.part.Confirm(ctx, l.r.Now()); err != nil {
 		return nil, err
 	}
@@ -82,29 +82,29 @@
 
 // Config is the operators' configuration as they sent it, keys and all,
 // confirmed since the call came.
-func (l *Planner) Config(ctx context.Context) (*wire.ConfigView, error) {
+func (l *Planner) Config(ctx context.Context) (*rpc.ConfigView, error) {
 	if err := l.part.Confirm(ctx, l.r.Now()); err != nil {
 		return nil, err
 	}
 	sheet := l.ledger.Sheet()
-	return &wire.ConfigView{Version: sheet.Version, Epoch: sheet.Epoch, Config: sheet.Config()}, nil
+	return &rpc.ConfigView{Version: sheet.Version, Epoch: sheet.Epoch, Config: sheet.Config()}, nil
 }
 
 // Pulse tells the epoch in force and the ages of what it reflects. It asks for
 // no round of its own: the age of the last one is told, and is what counts.
-func (l *Planner) Pulse() (*wire.PulseReceipt, error) {
+func (l *Planner) Pulse() (*rpc.PulseReceipt, error) {
 	age, isServing := l.part.Age()
 	if !isServing {
-		return nil, fault.New(fault.NotOwner, "configuration part")
+		return nil, errcode.New(errcode.NotOwner, "configuration part")
 	}
 	began := l.r.Now()
 	term, _, _ := l.part.Serving()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	receipt := &wire.PulseReceipt{Parts: make([]int64, mark.Parts)}
+	receipt := &rpc.PulseReceipt{Parts: make([]int64, ids.Parts)}
 	for no := range receipt.Parts {
 		receipt.Parts[no] = -1
-		if at, ok := l.reflects[mark.Part(no)]; ok && l.term == term {
+		if at, ok := l.reflects[ids.Part(no)]; ok && l.term == term {
 			receipt.Parts[no] = l.r.Since(at).Microseconds() + 1
 		}
 	}
--- a/internal/plan/view.go
+++ b/internal/controlplane/view.go
@@ -1,5 +1,5 @@
 // What the planner and the roll show of themselves, folded when they are asked.
-package plan
+package controlplane
 
 import "time"
 
--- a/internal/coordination/book.go
+++ b/internal/coordination/book.go
@@ -14,9 +14,9 @@
 	"sync"
 	"time"
 
-	"github.com/sumactrestle/sumactrestle/internal/fault"
-	"github.com/sumactrestle/sumactrestle/internal/mark"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
 const (
@@ -34,30 +34,30 @@
 // Book is one data part's state.
 type Book struct {
 	mu      sync.RWMutex
-	records map[string]map[string]wire.BondRecord
-	seen    map[string]wire.BondReceipt
+	records map[string]map[string]rpc.BondRecord
+	seen    map[string]rpc.BondReceipt
 	order   []string
-	events  []wire.BondEvent
+	events  []rpc.BondEvent
 	times   []time.Time
-	start   mark.Stamp
-	starts  map[string]mark.Stamp
-	applied mark.Stamp
+	start   ids.Stamp
+	starts  map[string]ids.Stamp
+	applied ids.Stamp
 }
 
 func NewBook() *Book {
-	return &Book{records: map[string]map[string]wire.BondRecord{}, seen: map[string]wire.BondReceipt{}, starts: map[string]mark.Stamp{}}
+	return &Book{records: map[string]map[string]rpc.BondRecord{}, seen: map[string]rpc.BondReceipt{}, starts: map[string]ids.Stamp{}}
 }
 
 // of is the records of one kind, so that looking through one kind does not cost
 // what the others weigh.
-func (b *Book) of(kind string) map[string]wire.BondRecord {
+func (b *Book) of(kind string) map[string]rpc.BondRecord {
 	if b.records[kind] == nil {
-		b.records[kind] = map[string]wire.BondRecord{}
+		b.records[kind] = map[string]rpc.BondRecord{}
 	}
 	return b.records[kind]
 }
 
-func less(a, z wire.BondRecord) bool {
+func less(a, z rpc.BondRecord) bool {
 	if a.Kind != z.Kind {
 		return a.Kind < z.Kind
 	}
@@ -65,10 +65,10 @@
 }
 
 // Apply folds one entry.
-func (b *Book) Apply(index mark.Stamp, body json.RawMessage) any {
-	var op wire.BondOp
+func (b *Book) Apply(index ids.Stamp, body json.RawMessage) any {
+	var op rpc.BondOp
 	if err := json.Unmarshal(body, &op); err != nil {
-		return &wire.BondReceipt{Code: fault.BadCall.No, Note: err.Error()}
+		return &rpc.BondReceipt{Code: errcode.BadCall.No, Note: err.Error()}
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -94,105 +94,105 @@
 	return receipt
 }
 
-func (b *Book) fold(index mark.Stamp, op *wire.BondOp) *wire.BondReceipt {
-	refuse := func(code fault.Code, old wire.BondRecord) *wire.BondReceipt {
-		return &wire.BondReceipt{Code: code.No, Stamp: old.Stamp, Rev: old.Rev, Holder: old.Holder, Fence: old.Fence, Ttl: old.Ttl}
+func (b *Book) fold(index ids.Stamp, op *rpc.BondOp) *rpc.BondReceipt {
+	refuse := func(code errcode.Code, old rpc.BondRecord) *rpc.BondReceipt {
+		return &rpc.BondReceipt{Code: code.No, Stamp: old.Stamp, Rev: old.Rev, Holder: old.Holder, Fence: old.Fence, Ttl: old.Ttl}
 	}
 	switch op.Op {
 	case "put", "drop":
 		old, ok := b.of(Key)[op.Name]
 		if op.If != nil && *op.If != old.Stamp {
-			return refuse(fault.StampDiffers, old)
+			return refuse(errcode.StampDiffers, old)
 		}
 		if op.Op == "drop" {
 			if !ok {
-				return refuse(fault.NoKey, old)
+				return refuse(errcode.NoKey, old)
 			}
 			b.remove(index, old)
-			return &wire.BondReceipt{Stamp: index}
+			return &rpc.BondReceipt{Stamp: index}
 		}
-		b.set(wire.BondRecord{Name: op.Name, Kind: Key, Value: op.Value, Stamp: index})
-		return &wire.BondReceipt{Stamp: index, Value: op.Value}
+		b.set(rpc.BondRecord{Name: op.Name, Kind: Key, Value: op.Value, Stamp: index})
+		return &rpc.BondReceipt{Stamp: index, Value: op.Value}
 	case "set":
 		old, ok := b.of(Key)[op.Name]
 		if op.Rev != nil && (*op.Rev != old.Rev || ok && *op.Rev == 0) {
-			return refuse(fault.StampDiffers, old)
+			return refuse(errcode.StampDiffers, old)
 		}
 		rev := b.rise(index, spaceOf(op.Name))
-		b.set(wire.BondRecord{Name: op.Name, Kind: Key, Value: op.Value, Rev: rev, Stamp: index})
-		return &wire.BondReceipt{Stamp: index, Rev: rev}
+		b.set(rpc.BondRecord{Name: op.Name, Kind: Key, Value: op.Value, Rev: rev, Stamp: index})
+		return &rpc.BondReceipt{Stamp: index, Rev: rev}
 	case "add":
 		old := b.of(Count)[op.Name]
 		count := old.Count + op.Delta
-		b.set(wire.BondRecord{Name: op.Name, Kind: Count, Count: count, Stamp: index})
-		return &wire.BondReceipt{Stamp: index, Count: count}
+		b.set(rpc.BondRecord{Name: op.Name, Kind: Count, Count: count, Stamp: index})
+		return &rpc.BondReceipt{Stamp: index, Count: count}
 	case "acquire":
 		old, ok := b.of(Lock)[op.Name]
 		if ok && old.Holder != op.Holder {
-			return refuse(fault.Held, old)
+			return refuse(errcode.Held, old)
 		}
 		if ok {
 			b.stretch(old, op.Ttl)
-			return &wire.BondReceipt{Stamp: old.Stamp, Holder: old.Holder, Fence: old.Fence, Ttl: op.Ttl, Value: old.Value}
+			return &rpc.BondReceipt{Stamp: old.Stamp, Holder: old.Holder, Fence: old.Fence, Ttl: op.Ttl, Value: old.Value}
 		}
-		b.set(wire.BondRecord{Name: op.Name, Kind: Lock, Holder: op.Holder, Fence: index, Ttl: op.Ttl, Value: op.Value, Stamp: index})
-		return &wire.BondReceipt{Stamp: index, Holder: op.Holder, Fence: index, Ttl: op.Ttl, Value: op.Value}
+		b.set(rpc.BondRecord{Name: op.Name, Kind: Lock, Holder: op.Holder, Fence: index, Ttl: op.Ttl, Value: op.Value, Stamp: index})
+		return &rpc.BondReceipt{Stamp: index, Holder: op.Holder, Fence: index, Ttl: op.Ttl, Value: op.Value}
 	case "stretch":
 		old, ok := b.of(Lock)[op.Name]
 		if !ok || old.Fence != op.Fence || old.Holder != op.Holder {
-			return refuse(fault.NotHeld, old)
+			return refuse(errcode.NotHeld, old)
 		}
 		b.stretch(old, op.Ttl)
-		return &wire.BondReceipt{Stamp: old.Stamp, Holder: old.Holder, Fence: old.Fence, Ttl: op.Ttl}
+		return &rpc.BondReceipt{Stamp: old.Stamp, Holder: old.Holder, Fence: old.Fence, Ttl: op.Ttl}
 	case "release", "expire":
 		old, ok := b.of(Lock)[op.Name]
 		if !ok || old.Fence != op.Fence || op.Op == "release" && old.Holder != op.Holder {
-			return refuse(fault.NotHeld, old)
+			return refuse(errcode.NotHeld, old)
 		}
 		b.remove(index, old)
-		return &wire.BondReceipt{Stamp: index}
+		return &rpc.BondReceipt{Stamp: index}
 	case "claims", "unclaim", "settle", "sweep":
 		return b.claim(index, op)
 	case "mark":
 		old, ok := b.of(Mark)[op.Name]
 		if ok && (old.Seq > op.Seq || old.Holder == "leaving") {
-			return refuse(fault.StampDiffers, old)
+			return refuse(errcode.StampDiffers, old)
 		}
-		b.of(Mark)[op.Name] = wire.BondRecord{Name: op.Name, Kind: Mark, Holder: op.Holder, Seq: op.Seq, Stamp: index}
-		return &wire.BondReceipt{Stamp: index, Holder: op.Holder}
+		b.of(Mark)[op.Name] = rpc.BondRecord{Name: op.Name, Kind: Mark, Holder: op.Holder, Seq: op.Seq, Stamp: index}
+		return &rpc.BondReceipt{Stamp: index, Holder: op.Holder}
 	case "unmark":
 		old, ok := b.of(Mark)[op.Name]
 		if !ok || old.Seq > op.Seq {
-			return refuse(fault.NoKey, old)
+			return refuse(errcode.NoKey, old)
 		}
 		delete(b.of(Mark), op.Name)
-		return &wire.BondReceipt{Stamp: index}
+		return &rpc.BondReceipt{Stamp: index}
 	}
-	return &wire.BondReceipt{Code: fault.BadCall.No, Note: op.Op}
+	return &rpc.BondReceipt{Code: errcode.BadCall.No, Note: op.Op}
 }
 
-func (b *Book) set(record wire.BondRecord) {
+func (b *Book) set(record rpc.BondRecord) {
 	b.of(record.Kind)[record.Name] = record
 	value := record.Value
 	if record.Kind == Count {
 		value, _ = json.Marshal(record.Count)
 	}
-	b.tell(wire.BondEvent{Stamp: record.Stamp, Rev: record.Rev, Name: record.Name, Kind: record.Kind, Value: value})
+	b.tell(rpc.BondEvent{Stamp: record.Stamp, Rev: record.Rev, Name: record.Name, Kind: record.Kind, Value: value})
 }
 
 // stretch raises the time that a lock's grant starts with under a new owner; it
 // never falls, for a call that asked for more may still count on it.
-func (b *Book) stretch(lock wire.BondRecord, ttl int64) {
+func (b *Book) stretch(lock rpc.BondRecord, ttl int64) {
 	lock.Ttl = max(lock.Ttl, ttl)
 	b.of(Lock)[lock.Name] = lock
 }
 
-func (b *Book) remove(index mark.Stamp, record wire.BondRecord) {
+func (b *Book) remove(index ids.Stamp, record rpc.BondRecord) {
 	delete(b.of(record.Kind), record.Name)
-	b.tell(wire.BondEvent{Stamp: index, Name: record.Name, Kind: record.Kind, Gone: true})
+	b.tell(rpc.BondEvent{Stamp: index, Name: record.Name, Kind: record.Kind, Gone: true})
 }
 
-func (b *Book) tell(e wire.BondEvent) {
+func (b *Book) tell(e rpc.BondEvent) {
 	b.events = append(b.events, e)
 	b.times = append(b.times, time.Now())
 }
@@ -210,13 +210,13 @@
 				b.starts[space] = e.Rev
 			}
 		}
-		b.events = append([]wire.BondEvent(nil), b.events[n:]...)
+		b.events = append([]rpc.BondEvent(nil), b.events[n:]...)
 		b.times = append([]time.Time(nil), b.times[n:]...)
 	}
 }
 
 // Get reads one name.
-func (b *Book) Get(kind, name string) (wire.BondRecord, bool) {
+func (b *Book) Get(kind, name string) (rpc.BondRecord, bool) {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
 	record, ok := b.records[kind][name]
@@ -231,7 +231,7 @@
 }
 
 // Seen is the receipt kept for a request id.
-func (b *Book) Seen(id string) (wire.BondReceipt, bool) {
+func (b *Book) Seen(id string) (rpc.BondReceipt, bool) {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
 	receipt, ok := b.seen[id]
@@ -240,10 +240,10 @@
 
 // All lists the records of a kind whose names have the prefix, in order, with
 // the stamp up to which they hold.
-func (b *Book) All(kind, prefix string) ([]wire.BondRecord, mark.Stamp) {
+func (b *Book) All(kind, prefix string) ([]rpc.BondRecord, ids.Stamp) {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
-	var list []wire.BondRecord
+	var list []rpc.BondRecord
 	for _, record := range b.records[kind] {
 		if strings.HasPrefix(record.Name, prefix) {
 			list = append(list, record)
@@ -254,7 +254,7 @@
 }
 
 // Since is the events of a prefix after a stamp, and the stamp to resume from.
-func (b *Book) Since(prefix string, from mark.Stamp, most int) (list []wire.BondEvent, next mark.Stamp, isKept bool) {
+func (b *Book) Since(prefix string, from ids.Stamp, most int) (list []rpc.BondEvent, next ids.Stamp, isKept bool) {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
 	if from < b.start {
@@ -282,30 +282,30 @@
 	}
 }
 
-func (b *Book) copy() *wire.BondState {
+func (b *Book) copy() *rpc.BondState {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
-	state := &wire.BondState{Events: slices.Clone(b.events), Start: b.start, Applied: b.applied, Starts: maps.Clone(b.starts)}
+	state := &rpc.BondState{Events: slices.Clone(b.events), Start: b.start, Applied: b.applied, Starts: maps.Clone(b.starts)}
 	for _, kind := range b.records {
 		for _, record := range kind {
 			state.Records = append(state.Records, record)
 		}
 	}
 	for _, id := range b.order {
-		state.Seen = append(state.Seen, wire.BondSeen{Id: id, Receipt: b.seen[id]})
+		state.Seen = append(state.Seen, rpc.BondSeen{Id: id, Receipt: b.seen[id]})
 	}
 	return state
 }
 
 // Load replaces the whole state.
 func (b *Book) Load(raw json.RawMessage) error {
-	var state wire.BondState
+	var state rpc.BondState
 	if err := json.Unmarshal(raw, &state); err != nil {
 		return err
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.records, b.seen, b.order = map[string]map[string]wire.BondRecord{}, map[string]wire.BondReceipt{}, nil
+	b.records, b.seen, b.order = map[string]map[string]rpc.BondRecord{}, map[string]rpc.BondReceipt{}, nil
 	for _, record := range state.Records {
 		b.of(record.Kind)[record.Name] = record
 	}
@@ -316,7 +316,7 @@
 	b.events, b.start, b.applied = state.Events, state.Start, state.Applied
 	b.starts = state.Starts
 	if b.starts == nil {
-		b.starts = map[string]mark.Stamp{}
+		b.starts = map[string]ids.Stamp{}
 	}
 	b.times = make([]time.Time, len(b.events))
 	for i := range b.times {
--- a/internal/coordination/book_test.go
+++ b/internal/coordination/book_test.go
@@ -10,22 +10,22 @@
 	"testing/synctest"
 	"time"
 
-	"github.com/sumactrestle/sumactrestle/internal/fault"
-	"github.com/sumactrestle/sumactrestle/internal/mark"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-func apply(b *Book, index mark.Stamp, op wire.BondOp) *wire.BondReceipt {
+func apply(b *Book, index ids.Stamp, op rpc.BondOp) *rpc.BondReceipt {
 	raw, _ := json.Marshal(op)
-	return b.Apply(index, raw).(*wire.BondReceipt)
+	return b.Apply(index, raw).(*rpc.BondReceipt)
 }
 
 func BenchmarkMarksAmongManyKeys(b *testing.B) {
 	book := NewBook()
 	for i := range 20000 {
-		apply(book, mark.Stamp(i+1), wire.BondOp{Op: "put", Name: fmt.Sprint("k/", i), Value: json.RawMessage("1")})
+		apply(book, ids.Stamp(i+1), rpc.BondOp{Op: "put", Name: fmt.Sprint("k/", i), Value: json.RawMessage("1")})
 	}
-	apply(book, 20001, wire.BondOp{Op: "mark", Name: "rates/i1", Holder: "draining", Seq: 1})
+	apply(book, 20001, rpc.BondOp{Op: "mark", Name: "rates/i1", Holder: "draining", Seq: 1})
 	b.ResetTimer()
 	for b.Loop() {
 		if list, _ := book.All(Mark, ""); len(list) != 1 {
@@ -36,8 +36,8 @@
 
 func TestARepeatGetsTheFirstReceipt(t *testing.T) {
 	book := NewBook()
-	first := apply(book, 1, wire.BondOp{Op: "add", Id: "r", Name: "n", Delta: 2})
-	again := apply(book, 2, wire.BondOp{Op: "add", Id: "r", Name: "n", Delta: 2})
+	first := apply(book, 1, rpc.BondOp{Op: "add", Id: "r", Name: "n", Delta: 2})
+	again := apply(book, 2, rpc.BondOp{Op: "add", Id: "r", Name: "n", Delta: 2})
 	if first.Count != 2 || again.Count != 2 || again.Stamp != 1 {
 		t.Fatal(first, again)
 	}
@@ -49,10 +49,10 @@
 	if err := other.Load(raw); err != nil {
 		t.Fatal(err)
 	}
-	if again := apply(other, 3, wire.BondOp{Op: "add", Id: "r", Name: "n", Delta: 2}); again.Count != 2 {
+	if again := apply(other, 3, rpc.BondOp{Op: "add", Id: "r", Name: "n", Delta: 2}); again.Count != 2 {
 		t.Fatal("a loaded state forgot the receipt", again)
 	}
-	if next := apply(other, 4, wire.BondOp{Op: "add", Name: "n", Delta: 2}); next.Count != 4 {
+	if next := apply(other, 4, rpc.BondOp{Op: "add", Name: "n", Delta: 2}); next.Count != 4 {
 		t.Fatal(next)
 	}
 }
@@ -60,8 +60,8 @@
 func TestEventsAreKeptForAMinute(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		book := NewBook()
-		put := func(index mark.Stamp) {
-			apply(book, index, wire.BondOp{Op: "put", Name: "a/x", Value: json.RawMessage("1")})
+		put := func(index ids.Stamp) {
+			apply(book, index, rpc.BondOp{Op: "put", Name: "a/x", Value: json.RawMessage("1")})
 		}
 		put(1)
 		time.Sleep(40 * time.Second)
@@ -82,18 +82,18 @@
 
 func TestFencesGrowAndOnlyTheHolderReleases(t *testing.T) {
 	book := NewBook()
-	one := apply(book, 5, wire.BondOp{Op: "acquire", Name: "l", Holder: "a", Ttl: 1000})
-	if held := apply(book, 6, wire.BondOp{Op: "acquire", Name: "l", Holder: "b", Ttl: 1000}); held.Code != fault.Held.No || held.Holder != "a" {
+	one := apply(book, 5, rpc.BondOp{Op: "acquire", Name: "l", Holder: "a", Ttl: 1000})
+	if held := apply(book, 6, rpc.BondOp{Op: "acquire", Name: "l", Holder: "b", Ttl: 1000}); held.Code != errcode.Held.No || held.Holder != "a" {
 		t.Fatal(held)
 	}
-	if no := apply(book, 7, wire.BondOp{Op: "release", Name: "l", Holder: "b", Fence: one.Fence}); no.Code != fault.NotHeld.No {
+	if no := apply(book, 7, rpc.BondOp{Op: "release", Name: "l", Holder: "b", Fence: one.Fence}); no.Code != errcode.NotHeld.No {
 		t.Fatal(no)
 	}
-	if no := apply(book, 8, wire.BondOp{Op: "expire", Name: "l", Fence: one.Fence - 1}); no.Code != fault.NotHeld.No {
+	if no := apply(book, 8, rpc.BondOp{Op: "expire", Name: "l", Fence: one.Fence - 1}); no.Code != errcode.NotHeld.No {
 		t.Fatal("an old grant's end took the new one", no)
 	}
-	apply(book, 9, wire.BondOp{Op: "release", Name: "l", Holder: "a", Fence: one.Fence})
-	if two := apply(book, 10, wire.BondOp{Op: "acquire", Name: "l", Holder: "b", Ttl: 1000}); two.Fence <= one.Fence {
+	apply(book, 9, rpc.BondOp{Op: "release", Name: "l", Holder: "a", Fence: one.Fence})
+	if two := apply(book, 10, rpc.BondOp{Op: "acquire", Name: "l", Holder: "b", Ttl: 1000}); two.Fence <= one.Fence {
 		t.Fatal(one, two)
 	}
 }
@@ -102,10 +102,10 @@
 // stand in the way of the order for as long as claims are kept.
 func TestAClaimThatWasGivenBackIsNotTakenLate(t *testing.T) {
 	b := NewBook()
-	claim := func(index mark.Stamp, holder string) bool {
-		return apply(b, index, wire.BondOp{Op: "claims", Name: "orders", Records: []wire.BondRecord{{Name: "orders/a", Holder: holder}}}).Keys[0].Kind != held
+	claim := func(index ids.Stamp, holder string) bool {
+		return apply(b, index, rpc.BondOp{Op: "claims", Name: "orders", Records: []rpc.BondRecord{{Name: "orders/a", Holder: holder}}}).Keys[0].Kind != held
 	}
-	apply(b, 1, wire.BondOp{Op: "unclaim", Name: "orders/a", Holder: "one"})
+	apply(b, 1, rpc.BondOp{Op: "unclaim", Name: "orders/a", Holder: "one"})
 	if claim(2, "one") {
 		t.Error("the late claim was taken")
 	}
