--- a/internal/coordination/claim.go
+++ b/internal/coordination/claim.go
@@ -8,9 +8,9 @@
 	"context"
 	"time"
 
-	"github.com/sumactrestle/sumactrestle/internal/fault"
-	"github.com/sumactrestle/sumactrestle/internal/mark"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
 const (
@@ -23,30 +23,30 @@
 
 // gathering is claims that wait for their one entry.
 type gathering struct {
-	records []wire.BondRecord
+	records []rpc.BondRecord
 	done    chan struct{}
-	receipt *wire.BondReceipt
+	receipt *rpc.BondReceipt
 	err     error
 }
 
 // moment is how far a part had come at a time.
 type moment struct {
 	at    time.Time
-	stamp mark.Stamp
+	stamp ids.Stamp
 }
 
 // ClaimsKept is how long the claim on an order's key stands, at least.
 const ClaimsKept = 10 * time.Minute
 
 // sweep takes out claims that are older than that.
-func (d *Desk) sweep(no mark.Part) {
+func (d *Desk) sweep(no ids.Part) {
 	if !d.p.Part(no).IsServing() {
 		d.past[no] = nil
 		return
 	}
 	claims, stamp := d.books[no].All(Claim, "")
 	d.past[no] = append(d.past[no], moment{d.r.Now(), stamp})
-	old := mark.Stamp(0)
+	old := ids.Stamp(0)
 	for len(d.past[no]) > 0 && d.r.Since(d.past[no][0].at) > ClaimsKept {
 		old = d.past[no][0].stamp
 		d.past[no] = d.past[no][1:]
@@ -56,7 +56,7 @@
 			d.r.Go(func() {
 				ctx, end := context.WithTimeout(d.r, 5*time.Second)
 				defer end()
-				d.p.Part(no).Propose(ctx, &wire.BondOp{Op: "sweep", Name: "claims", Fence: old})
+				d.p.Part(no).Propose(ctx, &rpc.BondOp{Op: "sweep", Name: "claims", Fence: old})
 			})
 			return
 		}
@@ -64,9 +64,9 @@
 }
 
 // claim joins the gathering of the part, and picks its own receipt out of it.
-func (d *Desk) claim(ctx context.Context, no mark.Part, op *wire.BondOp) (*wire.BondReceipt, error) {
+func (d *Desk) claim(ctx context.Context, no ids.Part, op *rpc.BondOp) (*rpc.BondReceipt, error) {
 	if !d.p.Part(no).IsServing() {
-		return nil, fault.New(fault.NotOwner, "part %d", no)
+		return nil, errcode.New(errcode.NotOwner, "part %d", no)
 	}
 	d.mu.Lock()
 	now := d.gathered[no]
@@ -76,51 +76,51 @@
 		d.r.Go(func() { d.write(no, now) })
 	}
 	mine := len(now.records)
-	now.records = append(now.records, wire.BondRecord{Name: op.Name, Holder: op.Holder})
+	now.records = append(now.records, rpc.BondRecord{Name: op.Name, Holder: op.Holder})
 	d.mu.Unlock()
 	select {
 	case <-now.done:
 	case <-ctx.Done():
-		return nil, fault.New(fault.Unsure, "part %d: %v", no, ctx.Err())
+		return nil, errcode.New(errcode.Unsure, "part %d: %v", no, ctx.Err())
 	}
 	if now.err != nil {
 		return nil, now.err
 	}
 	if mine >= len(now.receipt.Keys) {
-		return nil, fault.New(fault.Unsure, "part %d", no)
+		return nil, errcode.New(errcode.Unsure, "part %d", no)
 	}
 	got := now.receipt.Keys[mine]
-	receipt := &wire.BondReceipt{Stamp: now.receipt.Stamp, Holder: got.Holder, Value: got.Value}
+	receipt := &rpc.BondReceipt{Stamp: now.receipt.Stamp, Holder: got.Holder, Value: got.Value}
 	if got.Kind == held {
-		receipt.Code = fault.Held.No
+		receipt.Code = errcode.Held.No
 	}
 	return receipt, nil
 }
 
-func (d *Desk) write(no mark.Part, now *gathering) {
+func (d *Desk) write(no ids.Part, now *gathering) {
 	defer close(now.done)
 	isOn := d.r.Pause(gatherPause)
 	d.mu.Lock()
 	delete(d.gathered, no)
 	d.mu.Unlock()
 	if !isOn {
-		now.err = fault.New(fault.Stopping, "")
+		now.err = errcode.New(errcode.Stopping, "")
 		return
 	}
 	ctx, end := context.WithTimeout(d.r, gatherTime)
 	defer end()
-	_, receipt, err := d.p.Part(no).Propose(ctx, &wire.BondOp{Op: "claims", Name: "orders", Records: now.records})
-	got, ok := receipt.(*wire.BondReceipt)
+	_, receipt, err := d.p.Part(no).Propose(ctx, &rpc.BondOp{Op: "claims", Name: "orders", Records: now.records})
+	got, ok := receipt.(*rpc.BondReceipt)
 	if err == nil && !ok {
-		err = fault.New(fault.Unsure, "part %d", no)
+		err = errcode.New(errcode.Unsure, "part %d", no)
 	}
 	now.receipt, now.err = got, err
 }
 
 // claim folds the calls on claims. One that was given back before it came, for
 // its asker had lost patience, is not taken when it comes late.
-func (b *Book) claim(index mark.Stamp, op *wire.BondOp) *wire.BondReceipt {
-	receipt := &wire.BondReceipt{Stamp: index}
+func (b *Book) claim(index ids.Stamp, op *rpc.BondOp) *rpc.BondReceipt {
+	receipt := &rpc.BondReceipt{Stamp: index}
 	claims := b.of(Claim)
 	switch op.Op {
 	case "claims":
@@ -128,15 +128,15 @@
 			old, ok := claims[r.Name]
 			isBack := string(old.Value) == givenBack
 			if ok && (old.Holder != r.Holder) == isBack || !ok {
-				claims[r.Name] = wire.BondRecord{Name: r.Name, Kind: Claim, Holder: r.Holder, Stamp: index}
-				receipt.Keys = append(receipt.Keys, wire.BondRecord{Name: r.Name, Holder: r.Holder})
+				claims[r.Name] = rpc.BondRecord{Name: r.Name, Kind: Claim, Holder: r.Holder, Stamp: index}
+				receipt.Keys = append(receipt.Keys, rpc.BondRecord{Name: r.Name, Holder: r.Holder})
 				continue
 			}
-			receipt.Keys = append(receipt.Keys, wire.BondRecord{Name: r.Name, Kind: held, Holder: old.Holder, Value: old.Value})
+			receipt.Keys = append(receipt.Keys, rpc.BondRecord{Name: r.Name, Kind: held, Holder: old.Holder, Value: old.Value})
 		}
 	case "unclaim":
 		if old, ok := claims[op.Name]; !ok || old.Holder == op.Holder && old.Value == nil {
-			claims[op.Name] = wire.BondRecord{Name: op.Name, Kind: Claim, Holder: op.Holder, Value: []byte(givenBack), Stamp: index}
+			claims[op.Name] = rpc.BondRecord{Name: op.Name, Kind: Claim, Holder: op.Holder, Value: []byte(givenBack), Stamp: index}
 		}
 	case "settle":
 		for _, r := range op.Records {
--- a/internal/coordination/desk.go
+++ b/internal/coordination/desk.go
@@ -11,14 +11,14 @@
 	"time"
 
 	"github.com/sumactrestle/sumactrestle/internal/consensus"
-	"github.com/sumactrestle/sumactrestle/internal/fault"
-	"github.com/sumactrestle/sumactrestle/internal/mark"
-	"github.com/sumactrestle/sumactrestle/internal/realm"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
+	"github.com/sumactrestle/sumactrestle/internal/environment"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
 type grant struct {
-	fence     mark.Stamp
+	fence     ids.Stamp
 	until     time.Time
 	isGoingBy bool
 	going     chan struct{}
@@ -26,20 +26,20 @@
 
 // Desk is one core node's.
 type Desk struct {
-	past  [mark.Parts][]moment
-	r     *realm.Realm
+	past  [ids.Parts][]moment
+	r     *environment.Realm
 	p     *consensus.Node
 	books []*Book
 
 	mu     sync.Mutex
-	terms  map[mark.Part]mark.Term
-	grants map[mark.Part]map[string]*grant
+	terms  map[ids.Part]ids.Term
+	grants map[ids.Part]map[string]*grant
 
-	gathered map[mark.Part]*gathering
+	gathered map[ids.Part]*gathering
 }
 
-func NewDesk(r *realm.Realm, p *consensus.Node, books []*Book) *Desk {
-	return &Desk{r: r, p: p, books: books, terms: map[mark.Part]mark.Term{}, grants: map[mark.Part]map[string]*grant{}, gathered: map[mark.Part]*gathering{}}
+func NewDesk(r *environment.Realm, p *consensus.Node, books []*Book) *Desk {
+	return &Desk{r: r, p: p, books: books, terms: map[ids.Part]ids.Term{}, grants: map[ids.Part]map[string]*grant{}, gathered: map[ids.Part]*gathering{}}
 }
 
 // Open starts to watch over the grants.
@@ -47,9 +47,9 @@
 	d.r.Go(func() {
 		for i := 0; d.r.Pause(100 * time.Millisecond); i++ {
 			for no := range d.books {
-				d.expire(mark.Part(no))
+				d.expire(ids.Part(no))
 				if i%100 == 0 {
-					d.sweep(mark.Part(no))
+					d.sweep(ids.Part(no))
 				}
 			}
 		}
@@ -57,18 +57,18 @@
 }
 
 // Do carries out one call on a part owned here.
-func (d *Desk) Do(ctx context.Context, op *wire.BondOp) (*wire.BondReceipt, error) {
+func (d *Desk) Do(ctx context.Context, op *rpc.BondOp) (*rpc.BondReceipt, error) {
 	if problem := check(op); problem != nil {
 		return nil, problem
 	}
-	no := mark.PartOf(op.Name)
+	no := ids.PartOf(op.Name)
 	part, book := d.p.Part(no), d.books[no]
 	switch op.Op {
 	case "get", "list", "watch", "follow", "renew":
 		began := d.r.Now()
 		term, _, isServing := part.Serving()
 		if !isServing {
-			return nil, fault.New(fault.NotOwner, "part %d", no)
+			return nil, errcode.New(errcode.NotOwner, "part %d", no)
 		}
 		if err := part.Confirm(ctx, began); err != nil {
 			return nil, err
@@ -78,7 +78,7 @@
 			return d.get(book, op)
 		case "list":
 			keys, stamp := book.All(Key, op.Name)
-			return &wire.BondReceipt{Stamp: stamp, Keys: keys}, nil
+			return &rpc.BondReceipt{Stamp: stamp, Keys: keys}, nil
 		case "watch":
 			return d.watch(ctx, part, book, op)
 		case "follow":
@@ -93,19 +93,19 @@
 	return d.propose(ctx, no, op)
 }
 
-func (d *Desk) propose(ctx context.Context, no mark.Part, op *wire.BondOp) (*wire.BondReceipt, error) {
+func (d *Desk) propose(ctx context.Context, no ids.Part, op *rpc.BondOp) (*rpc.BondReceipt, error) {
 	_, receipt, err := d.p.Part(no).Propose(ctx, op)
 	if err != nil {
 		return nil, err
 	}
-	got, ok := receipt.(*wire.BondReceipt)
+	got, ok := receipt.(*rpc.BondReceipt)
 	if !ok {
-		return nil, fault.New(fault.Unsure, "part %d", no)
+		return nil, errcode.New(errcode.Unsure, "part %d", no)
 	}
 	return got, nil
 }
 
-func check(op *wire.BondOp) error {
+func check(op *rpc.BondOp) error {
 	var paths []string
 	if op.Name == "" || len(op.Name) > 512 {
 		paths = append(paths, "name: is missing or longer than 512 bytes")
@@ -147,29 +147,29 @@
 		paths = append(paths, "op: "+op.Op+" is not known")
 	}
 	if len(paths) > 0 {
-		return fault.At(fault.BadCall, paths)
+		return errcode.At(errcode.BadCall, paths)
 	}
 	return nil
 }
 
-func (d *Desk) get(book *Book, op *wire.BondOp) (*wire.BondReceipt, error) {
+func (d *Desk) get(book *Book, op *rpc.BondOp) (*rpc.BondReceipt, error) {
 	kind := Key
 	if op.Holder != "" {
 		kind = op.Holder
 	}
 	record, ok := book.Get(kind, op.Name)
 	if !ok && kind == Count {
-		return &wire.BondReceipt{}, nil
+		return &rpc.BondReceipt{}, nil
 	}
 	if !ok {
-		return &wire.BondReceipt{Code: fault.NoKey.No}, nil
+		return &rpc.BondReceipt{Code: errcode.NoKey.No}, nil
 	}
-	return &wire.BondReceipt{Stamp: record.Stamp, Rev: record.Rev, Value: record.Value, Count: record.Count, Holder: record.Holder, Fence: record.Fence, Ttl: record.Ttl}, nil
+	return &rpc.BondReceipt{Stamp: record.Stamp, Rev: record.Rev, Value: record.Value, Count: record.Count, Holder: record.Holder, Fence: record.Fence, Ttl: record.Ttl}, nil
 }
 
 // under returns the grants of the part for this term, emptied at a new one; nil
 // if a newer one has begun.
-func (d *Desk) under(no mark.Part, term mark.Term) map[string]*grant {
+func (d *Desk) under(no ids.Part, term ids.Term) map[string]*grant {
 	if term.Less(d.terms[no]) {
 		return nil
 	}
@@ -181,7 +181,7 @@
 
 // see is the grant of a lock as the book has it while d.mu is held; one that this
 // owner sees for the first time starts at full length.
-func (d *Desk) see(grants map[string]*grant, lock wire.BondRecord) *grant {
+func (d *Desk) see(grants map[string]*grant, lock rpc.BondRecord) *grant {
 	if g := grants[lock.Name]; g == nil || g.fence != lock.Fence {
 		grants[lock.Name] = &grant{fence: lock.Fence, until: d.r.Now().Add(time.Duration(lock.Ttl) * time.Millisecond)}
 	}
@@ -190,13 +190,13 @@
 
 // acquire writes nothing while another's grant lasts, and has one whose time is
 // over taken back first.
-func (d *Desk) acquire(ctx context.Context, no mark.Part, op *wire.BondOp) (*wire.BondReceipt, error) {
+func (d *Desk) acquire(ctx context.Context, no ids.Part, op *rpc.BondOp) (*rpc.BondReceipt, error) {
 	began, part, book := d.r.Now(), d.p.Part(no), d.books[no]
 	_, isRepeat := book.Seen(op.Id)
 	for !isRepeat {
 		term, _, isServing := part.Serving()
 		if !isServing {
-			return nil, fault.New(fault.NotOwner, "part %d", no)
+			return nil, errcode.New(errcode.NotOwner, "part %d", no)
 		}
 		if lock, ok := book.Get(Lock, op.Name); !ok || lock.Holder == op.Holder {
 			break
@@ -216,7 +216,7 @@
 		case <-ctx.Done():
 		}
 		if ctx.Err() != nil || d.r.IsOver() {
-			return nil, fault.New(fault.NoOwner, "part %d: the old grant can't be taken back", no)
+			return nil, errcode.New(errcode.NoOwner, "part %d: the old grant can't be taken back", no)
 		}
 	}
 	got, err := d.propose(ctx, no, op)
@@ -232,7 +232,7 @@
 
 // holding is the refusal while another holds the lock, or else what ends when
 // its grant has been taken back.
-func (d *Desk) holding(no mark.Part, term mark.Term, op *wire.BondOp) (*wire.BondReceipt, <-chan struct{}) {
+func (d *Desk) holding(no ids.Part, term ids.Term, op *rpc.BondOp) (*rpc.BondReceipt, <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	grants := d.under(no, term)
@@ -243,18 +243,18 @@
 	if g := d.see(grants, lock); g.isGoingBy || !d.r.Now().Before(g.until) {
 		return nil, d.goBy(no, term, lock, g)
 	}
-	return &wire.BondReceipt{Code: fault.Held.No, Stamp: lock.Stamp, Holder: lock.Holder, Fence: lock.Fence, Ttl: lock.Ttl}, nil
+	return &rpc.BondReceipt{Code: errcode.Held.No, Stamp: lock.Stamp, Holder: lock.Holder, Fence: lock.Fence, Ttl: lock.Ttl}, nil
 }
 
 // renew extends the grant; a time above the lock's own is written first, so that
 // a new owner does not end the grant early.
-func (d *Desk) renew(ctx context.Context, no mark.Part, term mark.Term, op *wire.BondOp) (*wire.BondReceipt, error) {
+func (d *Desk) renew(ctx context.Context, no ids.Part, term ids.Term, op *rpc.BondOp) (*rpc.BondReceipt, error) {
 	record, ok := d.books[no].Get(Lock, op.Name)
 	if !ok || record.Holder != op.Holder || record.Fence != op.Fence {
-		return &wire.BondReceipt{Code: fault.NotHeld.No, Fence: record.Fence}, nil
+		return &rpc.BondReceipt{Code: errcode.NotHeld.No, Fence: record.Fence}, nil
 	}
 	if now, _, isServing := d.p.Part(no).Serving(); !isServing || now != term {
-		return nil, fault.New(fault.NotOwner, "part %d", no)
+		return nil, errcode.New(errcode.NotOwner, "part %d", no)
 	}
 	ttl := op.Ttl
 	if ttl == 0 {
@@ -264,7 +264,7 @@
 		if got, err := d.extend(no, op.Name, op.Fence, record.Ttl); err != nil || got.Code != 0 {
 			return got, err
 		}
-		stretch := &wire.BondOp{Op: "stretch", Name: op.Name, Holder: op.Holder, Fence: op.Fence, Ttl: ttl}
+		stretch := &rpc.BondOp{Op: "stretch", Name: op.Name, Holder: op.Holder, Fence: op.Fence, Ttl: ttl}
 		if got, err := d.propose(ctx, no, stretch); err != nil || got.Code != 0 {
 			return got, err
 		}
@@ -274,34 +274,34 @@
 
 // extend makes the grant last, unless it has passed meanwhile; it is never cut
 // shorter than an earlier call made it.
-func (d *Desk) extend(no mark.Part, name string, fence mark.Stamp, ttl int64) (*wire.BondReceipt, error) {
+func (d *Desk) extend(no ids.Part, name string, fence ids.Stamp, ttl int64) (*rpc.BondReceipt, error) {
 	term, _, isServing := d.p.Part(no).Serving()
 	if !isServing {
-		return nil, fault.New(fault.Unsure, "part %d", no)
+		return nil, errcode.New(errcode.Unsure, "part %d", no)
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	grants := d.under(no, term)
 	if grants == nil {
-		return nil, fault.New(fault.Unsure, "part %d", no)
+		return nil, errcode.New(errcode.Unsure, "part %d", no)
 	}
 	lock, ok := d.books[no].Get(Lock, name)
 	if !ok || lock.Fence != fence {
-		return &wire.BondReceipt{Code: fault.NotHeld.No, Fence: fence}, nil
+		return &rpc.BondReceipt{Code: errcode.NotHeld.No, Fence: fence}, nil
 	}
 	g := d.see(grants, lock)
 	if g.isGoingBy {
-		return &wire.BondReceipt{Code: fault.NotHeld.No, Fence: fence}, nil
+		return &rpc.BondReceipt{Code: errcode.NotHeld.No, Fence: fence}, nil
 	}
 	if until := d.r.Now().Add(time.Duration(ttl) * time.Millisecond); until.After(g.until) {
 		g.until = until
 	}
-	return &wire.BondReceipt{Fence: fence, Ttl: ttl, Stamp: fence}, nil
+	return &rpc.BondReceipt{Fence: fence, Ttl: ttl, Stamp: fence}, nil
 }
 
 // goBy has a grant taken back, by one entry at a time; the grant can't be renewed
 // from then on, also if the entry has to be tried again.
-func (d *Desk) goBy(no mark.Part, term mark.Term, lock wire.BondRecord, g *grant) <-chan struct{} {
+func (d *Desk) goBy(no ids.Part, term ids.Term, lock rpc.BondRecord, g *grant) <-chan struct{} {
 	g.isGoingBy = true
 	if g.going != nil {
 		return g.going
@@ -312,7 +312,7 @@
 		ctx, end := context.WithTimeout(d.r, 5*time.Second)
 		defer end()
 		if now, _, isServing := d.p.Part(no).Serving(); isServing && now == term {
-			d.p.Part(no).Propose(ctx, &wire.BondOp{Op: "expire", Name: lock.Name, Fence: lock.Fence})
+			d.p.Part(no).Propose(ctx, &rpc.BondOp{Op: "expire", Name: lock.Name, Fence: lock.Fence})
 		}
 		d.mu.Lock()
 		defer d.mu.Unlock()
@@ -324,7 +324,7 @@
 
 // expire takes back the grants of a part whose time is over, and forgets those
 // whose locks are gone.
-func (d *Desk) expire(no mark.Part) {
+func (d *Desk) expire(no ids.Part) {
 	term, _, isServing := d.p.Part(no).Serving()
 	if !isServing {
 		return
--- a/internal/coordination/desk_test.go
+++ b/internal/coordination/desk_test.go
@@ -11,10 +11,10 @@
 	"testing/synctest"
 	"time"
 
-	"github.com/sumactrestle/sumactrestle/internal/fault"
-	"github.com/sumactrestle/sumactrestle/internal/mark"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 	"github.com/sumactrestle/sumactrestle/internal/simulator"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
 )
 
 type desks struct {
@@ -27,7 +27,7 @@
 	d.Helper()
 	isThere := d.f.Until(30*time.Second, func() bool {
 		for _, m := range d.f.Cores() {
-			if n := m.Node(); n != nil && n.Consensus.Part(mark.PartOf(name)).IsServing() {
+			if n := m.Node(); n != nil && n.Consensus.Part(ids.PartOf(name)).IsServing() {
 				owner = m
 				return true
 			}
@@ -40,7 +40,7 @@
 	return owner
 }
 
-func (d *desks) do(op wire.BondOp) *wire.BondReceipt {
+func (d *desks) do(op rpc.BondOp) *rpc.BondReceipt {
 	d.Helper()
 	ctx, end := context.WithTimeout(context.Background(), 5*time.Second)
 	defer end()
@@ -51,11 +51,11 @@
 	return receipt
 }
 
-func (d *desks) last(name string) mark.Stamp {
-	return d.owner(name).Node().Consensus.Part(mark.PartOf(name)).Status().Last
+func (d *desks) last(name string) ids.Stamp {
+	return d.owner(name).Node().Consensus.Part(ids.PartOf(name)).Status().Last
 }
 
-func (d *desks) expect(got *wire.BondReceipt, code fault.Code) *wire.BondReceipt {
+func (d *desks) expect(got *rpc.BondReceipt, code errcode.Code) *rpc.BondReceipt {
 	d.Helper()
 	if got.Code != code.No {
 		d.Fatalf("%+v; wanted %s", got, code.Name)
@@ -63,7 +63,7 @@
 	return got
 }
 
-var done fault.Code
+var done errcode.Code
 
 func on(t *testing.T, test func(d *desks)) {
 	synctest.Test(t, func(t *testing.T) {
@@ -78,18 +78,18 @@
 
 func TestShortLocks(t *testing.T) {
 	on(t, func(d *desks) {
-		acquire := func(holder string, ttl int64) *wire.BondReceipt {
+		acquire := func(holder string, ttl int64) *rpc.BondReceipt {
 			d.Helper()
-			return d.do(wire.BondOp{Op: "acquire", Name: "l", Holder: holder, Ttl: ttl})
+			return d.do(rpc.BondOp{Op: "acquire", Name: "l", Holder: holder, Ttl: ttl})
 		}
-		renew := func(fence mark.Stamp, ttl int64) *wire.BondReceipt {
+		renew := func(fence ids.Stamp, ttl int64) *rpc.BondReceipt {
 			d.Helper()
-			return d.do(wire.BondOp{Op: "renew", Name: "l", Holder: "a", Fence: fence, Ttl: ttl})
+			return d.do(rpc.BondOp{Op: "renew", Name: "l", Holder: "a", Fence: fence, Ttl: ttl})
 		}
 		one := d.expect(acquire("a", 1000), done)
 		before := d.last("l")
 		for range 10 {
-			if held := d.expect(acquire("b", 1000), fault.Held); held.Holder != "a" || held.Fence != one.Fence {
+			if held := d.expect(acquire("b", 1000), errcode.Held); held.Holder != "a" || held.Fence != one.Fence {
 				d.Fatal(held)
 			}
 		}
@@ -102,25 +102,25 @@
 			d.Fatal(got)
 		}
 		time.Sleep(800 * time.Millisecond)
-		d.expect(acquire("b", 1000), fault.Held)
+		d.expect(acquire("b", 1000), errcode.Held)
 		if got := d.expect(renew(one.Fence, 5000), done); got.Ttl != 5000 {
 			d.Fatal(got)
 		}
 		time.Sleep(4800 * time.Millisecond)
-		d.expect(acquire("b", 1000), fault.Held)
+		d.expect(acquire("b", 1000), errcode.Held)
 		time.Sleep(300 * time.Millisecond)
 		two := d.expect(acquire("b", 10), done)
 		if two.Fence <= one.Fence {
 			d.Fatal(one, two)
 		}
-		d.expect(renew(one.Fence, 0), fault.NotHeld)
-		d.expect(d.do(wire.BondOp{Op: "release", Name: "l", Holder: "a", Fence: one.Fence}), fault.NotHeld)
+		d.expect(renew(one.Fence, 0), errcode.NotHeld)
+		d.expect(d.do(rpc.BondOp{Op: "release", Name: "l", Holder: "a", Fence: one.Fence}), errcode.NotHeld)
 		time.Sleep(10 * time.Millisecond)
 		if three := d.expect(acquire("a", 50), done); three.Fence <= two.Fence {
 			d.Fatal(two, three)
 		}
 		time.Sleep(time.Second)
-		d.expect(d.do(wire.BondOp{Op: "get", Name: "l", Holder: "lock"}), fault.NoKey)
+		d.expect(d.do(rpc.BondOp{Op: "get", Name: "l", Holder: "lock"}), errcode.NoKey)
 	})
 }
 
@@ -129,7 +129,7 @@
 		const ttl = 30 * time.Millisecond
 		type holding struct {
 			from, to time.Time
-			fence    mark.Stamp
+			fence    ids.Stamp
 		}
 		holdings := make(chan holding, 10000)
 		ended := make(chan struct{})
@@ -139,7 +139,7 @@
 				for n := range 60 {
 					sent := time.Now()
 					ctx, end := context.WithTimeout(context.Background(), 5*time.Second)
-					receipt, err := d.owner("l").Node().Desk.Do(ctx, &wire.BondOp{Op: "acquire", Name: "l", Holder: fmt.Sprint(i, "/", n), Ttl: ttl.Milliseconds()})
+					receipt, err := d.owner("l").Node().Desk.Do(ctx, &rpc.BondOp{Op: "acquire", Name: "l", Holder: fmt.Sprint(i, "/", n), Ttl: ttl.Milliseconds()})
 					end()
 					if got := time.Now(); err == nil && receipt.Code == 0 && got.Before(sent.Add(ttl)) {
 						holdings <- holding{got, sent.Add(ttl), receipt.Fence}
@@ -174,20 +174,20 @@
 
 func TestANewOwnerDoesNotEndAStretchedGrantEarly(t *testing.T) {
 	on(t, func(d *desks) {
-		one := d.expect(d.do(wire.BondOp{Op: "acquire", Name: "l", Holder: "a", Ttl: 100}), done)
-		d.expect(d.do(wire.BondOp{Op: "renew", Name: "l", Holder: "a", Fence: one.Fence, Ttl: 60_000}), done)
+		one := d.expect(d.do(rpc.BondOp{Op: "acquire", Name: "l", Holder: "a", Ttl: 100}), done)
+		d.expect(d.do(rpc.BondOp{Op: "renew", Name: "l", Holder: "a", Fence: one.Fence, Ttl: 60_000}), done)
 		sent := time.Now()
 		old := d.owner("l")
 		old.Kill(false)
 		for time.Since(sent) < 59*time.Second {
-			d.expect(d.do(wire.BondOp{Op: "acquire", Name: "l", Holder: "b", Ttl: 100}), fault.Held)
+			d.expect(d.do(rpc.BondOp{Op: "acquire", Name: "l", Holder: "b", Ttl: 100}), errcode.Held)
 			time.Sleep(3 * time.Second)
 		}
 		if d.owner("l") == old {
 			d.Fatal("the owner did not change")
 		}
 		time.Sleep(30 * time.Second)
-		if two := d.expect(d.do(wire.BondOp{Op: "acquire", Name: "l", Holder: "b", Ttl: 100}), done); two.Fence <= one.Fence {
+		if two := d.expect(d.do(rpc.BondOp{Op: "acquire", Name: "l", Holder: "b", Ttl: 100}), done); two.Fence <= one.Fence {
 			d.Fatal(one, two)
 		}
 	})
@@ -195,14 +195,14 @@
 
 func TestAFollowerIsAnsweredAtTheNextSet(t *testing.T) {
 	on(t, func(d *desks) {
-		set := func(value int) *wire.BondReceipt {
-			return d.expect(d.do(wire.BondOp{Op: "set", Name: "s/a", Value: json.RawMessage(fmt.Sprint(value))}), done)
+		set := func(value int) *rpc.BondReceipt {
+			return d.expect(d.do(rpc.BondOp{Op: "set", Name: "s/a", Value: json.RawMessage(fmt.Sprint(value))}), done)
 		}
-		follow := func(from mark.Stamp, hold int64) *wire.BondReceipt {
-			return d.expect(d.do(wire.BondOp{Op: "follow", Name: "s/", From: from, Hold: hold}), done)
+		follow := func(from ids.Stamp, hold int64) *rpc.BondReceipt {
+			return d.expect(d.do(rpc.BondOp{Op: "follow", Name: "s/", From: from, Hold: hold}), done)
 		}
 		set(1)
-		if got := d.do(wire.BondOp{Op: "get", Name: "s/a"}); got.Rev != 1 || string(got.Value) != "1" {
+		if got := d.do(rpc.BondOp{Op: "get", Name: "s/a"}); got.Rev != 1 || string(got.Value) != "1" {
 			d.Fatal(got)
 		}
 		if got := follow(0, 1000); got.Rev != 1 || len(got.Events) != 0 {
@@ -215,7 +215,7 @@
 		if got := follow(9, 100); got.Rev != 9 || len(got.Events) != 0 {
 			d.Fatal(got)
 		}
-		answer := make(chan *wire.BondReceipt)
+		answer := make(chan *rpc.BondReceipt)
 		began = time.Now()
 		go func() { answer <- follow(1, 4000) }()
 		time.Sleep(500 * time.Millisecond)
@@ -233,7 +233,7 @@
 
 func TestCallsThatCantBeRead(t *testing.T) {
 	on(t, func(d *desks) {
-		for _, op := range []wire.BondOp{
+		for _, op := range []rpc.BondOp{
 			{Op: "set", Name: "s", Value: json.RawMessage("1")},
 			{Op: "set", Name: "s/", Value: json.RawMessage("1")},
 			{Op: "set", Name: "/a", Value: json.RawMessage("1")},
@@ -245,7 +245,7 @@
 			{Op: "renew", Name: "l", Holder: "a", Fence: 1, Ttl: 9},
 			{Op: "stretch", Name: "l", Holder: "a", Fence: 1, Ttl: 100},
 		} {
-			if _, err := d.owner(op.Name).Node().Desk.Do(context.Background(), &op); !fault.Is(err, fault.BadCall) {
+			if _, err := d.owner(op.Name).Node().Desk.Do(context.Background(), &op); !errcode.Is(err, errcode.BadCall) {
 				d.Error(op, err)
 			}
 		}
--- a/internal/coordination/ranges.go
+++ b/internal/coordination/ranges.go
@@ -9,8 +9,8 @@
 	"fmt"
 	"sort"
 
-	"github.com/sumactrestle/sumactrestle/internal/mark"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
 const (
@@ -18,11 +18,11 @@
 	receipts = "receipts"
 )
 
-func rangeOf(name string) string { return fmt.Sprint("names/", mark.Score("range", name)%ranges) }
+func rangeOf(name string) string { return fmt.Sprint("names/", ids.Score("range", name)%ranges) }
 
 // cut is the records of each range, in order.
-func (b *Book) cut() map[string][]wire.BondRecord {
-	cut := map[string][]wire.BondRecord{}
+func (b *Book) cut() map[string][]rpc.BondRecord {
+	cut := map[string][]rpc.BondRecord{}
 	for _, kind := range b.records {
 		for _, record := range kind {
 			name := rangeOf(record.Name)
@@ -35,10 +35,10 @@
 	return cut
 }
 
-func (b *Book) receipts() []wire.BondSeen {
-	list := make([]wire.BondSeen, 0, len(b.order))
+func (b *Book) receipts() []rpc.BondSeen {
+	list := make([]rpc.BondSeen, 0, len(b.order))
 	for _, id := range b.order {
-		list = append(list, wire.BondSeen{Id: id, Receipt: b.seen[id]})
+		list = append(list, rpc.BondSeen{Id: id, Receipt: b.seen[id]})
 	}
 	return list
 }
@@ -75,18 +75,18 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if name == receipts {
-		var list []wire.BondSeen
+		var list []rpc.BondSeen
 		if err := json.Unmarshal(data, &list); err != nil {
 			return err
 		}
-		b.seen, b.order = map[string]wire.BondReceipt{}, nil
+		b.seen, b.order = map[string]rpc.BondReceipt{}, nil
 		for _, s := range list {
 			b.seen[s.Id] = s.Receipt
 			b.order = append(b.order, s.Id)
 		}
 		return nil
 	}
-	var list []wire.BondRecord
+	var list []rpc.BondRecord
 	if err := json.Unmarshal(data, &list); err != nil {
 		return err
 	}
--- a/internal/coordination/space.go
+++ b/internal/coordination/space.go
@@ -8,8 +8,8 @@
 	"encoding/hex"
 	"strings"
 
-	"github.com/sumactrestle/sumactrestle/internal/mark"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
 func spaceOf(name string) string {
@@ -20,24 +20,24 @@
 // setId is what a set under an id is known by: its name and that id, so that a
 // repeat is known for one whatever revision it names. Without an id a set is never
 // a repeat: a value may be set again.
-func setId(op *wire.BondOp) string {
+func setId(op *rpc.BondOp) string {
 	sum := sha256.Sum256([]byte(op.Name + "\x00" + op.Id))
 	return "set/" + hex.EncodeToString(sum[:16])
 }
 
 // rise counts one more set in a space.
-func (b *Book) rise(index mark.Stamp, space string) mark.Stamp {
+func (b *Book) rise(index ids.Stamp, space string) ids.Stamp {
 	count := b.of(Space)[space].Count + 1
-	b.of(Space)[space] = wire.BondRecord{Name: space, Kind: Space, Count: count, Stamp: index}
-	return mark.Stamp(count)
+	b.of(Space)[space] = rpc.BondRecord{Name: space, Kind: Space, Count: count, Stamp: index}
+	return ids.Stamp(count)
 }
 
 // Follow is the sets of a space after a revision, and the revision to go on from.
 // They must follow it without a gap, also on a copy whose count was mended.
-func (b *Book) Follow(space string, from mark.Stamp, most int) (list []wire.BondEvent, rev mark.Stamp, isKept bool) {
+func (b *Book) Follow(space string, from ids.Stamp, most int) (list []rpc.BondEvent, rev ids.Stamp, isKept bool) {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
-	rev = mark.Stamp(b.records[Space][space].Count)
+	rev = ids.Stamp(b.records[Space][space].Count)
 	if from == 0 || rev <= from {
 		return nil, max(rev, from), true
 	}
@@ -57,12 +57,12 @@
 		if e.Rev == 0 || spaceOf(e.Name) != space {
 			continue
 		}
-		if e.Rev != from+mark.Stamp(len(list))+1 {
+		if e.Rev != from+ids.Stamp(len(list))+1 {
 			return nil, rev, false
 		}
 		if list = append(list, e); len(list) == most {
 			return list, e.Rev, true
 		}
 	}
-	return list, rev, from+mark.Stamp(len(list)) == rev
+	return list, rev, from+ids.Stamp(len(list)) == rev
 }
--- a/internal/coordination/space_test.go
+++ b/internal/coordination/space_test.go
@@ -10,13 +10,13 @@
 	"testing/synctest"
 	"time"
 
-	"github.com/sumactrestle/sumactrestle/internal/fault"
-	"github.com/sumactrestle/sumactrestle/internal/mark"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-func set(b *Book, index mark.Stamp, name, value string, rev ...mark.Stamp) *wire.BondReceipt {
-	op := wire.BondOp{Op: "set", Id: value, Name: name, Value: json.RawMessage(value)}
+func set(b *Book, index ids.Stamp, name, value string, rev ...ids.Stamp) *rpc.BondReceipt {
+	op := rpc.BondOp{Op: "set", Id: value, Name: name, Value: json.RawMessage(value)}
 	if len(rev) > 0 {
 		op.Rev = &rev[0]
 	}
@@ -25,7 +25,7 @@
 
 func TestASpaceCountsItsSets(t *testing.T) {
 	b := NewBook()
-	expect := func(got *wire.BondReceipt, code int, rev mark.Stamp) {
+	expect := func(got *rpc.BondReceipt, code int, rev ids.Stamp) {
 		t.Helper()
 		if got.Code != code || got.Rev != rev {
 			t.Fatalf("code %d, rev %d; wanted %d, %d", got.Code, got.Rev, code, rev)
@@ -33,13 +33,13 @@
 	}
 	expect(set(b, 10, "s/a", "1", 0), 0, 1)
 	expect(set(b, 11, "s/b", "1"), 0, 2)
-	expect(set(b, 12, "s/a", "2", 0), fault.StampDiffers.No, 1)
-	expect(set(b, 13, "s/a", "2", 2), fault.StampDiffers.No, 1)
-	expect(set(b, 14, "s/c", "1", 1), fault.StampDiffers.No, 0)
+	expect(set(b, 12, "s/a", "2", 0), errcode.StampDiffers.No, 1)
+	expect(set(b, 13, "s/a", "2", 2), errcode.StampDiffers.No, 1)
+	expect(set(b, 14, "s/c", "1", 1), errcode.StampDiffers.No, 0)
 	expect(set(b, 15, "s/a", "2", 1), 0, 3)
 	expect(set(b, 16, "other/a", "1"), 0, 1)
-	apply(b, 17, wire.BondOp{Op: "put", Name: "s/put", Value: json.RawMessage("1")})
-	expect(set(b, 18, "s/put", "2", 0), fault.StampDiffers.No, 0)
+	apply(b, 17, rpc.BondOp{Op: "put", Name: "s/put", Value: json.RawMessage("1")})
+	expect(set(b, 18, "s/put", "2", 0), errcode.StampDiffers.No, 0)
 	expect(set(b, 19, "s/c", "1", 0), 0, 4)
 	if record, ok := b.Get(Key, "s/a"); !ok || record.Rev != 3 || record.Stamp != 15 || string(record.Value) != "2" {
 		t.Fatal(record)
@@ -52,8 +52,8 @@
 func TestAValueIsSetAgainWithoutAnId(t *testing.T) {
 	b := NewBook()
 	for i, value := range []string{"1", "2", "1"} {
-		got := apply(b, mark.Stamp(i+1), wire.BondOp{Op: "set", Name: "s/a", Value: json.RawMessage(value)})
-		if got.Code != 0 || got.Rev != mark.Stamp(i+1) {
+		got := apply(b, ids.Stamp(i+1), rpc.BondOp{Op: "set", Name: "s/a", Value: json.RawMessage(value)})
+		if got.Code != 0 || got.Rev != ids.Stamp(i+1) {
 			t.Fatal(i, got)
 		}
 	}
@@ -66,7 +66,7 @@
 	b := NewBook()
 	set(b, 1, "s/a", `"x"`, 0)
 	set(b, 2, "s/a", `"y"`, 1)
-	for i, again := range []*wire.BondReceipt{set(b, 3, "s/a", `"x"`, 0), set(b, 4, "s/a", `"x"`), set(b, 5, "s/a", `"x"`, 7)} {
+	for i, again := range []*rpc.BondReceipt{set(b, 3, "s/a", `"x"`, 0), set(b, 4, "s/a", `"x"`), set(b, 5, "s/a", `"x"`, 7)} {
 		if again.Code != 0 || again.Rev != 1 || again.Stamp != 1 {
 			t.Fatal(i, again)
 		}
@@ -74,7 +74,7 @@
 	if record, _ := b.Get(Key, "s/a"); string(record.Value) != `"y"` || record.Rev != 2 {
 		t.Fatal("a repeat wrote", record)
 	}
-	if no := set(b, 6, "s/a", `"z"`, 1); no.Code != fault.StampDiffers.No || no.Rev != 2 {
+	if no := set(b, 6, "s/a", `"z"`, 1); no.Code != errcode.StampDiffers.No || no.Rev != 2 {
 		t.Fatal(no)
 	}
 	if yes := set(b, 7, "s/a", `"z"`, 2); yes.Code != 0 || yes.Rev != 3 {
@@ -91,21 +91,21 @@
 		t.Fatal(list, rev, ok)
 	}
 	for i := range 9 {
-		index := mark.Stamp(3 * i)
+		index := ids.Stamp(3 * i)
 		set(b, index+1, fmt.Sprint("s/", i), "1")
 		set(b, index+2, fmt.Sprint("t/", i), "1")
-		apply(b, index+3, wire.BondOp{Op: "add", Name: "s/n", Delta: 1})
+		apply(b, index+3, rpc.BondOp{Op: "add", Name: "s/n", Delta: 1})
 	}
 	if list, rev, ok := b.Follow("s", 0, 10); !ok || len(list) != 0 || rev != 9 {
 		t.Fatal(list, rev, ok)
 	}
-	for from := mark.Stamp(1); from <= 12; from++ {
+	for from := ids.Stamp(1); from <= 12; from++ {
 		list, rev, ok := b.Follow("s", from, 4)
 		if wanted := min(4, 9-min(int(from), 9)); !ok || len(list) != wanted {
 			t.Fatal(from, list, ok)
 		}
 		for i, e := range list {
-			if e.Rev != from+mark.Stamp(i)+1 || e.Name != fmt.Sprint("s/", e.Rev-1) || e.Kind != Key || string(e.Value) != "1" {
+			if e.Rev != from+ids.Stamp(i)+1 || e.Name != fmt.Sprint("s/", e.Rev-1) || e.Kind != Key || string(e.Value) != "1" {
 				t.Fatal(from, i, e)
 			}
 		}
@@ -170,10 +170,10 @@
 func TestRepairBringsBackASpacesCount(t *testing.T) {
 	right, wrong := NewBook(), NewBook()
 	for i := range 5 {
-		set(right, mark.Stamp(i+1), "s/a", fmt.Sprint(i))
-		set(wrong, mark.Stamp(i+1), "s/a", fmt.Sprint(i))
+		set(right, ids.Stamp(i+1), "s/a", fmt.Sprint(i))
+		set(wrong, ids.Stamp(i+1), "s/a", fmt.Sprint(i))
 	}
-	wrong.of(Space)["s"] = wire.BondRecord{Name: "s", Kind: Space, Count: 1, Stamp: 5}
+	wrong.of(Space)["s"] = rpc.BondRecord{Name: "s", Kind: Space, Count: 1, Stamp: 5}
 	set(right, 6, "s/b", "1")
 	set(wrong, 6, "s/b", "1")
 	differing, digests := 0, wrong.Digests()
@@ -206,33 +206,33 @@
 
 func TestALocksTimeOnlyGrows(t *testing.T) {
 	b := NewBook()
-	first := apply(b, 5, wire.BondOp{Op: "acquire", Name: "l", Holder: "a", Ttl: 1000})
+	first := apply(b, 5, rpc.BondOp{Op: "acquire", Name: "l", Holder: "a", Ttl: 1000})
 	expect := func(ttl int64) {
 		t.Helper()
 		if lock, ok := b.Get(Lock, "l"); !ok || lock.Ttl != ttl || lock.Fence != first.Fence || lock.Holder != "a" {
 			t.Fatal(lock, ok)
 		}
 	}
-	if again := apply(b, 6, wire.BondOp{Op: "acquire", Name: "l", Holder: "a", Ttl: 50}); again.Fence != first.Fence || again.Ttl != 50 {
+	if again := apply(b, 6, rpc.BondOp{Op: "acquire", Name: "l", Holder: "a", Ttl: 50}); again.Fence != first.Fence || again.Ttl != 50 {
 		t.Fatal(again)
 	}
 	expect(1000)
-	if again := apply(b, 7, wire.BondOp{Op: "acquire", Name: "l", Holder: "a", Ttl: 2000}); again.Fence != first.Fence || again.Ttl != 2000 {
+	if again := apply(b, 7, rpc.BondOp{Op: "acquire", Name: "l", Holder: "a", Ttl: 2000}); again.Fence != first.Fence || again.Ttl != 2000 {
 		t.Fatal(again)
 	}
 	expect(2000)
-	for _, op := range []wire.BondOp{{Holder: "b", Fence: 5}, {Holder: "a", Fence: 4}} {
+	for _, op := range []rpc.BondOp{{Holder: "b", Fence: 5}, {Holder: "a", Fence: 4}} {
 		op.Op, op.Name, op.Ttl = "stretch", "l", 9000
-		if no := apply(b, 8, op); no.Code != fault.NotHeld.No {
+		if no := apply(b, 8, op); no.Code != errcode.NotHeld.No {
 			t.Fatal(no)
 		}
 	}
 	expect(2000)
-	if held := apply(b, 9, wire.BondOp{Op: "acquire", Name: "l", Holder: "b", Ttl: 9000}); held.Code != fault.Held.No || held.Ttl != 2000 {
+	if held := apply(b, 9, rpc.BondOp{Op: "acquire", Name: "l", Holder: "b", Ttl: 9000}); held.Code != errcode.Held.No || held.Ttl != 2000 {
 		t.Fatal(held)
 	}
 	for _, ttl := range []int64{3000, 100} {
-		if got := apply(b, 10, wire.BondOp{Op: "stretch", Name: "l", Holder: "a", Fence: 5, Ttl: ttl}); got.Code != 0 || got.Ttl != ttl {
+		if got := apply(b, 10, rpc.BondOp{Op: "stretch", Name: "l", Holder: "a", Fence: 5, Ttl: ttl}); got.Code != 0 || got.Ttl != ttl {
 			t.Fatal(got)
 		}
 		expect(3000)
--- a/internal/coordination/watch.go
+++ b/internal/coordination/watch.go
@@ -8,15 +8,15 @@
 	"time"
 
 	"github.com/sumactrestle/sumactrestle/internal/consensus"
-	"github.com/sumactrestle/sumactrestle/internal/fault"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
 // watch holds the call until something under the name happens.
-func (d *Desk) watch(ctx context.Context, part *consensus.Part, book *Book, op *wire.BondOp) (*wire.BondReceipt, error) {
+func (d *Desk) watch(ctx context.Context, part *consensus.Part, book *Book, op *rpc.BondOp) (*rpc.BondReceipt, error) {
 	if op.From == 0 {
 		keys, stamp := book.All(Key, op.Name)
-		return &wire.BondReceipt{Stamp: stamp, Keys: keys}, nil
+		return &rpc.BondReceipt{Stamp: stamp, Keys: keys}, nil
 	}
 	hold := time.NewTimer(time.Duration(op.Hold) * time.Millisecond)
 	defer hold.Stop()
@@ -24,46 +24,46 @@
 		change := part.Watch()
 		events, next, isKept := book.Since(op.Name, op.From, 256)
 		if !isKept {
-			return &wire.BondReceipt{Code: fault.StampTooOld.No, Stamp: next}, nil
+			return &rpc.BondReceipt{Code: errcode.StampTooOld.No, Stamp: next}, nil
 		}
 		if len(events) > 0 {
-			return &wire.BondReceipt{Stamp: next, Events: events}, nil
+			return &rpc.BondReceipt{Stamp: next, Events: events}, nil
 		}
 		if !part.IsServing() {
-			return nil, fault.New(fault.NotOwner, "part changed its owner")
+			return nil, errcode.New(errcode.NotOwner, "part changed its owner")
 		}
 		select {
 		case <-change:
 		case <-hold.C:
-			return &wire.BondReceipt{Stamp: next}, nil
+			return &rpc.BondReceipt{Stamp: next}, nil
 		case <-ctx.Done():
-			return &wire.BondReceipt{Stamp: next}, nil
+			return &rpc.BondReceipt{Stamp: next}, nil
 		}
 	}
 }
 
 // follow holds the call until something is set in the space.
-func (d *Desk) follow(ctx context.Context, part *consensus.Part, book *Book, op *wire.BondOp) (*wire.BondReceipt, error) {
+func (d *Desk) follow(ctx context.Context, part *consensus.Part, book *Book, op *rpc.BondOp) (*rpc.BondReceipt, error) {
 	hold := time.NewTimer(time.Duration(op.Hold) * time.Millisecond)
 	defer hold.Stop()
 	for {
 		change := part.Watch()
 		events, rev, isKept := book.Follow(spaceOf(op.Name), op.From, 256)
 		if !isKept {
-			return &wire.BondReceipt{Code: fault.StampTooOld.No, Rev: rev}, nil
+			return &rpc.BondReceipt{Code: errcode.StampTooOld.No, Rev: rev}, nil
 		}
 		if len(events) > 0 || op.From == 0 {
-			return &wire.BondReceipt{Rev: rev, Events: events}, nil
+			return &rpc.BondReceipt{Rev: rev, Events: events}, nil
 		}
 		if !part.IsServing() {
-			return nil, fault.New(fault.NotOwner, "part changed its owner")
+			return nil, errcode.New(errcode.NotOwner, "part changed its owner")
 		}
 		select {
 		case <-change:
 		case <-hold.C:
-			return &wire.BondReceipt{Rev: rev}, nil
+			return &rpc.BondReceipt{Rev: rev}, nil
 		case <-ctx.Done():
-			return &wire.BondReceipt{Rev: rev}, nil
+			return &rpc.BondReceipt{Rev: rev}, nil
 		}
 	}
 }
--- a/internal/distribution/age.go
+++ b/internal/distribution/age.go
@@ -5,12 +5,12 @@
 import (
 	"time"
 
-	"github.com/sumactrestle/sumactrestle/internal/mark"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
 // swap takes an epoch into use that was made then, and notes its age.
-func (c *Client) swap(epoch mark.Epoch, manifest map[string]wire.Held, made time.Time) (bool, error) {
+func (c *Client) swap(epoch ids.Epoch, manifest map[string]rpc.Held, made time.Time) (bool, error) {
 	ok, err := c.Cache.Swap(epoch, manifest)
 	if ok && err == nil {
 		c.r.Times.Epoch.Take(time.Since(made))
--- a/internal/distribution/cache.go
+++ b/internal/distribution/cache.go
@@ -12,38 +12,38 @@
 	"sync"
 	"sync/atomic"
 
-	"github.com/sumactrestle/sumactrestle/internal/fault"
-	"github.com/sumactrestle/sumactrestle/internal/mark"
-	"github.com/sumactrestle/sumactrestle/internal/plan"
-	"github.com/sumactrestle/sumactrestle/internal/sign"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
+	"github.com/sumactrestle/sumactrestle/internal/controlplane"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
+	"github.com/sumactrestle/sumactrestle/internal/eventlog"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
 // Chart is one epoch, converted for use; it is never written to.
 type Chart struct {
-	Epoch    mark.Epoch
-	Manifest map[string]wire.Held
-	Routes   map[string][]wire.Mapping
-	Services map[string]wire.Service
-	Limits   map[string]wire.Limit
-	Manners  *wire.Manners
-	Targets  map[string][]wire.Target
-	Shares   map[mark.Name]int
-	groups   map[string]wire.Group
+	Epoch    ids.Epoch
+	Manifest map[string]rpc.Held
+	Routes   map[string][]rpc.Mapping
+	Services map[string]rpc.Service
+	Limits   map[string]rpc.Limit
+	Manners  *rpc.Manners
+	Targets  map[string][]rpc.Target
+	Shares   map[ids.Name]int
+	groups   map[string]rpc.Group
 	sum      string
 }
 
 // Cache holds the chart in use and the groups staged for the next.
 type Cache struct {
-	s     *sign.Sign
+	s     *eventlog.Sign
 	chart atomic.Pointer[Chart]
 	told  []func(*Chart)
 
 	mu     sync.Mutex
-	staged map[string]wire.Group
+	staged map[string]rpc.Group
 }
 
-func NewCache(s *sign.Sign) *Cache { return &Cache{s: s, staged: map[string]wire.Group{}} }
+func NewCache(s *eventlog.Sign) *Cache { return &Cache{s: s, staged: map[string]rpc.Group{}} }
 
 // Subscribe names a verb that is told of every chart swapped in.
 func (c *Cache) Subscribe(verb func(*Chart)) { c.told = append(c.told, verb) }
@@ -52,7 +52,7 @@
 func (c *Cache) Chart() *Chart { return c.chart.Load() }
 
 // Have is what a listener request carries: each group's digest and version.
-func (c *Cache) Have() (mark.Epoch, map[string]wire.Held) {
+func (c *Cache) Have() (ids.Epoch, map[string]rpc.Held) {
 	chart := c.Chart()
 	if chart == nil {
 		return 0, nil
@@ -61,7 +61,7 @@
 }
 
 // Stage keeps fetched groups, each only if it is newer than the one kept.
-func (c *Cache) Stage(groups map[string]wire.Group) (isNewer bool) {
+func (c *Cache) Stage(groups map[string]rpc.Group) (isNewer bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for name, group := range groups {
@@ -73,13 +73,13 @@
 			if !ok {
 				continue
 			}
-			whole, err := plan.Patch(old.Data, group.Put, group.Gone)
+			whole, err := controlplane.Patch(old.Data, group.Put, group.Gone)
 			if err != nil {
 				continue
 			}
-			group = wire.Group{Digest: group.Digest, Stamp: group.Stamp, Data: whole}
+			group = rpc.Group{Digest: group.Digest, Stamp: group.Stamp, Data: whole}
 		}
-		if plan.Digest(group.Data) != group.Digest {
+		if controlplane.Digest(group.Data) != group.Digest {
 			continue
 		}
 		c.staged[name] = group
@@ -88,7 +88,7 @@
 	return isNewer
 }
 
-func (c *Cache) held(name string) (wire.Group, bool) {
+func (c *Cache) held(name string) (rpc.Group, bool) {
 	if group, ok := c.staged[name]; ok {
 		return group, true
 	}
@@ -96,18 +96,18 @@
 		group, ok := chart.groups[name]
 		return group, ok
 	}
-	return wire.Group{}, false
+	return rpc.Group{}, false
 }
 
 // under is a group held under a digest, staged or in use.
-func (c *Cache) under(name, digest string) (wire.Group, bool) {
+func (c *Cache) under(name, digest string) (rpc.Group, bool) {
 	if group, ok := c.staged[name]; ok && group.Digest == digest {
 		return group, true
 	}
 	if chart := c.Chart(); chart != nil && chart.groups[name].Digest == digest {
 		return chart.groups[name], true
 	}
-	return wire.Group{}, false
+	return rpc.Group{}, false
 }
 
 // Holds is the digests of the groups named that are held in some version.
@@ -124,7 +124,7 @@
 }
 
 // Missing is which groups of a manifest are neither in use nor staged.
-func (c *Cache) Missing(manifest map[string]wire.Held) (names []string) {
+func (c *Cache) Missing(manifest map[string]rpc.Held) (names []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for name, held := range manifest {
@@ -136,7 +136,7 @@
 	return names
 }
 
-func (c *Cache) has(name string, held wire.Held) bool {
+func (c *Cache) has(name string, held rpc.Held) bool {
 	if group, ok := c.staged[name]; ok && group.Digest == held.Digest {
 		return true
 	}
@@ -148,14 +148,14 @@
 }
 
 // Swap takes a whole epoch into use if it is newer and all of it is there.
-func (c *Cache) Swap(epoch mark.Epoch, manifest map[string]wire.Held) (bool, error) {
+func (c *Cache) Swap(epoch ids.Epoch, manifest map[string]rpc.Held) (bool, error) {
 	c.mu.Lock()
 	old := c.Chart()
 	if old != nil && epoch <= old.Epoch {
 		c.mu.Unlock()
 		return false, nil
 	}
-	groups := make(map[string]wire.Group, len(manifest))
+	groups := make(map[string]rpc.Group, len(manifest))
 	for name, held := range manifest {
 		if !c.has(name, held) {
 			c.mu.Unlock()
@@ -182,31 +182,31 @@
 		verb(chart)
 	}
 	c.mu.Unlock()
-	c.s.Say(sign.EpochServed, "epoch", uint64(epoch), "groups", len(groups))
+	c.s.Say(eventlog.EpochServed, "epoch", uint64(epoch), "groups", len(groups))
 	return true, nil
 }
 
 // convert unpacks the groups; those that did not change are taken over.
-func convert(epoch mark.Epoch, manifest map[string]wire.Held, groups map[string]wire.Group, old *Chart) (*Chart, error) {
-	chart := &Chart{Epoch: epoch, Manifest: maps.Clone(manifest), groups: groups, sum: plan.SumOf(manifest),
-		Services: map[string]wire.Service{}, Limits: map[string]wire.Limit{}, Targets: map[string][]wire.Target{}, Shares: map[mark.Name]int{}}
+func convert(epoch ids.Epoch, manifest map[string]rpc.Held, groups map[string]rpc.Group, old *Chart) (*Chart, error) {
+	chart := &Chart{Epoch: epoch, Manifest: maps.Clone(manifest), groups: groups, sum: controlplane.SumOf(manifest),
+		Services: map[string]rpc.Service{}, Limits: map[string]rpc.Limit{}, Targets: map[string][]rpc.Target{}, Shares: map[ids.Name]int{}}
 	read := func(name string, into any) error {
 		group, ok := groups[name]
 		if !ok {
 			return nil
 		}
 		if err := json.Unmarshal(group.Data, into); err != nil {
-			return fault.New(fault.BadMessage, "group %s: %v", name, err)
+			return errcode.New(errcode.BadMessage, "group %s: %v", name, err)
 		}
 		return nil
 	}
 	isSame := func(name string) bool { return old != nil && old.groups[name].Digest == groups[name].Digest }
-	routes := map[string][]wire.Mapping{}
+	routes := map[string][]rpc.Mapping{}
 	for name := range groups {
-		if !strings.HasPrefix(name, plan.Routes) {
+		if !strings.HasPrefix(name, controlplane.Routes) {
 			continue
 		}
-		var some []wire.Mapping
+		var some []rpc.Mapping
 		if isSame(name) {
 			some = old.Routes[name]
 		} else if err := read(name, &some); err != nil {
@@ -215,18 +215,18 @@
 		routes[name] = some
 	}
 	chart.Routes = routes
-	var services []wire.Service
-	var limits []wire.Limit
-	if err := read(plan.Services, &services); err != nil {
+	var services []rpc.Service
+	var limits []rpc.Limit
+	if err := read(controlplane.Services, &services); err != nil {
 		return nil, err
 	}
-	if err := read(plan.Limits, &limits); err != nil {
+	if err := read(controlplane.Limits, &limits); err != nil {
 		return nil, err
 	}
-	if err := read(plan.Shares, &chart.Shares); err != nil {
+	if err := read(controlplane.Shares, &chart.Shares); err != nil {
 		return nil, err
 	}
-	if err := read(plan.Manners, &chart.Manners); err != nil {
+	if err := read(controlplane.Manners, &chart.Manners); err != nil {
 		return nil, err
 	}
 	for _, s := range services {
@@ -236,11 +236,11 @@
 		chart.Limits[l.Service] = l
 	}
 	for name := range groups {
-		service, ok := strings.CutPrefix(name, plan.Targets)
+		service, ok := strings.CutPrefix(name, controlplane.Targets)
 		if !ok {
 			continue
 		}
-		var list []wire.Target
+		var list []rpc.Target
 		if isSame(name) {
 			list = old.Targets[service]
 		} else if err := read(name, &list); err != nil {
@@ -252,10 +252,10 @@
 }
 
 // Delta makes a whole manifest of the one in use and what a listener reported.
-func (c *Cache) Delta(base map[string]wire.Held, receipt *wire.ListenReceipt) map[string]wire.Held {
+func (c *Cache) Delta(base map[string]rpc.Held, receipt *rpc.ListenReceipt) map[string]rpc.Held {
 	manifest := maps.Clone(base)
 	if manifest == nil {
-		manifest = map[string]wire.Held{}
+		manifest = map[string]rpc.Held{}
 	}
 	for _, name := range receipt.Removed {
 		delete(manifest, name)
--- a/internal/distribution/cache_test.go
+++ b/internal/distribution/cache_test.go
@@ -6,25 +6,25 @@
 	"io"
 	"testing"
 
-	"github.com/sumactrestle/sumactrestle/internal/mark"
-	"github.com/sumactrestle/sumactrestle/internal/plan"
-	"github.com/sumactrestle/sumactrestle/internal/sign"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
+	"github.com/sumactrestle/sumactrestle/internal/controlplane"
+	"github.com/sumactrestle/sumactrestle/internal/eventlog"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-func group(data string, stamp mark.Stamp) wire.Group {
-	return wire.Group{Digest: plan.Digest([]byte(data)), Stamp: stamp, Data: json.RawMessage(data)}
+func group(data string, stamp ids.Stamp) rpc.Group {
+	return rpc.Group{Digest: controlplane.Digest([]byte(data)), Stamp: stamp, Data: json.RawMessage(data)}
 }
 
-func manifest(groups map[string]wire.Group) map[string]wire.Held {
-	m := map[string]wire.Held{}
+func manifest(groups map[string]rpc.Group) map[string]rpc.Held {
+	m := map[string]rpc.Held{}
 	for name, g := range groups {
-		m[name] = wire.Held{Digest: g.Digest, Stamp: g.Stamp}
+		m[name] = rpc.Held{Digest: g.Digest, Stamp: g.Stamp}
 	}
 	return m
 }
 
-func swap(t *testing.T, c *Cache, epoch mark.Epoch, groups map[string]wire.Group, want bool) {
+func swap(t *testing.T, c *Cache, epoch ids.Epoch, groups map[string]rpc.Group, want bool) {
 	t.Helper()
 	got, err := c.Swap(epoch, manifest(groups))
 	if err != nil || got != want {
@@ -33,16 +33,16 @@
 }
 
 func TestOnlyWholeAndNewerEpochsAreSwappedIn(t *testing.T) {
-	c := NewCache(sign.New(io.Discard, "info", "n"))
-	var told []mark.Epoch
+	c := NewCache(eventlog.New(io.Discard, "info", "n"))
+	var told []ids.Epoch
 	c.Subscribe(func(chart *Chart) { told = append(told, chart.Epoch) })
-	one := map[string]wire.Group{"services": group(`[{"name":"a"}]`, 3), "targets/a": group(`[]`, 3)}
+	one := map[string]rpc.Group{"services": group(`[{"name":"a"}]`, 3), "targets/a": group(`[]`, 3)}
 	swap(t, c, 3, one, false)
-	c.Stage(map[string]wire.Group{"services": one["services"]})
+	c.Stage(map[string]rpc.Group{"services": one["services"]})
 	swap(t, c, 3, one, false)
-	c.Stage(map[string]wire.Group{"targets/a": one["targets/a"]})
+	c.Stage(map[string]rpc.Group{"targets/a": one["targets/a"]})
 	swap(t, c, 3, one, true)
-	two := map[string]wire.Group{"services": one["services"], "targets/a": group(`[{"instance":"i","address":"x","zone":"","weight":1}]`, 5)}
+	two := map[string]rpc.Group{"services": one["services"], "targets/a": group(`[{"instance":"i","address":"x","zone":"","weight":1}]`, 5)}
 	c.Stage(two)
 	swap(t, c, 5, two, true)
 	c.Stage(one)
@@ -59,15 +59,15 @@
 }
 
 func TestAGroupThatIsNotItsDigestIsLeftOut(t *testing.T) {
-	c := NewCache(sign.New(io.Discard, "info", "n"))
+	c := NewCache(eventlog.New(io.Discard, "info", "n"))
 	g := group(`[]`, 2)
 	g.Data = json.RawMessage(`[{"name":"forged"}]`)
-	if c.Stage(map[string]wire.Group{"services": g}) {
+	if c.Stage(map[string]rpc.Group{"services": g}) {
 		t.Fatal("a forged group was staged")
 	}
 	old := group(`[{"name":"old"}]`, 1)
-	c.Stage(map[string]wire.Group{"services": group(`[]`, 2)})
-	if c.Stage(map[string]wire.Group{"services": old}) {
+	c.Stage(map[string]rpc.Group{"services": group(`[]`, 2)})
+	if c.Stage(map[string]rpc.Group{"services": old}) {
 		t.Fatal("an older group replaced a newer one")
 	}
 }
--- a/internal/distribution/client.go
+++ b/internal/distribution/client.go
@@ -11,19 +11,19 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/sumactrestle/sumactrestle/internal/mark"
+	"github.com/sumactrestle/sumactrestle/internal/environment"
+	"github.com/sumactrestle/sumactrestle/internal/eventlog"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
 	"github.com/sumactrestle/sumactrestle/internal/membership"
-	"github.com/sumactrestle/sumactrestle/internal/realm"
-	"github.com/sumactrestle/sumactrestle/internal/sign"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
 // Ages is as of when an epoch, and each part in it, was known to be in force.
 type Ages struct {
-	Epoch   mark.Epoch
-	Binding mark.Epoch // the last that bore a change set or took a target away
+	Epoch   ids.Epoch
+	Binding ids.Epoch // the last that bore a change set or took a target away
 	Config  time.Time
-	Parts   [mark.Parts]time.Time
+	Parts   [ids.Parts]time.Time
 }
 
 // Vouched is the newest ages, and the last that vouch for the epoch before.
@@ -37,8 +37,8 @@
 
 // Client is one proxy's.
 type Client struct {
-	r     *realm.Realm
-	w     *wire.Wire
+	r     *environment.Realm
+	w     *rpc.Wire
 	k     *membership.Kin
 	Cache *Cache
 	ages  atomic.Pointer[Vouched]
@@ -53,13 +53,13 @@
 	catching   sync.Map     // addresses at which a catch-up is under way
 
 	mu        sync.Mutex
-	listening map[mark.Name]string
-	fetching  realm.Turn
+	listening map[ids.Name]string
+	fetching  environment.Turn
 	isFresh   bool
 }
 
-func NewClient(r *realm.Realm, w *wire.Wire, k *membership.Kin) *Client {
-	c := &Client{r: r, w: w, k: k, born: r.Now(), Cache: NewCache(r.Sign), listening: map[mark.Name]string{}, fetching: realm.NewTurn()}
+func NewClient(r *environment.Realm, w *rpc.Wire, k *membership.Kin) *Client {
+	c := &Client{r: r, w: w, k: k, born: r.Now(), Cache: NewCache(r.Sign), listening: map[ids.Name]string{}, fetching: environment.NewTurn()}
 	c.ages.Store(&Vouched{})
 	return c
 }
@@ -86,7 +86,7 @@
 
 // servers is the control nodes listened to: all, or the nearest few, of which one
 // at least stands in another zone if there is one.
-func (c *Client) servers() []wire.Member {
+func (c *Client) servers() []rpc.Member {
 	cores, most := c.k.Keepers(), c.r.Props.FlowServers
 	if most == 0 || len(cores) <= most {
 		return cores
@@ -105,7 +105,7 @@
 
 // listen is the task for one control node; it ends when the node is no longer one
 // to listen to.
-func (c *Client) listen(name mark.Name, address string) {
+func (c *Client) listen(name ids.Name, address string) {
 	defer func() {
 		c.mu.Lock()
 		if c.listening[name] == address {
@@ -115,7 +115,7 @@
 	}()
 	tries := 0
 	for !c.r.IsOver() {
-		if !slices.ContainsFunc(c.servers(), func(m wire.Member) bool { return m.Name == name && m.Wire == address }) {
+		if !slices.ContainsFunc(c.servers(), func(m rpc.Member) bool { return m.Name == name && m.Wire == address }) {
 			return
 		}
 		isNewer, err := c.poll(c.r, address)
@@ -123,7 +123,7 @@
 		switch {
 		case err != nil:
 			tries++
-			c.r.Sign.Say(sign.ListenFailed, "node", string(name), "tries", tries, "cause", err.Error())
+			c.r.Sign.Say(eventlog.ListenFailed, "node", string(name), "tries", tries, "cause", err.Error())
 			pause = c.r.Props.FlowRetry
 			if tries >= c.r.Props.FlowTries {
 				tries, pause = 0, c.r.Props.FlowCool
@@ -133,7 +133,7 @@
 		default:
 			tries = 0
 		}
-		if pause > 0 && !c.r.Pause(realm.Jitter(pause)) {
+		if pause > 0 && !c.r.Pause(environment.Jitter(pause)) {
 			return
 		}
 	}
@@ -144,8 +144,8 @@
 	epoch, have := c.Cache.Have()
 	ctx, end := context.WithTimeout(life, c.r.Props.FlowHold+2*time.Second)
 	defer end()
-	var receipt wire.ListenReceipt
-	ask := &wire.ListenAsk{Epoch: epoch, Have: have}
+	var receipt rpc.ListenReceipt
+	ask := &rpc.ListenAsk{Epoch: epoch, Have: have}
 	if chart := c.Cache.Chart(); chart != nil && chart.Epoch == epoch {
 		ask.Sum, ask.Have = chart.sum, nil
 		near := c.servers()
@@ -156,8 +156,8 @@
 	}
 	if receipt.Lost {
 		// Where the epoch is not known any more, or not yet, each group is named.
-		receipt = wire.ListenReceipt{}
-		if err := c.w.Ask(ctx, address, "flow.listen", &wire.ListenAsk{Epoch: epoch, Have: have}, &receipt); err != nil {
+		receipt = rpc.ListenReceipt{}
+		if err := c.w.Ask(ctx, address, "flow.listen", &rpc.ListenAsk{Epoch: epoch, Have: have}, &receipt); err != nil {
 			return false, err
 		}
 	}
@@ -183,7 +183,7 @@
 	if missing := c.Cache.Missing(manifest); len(missing) > 0 {
 		limited, stop := context.WithTimeout(c.r, 3*time.Second)
 		defer stop()
-		fetched, err := c.fetch(limited, address, &wire.FetchAsk{Groups: missing, Held: c.Cache.Holds(missing)})
+		fetched, err := c.fetch(limited, address, &rpc.FetchAsk{Groups: missing, Held: c.Cache.Holds(missing)})
 		if err != nil {
 			return false, err
 		}
@@ -192,7 +192,7 @@
 		left = slices.DeleteFunc(left, func(name string) bool { return fetched.Groups[name].Base == "" })
 		if len(left) > 0 {
 			// A difference that did not fit is fetched whole.
-			if fetched, err = c.fetch(limited, address, &wire.FetchAsk{Groups: left}); err != nil {
+			if fetched, err = c.fetch(limited, address, &rpc.FetchAsk{Groups: left}); err != nil {
 				return false, err
 			}
 			isNewer = c.Cache.Stage(fetched.Groups) || isNewer
--- a/internal/distribution/fresh.go
+++ b/internal/distribution/fresh.go
@@ -4,9 +4,9 @@
 import (
 	"time"
 
-	"github.com/sumactrestle/sumactrestle/internal/mark"
-	"github.com/sumactrestle/sumactrestle/internal/sign"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
+	"github.com/sumactrestle/sumactrestle/internal/eventlog"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
 // heard notes word from a control node.
@@ -18,12 +18,12 @@
 // renew takes over what a pulse brought. Ages that name an epoch newer than the
 // one in use can't vouch for it, but those held before still do until they are
 // too old; so both are kept.
-func (c *Client) renew(sent time.Time, receipt *wire.PulseReceipt) {
+func (c *Client) renew(sent time.Time, receipt *rpc.PulseReceipt) {
 	c.heard()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	held := c.ages.Load()
-	if receipt.Epoch < held.Newest.Epoch || len(receipt.Parts) != mark.Parts {
+	if receipt.Epoch < held.Newest.Epoch || len(receipt.Parts) != ids.Parts {
 		return
 	}
 	next := Ages{Epoch: receipt.Epoch, Binding: receipt.Binding, Config: sent.Add(-time.Duration(receipt.Age) * time.Microsecond)}
@@ -73,7 +73,7 @@
 		return behind == 0 || c.isNewest(chart, behind)
 	}
 	held := c.ages.Load()
-	no, bound := mark.PartOf(service), c.r.Props.FlowFresh
+	no, bound := ids.PartOf(service), c.r.Props.FlowFresh
 	for _, a := range []*Ages{&held.Newest, &held.Before} {
 		if a.Epoch <= chart.Epoch && c.r.Since(a.Config) < bound && a.Config.After(c.born) && (service == "" || c.r.Since(a.Parts[no]) < bound) {
 			return true
@@ -106,9 +106,9 @@
 	if isFresh != c.isFresh {
 		c.isFresh = isFresh
 		if isFresh {
-			c.r.Sign.Say(sign.FreshAgain, "epoch", uint64(ages.Epoch))
+			c.r.Sign.Say(eventlog.FreshAgain, "epoch", uint64(ages.Epoch))
 		} else {
-			c.r.Sign.Say(sign.FreshLost, "epoch", uint64(ages.Epoch))
+			c.r.Sign.Say(eventlog.FreshLost, "epoch", uint64(ages.Epoch))
 		}
 	}
 }
--- a/internal/distribution/fresh_test.go
+++ b/internal/distribution/fresh_test.go
@@ -5,19 +5,19 @@
 	"testing"
 	"time"
 
-	"github.com/sumactrestle/sumactrestle/internal/mark"
-	"github.com/sumactrestle/sumactrestle/internal/props"
-	"github.com/sumactrestle/sumactrestle/internal/realm"
-	"github.com/sumactrestle/sumactrestle/internal/sign"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
+	"github.com/sumactrestle/sumactrestle/internal/config"
+	"github.com/sumactrestle/sumactrestle/internal/environment"
+	"github.com/sumactrestle/sumactrestle/internal/eventlog"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
 // A proxy that is one epoch behind serves on unless that epoch binds.
 func TestOnlyAnEpochThatBindsMakesAChartOld(t *testing.T) {
 	const bound = time.Hour
-	r := realm.New(t.Context(), &props.Props{FlowStay: 24 * time.Hour, FlowBehind: bound}, sign.New(io.Discard, "info", "n"), realm.Net{Slept: func() time.Duration { return 0 }})
+	r := environment.New(t.Context(), &config.Props{FlowStay: 24 * time.Hour, FlowBehind: bound}, eventlog.New(io.Discard, "info", "n"), environment.Net{Slept: func() time.Duration { return 0 }})
 	for _, one := range []struct {
-		epoch, binding mark.Epoch
+		epoch, binding ids.Epoch
 		age            time.Duration
 		isFresh        bool
 	}{
@@ -28,7 +28,7 @@
 	} {
 		c := &Client{r: r, Cache: NewCache(r.Sign)}
 		c.ages.Store(&Vouched{})
-		c.renew(r.Now(), &wire.PulseReceipt{Epoch: one.epoch, Binding: one.binding, Age: one.age.Microseconds(), Parts: make([]int64, mark.Parts)})
+		c.renew(r.Now(), &rpc.PulseReceipt{Epoch: one.epoch, Binding: one.binding, Age: one.age.Microseconds(), Parts: make([]int64, ids.Parts)})
 		if got := c.IsFresh(&Chart{Epoch: 7}, "rates"); got != one.isFresh {
 			t.Errorf("%+v: fresh is %v", one, got)
 		}
--- a/internal/distribution/pack.go
+++ b/internal/distribution/pack.go
@@ -13,8 +13,8 @@
 	"slices"
 	"strings"
 
-	"github.com/sumactrestle/sumactrestle/internal/fault"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
 const (
@@ -23,9 +23,9 @@
 )
 
 // fetch asks for groups and unpacks them.
-func (c *Client) fetch(ctx context.Context, address string, ask *wire.FetchAsk) (*wire.FetchReceipt, error) {
+func (c *Client) fetch(ctx context.Context, address string, ask *rpc.FetchAsk) (*rpc.FetchReceipt, error) {
 	ask.Packs = true
-	receipt := &wire.FetchReceipt{}
+	receipt := &rpc.FetchReceipt{}
 	if err := c.w.Ask(ctx, address, "flow.fetch", ask, receipt); err != nil {
 		return nil, err
 	}
@@ -34,14 +34,14 @@
 	}
 	groups, err := unpack(receipt.Packed, int64(c.r.Props.WireLine))
 	if err != nil {
-		return nil, fault.New(fault.BadMessage, "flow.fetch from %s: %v", address, err)
+		return nil, errcode.New(errcode.BadMessage, "flow.fetch from %s: %v", address, err)
 	}
 	receipt.Groups, receipt.Packed = groups, nil
 	return receipt, nil
 }
 
 // pack replaces the groups of a receipt by their packed form, if that is shorter.
-func (s *Server) pack(receipt *wire.FetchReceipt) {
+func (s *Server) pack(receipt *rpc.FetchReceipt) {
 	size, key := 0, strings.Builder{}
 	for _, name := range slices.Sorted(maps.Keys(receipt.Groups)) {
 		group := receipt.Groups[name]
@@ -80,14 +80,14 @@
 	return out.Bytes()
 }
 
-func unpack(packed []byte, limit int64) (map[string]wire.Group, error) {
+func unpack(packed []byte, limit int64) (map[string]rpc.Group, error) {
 	raw, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), limit+1))
 	if err != nil {
 		return nil, err
 	}
 	if int64(len(raw)) > limit {
-		return nil, fault.New(fault.LineTooLong, "over %d bytes", limit)
+		return nil, errcode.New(errcode.LineTooLong, "over %d bytes", limit)
 	}
-	var groups map[string]wire.Group
+	var groups map[string]rpc.Group
 	return groups, json.Unmarshal(raw, &groups)
 }
--- a/internal/distribution/pulse.go
+++ b/internal/distribution/pulse.go
@@ -8,9 +8,9 @@
 	"slices"
 	"time"
 
-	"github.com/sumactrestle/sumactrestle/internal/mark"
-	"github.com/sumactrestle/sumactrestle/internal/realm"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
+	"github.com/sumactrestle/sumactrestle/internal/environment"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
 const (
@@ -27,7 +27,7 @@
 // while none answers, so that word comes soon after the way to one is back.
 func (c *Client) pulse() {
 	c.isAnswered.Store(true)
-	for c.r.Pause(realm.Jitter(c.pulsePause())) {
+	for c.r.Pause(environment.Jitter(c.pulsePause())) {
 		cores := c.k.Keepers()
 		if !c.isAnswered.Load() || len(cores) == 0 {
 			// Those held for down here may be back: nothing hangs on that opinion.
@@ -53,7 +53,7 @@
 // flow.behind its link may be slow, and a word that comes late is still right, as it
 // counts from when it was asked for. A control node that does not answer soon is passed
 // by in the next pulse all the same: it may be gone.
-func (c *Client) pulseBeside(cores []wire.Member, limit time.Duration) {
+func (c *Client) pulseBeside(cores []rpc.Member, limit time.Duration) {
 	if len(cores) == 0 {
 		c.isAnswered.Store(false)
 		return
@@ -73,14 +73,14 @@
 }
 
 // pulseTo asks one control node; one that does not answer is passed by in the next.
-func (c *Client) pulseTo(cores []wire.Member, limit time.Duration) bool {
+func (c *Client) pulseTo(cores []rpc.Member, limit time.Duration) bool {
 	pick := c.pick.Load()
 	m := cores[pick%uint64(len(cores))]
 	sent := c.r.Now()
 	ctx, end := context.WithTimeout(c.r, limit)
 	defer end()
-	var receipt wire.PulseReceipt
-	if err := c.w.Ask(ctx, m.Wire, "flow.pulse", &wire.PulseAsk{}, &receipt); err != nil {
+	var receipt rpc.PulseReceipt
+	if err := c.w.Ask(ctx, m.Wire, "flow.pulse", &rpc.PulseAsk{}, &receipt); err != nil {
 		c.passBy(pick)
 		return false
 	}
@@ -109,9 +109,9 @@
 
 // lostKeepers is who of those held for down, without a word that they go, held the
 // configuration; all core nodes of them if none is known to.
-func (c *Client) lostKeepers() []wire.Member {
-	cores := slices.DeleteFunc(c.k.Lost(), func(m wire.Member) bool { return !m.Core })
-	if keepers := slices.DeleteFunc(slices.Clone(cores), func(m wire.Member) bool { return !m.Keeps }); len(keepers) > 0 {
+func (c *Client) lostKeepers() []rpc.Member {
+	cores := slices.DeleteFunc(c.k.Lost(), func(m rpc.Member) bool { return !m.Core })
+	if keepers := slices.DeleteFunc(slices.Clone(cores), func(m rpc.Member) bool { return !m.Keeps }); len(keepers) > 0 {
 		return keepers
 	}
 	return cores
@@ -119,7 +119,7 @@
 
 // meet lets one that was held for down and has answered be known to be there, and
 // through its list all that it knows.
-func (c *Client) meet(m wire.Member) {
+func (c *Client) meet(m rpc.Member) {
 	if _, isKnown := c.k.Of(m.Name); !isKnown {
 		c.r.Go(func() { c.k.Sync(m.Wire) })
 	}
@@ -128,7 +128,7 @@
 // catchUp asks where a newer epoch was heard of, if those listened to are slow to
 // tell of it: their held requests may hang at nodes that went, or wait out a pause.
 // Whoever heard of an epoch and does not give it is passed by in the next pulse.
-func (c *Client) catchUp(address string, epoch mark.Epoch) {
+func (c *Client) catchUp(address string, epoch ids.Epoch) {
 	isBehind := func() bool { now, _ := c.Cache.Have(); return now > 0 && now < epoch }
 	if !isBehind() {
 		return
--- a/internal/distribution/relay.go
+++ b/internal/distribution/relay.go
@@ -8,23 +8,23 @@
 	"sync"
 	"time"
 
-	"github.com/sumactrestle/sumactrestle/internal/fault"
-	"github.com/sumactrestle/sumactrestle/internal/realm"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
+	"github.com/sumactrestle/sumactrestle/internal/environment"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
 // relay is one pulse to the owner, shared by all proxies that wait for it.
 type relay struct {
 	done    chan struct{}
 	sent    time.Time
-	receipt *wire.PulseReceipt
+	receipt *rpc.PulseReceipt
 	err     error
 }
 
 // relays are a control node's, one after another.
 type relays struct {
-	r   *realm.Realm
-	ask func() (*wire.PulseReceipt, error)
+	r   *environment.Realm
+	ask func() (*rpc.PulseReceipt, error)
 
 	mu        sync.Mutex
 	isRunning bool
@@ -43,7 +43,7 @@
 
 // get waits for a relay that is sent from now on; its ages are older by the time that
 // passed since it was sent.
-func (s *relays) get(ctx context.Context) (*wire.PulseReceipt, error) {
+func (s *relays) get(ctx context.Context) (*rpc.PulseReceipt, error) {
 	s.mu.Lock()
 	mine := s.waiting
 	if s.told != nil && s.r.Since(s.told.sent) < relayTime {
@@ -61,13 +61,13 @@
 	select {
 	case <-mine.done:
 	case <-ctx.Done():
-		return nil, fault.New(fault.NoOwner, "%v", ctx.Err())
+		return nil, errcode.New(errcode.NoOwner, "%v", ctx.Err())
 	}
 	if mine.err != nil {
 		return nil, mine.err
 	}
 	grown := s.r.Since(mine.sent).Microseconds() + 1
-	receipt := &wire.PulseReceipt{Epoch: mine.receipt.Epoch, Binding: mine.receipt.Binding, Age: mine.receipt.Age + grown, Parts: make([]int64, len(mine.receipt.Parts))}
+	receipt := &rpc.PulseReceipt{Epoch: mine.receipt.Epoch, Binding: mine.receipt.Binding, Age: mine.receipt.Age + grown, Parts: make([]int64, len(mine.receipt.Parts))}
 	for i, age := range mine.receipt.Parts {
 		receipt.Parts[i] = age
 		if age >= 0 {
@@ -95,7 +95,7 @@
 		now.sent = s.last
 		s.mu.Unlock()
 		if isOver {
-			now.err = fault.New(fault.Stopping, "")
+			now.err = errcode.New(errcode.Stopping, "")
 		} else {
 			now.receipt, now.err = s.ask()
 		}
--- a/internal/distribution/relay_test.go
+++ b/internal/distribution/relay_test.go
@@ -10,7 +10,7 @@
 	"testing/synctest"
 	"time"
 
-	"github.com/sumactrestle/sumactrestle/internal/wire"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
 func TestManyPulsesMakeFewRelays(t *testing.T) {
@@ -21,13 +21,13 @@
 		const way = 5 * time.Millisecond
 		relayed := 0
 		var isCut atomic.Bool
-		s := &relays{r: r, ask: func() (*wire.PulseReceipt, error) {
+		s := &relays{r: r, ask: func() (*rpc.PulseReceipt, error) {
 			relayed++
 			time.Sleep(way)
 			if isCut.Load() {
 				return nil, errors.New("cut")
 			}
-			return &wire.PulseReceipt{Epoch: 3, Age: 1000, Parts: []int64{-1, 2000}}, nil
+			return &rpc.PulseReceipt{Epoch: 3, Age: 1000, Parts: []int64{-1, 2000}}, nil
 		}}
 		least := r.Props.FlowPulse / relayShare
 		one := func() {
--- a/internal/distribution/serve.go
+++ b/internal/distribution/serve.go
@@ -12,25 +12,25 @@
 	"time"
 
 	"github.com/sumactrestle/sumactrestle/internal/consensus"
-	"github.com/sumactrestle/sumactrestle/internal/fault"
-	"github.com/sumactrestle/sumactrestle/internal/mark"
+	"github.com/sumactrestle/sumactrestle/internal/controlplane"
+	"github.com/sumactrestle/sumactrestle/internal/environment"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
 	"github.com/sumactrestle/sumactrestle/internal/membership"
-	"github.com/sumactrestle/sumactrestle/internal/plan"
-	"github.com/sumactrestle/sumactrestle/internal/realm"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
 // Server is one control node's.
 type Server struct {
-	r       *realm.Realm
-	w       *wire.Wire
+	r       *environment.Realm
+	w       *rpc.Wire
 	k       *membership.Kin
 	p       *consensus.Node
-	ledger  *plan.Ledger
-	planner *plan.Planner
+	ledger  *controlplane.Ledger
+	planner *controlplane.Planner
 
 	mu     sync.Mutex
-	deltas map[string]wire.Group
+	deltas map[string]rpc.Group
 	packs  map[string][]byte
 
 	turns  turns
@@ -38,42 +38,42 @@
 	relays relays
 }
 
-func NewServer(r *realm.Realm, w *wire.Wire, k *membership.Kin, p *consensus.Node, ledger *plan.Ledger, planner *plan.Planner) *Server {
+func NewServer(r *environment.Realm, w *rpc.Wire, k *membership.Kin, p *consensus.Node, ledger *controlplane.Ledger, planner *controlplane.Planner) *Server {
 	s := &Server{r: r, w: w, k: k, p: p, ledger: ledger, planner: planner}
 	s.relays.r, s.relays.ask = r, s.ask
-	w.Handle("flow.listen", func(c *wire.Call) (any, error) {
-		var ask wire.ListenAsk
+	w.Handle("flow.listen", func(c *rpc.Call) (any, error) {
+		var ask rpc.ListenAsk
 		if err := c.Read(&ask); err != nil {
 			return nil, err
 		}
 		return s.listen(c, &ask)
 	})
-	w.Handle("flow.fetch", func(c *wire.Call) (any, error) {
-		var ask wire.FetchAsk
+	w.Handle("flow.fetch", func(c *rpc.Call) (any, error) {
+		var ask rpc.FetchAsk
 		if err := c.Read(&ask); err != nil {
 			return nil, err
 		}
 		return s.fetch(c, &ask)
 	})
-	w.Handle("flow.pulse", func(c *wire.Call) (any, error) { return s.pulse(c) })
+	w.Handle("flow.pulse", func(c *rpc.Call) (any, error) { return s.pulse(c) })
 	return s
 }
 
 // listen holds the request until a group differs from what the asker has, in
 // an epoch newer than the asker's, or the hold time is over.
-func (s *Server) listen(ctx context.Context, ask *wire.ListenAsk) (*wire.ListenReceipt, error) {
+func (s *Server) listen(ctx context.Context, ask *rpc.ListenAsk) (*rpc.ListenReceipt, error) {
 	hold := time.NewTimer(s.r.Props.FlowHold)
 	defer hold.Stop()
 	have := ask.Have
 	if ask.Sum != "" {
 		before := s.ledger.Past(ask.Epoch)
 		if before == nil || before.Sum() != ask.Sum {
-			return &wire.ListenReceipt{Epoch: ask.Epoch, Lost: true}, nil
+			return &rpc.ListenReceipt{Epoch: ask.Epoch, Lost: true}, nil
 		}
 		have = before.Manifest()
 	}
 	for {
-		change := s.p.Part(mark.Config).Watch()
+		change := s.p.Part(ids.Config).Watch()
 		sheet := s.ledger.Sheet()
 		if sheet.Epoch > ask.Epoch {
 			if err := s.checkContact(); err != nil {
@@ -89,26 +89,26 @@
 		select {
 		case <-change:
 		case <-hold.C:
-			return &wire.ListenReceipt{Epoch: sheet.Epoch}, nil
+			return &rpc.ListenReceipt{Epoch: sheet.Epoch}, nil
 		case <-ctx.Done():
-			return &wire.ListenReceipt{Epoch: sheet.Epoch}, nil
+			return &rpc.ListenReceipt{Epoch: sheet.Epoch}, nil
 		case <-s.r.Done():
-			return nil, fault.New(fault.Stopping, "")
+			return nil, errcode.New(errcode.Stopping, "")
 		}
 	}
 }
 
 // checkContact refuses to give out what may be old: the asker takes another node.
 func (s *Server) checkContact() error {
-	if s.p.HasContact(mark.Config) {
+	if s.p.HasContact(ids.Config) {
 		return nil
 	}
-	return fault.New(fault.NoOwner, "no word of a majority of the configuration part")
+	return errcode.New(errcode.NoOwner, "no word of a majority of the configuration part")
 }
 
 // along sends differences with the receipt if all of them are small.
-func (s *Server) along(sheet *plan.Sheet, have map[string]wire.Held, receipt *wire.ListenReceipt) {
-	groups := map[string]wire.Group{}
+func (s *Server) along(sheet *controlplane.Sheet, have map[string]rpc.Held, receipt *rpc.ListenReceipt) {
+	groups := map[string]rpc.Group{}
 	size := 0
 	for name := range receipt.Changed {
 		group, ok := sheet.Carried(name)
@@ -133,8 +133,8 @@
 	instanceSize = 24
 )
 
-func differ(sheet *plan.Sheet, before map[string]wire.Held) *wire.ListenReceipt {
-	receipt := &wire.ListenReceipt{Epoch: sheet.Epoch, Changed: map[string]wire.Held{}}
+func differ(sheet *controlplane.Sheet, before map[string]rpc.Held) *rpc.ListenReceipt {
+	receipt := &rpc.ListenReceipt{Epoch: sheet.Epoch, Changed: map[string]rpc.Held{}}
 	manifest := sheet.Manifest()
 	for name, held := range manifest {
 		if have, ok := before[name]; !ok || have != held {
@@ -151,8 +151,8 @@
 
 // short is a target list as what differs from the one that the asker holds, if that
 // is known here and the difference is right.
-func (s *Server) short(name, held string, group wire.Group) wire.Group {
-	if held == "" || !strings.HasPrefix(name, plan.Targets) {
+func (s *Server) short(name, held string, group rpc.Group) rpc.Group {
+	if held == "" || !strings.HasPrefix(name, controlplane.Targets) {
 		return group
 	}
 	key := name + " " + held + " " + group.Digest
@@ -166,15 +166,15 @@
 	}
 	delta = group
 	if from, isKept := s.ledger.Held(name, held); isKept {
-		if put, gone, isShorter := plan.Delta(from, group.Data); isShorter {
-			if whole, err := plan.Patch(from, put, gone); err == nil && plan.Digest(whole) == group.Digest {
-				delta = wire.Group{Digest: group.Digest, Stamp: group.Stamp, Base: held, Put: put, Gone: gone}
+		if put, gone, isShorter := controlplane.Delta(from, group.Data); isShorter {
+			if whole, err := controlplane.Patch(from, put, gone); err == nil && controlplane.Digest(whole) == group.Digest {
+				delta = rpc.Group{Digest: group.Digest, Stamp: group.Stamp, Base: held, Put: put, Gone: gone}
 			}
 		}
 	}
 	s.mu.Lock()
 	if len(s.deltas) >= deltasKept || s.deltas == nil {
-		s.deltas = map[string]wire.Group{}
+		s.deltas = map[string]rpc.Group{}
 	}
 	s.deltas[key] = delta
 	s.mu.Unlock()
@@ -186,26 +186,26 @@
 
 // pulse tells ages as the owner of the configuration part knows them, older by
 // the time that passed since this node asked.
-func (s *Server) pulse(ctx context.Context) (*wire.PulseReceipt, error) {
-	if s.p.Part(mark.Config).IsServing() {
+func (s *Server) pulse(ctx context.Context) (*rpc.PulseReceipt, error) {
+	if s.p.Part(ids.Config).IsServing() {
 		return s.planner.Pulse()
 	}
 	return s.relays.get(ctx)
 }
 
-func (s *Server) ask() (*wire.PulseReceipt, error) {
-	name, ok := s.p.Owner(mark.Config)
+func (s *Server) ask() (*rpc.PulseReceipt, error) {
+	name, ok := s.p.Owner(ids.Config)
 	if !ok || name == s.r.Name {
-		return nil, fault.New(fault.NoOwner, "configuration part")
+		return nil, errcode.New(errcode.NoOwner, "configuration part")
 	}
 	m, ok := s.k.Of(name)
 	if !ok {
-		return nil, fault.New(fault.NoOwner, "configuration part: %s is down", name)
+		return nil, errcode.New(errcode.NoOwner, "configuration part: %s is down", name)
 	}
 	ctx, end := context.WithTimeout(s.r, 500*time.Millisecond)
 	defer end()
-	var receipt wire.PulseReceipt
-	if err := s.w.AskHop(ctx, m.Wire, "flow.owner", 1, &wire.PulseAsk{}, &receipt); err != nil {
+	var receipt rpc.PulseReceipt
+	if err := s.w.AskHop(ctx, m.Wire, "flow.owner", 1, &rpc.PulseAsk{}, &receipt); err != nil {
 		return nil, err
 	}
 	return &receipt, nil
@@ -213,5 +213,5 @@
 
 // HandleOwner answers other control nodes, at the owner only.
 func (s *Server) HandleOwner() {
-	s.w.Handle("flow.owner", func(c *wire.Call) (any, error) { return s.planner.Pulse() })
+	s.w.Handle("flow.owner", func(c *rpc.Call) (any, error) { return s.planner.Pulse() })
 }
--- a/internal/distribution/start.go
+++ b/internal/distribution/start.go
@@ -8,10 +8,10 @@
 	"context"
 	"time"
 
-	"github.com/sumactrestle/sumactrestle/internal/fault"
-	"github.com/sumactrestle/sumactrestle/internal/realm"
-	"github.com/sumactrestle/sumactrestle/internal/sign"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
+	"github.com/sumactrestle/sumactrestle/internal/environment"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
+	"github.com/sumactrestle/sumactrestle/internal/eventlog"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
 // Open starts once, however often it is called.
@@ -32,7 +32,7 @@
 			} else {
 				pause = first
 			}
-			if !c.r.Pause(realm.Jitter(max(pause, later))) {
+			if !c.r.Pause(environment.Jitter(max(pause, later))) {
 				return
 			}
 		}
@@ -47,11 +47,11 @@
 func (c *Client) fetchAll() (isDone, isLoaded bool, later time.Duration) {
 	for _, m := range c.k.Keepers() {
 		ctx, end := context.WithTimeout(c.r, 5*time.Second)
-		receipt, err := c.fetch(ctx, m.Wire, &wire.FetchAsk{})
+		receipt, err := c.fetch(ctx, m.Wire, &rpc.FetchAsk{})
 		end()
 		if err != nil {
-			isLoaded = isLoaded || fault.Is(err, fault.ReplyLost)
-			c.r.Sign.Say(sign.FetchFailed, "node", string(m.Name), "cause", err.Error())
+			isLoaded = isLoaded || errcode.Is(err, errcode.ReplyLost)
+			c.r.Sign.Say(eventlog.FetchFailed, "node", string(m.Name), "cause", err.Error())
 			continue
 		}
 		if receipt.Later > 0 {
--- a/internal/distribution/whole.go
+++ b/internal/distribution/whole.go
@@ -13,10 +13,10 @@
 	"sync"
 	"time"
 
-	"github.com/sumactrestle/sumactrestle/internal/fault"
-	"github.com/sumactrestle/sumactrestle/internal/mark"
-	"github.com/sumactrestle/sumactrestle/internal/plan"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
+	"github.com/sumactrestle/sumactrestle/internal/controlplane"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
 // turns are the places for full fetches. The zero value's are set by most.
@@ -60,7 +60,7 @@
 
 // coded is a group as it goes out.
 type coded struct {
-	stamp  mark.Stamp
+	stamp  ids.Stamp
 	digest string
 	raw    json.RawMessage
 }
@@ -70,14 +70,14 @@
 	mu     sync.Mutex
 	groups map[string]coded
 	wholes [2]struct {
-		sheet *plan.Sheet
+		sheet *controlplane.Sheet
 		raw   json.RawMessage
 	} // plain, and packed
 }
 
 // all is the whole of an epoch with its manifest, as the receipt of a full fetch, with
 // its groups packed or not.
-func (c *coder) all(sheet *plan.Sheet, isPacked bool) (json.RawMessage, error) {
+func (c *coder) all(sheet *controlplane.Sheet, isPacked bool) (json.RawMessage, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	kept := &c.wholes[0]
@@ -102,7 +102,7 @@
 			delete(c.groups, name)
 		}
 	}
-	receipt := &wire.FetchReceipt{Epoch: sheet.Epoch, Manifest: manifest}
+	receipt := &rpc.FetchReceipt{Epoch: sheet.Epoch, Manifest: manifest}
 	text, err := joinGroups(groups)
 	if err != nil {
 		return nil, err
@@ -121,14 +121,14 @@
 }
 
 // group is one whole group as it goes out.
-func (c *coder) group(name string, group wire.Group) (json.RawMessage, error) {
+func (c *coder) group(name string, group rpc.Group) (json.RawMessage, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.one(name, group)
 }
 
 // one is group; the lock is held.
-func (c *coder) one(name string, group wire.Group) (json.RawMessage, error) {
+func (c *coder) one(name string, group rpc.Group) (json.RawMessage, error) {
 	if kept, ok := c.groups[name]; ok && kept.digest == group.Digest && kept.stamp == group.Stamp {
 		return kept.raw, nil
 	}
@@ -164,7 +164,7 @@
 }
 
 // withGroups is a receipt with the text of its groups.
-func withGroups(receipt *wire.FetchReceipt, groups json.RawMessage) (json.RawMessage, error) {
+func withGroups(receipt *rpc.FetchReceipt, groups json.RawMessage) (json.RawMessage, error) {
 	head, err := json.Marshal(receipt)
 	if err != nil {
 		return nil, err
@@ -173,7 +173,7 @@
 }
 
 // fetch answers a fetch: of the groups named, or of all.
-func (s *Server) fetch(c *wire.Call, ask *wire.FetchAsk) (any, error) {
+func (s *Server) fetch(c *rpc.Call, ask *rpc.FetchAsk) (any, error) {
 	if len(ask.Groups) == 0 {
 		return s.fetchAll(c, ask.Packs)
 	}
@@ -181,7 +181,7 @@
 		return nil, err
 	}
 	sheet := s.ledger.Sheet()
-	receipt := &wire.FetchReceipt{Epoch: sheet.Epoch, Groups: map[string]wire.Group{}}
+	receipt := &rpc.FetchReceipt{Epoch: sheet.Epoch, Groups: map[string]rpc.Group{}}
 	for _, name := range ask.Groups {
 		if group, ok := sheet.Carried(name); ok {
 			receipt.Groups[name] = s.short(name, ask.Held[name], group)
@@ -201,7 +201,7 @@
 			raw, err = json.Marshal(&group)
 		}
 		if err != nil {
-			return nil, fault.New(fault.Internal, "%v", err)
+			return nil, errcode.New(errcode.Internal, "%v", err)
 		}
 		groups[name] = raw
 	}
@@ -211,32 +211,32 @@
 		text, err = withGroups(receipt, text)
 	}
 	if err != nil {
-		return nil, fault.New(fault.Internal, "%v", err)
+		return nil, errcode.New(errcode.Internal, "%v", err)
 	}
-	return &wire.Raw{Body: text}, nil
+	return &rpc.Raw{Body: text}, nil
 }
 
-func (s *Server) fetchAll(c *wire.Call, isPacked bool) (any, error) {
+func (s *Server) fetchAll(c *rpc.Call, isPacked bool) (any, error) {
 	// A member that was just started holds what its last snapshot holds, until an
 	// owner has told it how far the log is committed.
 	if s.checkContact() != nil {
-		return &wire.FetchReceipt{}, nil
+		return &rpc.FetchReceipt{}, nil
 	}
 	return s.hand(c, s.ledger.Sheet(), isPacked)
 }
 
 // hand gives the whole of an epoch if there is a place.
-func (s *Server) hand(c *wire.Call, sheet *plan.Sheet, isPacked bool) (any, error) {
+func (s *Server) hand(c *rpc.Call, sheet *controlplane.Sheet, isPacked bool) (any, error) {
 	began := time.Now()
 	later, isTaken := s.turns.take(began, s.r.Props.FlowFetches, s.r.Props.FlowCool)
 	if !isTaken {
-		return &wire.FetchReceipt{Later: max(later.Milliseconds(), 1)}, nil
+		return &rpc.FetchReceipt{Later: max(later.Milliseconds(), 1)}, nil
 	}
 	leave := func() { s.turns.leave(time.Since(began)) }
 	raw, err := s.coder.all(sheet, isPacked)
 	if err != nil || c.Err() != nil {
 		leave()
-		return nil, fault.New(fault.ReplyLost, "the fetch is given up: %v", err)
+		return nil, errcode.New(errcode.ReplyLost, "the fetch is given up: %v", err)
 	}
-	return &wire.Raw{Body: raw, Sent: leave}, nil
+	return &rpc.Raw{Body: raw, Sent: leave}, nil
 }
--- a/internal/distribution/whole_test.go
+++ b/internal/distribution/whole_test.go
@@ -13,13 +13,13 @@
 	"testing/synctest"
 	"time"
 
-	"github.com/sumactrestle/sumactrestle/internal/mark"
+	"github.com/sumactrestle/sumactrestle/internal/config"
+	"github.com/sumactrestle/sumactrestle/internal/controlplane"
+	"github.com/sumactrestle/sumactrestle/internal/environment"
+	"github.com/sumactrestle/sumactrestle/internal/eventlog"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
 	"github.com/sumactrestle/sumactrestle/internal/membership"
-	"github.com/sumactrestle/sumactrestle/internal/plan"
-	"github.com/sumactrestle/sumactrestle/internal/props"
-	"github.com/sumactrestle/sumactrestle/internal/realm"
-	"github.com/sumactrestle/sumactrestle/internal/sign"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
 // switchboard is a network in memory.
@@ -46,8 +46,8 @@
 func (b *board) Close() error   { b.once.Do(func() { close(b.over) }); return nil }
 func (b *board) Addr() net.Addr { return &net.TCPAddr{} }
 
-func (s *switchboard) net() realm.Net {
-	return realm.Net{
+func (s *switchboard) net() environment.Net {
+	return environment.Net{
 		Listen: func(address string) (net.Listener, error) {
 			b := &board{address: address, conns: make(chan net.Conn), over: make(chan struct{})}
 			s.mu.Lock()
@@ -74,22 +74,22 @@
 	}
 }
 
-func (s *switchboard) realm(t *testing.T, ctx context.Context, name, address string) *realm.Realm {
+func (s *switchboard) realm(t *testing.T, ctx context.Context, name, address string) *environment.Realm {
 	t.Helper()
-	settings, err := props.Load("", map[string]string{"name": name, "zone": "a", "wire.address": address, "api.address": "10.0.0.9:1", "gate.address": "10.0.0.9:2", "flow.fetches": "2"})
+	settings, err := config.Load("", map[string]string{"name": name, "zone": "a", "wire.address": address, "api.address": "10.0.0.9:1", "gate.address": "10.0.0.9:2", "flow.fetches": "2"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return realm.New(ctx, settings, sign.New(t.Output(), "error", name), s.net())
+	return environment.New(ctx, settings, eventlog.New(t.Output(), "error", name), s.net())
 }
 
 // sheets is a ledger's epochs: each body changes one group more.
-func sheets(t *testing.T, n int) (list []*plan.Sheet) {
-	ledger := plan.NewLedger()
-	for epoch := mark.Epoch(1); epoch <= mark.Epoch(n); epoch++ {
-		body, _ := json.Marshal(wire.Planned{Epoch: epoch, Put: map[string]json.RawMessage{
-			fmt.Sprint(plan.Routes, epoch): json.RawMessage(`[]`), plan.Limits: json.RawMessage(fmt.Sprintf(`[{"service":"s<%d>"}]`, epoch))}})
-		if ledger.Apply(mark.Stamp(epoch), body) != true {
+func sheets(t *testing.T, n int) (list []*controlplane.Sheet) {
+	ledger := controlplane.NewLedger()
+	for epoch := ids.Epoch(1); epoch <= ids.Epoch(n); epoch++ {
+		body, _ := json.Marshal(rpc.Planned{Epoch: epoch, Put: map[string]json.RawMessage{
+			fmt.Sprint(controlplane.Routes, epoch): json.RawMessage(`[]`), controlplane.Limits: json.RawMessage(fmt.Sprintf(`[{"service":"s<%d>"}]`, epoch))}})
+		if ledger.Apply(ids.Stamp(epoch), body) != true {
 			t.Fatal("not taken", epoch)
 		}
 		list = append(list, ledger.Sheet())
@@ -108,13 +108,13 @@
 	if &first[0] != &again[0] {
 		t.Error("a second asker's text is made anew")
 	}
-	kept := c.groups[plan.Routes+"1"].raw
+	kept := c.groups[controlplane.Routes+"1"].raw
 	whole, _ := c.all(epochs[2], false)
-	if now := c.groups[plan.Routes+"1"].raw; &kept[0] != &now[0] {
+	if now := c.groups[controlplane.Routes+"1"].raw; &kept[0] != &now[0] {
 		t.Error("a group that did not change is made anew")
 	}
-	plain := &wire.FetchReceipt{Epoch: 3, Manifest: epochs[2].Manifest(), Groups: epochs[2].Groups}
-	var got wire.FetchReceipt
+	plain := &rpc.FetchReceipt{Epoch: 3, Manifest: epochs[2].Manifest(), Groups: epochs[2].Groups}
+	var got rpc.FetchReceipt
 	if err := json.Unmarshal(whole, &got); err != nil || !reflect.DeepEqual(plain, &got) {
 		t.Errorf("%v: %s", err, whole)
 	}
@@ -123,7 +123,7 @@
 		t.Error("a second asker's packed text is made anew", err)
 	}
 	for name, group := range got.Groups {
-		if plan.Digest(group.Data) != group.Digest {
+		if controlplane.Digest(group.Data) != group.Digest {
 			t.Error("the digest is another's:", name)
 		}
 	}
@@ -136,15 +136,15 @@
 		defer end()
 		s := &Server{r: board.realm(t, ctx, "core", "10.0.0.1:1")}
 		sheet := sheets(t, 1)[0]
-		ask := func(ctx context.Context) (*wire.Raw, int64) {
-			got, err := s.hand(&wire.Call{Context: ctx}, sheet, false)
+		ask := func(ctx context.Context) (*rpc.Raw, int64) {
+			got, err := s.hand(&rpc.Call{Context: ctx}, sheet, false)
 			if err != nil {
 				return nil, 0
 			}
-			if raw, ok := got.(*wire.Raw); ok {
+			if raw, ok := got.(*rpc.Raw); ok {
 				return raw, 0
 			}
-			return nil, got.(*wire.FetchReceipt).Later
+			return nil, got.(*rpc.FetchReceipt).Later
 		}
 		gone, leave := context.WithCancel(ctx)
 		leave()
@@ -192,16 +192,16 @@
 }
 
 // fakeCore answers fetches as told, and counts them.
-func fakeCore(t *testing.T, board *switchboard, ctx context.Context, name mark.Name, address string, others func() []wire.Member, fetch func(n int) any) *[]time.Time {
+func fakeCore(t *testing.T, board *switchboard, ctx context.Context, name ids.Name, address string, others func() []rpc.Member, fetch func(n int) any) *[]time.Time {
 	r := board.realm(t, ctx, string(name), address)
-	w := wire.New(r)
+	w := rpc.New(r)
 	asked := &[]time.Time{}
-	w.Handle("kin.sync", func(c *wire.Call) (any, error) { return &wire.KinSync{Members: others()}, nil })
-	w.Handle("flow.fetch", func(c *wire.Call) (any, error) {
+	w.Handle("kin.sync", func(c *rpc.Call) (any, error) { return &rpc.KinSync{Members: others()}, nil })
+	w.Handle("flow.fetch", func(c *rpc.Call) (any, error) {
 		*asked = append(*asked, time.Now())
 		return fetch(len(*asked)), nil
 	})
-	w.Handle("flow.listen", func(c *wire.Call) (any, error) { <-c.Done(); return nil, c.Err() })
+	w.Handle("flow.listen", func(c *rpc.Call) (any, error) { <-c.Done(); return nil, c.Err() })
 	if err := w.Open(); err != nil {
 		t.Fatal(err)
 	}
@@ -212,26 +212,26 @@
 	synctest.Test(t, func(t *testing.T) {
 		sheet := sheets(t, 1)[0]
 		whole, _ := new(coder).all(sheet, false)
-		full := &wire.Raw{Body: whole}
+		full := &rpc.Raw{Body: whole}
 		for _, last := range []bool{true, false} {
 			board := &switchboard{listeners: map[string]*board{}}
 			ctx, end := context.WithCancel(t.Context())
-			var members []wire.Member
+			var members []rpc.Member
 			for i := range 3 {
-				members = append(members, wire.Member{Name: mark.Name(fmt.Sprint("core", i)), Birth: "b", Wire: fmt.Sprintf("10.0.0.%d:1", i+1), Zone: "a", Core: true, Keeps: true, Incarnation: 1, State: membership.Alive})
+				members = append(members, rpc.Member{Name: ids.Name(fmt.Sprint("core", i)), Birth: "b", Wire: fmt.Sprintf("10.0.0.%d:1", i+1), Zone: "a", Core: true, Keeps: true, Incarnation: 1, State: membership.Alive})
 			}
 			var asked [3]*[]time.Time
 			r := board.realm(t, ctx, "proxy", "10.0.0.9:7")
-			w := wire.New(r)
-			k := membership.New(r, w, wire.Member{Name: "proxy", Birth: "p", Wire: "10.0.0.9:7", Zone: "a"})
-			order := map[mark.Name]int{}
+			w := rpc.New(r)
+			k := membership.New(r, w, rpc.Member{Name: "proxy", Birth: "p", Wire: "10.0.0.9:7", Zone: "a"})
+			order := map[ids.Name]int{}
 			for i, m := range members {
-				asked[i] = fakeCore(t, board, ctx, m.Name, m.Wire, func() []wire.Member { return members }, func(n int) any {
+				asked[i] = fakeCore(t, board, ctx, m.Name, m.Wire, func() []rpc.Member { return members }, func(n int) any {
 					// The last in the list gives, or all give only when asked the sixth time.
 					if last && order[m.Name] == 2 || n > 5 {
 						return full
 					}
-					return &wire.FetchReceipt{Later: 70}
+					return &rpc.FetchReceipt{Later: 70}
 				})
 			}
 			if !k.Sync(members[0].Wire) {
--- a/internal/realm/clock_test.go
+++ b/internal/environment/clock_test.go
@@ -1,7 +1,7 @@
 // Clocks may jump, so no wall clock may decide anything: times stay inside the
 // process, where Go keeps their monotonic part, and only ages travel. This looks
 // for whatever would take that part off.
-package realm
+package environment
 
 import (
 	"os"
--- a/internal/realm/pause_test.go
+++ b/internal/environment/pause_test.go
@@ -1,7 +1,7 @@
 // A pause of nothing: a timer that is due at once is run by whoever selects on it, and in
 // a bubble of virtual time under the race detector that ends the whole process (a check of
 // the detector fails, or it reads where nothing is). So no timer is made for it.
-package realm
+package environment
 
 import (
 	"io"
@@ -9,14 +9,14 @@
 	"testing"
 	"testing/synctest"
 
-	"github.com/sumactrestle/sumactrestle/internal/props"
-	"github.com/sumactrestle/sumactrestle/internal/sign"
+	"github.com/sumactrestle/sumactrestle/internal/config"
+	"github.com/sumactrestle/sumactrestle/internal/eventlog"
 )
 
 func TestAPauseOfNothingNeedsNoTimer(t *testing.T) {
 	for range 20 {
 		synctest.Test(t, func(t *testing.T) {
-			r := New(t.Context(), &props.Props{}, sign.New(io.Discard, "info", "n"), Net{})
+			r := New(t.Context(), &config.Props{}, eventlog.New(io.Discard, "info", "n"), Net{})
 			var all sync.WaitGroup
 			for range 50 {
 				all.Go(func() {
--- a/internal/realm/realm.go
+++ b/internal/environment/realm.go
@@ -2,7 +2,7 @@
 // (settings, events, the network and the disk it may use, and the end of its
 // life), handed on in place of many arguments. The simulator makes realms with
 // a network and disks of its own; everything else stays the same.
-package realm
+package environment
 
 import (
 	"context"
@@ -16,10 +16,10 @@
 	"github.com/syndtr/goleveldb/leveldb/storage"
 	"golang.org/x/sys/unix"
 
-	"github.com/sumactrestle/sumactrestle/internal/gauge"
-	"github.com/sumactrestle/sumactrestle/internal/mark"
-	"github.com/sumactrestle/sumactrestle/internal/props"
-	"github.com/sumactrestle/sumactrestle/internal/sign"
+	"github.com/sumactrestle/sumactrestle/internal/config"
+	"github.com/sumactrestle/sumactrestle/internal/eventlog"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
+	"github.com/sumactrestle/sumactrestle/internal/metrics"
 )
 
 // Net is the verbs by which a node reaches others and its disk.
@@ -36,11 +36,11 @@
 // Realm is one life of one node.
 type Realm struct {
 	context.Context
-	Props *props.Props
-	Sign  *sign.Sign
+	Props *config.Props
+	Sign  *eventlog.Sign
 	Net   Net
-	Name  mark.Name
-	Times *gauge.Times
+	Name  ids.Name
+	Times *metrics.Times
 	// Trace is called with the steps of the replicated parts, if it is set; the
 	// simulator holds them against the model.
 	Trace func(step any)
@@ -52,9 +52,9 @@
 	idle  *sync.Cond
 }
 
-func New(parent context.Context, p *props.Props, s *sign.Sign, n Net) *Realm {
+func New(parent context.Context, p *config.Props, s *eventlog.Sign, n Net) *Realm {
 	ctx, end := context.WithCancel(parent)
-	r := &Realm{Context: ctx, Props: p, Sign: s, Net: n, Name: mark.Name(p.Name), Times: &gauge.Times{Services: p.MetricsServices}, end: end}
+	r := &Realm{Context: ctx, Props: p, Sign: s, Net: n, Name: ids.Name(p.Name), Times: &metrics.Times{Services: p.MetricsServices}, end: end}
 	r.idle = sync.NewCond(&r.mu)
 	return r
 }
--- a/internal/fault/fault.go
+++ b/internal/errcode/fault.go
@@ -1,7 +1,7 @@
 // Package fault is the one kind of problem this project answers with: a
 // numbered code from the schema, a note, and the paths of what is wrong.
 // Problems travel between processes by number and are wrapped by trace.
-package fault
+package errcode
 
 import (
 	"errors"
--- a/internal/sign/sign.go
+++ b/internal/eventlog/sign.go
@@ -1,7 +1,7 @@
 // Package sign writes numbered events. Every event is appended to a journal in
 // memory, and what others see (the log, the counters, the recent events of the
 // shell) are views folded from it.
-package sign
+package eventlog
 
 import (
 	"io"
--- a/internal/guise/guise.go
+++ b/internal/gatewayapi/guise.go
@@ -2,7 +2,7 @@
 // the gateway API, by its own types, turned into the mappings and services of a
 // change set. What has no counterpart here is refused by its path, never passed
 // over.
-package guise
+package gatewayapi
 
 import (
 	"bytes"
@@ -14,8 +14,8 @@
 	gateway "sigs.k8s.io/gateway-api/apis/v1"
 	"sigs.k8s.io/yaml"
 
-	"github.com/sumactrestle/sumactrestle/internal/fault"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
 // Annotations by which a route says what the gateway API has no word for.
@@ -25,7 +25,7 @@
 )
 
 type reader struct {
-	change   wire.Change
+	change   rpc.Change
 	services map[string]bool
 	paths    []string
 }
@@ -35,7 +35,7 @@
 }
 
 // Read turns a file of objects into a change set without id and base.
-func Read(raw []byte) (*wire.Change, error) {
+func Read(raw []byte) (*rpc.Change, error) {
 	r := &reader{services: map[string]bool{}}
 	for i, document := range bytes.Split(raw, []byte("\n---")) {
 		document = bytes.TrimPrefix(bytes.TrimSpace(document), []byte("---"))
@@ -44,14 +44,14 @@
 		}
 	}
 	for name := range r.services {
-		r.change.Put.Services = append(r.change.Put.Services, wire.Service{Name: name})
+		r.change.Put.Services = append(r.change.Put.Services, rpc.Service{Name: name})
 	}
 	sort.Slice(r.change.Put.Services, func(i, j int) bool { return r.change.Put.Services[i].Name < r.change.Put.Services[j].Name })
 	if len(r.change.Put.Mappings) == 0 && len(r.paths) == 0 {
 		r.fail("objects", "there is none")
 	}
 	if len(r.paths) > 0 {
-		return nil, fault.At(fault.BadChange, r.paths)
+		return nil, errcode.At(errcode.BadChange, r.paths)
 	}
 	return &r.change, nil
 }
@@ -93,7 +93,7 @@
 	if rule.SessionPersistence != nil {
 		r.fail(at+".sessionPersistence", "is not taken")
 	}
-	base := wire.Mapping{Repeatable: route.Annotations[Repeatable] == "true"}
+	base := rpc.Mapping{Repeatable: route.Annotations[Repeatable] == "true"}
 	if word, ok := route.Annotations[Once]; ok {
 		isOnce := word == "true"
 		base.Once = &isOnce
@@ -119,7 +119,7 @@
 		if ref.Weight != nil {
 			weight = int(*ref.Weight)
 		}
-		base.To = append(base.To, wire.Split{Service: string(ref.Name), Weight: weight})
+		base.To = append(base.To, rpc.Split{Service: string(ref.Name), Weight: weight})
 		r.services[string(ref.Name)] = true
 	}
 	matches := rule.Matches
@@ -131,7 +131,7 @@
 	}
 }
 
-func (r *reader) match(at, name string, m wire.Mapping, match gateway.HTTPRouteMatch, hosts []gateway.Hostname) {
+func (r *reader) match(at, name string, m rpc.Mapping, match gateway.HTTPRouteMatch, hosts []gateway.Hostname) {
 	if len(match.Headers) > 0 {
 		r.fail(at+".headers", "are not taken")
 	}
--- a/internal/guise/guise_test.go
+++ b/internal/gatewayapi/guise_test.go
@@ -1,14 +1,14 @@
 // Objects become mappings and services; what has no counterpart is named.
-package guise
+package gatewayapi
 
 import (
 	"testing"
 
 	"github.com/google/go-cmp/cmp"
 
-	"github.com/sumactrestle/sumactrestle/internal/fault"
-	"github.com/sumactrestle/sumactrestle/internal/plan"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
+	"github.com/sumactrestle/sumactrestle/internal/controlplane"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
 const good = `
@@ -34,18 +34,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := wire.Config{
-		Mappings: []wire.Mapping{
-			{Name: "rates/0/0", Host: "rates.example", Path: "/rates", Methods: []string{"GET"}, To: []wire.Split{{Service: "rates", Weight: 9}, {Service: "rates2", Weight: 1}}, Repeatable: true, Deadline: 3000},
-			{Name: "orders/0/0", Path: "/", To: []wire.Split{{Service: "bookings", Weight: 1}}, Once: new(true)},
+	want := rpc.Config{
+		Mappings: []rpc.Mapping{
+			{Name: "rates/0/0", Host: "rates.example", Path: "/rates", Methods: []string{"GET"}, To: []rpc.Split{{Service: "rates", Weight: 9}, {Service: "rates2", Weight: 1}}, Repeatable: true, Deadline: 3000},
+			{Name: "orders/0/0", Path: "/", To: []rpc.Split{{Service: "bookings", Weight: 1}}, Once: new(true)},
 		},
-		Services: []wire.Service{{Name: "bookings"}, {Name: "rates"}, {Name: "rates2"}},
+		Services: []rpc.Service{{Name: "bookings"}, {Name: "rates"}, {Name: "rates2"}},
 	}
 	if diff := cmp.Diff(want, change.Put); diff != "" {
 		t.Fatal(diff)
 	}
 	change.Id = "x"
-	if _, paths := plan.Lay(wire.Config{}, change); len(paths) > 0 {
+	if _, paths := controlplane.Lay(rpc.Config{}, change); len(paths) > 0 {
 		t.Fatal(paths)
 	}
 }
@@ -83,7 +83,7 @@
 	if err == nil {
 		t.Fatal("taken")
 	}
-	if diff := cmp.Diff(want, fault.Of(err).Paths); diff != "" {
+	if diff := cmp.Diff(want, errcode.Of(err).Paths); diff != "" {
 		t.Fatal(diff)
 	}
 }
--- a/internal/fleet/costs.go
+++ b/internal/harness/costs.go
@@ -1,6 +1,6 @@
 // The costs of a run: processor time by role, messages and bytes by kind, syncs,
 // and profiles of one core node and one proxy if they are asked for.
-package fleet
+package harness
 
 import (
 	"context"
--- a/internal/fleet/costs_test.go
+++ b/internal/harness/costs_test.go
@@ -1,5 +1,5 @@
 // What all nodes have sent, added up over nodes that go and come back.
-package fleet
+package harness
 
 import (
 	"testing"
--- a/internal/fleet/duty.go
+++ b/internal/harness/duty.go
@@ -1,7 +1,7 @@
 // Small processors, stood in for: each process is stopped and continued in a fixed
 // cycle, so that it has a quarter, a third or all of one processor. It is harder
 // than a quota, for a process that has nothing to do is stopped as well.
-package fleet
+package harness
 
 import (
 	"context"
--- a/internal/fleet/fleet.go
+++ b/internal/harness/fleet.go
@@ -2,7 +2,7 @@
 // address for each machine, and does to them what the brief says happens: kill,
 // stop, freeze, wipe, bring back. It is the harness's; a node never starts a
 // process.
-package fleet
+package harness
 
 import (
 	"context"
@@ -19,7 +19,7 @@
 
 	"github.com/sumactrestle/sumactrestle/internal/api"
 	"github.com/sumactrestle/sumactrestle/internal/checker"
-	"github.com/sumactrestle/sumactrestle/internal/fault"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
 )
 
 // Machine is one node's place.
@@ -236,7 +236,7 @@
 func (f *Fleet) StartAll() error {
 	for _, m := range f.Machines {
 		if err := m.Start(); err != nil {
-			return fault.New(fault.Internal, "%s: %v", m.Name, err)
+			return errcode.New(errcode.Internal, "%s: %v", m.Name, err)
 		}
 	}
 	return nil
@@ -270,7 +270,7 @@
 				break
 			}
 			if ctx.Err() != nil {
-				return fault.New(fault.Unreached, "%s is not ready: %v", m.Name, err)
+				return errcode.New(errcode.Unreached, "%s is not ready: %v", m.Name, err)
 			}
 			select {
 			case <-ctx.Done():
@@ -300,5 +300,5 @@
 			return port, nil
 		}
 	}
-	return 0, fault.New(fault.Internal, "no free ports")
+	return 0, errcode.New(errcode.Internal, "no free ports")
 }
--- a/internal/fleet/relay.go
+++ b/internal/harness/relay.go
@@ -2,7 +2,7 @@
 // UDP, and can cut ways between machines: it tells who sends by the sender's IP
 // number. What is cut is held back (TCP) or lost (UDP), as on a broken network;
 // nobody is told.
-package fleet
+package harness
 
 import (
 	"context"
--- a/internal/fleet/run.go
+++ b/internal/harness/run.go
@@ -1,7 +1,7 @@
 // A run of a whole deployment as real processes: load at the shape's rates
 // times a factor, faults drawn from a seed, a history judged at the end, and
 // the costs: processor time by role, bytes between zones by cause, syncs.
-package fleet
+package harness
 
 import (
 	"context"
@@ -17,9 +17,9 @@
 
 	"github.com/sumactrestle/sumactrestle/internal/api"
 	"github.com/sumactrestle/sumactrestle/internal/checker"
-	"github.com/sumactrestle/sumactrestle/internal/fault"
-	"github.com/sumactrestle/sumactrestle/internal/mark"
-	"github.com/sumactrestle/sumactrestle/internal/realm"
+	"github.com/sumactrestle/sumactrestle/internal/environment"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
 	"github.com/sumactrestle/sumactrestle/internal/standin"
 )
 
@@ -78,7 +78,7 @@
 	for _, m := range r.f.ProxyMachines() {
 		nodes = append(nodes, m.Api())
 	}
-	s := &standin.Server{Net: realm.Host(""), H: r.h, Service: service, Zone: zone, Address: address, Key: "key-" + service, Nodes: nodes, Work: r.Work}
+	s := &standin.Server{Net: environment.Host(""), H: r.h, Service: service, Zone: zone, Address: address, Key: "key-" + service, Nodes: nodes, Work: r.Work}
 	if err := s.Start(r.ctx); err != nil {
 		r.say("%s at %s: %v", service, address, err)
 		return
@@ -101,7 +101,7 @@
 func (r *Run) Go(ctx context.Context, binary, folder string, shape Shape, out io.Writer) error {
 	hurt, ok := Faults[r.Fault]
 	if !ok {
-		return fault.New(fault.BadCall, "no fault %q", r.Fault)
+		return errcode.New(errcode.BadCall, "no fault %q", r.Fault)
 	}
 	port, err := FreePort()
 	if err != nil {
@@ -112,7 +112,7 @@
 	r.f.IsDebugged = r.Profile != ""
 	r.f.isSmall, r.f.Other = r.IsSmall, r.Other
 	if r.Fault == "roll" && r.Other == "" {
-		return fault.New(fault.BadCall, "a roll needs another build (--other)")
+		return errcode.New(errcode.BadCall, "a roll needs another build (--other)")
 	}
 	if r.Eager >= 0 {
 		r.shape.Impatient = r.Eager
@@ -145,7 +145,7 @@
 			s.Close()
 		}
 	}()
-	operator := standin.NewOperator(realm.Host(""), r.h, r.f.ProxyMachines()[0].Api())
+	operator := standin.NewOperator(environment.Host(""), r.h, r.f.ProxyMachines()[0].Api())
 	first := FirstChange("first", services)
 	for i, m := range first.Put.Value.Mappings {
 		first.Put.Value.Mappings[i].Once = api.NewOptBool(!r.IsTwice && !m.Repeatable.Value)
@@ -154,7 +154,7 @@
 		first.Put.Value.Mappings = append(first.Put.Value.Mappings, api.Mapping{Name: fmt.Sprint("more", i), Path: fmt.Sprint("/more/", i), To: []api.Split{{Service: shape.Loads[0].Service, Weight: 1}}})
 	}
 	if err := Until(ctx, 30*time.Second, func() bool { _, err := operator.Submit(ctx, first); return err == nil }); err != nil {
-		return fault.New(fault.Internal, "the first change set was not accepted")
+		return errcode.New(errcode.Internal, "the first change set was not accepted")
 	}
 	wait, end := context.WithTimeout(ctx, 30*time.Second)
 	err = r.f.AwaitReady(wait)
@@ -200,7 +200,7 @@
 		r.costs(took, before, after, traffic, later)
 	}
 	if !verdict.IsClean() {
-		return fault.New(fault.Internal, "the history breaks a rule")
+		return errcode.New(errcode.Internal, "the history breaks a rule")
 	}
 	return nil
 }
@@ -221,7 +221,7 @@
 			loads.Add(1)
 			go func() {
 				defer loads.Done()
-				caller := standin.NewCaller(realm.Host(""), r.h)
+				caller := standin.NewCaller(environment.Host(""), r.h)
 				caller.Once = !r.IsTwice
 				defer caller.Close()
 				var mine sync.WaitGroup
@@ -259,7 +259,7 @@
 			defer tick.Stop()
 			var clients []*api.Client
 			for _, m := range r.f.Machines {
-				clients = append(clients, standin.Client(realm.Host(""), m.Api()))
+				clients = append(clients, standin.Client(environment.Host(""), m.Api()))
 			}
 			for n := 0; ; n++ {
 				select {
@@ -282,7 +282,7 @@
 		caller.Call(context.Background(), gate(), "GET", "/"+l.Service+"/x", l.Service, nil)
 		return
 	}
-	call := mark.NewID()
+	call := ids.NewID()
 	got := caller.Repeat(context.Background(), gate(), "POST", "/"+l.Service, l.Service, body, call, false)
 	for try := 0; try < 5 && got.Outcome != "ran" && rand.Float64() < r.shape.Impatient; try++ {
 		got = caller.Repeat(context.Background(), gate(), "POST", "/"+l.Service, l.Service, body, call, true)
@@ -299,10 +299,10 @@
 	switch n % 3 {
 	case 0:
 		rec.Op, rec.Name = "add", "count/"+app
-		receipt, err = client.AddCounter(ctx, &api.Call{Name: rec.Name, ID: api.NewOptString(mark.NewID())})
+		receipt, err = client.AddCounter(ctx, &api.Call{Name: rec.Name, ID: api.NewOptString(ids.NewID())})
 	case 1:
 		rec.Op, rec.Name = "put", fmt.Sprint("key", n%5)
-		receipt, err = client.PutKey(ctx, &api.Call{Name: rec.Name, Value: jx.Raw("1"), ID: api.NewOptString(mark.NewID())})
+		receipt, err = client.PutKey(ctx, &api.Call{Name: rec.Name, Value: jx.Raw("1"), ID: api.NewOptString(ids.NewID())})
 	default:
 		rec.Op, rec.Name = "get", fmt.Sprint("key", n%5)
 		receipt, err = client.GetKey(ctx, api.GetKeyParams{Name: rec.Name})
@@ -311,7 +311,7 @@
 	switch {
 	case err == nil:
 		rec.Stamp, rec.Count = receipt.Stamp, receipt.Count.Or(0)
-	case rec.Op == "get" && rec.Code == fault.NoKey.No:
+	case rec.Op == "get" && rec.Code == errcode.NoKey.No:
 	default:
 		rec.Outcome = "unknown"
 	}
@@ -330,7 +330,7 @@
 		}
 	}
 	back := r.h.Now()
-	caller := standin.NewCaller(realm.Host(""), r.h)
+	caller := standin.NewCaller(environment.Host(""), r.h)
 	defer caller.Close()
 	rec := checker.Record{Kind: checker.Rescue, Start: back, Outcome: "usable"}
 	for _, m := range r.f.ProxyMachines() {
--- a/internal/fleet/shape.go
+++ b/internal/harness/shape.go
@@ -1,6 +1,6 @@
 // The two deployments, as shapes: machines, zones, servers and rates of today.
 // A run scales the rates by a factor that it prints.
-package fleet
+package harness
 
 import (
 	"fmt"
@@ -8,8 +8,8 @@
 	"sort"
 
 	"github.com/sumactrestle/sumactrestle/internal/api"
-	"github.com/sumactrestle/sumactrestle/internal/fault"
-	"github.com/sumactrestle/sumactrestle/internal/realm"
+	"github.com/sumactrestle/sumactrestle/internal/environment"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
 	"github.com/sumactrestle/sumactrestle/internal/standin"
 )
 
@@ -53,7 +53,7 @@
 			names = append(names, name)
 		}
 		sort.Strings(names)
-		return s, fault.New(fault.BadCall, "no shape %q; there are %v", name, names)
+		return s, errcode.New(errcode.BadCall, "no shape %q; there are %v", name, names)
 	}
 	return s, nil
 }
@@ -82,7 +82,7 @@
 // changeOne adds one mapping, for what a small change to a large configuration
 // costs.
 func changeOne(r *Run, rnd *rand.Rand) {
-	operator := standin.NewOperator(realm.Host(""), r.h, r.f.ProxyMachines()[0].Api())
+	operator := standin.NewOperator(environment.Host(""), r.h, r.f.ProxyMachines()[0].Api())
 	if view, err := operator.Epoch(r.ctx); err == nil {
 		id := fmt.Sprint("small", r.changes.Add(1))
 		config := api.Config{Mappings: []api.Mapping{{Name: id, Path: "/" + id, To: []api.Split{{Service: r.shape.Loads[0].Service, Weight: 1}}}}}
@@ -107,7 +107,7 @@
 
 // growSome adds a hundred mappings in one change set.
 func growSome(r *Run, rnd *rand.Rand) {
-	operator := standin.NewOperator(realm.Host(""), r.h, r.f.ProxyMachines()[0].Api())
+	operator := standin.NewOperator(environment.Host(""), r.h, r.f.ProxyMachines()[0].Api())
 	if view, err := operator.Epoch(r.ctx); err == nil {
 		id, config := fmt.Sprint("grown", r.changes.Add(1)), api.Config{}
 		for i := range 100 {
--- a/internal/fleet/smoke.go
+++ b/internal/harness/smoke.go
@@ -2,7 +2,7 @@
 // change set is adopted and carried to every proxy, callers get sealed answers,
 // a core node and a proxy are killed and come back, and the history is judged.
 // It is bounded in counts and time, and its verdict hangs on safety only.
-package fleet
+package harness
 
 import (
 	"context"
@@ -12,8 +12,8 @@
 
 	"github.com/sumactrestle/sumactrestle/internal/api"
 	"github.com/sumactrestle/sumactrestle/internal/checker"
-	"github.com/sumactrestle/sumactrestle/internal/fault"
-	"github.com/sumactrestle/sumactrestle/internal/realm"
+	"github.com/sumactrestle/sumactrestle/internal/environment"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
 	"github.com/sumactrestle/sumactrestle/internal/standin"
 )
 
@@ -47,7 +47,7 @@
 		return err
 	}
 	h.Add(checker.Record{Kind: checker.Began, Note: "smoke"})
-	host := realm.Host("")
+	host := environment.Host("")
 	services := map[string]bool{"rates": true, "bookings": false}
 	for name := range services {
 		for i := range 3 {
@@ -66,7 +66,7 @@
 		}
 		return err == nil
 	}); err != nil {
-		return fault.New(fault.Internal, "the first change set was not accepted")
+		return errcode.New(errcode.Internal, "the first change set was not accepted")
 	}
 	wait, end := context.WithTimeout(ctx, 30*time.Second)
 	defer end()
@@ -86,7 +86,7 @@
 	everyProxy := func(what string) error {
 		for _, proxy := range f.ProxyMachines() {
 			if err := Until(ctx, 30*time.Second, served(proxy)); err != nil {
-				return fault.New(fault.Internal, "%s: %s does not serve", what, proxy.Name)
+				return errcode.New(errcode.Internal, "%s: %s does not serve", what, proxy.Name)
 			}
 		}
 		say("%s: every proxy serves", what)
@@ -114,7 +114,7 @@
 	}
 	for _, name := range []string{"proxy1", "core2"} {
 		if !f.Of(name).Stop() {
-			return fault.New(fault.Internal, "%s did not stop in time", name)
+			return errcode.New(errcode.Internal, "%s did not stop in time", name)
 		}
 		say("%s stopped by itself", name)
 	}
@@ -122,7 +122,7 @@
 	verdict := checker.Judge(h.Records())
 	fmt.Fprint(out, verdict)
 	if !verdict.IsClean() {
-		return fault.New(fault.Internal, "the history breaks a rule")
+		return errcode.New(errcode.Internal, "the history breaks a rule")
 	}
 	return nil
 }
@@ -132,7 +132,7 @@
 	over := time.Now().Add(limit)
 	for !isSo() {
 		if time.Now().After(over) || ctx.Err() != nil {
-			return fault.New(fault.Internal, "not in time")
+			return errcode.New(errcode.Internal, "not in time")
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
--- a/internal/fleet/up.go
+++ b/internal/harness/up.go
@@ -1,6 +1,6 @@
 // Up keeps a fleet with stand-in servers running, for whoever wants to look at
 // it, call it and hurt it by hand.
-package fleet
+package harness
 
 import (
 	"context"
@@ -9,8 +9,8 @@
 	"time"
 
 	"github.com/sumactrestle/sumactrestle/internal/checker"
-	"github.com/sumactrestle/sumactrestle/internal/fault"
-	"github.com/sumactrestle/sumactrestle/internal/realm"
+	"github.com/sumactrestle/sumactrestle/internal/environment"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
 	"github.com/sumactrestle/sumactrestle/internal/standin"
 )
 
@@ -33,9 +33,9 @@
 			r.serve(l.Service, fmt.Sprintf("127.8.%d.%d:%d", len(services), i+1, port), fmt.Sprintf("zone%d", i%shape.Zones+1))
 		}
 	}
-	operator := standin.NewOperator(realm.Host(""), r.h, f.ProxyMachines()[0].Api())
+	operator := standin.NewOperator(environment.Host(""), r.h, f.ProxyMachines()[0].Api())
 	if err := Until(ctx, 30*time.Second, func() bool { _, err := operator.Submit(ctx, FirstChange("first", services)); return err == nil }); err != nil {
-		return fault.New(fault.Internal, "the first change set was not accepted")
+		return errcode.New(errcode.Internal, "the first change set was not accepted")
 	}
 	wait, end := context.WithTimeout(ctx, 30*time.Second)
 	err = f.AwaitReady(wait)
--- a/internal/hollow/gauge.go
+++ b/internal/hollow/gauge.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"github.com/sumactrestle/sumactrestle/internal/api"
-	"github.com/sumactrestle/sumactrestle/internal/fleet"
+	"github.com/sumactrestle/sumactrestle/internal/harness"
 )
 
 // The roles that figures are told for. A real gate is one `sumac node` beside the
@@ -68,8 +68,8 @@
 		}
 		sum := m.of(role)
 		sum.nodes += nodes
-		sum.cpu += fleet.Spent(c.cmd.Process.Pid)
-		sum.memory += fleet.Resident(c.cmd.Process.Pid)
+		sum.cpu += harness.Spent(c.cmd.Process.Pid)
+		sum.memory += harness.Resident(c.cmd.Process.Pid)
 		for kind, sent := range reading.Traffic {
 			sum.add(kind, sent[0], sent[1])
 		}
@@ -85,8 +85,8 @@
 		}
 		sum := m.of(roles[machine.Name])
 		sum.nodes++
-		sum.cpu += fleet.Spent(machine.Pid())
-		sum.memory += fleet.Resident(machine.Pid())
+		sum.cpu += harness.Spent(machine.Pid())
+		sum.memory += harness.Resident(machine.Pid())
 		rows, err := show(ctx, machine, api.ShowWhatTraffic)
 		if err != nil {
 			return nil, err
@@ -107,7 +107,7 @@
 	return m, nil
 }
 
-func show(ctx context.Context, m *fleet.Machine, what api.ShowWhat) ([][]string, error) {
+func show(ctx context.Context, m *harness.Machine, what api.ShowWhat) ([][]string, error) {
 	client, err := api.NewClient("http://" + m.Api())
 	if err != nil {
 		return nil, err
--- a/internal/hollow/part.go
+++ b/internal/hollow/part.go
@@ -15,15 +15,15 @@
 	"sync"
 	"time"
 
+	"github.com/sumactrestle/sumactrestle/internal/config"
 	"github.com/sumactrestle/sumactrestle/internal/distribution"
-	"github.com/sumactrestle/sumactrestle/internal/fault"
-	"github.com/sumactrestle/sumactrestle/internal/mark"
+	"github.com/sumactrestle/sumactrestle/internal/environment"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
+	"github.com/sumactrestle/sumactrestle/internal/eventlog"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
 	"github.com/sumactrestle/sumactrestle/internal/membership"
-	"github.com/sumactrestle/sumactrestle/internal/props"
-	"github.com/sumactrestle/sumactrestle/internal/realm"
-	"github.com/sumactrestle/sumactrestle/internal/seat"
-	"github.com/sumactrestle/sumactrestle/internal/sign"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
+	"github.com/sumactrestle/sumactrestle/internal/node"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
 // Brief is the first line a Part reads: gates or targets from First on.
@@ -60,12 +60,12 @@
 }
 
 type swap struct {
-	epoch mark.Epoch
+	epoch ids.Epoch
 	at    time.Time
 }
 
 type gate struct {
-	node  *seat.Node
+	node  *node.Node
 	mu    sync.Mutex
 	swaps []swap
 }
@@ -139,13 +139,13 @@
 	for key, value := range p.Settings {
 		set[key] = value
 	}
-	settings, err := props.Load("", set)
+	settings, err := config.Load("", set)
 	if err != nil {
 		return nil, err
 	}
-	r := realm.New(ctx, settings, sign.New(io.Discard, settings.LogLevel, settings.Name), realm.Host(settings.WireAddress))
+	r := environment.New(ctx, settings, eventlog.New(io.Discard, settings.LogLevel, settings.Name), environment.Host(settings.WireAddress))
 	g := &gate{}
-	if g.node, err = seat.Start(r); err != nil {
+	if g.node, err = node.Start(r); err != nil {
 		r.End()
 		return nil, err
 	}
@@ -162,7 +162,7 @@
 	g.mu.Unlock()
 }
 
-func (g *gate) reached(epoch mark.Epoch) (at time.Time, ok bool) {
+func (g *gate) reached(epoch ids.Epoch) (at time.Time, ok bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, s := range g.swaps {
@@ -199,7 +199,7 @@
 		if g.isWhole(ask.Members) {
 			reading.Whole++
 		}
-		if at, ok := g.reached(mark.Epoch(ask.Epoch)); ok {
+		if at, ok := g.reached(ids.Epoch(ask.Epoch)); ok {
 			reading.Reached = append(reading.Reached, time.Since(at).Nanoseconds())
 		}
 		epoch, _ := g.node.Flow.Cache.Have()
@@ -218,15 +218,15 @@
 }
 
 // weigh fetches all groups as a gate does at its start and tells their bytes by kind.
-func weigh(parent context.Context, node *seat.Node) (map[string]int64, error) {
+func weigh(parent context.Context, node *node.Node) (map[string]int64, error) {
 	cores := node.Kin.Cores()
 	if len(cores) == 0 {
-		return nil, fault.New(fault.Unreached, "no core node is known")
+		return nil, errcode.New(errcode.Unreached, "no core node is known")
 	}
 	ctx, end := context.WithTimeout(parent, 10*time.Second)
 	defer end()
-	var receipt wire.FetchReceipt
-	if err := node.Wire.Ask(ctx, cores[0].Wire, "flow.fetch", &wire.FetchAsk{}, &receipt); err != nil {
+	var receipt rpc.FetchReceipt
+	if err := node.Wire.Ask(ctx, cores[0].Wire, "flow.fetch", &rpc.FetchAsk{}, &receipt); err != nil {
 		return nil, err
 	}
 	weights := map[string]int64{}
--- a/internal/hollow/run.go
+++ b/internal/hollow/run.go
@@ -13,9 +13,9 @@
 	"time"
 
 	"github.com/sumactrestle/sumactrestle/internal/api"
-	"github.com/sumactrestle/sumactrestle/internal/fault"
-	"github.com/sumactrestle/sumactrestle/internal/fleet"
-	"github.com/sumactrestle/sumactrestle/internal/realm"
+	"github.com/sumactrestle/sumactrestle/internal/environment"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
+	"github.com/sumactrestle/sumactrestle/internal/harness"
 	"github.com/sumactrestle/sumactrestle/internal/standin"
 )
 
@@ -40,7 +40,7 @@
 // Run is one.
 type Run struct {
 	Size
-	f        *fleet.Fleet
+	f        *harness.Fleet
 	children []*child
 	client   *api.Client
 	out      io.Writer
@@ -63,11 +63,11 @@
 	}
 	for _, b := range bounds {
 		if b.value < b.low || b.value > b.high {
-			return fault.New(fault.BadCall, "--%s %d is outside %d to %d", b.name, b.value, b.low, b.high)
+			return errcode.New(errcode.BadCall, "--%s %d is outside %d to %d", b.name, b.value, b.low, b.high)
 		}
 	}
 	if s.Beat < 50*time.Millisecond || s.Beat > time.Minute {
-		return fault.New(fault.BadCall, "--beat %s is outside 50ms to 1m", s.Beat)
+		return errcode.New(errcode.BadCall, "--beat %s is outside 50ms to 1m", s.Beat)
 	}
 	return nil
 }
@@ -77,7 +77,7 @@
 	if err := r.Check(); err != nil {
 		return nil, err
 	}
-	port, err := fleet.FreePort()
+	port, err := harness.FreePort()
 	if err != nil {
 		return nil, err
 	}
@@ -88,7 +88,7 @@
 	for key, value := range r.Settings {
 		settings[key] = value
 	}
-	r.f = fleet.New(binary, folder, port, r.Cores, 1, r.Zones)
+	r.f = harness.New(binary, folder, port, r.Cores, 1, r.Zones)
 	r.f.Settings = settings
 	defer r.f.KillAll()
 	defer func() {
@@ -101,9 +101,9 @@
 	if err := r.f.StartAll(); err != nil {
 		return nil, err
 	}
-	r.client = standin.Client(realm.Host(""), r.f.CoreMachines()[0].Api())
-	if err := fleet.Until(ctx, r.limit, func() bool { _, err := r.submit(ctx, r.whole()); return err == nil }); err != nil {
-		return nil, fault.New(fault.Internal, "the first change set was not accepted")
+	r.client = standin.Client(environment.Host(""), r.f.CoreMachines()[0].Api())
+	if err := harness.Until(ctx, r.limit, func() bool { _, err := r.submit(ctx, r.whole()); return err == nil }); err != nil {
+		return nil, errcode.New(errcode.Internal, "the first change set was not accepted")
 	}
 	r.say("%d core nodes hold %d routes of %d services", r.Cores, r.Routes, r.Services)
 	if err := r.f.AwaitReady(ctx); err != nil {
@@ -194,7 +194,7 @@
 	}
 	r.say("not settled: %d of %d gates know every member; the last epoch, %d, came %s ago", whole, r.Gates, last, time.Since(since).Round(time.Second))
 	if whole < r.Gates/2 {
-		return fault.New(fault.Internal, "the fleet did not come together")
+		return errcode.New(errcode.Internal, "the fleet did not come together")
 	}
 	return nil
 }
--- a/internal/hollow/table.go
+++ b/internal/hollow/table.go
@@ -12,7 +12,7 @@
 
 	"gonum.org/v1/gonum/stat"
 
-	"github.com/sumactrestle/sumactrestle/internal/fault"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
 )
 
 // Axes are the sizes along which runs may differ.
@@ -50,7 +50,7 @@
 func Slopes(out io.Writer, reports []Report, axis string, at float64, words []string) error {
 	sizeOf, ok := Axes[axis]
 	if !ok {
-		return fault.New(fault.BadCall, "there is no axis %q", axis)
+		return errcode.New(errcode.BadCall, "there is no axis %q", axis)
 	}
 	reports = slices.Clone(reports)
 	slices.SortFunc(reports, func(a, b Report) int { return cmp.Compare(sizeOf(a.Size), sizeOf(b.Size)) })
--- a/internal/hollow/targets.go
+++ b/internal/hollow/targets.go
@@ -18,7 +18,7 @@
 	"time"
 
 	"github.com/sumactrestle/sumactrestle/internal/api"
-	"github.com/sumactrestle/sumactrestle/internal/mark"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
 )
 
 const (
@@ -54,7 +54,7 @@
 // run beats for one target; a connection that fails is dialled anew, at the next
 // core node.
 func (t *targets) run(ctx context.Context, no int) {
-	instance, seq, at := mark.NewID(), uint64(0), no
+	instance, seq, at := ids.NewID(), uint64(0), no
 	var conn net.Conn
 	var reader *bufio.Reader
 	defer func() {
--- a/internal/mark/mark.go
+++ b/internal/ids/mark.go
@@ -2,7 +2,7 @@
 // names, births, parts, terms, stamps, epochs. A Term orders owners of a part
 // (round first, then node name); a Stamp is an index in a part's log; an Epoch
 // numbers the whole plan and only grows.
-package mark
+package ids
 
 import (
 	"crypto/rand"
--- a/internal/membership/kin.go
+++ b/internal/membership/kin.go
@@ -12,10 +12,10 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/sumactrestle/sumactrestle/internal/mark"
-	"github.com/sumactrestle/sumactrestle/internal/realm"
-	"github.com/sumactrestle/sumactrestle/internal/sign"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
+	"github.com/sumactrestle/sumactrestle/internal/environment"
+	"github.com/sumactrestle/sumactrestle/internal/eventlog"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
 const (
@@ -31,7 +31,7 @@
 
 // known is a member with what this node alone knows of it.
 type known struct {
-	member wire.Member
+	member rpc.Member
 	since  time.Time
 	sum    uint64
 	sent   int // how often it was passed on
@@ -40,18 +40,18 @@
 
 // Kin is one node's view of the fleet. View is copy-on-write.
 type Kin struct {
-	r    *realm.Realm
-	w    *wire.Wire
+	r    *environment.Realm
+	w    *rpc.Wire
 	conn net.PacketConn
 
 	mu      sync.Mutex
-	me      wire.Member
-	members map[mark.Name]*known
+	me      rpc.Member
+	members map[ids.Name]*known
 	seq     uint64
 	acks    map[uint64]chan struct{}
-	order   []mark.Name
+	order   []ids.Name
 	turn    uint64
-	view    atomic.Pointer[map[mark.Name]Standing]
+	view    atomic.Pointer[map[ids.Name]Standing]
 	zones   atomic.Pointer[map[string]string]
 
 	sum     uint64 // of all members but this one
@@ -71,23 +71,23 @@
 
 // Standing is a member and since when it stands as it does.
 type Standing struct {
-	wire.Member
+	rpc.Member
 	Since time.Time
 }
 
-func New(r *realm.Realm, w *wire.Wire, me wire.Member) *Kin {
+func New(r *environment.Realm, w *rpc.Wire, me rpc.Member) *Kin {
 	me.Incarnation, me.State = 1, Alive
-	k := &Kin{r: r, w: w, me: me, members: map[mark.Name]*known{}, acks: map[uint64]chan struct{}{}}
+	k := &Kin{r: r, w: w, me: me, members: map[ids.Name]*known{}, acks: map[uint64]chan struct{}{}}
 	k.publish()
 	k.Reseed(r.Props.Seeds)
-	w.Handle("kin.sync", func(c *wire.Call) (any, error) {
-		var ask wire.KinSync
+	w.Handle("kin.sync", func(c *rpc.Call) (any, error) {
+		var ask rpc.KinSync
 		if err := c.Read(&ask); err != nil {
 			return nil, err
 		}
 		return k.compare(&ask)
 	})
-	w.Handle("kin.here", func(c *wire.Call) (any, error) { return k.Me(), nil })
+	w.Handle("kin.here", func(c *rpc.Call) (any, error) { return k.Me(), nil })
 	return k
 }
 
@@ -124,14 +124,14 @@
 }
 
 // Me is how this node shows itself.
-func (k *Kin) Me() wire.Member {
+func (k *Kin) Me() rpc.Member {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.me
 }
 
 // Amend changes what this node shows of itself.
-func (k *Kin) Amend(change func(*wire.Member)) {
+func (k *Kin) Amend(change func(*rpc.Member)) {
 	k.mu.Lock()
 	change(&k.me)
 	k.me.Incarnation++
@@ -140,23 +140,23 @@
 }
 
 // View is all members by name, this one included; not to be written to.
-func (k *Kin) View() map[mark.Name]Standing { return *k.view.Load() }
+func (k *Kin) View() map[ids.Name]Standing { return *k.view.Load() }
 
 // Of finds a member that is not down.
-func (k *Kin) Of(name mark.Name) (wire.Member, bool) {
+func (k *Kin) Of(name ids.Name) (rpc.Member, bool) {
 	s, ok := k.View()[name]
 	return s.Member, ok && (s.State == Alive || s.State == Suspect)
 }
 
 // IsLive tells whether exactly this life of a node seems live.
-func (k *Kin) IsLive(peer wire.Peer) bool {
+func (k *Kin) IsLive(peer rpc.Peer) bool {
 	m, ok := k.Of(peer.Name)
 	return ok && m.Birth == peer.Birth
 }
 
 // Cores is the live core members, own zone first, then by a fixed order.
-func (k *Kin) Cores() []wire.Member {
-	var cores []wire.Member
+func (k *Kin) Cores() []rpc.Member {
+	var cores []rpc.Member
 	for _, s := range k.View() {
 		if s.Core && (s.State == Alive || s.State == Suspect) {
 			cores = append(cores, s.Member)
@@ -168,7 +168,7 @@
 		if (a.Zone == zone) != (b.Zone == zone) {
 			return a.Zone == zone
 		}
-		x, y := mark.Score(string(k.r.Name), string(a.Name)), mark.Score(string(k.r.Name), string(b.Name))
+		x, y := ids.Score(string(k.r.Name), string(a.Name)), ids.Score(string(k.r.Name), string(b.Name))
 		if x != y {
 			return x < y
 		}
@@ -179,9 +179,9 @@
 
 // Keepers is the live core members that hold the configuration part, in the order
 // of Cores; all of them while none is known to.
-func (k *Kin) Keepers() []wire.Member {
+func (k *Kin) Keepers() []rpc.Member {
 	cores := k.Cores()
-	var keepers []wire.Member
+	var keepers []rpc.Member
 	for _, m := range cores {
 		if m.Keeps {
 			keepers = append(keepers, m)
@@ -194,7 +194,7 @@
 }
 
 func (k *Kin) publish() {
-	view := make(map[mark.Name]Standing, len(k.members)+1)
+	view := make(map[ids.Name]Standing, len(k.members)+1)
 	for name, m := range k.members {
 		view[name] = Standing{m.member, m.since}
 	}
@@ -224,10 +224,10 @@
 // learn folds others' news into the view. Within one birth the higher
 // incarnation wins, and at the same one the worse state; another birth wins
 // over one that is known to be down, or by coming from the node itself.
-func (k *Kin) learn(news []wire.Member) { k.take(news, false) }
+func (k *Kin) learn(news []rpc.Member) { k.take(news, false) }
 
 // take is learn, also of whole lists: those in a list are known to others already.
-func (k *Kin) take(news []wire.Member, isList bool) {
+func (k *Kin) take(news []rpc.Member, isList bool) {
 	if isList && !k.isNews(news) {
 		return
 	}
@@ -243,7 +243,7 @@
 			continue
 		}
 		old, ok := k.members[m.Name]
-		before := wire.Member{}
+		before := rpc.Member{}
 		if ok {
 			before = old.member
 		}
@@ -255,9 +255,9 @@
 		}
 		switch {
 		case !ok:
-			k.r.Sign.Say(sign.MemberUp, "member", string(m.Name), "wire", m.Wire, "zone", m.Zone)
+			k.r.Sign.Say(eventlog.MemberUp, "member", string(m.Name), "wire", m.Wire, "zone", m.Zone)
 		case before.Birth != m.Birth:
-			k.r.Sign.Say(sign.MemberReborn, "member", string(m.Name), "birth", string(m.Birth), "wire", m.Wire)
+			k.r.Sign.Say(eventlog.MemberReborn, "member", string(m.Name), "birth", string(m.Birth), "wire", m.Wire)
 		default:
 			k.tell(before.State, m)
 			if before.State == Down && m.State == Alive {
@@ -286,7 +286,7 @@
 
 // isNewer tells whether word of a member says more than what is known of it, if
 // anything is.
-func isNewer(old wire.Member, isKnown bool, m wire.Member) bool {
+func isNewer(old rpc.Member, isKnown bool, m rpc.Member) bool {
 	switch {
 	case m.Name == "" || m.Birth == "" || m.Wire == "":
 		return false
@@ -299,7 +299,7 @@
 }
 
 // refutes is the incarnation by which this node answers word of itself; 0 for none.
-func refutes(me, m wire.Member) uint64 {
+func refutes(me, m rpc.Member) uint64 {
 	isDoubted := m.Birth == me.Birth && m.State != Alive && me.State == Alive
 	if m.Incarnation >= me.Incarnation && (isDoubted || m.Birth != me.Birth) {
 		return m.Incarnation + 1
@@ -309,7 +309,7 @@
 
 // isNews tells, without the lock, whether a list says anything that is not known: so
 // that lists of what is known already don't wait for one another.
-func (k *Kin) isNews(list []wire.Member) bool {
+func (k *Kin) isNews(list []rpc.Member) bool {
 	view := k.View()
 	for _, m := range list {
 		old, ok := view[m.Name]
@@ -320,17 +320,17 @@
 	return false
 }
 
-func (k *Kin) tell(before string, m wire.Member) {
+func (k *Kin) tell(before string, m rpc.Member) {
 	if before == m.State {
 		return
 	}
 	switch m.State {
 	case Alive:
-		k.r.Sign.Say(sign.MemberUp, "member", string(m.Name), "wire", m.Wire, "zone", m.Zone)
+		k.r.Sign.Say(eventlog.MemberUp, "member", string(m.Name), "wire", m.Wire, "zone", m.Zone)
 	case Suspect:
-		k.r.Sign.Say(sign.MemberSuspect, "member", string(m.Name))
+		k.r.Sign.Say(eventlog.MemberSuspect, "member", string(m.Name))
 	default:
-		k.r.Sign.Say(sign.MemberDown, "member", string(m.Name), "state", m.State)
+		k.r.Sign.Say(eventlog.MemberDown, "member", string(m.Name), "state", m.State)
 	}
 }
 
@@ -340,7 +340,7 @@
 
 // gossip picks the news that was passed on least often, so that what is new goes
 // round before what most know already.
-func (k *Kin) gossip() []wire.Member {
+func (k *Kin) gossip() []rpc.Member {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	limit := k.tellings()
@@ -358,7 +358,7 @@
 			picked = picked[:min(len(picked), gossipMost)]
 		}
 	}
-	news := make([]wire.Member, 0, len(picked))
+	news := make([]rpc.Member, 0, len(picked))
 	for _, m := range picked {
 		m.sent++
 		news = append(news, m.member)
@@ -377,12 +377,12 @@
 
 // Leave tells a few others that this node goes on purpose.
 func (k *Kin) Leave() {
-	k.Amend(func(m *wire.Member) { m.State = Left })
+	k.Amend(func(m *rpc.Member) { m.State = Left })
 	me := k.Me()
 	told := 0
 	for name, s := range k.View() {
 		if name != k.r.Name && s.State == Alive && told < 4 {
-			k.send(s.Wire, wire.Probe{Kind: "news", News: []wire.Member{me}})
+			k.send(s.Wire, rpc.Probe{Kind: "news", News: []rpc.Member{me}})
 			told++
 		}
 	}
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -13,15 +13,15 @@
 	"slices"
 	"time"
 
-	"github.com/sumactrestle/sumactrestle/internal/mark"
-	"github.com/sumactrestle/sumactrestle/internal/sign"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
+	"github.com/sumactrestle/sumactrestle/internal/eventlog"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
 // probeAll is the size of a fleet from which on far members are asked less often.
 const probeAll = 24
 
-func (k *Kin) send(address string, probe wire.Probe) {
+func (k *Kin) send(address string, probe rpc.Probe) {
 	me := k.Me()
 	probe.From, probe.Birth = me.Name, me.Birth
 	if probe.News == nil {
@@ -49,9 +49,9 @@
 			}
 			continue
 		}
-		var probe wire.Probe
+		var probe rpc.Probe
 		if err := json.Unmarshal(buffer[:n], &probe); err != nil {
-			k.r.Sign.Say(sign.MessageRefused, "kind", "kin.probe", "from", from.String())
+			k.r.Sign.Say(eventlog.MessageRefused, "kind", "kin.probe", "from", from.String())
 			continue
 		}
 		k.learn(probe.News)
@@ -60,15 +60,15 @@
 			if probe.To != "" && probe.To != k.r.Name {
 				continue
 			}
-			if !k.IsLive(wire.Peer{Name: probe.From, Birth: probe.Birth}) {
-				k.send(from.String(), wire.Probe{Kind: "who"})
+			if !k.IsLive(rpc.Peer{Name: probe.From, Birth: probe.Birth}) {
+				k.send(from.String(), rpc.Probe{Kind: "who"})
 			}
 			news := k.gossip()
-			isDoubted := slices.ContainsFunc(probe.News, func(m wire.Member) bool { return m.Name == k.r.Name })
+			isDoubted := slices.ContainsFunc(probe.News, func(m rpc.Member) bool { return m.Name == k.r.Name })
 			if isDoubted || k.presents() {
 				news = append(news, k.Me())
 			}
-			k.send(from.String(), wire.Probe{Kind: "ack", Seq: probe.Seq, News: news})
+			k.send(from.String(), rpc.Probe{Kind: "ack", Seq: probe.Seq, News: news})
 		case "ack":
 			k.mu.Lock()
 			if waiter, ok := k.acks[probe.Seq]; ok {
@@ -86,7 +86,7 @@
 			seq := probe.Seq
 			k.r.Go(func() {
 				if k.ping(to.Wire, to.Name, nil) {
-					k.send(from.String(), wire.Probe{Kind: "ack", Seq: seq})
+					k.send(from.String(), rpc.Probe{Kind: "ack", Seq: seq})
 				}
 			})
 		}
@@ -95,7 +95,7 @@
 
 // present makes this node, and all it knows, known to one that asked who it is:
 // machines that come back together find one another first, and nobody else.
-func (k *Kin) present(name mark.Name) {
+func (k *Kin) present(name ids.Name) {
 	m, ok := k.Of(name)
 	if !ok || !k.isPresenting.CompareAndSwap(false, true) {
 		return
@@ -107,7 +107,7 @@
 }
 
 // ping waits for the ack of one member; meanwhile verbs run after half time.
-func (k *Kin) ping(address string, name mark.Name, relay func(seq uint64)) bool {
+func (k *Kin) ping(address string, name ids.Name, relay func(seq uint64)) bool {
 	k.mu.Lock()
 	k.seq++
 	seq := k.seq
@@ -130,7 +130,7 @@
 		}
 		return false
 	}
-	ping := wire.Probe{Kind: "ping", Seq: seq, To: name}
+	ping := rpc.Probe{Kind: "ping", Seq: seq, To: name}
 	if s, ok := k.View()[name]; ok && s.State == Suspect {
 		// Whoever is suspected must hear of it to refute it.
 		ping.News = append(k.gossip(), s.Member)
@@ -153,7 +153,7 @@
 }
 
 // next picks the members in turn, in an order shuffled anew every time round.
-func (k *Kin) next() (wire.Member, bool) {
+func (k *Kin) next() (rpc.Member, bool) {
 	view := k.View()
 	for range 2 {
 		for len(k.order) > 0 {
@@ -167,14 +167,14 @@
 		// zone's members ask them too.
 		k.turn++
 		for name, s := range view {
-			isNear := s.Zone == k.r.Props.Zone || len(view) < probeAll || mark.Score(string(name))%4 == k.turn%4
+			isNear := s.Zone == k.r.Props.Zone || len(view) < probeAll || ids.Score(string(name))%4 == k.turn%4
 			if name != k.r.Name && rank(s.State) < 2 && isNear {
 				k.order = append(k.order, name)
 			}
 		}
 		rand.Shuffle(len(k.order), func(i, j int) { k.order[i], k.order[j] = k.order[j], k.order[i] })
 	}
-	return wire.Member{}, false
+	return rpc.Member{}, false
 }
 
 func (k *Kin) probe() {
@@ -188,27 +188,27 @@
 			asked := 0
 			for name, s := range k.View() {
 				if name != k.r.Name && name != target.Name && s.State == Alive && asked < 2 {
-					k.send(s.Wire, wire.Probe{Kind: "relay", Seq: seq, To: target.Name})
+					k.send(s.Wire, rpc.Probe{Kind: "relay", Seq: seq, To: target.Name})
 					asked++
 				}
 			}
 		}
 		if !k.ping(target.Wire, target.Name, relay) && !k.isHere(target) && !k.r.IsOver() {
 			target.State = Suspect
-			k.learn([]wire.Member{target})
+			k.learn([]rpc.Member{target})
 		}
 	}
 }
 
 // isHere asks once more, over the pipe: on a full link datagrams are lost first.
-func (k *Kin) isHere(target wire.Member) bool {
+func (k *Kin) isHere(target rpc.Member) bool {
 	ctx, end := context.WithTimeout(k.r, max(2*k.r.Props.KinReply, 500*time.Millisecond))
 	defer end()
-	var m wire.Member
+	var m rpc.Member
 	if k.w.Ask(ctx, target.Wire, "kin.here", struct{}{}, &m) != nil || m.Name != target.Name {
 		return false
 	}
-	k.learn([]wire.Member{m})
+	k.learn([]rpc.Member{m})
 	return m.Birth == target.Birth
 }
 
@@ -220,7 +220,7 @@
 
 // bury takes out those whose suspicion was not refuted.
 func (k *Kin) bury() {
-	var dead []wire.Member
+	var dead []rpc.Member
 	view := k.View()
 	patience := k.patience(len(view))
 	for _, s := range view {
--- a/internal/membership/search.go
+++ b/internal/membership/search.go
@@ -10,9 +10,9 @@
 	"strings"
 	"time"
 
-	"github.com/sumactrestle/sumactrestle/internal/mark"
-	"github.com/sumactrestle/sumactrestle/internal/realm"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
+	"github.com/sumactrestle/sumactrestle/internal/environment"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
 const (
@@ -30,8 +30,8 @@
 }
 
 func (k *Kin) search() {
-	hunts := map[mark.Name]*hunt{}
-	for k.r.Pause(realm.Jitter(searchTurn)) {
+	hunts := map[ids.Name]*hunt{}
+	for k.r.Pause(environment.Jitter(searchTurn)) {
 		for _, m := range k.due(hunts, time.Now()) {
 			k.r.Go(func() { k.Sync(m.Wire) })
 		}
@@ -39,25 +39,25 @@
 }
 
 // Lost is the members that went down of late without a word, by name.
-func (k *Kin) Lost() (members []wire.Member) { return lostOf(k.View(), time.Now()) }
+func (k *Kin) Lost() (members []rpc.Member) { return lostOf(k.View(), time.Now()) }
 
-func lostOf(view map[mark.Name]Standing, now time.Time) (members []wire.Member) {
+func lostOf(view map[ids.Name]Standing, now time.Time) (members []rpc.Member) {
 	for _, s := range view {
 		if s.State == Down && now.Sub(s.Since) < lostKept {
 			members = append(members, s.Member)
 		}
 	}
-	slices.SortFunc(members, func(a, b wire.Member) int { return strings.Compare(string(a.Name), string(b.Name)) })
+	slices.SortFunc(members, func(a, b rpc.Member) int { return strings.Compare(string(a.Name), string(b.Name)) })
 	return members
 }
 
 // due picks the lost members that are to be asked now, those that waited longest, and
 // sets when they are to be asked again.
-func (k *Kin) due(hunts map[mark.Name]*hunt, now time.Time) (some []wire.Member) {
+func (k *Kin) due(hunts map[ids.Name]*hunt, now time.Time) (some []rpc.Member) {
 	view := k.View()
-	lost := slices.DeleteFunc(lostOf(view, now), func(m wire.Member) bool { return !k.searches(view, m) })
+	lost := slices.DeleteFunc(lostOf(view, now), func(m rpc.Member) bool { return !k.searches(view, m) })
 	for name := range hunts {
-		if !slices.ContainsFunc(lost, func(m wire.Member) bool { return m.Name == name }) {
+		if !slices.ContainsFunc(lost, func(m rpc.Member) bool { return m.Name == name }) {
 			delete(hunts, name)
 		}
 	}
@@ -66,7 +66,7 @@
 			hunts[m.Name] = &hunt{next: now, pause: searchFirst / 2}
 		}
 	}
-	slices.SortStableFunc(lost, func(a, b wire.Member) int { return hunts[a.Name].next.Compare(hunts[b.Name].next) })
+	slices.SortStableFunc(lost, func(a, b rpc.Member) int { return hunts[a.Name].next.Compare(hunts[b.Name].next) })
 	cores, others := lostCores, 1
 	for _, m := range lost {
 		h, left, most := hunts[m.Name], &others, searchMost
@@ -78,20 +78,20 @@
 		}
 		*left--
 		h.pause = min(2*h.pause, most)
-		h.next = now.Add(realm.Jitter(h.pause))
+		h.next = now.Add(environment.Jitter(h.pause))
 		some = append(some, m)
 	}
 	return some
 }
 
 // searches tells whether this node is one of those that look for a lost member.
-func (k *Kin) searches(view map[mark.Name]Standing, lost wire.Member) bool {
+func (k *Kin) searches(view map[ids.Name]Standing, lost rpc.Member) bool {
 	if lost.Core && len(view) < probeAll {
 		return true
 	}
-	mine, before := mark.Score(string(lost.Name), string(k.r.Name)), 0
+	mine, before := ids.Score(string(lost.Name), string(k.r.Name)), 0
 	for name, s := range view {
-		if name != k.r.Name && rank(s.State) < 2 && mark.Score(string(lost.Name), string(name)) < mine {
+		if name != k.r.Name && rank(s.State) < 2 && ids.Score(string(lost.Name), string(name)) < mine {
 			if before++; before >= searchers {
 				return false
 			}
--- a/internal/membership/sync.go
+++ b/internal/membership/sync.go
@@ -12,9 +12,9 @@
 	"strconv"
 	"time"
 
-	"github.com/sumactrestle/sumactrestle/internal/mark"
-	"github.com/sumactrestle/sumactrestle/internal/realm"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
+	"github.com/sumactrestle/sumactrestle/internal/environment"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
 const (
@@ -68,7 +68,7 @@
 			join = min(2*join, joinSeldom)
 		}
 		if isIn || isRefused {
-			pause = realm.Jitter(pause)
+			pause = environment.Jitter(pause)
 		}
 		if !k.r.Pause(pause) {
 			return
@@ -119,12 +119,12 @@
 func (k *Kin) exchange(address string, isShown bool) bool {
 	ctx, end := context.WithTimeout(k.r, time.Second)
 	defer end()
-	ask := &wire.KinSync{Ranges: k.ranges()}
+	ask := &rpc.KinSync{Ranges: k.ranges()}
 	if isShown || ask.Ranges == 1 {
-		ask.Members = []wire.Member{k.Me()}
+		ask.Members = []rpc.Member{k.Me()}
 	}
 	ask.Digest = k.digest()
-	var receipt wire.KinSync
+	var receipt rpc.KinSync
 	if err := k.w.Ask(ctx, address, "kin.sync", ask, &receipt); err != nil {
 		return false
 	}
@@ -136,7 +136,7 @@
 		return true
 	case ask.Ranges > 1 && len(receipt.Sums) == ask.Ranges:
 		mine := k.sums(ask.Ranges)
-		ask = &wire.KinSync{Ranges: ask.Ranges}
+		ask = &rpc.KinSync{Ranges: ask.Ranges}
 		for no, sum := range receipt.Sums {
 			if sum != mine[no] {
 				ask.Differ = append(ask.Differ, no)
@@ -146,7 +146,7 @@
 			return true
 		}
 		ask.Members = k.within(ask.Ranges, ask.Differ)
-		receipt = wire.KinSync{}
+		receipt = rpc.KinSync{}
 		if err := k.w.Ask(ctx, address, "kin.sync", ask, &receipt); err != nil {
 			return false
 		}
@@ -155,13 +155,13 @@
 	}
 	k.take(receipt.Members, true)
 	if mine := newer(k.whole(), receipt.Members); len(mine) > 0 {
-		ask = &wire.KinSync{Members: mine, Digest: k.digest(), Ranges: rangesMost}
+		ask = &rpc.KinSync{Members: mine, Digest: k.digest(), Ranges: rangesMost}
 		for _, m := range mine {
 			if no := rangeOf(m.Name, rangesMost); !slices.Contains(ask.Differ, no) {
 				ask.Differ = append(ask.Differ, no)
 			}
 		}
-		receipt = wire.KinSync{}
+		receipt = rpc.KinSync{}
 		if err := k.w.Ask(ctx, address, "kin.sync", ask, &receipt); err != nil {
 			return false
 		}
@@ -172,21 +172,21 @@
 }
 
 // compare answers an exchange.
-func (k *Kin) compare(ask *wire.KinSync) (any, error) {
+func (k *Kin) compare(ask *rpc.KinSync) (any, error) {
 	k.take(ask.Members, len(ask.Members) > 1)
 	switch {
 	case ask.Digest != 0 && ask.Digest == k.digest():
-		return &wire.KinSync{IsSame: true}, nil
+		return &rpc.KinSync{IsSame: true}, nil
 	case ask.Ranges > rangesMost || ask.Ranges < 0:
 		ask.Ranges = 0
 	case len(ask.Differ) > 0 && ask.Ranges > 1:
-		return &wire.KinSync{Members: newer(k.within(ask.Ranges, ask.Differ), ask.Members)}, nil
+		return &rpc.KinSync{Members: newer(k.within(ask.Ranges, ask.Differ), ask.Members)}, nil
 	case ask.Ranges > 1:
-		return &wire.KinSync{Sums: k.sums(ask.Ranges)}, nil
+		return &rpc.KinSync{Sums: k.sums(ask.Ranges)}, nil
 	}
 	if k.lists.Add(1) > listsMost && ask.Ranges == 1 {
 		k.lists.Add(-1)
-		return &wire.KinSync{Later: joinPause.Milliseconds()}, nil
+		return &rpc.KinSync{Later: joinPause.Milliseconds()}, nil
 	}
 	leave := func() { k.lists.Add(-1) }
 	raw, err := k.encoded()
@@ -194,12 +194,12 @@
 		leave()
 		return nil, err
 	}
-	return &wire.Raw{Body: raw, Sent: leave}, nil
+	return &rpc.Raw{Body: raw, Sent: leave}, nil
 }
 
 // listed is a view's whole list as it goes out.
 type listed struct {
-	view *map[mark.Name]Standing
+	view *map[ids.Name]Standing
 	raw  json.RawMessage
 }
 
@@ -208,7 +208,7 @@
 	if kept := k.listed.Load(); kept != nil && kept.view == view {
 		return kept.raw, nil
 	}
-	raw, err := json.Marshal(&wire.KinSync{Members: listOf(*view)})
+	raw, err := json.Marshal(&rpc.KinSync{Members: listOf(*view)})
 	if err != nil {
 		return nil, err
 	}
@@ -216,15 +216,15 @@
 	return raw, nil
 }
 
-func listOf(view map[mark.Name]Standing) []wire.Member {
-	list := make([]wire.Member, 0, len(view))
+func listOf(view map[ids.Name]Standing) []rpc.Member {
+	list := make([]rpc.Member, 0, len(view))
 	for _, s := range view {
 		list = append(list, s.Member)
 	}
 	return list
 }
 
-func (k *Kin) whole() []wire.Member { return listOf(k.View()) }
+func (k *Kin) whole() []rpc.Member { return listOf(k.View()) }
 
 // ranges is into how many ranges of names the list is cut, some members in each; one
 // for who knows next to nobody.
@@ -236,17 +236,17 @@
 	return n
 }
 
-func rangeOf(name mark.Name, ranges int) int {
-	return int(mark.Score("range", string(name)) % uint64(ranges))
+func rangeOf(name ids.Name, ranges int) int {
+	return int(ids.Score("range", string(name)) % uint64(ranges))
 }
 
 // sumOf is a member's part in a digest. Those that are gone have none: a node that
 // came later never learns of them, and its list would differ for good.
-func sumOf(m wire.Member) uint64 {
+func sumOf(m rpc.Member) uint64 {
 	if rank(m.State) == 2 {
 		return 0
 	}
-	return mark.Score(string(m.Name), string(m.Birth), strconv.FormatUint(m.Incarnation, 10), m.State)
+	return ids.Score(string(m.Name), string(m.Birth), strconv.FormatUint(m.Incarnation, 10), m.State)
 }
 
 // digest is one number for all that is known here.
@@ -266,7 +266,7 @@
 }
 
 // within is the members of some ranges.
-func (k *Kin) within(ranges int, some []int) (list []wire.Member) {
+func (k *Kin) within(ranges int, some []int) (list []rpc.Member) {
 	isMeant := make([]bool, ranges)
 	for _, no := range some {
 		if no >= 0 && no < ranges {
@@ -282,8 +282,8 @@
 }
 
 // newer is what one list says and another does not, or less of.
-func newer(ours, theirs []wire.Member) (mine []wire.Member) {
-	known := map[mark.Name]wire.Member{}
+func newer(ours, theirs []rpc.Member) (mine []rpc.Member) {
+	known := map[ids.Name]rpc.Member{}
 	for _, m := range theirs {
 		known[m.Name] = m
 	}
--- a/internal/membership/sync_test.go
+++ b/internal/membership/sync_test.go
@@ -11,11 +11,11 @@
 	"testing/synctest"
 	"time"
 
-	"github.com/sumactrestle/sumactrestle/internal/mark"
-	"github.com/sumactrestle/sumactrestle/internal/props"
-	"github.com/sumactrestle/sumactrestle/internal/realm"
-	"github.com/sumactrestle/sumactrestle/internal/sign"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
+	"github.com/sumactrestle/sumactrestle/internal/config"
+	"github.com/sumactrestle/sumactrestle/internal/environment"
+	"github.com/sumactrestle/sumactrestle/internal/eventlog"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
 // lines is a network in memory: a listener for each address.
@@ -41,8 +41,8 @@
 func (e *end) Close() error   { e.once.Do(func() { close(e.over) }); return nil }
 func (e *end) Addr() net.Addr { return &net.TCPAddr{} }
 
-func (l *lines) net() realm.Net {
-	return realm.Net{
+func (l *lines) net() environment.Net {
+	return environment.Net{
 		Listen: func(address string) (net.Listener, error) {
 			e := &end{conns: make(chan net.Conn), over: make(chan struct{})}
 			l.mu.Lock()
@@ -68,11 +68,11 @@
 	}
 }
 
-func member(no int) wire.Member {
-	return wire.Member{Name: mark.Name(fmt.Sprint("node", no)), Birth: mark.Birth(fmt.Sprint("birth", no)), Wire: fmt.Sprintf("10.1.%d.%d:7000", no/200, no%200), Zone: fmt.Sprint("z", no%7), Strength: 100, Incarnation: 1, State: Alive}
+func member(no int) rpc.Member {
+	return rpc.Member{Name: ids.Name(fmt.Sprint("node", no)), Birth: ids.Birth(fmt.Sprint("birth", no)), Wire: fmt.Sprintf("10.1.%d.%d:7000", no/200, no%200), Zone: fmt.Sprint("z", no%7), Strength: 100, Incarnation: 1, State: Alive}
 }
 
-func members(n int) (list []wire.Member) {
+func members(n int) (list []rpc.Member) {
 	for no := range n {
 		list = append(list, member(no))
 	}
@@ -80,14 +80,14 @@
 }
 
 // start is a node's view; it neither probes nor compares by itself.
-func (l *lines) start(t *testing.T, ctx context.Context, m wire.Member) *Kin {
+func (l *lines) start(t *testing.T, ctx context.Context, m rpc.Member) *Kin {
 	t.Helper()
-	settings, err := props.Load("", map[string]string{"name": string(m.Name), "zone": m.Zone, "wire.address": m.Wire, "api.address": "10.0.0.9:1", "gate.address": "10.0.0.9:2"})
+	settings, err := config.Load("", map[string]string{"name": string(m.Name), "zone": m.Zone, "wire.address": m.Wire, "api.address": "10.0.0.9:1", "gate.address": "10.0.0.9:2"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := realm.New(ctx, settings, sign.New(t.Output(), "error", string(m.Name)), l.net())
-	w := wire.New(r)
+	r := environment.New(ctx, settings, eventlog.New(t.Output(), "error", string(m.Name)), l.net())
+	w := rpc.New(r)
 	k := New(r, w, m)
 	if err := w.Open(); err != nil {
 		t.Fatal(err)
@@ -104,8 +104,8 @@
 
 // isSame tells whether both hold the same of all that are not gone.
 func isSame(a, b *Kin) bool {
-	live := func(k *Kin) map[mark.Name]wire.Member {
-		some := map[mark.Name]wire.Member{}
+	live := func(k *Kin) map[ids.Name]rpc.Member {
+		some := map[ids.Name]rpc.Member{}
 		for name, s := range k.View() {
 			if rank(s.State) < 2 {
 				some[name] = s.Member
@@ -132,8 +132,8 @@
 		}
 		restarted, down := member(77), member(300)
 		restarted.Birth, restarted.Incarnation, down.State = "another", 5, Down
-		a.take([]wire.Member{restarted}, false)
-		b.take([]wire.Member{down}, false)
+		a.take([]rpc.Member{restarted}, false)
+		b.take([]rpc.Member{down}, false)
 		before := sent(a) + sent(b)
 		if !a.Sync(b.Me().Wire) || !isSame(a, b) {
 			t.Fatal("the lists still differ")
@@ -167,11 +167,11 @@
 			m := member(i * 7 % 50)
 			m.Incarnation, m.State = uint64(1+i%5), []string{Alive, Suspect, Down, Alive, Left}[i%5]
 			if i%11 == 0 {
-				m.Birth = mark.Birth(fmt.Sprint("again", i))
+				m.Birth = ids.Birth(fmt.Sprint("again", i))
 			}
-			a.take([]wire.Member{m}, i%2 == 0)
+			a.take([]rpc.Member{m}, i%2 == 0)
 		}
-		a.Amend(func(m *wire.Member) { m.Keeps = true })
+		a.Amend(func(m *rpc.Member) { m.Keeps = true })
 		b.take(a.whole(), true)
 		a.take(b.whole(), true)
 		b.take(a.whole(), true)
@@ -201,10 +201,10 @@
 		l := &lines{ends: map[string]chan net.Conn{}}
 		a := l.start(t, ctx, member(0))
 		a.take(members(460), true)
-		var given []*wire.Raw
+		var given []*rpc.Raw
 		for range listsMost {
-			got, err := a.compare(&wire.KinSync{Digest: 1, Ranges: 1})
-			raw, ok := got.(*wire.Raw)
+			got, err := a.compare(&rpc.KinSync{Digest: 1, Ranges: 1})
+			raw, ok := got.(*rpc.Raw)
 			if !ok || err != nil {
 				t.Fatal(got, err)
 			}
@@ -213,12 +213,12 @@
 		if &given[0].Body[0] != &given[1].Body[0] {
 			t.Error("the list is encoded anew for each")
 		}
-		got, _ := a.compare(&wire.KinSync{Digest: 1, Ranges: 1})
-		if receipt, ok := got.(*wire.KinSync); !ok || receipt.Later == 0 {
+		got, _ := a.compare(&rpc.KinSync{Digest: 1, Ranges: 1})
+		if receipt, ok := got.(*rpc.KinSync); !ok || receipt.Later == 0 {
 			t.Errorf("one more is given: %T", got)
 		}
 		// What differs in little is compared all the same.
-		if got, _ := a.compare(&wire.KinSync{Digest: 1, Ranges: 16}); len(got.(*wire.KinSync).Sums) != 16 {
+		if got, _ := a.compare(&rpc.KinSync{Digest: 1, Ranges: 16}); len(got.(*rpc.KinSync).Sums) != 16 {
 			t.Error("no sums")
 		}
 		b := l.start(t, ctx, member(1))
@@ -248,8 +248,8 @@
 			k.take(members(60), true)
 			down := lost
 			down.State = Down
-			k.take([]wire.Member{down}, false)
-			if some := k.due(map[mark.Name]*hunt{}, time.Now()); len(some) == 1 && some[0].Name == lost.Name {
+			k.take([]rpc.Member{down}, false)
+			if some := k.due(map[ids.Name]*hunt{}, time.Now()); len(some) == 1 && some[0].Name == lost.Name {
 				looking++
 				one = k
 			}
@@ -258,7 +258,7 @@
 			t.Fatalf("%d nodes look for one lost member", looking)
 		}
 		// The pauses grow, up to a bound; it is given up in the end.
-		hunts := map[mark.Name]*hunt{}
+		hunts := map[ids.Name]*hunt{}
 		var asked []time.Time
 		for range 2 * int(lostKept/time.Second) {
 			if len(one.due(hunts, time.Now())) > 0 {
@@ -278,7 +278,7 @@
 		// Back again, it is looked for no longer.
 		back := lost
 		back.Incarnation = 9
-		one.take([]wire.Member{back}, false)
+		one.take([]rpc.Member{back}, false)
 		if len(one.due(hunts, time.Now())) > 0 || len(hunts) != 0 {
 			t.Error("looked for though it is back")
 		}
@@ -296,9 +296,9 @@
 			for len(k.gossip()) > 0 {
 			}
 			news := member(500)
-			k.take([]wire.Member{news}, false)
+			k.take([]rpc.Member{news}, false)
 			for range heard {
-				k.take([]wire.Member{news}, false)
+				k.take([]rpc.Member{news}, false)
 			}
 			for len(k.gossip()) > 0 {
 				n++
@@ -318,7 +318,7 @@
 		doubted := member(9)
 		doubted.State = Suspect
 		for range 50 {
-			k.take([]wire.Member{doubted}, false)
+			k.take([]rpc.Member{doubted}, false)
 		}
 		n := 0
 		for len(k.gossip()) > 0 {
@@ -344,7 +344,7 @@
 				k.take(all, true)
 				down := all[0]
 				down.State = Down
-				k.take([]wire.Member{down}, false)
+				k.take([]rpc.Member{down}, false)
 				if k.searches(k.View(), down) {
 					lookers = append(lookers, k)
 				}
@@ -352,7 +352,7 @@
 			if right := map[int]int{10: 9, 60: searchers}[size]; len(lookers) != right {
 				t.Fatalf("%d of %d nodes look for a lost core node", len(lookers), size)
 			}
-			hunts, last := map[mark.Name]*hunt{}, time.Now()
+			hunts, last := map[ids.Name]*hunt{}, time.Now()
 			for range 1200 {
 				if len(lookers[0].due(hunts, time.Now())) > 0 {
 					last = time.Now()
--- a/internal/gauge/gauge.go
+++ b/internal/metrics/gauge.go
@@ -5,7 +5,7 @@
 // there may be many. Taking a time is one look at a
 // pointer, one lock and one count; nothing is looked up by a name on the way. It
 // also holds the table of metrics that a node shows.
-package gauge
+package metrics
 
 import (
 	"sync"
--- a/internal/gauge/gauge_test.go
+++ b/internal/metrics/gauge_test.go
@@ -1,6 +1,6 @@
 // Times: what a histogram says of the times it was given, and that taking one
 // allocates nothing.
-package gauge
+package metrics
 
 import (
 	"os"
--- a/internal/seat/calls.go
+++ b/internal/node/calls.go
@@ -1,34 +1,34 @@
 // The node's calls, as Go verbs: what servers, operators and applications ask of
 // any node, passed on to the owner of its part. The product's own API and any
 // other face of a node are made of these, and of nothing else.
-package seat
+package node
 
 import (
 	"context"
 	"sync"
 	"time"
 
-	"github.com/sumactrestle/sumactrestle/internal/fault"
-	"github.com/sumactrestle/sumactrestle/internal/mark"
-	"github.com/sumactrestle/sumactrestle/internal/plan"
-	"github.com/sumactrestle/sumactrestle/internal/sign"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
+	"github.com/sumactrestle/sumactrestle/internal/controlplane"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
+	"github.com/sumactrestle/sumactrestle/internal/eventlog"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
 // Take folds a server's beat. The address is where later beats are taken without
 // being passed on; it is empty if that is here, or not known.
-func (n *Node) Take(ctx context.Context, beat *wire.Beat) (better string, err error) {
+func (n *Node) Take(ctx context.Context, beat *rpc.Beat) (better string, err error) {
 	n.beats.Add(1)
 	limited, end := context.WithTimeout(ctx, beatTime)
 	defer end()
-	if err := plan.CheckBeat(beat); err != nil {
-		n.R.Sign.Say(sign.BeatRefused, "service", beat.Service, "instance", beat.Instance, "cause", err.Error())
+	if err := controlplane.CheckBeat(beat); err != nil {
+		n.R.Sign.Say(eventlog.BeatRefused, "service", beat.Service, "instance", beat.Instance, "cause", err.Error())
 		return "", err
 	}
-	if beat.State != plan.Serving {
-		n.R.Sign.Say(sign.TargetGoing, "service", beat.Service, "instance", beat.Instance, "state", beat.State)
+	if beat.State != controlplane.Serving {
+		n.R.Sign.Say(eventlog.TargetGoing, "service", beat.Service, "instance", beat.Instance, "state", beat.State)
 	}
-	no := mark.PartOf(beat.Service)
+	no := ids.PartOf(beat.Service)
 	var done struct{}
 	if err := n.pass(limited, op{no, "beat", beat}, 0, &done); err != nil {
 		return "", err
@@ -40,7 +40,7 @@
 }
 
 // ownerApi is the API address of the node that owns a part, if it is known.
-func (n *Node) ownerApi(no mark.Part) string {
+func (n *Node) ownerApi(no ids.Part) string {
 	known := n.owners[no].Load()
 	if n.Consensus != nil {
 		if name, ok := n.Consensus.Owner(no); ok {
@@ -66,12 +66,12 @@
 	defer end()
 	service := n.whose(limited, instance)
 	if service == "" {
-		return fault.New(fault.UnknownService, "of instance %q", instance)
+		return errcode.New(errcode.UnknownService, "of instance %q", instance)
 	}
-	n.R.Sign.Say(sign.TargetGoing, "service", service, "instance", instance, "state", plan.Leaving)
-	beat := &wire.Beat{Service: service, Instance: instance, Seq: lastSeq, Address: "0.0.0.0:0", State: plan.Leaving}
+	n.R.Sign.Say(eventlog.TargetGoing, "service", service, "instance", instance, "state", controlplane.Leaving)
+	beat := &rpc.Beat{Service: service, Instance: instance, Seq: lastSeq, Address: "0.0.0.0:0", State: controlplane.Leaving}
 	var done struct{}
-	return n.pass(limited, op{mark.PartOf(service), "beat", beat}, 0, &done)
+	return n.pass(limited, op{ids.PartOf(service), "beat", beat}, 0, &done)
 }
 
 // lastSeq is above every number that an instance gives its beats.
@@ -96,8 +96,8 @@
 		all.Add(1)
 		n.R.Go(func() {
 			defer all.Done()
-			var receipt wire.WhoseReceipt
-			if n.Wire.Ask(limited, m.Wire, "plan.whose", &wire.WhoseAsk{Instance: instance}, &receipt) == nil && receipt.Service != "" {
+			var receipt rpc.WhoseReceipt
+			if n.Wire.Ask(limited, m.Wire, "plan.whose", &rpc.WhoseAsk{Instance: instance}, &receipt) == nil && receipt.Service != "" {
 				found <- receipt.Service
 			}
 		})
@@ -108,38 +108,38 @@
 
 // Submit is answered with yes or no by the owner alone: any other node can't know
 // whether the set was accepted when it was sent before under its id.
-func (n *Node) Submit(ctx context.Context, change *wire.Change) (*wire.ChangeReceipt, error) {
+func (n *Node) Submit(ctx context.Context, change *rpc.Change) (*rpc.ChangeReceipt, error) {
 	limited, end := context.WithTimeout(ctx, 2*callTime)
 	defer end()
-	receipt := &wire.ChangeReceipt{}
-	err := n.pass(limited, op{mark.Config, "submit", change}, 0, receipt)
-	if err != nil && fault.Of(err).Code.Outcome != "" {
-		err = fault.New(fault.ChangeUnknown, "%v", err)
+	receipt := &rpc.ChangeReceipt{}
+	err := n.pass(limited, op{ids.Config, "submit", change}, 0, receipt)
+	if err != nil && errcode.Of(err).Code.Outcome != "" {
+		err = errcode.New(errcode.ChangeUnknown, "%v", err)
 	}
 	return receipt, err
 }
 
 // Config is the configuration in force, as the operators sent it.
-func (n *Node) Config(ctx context.Context) (*wire.ConfigView, error) {
+func (n *Node) Config(ctx context.Context) (*rpc.ConfigView, error) {
 	limited, end := context.WithTimeout(ctx, callTime)
 	defer end()
-	view := &wire.ConfigView{}
-	return view, n.pass(limited, op{mark.Config, "config", nil}, 0, view)
+	view := &rpc.ConfigView{}
+	return view, n.pass(limited, op{ids.Config, "config", nil}, 0, view)
 }
 
 // Bond passes a coordination call. One under an id may be a repeat of one that
 // was done, so that only an owner can say that it was not.
-func (n *Node) Bond(ctx context.Context, call *wire.BondOp) (*wire.BondReceipt, error) {
+func (n *Node) Bond(ctx context.Context, call *rpc.BondOp) (*rpc.BondReceipt, error) {
 	limited, end := context.WithTimeout(ctx, callTime+time.Duration(call.Hold)*time.Millisecond)
 	defer end()
 	if call.Op != "watch" && call.Op != "follow" {
 		defer n.called(time.Now())
 	}
-	receipt := &wire.BondReceipt{}
-	if err := n.pass(limited, op{mark.PartOf(call.Name), "bond", call}, 0, receipt); err != nil {
-		isNotRun := fault.Of(err).Code.Outcome == "not run"
-		if fault.Is(err, fault.ReplyLost) || isNotRun && call.Id != "" {
-			err = fault.New(fault.Unsure, "%v", err)
+	receipt := &rpc.BondReceipt{}
+	if err := n.pass(limited, op{ids.PartOf(call.Name), "bond", call}, 0, receipt); err != nil {
+		isNotRun := errcode.Of(err).Code.Outcome == "not run"
+		if errcode.Is(err, errcode.ReplyLost) || isNotRun && call.Id != "" {
+			err = errcode.New(errcode.Unsure, "%v", err)
 		}
 		return nil, err
 	}
@@ -149,13 +149,13 @@
 // Ready tells whether this node can do its work now.
 func (n *Node) Ready() error {
 	if n.isGoing.Load() {
-		return fault.New(fault.Stopping, "")
+		return errcode.New(errcode.Stopping, "")
 	}
 	if n.Flow != nil && !n.Flow.IsFresh(n.Flow.Cache.Chart(), "") {
-		return fault.New(fault.NotFresh, "")
+		return errcode.New(errcode.NotFresh, "")
 	}
 	if n.Consensus != nil && n.Consensus.Charter() == nil {
-		return fault.New(fault.NoOwner, "no fleet yet")
+		return errcode.New(errcode.NoOwner, "no fleet yet")
 	}
 	return nil
 }
--- a/internal/seat/desk.go
+++ b/internal/node/desk.go
@@ -1,7 +1,7 @@
 // The desk is the generated API's handler: it turns each call into an op on the
 // call's part and passes it to that part's owner, and turns problems into
 // numbered answers.
-package seat
+package node
 
 import (
 	"context"
@@ -16,9 +16,9 @@
 
 	"github.com/sumactrestle/sumactrestle/internal/api"
 	"github.com/sumactrestle/sumactrestle/internal/coordination"
-	"github.com/sumactrestle/sumactrestle/internal/fault"
-	"github.com/sumactrestle/sumactrestle/internal/mark"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
 // Deadlines of calls that name none.
@@ -32,7 +32,7 @@
 var _ api.Handler = (*desk)(nil)
 
 func (d *desk) Beat(ctx context.Context, req *api.Beat) (*api.Taken, error) {
-	beat := &wire.Beat{Service: req.Service, Instance: req.Instance, Seq: req.Seq, Address: req.Address, Zone: req.Zone.Or(""), Weight: req.Weight.Or(100), State: string(req.State)}
+	beat := &rpc.Beat{Service: req.Service, Instance: req.Instance, Seq: req.Seq, Address: req.Address, Zone: req.Zone.Or(""), Weight: req.Weight.Or(100), State: string(req.State)}
 	if _, err := d.n.Take(ctx, beat); err != nil {
 		return nil, err
 	}
@@ -40,7 +40,7 @@
 }
 
 func (d *desk) Submit(ctx context.Context, req *api.Change) (*api.ChangeReceipt, error) {
-	var change wire.Change
+	var change rpc.Change
 	if err := recast(req, &change); err != nil {
 		return nil, err
 	}
@@ -56,28 +56,28 @@
 	limited, end := context.WithTimeout(ctx, callTime)
 	defer end()
 	receipt := &api.ChangeReceipt{}
-	return receipt, d.n.pass(limited, op{mark.Config, "change", params.ID}, 0, receipt)
+	return receipt, d.n.pass(limited, op{ids.Config, "change", params.ID}, 0, receipt)
 }
 
 func (d *desk) Epoch(ctx context.Context) (*api.EpochView, error) {
 	limited, end := context.WithTimeout(ctx, callTime)
 	defer end()
 	view := &api.EpochView{}
-	return view, d.n.pass(limited, op{mark.Config, "epoch", nil}, 0, view)
+	return view, d.n.pass(limited, op{ids.Config, "epoch", nil}, 0, view)
 }
 
 // bond passes a coordination call; a code in the receipt becomes a problem.
-func (d *desk) bond(ctx context.Context, call *wire.BondOp) (*api.Receipt, error) {
+func (d *desk) bond(ctx context.Context, call *rpc.BondOp) (*api.Receipt, error) {
 	receipt, err := d.n.Bond(ctx, call)
 	if err != nil {
 		return nil, err
 	}
 	if receipt.Code != 0 {
-		code, ok := fault.Codes[receipt.Code]
+		code, ok := errcode.Codes[receipt.Code]
 		if !ok {
-			code = fault.Internal
+			code = errcode.Internal
 		}
-		return nil, &told{fault.Problem{Code: code, Note: receipt.Note}, *receipt}
+		return nil, &told{errcode.Problem{Code: code, Note: receipt.Note}, *receipt}
 	}
 	out := &api.Receipt{}
 	return out, recast(receipt, out)
@@ -85,17 +85,17 @@
 
 // told is a problem that says more: the stamp, fence and holder in force.
 type told struct {
-	fault.Problem
-	receipt wire.BondReceipt
+	errcode.Problem
+	receipt rpc.BondReceipt
 }
 
 func (t *told) Error() string { return t.Problem.Error() }
 func (t *told) Unwrap() error { return &t.Problem }
 
-func callOf(op string, req *api.Call) *wire.BondOp {
-	call := &wire.BondOp{Op: op, Id: req.ID.Or(""), Name: req.Name, Value: json.RawMessage(req.Value), Delta: req.Delta.Or(1), Holder: req.Holder.Or(""), Ttl: req.TTL.Or(0), Fence: mark.Stamp(req.Fence.Or(0))}
+func callOf(op string, req *api.Call) *rpc.BondOp {
+	call := &rpc.BondOp{Op: op, Id: req.ID.Or(""), Name: req.Name, Value: json.RawMessage(req.Value), Delta: req.Delta.Or(1), Holder: req.Holder.Or(""), Ttl: req.TTL.Or(0), Fence: ids.Stamp(req.Fence.Or(0))}
 	if stamp, ok := req.If.Get(); ok {
-		wanted := mark.Stamp(stamp)
+		wanted := ids.Stamp(stamp)
 		call.If = &wanted
 	}
 	return call
@@ -110,11 +110,11 @@
 }
 
 func (d *desk) GetKey(ctx context.Context, params api.GetKeyParams) (*api.Receipt, error) {
-	return d.bond(ctx, &wire.BondOp{Op: "get", Name: params.Name})
+	return d.bond(ctx, &rpc.BondOp{Op: "get", Name: params.Name})
 }
 
 func (d *desk) ListKeys(ctx context.Context, params api.ListKeysParams) (*api.Receipt, error) {
-	return d.bond(ctx, &wire.BondOp{Op: "list", Name: params.Prefix})
+	return d.bond(ctx, &rpc.BondOp{Op: "list", Name: params.Prefix})
 }
 
 func (d *desk) AddCounter(ctx context.Context, req *api.Call) (*api.Receipt, error) {
@@ -122,15 +122,15 @@
 }
 
 func (d *desk) GetCounter(ctx context.Context, params api.GetCounterParams) (*api.Receipt, error) {
-	return d.bond(ctx, &wire.BondOp{Op: "get", Name: params.Name, Holder: coordination.Count})
+	return d.bond(ctx, &rpc.BondOp{Op: "get", Name: params.Name, Holder: coordination.Count})
 }
 
 func (d *desk) GetLock(ctx context.Context, params api.GetLockParams) (*api.Receipt, error) {
-	return d.bond(ctx, &wire.BondOp{Op: "get", Name: params.Name, Holder: coordination.Lock})
+	return d.bond(ctx, &rpc.BondOp{Op: "get", Name: params.Name, Holder: coordination.Lock})
 }
 
 func (d *desk) GetLeader(ctx context.Context, params api.GetLeaderParams) (*api.Receipt, error) {
-	return d.bond(ctx, &wire.BondOp{Op: "get", Name: params.Name, Holder: coordination.Lock})
+	return d.bond(ctx, &rpc.BondOp{Op: "get", Name: params.Name, Holder: coordination.Lock})
 }
 
 func (d *desk) Lock(ctx context.Context, req *api.Call, params api.LockParams) (*api.Receipt, error) {
@@ -143,7 +143,7 @@
 }
 
 func (d *desk) Watch(ctx context.Context, params api.WatchParams) (*api.Receipt, error) {
-	return d.bond(ctx, &wire.BondOp{Op: "watch", Name: params.Name, From: mark.Stamp(params.From), Hold: params.Hold.Or(20000)})
+	return d.bond(ctx, &rpc.BondOp{Op: "watch", Name: params.Name, From: ids.Stamp(params.From), Hold: params.Hold.Or(20000)})
 }
 
 func (d *desk) Health(ctx context.Context) (*api.Health, error) {
@@ -167,7 +167,7 @@
 }
 
 func problemOf(err error) *api.ProblemStatusCodeWithHeaders {
-	p := fault.Of(err)
+	p := errcode.Of(err)
 	out := &api.ProblemStatusCodeWithHeaders{StatusCode: p.Code.Status, Response: api.Problem{Code: p.Code.No, Name: p.Code.Name, Text: p.Code.Text, Paths: p.Paths}}
 	if p.Note != "" {
 		out.Response.Note = api.NewOptString(p.Note)
@@ -182,7 +182,7 @@
 			out.Response.Holder = api.NewOptString(t.receipt.Holder)
 		}
 	}
-	if p.Code.Status >= 500 || p.Code.No == fault.Held.No {
+	if p.Code.Status >= 500 || p.Code.No == errcode.Held.No {
 		out.RetryAfter = api.NewOptInt(1 + rand.IntN(3))
 	}
 	return out
@@ -201,19 +201,19 @@
 
 // badCall names what the generated code could not read.
 func badCall(ctx context.Context, w http.ResponseWriter, r *http.Request, err error) {
-	code := fault.BadCall
+	code := errcode.BadCall
 	switch {
 	case strings.HasPrefix(r.URL.Path, "/v1/beats"):
-		code = fault.BadBeat
+		code = errcode.BadBeat
 	case strings.HasPrefix(r.URL.Path, "/v1/changes"):
-		code = fault.BadChange
+		code = errcode.BadChange
 	}
 	if ogenerrors.ErrorCode(err) >= 500 {
-		code = fault.Internal
+		code = errcode.Internal
 	}
-	writeProblem(w, fault.New(code, "%v", err))
+	writeProblem(w, errcode.New(code, "%v", err))
 }
 
 func notFound(w http.ResponseWriter, r *http.Request) {
-	writeProblem(w, &fault.Problem{Code: fault.Code{No: fault.BadCall.No, Name: fault.BadCall.Name, Status: 404, Text: fault.BadCall.Text}, Note: "no such call: " + r.Method + " " + r.URL.Path})
+	writeProblem(w, &errcode.Problem{Code: errcode.Code{No: errcode.BadCall.No, Name: errcode.BadCall.Name, Status: 404, Text: errcode.BadCall.Text}, Note: "no such call: " + r.Method + " " + r.URL.Path})
 }
--- a/internal/seat/metrics.go
+++ b/internal/node/metrics.go
@@ -1,7 +1,7 @@
 // Metrics for scraping: a collector that reads, when it is asked and only then, what
 // the node counts in any case, and the latency histograms. With metrics.serve it is
 // shown under /metrics on the node's API address; without, nothing is made.
-package seat
+package node
 
 import (
 	"net/http"
@@ -13,10 +13,10 @@
 	"github.com/prometheus/client_golang/prometheus/collectors"
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
-	"github.com/sumactrestle/sumactrestle/internal/fault"
-	"github.com/sumactrestle/sumactrestle/internal/gauge"
-	"github.com/sumactrestle/sumactrestle/internal/mark"
-	"github.com/sumactrestle/sumactrestle/internal/sign"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
+	"github.com/sumactrestle/sumactrestle/internal/eventlog"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
+	"github.com/sumactrestle/sumactrestle/internal/metrics"
 )
 
 // called notes how long a coordination call took.
@@ -39,15 +39,15 @@
 type Collector struct {
 	n     *Node
 	descs map[string]*prometheus.Desc
-	codes map[string]fault.Code
+	codes map[string]errcode.Code
 }
 
 func NewCollector(n *Node) *Collector {
-	c := &Collector{n: n, descs: map[string]*prometheus.Desc{}, codes: map[string]fault.Code{}}
-	for _, m := range gauge.Metrics {
+	c := &Collector{n: n, descs: map[string]*prometheus.Desc{}, codes: map[string]errcode.Code{}}
+	for _, m := range metrics.Metrics {
 		c.descs[m.Name] = prometheus.NewDesc(m.Name, m.Help, m.Labels, nil)
 	}
-	for _, code := range fault.Codes {
+	for _, code := range errcode.Codes {
 		c.codes[code.Name] = code
 	}
 	return c
@@ -65,7 +65,7 @@
 	out chan<- prometheus.Metric
 }
 
-func (s sheet) add(m gauge.Metric, value float64, labels ...string) {
+func (s sheet) add(m metrics.Metric, value float64, labels ...string) {
 	kind := prometheus.GaugeValue
 	if m.Kind == "counter" {
 		kind = prometheus.CounterValue
@@ -75,7 +75,7 @@
 }
 
 // pass hands a metric on; one that can't be made is an error of the scrape alone.
-func (s sheet) pass(m gauge.Metric, one prometheus.Metric, err error) {
+func (s sheet) pass(m metrics.Metric, one prometheus.Metric, err error) {
 	if err != nil {
 		one = prometheus.NewInvalidMetric(s.descs[m.Name], err)
 	}
@@ -91,13 +91,13 @@
 
 func (c *Collector) Collect(out chan<- prometheus.Metric) {
 	s, n := sheet{c, out}, c.n
-	s.add(gauge.Node, 1, string(n.R.Name), n.R.Props.Zone, strconv.FormatBool(n.Consensus != nil), strconv.FormatBool(n.Gate != nil))
-	s.add(gauge.Ready, truth(n.Ready() == nil))
-	s.add(gauge.Beats, float64(n.beats.Load()))
+	s.add(metrics.Node, 1, string(n.R.Name), n.R.Props.Zone, strconv.FormatBool(n.Consensus != nil), strconv.FormatBool(n.Gate != nil))
+	s.add(metrics.Ready, truth(n.Ready() == nil))
+	s.add(metrics.Beats, float64(n.beats.Load()))
 	counts := n.R.Sign.Counts()
-	for _, e := range sign.Events {
+	for _, e := range eventlog.Events {
 		if counts[e.Name] > 0 {
-			s.add(gauge.Events, float64(counts[e.Name]), strconv.Itoa(e.No), e.Name)
+			s.add(metrics.Events, float64(counts[e.Name]), strconv.Itoa(e.No), e.Name)
 		}
 	}
 	members := map[[2]string]int{}
@@ -105,7 +105,7 @@
 		members[[2]string{m.State, roleOf(m.Core, m.Gate)}]++
 	}
 	for at, count := range members {
-		s.add(gauge.Members, float64(count), at[0], at[1])
+		s.add(metrics.Members, float64(count), at[0], at[1])
 	}
 	s.traffic()
 	if n.Gate != nil {
@@ -114,7 +114,7 @@
 	if n.Consensus != nil {
 		s.core()
 	}
-	n.R.Times.Each(func(m gauge.Metric, labels []string, sum gauge.Sum) {
+	n.R.Times.Each(func(m metrics.Metric, labels []string, sum metrics.Sum) {
 		one, err := prometheus.NewConstHistogram(c.descs[m.Name], sum.Count, sum.Seconds, sum.Under, labels...)
 		s.pass(m, one, err)
 	})
@@ -141,47 +141,47 @@
 			zone = "other"
 		}
 		if kind == triesKind {
-			s.add(gauge.GateTries, float64(sent[0]), zone)
-			s.add(gauge.GateTryBytes, float64(sent[1]), zone)
+			s.add(metrics.GateTries, float64(sent[0]), zone)
+			s.add(metrics.GateTryBytes, float64(sent[1]), zone)
 			continue
 		}
-		s.add(gauge.WireMessages, float64(sent[0]), kind, zone)
-		s.add(gauge.WireBytes, float64(sent[1]), kind, zone)
+		s.add(metrics.WireMessages, float64(sent[0]), kind, zone)
+		s.add(metrics.WireBytes, float64(sent[1]), kind, zone)
 	}
 }
 
 func (s sheet) gate() {
 	g := s.n.Gate
-	s.add(gauge.GateInflight, float64(g.Inflight()))
-	s.add(gauge.GatePipes, float64(g.Pipes()))
-	s.add(gauge.GateFailed, float64(s.n.R.Sign.Counts()[sign.TryFailed.Name]))
-	answers := map[gauge.Outcome]int64{gauge.Ran: 0, gauge.NotRun: 0, gauge.Unknown: 0}
+	s.add(metrics.GateInflight, float64(g.Inflight()))
+	s.add(metrics.GatePipes, float64(g.Pipes()))
+	s.add(metrics.GateFailed, float64(s.n.R.Sign.Counts()[eventlog.TryFailed.Name]))
+	answers := map[metrics.Outcome]int64{metrics.Ran: 0, metrics.NotRun: 0, metrics.Unknown: 0}
 	g.Outcome(func(name string, count int64) {
 		code, isCode := s.codes[name]
 		if !isCode {
-			answers[gauge.Ran] += count
+			answers[metrics.Ran] += count
 			return
 		}
-		answers[gauge.OutcomeOf(code.Outcome)] += count
-		s.add(gauge.GateRefusals, float64(count), strconv.Itoa(code.No), code.Name)
+		answers[metrics.OutcomeOf(code.Outcome)] += count
+		s.add(metrics.GateRefusals, float64(count), strconv.Itoa(code.No), code.Name)
 	})
 	for outcome, count := range answers {
-		s.add(gauge.GateAnswers, float64(count), outcome.String())
+		s.add(metrics.GateAnswers, float64(count), outcome.String())
 	}
 	for _, p := range g.Posts() {
-		s.add(gauge.GatePosts, float64(p.In), p.Service, "in")
-		s.add(gauge.GatePosts, float64(p.Out), p.Service, "out")
-		s.add(gauge.GatePosts, float64(p.Barred), p.Service, "barred")
+		s.add(metrics.GatePosts, float64(p.In), p.Service, "in")
+		s.add(metrics.GatePosts, float64(p.Out), p.Service, "out")
+		s.add(metrics.GatePosts, float64(p.Barred), p.Service, "barred")
 	}
 	g.Budgets(func(service string, tries, debt float64) {
-		s.add(gauge.BudgetTries, tries, service)
-		s.add(gauge.BudgetDebt, debt, service)
+		s.add(metrics.BudgetTries, tries, service)
+		s.add(metrics.BudgetDebt, debt, service)
 	})
 	epoch, _ := s.n.Flow.Cache.Have()
-	s.add(gauge.EpochUsed, float64(epoch))
+	s.add(metrics.EpochUsed, float64(epoch))
 	if ages := s.n.Flow.Ages(); ages.Epoch > 0 {
-		s.add(gauge.EpochHeard, float64(ages.Epoch))
-		s.add(gauge.EpochConfirmed, s.n.R.Since(ages.Config).Seconds())
+		s.add(metrics.EpochHeard, float64(ages.Epoch))
+		s.add(metrics.EpochConfirmed, s.n.R.Since(ages.Config).Seconds())
 	}
 }
 
@@ -190,31 +190,31 @@
 	for _, part := range n.Consensus.Parts() {
 		o := part.Status()
 		no := strconv.Itoa(int(o.Part))
-		if o.Part == mark.Config {
+		if o.Part == ids.Config {
 			no = "config"
 		}
-		s.add(gauge.PartTerm, float64(o.Promised.Round), no)
-		s.add(gauge.PartCommit, float64(o.Commit), no)
-		s.add(gauge.PartLast, float64(o.Last), no)
-		s.add(gauge.PartServing, truth(o.IsServing), no)
+		s.add(metrics.PartTerm, float64(o.Promised.Round), no)
+		s.add(metrics.PartCommit, float64(o.Commit), no)
+		s.add(metrics.PartLast, float64(o.Last), no)
+		s.add(metrics.PartServing, truth(o.IsServing), no)
 		if o.IsOwner {
-			s.add(gauge.PartAge, o.Age.Seconds(), no)
+			s.add(metrics.PartAge, o.Age.Seconds(), no)
 		}
 		if o.IsServing {
 			owned++
 		}
 	}
-	s.add(gauge.PartsOwned, float64(owned))
-	s.add(gauge.EpochFolded, float64(n.Ledger.Sheet().Epoch))
-	s.add(gauge.StoreSyncs, float64(n.Store.Syncs()))
-	s.add(gauge.StoreStalled, n.Store.Stalled().Seconds())
+	s.add(metrics.PartsOwned, float64(owned))
+	s.add(metrics.EpochFolded, float64(n.Ledger.Sheet().Epoch))
+	s.add(metrics.StoreSyncs, float64(n.Store.Syncs()))
+	s.add(metrics.StoreStalled, n.Store.Stalled().Seconds())
 	for at, count := range n.Roll.Count() {
-		s.add(gauge.Targets, float64(count), at.Service, at.State, at.Word)
+		s.add(metrics.Targets, float64(count), at.Service, at.State, at.Word)
 	}
-	if n.Consensus.Part(mark.Config).IsServing() {
+	if n.Consensus.Part(ids.Config).IsServing() {
 		v := n.Planner.Outlook()
-		s.add(gauge.PlannerParts, float64(v.Parts))
-		s.add(gauge.PlannerOldest, v.Oldest.Seconds())
-		s.add(gauge.PlannerClashes, float64(v.Clashes))
+		s.add(metrics.PlannerParts, float64(v.Parts))
+		s.add(metrics.PlannerOldest, v.Oldest.Seconds())
+		s.add(metrics.PlannerClashes, float64(v.Clashes))
 	}
 }
--- a/internal/seat/pass.go
+++ b/internal/node/pass.go
@@ -1,6 +1,6 @@
 // Passing a call on: to the owner of its part if that is known, else to the core
 // nodes in turn, with a bound on hops and on time; and carrying it out at the owner.
-package seat
+package node
 
 import (
 	"context"
@@ -8,14 +8,14 @@
 	"errors"
 	"time"
 
-	"github.com/sumactrestle/sumactrestle/internal/fault"
-	"github.com/sumactrestle/sumactrestle/internal/mark"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
 // op is one call that belongs to a part.
 type op struct {
-	part mark.Part
+	part ids.Part
 	name string
 	body any
 }
@@ -26,13 +26,13 @@
 func (n *Node) pass(ctx context.Context, o op, hops int, into any) error {
 	raw, err := json.Marshal(o.body)
 	if err != nil {
-		return fault.New(fault.Internal, "%v", err)
+		return errcode.New(errcode.Internal, "%v", err)
 	}
 	held, began := heldCall(o), n.R.Now()
 	var problem error
 	for try := 0; ctx.Err() == nil; try++ {
 		if n.Consensus != nil && n.Consensus.HasLostContact(o.part) {
-			return fault.New(fault.NoOwner, "part %d: no word of a majority here; ask another node", o.part)
+			return errcode.New(errcode.NoOwner, "part %d: no word of a majority here; ask another node", o.part)
 		}
 		if held != nil && try > 0 {
 			rest := *held
@@ -46,14 +46,14 @@
 			}
 			problem = err
 		} else if address := n.ownerOf(o.part, try); address != "" {
-			var receipt wire.PassReceipt
+			var receipt rpc.PassReceipt
 			limited, end := ctx, context.CancelFunc(func() {})
 			if held != nil {
 				limited, end = n.whileOwnedAt(ctx, o.part, address)
 			}
-			err := n.Wire.AskHop(limited, address, "seat.pass", hops+1, &wire.PassAsk{Part: o.part, Op: o.name, Body: raw}, &receipt)
-			if err != nil && held != nil && (context.Cause(limited) == errMoved || fault.Is(err, fault.ReplyLost)) {
-				err = fault.New(fault.NoOwner, "part %d: %v", o.part, err)
+			err := n.Wire.AskHop(limited, address, "seat.pass", hops+1, &rpc.PassAsk{Part: o.part, Op: o.name, Body: raw}, &receipt)
+			if err != nil && held != nil && (context.Cause(limited) == errMoved || errcode.Is(err, errcode.ReplyLost)) {
+				err = errcode.New(errcode.NoOwner, "part %d: %v", o.part, err)
 			}
 			end()
 			if err == nil {
@@ -64,7 +64,7 @@
 			problem = err
 		}
 		if problem == nil {
-			problem = fault.New(fault.NoOwner, "part %d", o.part)
+			problem = errcode.New(errcode.NoOwner, "part %d", o.part)
 		}
 		if hops > 0 || !isRetryable(problem) {
 			return problem
@@ -75,7 +75,7 @@
 		}
 	}
 	if problem == nil {
-		problem = fault.New(fault.NoOwner, "part %d", o.part)
+		problem = errcode.New(errcode.NoOwner, "part %d", o.part)
 	}
 	return problem
 }
@@ -88,13 +88,13 @@
 
 // heldCall is the call if it is held until something happens: it only reads, so that
 // it may be asked for again at another owner.
-func heldCall(o op) *wire.BondOp {
+func heldCall(o op) *rpc.BondOp {
 	if o.name != "bond" {
 		return nil
 	}
-	call, ok := o.body.(*wire.BondOp)
+	call, ok := o.body.(*rpc.BondOp)
 	if raw, isRaw := o.body.(json.RawMessage); isRaw {
-		call = &wire.BondOp{}
+		call = &rpc.BondOp{}
 		ok = json.Unmarshal(raw, call) == nil
 	}
 	if !ok || call.Hold <= 0 || call.Op != "follow" && call.Op != "watch" {
@@ -105,7 +105,7 @@
 
 // whileOwnedAt ends once the part is owned elsewhere: an owner that lost its power
 // answers nothing, and a held call is silent for so long that silence says nothing.
-func (n *Node) whileOwnedAt(ctx context.Context, no mark.Part, address string) (context.Context, context.CancelFunc) {
+func (n *Node) whileOwnedAt(ctx context.Context, no ids.Part, address string) (context.Context, context.CancelFunc) {
 	limited, end := context.WithCancelCause(ctx)
 	if n.Consensus != nil {
 		n.R.Go(func() {
@@ -127,7 +127,7 @@
 	return limited, func() { end(nil) }
 }
 
-func (n *Node) isOwnedElsewhere(no mark.Part, address string) bool {
+func (n *Node) isOwnedElsewhere(no ids.Part, address string) bool {
 	name, ok := n.Consensus.Owner(no)
 	if !ok {
 		return false
@@ -141,8 +141,8 @@
 
 // isRetryable is true only for what certainly did not run.
 func isRetryable(err error) bool {
-	for _, code := range []fault.Code{fault.NotOwner, fault.NoOwner, fault.Unreached, fault.TooManyHops, fault.Stopping} {
-		if fault.Is(err, code) {
+	for _, code := range []errcode.Code{errcode.NotOwner, errcode.NoOwner, errcode.Unreached, errcode.TooManyHops, errcode.Stopping} {
+		if errcode.Is(err, code) {
 			return true
 		}
 	}
@@ -150,7 +150,7 @@
 }
 
 // ownerOf is where to send an op: the known owner, or a core node in turn.
-func (n *Node) ownerOf(no mark.Part, try int) string {
+func (n *Node) ownerOf(no ids.Part, try int) string {
 	if n.Consensus != nil {
 		if name, ok := n.Consensus.Owner(no); ok && name != n.R.Name {
 			if m, ok := n.Kin.Of(name); ok {
@@ -161,7 +161,7 @@
 	if known := n.owners[no].Load(); known != nil {
 		return *known
 	}
-	var cores []wire.Member
+	var cores []rpc.Member
 	for _, m := range n.Kin.Cores() {
 		if m.Name != n.R.Name {
 			cores = append(cores, m)
@@ -173,47 +173,47 @@
 	return cores[try%len(cores)].Wire
 }
 
-func (n *Node) passed(c *wire.Call) (any, error) {
-	var ask wire.PassAsk
+func (n *Node) passed(c *rpc.Call) (any, error) {
+	var ask rpc.PassAsk
 	if err := c.Read(&ask); err != nil {
 		return nil, err
 	}
-	if ask.Part < 0 || ask.Part > mark.Config {
-		return nil, fault.New(fault.BadMessage, "no part %d", ask.Part)
+	if ask.Part < 0 || ask.Part > ids.Config {
+		return nil, errcode.New(errcode.BadMessage, "no part %d", ask.Part)
 	}
-	if c.Hops > wire.Hops {
-		return nil, fault.New(fault.TooManyHops, "%d", c.Hops)
+	if c.Hops > rpc.Hops {
+		return nil, errcode.New(errcode.TooManyHops, "%d", c.Hops)
 	}
 	var body json.RawMessage
 	if err := n.pass(c, op{ask.Part, ask.Op, ask.Body}, c.Hops, &body); err != nil {
 		return nil, err
 	}
-	return &wire.PassReceipt{Body: body}, nil
+	return &rpc.PassReceipt{Body: body}, nil
 }
 
 // do carries an op out at the owner.
-func (n *Node) do(ctx context.Context, no mark.Part, name string, raw json.RawMessage) (any, error) {
+func (n *Node) do(ctx context.Context, no ids.Part, name string, raw json.RawMessage) (any, error) {
 	read := func(into any) error {
 		if err := json.Unmarshal(raw, into); err != nil {
-			return fault.New(fault.BadMessage, "%s: %v", name, err)
+			return errcode.New(errcode.BadMessage, "%s: %v", name, err)
 		}
 		return nil
 	}
 	switch name {
 	case "beat":
-		var beat wire.Beat
+		var beat rpc.Beat
 		if err := read(&beat); err != nil {
 			return nil, err
 		}
 		return struct{}{}, n.Roll.Take(ctx, &beat)
 	case "bond":
-		var call wire.BondOp
+		var call rpc.BondOp
 		if err := read(&call); err != nil {
 			return nil, err
 		}
 		return n.Desk.Do(ctx, &call)
 	case "submit":
-		var change wire.Change
+		var change rpc.Change
 		if err := read(&change); err != nil {
 			return nil, err
 		}
@@ -229,7 +229,7 @@
 	case "epoch":
 		return n.Planner.View(ctx)
 	}
-	return nil, fault.New(fault.UnknownKind, "%q", name)
+	return nil, errcode.New(errcode.UnknownKind, "%q", name)
 }
 
 // recast turns one shape of data into another that is written the same.
@@ -239,7 +239,7 @@
 		err = json.Unmarshal(raw, into)
 	}
 	if err != nil {
-		return fault.New(fault.Internal, "%v", err)
+		return errcode.New(errcode.Internal, "%v", err)
 	}
 	return nil
 }
--- a/internal/seat/seat.go
+++ b/internal/node/seat.go
@@ -1,7 +1,7 @@
 // Package seat puts one node together: its pipes, its kin, its parts if it has
 // a data folder, its gate if it has an address for callers; and it passes calls
 // on to the owner of their part, with a bound on hops and on time.
-package seat
+package node
 
 import (
 	"context"
@@ -15,17 +15,17 @@
 
 	"github.com/sumactrestle/sumactrestle/internal/api"
 	"github.com/sumactrestle/sumactrestle/internal/consensus"
+	"github.com/sumactrestle/sumactrestle/internal/controlplane"
 	"github.com/sumactrestle/sumactrestle/internal/coordination"
 	"github.com/sumactrestle/sumactrestle/internal/distribution"
-	"github.com/sumactrestle/sumactrestle/internal/fault"
-	"github.com/sumactrestle/sumactrestle/internal/gate"
-	"github.com/sumactrestle/sumactrestle/internal/mark"
+	"github.com/sumactrestle/sumactrestle/internal/environment"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
+	"github.com/sumactrestle/sumactrestle/internal/eventlog"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
 	"github.com/sumactrestle/sumactrestle/internal/membership"
-	"github.com/sumactrestle/sumactrestle/internal/plan"
-	"github.com/sumactrestle/sumactrestle/internal/realm"
-	"github.com/sumactrestle/sumactrestle/internal/sign"
+	"github.com/sumactrestle/sumactrestle/internal/proxy"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 	"github.com/sumactrestle/sumactrestle/internal/storage"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
 )
 
 // apiMost is the largest body of a call, in bytes.
@@ -33,22 +33,22 @@
 
 // Node is one running node.
 type Node struct {
-	R         *realm.Realm
-	Wire      *wire.Wire
+	R         *environment.Realm
+	Wire      *rpc.Wire
 	Kin       *membership.Kin
 	Store     *storage.Store
 	Consensus *consensus.Node
 	Books     []*coordination.Book
 	Desk      *coordination.Desk
-	Ledger    *plan.Ledger
-	Roll      *plan.Roll
-	Planner   *plan.Planner
+	Ledger    *controlplane.Ledger
+	Roll      *controlplane.Roll
+	Planner   *controlplane.Planner
 	Flow      *distribution.Client
-	Gate      *gate.Gate
+	Gate      *proxy.Gate
 
 	mu      sync.Mutex
 	servers []*http.Server
-	owners  [mark.Parts + 1]atomic.Pointer[string]
+	owners  [ids.Parts + 1]atomic.Pointer[string]
 	isGoing atomic.Bool
 
 	isStirring atomic.Bool
@@ -62,10 +62,10 @@
 }
 
 // Start brings a node up, with faces beside its own API.
-func Start(r *realm.Realm, faces ...Face) (*Node, error) {
-	n := &Node{R: r, Wire: wire.New(r)}
+func Start(r *environment.Realm, faces ...Face) (*Node, error) {
+	n := &Node{R: r, Wire: rpc.New(r)}
 	p := r.Props
-	me := wire.Member{Name: r.Name, Birth: mark.NewBirth(), Wire: p.WireAddress, Api: p.ApiAddress, Gate: p.GateAddress, Zone: p.Zone, Strength: p.Strength}
+	me := rpc.Member{Name: r.Name, Birth: ids.NewBirth(), Wire: p.WireAddress, Api: p.ApiAddress, Gate: p.GateAddress, Zone: p.Zone, Strength: p.Strength}
 	if p.WireAdvertise != "" {
 		me.Wire = p.WireAdvertise
 	}
@@ -94,9 +94,9 @@
 	}
 	if p.GateAddress != "" {
 		n.Flow = distribution.NewClient(r, n.Wire, n.Kin)
-		n.Gate = gate.New(r, n.Flow, n.Wire, n.Kin, func(ctx context.Context, call *wire.BondOp) (*wire.BondReceipt, error) {
-			var receipt wire.BondReceipt
-			err := n.pass(ctx, op{mark.PartOf(call.Name), "bond", call}, 0, &receipt)
+		n.Gate = proxy.New(r, n.Flow, n.Wire, n.Kin, func(ctx context.Context, call *rpc.BondOp) (*rpc.BondReceipt, error) {
+			var receipt rpc.BondReceipt
+			err := n.pass(ctx, op{ids.PartOf(call.Name), "bond", call}, 0, &receipt)
 			return &receipt, err
 		})
 	}
@@ -105,7 +105,7 @@
 		return nil, err
 	}
 	if err := n.Kin.Open(); err != nil {
-		return nil, fault.New(fault.BadProps, "wire.address: %v", err)
+		return nil, errcode.New(errcode.BadProps, "wire.address: %v", err)
 	}
 	if me.Core {
 		n.Consensus.Open()
@@ -137,7 +137,7 @@
 			return nil, err
 		}
 	}
-	r.Sign.Say(sign.NodeStarted, "birth", string(me.Birth), "core", me.Core, "gate", p.GateAddress)
+	r.Sign.Say(eventlog.NodeStarted, "birth", string(me.Birth), "core", me.Core, "gate", p.GateAddress)
 	return n, nil
 }
 
@@ -160,7 +160,7 @@
 			return
 		}
 		if err := n.serve(address, "gate.address", n.Gate); err != nil {
-			n.R.Sign.Say(sign.GateFailed, "cause", err.Error())
+			n.R.Sign.Say(eventlog.GateFailed, "cause", err.Error())
 		}
 	})
 	return nil
@@ -168,18 +168,18 @@
 
 func (n *Node) openCore() error {
 	var machines []consensus.Machine
-	for range mark.Parts {
+	for range ids.Parts {
 		book := coordination.NewBook()
 		n.Books = append(n.Books, book)
 		machines = append(machines, book)
 	}
-	n.Ledger = plan.NewLedger()
-	n.Ledger.Told = func(sheet *plan.Sheet, planned *wire.Planned) {
+	n.Ledger = controlplane.NewLedger()
+	n.Ledger.Told = func(sheet *controlplane.Sheet, planned *rpc.Planned) {
 		change := ""
 		if planned.Change != nil {
 			change = planned.Change.Id
 		}
-		n.R.Sign.Say(sign.EpochCommitted, "epoch", uint64(sheet.Epoch), "change", change, "groups", len(planned.Put)+len(planned.Drop))
+		n.R.Sign.Say(eventlog.EpochCommitted, "epoch", uint64(sheet.Epoch), "change", change, "groups", len(planned.Put)+len(planned.Drop))
 	}
 	machines = append(machines, n.Ledger)
 	var err error
@@ -187,23 +187,23 @@
 		return err
 	}
 	n.Desk = coordination.NewDesk(n.R, n.Consensus, n.Books)
-	n.Roll = plan.NewRoll(n.R, n.Consensus, n.Books, n.Ledger)
-	n.Planner = plan.NewPlanner(n.R, n.Wire, n.Kin, n.Consensus, n.Ledger)
+	n.Roll = controlplane.NewRoll(n.R, n.Consensus, n.Books, n.Ledger)
+	n.Planner = controlplane.NewPlanner(n.R, n.Wire, n.Kin, n.Consensus, n.Ledger)
 	distribution.NewServer(n.R, n.Wire, n.Kin, n.Consensus, n.Ledger, n.Planner).HandleOwner()
-	n.Wire.Handle("plan.whose", func(c *wire.Call) (any, error) {
-		var ask wire.WhoseAsk
+	n.Wire.Handle("plan.whose", func(c *rpc.Call) (any, error) {
+		var ask rpc.WhoseAsk
 		if err := c.Read(&ask); err != nil {
 			return nil, err
 		}
-		return &wire.WhoseReceipt{Service: n.Roll.Whose(ask.Instance)}, nil
+		return &rpc.WhoseReceipt{Service: n.Roll.Whose(ask.Instance)}, nil
 	})
-	n.Wire.Handle("plan.stir", func(c *wire.Call) (any, error) {
+	n.Wire.Handle("plan.stir", func(c *rpc.Call) (any, error) {
 		n.Planner.Kick()
 		return struct{}{}, nil
 	})
 	n.Roll.Stirred = n.stir
-	n.Wire.Handle("plan.news", func(c *wire.Call) (any, error) {
-		var ask wire.NewsAsk
+	n.Wire.Handle("plan.news", func(c *rpc.Call) (any, error) {
+		var ask rpc.NewsAsk
 		if err := c.Read(&ask); err != nil {
 			return nil, err
 		}
@@ -215,7 +215,7 @@
 func (n *Node) serve(address, key string, handler http.Handler) error {
 	listener, err := n.R.Net.Listen(address)
 	if err != nil {
-		return fault.New(fault.BadProps, "%s: %v", key, err)
+		return errcode.New(errcode.BadProps, "%s: %v", key, err)
 	}
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: 10 * time.Second, IdleTimeout: 60 * time.Second, BaseContext: func(net.Listener) context.Context { return n.R }}
 	if key == "gate.address" && n.R.Props.GateWindow > 0 {
@@ -231,7 +231,7 @@
 	n.mu.Unlock()
 	n.R.Go(func() {
 		if err := server.Serve(listener); err != nil && !errors.Is(err, http.ErrServerClosed) && !n.R.IsOver() {
-			n.R.Sign.Say(sign.MessageRefused, "cause", err.Error())
+			n.R.Sign.Say(eventlog.MessageRefused, "cause", err.Error())
 		}
 	})
 	n.R.Go(func() {
@@ -244,7 +244,7 @@
 func (n *Node) serveApi() error {
 	server, err := api.NewServer(&desk{n}, api.WithErrorHandler(badCall), api.WithNotFound(notFound))
 	if err != nil {
-		return fault.New(fault.Internal, "%v", err)
+		return errcode.New(errcode.Internal, "%v", err)
 	}
 	return n.serve(n.R.Props.ApiAddress, "api.address", http.MaxBytesHandler(n.withMetrics(server), apiMost))
 }
@@ -254,7 +254,7 @@
 // what was handed over is finished, owned parts are passed on, and the others are
 // told.
 func (n *Node) Stop() {
-	n.R.Sign.Say(sign.NodeStopping)
+	n.R.Sign.Say(eventlog.NodeStopping)
 	n.isGoing.Store(true)
 	ctx, end := context.WithTimeout(n.R, n.R.Props.StopGrace)
 	defer end()
@@ -279,13 +279,13 @@
 	if n.Gate != nil {
 		n.Gate.Close()
 	}
-	n.R.Sign.Say(sign.NodeStopped)
+	n.R.Sign.Say(eventlog.NodeStopped)
 	n.R.End()
 }
 
 // stir tells the owner of the configuration part that there is news of targets.
 func (n *Node) stir() {
-	if n.Consensus.Part(mark.Config).IsServing() {
+	if n.Consensus.Part(ids.Config).IsServing() {
 		n.Planner.Kick()
 		return
 	}
@@ -294,7 +294,7 @@
 	}
 	n.R.Go(func() {
 		defer n.isStirring.Store(false)
-		if address := n.ownerOf(mark.Config, 0); address != "" {
+		if address := n.ownerOf(ids.Config, 0); address != "" {
 			ctx, end := context.WithTimeout(n.R, 500*time.Millisecond)
 			defer end()
 			n.Wire.Ask(ctx, address, "plan.stir", struct{}{}, nil)
--- a/internal/seat/show.go
+++ b/internal/node/show.go
@@ -1,6 +1,6 @@
 // What a node shows of itself to the shell: rows of words under columns, each
 // folded from the live state at the time of the call.
-package seat
+package node
 
 import (
 	"context"
@@ -11,8 +11,8 @@
 	"time"
 
 	"github.com/sumactrestle/sumactrestle/internal/api"
-	"github.com/sumactrestle/sumactrestle/internal/gauge"
-	"github.com/sumactrestle/sumactrestle/internal/mark"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
+	"github.com/sumactrestle/sumactrestle/internal/metrics"
 )
 
 func (d *desk) Show(ctx context.Context, params api.ShowParams) (*api.Rows, error) {
@@ -43,7 +43,7 @@
 					group += string(peer.Name) + " "
 				}
 				no := fmt.Sprint(int(o.Part))
-				if o.Part == mark.Config {
+				if o.Part == ids.Config {
 					no = "config"
 				}
 				add(no, owner, o.Promised, o.Commit, o.Last, o.IsServing, o.Age.Round(time.Millisecond), group)
@@ -89,7 +89,7 @@
 		}
 	case api.ShowWhatLatency:
 		columns("what", "service", "outcome", "count", "median", "99", "99.9", "most")
-		n.R.Times.Each(func(m gauge.Metric, labels []string, sum gauge.Sum) {
+		n.R.Times.Each(func(m metrics.Metric, labels []string, sum metrics.Sum) {
 			labels = append(labels, "", "")
 			add(strings.TrimSuffix(strings.TrimPrefix(m.Name, "sumac_"), "_seconds"), labels[0], labels[1], sum.Count, sum.Median, sum.P99, sum.P999, sum.Most)
 		})
--- a/internal/seat/start.go
+++ b/internal/node/start.go
@@ -1,15 +1,15 @@
-package seat
+package node
 
 import (
 	"os"
 	"syscall"
 
-	"github.com/sumactrestle/sumactrestle/internal/realm"
+	"github.com/sumactrestle/sumactrestle/internal/environment"
 )
 
 // StartUnless brings a node up as Start does, unless a signal tells it to stop before it
 // is up, for a start may wait for room on the disk: then the node is nil.
-func StartUnless(signals <-chan os.Signal, r *realm.Realm, faces ...Face) (*Node, error) {
+func StartUnless(signals <-chan os.Signal, r *environment.Realm, faces ...Face) (*Node, error) {
 	type result struct {
 		node *Node
 		err  error
