--- a/internal/gate/assign.go
+++ b/internal/proxy/assign.go
@@ -4,7 +4,7 @@
 // the request; one in another zone must be better by a part of the request's aim,
 // more so for a large body. A target that can't be reached or stays silent is out
 // for a while on this evidence alone, whatever the epoch says.
-package gate
+package proxy
 
 import (
 	"math/rand/v2"
@@ -14,9 +14,9 @@
 	"time"
 
 	"github.com/sumactrestle/sumactrestle/internal/distribution"
-	"github.com/sumactrestle/sumactrestle/internal/gauge"
 	"github.com/sumactrestle/sumactrestle/internal/membership"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
+	"github.com/sumactrestle/sumactrestle/internal/metrics"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
 const (
@@ -35,7 +35,7 @@
 type post struct {
 	at     string
 	mark   string // by what proxies name it to one another
-	target wire.Target
+	target rpc.Target
 	isNear bool
 
 	mu       sync.Mutex
@@ -69,10 +69,10 @@
 
 	allowance float64 // of doubles
 	doubles   float64 // how large a part of the requests may be doubled
-	times     *gauge.Service
+	times     *metrics.Service
 }
 
-func (g *Gate) newCrew(service string, list []wire.Target, old *crew, now time.Time) *crew {
+func (g *Gate) newCrew(service string, list []rpc.Target, old *crew, now time.Time) *crew {
 	c := &crew{doubles: float64(g.r.Props.GateDoubles) / 100}
 	known := map[string]*post{}
 	if old != nil {
--- a/internal/gate/budget.go
+++ b/internal/proxy/budget.go
@@ -7,7 +7,7 @@
 // tries it paid for are still in it. Our own further tries and recognisable
 // repeats by callers count alike. A new proxy's bucket is empty, so that proxies
 // which come and go can't make more of the sixty than there is.
-package gate
+package proxy
 
 import (
 	"sync"
--- a/internal/gate/course.go
+++ b/internal/proxy/course.go
@@ -1,7 +1,7 @@
 // A course is the plan of one request, made as data before anything is done:
 // the mapping, the service, the targets in order, the deadline, whether it may
 // be repeated. The table that mappings are found by is made once an epoch.
-package gate
+package proxy
 
 import (
 	"math/rand/v2"
@@ -12,15 +12,15 @@
 	"time"
 
 	"github.com/sumactrestle/sumactrestle/internal/distribution"
-	"github.com/sumactrestle/sumactrestle/internal/fault"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
 type course struct {
 	id           string
 	chart        *distribution.Chart
-	mapping      *wire.Mapping
-	service      wire.Service
+	mapping      *rpc.Mapping
+	service      rpc.Service
 	crew         *crew
 	tried        []*post
 	most         int // targets that it may be sent to
@@ -49,7 +49,7 @@
 // table finds mappings by path, and knows the targets of the epoch.
 type table struct {
 	chart  *distribution.Chart
-	paths  map[string][]*wire.Mapping
+	paths  map[string][]*rpc.Mapping
 	places map[string]bool
 	marks  map[string]*post // by what proxies name them to one another
 	crews  map[string]*crew
@@ -61,7 +61,7 @@
 	if t.isSameRoutes(old) {
 		t.paths = old.paths
 	} else {
-		t.paths = map[string][]*wire.Mapping{}
+		t.paths = map[string][]*rpc.Mapping{}
 		for _, some := range chart.Routes {
 			for i := range some {
 				path := strings.TrimSuffix(some[i].Path, "/")
@@ -101,7 +101,7 @@
 }
 
 // find takes the longest path that fits, one with a host before one without.
-func (t *table) find(r *http.Request) *wire.Mapping {
+func (t *table) find(r *http.Request) *rpc.Mapping {
 	host := r.Host
 	if strings.IndexByte(host, ':') >= 0 {
 		if bare, _, err := net.SplitHostPort(host); err == nil {
@@ -111,7 +111,7 @@
 	whole := r.URL.Path
 	path := strings.TrimSuffix(whole, "/")
 	for {
-		var found *wire.Mapping
+		var found *rpc.Mapping
 		for _, m := range t.paths[path] {
 			if m.Host != "" && m.Host != host || !allows(m, r.Method) {
 				continue
@@ -134,7 +134,7 @@
 	}
 }
 
-func allows(m *wire.Mapping, method string) bool {
+func allows(m *rpc.Mapping, method string) bool {
 	if len(m.Methods) == 0 {
 		return true
 	}
@@ -147,7 +147,7 @@
 }
 
 // pick chooses a service by the weights of the mapping's splits.
-func pick(m *wire.Mapping) string {
+func pick(m *rpc.Mapping) string {
 	total := 0
 	for _, split := range m.To {
 		total += split.Weight
@@ -169,7 +169,7 @@
 func (g *Gate) course(r *http.Request, id string) (*course, error) {
 	t := g.table.Load()
 	if t == nil {
-		return nil, fault.New(fault.NotFresh, "no plan yet")
+		return nil, errcode.New(errcode.NotFresh, "no plan yet")
 	}
 	c := &course{id: id, chart: t.chart, mapping: t.find(r)}
 	if !g.isPlain {
@@ -177,13 +177,13 @@
 	}
 	if c.mapping == nil {
 		if !g.flow.IsFresh(t.chart, "") {
-			return c, fault.New(fault.NotFresh, "epoch %d", t.chart.Epoch)
+			return c, errcode.New(errcode.NotFresh, "epoch %d", t.chart.Epoch)
 		}
-		return c, fault.New(fault.NoMapping, "%s %s", r.Method, r.URL.Path)
+		return c, errcode.New(errcode.NoMapping, "%s %s", r.Method, r.URL.Path)
 	}
 	service, ok := t.chart.Services[pick(c.mapping)]
 	if !ok {
-		return c, fault.New(fault.NoTarget, "service of %s", c.mapping.Name)
+		return c, errcode.New(errcode.NoTarget, "service of %s", c.mapping.Name)
 	}
 	c.service, c.isRepeatable, c.most = service, c.mapping.Repeatable, targetsMost
 	if c.mapping.Tries > 0 {
@@ -207,11 +207,11 @@
 		c.aim = c.deadline.Sub(now) / 4
 	}
 	if !g.flow.IsFresh(t.chart, service.Name) {
-		return c, fault.New(fault.NotFresh, "epoch %d", t.chart.Epoch)
+		return c, errcode.New(errcode.NotFresh, "epoch %d", t.chart.Epoch)
 	}
 	c.crew, c.sharers = t.crews[service.Name], t.near
 	if c.crew == nil || len(c.crew.posts) == 0 {
-		return c, fault.New(fault.NoTarget, "%s", service.Name)
+		return c, errcode.New(errcode.NoTarget, "%s", service.Name)
 	}
 	return c, nil
 }
--- a/internal/gate/course_test.go
+++ b/internal/proxy/course_test.go
@@ -1,4 +1,4 @@
-package gate
+package proxy
 
 import (
 	"testing"
--- a/internal/gate/double.go
+++ b/internal/proxy/double.go
@@ -4,7 +4,7 @@
 // used again, and how long it took is learnt. When an answer is overdue follows from
 // what the service usually takes and from the request's aim, so that a service which
 // is slow as a whole is not given more to do.
-package gate
+package proxy
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"net/http"
 	"time"
 
-	"github.com/sumactrestle/sumactrestle/internal/fault"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
 )
 
 // silentTimes is after how many times the usual a target that has not answered counts
@@ -103,10 +103,10 @@
 			a.pipe.kill()
 			a.end()
 			if r.Context().Err() != nil {
-				return nil, true, fault.New(fault.CallerGone, "%s", a.to.target.Instance)
+				return nil, true, errcode.New(errcode.CallerGone, "%s", a.to.target.Instance)
 			}
 			a.to.strike(time.Now(), false)
-			return nil, true, fault.New(fault.DeadlinePassed, "%s", a.to.target.Instance)
+			return nil, true, errcode.New(errcode.DeadlinePassed, "%s", a.to.target.Instance)
 		}
 	}
 }
--- a/internal/gate/endings_test.go
+++ b/internal/proxy/endings_test.go
@@ -1,7 +1,7 @@
 // Every way in which a connection to a target can end, against the pipe's framing: an
 // answer goes to the request that it names or to nobody, one that is not whole is none,
 // and behind a request whose body was not read nothing else is written.
-package gate
+package proxy
 
 import (
 	"bufio"
--- a/internal/gate/gate.go
+++ b/internal/proxy/gate.go
@@ -1,7 +1,7 @@
 // The Gate takes callers' requests, plans each and carries the plan out. What
 // can't be done is answered at once, with a numbered code, the outcome as far
 // as it is known, and a spread Retry-After; nothing is ever held back.
-package gate
+package proxy
 
 import (
 	"context"
@@ -15,12 +15,12 @@
 	"time"
 
 	"github.com/sumactrestle/sumactrestle/internal/distribution"
-	"github.com/sumactrestle/sumactrestle/internal/fault"
-	"github.com/sumactrestle/sumactrestle/internal/mark"
+	"github.com/sumactrestle/sumactrestle/internal/environment"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
+	"github.com/sumactrestle/sumactrestle/internal/eventlog"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
 	"github.com/sumactrestle/sumactrestle/internal/membership"
-	"github.com/sumactrestle/sumactrestle/internal/realm"
-	"github.com/sumactrestle/sumactrestle/internal/sign"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
 const (
@@ -37,7 +37,7 @@
 
 // Gate is one proxy's.
 type Gate struct {
-	r        *realm.Realm
+	r        *environment.Realm
 	flow     *distribution.Client
 	table    atomic.Pointer[table]
 	pool     *pool
@@ -53,13 +53,13 @@
 	gossip    *gossip
 	sick      *sick
 	kin       *membership.Kin
-	wire      *wire.Wire
+	wire      *rpc.Wire
 	settles   chan settled
-	bond      func(context.Context, *wire.BondOp) (*wire.BondReceipt, error)
+	bond      func(context.Context, *rpc.BondOp) (*rpc.BondReceipt, error)
 	Outcomes  sync.Map
 }
 
-func New(r *realm.Realm, f *distribution.Client, w *wire.Wire, k *membership.Kin, bond func(context.Context, *wire.BondOp) (*wire.BondReceipt, error)) *Gate {
+func New(r *environment.Realm, f *distribution.Client, w *rpc.Wire, k *membership.Kin, bond func(context.Context, *rpc.BondOp) (*rpc.BondReceipt, error)) *Gate {
 	g := &Gate{r: r, flow: f, pool: newPool(r), budget: NewBudget(r.Props.ExtraWindow), lane: newLane(r.Props.GateRate, r.Props.GateBodies), isPlain: r.Props.GateSeal == "opaque", orders: NewOrders(), kin: k, wire: w, bond: bond, settles: make(chan settled, 4096)}
 	r.Go(g.settleAll)
 	g.gossip = newGossip(r, w, k, g.budget, g.orders, f.Cache.Chart)
@@ -92,7 +92,7 @@
 	if g.r.Props.GateIds == "caller" {
 		id = r.Header.Get(g.r.Props.HeaderRequest)
 	} else {
-		id = mark.NewID()
+		id = ids.NewID()
 	}
 	if id != "" {
 		w.Header().Set(g.r.Props.HeaderRequest, id)
@@ -113,13 +113,13 @@
 func (g *Gate) handle(w http.ResponseWriter, r *http.Request, id string, n int64) (*course, *answer, error) {
 	if g.isGoing.Load() {
 		w.Header().Set("Connection", "close")
-		return nil, nil, fault.New(fault.Stopping, "")
+		return nil, nil, errcode.New(errcode.Stopping, "")
 	}
 	if n > int64(g.r.Props.GateInflight) {
-		return nil, nil, fault.New(fault.Overload, "%d requests are under way", n-1)
+		return nil, nil, errcode.New(errcode.Overload, "%d requests are under way", n-1)
 	}
 	if r.ContentLength > int64(g.r.Props.GateRequest) {
-		return nil, nil, fault.New(fault.RequestTooLarge, "%d bytes", r.ContentLength)
+		return nil, nil, errcode.New(errcode.RequestTooLarge, "%d bytes", r.ContentLength)
 	}
 	c, err := g.course(r, id)
 	if c != nil && !g.isPlain {
@@ -149,9 +149,9 @@
 // how tells what a try that ended so makes known of its order.
 func how(err error) string {
 	switch {
-	case err == nil || fault.Is(err, fault.OrderRan):
+	case err == nil || errcode.Is(err, errcode.OrderRan):
 		return ran
-	case fault.Of(err).Code.Outcome == "unknown" && !fault.Is(err, fault.OrderUnderWay):
+	case errcode.Of(err).Code.Outcome == "unknown" && !errcode.Is(err, errcode.OrderUnderWay):
 		return unknown
 	}
 	return unheardOf
@@ -165,7 +165,7 @@
 	if limit := c.chart.Limits[c.service.Name].Inflight; limit > 0 {
 		if share := g.share(c.chart, limit); n > share {
 			done()
-			return nil, fault.New(fault.Overload, "%s: the share of this proxy is %d", c.service.Name, share)
+			return nil, errcode.New(errcode.Overload, "%s: the share of this proxy is %d", c.service.Name, share)
 		}
 	}
 	if c.key != 0 && c.claim == "" && !c.isRepeatable {
@@ -183,7 +183,7 @@
 	if c.isRepeat && !g.extra(c) {
 		g.orders.End(c.key, unheardOf)
 		done()
-		return nil, fault.New(fault.BudgetSpent, "%s: a repeat of a request", c.service.Name)
+		return nil, errcode.New(errcode.BudgetSpent, "%s: a repeat of a request", c.service.Name)
 	}
 	return done, nil
 }
@@ -193,10 +193,10 @@
 // could not tell this one: the others tell those that the epoch names.
 func (g *Gate) mayLose(c *course) error {
 	if _, ok := c.chart.Shares[g.r.Name]; !ok {
-		return fault.New(fault.Overload, "epoch %d does not name this proxy yet", c.chart.Epoch)
+		return errcode.New(errcode.Overload, "epoch %d does not name this proxy yet", c.chart.Epoch)
 	}
 	if !g.budget.MayLose(c.service.Name, g.bounds(c)) {
-		return fault.New(fault.Overload, "%s: orders were lost of which not all proxies know", c.service.Name)
+		return errcode.New(errcode.Overload, "%s: orders were lost of which not all proxies know", c.service.Name)
 	}
 	return nil
 }
@@ -260,7 +260,7 @@
 	for sent < c.most && misses < targetsMost {
 		if r.Context().Err() != nil {
 			if !isWritten {
-				problem = fault.New(fault.NotWritten, "%s: the caller has gone", c.service.Name)
+				problem = errcode.New(errcode.NotWritten, "%s: the caller has gone", c.service.Name)
 			}
 			break
 		}
@@ -289,11 +289,11 @@
 		} else {
 			misses++
 		}
-		g.r.Sign.Say(sign.TryFailed, "request", c.id, "service", c.service.Name, "instance", p.target.Instance, "wrote", wrote, "cause", err.Error())
+		g.r.Sign.Say(eventlog.TryFailed, "request", c.id, "service", c.service.Name, "instance", p.target.Instance, "wrote", wrote, "cause", err.Error())
 		if !isWritten || isRun {
 			problem = err
 		}
-		if isRun && !c.isRepeatable || wrote && !isWhole || fault.Is(err, fault.NotFresh) || fault.Is(err, fault.BodyCut) {
+		if isRun && !c.isRepeatable || wrote && !isWhole || errcode.Is(err, errcode.NotFresh) || errcode.Is(err, errcode.BodyCut) {
 			break
 		}
 	}
@@ -301,7 +301,7 @@
 		return failed, nil
 	}
 	if problem == nil {
-		problem = fault.New(fault.NotWritten, "%s", c.service.Name)
+		problem = errcode.New(errcode.NotWritten, "%s", c.service.Name)
 	}
 	return nil, problem
 }
@@ -344,7 +344,7 @@
 // refuse answers at once, and spreads the time to come back. What is said is
 // true of the order, if the request bore a key and the order is known here.
 func (g *Gate) refuse(w http.ResponseWriter, r *http.Request, c *course, err error) {
-	p := fault.Of(err)
+	p := errcode.Of(err)
 	if key := orderOf(r); key != 0 {
 		p = ofOrder(g.orders.Of(key), p)
 	}
@@ -357,7 +357,7 @@
 	}
 	if p.Code.Status >= 500 || p.Code.Status == http.StatusTooManyRequests || p.Code.Status == http.StatusConflict {
 		least := g.r.Props.GateReturn
-		if p.Code.No == fault.NotFresh.No && least < time.Second {
+		if p.Code.No == errcode.NotFresh.No && least < time.Second {
 			// A plan comes later than room does.
 			least *= noPlanTimes
 		}
--- a/internal/gate/give.go
+++ b/internal/proxy/give.go
@@ -3,7 +3,7 @@
 // long past. So the system is told to give a connection up when what was sent
 // stays unacknowledged for a second, and to throw away what was not sent yet
 // when a pipe is killed.
-package gate
+package proxy
 
 import (
 	"net"
--- a/internal/gate/gossip.go
+++ b/internal/proxy/gossip.go
@@ -3,7 +3,7 @@
 // failures are told, as hashes, the first at once and those that follow gathered
 // for a moment; nobody waits for it. What could not be told to every proxy of the
 // epoch may come back unrecognised, so it is charged to this proxy's own budget.
-package gate
+package proxy
 
 import (
 	"context"
@@ -12,9 +12,9 @@
 	"time"
 
 	"github.com/sumactrestle/sumactrestle/internal/distribution"
+	"github.com/sumactrestle/sumactrestle/internal/environment"
 	"github.com/sumactrestle/sumactrestle/internal/membership"
-	"github.com/sumactrestle/sumactrestle/internal/realm"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
 const (
@@ -29,18 +29,18 @@
 }
 
 type gossip struct {
-	r     *realm.Realm
-	w     *wire.Wire
+	r     *environment.Realm
+	w     *rpc.Wire
 	k     *membership.Kin
 	b     *Budget
 	chart func() *distribution.Chart
 	queue chan lostOrder
 }
 
-func newGossip(r *realm.Realm, w *wire.Wire, k *membership.Kin, b *Budget, o *Orders, chart func() *distribution.Chart) *gossip {
+func newGossip(r *environment.Realm, w *rpc.Wire, k *membership.Kin, b *Budget, o *Orders, chart func() *distribution.Chart) *gossip {
 	g := &gossip{r: r, w: w, k: k, b: b, chart: chart, queue: make(chan lostOrder, gossipMost)}
-	w.Handle("gate.seen", func(c *wire.Call) (any, error) {
-		var ask wire.SeenAsk
+	w.Handle("gate.seen", func(c *rpc.Call) (any, error) {
+		var ask rpc.SeenAsk
 		if err := c.Read(&ask); err != nil {
 			return nil, err
 		}
@@ -111,7 +111,7 @@
 			defer all.Done()
 			ctx, end := context.WithTimeout(g.r, gossipTime)
 			defer end()
-			if g.w.Ask(ctx, m.Wire, "gate.seen", &wire.SeenAsk{Keys: keys}, nil) != nil && isNamed {
+			if g.w.Ask(ctx, m.Wire, "gate.seen", &rpc.SeenAsk{Keys: keys}, nil) != nil && isNamed {
 				misses.Add(1)
 			}
 		})
--- a/internal/gate/lane.go
+++ b/internal/proxy/lane.go
@@ -4,7 +4,7 @@
 // place has come, and goes out right after, so that one bucket bounds both directions.
 // One whose place would come too late is refused at once, and left unread: reading it
 // would take as much of the link as serving it.
-package gate
+package proxy
 
 import (
 	"bytes"
--- a/internal/gate/lane_test.go
+++ b/internal/proxy/lane_test.go
@@ -1,4 +1,4 @@
-package gate
+package proxy
 
 import (
 	"bufio"
@@ -10,10 +10,10 @@
 	"testing"
 	"time"
 
-	"github.com/sumactrestle/sumactrestle/internal/fault"
-	"github.com/sumactrestle/sumactrestle/internal/props"
-	"github.com/sumactrestle/sumactrestle/internal/realm"
-	"github.com/sumactrestle/sumactrestle/internal/sign"
+	"github.com/sumactrestle/sumactrestle/internal/config"
+	"github.com/sumactrestle/sumactrestle/internal/environment"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
+	"github.com/sumactrestle/sumactrestle/internal/eventlog"
 )
 
 func TestLargeBodiesTakeTheLaneInTurn(t *testing.T) {
@@ -92,11 +92,11 @@
 // A refused upload must cost the link next to nothing: its answer comes before its
 // body, and its body is left unread.
 func TestARefusedUploadIsLeftUnread(t *testing.T) {
-	r := realm.New(t.Context(), &props.Props{GateReturn: time.Second}, sign.New(io.Discard, "info", "n"), realm.Net{})
+	r := environment.New(t.Context(), &config.Props{GateReturn: time.Second}, eventlog.New(io.Discard, "info", "n"), environment.Net{})
 	g := &Gate{r: r, lane: newLane(100, 1)}
 	n := &atomic.Int64{}
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		g.refuse(w, q, nil, fault.New(fault.Overload, "no place"))
+		g.refuse(w, q, nil, errcode.New(errcode.Overload, "no place"))
 	}))
 	server.Listener = countingListener{server.Listener, n}
 	server.Start()
--- a/internal/gate/once.go
+++ b/internal/proxy/once.go
@@ -5,7 +5,7 @@
 // whose request was never written is given back; one whose proxy died stands, and
 // its order is told as unknown. The claims of all proxies are gathered for a moment
 // at their owner and written as one; what became of them is written once a second.
-package gate
+package proxy
 
 import (
 	"context"
@@ -16,9 +16,9 @@
 	"strings"
 	"time"
 
-	"github.com/sumactrestle/sumactrestle/internal/fault"
-	"github.com/sumactrestle/sumactrestle/internal/mark"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
 const (
@@ -43,11 +43,11 @@
 func knownOrder(state, note string) error {
 	switch state {
 	case ran:
-		return fault.New(fault.OrderRan, "%s", note)
+		return errcode.New(errcode.OrderRan, "%s", note)
 	case unknown:
-		return fault.New(fault.OrderUnknown, "%s", note)
+		return errcode.New(errcode.OrderUnknown, "%s", note)
 	}
-	return fault.New(fault.OrderUnderWay, "%s", note)
+	return errcode.New(errcode.OrderUnderWay, "%s", note)
 }
 
 // claim asks for the order's key; without it nothing may be handed over.
@@ -61,10 +61,10 @@
 	}
 	ctx, end := context.WithDeadline(g.r, limit)
 	defer end()
-	receipt, err := g.bond(ctx, &wire.BondOp{Op: "claim", Name: c.claim, Holder: g.holder(c)})
+	receipt, err := g.bond(ctx, &rpc.BondOp{Op: "claim", Name: c.claim, Holder: g.holder(c)})
 	if err != nil {
 		g.r.Go(func() { g.giveBack(c) })
-		return fault.New(fault.NoOwner, "the order can't be claimed: %v", err)
+		return errcode.New(errcode.NoOwner, "the order can't be claimed: %v", err)
 	}
 	if receipt.Code == 0 {
 		return nil
@@ -87,7 +87,7 @@
 // will not say any more what became of the order.
 func (g *Gate) isThere(holder string) bool {
 	words := strings.Split(holder, " ")
-	return len(words) != 3 || g.kin.IsLive(wire.Peer{Name: mark.Name(words[0]), Birth: mark.Birth(words[1])})
+	return len(words) != 3 || g.kin.IsLive(rpc.Peer{Name: ids.Name(words[0]), Birth: ids.Birth(words[1])})
 }
 
 // giveBack frees the key of an order of which nothing was written.
@@ -95,7 +95,7 @@
 	ctx, end := context.WithTimeout(g.r, 5*claimTime)
 	defer end()
 	for ctx.Err() == nil {
-		if _, err := g.bond(ctx, &wire.BondOp{Op: "unclaim", Name: c.claim, Holder: g.holder(c)}); err == nil {
+		if _, err := g.bond(ctx, &rpc.BondOp{Op: "unclaim", Name: c.claim, Holder: g.holder(c)}); err == nil {
 			return
 		}
 		g.r.Pause(100 * time.Millisecond)
@@ -110,7 +110,7 @@
 	state := ran
 	switch {
 	case err == nil:
-	case fault.Of(err).Code.Outcome == "not run":
+	case errcode.Of(err).Code.Outcome == "not run":
 		g.r.Go(func() { g.giveBack(c) })
 		return
 	default:
@@ -143,14 +143,14 @@
 				isMore = false
 			}
 		}
-		byPart := map[mark.Part]*wire.BondOp{}
+		byPart := map[ids.Part]*rpc.BondOp{}
 		for _, s := range batch {
-			no := mark.PartOf(s.name)
+			no := ids.PartOf(s.name)
 			if byPart[no] == nil {
-				byPart[no] = &wire.BondOp{Op: "settle", Name: s.name}
+				byPart[no] = &rpc.BondOp{Op: "settle", Name: s.name}
 			}
 			value, _ := json.Marshal(s.state)
-			byPart[no].Records = append(byPart[no].Records, wire.BondRecord{Name: s.name, Holder: s.request, Value: value})
+			byPart[no].Records = append(byPart[no].Records, rpc.BondRecord{Name: s.name, Holder: s.request, Value: value})
 		}
 		for _, op := range byPart {
 			g.r.Go(func() {
--- a/internal/gate/orders.go
+++ b/internal/proxy/orders.go
@@ -4,7 +4,7 @@
 // reason for which its repeat is refused. The key is known by the hash of the
 // method, the path and the caller's word, so that a change set which moves the
 // mapping to another service does not make a new order of it.
-package gate
+package proxy
 
 import (
 	"fmt"
@@ -12,8 +12,8 @@
 	"sync"
 	"time"
 
-	"github.com/sumactrestle/sumactrestle/internal/fault"
-	"github.com/sumactrestle/sumactrestle/internal/mark"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
 )
 
 // window is how long an order is remembered, three times over.
@@ -48,7 +48,7 @@
 	if key == "" {
 		return 0
 	}
-	return mark.Score(r.Method, r.URL.Path, key) | 1
+	return ids.Score(r.Method, r.URL.Path, key) | 1
 }
 
 func (o *order) state() string {
@@ -146,10 +146,10 @@
 }
 
 // ofOrder turns a refusal of a try into what is true of its order.
-func ofOrder(state string, p *fault.Problem) *fault.Problem {
-	isSpent := p.Code.No == fault.BudgetSpent.No
+func ofOrder(state string, p *errcode.Problem) *errcode.Problem {
+	isSpent := p.Code.No == errcode.BudgetSpent.No
 	if state == unheardOf || p.Code.Outcome != "not run" && !isSpent || isSpent && state != ran {
 		return p
 	}
-	return fault.Of(knownOrder(state, fmt.Sprintf("a repeat, refused with %d %s", p.Code.No, p.Code.Name)))
+	return errcode.Of(knownOrder(state, fmt.Sprintf("a repeat, refused with %d %s", p.Code.No, p.Code.Name)))
 }
--- a/internal/gate/pipe.go
+++ b/internal/proxy/pipe.go
@@ -2,7 +2,7 @@
 // comes while nothing was asked, or the end of the connection, shows the pipe
 // dead, so only a pipe that is known idle is used again. One try is one write
 // of one request; nothing here ever writes a request a second time.
-package gate
+package proxy
 
 import (
 	"bufio"
@@ -16,8 +16,8 @@
 	"sync"
 	"time"
 
-	"github.com/sumactrestle/sumactrestle/internal/fault"
-	"github.com/sumactrestle/sumactrestle/internal/realm"
+	"github.com/sumactrestle/sumactrestle/internal/environment"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
 )
 
 const (
@@ -216,7 +216,7 @@
 
 // pool keeps the idle pipes by target.
 type pool struct {
-	r    *realm.Realm
+	r    *environment.Realm
 	mu   sync.Mutex
 	idle map[string][]*pipe
 
@@ -225,7 +225,7 @@
 	briefUntil time.Time
 }
 
-func newPool(r *realm.Realm) *pool { return &pool{r: r, idle: map[string][]*pipe{}} }
+func newPool(r *environment.Realm) *pool { return &pool{r: r, idle: map[string][]*pipe{}} }
 
 func place(service, instance, address string) string {
 	return service + "\n" + instance + "\n" + address
@@ -254,7 +254,7 @@
 	defer end()
 	conn, err := o.r.Net.Dial(limited, address)
 	if err != nil {
-		return nil, fault.New(fault.NotWritten, "%s: %v", address, err)
+		return nil, errcode.New(errcode.NotWritten, "%s: %v", address, err)
 	}
 	p := &pipe{conn: conn, keep: o.r.Props.GateIdle}
 	if o.r.Props.GateSeal == "opaque" {
--- a/internal/gate/pipe_test.go
+++ b/internal/proxy/pipe_test.go
@@ -1,5 +1,5 @@
 // Connections that targets forget without a word.
-package gate
+package proxy
 
 import (
 	"context"
@@ -8,14 +8,14 @@
 	"testing/synctest"
 	"time"
 
-	"github.com/sumactrestle/sumactrestle/internal/props"
-	"github.com/sumactrestle/sumactrestle/internal/realm"
+	"github.com/sumactrestle/sumactrestle/internal/config"
+	"github.com/sumactrestle/sumactrestle/internal/environment"
 )
 
 func TestAfterOneForgottenPipeNoneThatIdledLongIsUsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		dials := 0
-		r := realm.New(t.Context(), &props.Props{GateIdle: 20 * time.Second, GateConnect: time.Second}, nil, realm.Net{Dial: func(context.Context, string) (net.Conn, error) {
+		r := environment.New(t.Context(), &config.Props{GateIdle: 20 * time.Second, GateConnect: time.Second}, nil, environment.Net{Dial: func(context.Context, string) (net.Conn, error) {
 			dials++
 			near, _ := net.Pipe()
 			return near, nil
--- a/internal/gate/read_test.go
+++ b/internal/proxy/read_test.go
@@ -1,7 +1,7 @@
 // Whatever a target sends, reading its answer ends: with a problem, or with a
 // whole body that is no longer than the limit and belongs to the request, unless
 // nothing that belongs to it follows.
-package gate
+package proxy
 
 import (
 	"bufio"
--- a/internal/gate/seal.go
+++ b/internal/proxy/seal.go
@@ -2,7 +2,7 @@
 // carried out on pipes of its own. This file is the seal: a server signs the
 // request's id, its own service and instance, the status and the whole body,
 // and nothing that lacks a right seal is handed to a caller as an answer.
-package gate
+package proxy
 
 import (
 	"crypto/hmac"
--- a/internal/gate/sick.go
+++ b/internal/proxy/sick.go
@@ -6,7 +6,7 @@
 // where all targets fail alike, or a large part of them, none of them is ill, for
 // nothing is gained by crowding the rest. An ill one is out at first, then it is merely
 // dear, so that it comes back slowly, and goes out again by the first few failures.
-package gate
+package proxy
 
 import (
 	"context"
@@ -14,9 +14,9 @@
 	"sync"
 	"time"
 
-	"github.com/sumactrestle/sumactrestle/internal/mark"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
 	"github.com/sumactrestle/sumactrestle/internal/membership"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
 const (
@@ -93,8 +93,8 @@
 
 func newSick(g *Gate) *sick {
 	s := &sick{g: g, fails: map[string]int{}, stir: make(chan struct{}, 1)}
-	g.wire.Handle("gate.ill", func(c *wire.Call) (any, error) {
-		var ask wire.IllAsk
+	g.wire.Handle("gate.ill", func(c *rpc.Call) (any, error) {
+		var ask rpc.IllAsk
 		if err := c.Read(&ask); err != nil {
 			return nil, err
 		}
@@ -121,7 +121,7 @@
 }
 
 // markOf is by what proxies name a target to one another.
-func markOf(at string) string { return strconv.FormatUint(mark.Score(at), 36) }
+func markOf(at string) string { return strconv.FormatUint(ids.Score(at), 36) }
 
 func (s *sick) heard(fails map[string]int) {
 	t := s.g.table.Load()
@@ -167,7 +167,7 @@
 		s.g.r.Go(func() {
 			ctx, end := context.WithTimeout(s.g.r, sickTime)
 			defer end()
-			s.g.wire.Ask(ctx, m.Wire, "gate.ill", &wire.IllAsk{Fails: fails}, nil)
+			s.g.wire.Ask(ctx, m.Wire, "gate.ill", &rpc.IllAsk{Fails: fails}, nil)
 		})
 	}
 }
--- a/internal/gate/sick_test.go
+++ b/internal/proxy/sick_test.go
@@ -1,6 +1,6 @@
 // Illness: what puts a target out, what brings it back, and that a service is never
 // emptied by it.
-package gate
+package proxy
 
 import (
 	"fmt"
@@ -8,16 +8,16 @@
 	"testing/synctest"
 	"time"
 
-	"github.com/sumactrestle/sumactrestle/internal/props"
-	"github.com/sumactrestle/sumactrestle/internal/realm"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
+	"github.com/sumactrestle/sumactrestle/internal/config"
+	"github.com/sumactrestle/sumactrestle/internal/environment"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
 func crewOf(n int) (*Gate, *crew) {
-	g := &Gate{r: &realm.Realm{Props: &props.Props{Zone: "a", GateSpill: 30}}}
-	var list []wire.Target
+	g := &Gate{r: &environment.Realm{Props: &config.Props{Zone: "a", GateSpill: 30}}}
+	var list []rpc.Target
 	for i := range n {
-		list = append(list, wire.Target{Instance: fmt.Sprint("t", i), Address: fmt.Sprint("10.0.0.", i), Zone: "a", Weight: 100, Slots: 2})
+		list = append(list, rpc.Target{Instance: fmt.Sprint("t", i), Address: fmt.Sprint("10.0.0.", i), Zone: "a", Weight: 100, Slots: 2})
 	}
 	return g, g.newCrew("s", list, nil, time.Now())
 }
--- a/internal/gate/try.go
+++ b/internal/proxy/try.go
@@ -1,7 +1,7 @@
 // A try is one write of a request to one target, at most. What it may end in is
 // told apart here: nothing written, an answer with a right seal, or something
 // else after the first byte, of which only "unknown" can be said.
-package gate
+package proxy
 
 import (
 	"bufio"
@@ -16,9 +16,9 @@
 	"strings"
 	"time"
 
-	"github.com/sumactrestle/sumactrestle/internal/fault"
-	"github.com/sumactrestle/sumactrestle/internal/sign"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
+	"github.com/sumactrestle/sumactrestle/internal/eventlog"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
 // body reads small bodies, so that they can be sent again; others stream. Where
@@ -29,35 +29,35 @@
 		most = min(most, manners.Body)
 	}
 	if r.ContentLength > most {
-		return nil, false, fault.New(fault.RequestTooLarge, "%d bytes", r.ContentLength)
+		return nil, false, errcode.New(errcode.RequestTooLarge, "%d bytes", r.ContentLength)
 	}
 	if r.ContentLength == 0 {
 		return func() io.Reader { return nil }, true, nil
 	}
 	limit := c.latest(time.Now())
 	if !g.lane.await(ctx, r.ContentLength, limit) {
-		return nil, false, fault.New(fault.Overload, "the link has no place for %d bytes in time", r.ContentLength)
+		return nil, false, errcode.New(errcode.Overload, "the link has no place for %d bytes in time", r.ContentLength)
 	}
 	done, ok := g.lane.begin(r.ContentLength, limit)
 	if !ok {
-		return nil, false, fault.New(fault.Overload, "too many large bodies at once")
+		return nil, false, errcode.New(errcode.Overload, "too many large bodies at once")
 	}
 	defer done()
 	c.isRead = true
 	if r.ContentLength > 0 && (r.ContentLength <= smallBody || g.isPlain) {
 		whole := make([]byte, r.ContentLength)
 		if _, err := io.ReadFull(r.Body, whole); err != nil {
-			return nil, false, fault.New(fault.BadRequest, "the body ended early; nothing was handed over")
+			return nil, false, errcode.New(errcode.BadRequest, "the body ended early; nothing was handed over")
 		}
 		return func() io.Reader { return bytes.NewReader(whole) }, true, nil
 	}
 	if g.isPlain {
 		whole, err := io.ReadAll(io.LimitReader(r.Body, most+1))
 		if err != nil {
-			return nil, false, fault.New(fault.BadRequest, "the body ended early; nothing was handed over")
+			return nil, false, errcode.New(errcode.BadRequest, "the body ended early; nothing was handed over")
 		}
 		if int64(len(whole)) > most {
-			return nil, false, fault.New(fault.RequestTooLarge, "over %d bytes", most)
+			return nil, false, errcode.New(errcode.RequestTooLarge, "over %d bytes", most)
 		}
 		r.ContentLength = int64(len(whole))
 		return func() io.Reader { return bytes.NewReader(whole) }, true, nil
@@ -111,16 +111,16 @@
 	request := g.request(c, r, target, body(), no)
 	out, ok := p.take(request, g.r.Props.GateBody)
 	if !ok {
-		return nil, false, fault.New(fault.NotWritten, "%s: the pipe died", target.Address)
+		return nil, false, errcode.New(errcode.NotWritten, "%s: the pipe died", target.Address)
 	}
 	if t := g.table.Load(); !t.places[to.at] || !g.flow.IsFresh(t.chart, c.service.Name) {
 		p.kill()
-		return nil, false, fault.New(fault.NotFresh, "epoch %d", t.chart.Epoch)
+		return nil, false, errcode.New(errcode.NotFresh, "epoch %d", t.chart.Epoch)
 	}
 	if t := g.table.Load(); t.chart != c.chart {
 		if m := t.find(r); m == nil || m != c.mapping && !reflect.DeepEqual(m, c.mapping) {
 			p.kill()
-			return nil, false, fault.New(fault.NotFresh, "the mapping changed in epoch %d", t.chart.Epoch)
+			return nil, false, errcode.New(errcode.NotFresh, "the mapping changed in epoch %d", t.chart.Epoch)
 		}
 	}
 	p.conn.SetDeadline(c.deadline)
@@ -208,10 +208,10 @@
 	switch {
 	case isElsewhere:
 		to.bar()
-		return got, true, fault.New(fault.TargetRefused, "%s: another instance has the address", to.target.Instance)
+		return got, true, errcode.New(errcode.TargetRefused, "%s: another instance has the address", to.target.Instance)
 	case isUnrun:
 		to.isFull(now, c.crew.typical())
-		return got, true, fault.New(fault.TargetRefused, "%s: %d", to.target.Instance, status)
+		return got, true, errcode.New(errcode.TargetRefused, "%s: %d", to.target.Instance, status)
 	}
 	if status < 500 {
 		c.crew.learn(took)
@@ -243,7 +243,7 @@
 }
 
 // count notes the bytes of a try, without the answer's head.
-func (g *Gate) count(target wire.Target, bytes int) {
+func (g *Gate) count(target rpc.Target, bytes int) {
 	kind := "gate.try"
 	if target.Zone != g.r.Props.Zone {
 		kind += " between"
@@ -267,13 +267,13 @@
 func broken(request *http.Request, n int, err error) error {
 	if s, ok := request.Body.(wrapped); ok {
 		if stream, ok := s.Reader.(*streamed); ok && stream.err != nil {
-			return fault.New(fault.BodyCut, "%v", stream.err)
+			return errcode.New(errcode.BodyCut, "%v", stream.err)
 		}
 	}
 	if n == 0 && request.ContentLength == 0 {
-		return fault.New(fault.NotWritten, "%v", err)
+		return errcode.New(errcode.NotWritten, "%v", err)
 	}
-	return fault.New(fault.AnswerLost, "%v", err)
+	return errcode.New(errcode.AnswerLost, "%v", err)
 }
 
 // wrapped is a body that a failed write may close without harm.
@@ -283,17 +283,17 @@
 
 func lost(got *answer, instance string) error {
 	if errors.Is(got.err, errTooLarge) {
-		return fault.New(fault.AnswerTooLarge, "")
+		return errcode.New(errcode.AnswerTooLarge, "")
 	}
 	if timeout, ok := got.err.(interface{ Timeout() bool }); ok && timeout.Timeout() {
-		return fault.New(fault.DeadlinePassed, "%s", instance)
+		return errcode.New(errcode.DeadlinePassed, "%s", instance)
 	}
-	return fault.New(fault.AnswerLost, "%v", got.err)
+	return errcode.New(errcode.AnswerLost, "%v", got.err)
 }
 
 var hopByHop = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect", "Proxy-Authorization", "Proxy-Authenticate"}
 
-func (g *Gate) request(c *course, r *http.Request, target wire.Target, body io.Reader, no int) *http.Request {
+func (g *Gate) request(c *course, r *http.Request, target rpc.Target, body io.Reader, no int) *http.Request {
 	out := &http.Request{Method: r.Method, URL: r.URL, Host: r.Host, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1, Header: r.Header.Clone(), ContentLength: r.ContentLength}
 	for _, word := range strings.Split(r.Header.Get("Connection"), ",") {
 		out.Header.Del(strings.TrimSpace(word))
@@ -332,7 +332,7 @@
 
 // verify holds an answer against the server's seal. An opaque one can only be
 // seen to be there; then the answer must name its request, and its length.
-func (g *Gate) verify(c *course, target wire.Target, got *answer) error {
+func (g *Gate) verify(c *course, target rpc.Target, got *answer) error {
 	h := got.response.Header
 	seal := h.Get(g.r.Props.HeaderSeal)
 	isSealed := false
@@ -343,8 +343,8 @@
 		isSealed = IsSealed(seal, c.service.Key, c.id, c.service.Name, target.Instance, got.response.StatusCode, got.body)
 	}
 	if !isSealed {
-		g.r.Sign.Say(sign.SealRefused, "request", c.id, "service", c.service.Name, "instance", target.Instance, "address", target.Address, "status", got.response.StatusCode)
-		return fault.New(fault.SealBroken, "%s", target.Instance)
+		g.r.Sign.Say(eventlog.SealRefused, "request", c.id, "service", c.service.Name, "instance", target.Instance, "address", target.Address, "status", got.response.StatusCode)
+		return errcode.New(errcode.SealBroken, "%s", target.Instance)
 	}
 	return nil
 }
--- a/internal/gate/view.go
+++ b/internal/proxy/view.go
@@ -1,13 +1,13 @@
 // What a gate shows of itself, folded when it is asked: how long requests took, what
 // it holds of its targets, and what each service's budget of further tries holds.
-package gate
+package proxy
 
 import (
 	"sync/atomic"
 	"time"
 
-	"github.com/sumactrestle/sumactrestle/internal/fault"
-	"github.com/sumactrestle/sumactrestle/internal/gauge"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
+	"github.com/sumactrestle/sumactrestle/internal/metrics"
 )
 
 // back notes that a target was left, having been written to then.
@@ -16,9 +16,9 @@
 // took notes how long a request took; one that found no service has no name.
 func (g *Gate) took(c *course, began time.Time, err error) {
 	whole := time.Since(began)
-	outcome := gauge.Ran
+	outcome := metrics.Ran
 	if err != nil {
-		outcome = gauge.OutcomeOf(fault.Of(err).Code.Outcome)
+		outcome = metrics.OutcomeOf(errcode.Of(err).Code.Outcome)
 	}
 	switch {
 	case c == nil:
--- a/internal/report/history.go
+++ b/internal/report/history.go
@@ -13,7 +13,7 @@
 	"gonum.org/v1/plot/plotter"
 
 	"github.com/sumactrestle/sumactrestle/internal/checker"
-	"github.com/sumactrestle/sumactrestle/internal/fault"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
 )
 
 const (
@@ -71,7 +71,7 @@
 		calls += p.calls
 	}
 	if calls == 0 {
-		return s, fault.New(fault.BadCall, "%s: there is no call in it", name)
+		return s, errcode.New(errcode.BadCall, "%s: there is no call in it", name)
 	}
 	var faults []float64
 	var told []string
--- a/internal/report/slopes.go
+++ b/internal/report/slopes.go
@@ -13,7 +13,7 @@
 	"gonum.org/v1/plot/vg"
 	"gonum.org/v1/plot/vg/draw"
 
-	"github.com/sumactrestle/sumactrestle/internal/fault"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
 	"github.com/sumactrestle/sumactrestle/internal/hollow"
 )
 
@@ -27,7 +27,7 @@
 	s := Section{Title: fmt.Sprintf("%d hollow runs by %s", len(reports), axis)}
 	sizeOf, ok := hollow.Axes[axis]
 	if !ok {
-		return s, fault.New(fault.BadCall, "there is no axis %q", axis)
+		return s, errcode.New(errcode.BadCall, "there is no axis %q", axis)
 	}
 	reports = slices.Clone(reports)
 	slices.SortFunc(reports, func(a, b hollow.Report) int { return cmp.Compare(sizeOf(a.Size), sizeOf(b.Size)) })
@@ -81,7 +81,7 @@
 		s.Plots = append(s.Plots, Plot{fmt.Sprintf("%s of one node by its role; the lines are least squares, drawn out to %s %s", strings.ToUpper(f.name[:1])+f.name[1:], hollow.Short(at), axis), p})
 	}
 	if len(s.Plots) == 0 {
-		return s, fault.New(fault.BadCall, "the runs hold none of the figures that are drawn")
+		return s, errcode.New(errcode.BadCall, "the runs hold none of the figures that are drawn")
 	}
 	return s, nil
 }
--- a/internal/wire/idle.go
+++ b/internal/rpc/idle.go
@@ -1,5 +1,5 @@
 // Pipes on which nothing is asked are closed by their asking end.
-package wire
+package rpc
 
 import (
 	"errors"
--- a/internal/wire/idle_test.go
+++ b/internal/rpc/idle_test.go
@@ -1,5 +1,5 @@
 // Pipes on which nothing is asked are closed; no ask is lost by it.
-package wire
+package rpc
 
 import (
 	"context"
@@ -9,10 +9,10 @@
 	"testing/synctest"
 	"time"
 
-	"github.com/sumactrestle/sumactrestle/internal/fault"
-	"github.com/sumactrestle/sumactrestle/internal/props"
-	"github.com/sumactrestle/sumactrestle/internal/realm"
-	"github.com/sumactrestle/sumactrestle/internal/sign"
+	"github.com/sumactrestle/sumactrestle/internal/config"
+	"github.com/sumactrestle/sumactrestle/internal/environment"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
+	"github.com/sumactrestle/sumactrestle/internal/eventlog"
 )
 
 // socket is the one listener of a network in memory.
@@ -40,11 +40,11 @@
 		far := &socket{conns: make(chan net.Conn), over: make(chan struct{})}
 		dialled := 0
 		node := func(address string, listen *socket) *Wire {
-			settings, err := props.Load("", map[string]string{"name": "n", "zone": "a", "wire.address": address, "api.address": "10.0.0.1:2", "gate.address": "10.0.0.1:3"})
+			settings, err := config.Load("", map[string]string{"name": "n", "zone": "a", "wire.address": address, "api.address": "10.0.0.1:2", "gate.address": "10.0.0.1:3"})
 			if err != nil {
 				t.Fatal(err)
 			}
-			w := New(realm.New(ctx, settings, sign.New(t.Output(), "error", "n"), realm.Net{
+			w := New(environment.New(ctx, settings, eventlog.New(t.Output(), "error", "n"), environment.Net{
 				Listen: func(string) (net.Listener, error) { return listen, nil },
 				Dial: func(context.Context, string) (net.Conn, error) {
 					dialled++
@@ -105,7 +105,7 @@
 		if ask("now"); dialled != 3 || open() != 1 {
 			t.Errorf("%d dialled, %d open", dialled, open())
 		}
-		if err := w.Ask(ctx, its, "nothing", struct{}{}, nil); !fault.Is(err, fault.UnknownKind) {
+		if err := w.Ask(ctx, its, "nothing", struct{}{}, nil); !errcode.Is(err, errcode.UnknownKind) {
 			t.Error(err)
 		}
 	})
--- a/internal/wire/pack.go
+++ b/internal/rpc/pack.go
@@ -1,6 +1,6 @@
 // A frame as a line. Its body is encoded already, once for all who get it, and goes
 // into the line as it stands: package json would read all of it again for each frame.
-package wire
+package rpc
 
 import (
 	"encoding/json"
--- a/internal/wire/pack_test.go
+++ b/internal/rpc/pack_test.go
@@ -1,5 +1,5 @@
 // Frames as lines, and asks whose time is over.
-package wire
+package rpc
 
 import (
 	"bytes"
@@ -11,10 +11,10 @@
 	"testing/synctest"
 	"time"
 
-	"github.com/sumactrestle/sumactrestle/internal/fault"
-	"github.com/sumactrestle/sumactrestle/internal/props"
-	"github.com/sumactrestle/sumactrestle/internal/realm"
-	"github.com/sumactrestle/sumactrestle/internal/sign"
+	"github.com/sumactrestle/sumactrestle/internal/config"
+	"github.com/sumactrestle/sumactrestle/internal/environment"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
+	"github.com/sumactrestle/sumactrestle/internal/eventlog"
 )
 
 func TestAPackedFrameIsTheFrameAsJson(t *testing.T) {
@@ -44,13 +44,13 @@
 
 func TestAnAskWhoseTimeIsOverIsNotWorkedOn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		settings, err := props.Load("", map[string]string{"name": "n", "zone": "a", "wire.address": "10.0.0.1:1", "api.address": "10.0.0.1:2", "gate.address": "10.0.0.1:3"})
+		settings, err := config.Load("", map[string]string{"name": "n", "zone": "a", "wire.address": "10.0.0.1:1", "api.address": "10.0.0.1:2", "gate.address": "10.0.0.1:3"})
 		if err != nil {
 			t.Fatal(err)
 		}
 		ctx, end := context.WithCancel(t.Context())
 		defer end()
-		w := New(realm.New(ctx, settings, sign.New(t.Output(), "error", "n"), realm.Net{}))
+		w := New(environment.New(ctx, settings, eventlog.New(t.Output(), "error", "n"), environment.Net{}))
 		begun, sent := 0, 0
 		w.Handle("slow", func(c *Call) (any, error) {
 			begun++
@@ -60,7 +60,7 @@
 		ask := &Frame{V: Version, Id: 5, Kind: "slow", Deadline: 20_000}
 		got := time.Now()
 		receipt, leave := w.answer(ctx, ask, got)
-		if begun != 1 || receipt.Body != nil || receipt.Code != fault.ReplyLost.No || receipt.Id != 5 || leave == nil {
+		if begun != 1 || receipt.Body != nil || receipt.Code != errcode.ReplyLost.No || receipt.Id != 5 || leave == nil {
 			t.Errorf("begun %d, %+v", begun, receipt)
 		}
 		leave()
@@ -69,7 +69,7 @@
 		}
 		// Read from the pipe, but not begun until its asker had given up.
 		receipt, leave = w.answer(ctx, ask, got)
-		if begun != 1 || leave != nil || !reflect.DeepEqual(receipt, &Frame{V: Version, Id: 5, Code: fault.ReplyLost.No, Note: "slow: not begun, its time is over"}) {
+		if begun != 1 || leave != nil || !reflect.DeepEqual(receipt, &Frame{V: Version, Id: 5, Code: errcode.ReplyLost.No, Note: "slow: not begun, its time is over"}) {
 			t.Errorf("begun %d, %+v", begun, receipt)
 		}
 	})
--- a/internal/wire/pipe.go
+++ b/internal/rpc/pipe.go
@@ -1,7 +1,7 @@
 // A pipe is the asking end of one connection to a peer. It is dialled when
 // first needed, shared by all who ask that peer, and dropped at the first
 // failure, upon which all who wait on it learn that their receipt is lost.
-package wire
+package rpc
 
 import (
 	"bufio"
@@ -11,8 +11,8 @@
 	"sync"
 	"time"
 
-	"github.com/sumactrestle/sumactrestle/internal/fault"
-	"github.com/sumactrestle/sumactrestle/internal/realm"
+	"github.com/sumactrestle/sumactrestle/internal/environment"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
 )
 
 type pipe struct {
@@ -23,7 +23,7 @@
 	conn    net.Conn
 
 	mu      sync.Mutex
-	writing realm.Turn
+	writing environment.Turn
 	next    uint64
 	waiting map[uint64]chan *Frame
 	isOver  bool
@@ -54,9 +54,9 @@
 	if !ok {
 		if w.r.IsOver() {
 			w.mu.Unlock()
-			return nil, fault.New(fault.Unreached, "%s: stopping", address)
+			return nil, errcode.New(errcode.Unreached, "%s: stopping", address)
 		}
-		p = &pipe{w: w, address: address, ready: make(chan struct{}), waiting: map[uint64]chan *Frame{}, writing: realm.NewTurn()}
+		p = &pipe{w: w, address: address, ready: make(chan struct{}), waiting: map[uint64]chan *Frame{}, writing: environment.NewTurn()}
 		w.pipes[address] = p
 		w.r.Go(p.run)
 	}
@@ -65,21 +65,21 @@
 	case <-p.ready:
 		return p, p.problem
 	case <-ctx.Done():
-		return nil, fault.New(fault.Unreached, "%s: %v", address, ctx.Err())
+		return nil, errcode.New(errcode.Unreached, "%s: %v", address, ctx.Err())
 	}
 }
 
 func (p *pipe) run() {
 	conn, err := p.dial()
 	if err != nil {
-		p.problem = fault.New(fault.Unreached, "%s: %v", p.address, err)
+		p.problem = errcode.New(errcode.Unreached, "%s: %v", p.address, err)
 		p.forget()
 		close(p.ready)
 		return
 	}
 	p.conn = conn
 	if !p.w.keep(conn) {
-		p.problem = fault.New(fault.Unreached, "%s: stopping", p.address)
+		p.problem = errcode.New(errcode.Unreached, "%s: stopping", p.address)
 		p.forget()
 		close(p.ready)
 		return
@@ -185,7 +185,7 @@
 	}
 	if p.isOver {
 		p.mu.Unlock()
-		return nil, fault.New(fault.Unreached, "%s: pipe closed", p.address)
+		return nil, errcode.New(errcode.Unreached, "%s: pipe closed", p.address)
 	}
 	p.next++
 	frame.Id = p.next
@@ -194,7 +194,7 @@
 	p.mu.Unlock()
 	raw, err := pack(frame)
 	if err != nil {
-		return nil, fault.New(fault.Internal, "%v", err)
+		return nil, errcode.New(errcode.Internal, "%v", err)
 	}
 	sent := time.Now()
 	p.w.count(frame.Kind, p.address, raw.size())
@@ -204,12 +204,12 @@
 	p.writing.Unlock()
 	if err != nil {
 		p.close()
-		return nil, fault.New(fault.ReplyLost, "%s: %v", p.address, err)
+		return nil, errcode.New(errcode.ReplyLost, "%s: %v", p.address, err)
 	}
 	select {
 	case receipt, ok := <-waiter:
 		if !ok {
-			return nil, fault.New(fault.ReplyLost, "%s: pipe closed", p.address)
+			return nil, errcode.New(errcode.ReplyLost, "%s: pipe closed", p.address)
 		}
 		return receipt, nil
 	case <-ctx.Done():
@@ -220,6 +220,6 @@
 		if isDeaf {
 			p.close()
 		}
-		return nil, fault.New(fault.ReplyLost, "%s %s: %v", p.address, frame.Kind, ctx.Err())
+		return nil, errcode.New(errcode.ReplyLost, "%s %s: %v", p.address, frame.Kind, ctx.Err())
 	}
 }
--- a/internal/wire/pipe_test.go
+++ b/internal/rpc/pipe_test.go
@@ -1,4 +1,4 @@
-package wire
+package rpc
 
 import (
 	"context"
@@ -10,20 +10,20 @@
 	"testing/synctest"
 	"time"
 
-	"github.com/sumactrestle/sumactrestle/internal/props"
-	"github.com/sumactrestle/sumactrestle/internal/realm"
-	"github.com/sumactrestle/sumactrestle/internal/sign"
+	"github.com/sumactrestle/sumactrestle/internal/config"
+	"github.com/sumactrestle/sumactrestle/internal/environment"
+	"github.com/sumactrestle/sumactrestle/internal/eventlog"
 )
 
 // dialled is a wire whose n-th dial does what the n-th verb does.
-func dialled(t *testing.T, verbs ...func(context.Context) (net.Conn, error)) (*Wire, *realm.Realm, *atomic.Int64) {
+func dialled(t *testing.T, verbs ...func(context.Context) (net.Conn, error)) (*Wire, *environment.Realm, *atomic.Int64) {
 	t.Helper()
-	p, err := props.Load("", map[string]string{"name": "one", "wire.address": "127.0.0.1:1", "api.address": "127.0.0.1:2", "gate.address": "127.0.0.1:3", "wire.dial": "600ms"})
+	p, err := config.Load("", map[string]string{"name": "one", "wire.address": "127.0.0.1:1", "api.address": "127.0.0.1:2", "gate.address": "127.0.0.1:3", "wire.dial": "600ms"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	count := &atomic.Int64{}
-	r := realm.New(context.Background(), p, sign.New(io.Discard, "error", "one"), realm.Net{Dial: func(ctx context.Context, _ string) (net.Conn, error) {
+	r := environment.New(context.Background(), p, eventlog.New(io.Discard, "error", "one"), environment.Net{Dial: func(ctx context.Context, _ string) (net.Conn, error) {
 		return verbs[int(count.Add(1)-1)%len(verbs)](ctx)
 	}})
 	return New(r), r, count
--- a/internal/wire/wire.go
+++ b/internal/rpc/wire.go
@@ -3,7 +3,7 @@
 // that could not be written is Unreached; one that was written and whose
 // receipt did not come is ReplyLost. What can't be read is refused with a code,
 // counted and logged, and never stops a node.
-package wire
+package rpc
 
 import (
 	"bufio"
@@ -14,10 +14,10 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/sumactrestle/sumactrestle/internal/fault"
-	"github.com/sumactrestle/sumactrestle/internal/mark"
-	"github.com/sumactrestle/sumactrestle/internal/realm"
-	"github.com/sumactrestle/sumactrestle/internal/sign"
+	"github.com/sumactrestle/sumactrestle/internal/environment"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
+	"github.com/sumactrestle/sumactrestle/internal/eventlog"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
 )
 
 // Version is what the messages mean. It grows when a message no longer means to an
@@ -34,7 +34,7 @@
 // Read unpacks the ask.
 func (c *Call) Read(into any) error {
 	if err := json.Unmarshal(c.body, into); err != nil {
-		return fault.New(fault.BadMessage, "%v", err)
+		return errcode.New(errcode.BadMessage, "%v", err)
 	}
 	return nil
 }
@@ -55,7 +55,7 @@
 
 // Wire is a node's end of all its pipes.
 type Wire struct {
-	r        *realm.Realm
+	r        *environment.Realm
 	mu       sync.Mutex
 	pipes    map[string]*pipe
 	handlers map[string]Handler
@@ -66,7 +66,7 @@
 	IsNear func(address string) bool
 }
 
-func New(r *realm.Realm) *Wire {
+func New(r *environment.Realm) *Wire {
 	return &Wire{r: r, pipes: map[string]*pipe{}, handlers: map[string]Handler{}, conns: map[net.Conn]bool{}}
 }
 
@@ -77,7 +77,7 @@
 func (w *Wire) Open() error {
 	listener, err := w.r.Net.Listen(w.r.Props.WireAddress)
 	if err != nil {
-		return fault.New(fault.BadProps, "wire.address: %v", err)
+		return errcode.New(errcode.BadProps, "wire.address: %v", err)
 	}
 	w.listener = listener
 	w.r.Go(func() {
@@ -156,19 +156,19 @@
 	defer w.drop(conn)
 	ctx, end := context.WithCancel(w.r)
 	defer end()
-	writing := realm.NewTurn()
+	writing := environment.NewTurn()
 	reader := bufio.NewReaderSize(conn, 16<<10)
 	for {
 		line, err := readLine(reader, w.r.Props.WireLine)
 		if err != nil {
-			if fault.Is(err, fault.LineTooLong) {
-				w.r.Sign.Say(sign.MessageRefused, "code", fault.LineTooLong.No, "from", conn.RemoteAddr().String())
+			if errcode.Is(err, errcode.LineTooLong) {
+				w.r.Sign.Say(eventlog.MessageRefused, "code", errcode.LineTooLong.No, "from", conn.RemoteAddr().String())
 			}
 			return
 		}
 		var ask Frame
 		if err := json.Unmarshal(line, &ask); err != nil {
-			w.r.Sign.Say(sign.MessageRefused, "code", fault.BadMessage.No, "from", conn.RemoteAddr().String())
+			w.r.Sign.Say(eventlog.MessageRefused, "code", errcode.BadMessage.No, "from", conn.RemoteAddr().String())
 			return
 		}
 		got := time.Now()
@@ -201,18 +201,18 @@
 func (w *Wire) answer(ctx context.Context, ask *Frame, got time.Time) (receipt *Frame, sent func()) {
 	receipt = &Frame{V: Version, Id: ask.Id}
 	fail := func(err error) (*Frame, func()) {
-		p := fault.Of(err)
+		p := errcode.Of(err)
 		receipt.Code, receipt.Note, receipt.Paths = p.Code.No, p.Note, p.Paths
 		return receipt, sent
 	}
 	if ask.V != Version {
-		w.r.Sign.Say(sign.MessageRefused, "code", fault.WrongVersion.No, "kind", ask.Kind, "version", ask.V)
-		return fail(fault.New(fault.WrongVersion, "%d, not %d", ask.V, Version))
+		w.r.Sign.Say(eventlog.MessageRefused, "code", errcode.WrongVersion.No, "kind", ask.Kind, "version", ask.V)
+		return fail(errcode.New(errcode.WrongVersion, "%d, not %d", ask.V, Version))
 	}
 	handle, ok := w.handlers[ask.Kind]
 	if !ok {
-		w.r.Sign.Say(sign.MessageRefused, "code", fault.UnknownKind.No, "kind", ask.Kind)
-		return fail(fault.New(fault.UnknownKind, "%q", ask.Kind))
+		w.r.Sign.Say(eventlog.MessageRefused, "code", errcode.UnknownKind.No, "kind", ask.Kind)
+		return fail(errcode.New(errcode.UnknownKind, "%q", ask.Kind))
 	}
 	if ask.Deadline > 0 {
 		limited, end := context.WithDeadline(ctx, got.Add(time.Duration(ask.Deadline)*time.Microsecond))
@@ -220,7 +220,7 @@
 		ctx = limited
 	}
 	if ctx.Err() != nil {
-		return fail(fault.New(fault.ReplyLost, "%s: not begun, its time is over", ask.Kind))
+		return fail(errcode.New(errcode.ReplyLost, "%s: not begun, its time is over", ask.Kind))
 	}
 	body, err := handle(&Call{Context: ctx, Hops: ask.Hops, body: ask.Body})
 	ready, isReady := body.(*Raw)
@@ -228,13 +228,13 @@
 		sent = ready.Sent
 	}
 	if err != nil {
-		if p := fault.Of(err); p.Code.No == fault.BadMessage.No {
-			w.r.Sign.Say(sign.MessageRefused, "code", p.Code.No, "kind", ask.Kind, "note", p.Note)
+		if p := errcode.Of(err); p.Code.No == errcode.BadMessage.No {
+			w.r.Sign.Say(eventlog.MessageRefused, "code", p.Code.No, "kind", ask.Kind, "note", p.Note)
 		}
 		return fail(err)
 	}
 	if ctx.Err() != nil {
-		return fail(fault.New(fault.ReplyLost, "%s: its time is over", ask.Kind))
+		return fail(errcode.New(errcode.ReplyLost, "%s: its time is over", ask.Kind))
 	}
 	if isReady {
 		receipt.Body = ready.Body
@@ -242,7 +242,7 @@
 	}
 	raw, err := json.Marshal(body)
 	if err != nil {
-		return fail(fault.New(fault.Internal, "%v", err))
+		return fail(errcode.New(errcode.Internal, "%v", err))
 	}
 	receipt.Body = raw
 	return receipt, sent
@@ -257,7 +257,7 @@
 		}
 		line = append(line, chunk...)
 		if len(line) > limit {
-			return nil, fault.New(fault.LineTooLong, "over %d bytes", limit)
+			return nil, errcode.New(errcode.LineTooLong, "over %d bytes", limit)
 		}
 		if err == nil {
 			return line, nil
@@ -280,13 +280,13 @@
 func (w *Wire) AskHop(ctx context.Context, address, kind string, hops int, body, into any) error {
 	raw, err := json.Marshal(body)
 	if err != nil {
-		return fault.New(fault.Internal, "%v", err)
+		return errcode.New(errcode.Internal, "%v", err)
 	}
 	frame := &Frame{V: Version, Kind: kind, Hops: hops, Body: raw}
 	if end, ok := ctx.Deadline(); ok {
 		left := time.Until(end)
 		if left <= 0 {
-			return fault.New(fault.Unreached, "%s: no time left", address)
+			return errcode.New(errcode.Unreached, "%s: no time left", address)
 		}
 		frame.Deadline = left.Microseconds() + 1
 	}
@@ -295,20 +295,20 @@
 		return err
 	}
 	if receipt.V != Version {
-		return fault.New(fault.ReplyLost, "%s %s: answered in version %d of the wire, not %d", address, kind, receipt.V, Version)
+		return errcode.New(errcode.ReplyLost, "%s %s: answered in version %d of the wire, not %d", address, kind, receipt.V, Version)
 	}
 	if receipt.Code != 0 {
-		code, ok := fault.Codes[receipt.Code]
+		code, ok := errcode.Codes[receipt.Code]
 		if !ok {
-			code = fault.Internal
+			code = errcode.Internal
 		}
-		problem := fault.New(code, "%s", receipt.Note)
-		fault.Of(problem).Paths = receipt.Paths
+		problem := errcode.New(code, "%s", receipt.Note)
+		errcode.Of(problem).Paths = receipt.Paths
 		return problem
 	}
 	if into != nil {
 		if err := json.Unmarshal(receipt.Body, into); err != nil {
-			return fault.New(fault.BadMessage, "%s from %s: %v", kind, address, err)
+			return errcode.New(errcode.BadMessage, "%s from %s: %v", kind, address, err)
 		}
 	}
 	return nil
@@ -328,4 +328,4 @@
 }
 
 // From is the id of the node that asks, for logs.
-func (w *Wire) From() mark.Name { return w.r.Name }
+func (w *Wire) From() ids.Name { return w.r.Name }
--- a/internal/simulator/bonds.go
+++ b/internal/simulator/bonds.go
@@ -14,8 +14,8 @@
 
 	"github.com/sumactrestle/sumactrestle/internal/api"
 	"github.com/sumactrestle/sumactrestle/internal/checker"
-	"github.com/sumactrestle/sumactrestle/internal/fault"
-	"github.com/sumactrestle/sumactrestle/internal/mark"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
 	"github.com/sumactrestle/sumactrestle/internal/standin"
 )
 
@@ -24,7 +24,7 @@
 // again makes a call under an id, and up to three times more while it is left
 // unknown; each try is recorded under the id.
 func (f *Fleet) again(r *rand.Rand, clients []*api.Client, rec checker.Record, call func(ctx context.Context, client *api.Client, id string, rec *checker.Record) error) (done bool) {
-	rec.Request = mark.NewID()
+	rec.Request = ids.NewID()
 	for range 4 {
 		client, outcome := clients[r.IntN(len(clients))], ""
 		f.bonded(rec, func(ctx context.Context, now *checker.Record) error {
@@ -96,7 +96,7 @@
 	stamp, isRead := uint64(0), false
 	f.bonded(checker.Record{Op: "get", Name: key}, func(ctx context.Context, rec *checker.Record) error {
 		receipt, err := clients[r.IntN(len(clients))].GetKey(ctx, api.GetKeyParams{Name: key})
-		if standin.CodeOf(err) == fault.NoKey.No {
+		if standin.CodeOf(err) == errcode.NoKey.No {
 			isRead = true
 			return nil
 		}
@@ -119,12 +119,12 @@
 // campaign stands in an election, reads who leads, and may resign.
 func (f *Fleet) campaign(r *rand.Rand, clients []*api.Client, who string) {
 	const ttl = 2 * time.Second
-	session := who + "-" + mark.NewID()
+	session := who + "-" + ids.NewID()
 	fence := uint64(0)
 	client := clients[r.IntN(len(clients))]
 	f.bonded(checker.Record{Op: "leader", Name: "head"}, func(ctx context.Context, rec *checker.Record) error {
 		receipt, err := client.GetLeader(ctx, api.GetLeaderParams{Name: "head"})
-		if standin.CodeOf(err) == fault.NoKey.No {
+		if standin.CodeOf(err) == errcode.NoKey.No {
 			return nil
 		}
 		if err == nil {
@@ -133,7 +133,7 @@
 		return err
 	})
 	err := f.bonded(checker.Record{Op: "acquire", Name: "head", Holder: session, Ttl: ttl}, func(ctx context.Context, rec *checker.Record) error {
-		receipt, err := client.Elect(ctx, &api.Call{Name: "head", Holder: api.NewOptString(session), TTL: api.NewOptInt64(ttl.Milliseconds()), Value: jx.Raw(`"here"`), ID: api.NewOptString(mark.NewID())}, api.ElectParams{Verb: api.ElectVerbCampaign})
+		receipt, err := client.Elect(ctx, &api.Call{Name: "head", Holder: api.NewOptString(session), TTL: api.NewOptInt64(ttl.Milliseconds()), Value: jx.Raw(`"here"`), ID: api.NewOptString(ids.NewID())}, api.ElectParams{Verb: api.ElectVerbCampaign})
 		if err == nil {
 			fence = receipt.Fence.Or(0)
 			rec.Fence = fence
@@ -146,7 +146,7 @@
 	time.Sleep(time.Duration(r.Int64N(int64(ttl))))
 	if r.IntN(2) == 0 {
 		f.bonded(checker.Record{Op: "release", Name: "head", Holder: session, Fence: fence}, func(ctx context.Context, rec *checker.Record) error {
-			_, err := client.Elect(ctx, &api.Call{Name: "head", Holder: api.NewOptString(session), Fence: api.NewOptUint64(fence), ID: api.NewOptString(mark.NewID())}, api.ElectParams{Verb: api.ElectVerbResign})
+			_, err := client.Elect(ctx, &api.Call{Name: "head", Holder: api.NewOptString(session), Fence: api.NewOptUint64(fence), ID: api.NewOptString(ids.NewID())}, api.ElectParams{Verb: api.ElectVerbResign})
 			return err
 		})
 	}
@@ -169,10 +169,10 @@
 	if err == nil {
 		return "done"
 	}
-	if code := standin.CodeOf(err); code > 0 && fault.Codes[code].Outcome == "" {
+	if code := standin.CodeOf(err); code > 0 && errcode.Codes[code].Outcome == "" {
 		return "refused"
 	} else if code > 0 {
-		return fault.Codes[code].Outcome
+		return errcode.Codes[code].Outcome
 	}
 	return "unknown"
 }
--- a/internal/simulator/contact_test.go
+++ b/internal/simulator/contact_test.go
@@ -14,17 +14,17 @@
 	"github.com/go-faster/jx"
 
 	"github.com/sumactrestle/sumactrestle/internal/api"
-	"github.com/sumactrestle/sumactrestle/internal/fault"
-	"github.com/sumactrestle/sumactrestle/internal/mark"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 	"github.com/sumactrestle/sumactrestle/internal/standin"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
 )
 
 // atOnce is how long a node without contact may take to say so.
 const atOnce = 200 * time.Millisecond
 
 // askWire sends one message to a machine, as a node would.
-func (f *Fleet) askWire(t *testing.T, m *Machine, kind string, ask any) *wire.Frame {
+func (f *Fleet) askWire(t *testing.T, m *Machine, kind string, ask any) *rpc.Frame {
 	t.Helper()
 	conn, err := f.W.Net(f.outside(6)).Dial(f.ctx, m.Wire())
 	if err != nil {
@@ -33,10 +33,10 @@
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(3 * time.Second))
 	body, _ := json.Marshal(ask)
-	line, _ := json.Marshal(&wire.Frame{V: wire.Version, Id: 1, Kind: kind, Body: body})
+	line, _ := json.Marshal(&rpc.Frame{V: rpc.Version, Id: 1, Kind: kind, Body: body})
 	fmt.Fprintf(conn, "%s\n", line)
 	answer, err := bufio.NewReader(conn).ReadBytes('\n')
-	receipt := &wire.Frame{}
+	receipt := &rpc.Frame{}
 	if err != nil || json.Unmarshal(answer, receipt) != nil {
 		t.Fatalf("%s is answered %q, %v", kind, answer, err)
 	}
@@ -51,16 +51,16 @@
 		some = append(some, name)
 	}
 	for kind, ask := range map[string]any{
-		"flow.listen": &wire.ListenAsk{Have: map[string]wire.Held{}},
-		"flow.fetch":  &wire.FetchAsk{Groups: some},
-		"flow.pulse":  &wire.PulseAsk{},
+		"flow.listen": &rpc.ListenAsk{Have: map[string]rpc.Held{}},
+		"flow.fetch":  &rpc.FetchAsk{Groups: some},
+		"flow.pulse":  &rpc.PulseAsk{},
 	} {
 		if f.askWire(t, m, kind, ask).Code == 0 {
 			kinds = append(kinds, kind)
 		}
 	}
-	whole := wire.FetchReceipt{}
-	if frame := f.askWire(t, m, "flow.fetch", &wire.FetchAsk{}); frame.Code == 0 && json.Unmarshal(frame.Body, &whole) == nil && whole.Epoch > 0 {
+	whole := rpc.FetchReceipt{}
+	if frame := f.askWire(t, m, "flow.fetch", &rpc.FetchAsk{}); frame.Code == 0 && json.Unmarshal(frame.Body, &whole) == nil && whole.Epoch > 0 {
 		kinds = append(kinds, "full fetch")
 	}
 	return kinds
@@ -99,9 +99,9 @@
 
 func playContact(t *testing.T, f *Fleet, manner string, isOwner bool) {
 	time.Sleep(3 * time.Second)
-	m := f.owner(mark.Config)
+	m := f.owner(ids.Config)
 	if !isOwner {
-		m = follower(f, mark.Config)
+		m = follower(f, ids.Config)
 	}
 	if got := f.givesOut(t, m); len(got) != 4 {
 		t.Fatalf("in contact it gives out only %v", got)
@@ -130,9 +130,9 @@
 			t.Errorf("%s: answered after %s", name, took)
 		}
 		// A change may be the repeat of one that was taken, so nothing is said of it.
-		want, outcome := fault.NoOwner.No, "not run"
+		want, outcome := errcode.NoOwner.No, "not run"
 		if name == "submit a change" {
-			want, outcome = fault.ChangeUnknown.No, "unknown"
+			want, outcome = errcode.ChangeUnknown.No, "unknown"
 		}
 		if code := standin.CodeOf(err); code != want || outcomeOf(err) != outcome {
 			t.Errorf("%s: code %d, outcome %q: %v", name, code, outcomeOf(err), err)
@@ -176,19 +176,19 @@
 			t.Fatal(err)
 		}
 		time.Sleep(3 * time.Second)
-		m, proxy := follower(f, mark.Config), f.Of("proxy1")
-		proxy.Kill(false)
+		m, proxyNode := follower(f, ids.Config), f.Of("proxy1")
+		proxyNode.Kill(false)
 		f.cutContact(m, "with a third of the callers")
 		time.Sleep(shapeContact)
-		f.up(proxy)
+		f.up(proxyNode)
 		for range 100 {
 			time.Sleep(100 * time.Millisecond)
-			if err := proxy.Node().Ready(); err == nil {
+			if err := proxyNode.Node().Ready(); err == nil {
 				t.Fatal("ready without a plan that a majority stands behind")
 			}
 		}
 		f.W.Heal()
-		if !f.Until(10*time.Second, func() bool { return proxy.Node().Ready() == nil }) {
+		if !f.Until(10*time.Second, func() bool { return proxyNode.Node().Ready() == nil }) {
 			t.Error("not ready after the cut")
 		}
 	})
--- a/internal/simulator/faults.go
+++ b/internal/simulator/faults.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"github.com/sumactrestle/sumactrestle/internal/consensus"
-	"github.com/sumactrestle/sumactrestle/internal/mark"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
 func five() Shape {
@@ -115,20 +115,20 @@
 			return false
 		}
 	}
-	births := map[wire.Peer]bool{}
+	births := map[rpc.Peer]bool{}
 	for _, m := range f.Cores() {
 		me := m.Node().Kin.Me()
-		births[wire.Peer{Name: me.Name, Birth: me.Birth}] = true
+		births[rpc.Peer{Name: me.Name, Birth: me.Birth}] = true
 	}
-	for no := range mark.Parts + 1 {
+	for no := range ids.Parts + 1 {
 		isOwned := false
 		for _, m := range f.Cores() {
-			part := m.Node().Consensus.Part(mark.Part(no))
+			part := m.Node().Consensus.Part(ids.Part(no))
 			if !part.IsServing() {
 				continue
 			}
 			o := part.Status()
-			isOwned = o.Last == o.Commit && len(o.Group) == consensus.Size(mark.Part(no), len(f.Cores()), 1)
+			isOwned = o.Last == o.Commit && len(o.Group) == consensus.Size(ids.Part(no), len(f.Cores()), 1)
 			for _, peer := range o.Group {
 				isOwned = isOwned && births[peer]
 			}
--- a/internal/simulator/fleet.go
+++ b/internal/simulator/fleet.go
@@ -13,11 +13,11 @@
 	"time"
 
 	"github.com/sumactrestle/sumactrestle/internal/checker"
+	"github.com/sumactrestle/sumactrestle/internal/config"
 	"github.com/sumactrestle/sumactrestle/internal/consensus/model"
-	"github.com/sumactrestle/sumactrestle/internal/props"
-	"github.com/sumactrestle/sumactrestle/internal/realm"
-	"github.com/sumactrestle/sumactrestle/internal/seat"
-	"github.com/sumactrestle/sumactrestle/internal/sign"
+	"github.com/sumactrestle/sumactrestle/internal/environment"
+	"github.com/sumactrestle/sumactrestle/internal/eventlog"
+	"github.com/sumactrestle/sumactrestle/internal/node"
 	"github.com/sumactrestle/sumactrestle/internal/standin"
 )
 
@@ -47,7 +47,7 @@
 	IsCore  bool
 	IsProxy bool
 	mu      sync.Mutex
-	node    *seat.Node
+	node    *node.Node
 	upping  chan struct{} // held while the machine is started; waiting for it lets time pass
 }
 
@@ -124,7 +124,7 @@
 func (m *Machine) Gate() string { return m.IP + ":7002" }
 
 // Node is the running node, or nil.
-func (m *Machine) Node() *seat.Node {
+func (m *Machine) Node() *node.Node {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.node
@@ -149,24 +149,24 @@
 	for key, value := range m.f.Shape.Settings {
 		set[key] = value
 	}
-	p, err := props.Load("", set)
+	p, err := config.Load("", set)
 	if err != nil {
 		return err
 	}
 	if m.IsProxy {
 		m.f.H.Add(checker.Record{Kind: checker.Alive, Proxy: m.Gate()})
 	}
-	journal := sign.New(m.f.Log, "debug", m.Name)
+	journal := eventlog.New(m.f.Log, "debug", m.Name)
 	journal.Told = m.f.hear
-	here := &atomic.Pointer[seat.Node]{}
-	r := realm.New(m.f.ctx, p, journal, m.network(here))
+	here := &atomic.Pointer[node.Node]{}
+	r := environment.New(m.f.ctx, p, journal, m.network(here))
 	r.Trace = func(step any) {
 		m.f.conformance.Observe(step)
 		if watch := m.f.watch.Load(); watch != nil {
 			(*watch)(m, step)
 		}
 	}
-	node, err := seat.Start(r)
+	node, err := node.Start(r)
 	if err != nil {
 		m.f.W.Kill(m.IP, false)
 		r.End()
@@ -192,11 +192,11 @@
 func (f *Fleet) watchSteps(watch func(m *Machine, step any)) { f.watch.Store(&watch) }
 
 // hear notes what a node has learned, be it that its answer is lost.
-func (f *Fleet) hear(e sign.Entry) {
+func (f *Fleet) hear(e eventlog.Entry) {
 	switch e.Event.No {
-	case sign.TargetGoing.No:
+	case eventlog.TargetGoing.No:
 		f.H.Add(checker.Record{Kind: checker.Known, Service: e.Pairs[1].(string), Instance: e.Pairs[3].(string), Note: "taken in"})
-	case sign.PartBroken.No, sign.PartMended.No:
+	case eventlog.PartBroken.No, eventlog.PartMended.No:
 		f.H.Add(checker.Record{Kind: checker.Differ, Note: fmt.Sprint(e.Event.Text, " ", e.Pairs)})
 	}
 }
--- a/internal/simulator/follow_test.go
+++ b/internal/simulator/follow_test.go
@@ -9,19 +9,19 @@
 	"testing"
 	"time"
 
-	"github.com/sumactrestle/sumactrestle/internal/mark"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
 func TestAFollowerPassedToAnOwnerThatWentHearsOfTheNextSet(t *testing.T) {
 	inFleet(t, one(), func(t *testing.T, f *Fleet) {
 		const key = "group/k"
-		no := mark.PartOf(key)
-		set := func(m *Machine, value string) (*wire.BondReceipt, error) {
+		no := ids.PartOf(key)
+		set := func(m *Machine, value string) (*rpc.BondReceipt, error) {
 			raw, _ := json.Marshal(value)
 			ctx, end := context.WithTimeout(f.ctx, 4*time.Second)
 			defer end()
-			return m.Node().Bond(ctx, &wire.BondOp{Op: "set", Name: key, Value: raw})
+			return m.Node().Bond(ctx, &rpc.BondOp{Op: "set", Name: key, Value: raw})
 		}
 		for i := range 5 {
 			var owner *Machine
@@ -44,7 +44,7 @@
 			heard := make(chan time.Time, len(rest))
 			for _, m := range rest {
 				go func() {
-					got, err := m.Node().Bond(f.ctx, &wire.BondOp{Op: "follow", Name: "group/", From: first.Rev, Hold: 30000})
+					got, err := m.Node().Bond(f.ctx, &rpc.BondOp{Op: "follow", Name: "group/", From: first.Rev, Hold: 30000})
 					if err != nil || len(got.Events) == 0 {
 						t.Errorf("round %d: %+v %v", i, got, err)
 						return
--- a/internal/simulator/full_test.go
+++ b/internal/simulator/full_test.go
@@ -7,7 +7,7 @@
 	"github.com/go-faster/jx"
 
 	"github.com/sumactrestle/sumactrestle/internal/api"
-	"github.com/sumactrestle/sumactrestle/internal/mark"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
 	"github.com/sumactrestle/sumactrestle/internal/standin"
 )
 
@@ -16,7 +16,7 @@
 func TestANodeWhoseDiskIsFullGoesOn(t *testing.T) {
 	inFleet(t, one(), func(t *testing.T, f *Fleet) {
 		time.Sleep(3 * time.Second)
-		no := mark.PartOf("app/a")
+		no := ids.PartOf("app/a")
 		full := f.owner(no)
 		node := full.Node()
 		client := standin.Client(f.W.Net(f.outside(1)), full.Api())
@@ -32,8 +32,8 @@
 		if !f.Until(3*time.Second, put) {
 			t.Error("it passes no calls on")
 		}
-		for no := range mark.Parts + 1 {
-			if node.Consensus.Part(mark.Part(no)).IsOwner() {
+		for no := range ids.Parts + 1 {
+			if node.Consensus.Part(ids.Part(no)).IsOwner() {
 				t.Errorf("it still owns part %d", no)
 			}
 		}
--- a/internal/simulator/gate_test.go
+++ b/internal/simulator/gate_test.go
@@ -14,7 +14,7 @@
 
 	"github.com/sumactrestle/sumactrestle/internal/api"
 	"github.com/sumactrestle/sumactrestle/internal/checker"
-	"github.com/sumactrestle/sumactrestle/internal/fault"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
 	"github.com/sumactrestle/sumactrestle/internal/standin"
 )
 
@@ -106,7 +106,7 @@
 					switch {
 					case got.Outcome == "ran":
 						ran++
-					case got.Code == fault.Overload.No && got.RetryAfter != "" && time.Since(began) < 50*time.Millisecond:
+					case got.Code == errcode.Overload.No && got.RetryAfter != "" && time.Since(began) < 50*time.Millisecond:
 						refused++
 					default:
 						t.Errorf("%+v after %s", got, time.Since(began))
@@ -142,7 +142,7 @@
 		caller := standin.NewCaller(f.W.Net(f.outside(5)), f.H)
 		defer caller.Close()
 		for i := range 8 {
-			if got := caller.Call(f.ctx, f.Of("proxy1").Gate(), "POST", fmt.Sprint("/lonely", i), "", nil); got.Code != fault.NoTarget.No {
+			if got := caller.Call(f.ctx, f.Of("proxy1").Gate(), "POST", fmt.Sprint("/lonely", i), "", nil); got.Code != errcode.NoTarget.No {
 				t.Errorf("lonely%d: code %d", i, got.Code)
 			}
 		}
@@ -158,7 +158,7 @@
 		caller := standin.NewCaller(f.W.Net(f.outside(5)), f.H)
 		defer caller.Close()
 		got := caller.Repeat(f.ctx, f.Of("proxy1").Gate(), "POST", "/bookings", "bookings", []byte("{}"), "huge", false)
-		if got.Code != fault.AnswerTooLarge.No || got.Outcome != "unknown" || ranOf(f, "huge") != 1 {
+		if got.Code != errcode.AnswerTooLarge.No || got.Outcome != "unknown" || ranOf(f, "huge") != 1 {
 			t.Errorf("%+v, ran %d times", got, ranOf(f, "huge"))
 		}
 	})
@@ -168,12 +168,12 @@
 // way heals: its plan is long past then, and its caller has been answered.
 func TestWhatACutHeldBackDoesNotArriveLater(t *testing.T) {
 	inFleet(t, one(), func(t *testing.T, f *Fleet) {
-		proxy, server := f.Of("proxy1"), f.Servers("bookings")[0]
+		proxyNode, server := f.Of("proxy1"), f.Servers("bookings")[0]
 		caller := standin.NewCaller(f.W.Net(f.outside(5)), f.H)
 		defer caller.Close()
-		warm := caller.Repeat(f.ctx, proxy.Gate(), "POST", "/bookings", "bookings", []byte("{}"), "warm", false)
-		f.W.Cut(proxy.IP, host(server.Address))
-		held := caller.Repeat(f.ctx, proxy.Gate(), "POST", "/bookings", "bookings", []byte("{}"), "held", false)
+		warm := caller.Repeat(f.ctx, proxyNode.Gate(), "POST", "/bookings", "bookings", []byte("{}"), "warm", false)
+		f.W.Cut(proxyNode.IP, host(server.Address))
+		held := caller.Repeat(f.ctx, proxyNode.Gate(), "POST", "/bookings", "bookings", []byte("{}"), "held", false)
 		f.W.Heal()
 		time.Sleep(5 * time.Second)
 		if warm.Outcome != "ran" || held.Outcome != "unknown" || ranOf(f, "held") != 0 {
@@ -186,14 +186,14 @@
 // the short patience, or nothing of the body goes out.
 func TestAnUploadThatACutHeldBackDoesNotArriveLater(t *testing.T) {
 	inFleet(t, one(), func(t *testing.T, f *Fleet) {
-		proxy, server := f.Of("proxy1"), f.Servers("bookings")[0]
+		proxyNode, server := f.Of("proxy1"), f.Servers("bookings")[0]
 		caller := standin.NewCaller(f.W.Net(f.outside(5)), f.H)
 		defer caller.Close()
 		body := []byte(strings.Repeat("x", 300000))
-		warm := caller.Repeat(f.ctx, proxy.Gate(), "POST", "/bookings", "bookings", body, "warm", false)
-		f.W.Cut(proxy.IP, host(server.Address))
+		warm := caller.Repeat(f.ctx, proxyNode.Gate(), "POST", "/bookings", "bookings", body, "warm", false)
+		f.W.Cut(proxyNode.IP, host(server.Address))
 		time.AfterFunc(2600*time.Millisecond, f.W.Heal)
-		held := caller.Repeat(f.ctx, proxy.Gate(), "POST", "/bookings", "bookings", body, "held", false)
+		held := caller.Repeat(f.ctx, proxyNode.Gate(), "POST", "/bookings", "bookings", body, "held", false)
 		time.Sleep(5 * time.Second)
 		if warm.Outcome != "ran" || held.Outcome != "unknown" || ranOf(f, "held") != 0 {
 			t.Errorf("%+v\n%+v, ran %d times", warm, held, ranOf(f, "held"))
--- a/internal/simulator/hold_test.go
+++ b/internal/simulator/hold_test.go
@@ -5,25 +5,25 @@
 	"testing"
 	"time"
 
-	"github.com/sumactrestle/sumactrestle/internal/mark"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 	"github.com/sumactrestle/sumactrestle/internal/standin"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
 )
 
 func TestWordOfADrainComesAfterTheProxiesHaveIt(t *testing.T) {
 	shape := one()
 	shape.Settings["plan.hold"] = "500ms"
 	inFleet(t, shape, func(t *testing.T, f *Fleet) {
-		server, proxy := f.Servers("rates")[0], f.Of("proxy1").Node()
+		server, proxyNode := f.Servers("rates")[0], f.Of("proxy1").Node()
 		began := time.Now()
-		beat := &wire.Beat{Service: "rates", Instance: server.Instance, Seq: 1 << 30, Address: server.Address, Zone: "zone1", Weight: 100, State: "draining"}
+		beat := &rpc.Beat{Service: "rates", Instance: server.Instance, Seq: 1 << 30, Address: server.Address, Zone: "zone1", Weight: 100, State: "draining"}
 		if _, err := f.Cores()[0].Node().Take(f.ctx, beat); err != nil {
 			t.Fatal(err)
 		}
 		if took := time.Since(began); took < 500*time.Millisecond || took > 950*time.Millisecond {
 			t.Error("the word came after", took)
 		}
-		if list := proxy.Flow.Cache.Chart().Targets["rates"]; len(list) != 0 {
+		if list := proxyNode.Flow.Cache.Chart().Targets["rates"]; len(list) != 0 {
 			t.Error("the proxy still has", list)
 		}
 		client := standin.Client(f.W.Net(f.outside(1)), f.Of("proxy1").Api())
@@ -35,7 +35,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if chart := proxy.Flow.Cache.Chart(); chart.Epoch < mark.Epoch(receipt.Epoch) {
+		if chart := proxyNode.Flow.Cache.Chart(); chart.Epoch < ids.Epoch(receipt.Epoch) {
 			t.Error("acknowledged in epoch", receipt.Epoch, "the proxy has", chart.Epoch)
 		}
 	})
--- a/internal/simulator/hurts.go
+++ b/internal/simulator/hurts.go
@@ -18,8 +18,8 @@
 
 	"github.com/sumactrestle/sumactrestle/internal/api"
 	"github.com/sumactrestle/sumactrestle/internal/checker"
-	"github.com/sumactrestle/sumactrestle/internal/gate"
-	"github.com/sumactrestle/sumactrestle/internal/mark"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
+	"github.com/sumactrestle/sumactrestle/internal/proxy"
 	"github.com/sumactrestle/sumactrestle/internal/standin"
 )
 
@@ -37,7 +37,7 @@
 }
 
 // ownerOf is the core node that serves a part, other than one.
-func ownerOf(f *Fleet, no mark.Part, but *Machine) *Machine {
+func ownerOf(f *Fleet, no ids.Part, but *Machine) *Machine {
 	for _, m := range f.Cores() {
 		if m != but && m.Node() != nil && m.Node().Consensus.Part(no).IsServing() {
 			return m
@@ -52,9 +52,9 @@
 	f.nap(500*time.Millisecond, 2*time.Second)
 	isChange, isWipe, isOwner := f.Rand.IntN(2) == 0, f.Rand.IntN(2) == 0, f.Rand.IntN(2) == 0
 	name := fmt.Sprint("acked", f.Rand.IntN(100))
-	no := mark.PartOf(name)
+	no := ids.PartOf(name)
 	if isChange {
-		no = mark.Config
+		no = ids.Config
 	}
 	owner := ownerOf(f, no, nil)
 	if owner == nil {
@@ -64,17 +64,17 @@
 	for !isOwner && victim == owner {
 		victim = f.pick(f.Cores())
 	}
-	proxy := f.pick(f.Proxies())
-	if proxy.Node() == nil {
+	proxyNode := f.pick(f.Proxies())
+	if proxyNode.Node() == nil {
 		return
 	}
 	if isChange {
-		operator := standin.NewOperator(f.W.Net(f.outside(70)), f.H, proxy.Api())
+		operator := standin.NewOperator(f.W.Net(f.outside(70)), f.H, proxyNode.Api())
 		if view, err := operator.Epoch(f.ctx); err == nil {
 			operator.Submit(f.ctx, f.change(fmt.Sprint("a-", f.changes.Add(1)), view.Epoch))
 		}
 	} else {
-		client := standin.Client(f.W.Net(f.outside(70)), proxy.Api())
+		client := standin.Client(f.W.Net(f.outside(70)), proxyNode.Api())
 		f.bonded(checker.Record{Op: "put", Name: name}, func(ctx context.Context, rec *checker.Record) error {
 			receipt, err := client.PutKey(ctx, &api.Call{Name: name, Value: jx.Raw("1")})
 			return take(rec, receipt, err)
@@ -232,23 +232,23 @@
 		caller := f.caller(80 + i)
 		f.task(func(r *rand.Rand) {
 			pause(r, 300*time.Millisecond)
-			proxy := f.Proxies()[r.IntN(len(f.Proxies()))].Gate()
+			proxyNode := f.Proxies()[r.IntN(len(f.Proxies()))].Gate()
 			body := strings.Repeat(fmt.Sprintf("%08x", r.Uint32()), 12000)
 			if r.IntN(2) == 0 {
-				caller.Call(f.ctx, proxy, http.MethodPost, "/bookings", "bookings", []byte(body))
+				caller.Call(f.ctx, proxyNode, http.MethodPost, "/bookings", "bookings", []byte(body))
 				return
 			}
-			conn, err := net.Dial(f.ctx, proxy)
+			conn, err := net.Dial(f.ctx, proxyNode)
 			if err != nil {
 				return
 			}
 			defer conn.Close()
-			call, isWhole := mark.NewID(), r.IntN(2) == 0
-			rec := checker.Record{Kind: checker.Called, Start: f.H.Now(), Call: call, Proxy: proxy, Service: "bookings", Mapping: "/bookings", Digest: standin.Digest([]byte(body)), Outcome: "gone"}
+			call, isWhole := ids.NewID(), r.IntN(2) == 0
+			rec := checker.Record{Kind: checker.Called, Start: f.H.Now(), Call: call, Proxy: proxyNode, Service: "bookings", Mapping: "/bookings", Digest: standin.Digest([]byte(body)), Outcome: "gone"}
 			if f.Shape.IsStay {
-				rec.IsTry, rec.Request = true, mark.NewID()
+				rec.IsTry, rec.Request = true, ids.NewID()
 			}
-			fmt.Fprintf(conn, "POST /bookings HTTP/1.1\r\nHost: x\r\n%s: %s\r\n%s: %s\r\nContent-Length: %d\r\n\r\n", standin.CallHeader, call, gate.HeaderRequest, rec.Request, len(body))
+			fmt.Fprintf(conn, "POST /bookings HTTP/1.1\r\nHost: x\r\n%s: %s\r\n%s: %s\r\nContent-Length: %d\r\n\r\n", standin.CallHeader, call, proxy.HeaderRequest, rec.Request, len(body))
 			for at := 0; at < len(body) && (isWhole || at < len(body)/2); at += 16000 {
 				io.WriteString(conn, body[at:min(at+16000, len(body))])
 				pause(r, 40*time.Millisecond)
--- a/internal/simulator/keepers_test.go
+++ b/internal/simulator/keepers_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"github.com/sumactrestle/sumactrestle/internal/mark"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
 	"github.com/sumactrestle/sumactrestle/internal/standin"
 )
 
@@ -25,13 +25,13 @@
 			late = append(late, f.Add(fmt.Sprint("late", i), i%3, false, true))
 			f.up(late[i])
 		}
-		chart := func() mark.Epoch {
-			least := mark.Epoch(1 << 40)
-			for _, proxy := range late {
-				if proxy.Node() == nil || proxy.Node().Flow.Cache.Chart() == nil {
+		chart := func() ids.Epoch {
+			least := ids.Epoch(1 << 40)
+			for _, proxyNode := range late {
+				if proxyNode.Node() == nil || proxyNode.Node().Flow.Cache.Chart() == nil {
 					return 0
 				}
-				least = min(least, proxy.Node().Flow.Cache.Chart().Epoch)
+				least = min(least, proxyNode.Node().Flow.Cache.Chart().Epoch)
 			}
 			return least
 		}
@@ -49,7 +49,7 @@
 			if err != nil {
 				continue
 			}
-			if !f.Until(2*time.Second, func() bool { return chart() >= mark.Epoch(receipt.Epoch) }) {
+			if !f.Until(2*time.Second, func() bool { return chart() >= ids.Epoch(receipt.Epoch) }) {
 				t.Fatalf("change %d: a proxy is at epoch %d, %d is in force", i, chart(), receipt.Epoch)
 			}
 		}
--- a/internal/simulator/kin_test.go
+++ b/internal/simulator/kin_test.go
@@ -23,8 +23,8 @@
 			back := time.Now()
 			isKnown := func() bool {
 				for _, core := range f.Cores() {
-					for _, proxy := range f.Proxies() {
-						if _, ok := core.Node().Kin.Of(proxy.Node().R.Name); !ok {
+					for _, proxyNode := range f.Proxies() {
+						if _, ok := core.Node().Kin.Of(proxyNode.Node().R.Name); !ok {
 							return false
 						}
 					}
--- a/internal/simulator/late_test.go
+++ b/internal/simulator/late_test.go
@@ -13,24 +13,24 @@
 	"testing/synctest"
 	"time"
 
+	"github.com/sumactrestle/sumactrestle/internal/config"
+	"github.com/sumactrestle/sumactrestle/internal/controlplane"
 	"github.com/sumactrestle/sumactrestle/internal/distribution"
-	"github.com/sumactrestle/sumactrestle/internal/mark"
+	"github.com/sumactrestle/sumactrestle/internal/environment"
+	"github.com/sumactrestle/sumactrestle/internal/eventlog"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
 	"github.com/sumactrestle/sumactrestle/internal/membership"
-	"github.com/sumactrestle/sumactrestle/internal/plan"
-	"github.com/sumactrestle/sumactrestle/internal/props"
-	"github.com/sumactrestle/sumactrestle/internal/realm"
-	"github.com/sumactrestle/sumactrestle/internal/sign"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 	"github.com/sumactrestle/sumactrestle/internal/standin"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
 )
 
 const lateBound = 2 * time.Second
 
 // submitted has a change set accepted, and tells its epoch.
-func submitted(t *testing.T, f *Fleet, name string) mark.Epoch {
+func submitted(t *testing.T, f *Fleet, name string) ids.Epoch {
 	t.Helper()
 	operator := standin.NewOperator(f.W.Net(f.outside(4)), f.H, f.Cores()[0].Api())
-	var epoch mark.Epoch
+	var epoch ids.Epoch
 	if !f.Until(20*time.Second, func() bool {
 		view, err := operator.Epoch(f.ctx)
 		if err != nil {
@@ -38,7 +38,7 @@
 		}
 		receipt, err := operator.Submit(f.ctx, f.change(name, view.Epoch))
 		if err == nil {
-			epoch = mark.Epoch(receipt.Epoch)
+			epoch = ids.Epoch(receipt.Epoch)
 		}
 		return err == nil
 	}) {
@@ -48,8 +48,8 @@
 }
 
 // hasBy tells whether a proxy has an epoch by then.
-func hasBy(proxy *Machine, epoch mark.Epoch, by time.Time) bool {
-	for proxy.Node().Flow.Cache.Chart().Epoch < epoch {
+func hasBy(proxyNode *Machine, epoch ids.Epoch, by time.Time) bool {
+	for proxyNode.Node().Flow.Cache.Chart().Epoch < epoch {
 		if time.Now().After(by) {
 			return false
 		}
@@ -63,13 +63,13 @@
 	shape := one()
 	shape.Settings["flow.cool"], shape.Settings["kin.suspect"] = "5m", "1m"
 	inFleet(t, stays(shape), func(t *testing.T, f *Fleet) {
-		proxy := f.Of("proxy1")
+		proxyNode := f.Of("proxy1")
 		for i := range 5 {
-			f.isolate([]*Machine{proxy})
+			f.isolate([]*Machine{proxyNode})
 			time.Sleep(10 * time.Second)
 			epoch := submitted(t, f, fmt.Sprint("cool", i))
 			f.W.Heal()
-			if !hasBy(proxy, epoch, time.Now().Add(lateBound)) {
+			if !hasBy(proxyNode, epoch, time.Now().Add(lateBound)) {
 				t.Errorf("round %d: the proxy does not have epoch %d %s after its ways are whole", i, epoch, lateBound)
 			}
 		}
@@ -81,25 +81,25 @@
 	shape := one()
 	shape.Proxies = 14
 	inFleet(t, stays(shape), func(t *testing.T, f *Fleet) {
-		proxy := f.Of("proxy1")
+		proxyNode := f.Of("proxy1")
 		for _, other := range f.Proxies() {
-			if other != proxy {
+			if other != proxyNode {
 				other.Kill(true)
 			}
 		}
 		for i := range 12 {
-			f.isolate([]*Machine{proxy})
-			if !f.Until(30*time.Second, func() bool { return len(proxy.Node().Kin.Cores()) == 0 }) {
+			f.isolate([]*Machine{proxyNode})
+			if !f.Until(30*time.Second, func() bool { return len(proxyNode.Node().Kin.Cores()) == 0 }) {
 				t.Fatal("the proxy still holds a core node for live")
 			}
 			epoch := submitted(t, f, fmt.Sprint("down", i))
 			f.W.Heal()
 			healed := time.Now()
-			if !hasBy(proxy, epoch, healed.Add(lateBound)) {
+			if !hasBy(proxyNode, epoch, healed.Add(lateBound)) {
 				t.Errorf("round %d: the proxy does not have epoch %d %s after its ways are whole", i, epoch, lateBound)
 			}
-			if !f.Until(time.Until(healed.Add(touchTime)), func() bool { return len(proxy.Node().Kin.Cores()) == 3 }) {
-				t.Errorf("round %d: %s after its ways are whole the proxy knows %d of 3 core nodes", i, touchTime, len(proxy.Node().Kin.Cores()))
+			if !f.Until(time.Until(healed.Add(touchTime)), func() bool { return len(proxyNode.Node().Kin.Cores()) == 3 }) {
+				t.Errorf("round %d: %s after its ways are whole the proxy knows %d of 3 core nodes", i, touchTime, len(proxyNode.Node().Kin.Cores()))
 			}
 		}
 	})
@@ -107,7 +107,7 @@
 
 // stagedCore is a control node of which a test decides what it answers.
 type stagedCore struct {
-	*wire.Wire
+	*rpc.Wire
 	address string
 	epoch   atomic.Uint64 // what its pulses tell
 	gives   atomic.Uint64 // what it gives to those who listen
@@ -116,58 +116,58 @@
 	hangs   atomic.Bool  // whether its fetches hang
 }
 
-func stagedNode(t *testing.T, w *World, name, zone, address string, seeds string, isCore bool, settings map[string]string) (*realm.Realm, *wire.Wire, *membership.Kin) {
+func stagedNode(t *testing.T, w *World, name, zone, address string, seeds string, isCore bool, settings map[string]string) (*environment.Realm, *rpc.Wire, *membership.Kin) {
 	set := map[string]string{"name": name, "zone": zone, "wire.address": address, "seeds": seeds, "flow.pulse": "1s", "flow.stay": "1h"}
 	set["api.address"], set["gate.address"] = host(address)+":7001", host(address)+":7002"
 	for key, value := range settings {
 		set[key] = value
 	}
-	p, err := props.Load("", set)
+	p, err := config.Load("", set)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := realm.New(t.Context(), p, sign.New(io.Discard, "error", name), w.Net(host(address)))
-	line := wire.New(r)
-	who := membership.New(r, line, wire.Member{Name: mark.Name(name), Birth: mark.Birth("b" + name), Wire: address, Zone: zone, Core: isCore, Keeps: isCore})
+	r := environment.New(t.Context(), p, eventlog.New(io.Discard, "error", name), w.Net(host(address)))
+	line := rpc.New(r)
+	who := membership.New(r, line, rpc.Member{Name: ids.Name(name), Birth: ids.Birth("b" + name), Wire: address, Zone: zone, Core: isCore, Keeps: isCore})
 	return r, line, who
 }
 
-func groupsAt(epoch mark.Epoch) (map[string]wire.Group, map[string]wire.Held) {
-	raw, _ := json.Marshal([]wire.Service{{Name: fmt.Sprint("s", epoch)}})
-	group := wire.Group{Digest: plan.Digest(raw), Stamp: mark.Stamp(epoch), Data: raw}
-	return map[string]wire.Group{plan.Services: group}, map[string]wire.Held{plan.Services: {Digest: group.Digest, Stamp: group.Stamp}}
+func groupsAt(epoch ids.Epoch) (map[string]rpc.Group, map[string]rpc.Held) {
+	raw, _ := json.Marshal([]rpc.Service{{Name: fmt.Sprint("s", epoch)}})
+	group := rpc.Group{Digest: controlplane.Digest(raw), Stamp: ids.Stamp(epoch), Data: raw}
+	return map[string]rpc.Group{controlplane.Services: group}, map[string]rpc.Held{controlplane.Services: {Digest: group.Digest, Stamp: group.Stamp}}
 }
 
 // handle answers a proxy by what the test says.
-func (s *stagedCore) handle(r *realm.Realm) {
+func (s *stagedCore) handle(r *environment.Realm) {
 	s.epoch.Store(1)
 	s.gives.Store(1)
-	s.Handle("flow.pulse", func(*wire.Call) (any, error) {
-		return &wire.PulseReceipt{Epoch: mark.Epoch(s.epoch.Load()), Parts: make([]int64, mark.Parts)}, nil
+	s.Handle("flow.pulse", func(*rpc.Call) (any, error) {
+		return &rpc.PulseReceipt{Epoch: ids.Epoch(s.epoch.Load()), Parts: make([]int64, ids.Parts)}, nil
 	})
-	s.Handle("flow.listen", func(c *wire.Call) (any, error) {
-		var ask wire.ListenAsk
+	s.Handle("flow.listen", func(c *rpc.Call) (any, error) {
+		var ask rpc.ListenAsk
 		if err := c.Read(&ask); err != nil {
 			return nil, err
 		}
 		no := s.listens.Add(1)
-		for mark.Epoch(s.gives.Load()) <= ask.Epoch || no <= s.stuck.Load() {
+		for ids.Epoch(s.gives.Load()) <= ask.Epoch || no <= s.stuck.Load() {
 			if c.Err() != nil || !r.Pause(5*time.Millisecond) {
-				return &wire.ListenReceipt{Epoch: ask.Epoch}, nil
+				return &rpc.ListenReceipt{Epoch: ask.Epoch}, nil
 			}
 		}
-		epoch := mark.Epoch(s.gives.Load())
+		epoch := ids.Epoch(s.gives.Load())
 		_, held := groupsAt(epoch)
-		return &wire.ListenReceipt{Epoch: epoch, Changed: held}, nil
+		return &rpc.ListenReceipt{Epoch: epoch, Changed: held}, nil
 	})
-	s.Handle("flow.fetch", func(c *wire.Call) (any, error) {
+	s.Handle("flow.fetch", func(c *rpc.Call) (any, error) {
 		if s.hangs.Load() {
 			<-c.Done()
 			return nil, c.Err()
 		}
-		epoch := mark.Epoch(s.gives.Load())
+		epoch := ids.Epoch(s.gives.Load())
 		groups, held := groupsAt(epoch)
-		return &wire.FetchReceipt{Epoch: epoch, Manifest: held, Groups: groups}, nil
+		return &rpc.FetchReceipt{Epoch: epoch, Manifest: held, Groups: groups}, nil
 	})
 }
 
@@ -176,9 +176,9 @@
 func staged(t *testing.T, n int, settings map[string]string, play func(t *testing.T, client *distribution.Client, cores []*stagedCore)) {
 	synctest.Test(t, func(t *testing.T) {
 		w := NewWorld(1)
-		var realms []*realm.Realm
+		var realms []*environment.Realm
 		var cores []*stagedCore
-		open := func(r *realm.Realm, line *wire.Wire, who *membership.Kin) {
+		open := func(r *environment.Realm, line *rpc.Wire, who *membership.Kin) {
 			realms = append(realms, r)
 			if err := line.Open(); err != nil {
 				t.Fatal(err)
@@ -219,7 +219,7 @@
 }
 
 // has waits for an epoch, in virtual time.
-func has(client *distribution.Client, epoch mark.Epoch, limit time.Duration) bool {
+func has(client *distribution.Client, epoch ids.Epoch, limit time.Duration) bool {
 	over, end := context.WithTimeout(context.Background(), limit)
 	defer end()
 	for client.Cache.Chart().Epoch < epoch {
--- a/internal/simulator/links_test.go
+++ b/internal/simulator/links_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"github.com/sumactrestle/sumactrestle/internal/wire"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
 func TestANarrowLinkQueuesWhatItCantCarry(t *testing.T) {
@@ -46,22 +46,22 @@
 
 func TestALongReceiptOnANarrowLinkKeepsItsPipe(t *testing.T) {
 	inFleet(t, one(), func(t *testing.T, f *Fleet) {
-		core, proxy := f.Cores()[0], f.Of("proxy1")
+		core, proxyNode := f.Cores()[0], f.Of("proxy1")
 		long := strings.Repeat("x", 300_000)
-		core.Node().Wire.Handle("test.long", func(*wire.Call) (any, error) { return long, nil })
-		core.Node().Wire.Handle("test.short", func(*wire.Call) (any, error) { return "here", nil })
-		f.W.Narrow(proxy.IP, 100_000)
+		core.Node().Wire.Handle("test.long", func(*rpc.Call) (any, error) { return long, nil })
+		core.Node().Wire.Handle("test.short", func(*rpc.Call) (any, error) { return "here", nil })
+		f.W.Narrow(proxyNode.IP, 100_000)
 		got := make(chan error, 1)
 		go func() {
 			ctx, end := context.WithTimeout(f.ctx, 10*time.Second)
 			defer end()
 			var whole string
-			got <- proxy.Node().Wire.Ask(ctx, core.Wire(), "test.long", struct{}{}, &whole)
+			got <- proxyNode.Node().Wire.Ask(ctx, core.Wire(), "test.long", struct{}{}, &whole)
 		}()
 		time.Sleep(500 * time.Millisecond)
 		ctx, end := context.WithTimeout(f.ctx, 500*time.Millisecond)
 		defer end()
-		if err := proxy.Node().Wire.Ask(ctx, core.Wire(), "test.short", struct{}{}, nil); err == nil {
+		if err := proxyNode.Node().Wire.Ask(ctx, core.Wire(), "test.short", struct{}{}, nil); err == nil {
 			t.Fatal("the short receipt overtook the long one")
 		}
 		if err := <-got; err != nil {
@@ -76,13 +76,13 @@
 	shape.Settings["flow.servers"], shape.Settings["plan.linger"] = "2", "30s"
 	shape.Settings["flow.pulse"], shape.Settings["wire.deaf"], shape.Settings["wire.dial"] = "300ms", "1500ms", "2s"
 	inFleet(t, shape, func(t *testing.T, f *Fleet) {
-		proxy, from := f.Of("proxy1"), f.outside(4)
-		f.W.Narrow(proxy.IP, 100_000)
-		listener, err := f.W.Net(proxy.IP).Listen(proxy.IP + ":9000")
+		proxyNode, from := f.Of("proxy1"), f.outside(4)
+		f.W.Narrow(proxyNode.IP, 100_000)
+		listener, err := f.W.Net(proxyNode.IP).Listen(proxyNode.IP + ":9000")
 		if err != nil {
 			t.Fatal(err)
 		}
-		conn, err := f.W.Net(from).Dial(f.ctx, proxy.IP+":9000")
+		conn, err := f.W.Net(from).Dial(f.ctx, proxyNode.IP+":9000")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -94,19 +94,19 @@
 				}
 			}
 		}()
-		node := proxy.Node()
+		node := proxyNode.Node()
 		for range 200 {
-			if in, _ := f.W.Queue(proxy.IP); in < 600*time.Millisecond {
+			if in, _ := f.W.Queue(proxyNode.IP); in < 600*time.Millisecond {
 				conn.Write(make([]byte, 10_000))
 			}
 			time.Sleep(50 * time.Millisecond)
 			if age := node.R.Since(node.Flow.Ages().Config); age > 1700*time.Millisecond {
-				in, out := f.W.Queue(proxy.IP)
+				in, out := f.W.Queue(proxyNode.IP)
 				t.Fatal("the last word of the newest epoch is old by", age, "while words wait", in, out)
 			}
 		}
 		conn.Close()
-		f.isolate([]*Machine{proxy})
+		f.isolate([]*Machine{proxyNode})
 		time.Sleep(1800 * time.Millisecond)
 		if node.Flow.IsFresh(node.Flow.Cache.Chart(), "rates") {
 			t.Error("a proxy that was cut off goes on for longer than flow.behind")
--- a/internal/simulator/load.go
+++ b/internal/simulator/load.go
@@ -14,8 +14,8 @@
 
 	"github.com/sumactrestle/sumactrestle/internal/api"
 	"github.com/sumactrestle/sumactrestle/internal/checker"
-	"github.com/sumactrestle/sumactrestle/internal/fault"
-	"github.com/sumactrestle/sumactrestle/internal/mark"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
 	"github.com/sumactrestle/sumactrestle/internal/standin"
 )
 
@@ -41,7 +41,7 @@
 
 // Callers starts callers for every service and proxy.
 func (f *Fleet) Callers(mean time.Duration) {
-	for i, proxy := range f.Proxies() {
+	for i, proxyNode := range f.Proxies() {
 		for service := range f.Shape.Servers {
 			caller := f.caller(i)
 			f.task(func(r *rand.Rand) {
@@ -49,7 +49,7 @@
 				if f.Shape.Repeatable[service] {
 					method, body = "GET", nil
 				}
-				caller.Call(f.ctx, proxy.Gate(), method, "/"+service, service, body)
+				caller.Call(f.ctx, proxyNode.Gate(), method, "/"+service, service, body)
 				pause(r, mean)
 			})
 		}
@@ -64,7 +64,7 @@
 		caller.Once = !f.Shape.IsTwice && !f.Shape.IsStay
 		proxies := f.Proxies()
 		f.task(func(r *rand.Rand) {
-			call, body := mark.NewID(), []byte(`{"storm":1}`)
+			call, body := ids.NewID(), []byte(`{"storm":1}`)
 			for try := range 30 {
 				got := caller.Repeat(f.ctx, proxies[r.IntN(len(proxies))].Gate(), "POST", "/bookings", "bookings", body, call, try > 0)
 				if got.Outcome == "ran" || got.Code == 1017 || !f.isLoad.Load() {
@@ -149,7 +149,7 @@
 				f.lockOnce(r, client, holder)
 			case 1:
 				f.bonded(checker.Record{Op: "add", Name: fmt.Sprint("count/", r.IntN(3))}, func(ctx context.Context, rec *checker.Record) error {
-					receipt, err := client.AddCounter(ctx, &api.Call{Name: rec.Name, ID: api.NewOptString(mark.NewID())})
+					receipt, err := client.AddCounter(ctx, &api.Call{Name: rec.Name, ID: api.NewOptString(ids.NewID())})
 					if err == nil {
 						rec.Count, rec.Stamp = receipt.Count.Or(0), receipt.Stamp
 					}
@@ -158,7 +158,7 @@
 			case 2:
 				f.bonded(checker.Record{Op: "put", Name: fmt.Sprint("key", r.IntN(3))}, func(ctx context.Context, rec *checker.Record) error {
 					value, _ := json.Marshal(r.Uint32())
-					receipt, err := client.PutKey(ctx, &api.Call{Name: rec.Name, Value: jx.Raw(value), ID: api.NewOptString(mark.NewID())})
+					receipt, err := client.PutKey(ctx, &api.Call{Name: rec.Name, Value: jx.Raw(value), ID: api.NewOptString(ids.NewID())})
 					if err == nil {
 						rec.Stamp = receipt.Stamp
 					}
@@ -167,7 +167,7 @@
 			case 3:
 				f.bonded(checker.Record{Op: "get", Name: fmt.Sprint("key", r.IntN(3))}, func(ctx context.Context, rec *checker.Record) error {
 					receipt, err := client.GetKey(ctx, api.GetKeyParams{Name: rec.Name})
-					if standin.CodeOf(err) == fault.NoKey.No {
+					if standin.CodeOf(err) == errcode.NoKey.No {
 						return nil
 					}
 					if err == nil {
@@ -213,9 +213,9 @@
 	name := fmt.Sprint("lock/", r.IntN(2))
 	const ttl = 2 * time.Second
 	var fence uint64
-	session := holder + "-" + mark.NewID()
+	session := holder + "-" + ids.NewID()
 	err := f.bonded(checker.Record{Op: "acquire", Name: name, Holder: session, Ttl: ttl}, func(ctx context.Context, rec *checker.Record) error {
-		receipt, err := client.Lock(ctx, &api.Call{Name: name, Holder: api.NewOptString(session), TTL: api.NewOptInt64(ttl.Milliseconds()), ID: api.NewOptString(mark.NewID())}, api.LockParams{Verb: api.LockVerbAcquire})
+		receipt, err := client.Lock(ctx, &api.Call{Name: name, Holder: api.NewOptString(session), TTL: api.NewOptInt64(ttl.Milliseconds()), ID: api.NewOptString(ids.NewID())}, api.LockParams{Verb: api.LockVerbAcquire})
 		if err == nil {
 			fence = receipt.Fence.Or(0)
 			rec.Fence = fence
@@ -237,7 +237,7 @@
 	}
 	if r.IntN(3) > 0 {
 		f.bonded(checker.Record{Op: "release", Name: name, Holder: session, Fence: fence}, func(ctx context.Context, rec *checker.Record) error {
-			_, err := client.Lock(ctx, &api.Call{Name: name, Holder: api.NewOptString(session), Fence: api.NewOptUint64(fence), ID: api.NewOptString(mark.NewID())}, api.LockParams{Verb: api.LockVerbRelease})
+			_, err := client.Lock(ctx, &api.Call{Name: name, Holder: api.NewOptString(session), Fence: api.NewOptUint64(fence), ID: api.NewOptString(ids.NewID())}, api.LockParams{Verb: api.LockVerbRelease})
 			return err
 		})
 	}
@@ -259,7 +259,7 @@
 			f.H.Add(rec)
 		}
 		*from = receipt.Stamp
-	case standin.CodeOf(err) == fault.StampTooOld.No:
+	case standin.CodeOf(err) == errcode.StampTooOld.No:
 		rec.Outcome = "too old"
 		f.H.Add(rec)
 		*from = 0
--- a/internal/simulator/manner.go
+++ b/internal/simulator/manner.go
@@ -16,9 +16,9 @@
 	"time"
 
 	"github.com/sumactrestle/sumactrestle/internal/checker"
-	"github.com/sumactrestle/sumactrestle/internal/mark"
-	"github.com/sumactrestle/sumactrestle/internal/realm"
-	"github.com/sumactrestle/sumactrestle/internal/seat"
+	"github.com/sumactrestle/sumactrestle/internal/environment"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
+	"github.com/sumactrestle/sumactrestle/internal/node"
 	"github.com/sumactrestle/sumactrestle/internal/standin"
 )
 
@@ -69,7 +69,7 @@
 }
 
 // network is a machine's; a proxy that stays tells what it acts on.
-func (m *Machine) network(node *atomic.Pointer[seat.Node]) realm.Net {
+func (m *Machine) network(node *atomic.Pointer[node.Node]) environment.Net {
 	n := m.f.W.Net(m.IP)
 	if !m.f.Shape.IsStay || !m.IsProxy {
 		return n
@@ -89,7 +89,7 @@
 type marked struct {
 	*conn
 	as   string
-	node *atomic.Pointer[seat.Node]
+	node *atomic.Pointer[node.Node]
 }
 
 func (c *marked) Write(p []byte) (int, error) {
@@ -123,11 +123,11 @@
 		}
 	}
 	var names strings.Builder
-	for no := range mark.Parts + 1 {
+	for no := range ids.Parts + 1 {
 		isOwned := false
 		for _, m := range running {
 			if node := m.Node(); node != nil {
-				if term, _, isServing := node.Consensus.Part(mark.Part(no)).Serving(); isServing {
+				if term, _, isServing := node.Consensus.Part(ids.Part(no)).Serving(); isServing {
 					isOwned = true
 					fmt.Fprint(&names, m.Name, term, " ")
 				}
@@ -144,29 +144,29 @@
 // every running core node, and the core was settled, with the same owners.
 func (f *Fleet) watchTouch() {
 	since, isIn, last := map[*Machine]time.Time{}, map[*Machine]bool{}, ""
-	nodes := map[*Machine]*seat.Node{}
+	nodes := map[*Machine]*node.Node{}
 	f.task(func(r *rand.Rand) {
 		time.Sleep(touchLook)
 		running := f.some(func(m *Machine) bool { return m.IsCore && m.Node() != nil })
 		owners := f.owners(running)
 		isSettled := owners != "" && owners == last
 		last = owners
-		for _, proxy := range f.Proxies() {
-			node := proxy.Node()
-			hasAll := isSettled && node != nil && node == nodes[proxy]
-			nodes[proxy] = node
+		for _, proxyNode := range f.Proxies() {
+			node := proxyNode.Node()
+			hasAll := isSettled && node != nil && node == nodes[proxyNode]
+			nodes[proxyNode] = node
 			for _, m := range running {
-				hasAll = hasAll && f.W.hasWay(proxy.IP, m.IP)
+				hasAll = hasAll && f.W.hasWay(proxyNode.IP, m.IP)
 			}
 			if !hasAll {
-				since[proxy] = time.Now()
+				since[proxyNode] = time.Now()
 			}
-			is := hasAll && time.Since(since[proxy]) >= touchTime
-			if is == isIn[proxy] {
+			is := hasAll && time.Since(since[proxyNode]) >= touchTime
+			if is == isIn[proxyNode] {
 				continue
 			}
-			isIn[proxy] = is
-			rec := checker.Record{Kind: checker.Touch, Proxy: proxy.Gate(), Outcome: "out"}
+			isIn[proxyNode] = is
+			rec := checker.Record{Kind: checker.Touch, Proxy: proxyNode.Gate(), Outcome: "out"}
 			if is {
 				rec.Outcome = "in"
 			}
--- a/internal/simulator/metrics_test.go
+++ b/internal/simulator/metrics_test.go
@@ -21,8 +21,8 @@
 	"github.com/prometheus/client_golang/prometheus/testutil"
 
 	"github.com/sumactrestle/sumactrestle/internal/api"
-	"github.com/sumactrestle/sumactrestle/internal/gauge"
-	"github.com/sumactrestle/sumactrestle/internal/seat"
+	"github.com/sumactrestle/sumactrestle/internal/metrics"
+	"github.com/sumactrestle/sumactrestle/internal/node"
 )
 
 // steady is what reads the same in each run of one script.
@@ -182,7 +182,7 @@
 		seen := map[string]bool{}
 		for _, m := range f.Machines {
 			registry := prometheus.NewPedanticRegistry()
-			registry.MustRegister(seat.NewCollector(m.Node()))
+			registry.MustRegister(node.NewCollector(m.Node()))
 			problems, err := testutil.GatherAndLint(registry)
 			if err != nil {
 				t.Error(m.Name, err)
@@ -201,9 +201,9 @@
 				}
 			}
 		}
-		for _, m := range gauge.Metrics {
+		for _, m := range metrics.Metrics {
 			// No caller and no application has come yet, and a try that failed is none.
-			isOfLoad := m.Name == gauge.GateAdded.Name || m.Name == gauge.GateRequest.Name || m.Name == gauge.GateRefusals.Name || m.Name == gauge.BondCall.Name || m.Name == gauge.GateTries.Name || m.Name == gauge.GateTryBytes.Name || strings.Contains(m.Name, "_budget_")
+			isOfLoad := m.Name == metrics.GateAdded.Name || m.Name == metrics.GateRequest.Name || m.Name == metrics.GateRefusals.Name || m.Name == metrics.BondCall.Name || m.Name == metrics.GateTries.Name || m.Name == metrics.GateTryBytes.Name || strings.Contains(m.Name, "_budget_")
 			if !seen[m.Name] && !isOfLoad {
 				t.Errorf("%s is in the table, and no node shows it", m.Name)
 			}
@@ -225,21 +225,21 @@
 			server.Vanish()
 		}
 		time.Sleep(5 * time.Second)
-		proxy := f.Of("proxy1")
+		proxyNode := f.Of("proxy1")
 		count := func() (named, nameless uint64) {
-			proxy.Node().R.Times.Each(func(m gauge.Metric, labels []string, s gauge.Sum) {
+			proxyNode.Node().R.Times.Each(func(m metrics.Metric, labels []string, s metrics.Sum) {
 				switch {
-				case m.Name == gauge.GateRequest.Name && slices.Equal(labels, []string{"rates", "not run"}):
+				case m.Name == metrics.GateRequest.Name && slices.Equal(labels, []string{"rates", "not run"}):
 					named = s.Count
-				case m.Name == gauge.GateRequest.Name && slices.Equal(labels, []string{"", "not run"}):
+				case m.Name == metrics.GateRequest.Name && slices.Equal(labels, []string{"", "not run"}):
 					nameless = s.Count
 				}
 			})
 			return named, nameless
 		}
 		named, nameless := count()
-		s.send(proxy.Gate(), "GET", "/rates", "", "X-Call: a")
-		s.send(proxy.Gate(), "GET", "/nowhere", "")
+		s.send(proxyNode.Gate(), "GET", "/rates", "", "X-Call: a")
+		s.send(proxyNode.Gate(), "GET", "/nowhere", "")
 		if !strings.Contains(s.out.String(), "1003") {
 			t.Fatalf("it was not refused for want of a target: %s", s.out.String())
 		}
@@ -250,7 +250,7 @@
 }
 
 func kindOf(name string) string {
-	for _, m := range gauge.Metrics {
+	for _, m := range metrics.Metrics {
 		if m.Name == name {
 			return m.Kind
 		}
@@ -269,32 +269,32 @@
 		}
 		s := newScript(f)
 		defer s.http.CloseIdleConnections()
-		proxy := f.Of("proxy1")
-		count := func(m gauge.Metric, words ...string) (sum gauge.Sum) {
-			proxy.Node().R.Times.Each(func(one gauge.Metric, labels []string, s gauge.Sum) {
+		proxyNode := f.Of("proxy1")
+		count := func(m metrics.Metric, words ...string) (sum metrics.Sum) {
+			proxyNode.Node().R.Times.Each(func(one metrics.Metric, labels []string, s metrics.Sum) {
 				if one.Name == m.Name && slices.Equal(labels, words) {
 					sum = s
 				}
 			})
 			return sum
 		}
-		before := count(gauge.GateRequest, "rates", "ran").Count
-		added := count(gauge.GateAdded).Count
+		before := count(metrics.GateRequest, "rates", "ran").Count
+		added := count(metrics.GateAdded).Count
 		for i := range 10 {
-			s.send(proxy.Gate(), "GET", "/rates", "", fmt.Sprint("X-Call: c", i))
+			s.send(proxyNode.Gate(), "GET", "/rates", "", fmt.Sprint("X-Call: c", i))
 		}
-		whole := count(gauge.GateRequest, "rates", "ran")
+		whole := count(metrics.GateRequest, "rates", "ran")
 		if whole.Count != before+10 || whole.Median < 2*time.Millisecond {
 			t.Errorf("of 10 requests to a server that works for 2 ms: %+v", whole)
 		}
-		if own := count(gauge.GateAdded); own.Count != added+10 || own.Median >= time.Millisecond {
+		if own := count(metrics.GateAdded); own.Count != added+10 || own.Median >= time.Millisecond {
 			t.Errorf("added by the gate: %+v", own)
 		}
-		if age := count(gauge.EpochAge); age.Count == 0 || age.Median > time.Second {
+		if age := count(metrics.EpochAge); age.Count == 0 || age.Median > time.Second {
 			t.Errorf("age of epochs: %+v", age)
 		}
 		var rows api.Rows
-		if err := rows.UnmarshalJSON([]byte(s.send(proxy.Api(), "GET", "/v1/show/latency", ""))); err != nil {
+		if err := rows.UnmarshalJSON([]byte(s.send(proxyNode.Api(), "GET", "/v1/show/latency", ""))); err != nil {
 			t.Fatal(err)
 		}
 		shown := map[string]string{}
--- a/internal/simulator/order_test.go
+++ b/internal/simulator/order_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"github.com/sumactrestle/sumactrestle/internal/api"
-	"github.com/sumactrestle/sumactrestle/internal/fault"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
 	"github.com/sumactrestle/sumactrestle/internal/standin"
 )
 
@@ -34,7 +34,7 @@
 		}
 		time.Sleep(3 * time.Second)
 		again := caller.Repeat(f.ctx, f.Of("proxy2").Gate(), "POST", "/bookings", "desk", []byte("{}"), "moved", true)
-		if again.Code != fault.OrderRan.No || again.Outcome != "ran" || ranOf(f, "moved") != 1 {
+		if again.Code != errcode.OrderRan.No || again.Outcome != "ran" || ranOf(f, "moved") != 1 {
 			t.Errorf("the order ran %d times, its repeat was answered %+v", ranOf(f, "moved"), again)
 		}
 	})
@@ -44,9 +44,9 @@
 // owner any more. The call was done; the repeat must not be told that it was not.
 func TestARepeatedCallWithoutAnOwnerIsUnknown(t *testing.T) {
 	inFleet(t, Small(), func(t *testing.T, f *Fleet) {
-		proxy := f.Of("proxy1")
-		client := standin.Client(f.W.Net(f.outside(4)), proxy.Api())
-		operator := standin.NewOperator(f.W.Net(f.outside(4)), f.H, proxy.Api())
+		proxyNode := f.Of("proxy1")
+		client := standin.Client(f.W.Net(f.outside(4)), proxyNode.Api())
+		operator := standin.NewOperator(f.W.Net(f.outside(4)), f.H, proxyNode.Api())
 		view, err := operator.Epoch(f.ctx)
 		if err != nil {
 			t.Fatal(err)
@@ -64,10 +64,10 @@
 			return outcomeOf(err)
 		}
 		for _, m := range f.Cores() {
-			f.W.Cut(m.IP, proxy.IP)
+			f.W.Cut(m.IP, proxyNode.IP)
 		}
 		first, count := submit(), add()
-		f.isolate([]*Machine{proxy})
+		f.isolate([]*Machine{proxyNode})
 		time.Sleep(5 * time.Second)
 		again, recount := submit(), add()
 		f.W.Heal()
--- a/internal/simulator/repair_test.go
+++ b/internal/simulator/repair_test.go
@@ -14,13 +14,13 @@
 	"github.com/go-faster/jx"
 
 	"github.com/sumactrestle/sumactrestle/internal/api"
-	"github.com/sumactrestle/sumactrestle/internal/mark"
-	"github.com/sumactrestle/sumactrestle/internal/plan"
+	"github.com/sumactrestle/sumactrestle/internal/controlplane"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
 	"github.com/sumactrestle/sumactrestle/internal/standin"
 )
 
 // follower is a core node that does not own a part.
-func follower(f *Fleet, no mark.Part) *Machine {
+func follower(f *Fleet, no ids.Part) *Machine {
 	for _, m := range f.Cores() {
 		if !m.Node().Consensus.Part(no).IsServing() {
 			return m
@@ -43,7 +43,7 @@
 			}
 		}
 		put(`"right"`)
-		no := mark.PartOf("app/a")
+		no := ids.PartOf("app/a")
 		time.Sleep(time.Second)
 		m := follower(f, no)
 		book := m.Node().Books[no]
@@ -54,10 +54,10 @@
 				}
 			}
 		}
-		c := follower(f, mark.Config)
+		c := follower(f, ids.Config)
 		routes := ""
 		for name := range c.Node().Ledger.Sheet().Groups {
-			if strings.HasPrefix(name, plan.Routes) {
+			if strings.HasPrefix(name, controlplane.Routes) {
 				routes = name
 			}
 		}
--- a/internal/simulator/replaced_test.go
+++ b/internal/simulator/replaced_test.go
@@ -13,13 +13,13 @@
 	"github.com/sumactrestle/sumactrestle/internal/api"
 	"github.com/sumactrestle/sumactrestle/internal/checker"
 	"github.com/sumactrestle/sumactrestle/internal/consensus"
-	"github.com/sumactrestle/sumactrestle/internal/mark"
-	"github.com/sumactrestle/sumactrestle/internal/sign"
+	"github.com/sumactrestle/sumactrestle/internal/eventlog"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
 	"github.com/sumactrestle/sumactrestle/internal/standin"
 )
 
 // owner is the core node that serves a part, or nil.
-func (f *Fleet) owner(no mark.Part) *Machine {
+func (f *Fleet) owner(no ids.Part) *Machine {
 	for _, m := range f.Cores() {
 		if m.Node() != nil && m.Node().Consensus.Part(no).IsServing() {
 			return m
@@ -29,7 +29,7 @@
 }
 
 // groupOf is a part's group as one member has it.
-func (f *Fleet) groupOf(m *Machine, no mark.Part) (group []*Machine) {
+func (f *Fleet) groupOf(m *Machine, no ids.Part) (group []*Machine) {
 	for _, peer := range m.Node().Consensus.Part(no).Status().Group {
 		group = append(group, f.Of(string(peer.Name)))
 	}
@@ -57,7 +57,7 @@
 
 // replaceOne cuts one member of a part off until a spare has its place, and
 // returns the owner, the member replaced, the one that stayed and the spare.
-func (f *Fleet) replaceOne(t *testing.T, no mark.Part) (owner, replaced, stayed, spare *Machine) {
+func (f *Fleet) replaceOne(t *testing.T, no ids.Part) (owner, replaced, stayed, spare *Machine) {
 	t.Helper()
 	owner = f.owner(no)
 	before := f.groupOf(owner, no)
@@ -97,7 +97,7 @@
 
 // killAtJointStep takes the power of the owner at the moment at which the first step
 // of a change of a part's voters is committed there.
-func (f *Fleet) killAtJointStep(no mark.Part) <-chan *Machine {
+func (f *Fleet) killAtJointStep(no ids.Part) <-chan *Machine {
 	killed := make(chan *Machine, 1)
 	var once sync.Once
 	f.watchSteps(func(m *Machine, step any) {
@@ -117,7 +117,7 @@
 
 func TestAnOwnersDeathLeavesNoReplacementHalfDone(t *testing.T) {
 	inFleet(t, fiveCores(), func(t *testing.T, f *Fleet) {
-		no := mark.PartOf("app/a")
+		no := ids.PartOf("app/a")
 		time.Sleep(3 * time.Second)
 		owner := f.owner(no)
 		var lost *Machine
@@ -173,7 +173,7 @@
 		}
 		put(`"old"`)
 		time.Sleep(3 * time.Second)
-		no := mark.PartOf("app/a")
+		no := ids.PartOf("app/a")
 		owner, replaced, stayed, spare := f.replaceOne(t, no)
 		f.cutFrom(stayed, owner, spare)
 		time.Sleep(700 * time.Millisecond)
@@ -201,7 +201,7 @@
 }
 
 // status is a part as a machine has it.
-func (m *Machine) status(no mark.Part) consensus.Status {
+func (m *Machine) status(no ids.Part) consensus.Status {
 	return m.Node().Consensus.Part(no).Status()
 }
 
@@ -212,7 +212,7 @@
 		t.Error("no step of a replicated part was seen")
 	}
 	for _, r := range f.H.Records() {
-		if r.Kind == checker.Differ && !strings.HasPrefix(r.Note, sign.PartMended.Text) {
+		if r.Kind == checker.Differ && !strings.HasPrefix(r.Note, eventlog.PartMended.Text) {
 			t.Error(r.Note)
 		}
 	}
--- a/internal/simulator/rivals.go
+++ b/internal/simulator/rivals.go
@@ -8,8 +8,8 @@
 	"sync"
 	"time"
 
-	"github.com/sumactrestle/sumactrestle/internal/mark"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
 // rivals is how many orders are under way at once.
@@ -17,7 +17,7 @@
 
 // Rivals starts such operators; what they are told is judged with the versions.
 func (f *Fleet) Rivals(mean time.Duration) {
-	var taken []*wire.Change
+	var taken []*rpc.Change
 	f.task(func(r *rand.Rand) {
 		pause(r, mean)
 		node := f.anyNode(r)
@@ -51,7 +51,7 @@
 
 // insist sends an order up to four times, of which the first answers may be lost, and
 // tells whether it was taken.
-func (f *Fleet) insist(r *rand.Rand, change *wire.Change) bool {
+func (f *Fleet) insist(r *rand.Rand, change *rpc.Change) bool {
 	for try := range 4 {
 		node := f.anyNode(r)
 		if node == nil {
@@ -76,7 +76,7 @@
 // and again.
 func takeovers(f *Fleet) {
 	f.nap(300*time.Millisecond, 2*time.Second)
-	owner := ownerOf(f, mark.Config, nil)
+	owner := ownerOf(f, ids.Config, nil)
 	if owner == nil {
 		return
 	}
--- a/internal/simulator/rivals_test.go
+++ b/internal/simulator/rivals_test.go
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
-	"github.com/sumactrestle/sumactrestle/internal/fault"
-	"github.com/sumactrestle/sumactrestle/internal/mark"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
 // TestAnOrderSentAgainAfterHundredsOfChanges: it is answered as the first time, through
@@ -17,23 +17,23 @@
 	shape := one()
 	shape.Settings["pact.snapshot"] = "60"
 	inFleet(t, shape, func(t *testing.T, f *Fleet) {
-		order := func(n int) *wire.Change {
-			over := mark.Version(n)
+		order := func(n int) *rpc.Change {
+			over := ids.Version(n)
 			name := fmt.Sprint("numbered-order", n%7)
-			return &wire.Change{Id: fmt.Sprint("order", n), Version: over + 1, Over: &over, Put: wire.Config{Mappings: []wire.Mapping{{Name: name, Path: "/" + name, To: []wire.Split{{Service: "rates", Weight: 1 + n}}, Source: []byte(`{}`)}}}}
+			return &rpc.Change{Id: fmt.Sprint("order", n), Version: over + 1, Over: &over, Put: rpc.Config{Mappings: []rpc.Mapping{{Name: name, Path: "/" + name, To: []rpc.Split{{Service: "rates", Weight: 1 + n}}, Source: []byte(`{}`)}}}}
 		}
-		submit := func(m *Machine, change *wire.Change) (*wire.ChangeReceipt, error) {
-			var receipt *wire.ChangeReceipt
+		submit := func(m *Machine, change *rpc.Change) (*rpc.ChangeReceipt, error) {
+			var receipt *rpc.ChangeReceipt
 			var err error
 			f.Until(10*time.Second, func() bool {
 				ctx, end := context.WithTimeout(f.ctx, time.Second)
 				defer end()
 				receipt, err = m.Node().Submit(ctx, change)
-				return err == nil || fault.Of(err).Code.Outcome == ""
+				return err == nil || errcode.Of(err).Code.Outcome == ""
 			})
 			return receipt, err
 		}
-		var first *wire.ChangeReceipt
+		var first *rpc.ChangeReceipt
 		const orders = 300
 		for n := range orders {
 			receipt, err := submit(f.Cores()[n%3], order(n))
@@ -44,7 +44,7 @@
 				first = receipt
 			}
 			if n%70 == 50 {
-				m := f.owner(mark.Config)
+				m := f.owner(ids.Config)
 				m.Kill(true)
 				if n%140 == 50 {
 					f.W.Disk(m.IP).Wipe()
@@ -61,7 +61,7 @@
 			other := order(0)
 			other.Put.Mappings[0].To[0].Weight = 999
 			other.Id = "another text"
-			if _, err := submit(m, other); !fault.Is(err, fault.ChangeConflict) {
+			if _, err := submit(m, other); !errcode.Is(err, errcode.ChangeConflict) {
 				t.Errorf("another text under an old number: %v", err)
 			}
 		}
--- a/internal/simulator/run.go
+++ b/internal/simulator/run.go
@@ -43,8 +43,8 @@
 func (f *Fleet) IsUsable() bool {
 	caller := f.caller(90)
 	defer caller.Close()
-	for _, proxy := range f.Proxies() {
-		if proxy.Node() == nil {
+	for _, proxyNode := range f.Proxies() {
+		if proxyNode.Node() == nil {
 			continue
 		}
 		for service := range f.Shape.Servers {
@@ -52,7 +52,7 @@
 			if f.Shape.Repeatable[service] {
 				method, body = "GET", nil
 			}
-			if caller.Call(f.ctx, proxy.Gate(), method, "/"+service, service, body).Outcome != "ran" {
+			if caller.Call(f.ctx, proxyNode.Gate(), method, "/"+service, service, body).Outcome != "ran" {
 				return false
 			}
 		}
--- a/internal/simulator/sets.go
+++ b/internal/simulator/sets.go
@@ -122,10 +122,10 @@
 	for i, guest := range guests {
 		f.Serve(guest, "", i%f.Shape.Zones)
 	}
-	for i, proxy := range f.Proxies() {
+	for i, proxyNode := range f.Proxies() {
 		caller := f.caller(i)
 		f.task(func(r *rand.Rand) {
-			caller.Call(f.ctx, proxy.Gate(), "GET", setPath(r.IntN(setPaths)), "", nil)
+			caller.Call(f.ctx, proxyNode.Gate(), "GET", setPath(r.IntN(setPaths)), "", nil)
 			pause(r, 40*time.Millisecond)
 		})
 	}
@@ -155,8 +155,8 @@
 			}
 			_, err = o.Submit(f.ctx, change)
 			for _, m := range change.Put.Value.Mappings[:min(2, len(change.Put.Value.Mappings))] {
-				proxy := f.Proxies()[r.IntN(len(f.Proxies()))]
-				caller.Call(f.ctx, proxy.Gate(), "GET", m.Path, "", nil)
+				proxyNode := f.Proxies()[r.IntN(len(f.Proxies()))]
+				caller.Call(f.ctx, proxyNode.Gate(), "GET", m.Path, "", nil)
 			}
 			if err != nil || r.IntN(4) == 0 {
 				pause(r, 500*time.Millisecond)
--- a/internal/simulator/sleep_test.go
+++ b/internal/simulator/sleep_test.go
@@ -6,33 +6,33 @@
 	"testing"
 	"time"
 
-	"github.com/sumactrestle/sumactrestle/internal/fault"
-	"github.com/sumactrestle/sumactrestle/internal/mark"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
 	"github.com/sumactrestle/sumactrestle/internal/standin"
 )
 
 func TestASuspendedProxyWakesWithoutAFreshPlan(t *testing.T) {
 	inFleet(t, one(), func(t *testing.T, f *Fleet) {
-		proxy := f.Of("proxy1")
+		proxyNode := f.Of("proxy1")
 		caller := standin.NewCaller(f.W.Net(f.outside(3)), f.H)
 		defer caller.Close()
 		for range 5 {
-			if got := caller.Call(f.ctx, proxy.Gate(), "GET", "/rates", "rates", nil); got.Outcome != "ran" {
+			if got := caller.Call(f.ctx, proxyNode.Gate(), "GET", "/rates", "rates", nil); got.Outcome != "ran" {
 				t.Fatalf("before: %+v", got)
 			}
 			for _, m := range f.Machines {
-				if m != proxy {
-					f.W.Cut(m.IP, proxy.IP)
+				if m != proxyNode {
+					f.W.Cut(m.IP, proxyNode.IP)
 				}
 			}
-			f.W.Suspend(proxy.IP, time.Minute)
-			got := caller.Call(f.ctx, proxy.Gate(), "GET", "/rates", "rates", nil)
+			f.W.Suspend(proxyNode.IP, time.Minute)
+			got := caller.Call(f.ctx, proxyNode.Gate(), "GET", "/rates", "rates", nil)
 			f.W.Heal()
-			if got.Code != fault.NotFresh.No || got.Outcome != "not run" {
+			if got.Code != errcode.NotFresh.No || got.Outcome != "not run" {
 				t.Errorf("after: %+v", got)
 			}
 			if !f.Until(5*time.Second, func() bool {
-				return caller.Call(f.ctx, proxy.Gate(), "GET", "/rates", "rates", nil).Outcome == "ran"
+				return caller.Call(f.ctx, proxyNode.Gate(), "GET", "/rates", "rates", nil).Outcome == "ran"
 			}) {
 				t.Error("the proxy did not come back")
 			}
@@ -46,7 +46,7 @@
 		var owner *Machine
 		for range 5 {
 			if !f.Until(10*time.Second, func() bool {
-				owner = ownerOf(f, mark.Config, nil)
+				owner = ownerOf(f, ids.Config, nil)
 				if owner == nil || !f.IsUsable() {
 					return false
 				}
--- a/internal/simulator/snapshot_test.go
+++ b/internal/simulator/snapshot_test.go
@@ -13,13 +13,13 @@
 	"github.com/go-faster/jx"
 
 	"github.com/sumactrestle/sumactrestle/internal/api"
-	"github.com/sumactrestle/sumactrestle/internal/mark"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 	"github.com/sumactrestle/sumactrestle/internal/standin"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
 )
 
 // fillPart writes about so many megabytes, which can't be packed, into one part.
-func (f *Fleet) fillPart(t *testing.T, megabytes int) mark.Part {
+func (f *Fleet) fillPart(t *testing.T, megabytes int) ids.Part {
 	t.Helper()
 	client := standin.Client(f.W.Net(f.outside(1)), f.Of("proxy1").Api())
 	r := rand.New(rand.NewPCG(1, 2))
@@ -33,7 +33,7 @@
 			t.Fatal(err)
 		}
 	}
-	return mark.PartOf("app/0")
+	return ids.PartOf("app/0")
 }
 
 func TestALargeStateReachesAMemberOverASlowLink(t *testing.T) {
@@ -68,10 +68,10 @@
 	shape := one()
 	shape.Settings["pact.snapshot"] = "40"
 	inFleet(t, shape, func(t *testing.T, f *Fleet) {
-		version := mark.Version(0)
-		submit := func(put []wire.Mapping) {
+		version := ids.Version(0)
+		submit := func(put []rpc.Mapping) {
 			over := version
-			change := &wire.Change{Id: fmt.Sprint("c", version), Version: version + 1, Over: &over, Put: wire.Config{Mappings: put}}
+			change := &rpc.Change{Id: fmt.Sprint("c", version), Version: version + 1, Over: &over, Put: rpc.Config{Mappings: put}}
 			var err error
 			if !f.Until(20*time.Second, func() bool {
 				ctx, end := context.WithTimeout(f.ctx, 3*time.Second)
@@ -83,10 +83,10 @@
 			}
 			version++
 		}
-		route := func(n int) wire.Mapping {
-			return wire.Mapping{Name: fmt.Sprint("route", n), Host: fmt.Sprintf("host%d.example", n%50), Path: fmt.Sprintf("/path%d/", n), Deadline: 800 + int64(version)%100, Aim: 300, Tries: 2, To: []wire.Split{{Service: "rates", Weight: 1}}, Source: []byte(fmt.Sprintf(`{"item":"route%d","version":%d}`, n, version))}
+		route := func(n int) rpc.Mapping {
+			return rpc.Mapping{Name: fmt.Sprint("route", n), Host: fmt.Sprintf("host%d.example", n%50), Path: fmt.Sprintf("/path%d/", n), Deadline: 800 + int64(version)%100, Aim: 300, Tries: 2, To: []rpc.Split{{Service: "rates", Weight: 1}}, Source: []byte(fmt.Sprintf(`{"item":"route%d","version":%d}`, n, version))}
 		}
-		var all []wire.Mapping
+		var all []rpc.Mapping
 		for n := range *routes {
 			all = append(all, route(n))
 		}
@@ -94,7 +94,7 @@
 		var sizes []int
 		var times []time.Duration
 		for n := range *changes {
-			submit([]wire.Mapping{route(n % *routes), route((n*7 + 1) % *routes)})
+			submit([]rpc.Mapping{route(n % *routes), route((n*7 + 1) % *routes)})
 			m := f.Cores()[n%3]
 			switch n % 30 {
 			case 10:
@@ -111,7 +111,7 @@
 				if !f.Until(20*time.Second, f.isMended) {
 					t.Fatalf("not mended after %d changes", n+1)
 				}
-				state, _ := f.owner(mark.Config).Node().Ledger.Capture()()
+				state, _ := f.owner(ids.Config).Node().Ledger.Capture()()
 				sizes, times = append(sizes, len(state)), append(times, time.Since(began))
 			}
 		}
@@ -134,7 +134,7 @@
 	shape.Settings["pact.tail"] = "5"
 	inFleet(t, shape, func(t *testing.T, f *Fleet) {
 		client := standin.Client(f.W.Net(f.outside(1)), f.Of("proxy1").Api())
-		no := mark.PartOf("app/a")
+		no := ids.PartOf("app/a")
 		behind := follower(f, no)
 		behind.Kill(true)
 		time.Sleep(2 * time.Second)
--- a/internal/simulator/spaces.go
+++ b/internal/simulator/spaces.go
@@ -11,21 +11,21 @@
 	"time"
 
 	"github.com/sumactrestle/sumactrestle/internal/checker"
-	"github.com/sumactrestle/sumactrestle/internal/fault"
-	"github.com/sumactrestle/sumactrestle/internal/mark"
-	"github.com/sumactrestle/sumactrestle/internal/seat"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
+	"github.com/sumactrestle/sumactrestle/internal/node"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
 const counted = "sets/"
 
 // anyNode is a running node, or nil.
-func (f *Fleet) anyNode(r *rand.Rand) *seat.Node {
+func (f *Fleet) anyNode(r *rand.Rand) *node.Node {
 	return f.Machines[r.IntN(len(f.Machines))].Node()
 }
 
 // direct makes one coordination call at a node; refused is what its owner said.
-func (f *Fleet) direct(node *seat.Node, rec checker.Record, op *wire.BondOp) (*wire.BondReceipt, string) {
+func (f *Fleet) direct(node *node.Node, rec checker.Record, op *rpc.BondOp) (*rpc.BondReceipt, string) {
 	rec.Kind, rec.Start, rec.Op = checker.Bonded, f.H.Now(), cmpOr(rec.Op, op.Op)
 	rec.Name, rec.Holder = op.Name, op.Holder
 	ctx, end := context.WithTimeout(f.ctx, 4*time.Second)
@@ -34,7 +34,7 @@
 	rec.Outcome = "done"
 	switch {
 	case err != nil:
-		rec.Outcome, rec.Note, rec.Code, got = "unknown", err.Error(), fault.Of(err).Code.No, &wire.BondReceipt{}
+		rec.Outcome, rec.Note, rec.Code, got = "unknown", err.Error(), errcode.Of(err).Code.No, &rpc.BondReceipt{}
 	case got.Code != 0:
 		rec.Outcome, rec.Code = "refused", got.Code
 	}
@@ -43,7 +43,7 @@
 	}
 	if op.Op == "get" {
 		json.Unmarshal(got.Value, &rec.Digest)
-		if got.Code == fault.NoKey.No {
+		if got.Code == errcode.NoKey.No {
 			rec.Outcome = "done"
 		}
 	}
@@ -70,12 +70,12 @@
 			if node == nil {
 				return
 			}
-			key, value := fmt.Sprint(counted, "k", r.IntN(3)), mark.NewID()
+			key, value := fmt.Sprint(counted, "k", r.IntN(3)), ids.NewID()
 			raw, _ := json.Marshal(value)
-			op := &wire.BondOp{Op: "set", Id: value, Name: key, Value: raw}
+			op := &rpc.BondOp{Op: "set", Id: value, Name: key, Value: raw}
 			rec := checker.Record{Request: value, Digest: value}
 			if r.IntN(2) == 0 {
-				got, outcome := f.direct(node, checker.Record{Op: "look"}, &wire.BondOp{Op: "get", Name: key})
+				got, outcome := f.direct(node, checker.Record{Op: "look"}, &rpc.BondOp{Op: "get", Name: key})
 				if outcome != "done" {
 					return
 				}
@@ -96,12 +96,12 @@
 		})
 	}
 	for i := range 2 {
-		from := mark.Stamp(0)
+		from := ids.Stamp(0)
 		f.task(func(r *rand.Rand) { f.followOnce(r, &from); pause(r, time.Duration(1+i*3000)*time.Millisecond) })
 	}
 }
 
-func (f *Fleet) followOnce(r *rand.Rand, from *mark.Stamp) {
+func (f *Fleet) followOnce(r *rand.Rand, from *ids.Stamp) {
 	node := f.anyNode(r)
 	if node == nil {
 		time.Sleep(100 * time.Millisecond)
@@ -110,13 +110,13 @@
 	rec := checker.Record{Kind: checker.Followed, Start: f.H.Now(), Name: counted, From: uint64(*from), Outcome: "done"}
 	ctx, end := context.WithTimeout(f.ctx, 6*time.Second)
 	defer end()
-	got, err := node.Bond(ctx, &wire.BondOp{Op: "follow", Name: counted, From: *from, Hold: 2000})
+	got, err := node.Bond(ctx, &rpc.BondOp{Op: "follow", Name: counted, From: *from, Hold: 2000})
 	if err != nil {
 		time.Sleep(100 * time.Millisecond)
 		return
 	}
 	rec.Stamp = uint64(got.Rev)
-	if got.Code == fault.StampTooOld.No {
+	if got.Code == errcode.StampTooOld.No {
 		rec.Outcome = "too old"
 	}
 	for _, e := range got.Events {
@@ -139,13 +139,13 @@
 			if node == nil {
 				return
 			}
-			name, holder := fmt.Sprint("hold/", r.IntN(2)), fmt.Sprint("holder", i, "-", mark.NewID())
+			name, holder := fmt.Sprint("hold/", r.IntN(2)), fmt.Sprint("holder", i, "-", ids.NewID())
 			ttl := func() int64 { return 50 + r.Int64N(2500) }
-			call := func(op wire.BondOp) (*wire.BondReceipt, string) {
-				op.Name, op.Holder, op.Id = name, holder, mark.NewID()
+			call := func(op rpc.BondOp) (*rpc.BondReceipt, string) {
+				op.Name, op.Holder, op.Id = name, holder, ids.NewID()
 				return f.direct(node, checker.Record{Fence: uint64(op.Fence), Ttl: time.Duration(op.Ttl) * time.Millisecond}, &op)
 			}
-			got, outcome := call(wire.BondOp{Op: "acquire", Ttl: ttl()})
+			got, outcome := call(rpc.BondOp{Op: "acquire", Ttl: ttl()})
 			if outcome != "done" {
 				return
 			}
@@ -155,16 +155,16 @@
 				if other := f.anyNode(r); other != nil {
 					node = other
 				}
-				op := wire.BondOp{Op: "renew", Fence: fence, Ttl: ttl()}
+				op := rpc.BondOp{Op: "renew", Fence: fence, Ttl: ttl()}
 				if r.IntN(3) == 0 {
-					op = wire.BondOp{Op: "acquire", Ttl: ttl()}
+					op = rpc.BondOp{Op: "acquire", Ttl: ttl()}
 				}
 				if got, outcome = call(op); outcome != "done" || got.Fence != fence {
 					return
 				}
 			}
 			if r.IntN(2) == 0 {
-				call(wire.BondOp{Op: "release", Fence: fence})
+				call(rpc.BondOp{Op: "release", Fence: fence})
 			}
 		})
 	}
--- a/internal/simulator/spare_test.go
+++ b/internal/simulator/spare_test.go
@@ -9,7 +9,7 @@
 	"github.com/go-faster/jx"
 
 	"github.com/sumactrestle/sumactrestle/internal/api"
-	"github.com/sumactrestle/sumactrestle/internal/mark"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
 	"github.com/sumactrestle/sumactrestle/internal/standin"
 )
 
@@ -28,13 +28,13 @@
 		lost.Kill(true)
 		f.W.Disk(lost.IP).Wipe()
 		isReplaced := func() bool {
-			for no := range mark.Parts + 1 {
+			for no := range ids.Parts + 1 {
 				isWhole := false
 				for _, m := range f.Cores() {
-					if m.Node() == nil || !m.Node().Consensus.Part(mark.Part(no)).IsServing() {
+					if m.Node() == nil || !m.Node().Consensus.Part(ids.Part(no)).IsServing() {
 						continue
 					}
-					o := m.Node().Consensus.Part(mark.Part(no)).Status()
+					o := m.Node().Consensus.Part(ids.Part(no)).Status()
 					isWhole = len(o.Group) == 3 && o.Last == o.Commit
 					for _, peer := range o.Group {
 						isWhole = isWhole && peer.Name != "core1"
--- a/internal/simulator/versions.go
+++ b/internal/simulator/versions.go
@@ -12,11 +12,11 @@
 	"time"
 
 	"github.com/sumactrestle/sumactrestle/internal/checker"
-	"github.com/sumactrestle/sumactrestle/internal/fault"
-	"github.com/sumactrestle/sumactrestle/internal/mark"
-	"github.com/sumactrestle/sumactrestle/internal/seat"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
+	"github.com/sumactrestle/sumactrestle/internal/node"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 	"github.com/sumactrestle/sumactrestle/internal/standin"
-	"github.com/sumactrestle/sumactrestle/internal/wire"
 )
 
 const numbered = "numbered-"
@@ -59,23 +59,23 @@
 }
 
 // numberedChange is a change over a version, with a text of its own.
-func numberedChange(r *rand.Rand, over mark.Version) *wire.Change {
-	id, service := numbered+mark.NewID(), "rates"
+func numberedChange(r *rand.Rand, over ids.Version) *rpc.Change {
+	id, service := numbered+ids.NewID(), "rates"
 	if r.IntN(6) == 0 {
 		service = standin.Nowhere
 	}
 	source, _ := json.Marshal(map[string]string{"as": "sent", "id": id})
-	m := wire.Mapping{Name: id, Path: "/numbered/" + id, To: []wire.Split{{Service: service, Weight: 1}}, Source: source}
-	return &wire.Change{Id: id, Version: over + 1 + mark.Version(r.IntN(2)), Over: &over, Put: wire.Config{Mappings: []wire.Mapping{m}}}
+	m := rpc.Mapping{Name: id, Path: "/numbered/" + id, To: []rpc.Split{{Service: service, Weight: 1}}, Source: source}
+	return &rpc.Change{Id: id, Version: over + 1 + ids.Version(r.IntN(2)), Over: &over, Put: rpc.Config{Mappings: []rpc.Mapping{m}}}
 }
 
-func (f *Fleet) submitVersion(node *seat.Node, change *wire.Change) string {
+func (f *Fleet) submitVersion(node *node.Node, change *rpc.Change) string {
 	return f.submitWithin(8*time.Second, node, change)
 }
 
 // submitWithin sends a change and gives it up after a time; it may then be taken, or be
 // on its way.
-func (f *Fleet) submitWithin(limit time.Duration, node *seat.Node, change *wire.Change) string {
+func (f *Fleet) submitWithin(limit time.Duration, node *node.Node, change *rpc.Change) string {
 	rec := checker.Record{Kind: checker.Version, Start: f.H.Now(), Name: change.Id, Stamp: uint64(change.Version), From: uint64(*change.Over), Digest: string(change.Put.Mappings[0].Source), Outcome: "accepted", Invalid: change.Put.Mappings[0].To[0].Service == standin.Nowhere}
 	ctx, end := context.WithTimeout(f.ctx, limit)
 	defer end()
@@ -83,17 +83,17 @@
 	switch {
 	case err == nil:
 		rec.Epoch = uint64(receipt.Epoch)
-	case fault.Of(err).Code.Outcome == "":
-		rec.Outcome, rec.Code = "refused", fault.Of(err).Code.No
+	case errcode.Of(err).Code.Outcome == "":
+		rec.Outcome, rec.Code = "refused", errcode.Of(err).Code.No
 	default:
-		rec.Outcome, rec.Code, rec.Note = "unknown", fault.Of(err).Code.No, err.Error()
+		rec.Outcome, rec.Code, rec.Note = "unknown", errcode.Of(err).Code.No, err.Error()
 	}
 	f.H.Add(rec)
 	return rec.Outcome
 }
 
 // readBackAll records what of the operators' texts is in force; nil if it can't be had.
-func (f *Fleet) readBackAll(node *seat.Node) *wire.ConfigView {
+func (f *Fleet) readBackAll(node *node.Node) *rpc.ConfigView {
 	rec := checker.Record{Kind: checker.ReadBack, Start: f.H.Now(), Lead: map[string]string{}}
 	ctx, end := context.WithTimeout(f.ctx, 4*time.Second)
 	defer end()
--- a/internal/simulator/wire_test.go
+++ b/internal/simulator/wire_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"github.com/sumactrestle/sumactrestle/internal/fault"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
 )
 
 func TestMessagesThatCantBeReadAreRefused(t *testing.T) {
@@ -31,14 +31,14 @@
 		before := m.Node().R.Sign.Counts()["MessageRefused"]
 		for line, says := range map[string]string{
 			"what is this":                         "",
-			`{"v":3,"id":1,"kind":"pact.nothing"}`: fmt.Sprint(fault.UnknownKind.No),
-			`{"v":3,"id":2,"kind":"pact.promise","body":{"part":"x"}}`:  fmt.Sprint(fault.BadMessage.No),
-			`{"v":3,"id":3,"kind":"pact.promise","body":{"part":99}}`:   fmt.Sprint(fault.BadMessage.No),
-			`{"v":3,"id":4,"kind":"pact.append","body":{"part":-1}}`:    fmt.Sprint(fault.BadMessage.No),
-			`{"v":3,"id":5,"kind":"seat.pass","body":{"part":400}}`:     fmt.Sprint(fault.BadMessage.No),
-			`{"v":3,"id":6,"kind":"pact.found","body":{"step":"open"}}`: fmt.Sprint(fault.BadMessage.No),
-			`{"id":7,"kind":"pact.charter"}`:                            fmt.Sprint(fault.WrongVersion.No),
-			`{"v":99,"id":8,"kind":"pact.charter"}`:                     fmt.Sprint(fault.WrongVersion.No),
+			`{"v":3,"id":1,"kind":"pact.nothing"}`: fmt.Sprint(errcode.UnknownKind.No),
+			`{"v":3,"id":2,"kind":"pact.promise","body":{"part":"x"}}`:  fmt.Sprint(errcode.BadMessage.No),
+			`{"v":3,"id":3,"kind":"pact.promise","body":{"part":99}}`:   fmt.Sprint(errcode.BadMessage.No),
+			`{"v":3,"id":4,"kind":"pact.append","body":{"part":-1}}`:    fmt.Sprint(errcode.BadMessage.No),
+			`{"v":3,"id":5,"kind":"seat.pass","body":{"part":400}}`:     fmt.Sprint(errcode.BadMessage.No),
+			`{"v":3,"id":6,"kind":"pact.found","body":{"step":"open"}}`: fmt.Sprint(errcode.BadMessage.No),
+			`{"id":7,"kind":"pact.charter"}`:                            fmt.Sprint(errcode.WrongVersion.No),
+			`{"v":99,"id":8,"kind":"pact.charter"}`:                     fmt.Sprint(errcode.WrongVersion.No),
 			strings.Repeat("x", 100000):                                 "",
 		} {
 			got := send(line)
--- a/internal/simulator/world.go
+++ b/internal/simulator/world.go
@@ -17,7 +17,7 @@
 
 	"github.com/syndtr/goleveldb/leveldb/storage"
 
-	"github.com/sumactrestle/sumactrestle/internal/realm"
+	"github.com/sumactrestle/sumactrestle/internal/environment"
 )
 
 // World is one network with its disks.
@@ -178,12 +178,12 @@
 }
 
 // Net is the network as one machine has it, for one life of its process.
-func (w *World) Net(ip string) realm.Net {
+func (w *World) Net(ip string) environment.Net {
 	w.mu.Lock()
 	life := w.life[ip]
 	w.mu.Unlock()
 	isAlive := func() bool { return w.life[ip] == life }
-	return realm.Net{
+	return environment.Net{
 		Dial: func(ctx context.Context, address string) (net.Conn, error) {
 			return w.dial(ctx, ip, address, isAlive)
 		},
--- a/internal/standin/caller.go
+++ b/internal/standin/caller.go
@@ -15,9 +15,9 @@
 	"time"
 
 	"github.com/sumactrestle/sumactrestle/internal/checker"
-	"github.com/sumactrestle/sumactrestle/internal/gate"
-	"github.com/sumactrestle/sumactrestle/internal/mark"
-	"github.com/sumactrestle/sumactrestle/internal/realm"
+	"github.com/sumactrestle/sumactrestle/internal/environment"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
+	"github.com/sumactrestle/sumactrestle/internal/proxy"
 )
 
 // Digest names a body.
@@ -35,7 +35,7 @@
 	client  *http.Client
 }
 
-func NewCaller(n realm.Net, h *checker.History) *Caller {
+func NewCaller(n environment.Net, h *checker.History) *Caller {
 	transport := &http.Transport{DialContext: func(ctx context.Context, _, at string) (net.Conn, error) { return n.Dial(ctx, at) }, MaxIdleConnsPerHost: 16, IdleConnTimeout: 5 * time.Second}
 	return &Caller{H: h, client: &http.Client{Transport: transport, Timeout: 15 * time.Second}}
 }
@@ -44,14 +44,14 @@
 func (c *Caller) Close() { c.client.CloseIdleConnections() }
 
 // Call sends one request and records how it ended.
-func (c *Caller) Call(ctx context.Context, proxy, method, path, service string, body []byte) checker.Record {
-	return c.Repeat(ctx, proxy, method, path, service, body, mark.NewID(), false)
+func (c *Caller) Call(ctx context.Context, address, method, path, service string, body []byte) checker.Record {
+	return c.Repeat(ctx, address, method, path, service, body, ids.NewID(), false)
 }
 
 // Repeat sends a request under a call number given.
-func (c *Caller) Repeat(ctx context.Context, proxy, method, path, service string, body []byte, call string, isRepeat bool) checker.Record {
-	r := checker.Record{Kind: checker.Called, Start: c.H.Now(), Call: call, Proxy: proxy, Service: service, Mapping: path, Repeatable: method == http.MethodGet, Repeat: isRepeat, Once: c.Once, Digest: Digest(body)}
-	request, err := http.NewRequestWithContext(ctx, method, "http://"+proxy+path, nil)
+func (c *Caller) Repeat(ctx context.Context, address, method, path, service string, body []byte, call string, isRepeat bool) checker.Record {
+	r := checker.Record{Kind: checker.Called, Start: c.H.Now(), Call: call, Proxy: address, Service: service, Mapping: path, Repeatable: method == http.MethodGet, Repeat: isRepeat, Once: c.Once, Digest: Digest(body)}
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, nil)
 	if err != nil {
 		return r
 	}
@@ -60,11 +60,11 @@
 	request.Body, request.ContentLength = io.NopCloser(bytes.NewReader(body)), int64(len(body))
 	request.Header.Set(CallHeader, call)
 	if method != http.MethodGet {
-		request.Header.Set(gate.HeaderOnce, call)
+		request.Header.Set(proxy.HeaderOnce, call)
 	}
 	if c.IsPlain {
-		r.IsTry, r.Request = true, mark.NewID()
-		request.Header.Set(gate.HeaderRequest, r.Request)
+		r.IsTry, r.Request = true, ids.NewID()
+		request.Header.Set(proxy.HeaderRequest, r.Request)
 	}
 	response, err := c.client.Do(request)
 	if err != nil {
@@ -74,14 +74,14 @@
 	}
 	defer response.Body.Close()
 	raw, err := io.ReadAll(response.Body)
-	r.Status, r.Outcome, r.RetryAfter = response.StatusCode, response.Header.Get(gate.HeaderOutcome), response.Header.Get("Retry-After")
-	if named := response.Header.Get(gate.HeaderRequest); !c.IsPlain {
+	r.Status, r.Outcome, r.RetryAfter = response.StatusCode, response.Header.Get(proxy.HeaderOutcome), response.Header.Get("Retry-After")
+	if named := response.Header.Get(proxy.HeaderRequest); !c.IsPlain {
 		r.Request = named
 	} else if named != r.Request {
 		r.Note = "the answer names another request: " + named
 	}
-	r.Code, _ = strconv.Atoi(response.Header.Get(gate.HeaderCode))
-	r.Epoch, _ = strconv.ParseUint(response.Header.Get(gate.HeaderEpoch), 10, 64)
+	r.Code, _ = strconv.Atoi(response.Header.Get(proxy.HeaderCode))
+	r.Epoch, _ = strconv.ParseUint(response.Header.Get(proxy.HeaderEpoch), 10, 64)
 	switch {
 	case err != nil:
 		r.Outcome, r.Note = "broken", err.Error()
--- a/internal/standin/operator.go
+++ b/internal/standin/operator.go
@@ -10,7 +10,7 @@
 
 	"github.com/sumactrestle/sumactrestle/internal/api"
 	"github.com/sumactrestle/sumactrestle/internal/checker"
-	"github.com/sumactrestle/sumactrestle/internal/realm"
+	"github.com/sumactrestle/sumactrestle/internal/environment"
 )
 
 // Nowhere is a service that is never there; a change set that names it is
@@ -24,7 +24,7 @@
 	paths  sync.Map // of the mappings last seen in force, by name
 }
 
-func NewOperator(n realm.Net, h *checker.History, address string) *Operator {
+func NewOperator(n environment.Net, h *checker.History, address string) *Operator {
 	return &Operator{H: h, Client: Client(n, address)}
 }
 
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -17,9 +17,9 @@
 
 	"github.com/sumactrestle/sumactrestle/internal/api"
 	"github.com/sumactrestle/sumactrestle/internal/checker"
-	"github.com/sumactrestle/sumactrestle/internal/gate"
-	"github.com/sumactrestle/sumactrestle/internal/mark"
-	"github.com/sumactrestle/sumactrestle/internal/realm"
+	"github.com/sumactrestle/sumactrestle/internal/environment"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
+	"github.com/sumactrestle/sumactrestle/internal/proxy"
 )
 
 // Ways in which a server misbehaves, by request.
@@ -44,7 +44,7 @@
 
 // Server is one stand-in back end.
 type Server struct {
-	Net      realm.Net
+	Net      environment.Net
 	H        *checker.History
 	Service  string
 	Instance string
@@ -71,7 +71,7 @@
 }
 
 // Client makes an API client over a network.
-func Client(n realm.Net, address string) *api.Client {
+func Client(n environment.Net, address string) *api.Client {
 	transport := &http.Transport{DialContext: func(ctx context.Context, _, at string) (net.Conn, error) { return n.Dial(ctx, at) }, MaxIdleConnsPerHost: 4, IdleConnTimeout: 5 * time.Second}
 	client, _ := api.NewClient("http://"+address, api.WithClient(&http.Client{Transport: transport}))
 	return client
@@ -80,7 +80,7 @@
 // Start listens and beats until Vanish or Leave.
 func (s *Server) Start(parent context.Context) error {
 	if s.Instance == "" {
-		s.Instance = mark.NewID()
+		s.Instance = ids.NewID()
 	}
 	s.state.Store("serving")
 	listener, err := s.Net.Listen(s.Address)
@@ -97,7 +97,7 @@
 		clients := map[string]*api.Client{}
 		for i := 0; ctx.Err() == nil; i++ {
 			began := time.Now()
-			address := s.Nodes[(int(mark.Score(s.Instance)%64)+i/8)%len(s.Nodes)]
+			address := s.Nodes[(int(ids.Score(s.Instance)%64)+i/8)%len(s.Nodes)]
 			if clients[address] == nil {
 				clients[address] = Client(s.Net, address)
 			}
@@ -226,9 +226,9 @@
 	if way == Failing {
 		status = http.StatusInternalServerError
 	}
-	seal := gate.Seal(s.Key, request, s.Service, s.Instance, status, answer)
+	seal := proxy.Seal(s.Key, request, s.Service, s.Instance, status, answer)
 	if s.IsPlain {
-		w.Header().Set(gate.HeaderRequest, request)
+		w.Header().Set(proxy.HeaderRequest, request)
 	}
 	hijack := func(text string) {
 		conn, _, err := w.(http.Hijacker).Hijack()
@@ -245,10 +245,10 @@
 		hijack("\x00\x01 what is this\r\n\r\n")
 		return
 	case Cut:
-		hijack(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n%s: %s\r\n%s: %s\r\n\r\n%s", len(answer), gate.HeaderRequest, request, gate.HeaderSeal, seal, answer[:len(answer)/2]))
+		hijack(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n%s: %s\r\n%s: %s\r\n\r\n%s", len(answer), proxy.HeaderRequest, request, proxy.HeaderSeal, seal, answer[:len(answer)/2]))
 		return
 	case Unframed:
-		hijack(fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\n%s: %s\r\n\r\n%s", gate.HeaderRequest, request, gate.HeaderSeal, seal, answer))
+		hijack(fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\n%s: %s\r\n\r\n%s", proxy.HeaderRequest, request, proxy.HeaderSeal, seal, answer))
 		return
 	case Twice:
 		hijack(whole(request, seal, string(answer)) + whole(request, seal, string(answer)))
@@ -258,9 +258,9 @@
 		return
 	case Swapped:
 		if old, ok := s.last.Load().([]string); ok {
-			w.Header().Set(gate.HeaderSeal, old[0])
+			w.Header().Set(proxy.HeaderSeal, old[0])
 			if s.IsPlain {
-				w.Header().Set(gate.HeaderRequest, old[2])
+				w.Header().Set(proxy.HeaderRequest, old[2])
 			}
 			w.Write([]byte(old[1]))
 			return
@@ -275,7 +275,7 @@
 	}
 	s.last.Store([]string{seal, string(answer), request})
 	if way != Unsealed {
-		w.Header().Set(gate.HeaderSeal, seal)
+		w.Header().Set(proxy.HeaderSeal, seal)
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
--- a/internal/storage/storage.go
+++ b/internal/storage/storage.go
@@ -21,14 +21,14 @@
 	leveldbstorage "github.com/syndtr/goleveldb/leveldb/storage"
 	"github.com/syndtr/goleveldb/leveldb/util"
 
-	"github.com/sumactrestle/sumactrestle/internal/fault"
-	"github.com/sumactrestle/sumactrestle/internal/realm"
-	"github.com/sumactrestle/sumactrestle/internal/sign"
+	"github.com/sumactrestle/sumactrestle/internal/environment"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
+	"github.com/sumactrestle/sumactrestle/internal/eventlog"
 )
 
 // Store is one data folder.
 type Store struct {
-	r     *realm.Realm
+	r     *environment.Realm
 	db    *leveldb.DB
 	stor  leveldbstorage.Storage
 	mu    sync.Mutex
@@ -62,7 +62,7 @@
 	case <-w.done:
 		return w.err
 	case <-w.over:
-		return fault.New(fault.StorageBroken, "stopping")
+		return errcode.New(errcode.StorageBroken, "stopping")
 	}
 }
 
@@ -81,7 +81,7 @@
 
 // Open opens the folder, or sets a damaged one aside and opens an empty one. Where the
 // disk has no room even to open it, it waits until there is some.
-func Open(r *realm.Realm) (*Store, error) {
+func Open(r *environment.Realm) (*Store, error) {
 	l := &Store{r: r, wake: make(chan struct{}, 1), start: time.Now(), Failed: make(chan struct{})}
 	for {
 		err := l.open()
@@ -91,13 +91,13 @@
 		}
 		l.close()
 		if !isFull(err) {
-			return nil, fault.New(fault.StorageBroken, "%s: %v", r.Props.DataFolder, err)
+			return nil, errcode.New(errcode.StorageBroken, "%s: %v", r.Props.DataFolder, err)
 		}
 		if !l.isFailing.Swap(true) {
-			r.Sign.Say(sign.StoreFailed, "cause", err.Error())
+			r.Sign.Say(eventlog.StoreFailed, "cause", err.Error())
 		}
 		if !r.Pause(retryPause) {
-			return nil, fault.New(fault.StorageBroken, "stopping")
+			return nil, errcode.New(errcode.StorageBroken, "stopping")
 		}
 	}
 }
@@ -107,7 +107,7 @@
 	problem := l.load()
 	if problem == nil {
 		if l.isFailing.Swap(false) {
-			l.r.Sign.Say(sign.StoreBack, "after", time.Since(l.start).String())
+			l.r.Sign.Say(eventlog.StoreBack, "after", time.Since(l.start).String())
 		}
 		return nil
 	}
@@ -117,9 +117,9 @@
 	}
 	folder := l.r.Props.DataFolder
 	aside := folder + ".damaged-" + time.Now().Format("20060102-150405")
-	l.r.Sign.Say(sign.StoreDamaged, "folder", folder, "aside", aside, "cause", problem.Error())
+	l.r.Sign.Say(eventlog.StoreDamaged, "folder", folder, "aside", aside, "cause", problem.Error())
 	if err := l.r.Net.Aside(folder, aside); err != nil {
-		return fault.New(fault.StorageBroken, "%s is damaged (%v) and can't be set aside: %v", folder, problem, err)
+		return errcode.New(errcode.StorageBroken, "%s is damaged (%v) and can't be set aside: %v", folder, problem, err)
 	}
 	if err := l.load(); err != nil {
 		return err
@@ -135,7 +135,7 @@
 // isDamage tells damaged data from a folder that can't be had now, such as one
 // that another process holds: only the former is ever set aside.
 func isDamage(err error) bool {
-	return leveldberrors.IsCorrupted(err) || fault.Is(err, fault.StorageBroken)
+	return leveldberrors.IsCorrupted(err) || errcode.Is(err, errcode.StorageBroken)
 }
 
 func (l *Store) close() {
@@ -175,7 +175,7 @@
 		return err
 	}
 	if count > 0 && last-first+1 != count {
-		return fault.New(fault.StorageBroken, "batches are missing between %d and %d", first, last)
+		return errcode.New(errcode.StorageBroken, "batches are missing between %d and %d", first, last)
 	}
 	l.seq = last
 	return nil
@@ -209,7 +209,7 @@
 	for {
 		select {
 		case <-l.r.Done():
-			l.drain(fault.New(fault.StorageBroken, "stopping"))
+			l.drain(errcode.New(errcode.StorageBroken, "stopping"))
 			return
 		case <-l.wake:
 		}
@@ -259,7 +259,7 @@
 	if err == nil {
 		return nil
 	}
-	l.r.Sign.Say(sign.StoreFailed, "cause", err.Error())
+	l.r.Sign.Say(eventlog.StoreFailed, "cause", err.Error())
 	l.isFailing.Store(true)
 	began := time.Now()
 	for l.r.Pause(retryPause) {
@@ -269,17 +269,17 @@
 		}
 		if err == nil {
 			l.isFailing.Store(false)
-			l.r.Sign.Say(sign.StoreBack, "after", time.Since(began).String())
+			l.r.Sign.Say(eventlog.StoreBack, "after", time.Since(began).String())
 			return nil
 		}
 		if isDamage(err) {
-			l.r.Sign.Say(sign.StoreFailed, "cause", err.Error())
+			l.r.Sign.Say(eventlog.StoreFailed, "cause", err.Error())
 			close(l.Failed)
 			<-l.r.Done()
-			return fault.New(fault.StorageBroken, "%v", err)
+			return errcode.New(errcode.StorageBroken, "%v", err)
 		}
 	}
-	return fault.New(fault.StorageBroken, "stopping")
+	return errcode.New(errcode.StorageBroken, "stopping")
 }
 
 // reopen closes the folder and opens it again, to the same state.
@@ -328,7 +328,7 @@
 	l.access.RLock()
 	defer l.access.RUnlock()
 	if l.db == nil {
-		return nil, fault.New(fault.StorageBroken, "the folder is not open")
+		return nil, errcode.New(errcode.StorageBroken, "the folder is not open")
 	}
 	value, err := l.db.Get([]byte(key), nil)
 	if err == leveldb.ErrNotFound {
@@ -342,7 +342,7 @@
 	l.access.RLock()
 	defer l.access.RUnlock()
 	if l.db == nil {
-		return fault.New(fault.StorageBroken, "the folder is not open")
+		return errcode.New(errcode.StorageBroken, "the folder is not open")
 	}
 	walk := l.db.NewIterator(util.BytesPrefix([]byte(prefix)), nil)
 	defer walk.Release()
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -11,16 +11,16 @@
 	"strings"
 	"testing"
 
-	"github.com/sumactrestle/sumactrestle/internal/props"
-	"github.com/sumactrestle/sumactrestle/internal/realm"
-	"github.com/sumactrestle/sumactrestle/internal/sign"
+	"github.com/sumactrestle/sumactrestle/internal/config"
+	"github.com/sumactrestle/sumactrestle/internal/environment"
+	"github.com/sumactrestle/sumactrestle/internal/eventlog"
 )
 
-func open(t *testing.T, folder string) (*Store, *realm.Realm, *bytes.Buffer) {
+func open(t *testing.T, folder string) (*Store, *environment.Realm, *bytes.Buffer) {
 	t.Helper()
 	var log bytes.Buffer
-	p := &props.Props{Name: "n", DataFolder: folder, LogLevel: "info"}
-	r := realm.New(context.Background(), p, sign.New(&log, "info", "n"), realm.Host(""))
+	p := &config.Props{Name: "n", DataFolder: folder, LogLevel: "info"}
+	r := environment.New(context.Background(), p, eventlog.New(&log, "info", "n"), environment.Host(""))
 	l, err := Open(r)
 	if err != nil {
 		t.Fatal(err)
@@ -120,7 +120,7 @@
 	defer r.End()
 	put(t, l, 1)
 	var log bytes.Buffer
-	second := realm.New(context.Background(), r.Props, sign.New(&log, "info", "n"), realm.Host(""))
+	second := environment.New(context.Background(), r.Props, eventlog.New(&log, "info", "n"), environment.Host(""))
 	defer second.End()
 	if _, err := Open(second); err == nil {
 		t.Fatal("two processes have one folder")
--- a/schema/generate.go
+++ b/schema/generate.go
@@ -2,5 +2,5 @@
 // the API; the code and the tables made from them are committed.
 package schema
 
-//go:generate go run ../tools/mint ..
+//go:generate go run ../tools/schemagen ..
 //go:generate go tool ogen --target ../internal/api --package api --clean --config ogen.yaml api.yaml
--- a/schema/generate_test.go
+++ b/schema/generate_test.go
@@ -30,7 +30,7 @@
 
 func TestMintIsCurrent(t *testing.T) {
 	fresh := t.TempDir()
-	if out, err := exec.Command("go", "run", "../tools/mint", "..", fresh).CombinedOutput(); err != nil {
+	if out, err := exec.Command("go", "run", "../tools/schemagen", "..", fresh).CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
 	same(t, "..", fresh)
