--- a/cmd/sumac/calls.go
+++ b/cmd/sumac/calls.go
@@ -154,7 +154,7 @@
 			return err
 		}
 	}
-	next, paths := controlplane.Lay(config, &set)
+	next, paths := controlplane.MergeChange(config, &set)
 	if len(paths) > 0 {
 		return errcode.At(errcode.BadChange, paths)
 	}
--- a/internal/controlplane/binding.go
+++ b/internal/controlplane/binding.go
@@ -6,15 +6,15 @@
 
 import "strings"
 
-// takesAway tells whether a target that could be sent to in one epoch can't be in the
+// removesTarget tells whether a target that could be sent to in one epoch can't be in the
 // next, or a group is gone.
-func takesAway(old, next *Sheet) bool {
+func removesTarget(old, next *EpochState) bool {
 	for name, group := range old.Groups {
 		now, ok := next.Groups[name]
 		if !ok {
 			return true
 		}
-		service, isTargets := strings.CutPrefix(name, Targets)
+		service, isTargets := strings.CutPrefix(name, TargetsPrefix)
 		if !isTargets || now.Digest == group.Digest {
 			continue
 		}
--- a/internal/controlplane/binding_test.go
+++ b/internal/controlplane/binding_test.go
@@ -9,10 +9,10 @@
 )
 
 func TestOnlyWhatTakesAwayOrWasSubmittedBinds(t *testing.T) {
-	l := NewLedger()
+	l := NewConfigState()
 	step := func(change *rpc.ChangeReceipt, put map[string]any, drop ...string) ids.Epoch {
 		t.Helper()
-		planned := &rpc.Planned{Epoch: l.Sheet().Epoch + 1, Change: change, Put: map[string]json.RawMessage{}, Drop: drop}
+		planned := &rpc.Planned{Epoch: l.Current().Epoch + 1, Change: change, Put: map[string]json.RawMessage{}, Drop: drop}
 		for name, v := range put {
 			planned.Put[name], _ = json.Marshal(v)
 		}
@@ -20,9 +20,9 @@
 		if l.Apply(ids.Stamp(planned.Epoch), raw) != true {
 			t.Fatal("not applied")
 		}
-		return l.Sheet().Binding
+		return l.Current().LastBinding
 	}
-	list := func(targets ...rpc.Target) map[string]any { return map[string]any{Targets + "rates": targets} }
+	list := func(targets ...rpc.Target) map[string]any { return map[string]any{TargetsPrefix + "rates": targets} }
 	a, b := rpc.Target{Instance: "a", Address: "10.0.0.1:80", Weight: 100}, rpc.Target{Instance: "b", Address: "10.0.0.2:80", Weight: 100}
 	moved, drained, lighter := b, b, b
 	moved.Address, drained.Weight, lighter.Weight = "10.0.0.3:80", 0, 50
@@ -34,7 +34,7 @@
 	}{
 		{&rpc.ChangeReceipt{Id: "first", Epoch: 1}, list(a), nil, 1},
 		{nil, list(a, b), nil, 1},
-		{nil, map[string]any{Shares: map[string]int{"proxy1": 100}}, nil, 1},
+		{nil, map[string]any{SharesGroup: map[string]int{"proxy1": 100}}, nil, 1},
 		{nil, list(a, lighter), nil, 1},
 		{nil, list(a, moved), nil, 5},
 		{nil, list(a, drained), nil, 6},
@@ -43,15 +43,15 @@
 		{nil, list(b), nil, 8},
 		{&rpc.ChangeReceipt{Id: "second", Epoch: 10}, nil, nil, 10},
 		{nil, list(b, a), nil, 10},
-		{nil, nil, []string{Targets + "rates"}, 12},
+		{nil, nil, []string{TargetsPrefix + "rates"}, 12},
 	} {
 		if got := step(one.change, one.put, one.drop...); got != one.want {
 			t.Errorf("step %d: the last epoch that binds is %d, not %d", i+1, got, one.want)
 		}
 	}
 	raw, _ := l.Capture()()
-	other := NewLedger()
-	if other.Load(raw); other.Sheet().Binding != other.Sheet().Epoch {
+	other := NewConfigState()
+	if other.Load(raw); other.Current().LastBinding != other.Current().Epoch {
 		t.Error("a member that was loaded takes an epoch for one that does not bind, though it can't know")
 	}
 }
--- a/internal/controlplane/check.go
+++ b/internal/controlplane/check.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	mostMappings = 20000
-	mostServices = 2000
+	maxRoutes   = 20000
+	maxServices = 2000
 )
 
-// Lay puts a change set over a configuration and checks the result.
-func Lay(config rpc.Config, change *rpc.Change) (rpc.Config, []string) {
+// MergeChange puts a change set over a configuration and checks the result.
+func MergeChange(config rpc.Config, change *rpc.Change) (rpc.Config, []string) {
 	var paths []string
 	fail := func(format string, args ...any) { paths = append(paths, fmt.Sprintf(format, args...)) }
 	if change.Id == "" || len(change.Id) > 128 {
@@ -29,19 +29,19 @@
 		}
 	}
 	next := rpc.Config{}
-	next.Mappings = lay(config.Mappings, change.Put.Mappings, change.Drop.Mappings, func(m rpc.Mapping) string { return m.Name }, "mappings", fail)
-	next.Services = lay(config.Services, change.Put.Services, change.Drop.Services, func(s rpc.Service) string { return s.Name }, "services", fail)
-	next.Limits = lay(config.Limits, change.Put.Limits, change.Drop.Limits, func(l rpc.Limit) string { return l.Service }, "limits", fail)
+	next.Mappings = mergeItems(config.Mappings, change.Put.Mappings, change.Drop.Mappings, func(m rpc.Mapping) string { return m.Name }, "mappings", fail)
+	next.Services = mergeItems(config.Services, change.Put.Services, change.Drop.Services, func(s rpc.Service) string { return s.Name }, "services", fail)
+	next.Limits = mergeItems(config.Limits, change.Put.Limits, change.Drop.Limits, func(l rpc.Limit) string { return l.Service }, "limits", fail)
 	next.Manners = config.Manners
 	if change.Put.Manners != nil {
 		next.Manners = change.Put.Manners
 	}
 	sortConfig(&next)
-	checkConfig(&next, fail)
+	validateConfig(&next, fail)
 	return next, paths
 }
 
-func lay[T any](old, put []T, drop []string, name func(T) string, kind string, fail func(string, ...any)) []T {
+func mergeItems[T any](old, put []T, drop []string, name func(T) string, kind string, fail func(string, ...any)) []T {
 	there, gone := map[string]bool{}, map[string]bool{}
 	for _, item := range old {
 		there[name(item)] = true
@@ -71,12 +71,12 @@
 	return append(next, put...)
 }
 
-func checkConfig(c *rpc.Config, fail func(string, ...any)) {
-	if len(c.Mappings) > mostMappings {
-		fail("mappings: %d are more than %d", len(c.Mappings), mostMappings)
+func validateConfig(c *rpc.Config, fail func(string, ...any)) {
+	if len(c.Mappings) > maxRoutes {
+		fail("mappings: %d are more than %d", len(c.Mappings), maxRoutes)
 	}
-	if len(c.Services) > mostServices {
-		fail("services: %d are more than %d", len(c.Services), mostServices)
+	if len(c.Services) > maxServices {
+		fail("services: %d are more than %d", len(c.Services), maxServices)
 	}
 	services := map[string]bool{}
 	for _, s := range c.Services {
@@ -159,10 +159,10 @@
 			fail("limits.%s.extra_base: is outside 0 to 60", l.Service)
 		}
 	}
-	checkManners(c.Manners, fail)
+	validateClientLimits(c.Manners, fail)
 }
 
-func checkManners(m *rpc.Manners, fail func(string, ...any)) {
+func validateClientLimits(m *rpc.Manners, fail func(string, ...any)) {
 	if m == nil {
 		return
 	}
--- a/internal/controlplane/check_test.go
+++ b/internal/controlplane/check_test.go
@@ -13,7 +13,7 @@
 func version(v ids.Version) *ids.Version { return &v }
 
 func TestAChangeSetIsJudgedByWhatIsInForce(t *testing.T) {
-	sheet := &Sheet{Epoch: 9, Changed: 7, Version: 5, Changes: []rpc.ChangeReceipt{{Id: "old", Digest: "d", Epoch: 7, Version: 5}}}
+	sheet := &EpochState{Epoch: 9, LastChange: 7, Version: 5, Changes: []rpc.ChangeReceipt{{Id: "old", Digest: "d", Epoch: 7, Version: 5}}}
 	for name, c := range map[string]struct {
 		change rpc.Change
 		digest string
@@ -39,7 +39,7 @@
 		"version below, base too old":   {rpc.Change{Id: "a", Base: 6, Version: 5}, "x", errcode.BadChange, false},
 		"over, and base isn't asked of": {rpc.Change{Id: "a", Base: 99, Over: version(5)}, "x", errcode.Code{}, false},
 	} {
-		first, err := sheet.Judge(&c.change, c.digest)
+		first, err := sheet.CheckPrecondition(&c.change, c.digest)
 		if (c.code.No == 0) != (err == nil) || err != nil && !errcode.Is(err, c.code) {
 			t.Errorf("%s: %v, want code %d", name, err, c.code.No)
 		}
@@ -47,7 +47,7 @@
 			t.Errorf("%s: receipt %+v", name, first)
 		}
 	}
-	_, err := sheet.Judge(&rpc.Change{Id: "a", Version: 5, Over: version(5)}, "x")
+	_, err := sheet.CheckPrecondition(&rpc.Change{Id: "a", Version: 5, Over: version(5)}, "x")
 	if paths := errcode.Of(err).Paths; len(paths) != 1 || paths[0] != "version: is not above 5, which is in force" {
 		t.Errorf("%v", err)
 	}
@@ -91,7 +91,7 @@
 		{manners(rpc.Manners{IdleTime: -1}), "manners.idle_time"},
 		{manners(rpc.Manners{IdleTime: 600_001}), "manners.idle_time"},
 	} {
-		_, paths := Lay(rpc.Config{}, &rpc.Change{Id: "c", Put: c.put})
+		_, paths := MergeChange(rpc.Config{}, &rpc.Change{Id: "c", Put: c.put})
 		if c.path == "" && len(paths) != 0 || c.path != "" && (len(paths) != 1 || !strings.HasPrefix(paths[0], c.path+": ")) {
 			t.Errorf("%d: %q, want %q", i, paths, c.path)
 		}
@@ -116,7 +116,7 @@
 		"two put the same": {rpc.Change{Put: rpc.Config{Services: []rpc.Service{{Name: "c"}, {Name: "c"}}}}, 1, 4, 1},
 	} {
 		c.change.Id = "c"
-		next, paths := Lay(old, &c.change)
+		next, paths := MergeChange(old, &c.change)
 		body := int64(0)
 		if next.Manners != nil {
 			body = next.Manners.Body
--- a/internal/controlplane/delta.go
+++ b/internal/controlplane/delta.go
@@ -10,8 +10,8 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// Delta is what leads from one list to another; false if the whole is as short.
-func Delta(from, to json.RawMessage) (put []rpc.Target, gone []string, ok bool) {
+// DiffTargets is what leads from one list to another; false if the whole is as short.
+func DiffTargets(from, to json.RawMessage) (put []rpc.Target, gone []string, ok bool) {
 	var old, now []rpc.Target
 	if json.Unmarshal(from, &old) != nil || json.Unmarshal(to, &now) != nil {
 		return nil, nil, false
@@ -33,8 +33,8 @@
 	return put, gone, len(put) < len(now)
 }
 
-// Patch lays a difference over a list.
-func Patch(from json.RawMessage, put []rpc.Target, gone []string) (json.RawMessage, error) {
+// PatchTargets lays a difference over a list.
+func PatchTargets(from json.RawMessage, put []rpc.Target, gone []string) (json.RawMessage, error) {
 	var old []rpc.Target
 	if err := json.Unmarshal(from, &old); err != nil {
 		return nil, err
--- a/internal/controlplane/delta_test.go
+++ b/internal/controlplane/delta_test.go
@@ -23,16 +23,16 @@
 	}
 	for range 200 {
 		from, to := draw(), draw()
-		put, gone, ok := Delta(from, to)
+		put, gone, ok := DiffTargets(from, to)
 		if !ok {
 			continue
 		}
-		got, err := Patch(from, put, gone)
+		got, err := PatchTargets(from, put, gone)
 		if err != nil || string(got) != string(to) {
 			t.Fatalf("%v\n%s\n%s", err, got, to)
 		}
 	}
-	if _, err := Patch(json.RawMessage("{"), nil, nil); err == nil {
+	if _, err := PatchTargets(json.RawMessage("{"), nil, nil); err == nil {
 		t.Error("a list that can't be read was patched")
 	}
 }
--- a/internal/controlplane/ledger.go
+++ b/internal/controlplane/ledger.go
@@ -21,51 +21,53 @@
 
 // The groups by name; each service has a target list beside them.
 const (
-	Routes   = "routes/"
-	Services = "services"
-	Limits   = "limits"
-	Shares   = "shares"
-	Manners  = "manners"
-	Targets  = "targets/"
-
-	routeBuckets = 16
-	memoryOfOld  = 4096 // change sets remembered by entries of earlier builds
+	RoutesPrefix      = "routes/"
+	ServicesGroup     = "services"
+	LimitsGroup       = "limits"
+	SharesGroup       = "shares"
+	ClientLimitsGroup = "manners"
+	TargetsPrefix     = "targets/"
+
+	routeBuckets         = 16
+	defaultChangeHistory = 4096 // change sets remembered by entries of earlier builds
 )
 
-// bucket is the group that a mapping lies in. Routes are cut into a few groups
+// routeGroup is the group that a mapping lies in. Routes are cut into a few groups
 // by name, so that a small change to a large configuration moves a small group.
-func bucket(name string) string {
-	return fmt.Sprintf("%s%02d", Routes, ids.Score("mapping", name)%routeBuckets)
+func routeGroup(name string) string {
+	return fmt.Sprintf("%s%02d", RoutesPrefix, ids.Score("mapping", name)%routeBuckets)
 }
 
-// Sheet is one epoch as it stands; it is never written to after it was made.
-type Sheet struct {
-	Binding ids.Epoch // the last that bore a change set or took a target away
-	Epoch   ids.Epoch
-	Changed ids.Epoch
-	Version ids.Version
-	Groups  map[string]rpc.Group
-	Changes []rpc.ChangeReceipt
-
-	sum  atomic.Pointer[string]
-	made time.Time // when it was folded here
+// EpochState is one epoch as it stands; it is never written to after it was made.
+type EpochState struct {
+	LastBinding ids.Epoch // the last that bore a change set or took a target away
+	Epoch       ids.Epoch
+	LastChange  ids.Epoch
+	Version     ids.Version
+	Groups      map[string]rpc.Group
+	Changes     []rpc.ChangeReceipt
+
+	manifestDigest atomic.Pointer[string]
+	appliedAt      time.Time // when it was folded here
 }
 
 // Age is for how long this node has held the epoch.
-func (s *Sheet) Age() time.Duration { return time.Since(s.made) }
+func (e *EpochState) Age() time.Duration { return time.Since(e.appliedAt) }
 
-// pastKept is how many epochs are kept to tell what changed since.
-const pastKept = 64
+// maxPreviousEpochs is how many epochs are kept to tell what changed since.
+const maxPreviousEpochs = 64
 
-// Ledger folds the configuration part.
-type Ledger struct {
-	mu    sync.RWMutex
-	sheet *Sheet
-	past  []*Sheet // the epochs before, newest last
-	Told  func(*Sheet, *rpc.Planned)
+// ConfigState folds the configuration part.
+type ConfigState struct {
+	mu       sync.RWMutex
+	current  *EpochState
+	previous []*EpochState // the epochs before, newest last
+	OnCommit func(*EpochState, *rpc.Planned)
 }
 
-func NewLedger() *Ledger { return &Ledger{sheet: &Sheet{Groups: map[string]rpc.Group{}}} }
+func NewConfigState() *ConfigState {
+	return &ConfigState{current: &EpochState{Groups: map[string]rpc.Group{}}}
+}
 
 // Digest is the MD5 that the distribution tells groups apart by.
 func Digest(data []byte) string {
@@ -74,103 +76,103 @@
 }
 
 // Apply folds one epoch; one that does not follow the last is not taken.
-func (l *Ledger) Apply(index ids.Stamp, body json.RawMessage) any {
+func (c *ConfigState) Apply(index ids.Stamp, body json.RawMessage) any {
 	var planned rpc.Planned
 	if err := json.Unmarshal(body, &planned); err != nil {
 		return false
 	}
-	l.mu.Lock()
-	old := l.sheet
+	c.mu.Lock()
+	old := c.current
 	if planned.Epoch != old.Epoch+1 {
-		l.mu.Unlock()
+		c.mu.Unlock()
 		return false
 	}
-	sheet := &Sheet{Epoch: planned.Epoch, Changed: old.Changed, Version: old.Version, Groups: maps.Clone(old.Groups), Changes: old.Changes, made: time.Now()}
+	next := &EpochState{Epoch: planned.Epoch, LastChange: old.LastChange, Version: old.Version, Groups: maps.Clone(old.Groups), Changes: old.Changes, appliedAt: time.Now()}
 	for name, data := range planned.Put {
-		sheet.Groups[name] = rpc.Group{Digest: Digest(data), Stamp: ids.Stamp(planned.Epoch), Data: data}
+		next.Groups[name] = rpc.Group{Digest: Digest(data), Stamp: ids.Stamp(planned.Epoch), Data: data}
 	}
 	for _, name := range planned.Drop {
-		delete(sheet.Groups, name)
+		delete(next.Groups, name)
 	}
-	sheet.Binding = old.Binding
-	if planned.Change != nil || takesAway(old, sheet) {
-		sheet.Binding = planned.Epoch
+	next.LastBinding = old.LastBinding
+	if planned.Change != nil || removesTarget(old, next) {
+		next.LastBinding = planned.Epoch
 	}
 	if planned.Change != nil {
-		sheet.Changed = planned.Epoch
+		next.LastChange = planned.Epoch
 		if planned.Change.Version > 0 {
-			sheet.Version = planned.Change.Version
+			next.Version = planned.Change.Version
 		}
-		sheet.Changes = remember(old.Changes, planned.Change, planned.Memory)
+		next.Changes = appendChange(old.Changes, planned.Change, planned.Memory)
 	}
-	l.sheet = sheet
-	if l.past = append(l.past, old); len(l.past) > pastKept {
-		l.past = append([]*Sheet(nil), l.past[len(l.past)-pastKept:]...)
+	c.current = next
+	if c.previous = append(c.previous, old); len(c.previous) > maxPreviousEpochs {
+		c.previous = append([]*EpochState(nil), c.previous[len(c.previous)-maxPreviousEpochs:]...)
 	}
-	l.mu.Unlock()
-	if l.Told != nil {
-		l.Told(sheet, &planned)
+	c.mu.Unlock()
+	if c.OnCommit != nil {
+		c.OnCommit(next, &planned)
 	}
 	return true
 }
 
-// remember adds a change set to those that are remembered. How many they may be
+// appendChange adds a change set to those that are remembered. How many they may be
 // stands in the entry, so that all members fold the same whatever their settings say.
-func remember(old []rpc.ChangeReceipt, change *rpc.ChangeReceipt, most int) []rpc.ChangeReceipt {
-	if most == 0 {
-		most = memoryOfOld
+func appendChange(old []rpc.ChangeReceipt, change *rpc.ChangeReceipt, limit int) []rpc.ChangeReceipt {
+	if limit == 0 {
+		limit = defaultChangeHistory
 	}
-	if len(old) >= most {
-		old = old[len(old)-most+1:]
+	if len(old) >= limit {
+		old = old[len(old)-limit+1:]
 	}
 	return append(slices.Clone(old), *change)
 }
 
-// Past is an epoch that was in force lately, or is; nil if it is not kept.
-func (l *Ledger) Past(epoch ids.Epoch) *Sheet {
-	l.mu.RLock()
-	defer l.mu.RUnlock()
-	if l.sheet.Epoch == epoch {
-		return l.sheet
+// AtEpoch is an epoch that was in force lately, or is; nil if it is not kept.
+func (c *ConfigState) AtEpoch(epoch ids.Epoch) *EpochState {
+	c.mu.RLock()
+	defer c.mu.RUnlock()
+	if c.current.Epoch == epoch {
+		return c.current
 	}
-	for i := len(l.past) - 1; i >= 0; i-- {
-		if l.past[i].Epoch == epoch {
-			return l.past[i]
+	for i := len(c.previous) - 1; i >= 0; i-- {
+		if c.previous[i].Epoch == epoch {
+			return c.previous[i]
 		}
 	}
 	return nil
 }
 
-// Held is a group's data under a digest, of the epochs kept.
-func (l *Ledger) Held(name, digest string) (json.RawMessage, bool) {
-	l.mu.RLock()
-	defer l.mu.RUnlock()
-	for i := len(l.past) - 1; i >= 0; i-- {
-		if group, ok := l.past[i].Groups[name]; ok && group.Digest == digest {
+// GroupData is a group's data under a digest, of the epochs kept.
+func (c *ConfigState) GroupData(name, digest string) (json.RawMessage, bool) {
+	c.mu.RLock()
+	defer c.mu.RUnlock()
+	for i := len(c.previous) - 1; i >= 0; i-- {
+		if group, ok := c.previous[i].Groups[name]; ok && group.Digest == digest {
 			return group.Data, true
 		}
 	}
 	return nil, false
 }
 
-// Sheet is the epoch in force, as far as this member knows.
-func (l *Ledger) Sheet() *Sheet {
-	l.mu.RLock()
-	defer l.mu.RUnlock()
-	return l.sheet
+// Current is the epoch in force, as far as this member knows.
+func (c *ConfigState) Current() *EpochState {
+	c.mu.RLock()
+	defer c.mu.RUnlock()
+	return c.current
 }
 
 // Capture takes hold of the epoch in force, which is never written to.
-func (l *Ledger) Capture() func() (json.RawMessage, error) {
-	s := l.Sheet()
-	return func() (json.RawMessage, error) { return s.write() }
+func (c *ConfigState) Capture() func() (json.RawMessage, error) {
+	s := c.Current()
+	return func() (json.RawMessage, error) { return s.marshal() }
 }
 
-func (s *Sheet) write() (json.RawMessage, error) {
-	return json.Marshal(rpc.LedgerState{Epoch: s.Epoch, Changed: s.Changed, Version: s.Version, Groups: s.Groups, Changes: s.Changes})
+func (e *EpochState) marshal() (json.RawMessage, error) {
+	return json.Marshal(rpc.LedgerState{Epoch: e.Epoch, Changed: e.LastChange, Version: e.Version, Groups: e.Groups, Changes: e.Changes})
 }
 
-func (l *Ledger) Load(raw json.RawMessage) error {
+func (c *ConfigState) Load(raw json.RawMessage) error {
 	var state rpc.LedgerState
 	if err := json.Unmarshal(raw, &state); err != nil {
 		return err
@@ -178,8 +180,8 @@
 	if state.Groups == nil {
 		state.Groups = map[string]rpc.Group{}
 	}
-	l.mu.Lock()
-	l.sheet = &Sheet{Epoch: state.Epoch, Binding: state.Epoch, Changed: state.Changed, Version: state.Version, Groups: state.Groups, Changes: state.Changes}
-	l.mu.Unlock()
+	c.mu.Lock()
+	c.current = &EpochState{Epoch: state.Epoch, LastBinding: state.Epoch, LastChange: state.Changed, Version: state.Version, Groups: state.Groups, Changes: state.Changes}
+	c.mu.Unlock()
 	return nil
 }
--- a/internal/controlplane/ledger_test.go
+++ b/internal/controlplane/ledger_test.go
@@ -12,27 +12,27 @@
 )
 
 // commit lays a change set over a ledger and applies the epoch.
-func commit(t *testing.T, l *Ledger, change *rpc.Change) *Sheet {
+func commit(t *testing.T, l *ConfigState, change *rpc.Change) *EpochState {
 	t.Helper()
-	sheet := l.Sheet()
-	config, paths := Lay(sheet.Config(), change)
+	sheet := l.Current()
+	config, paths := MergeChange(sheet.Config(), change)
 	if len(paths) > 0 {
 		t.Fatal(paths)
 	}
 	planned := &rpc.Planned{Epoch: sheet.Epoch + 1, Put: map[string]json.RawMessage{}, Change: &rpc.ChangeReceipt{Id: change.Id, Epoch: sheet.Epoch + 1, Version: change.Version}}
-	differ(planned, sheet, groupsOf(config))
+	diffGroups(planned, sheet, encodeGroups(config))
 	raw, err := json.Marshal(planned)
 	if err != nil || l.Apply(ids.Stamp(planned.Epoch), raw) != true {
 		t.Fatal("not applied", err)
 	}
-	return l.Sheet()
+	return l.Current()
 }
 
 func mappingFrom(name, source string) rpc.Mapping {
 	return rpc.Mapping{Name: name, Path: "/" + name, To: []rpc.Split{{Service: "s", Weight: 1}}, Source: json.RawMessage(source)}
 }
 
-func sourcesOf(s *Sheet) map[string]string {
+func sourcesOf(s *EpochState) map[string]string {
 	texts := map[string]string{}
 	c := s.Config()
 	for _, m := range c.Mappings {
@@ -47,7 +47,7 @@
 	return texts
 }
 
-func wantSources(t *testing.T, s *Sheet, want map[string]string) {
+func wantSources(t *testing.T, s *EpochState, want map[string]string) {
 	t.Helper()
 	if got := sourcesOf(s); !reflect.DeepEqual(got, want) {
 		t.Errorf("sources %v, want %v", got, want)
@@ -62,13 +62,13 @@
 		t.Errorf("%d texts are kept, want %d", got, kept)
 	}
 	for name := range s.Manifest() {
-		if strings.HasPrefix(name, Sources) {
+		if strings.HasPrefix(name, SourcesPrefix) {
 			t.Errorf("the manifest has %s", name)
 		}
 	}
 	for name := range s.Groups {
-		group, ok := s.Carried(name)
-		if ok == strings.HasPrefix(name, Sources) || ok && strings.Contains(string(group.Data), "source") {
+		group, ok := s.PublishedGroup(name)
+		if ok == strings.HasPrefix(name, SourcesPrefix) || ok && strings.Contains(string(group.Data), "source") {
 			t.Errorf("%s is carried: %v %s", name, ok, group.Data)
 		}
 	}
@@ -78,7 +78,7 @@
 }
 
 func TestSourcesComeBackAndAreNotCarried(t *testing.T) {
-	l := NewLedger()
+	l := NewConfigState()
 	put := rpc.Config{
 		Mappings: []rpc.Mapping{mappingFrom("a", `{"x":1}`), mappingFrom("b", `{"x":2}`), mappingFrom("c", "")},
 		Services: []rpc.Service{{Name: "s", Source: json.RawMessage(`{"y":1}`)}, {Name: "t"}},
@@ -97,38 +97,38 @@
 	want["mappings/a"] = ""
 	delete(want, "mappings/b")
 	wantSources(t, sheet, want)
-	other := NewLedger()
+	other := NewConfigState()
 	raw, err := l.Capture()()
 	if err != nil || other.Load(raw) != nil {
 		t.Fatal(err)
 	}
-	wantSources(t, other.Sheet(), want)
+	wantSources(t, other.Current(), want)
 	sheet = commit(t, l, &rpc.Change{Id: "4", Whole: true, Put: rpc.Config{Services: []rpc.Service{{Name: "s"}}}})
 	wantSources(t, sheet, map[string]string{"services/s": ""})
 	for name := range sheet.Groups {
-		if strings.HasPrefix(name, Sources) || name == Manners {
+		if strings.HasPrefix(name, SourcesPrefix) || name == ClientLimitsGroup {
 			t.Errorf("%s is left", name)
 		}
 	}
 }
 
 func TestTheVersionIsKept(t *testing.T) {
-	l := NewLedger()
+	l := NewConfigState()
 	for i, c := range []struct{ sent, want ids.Version }{{0, 0}, {3, 3}, {0, 3}, {8, 8}} {
 		if got := commit(t, l, &rpc.Change{Id: string(rune('a' + i)), Version: c.sent}).Version; got != c.want {
 			t.Errorf("%d: version %d, want %d", i, got, c.want)
 		}
 	}
 	raw, _ := l.Capture()()
-	head, _ := l.Range(headRange)
-	loaded, mended := NewLedger(), NewLedger()
-	if loaded.Load(raw) != nil || mended.Mend(headRange, head) != nil {
+	head, _ := l.Range(headerRange)
+	loaded, mended := NewConfigState(), NewConfigState()
+	if loaded.Load(raw) != nil || mended.Mend(headerRange, head) != nil {
 		t.Fatal("not taken")
 	}
-	if loaded.Sheet().Version != 8 || mended.Sheet().Version != 8 {
-		t.Errorf("loaded %d, mended %d", loaded.Sheet().Version, mended.Sheet().Version)
+	if loaded.Current().Version != 8 || mended.Current().Version != 8 {
+		t.Errorf("loaded %d, mended %d", loaded.Current().Version, mended.Current().Version)
 	}
-	if loaded.Digests()[headRange] != l.Digests()[headRange] {
+	if loaded.Digests()[headerRange] != l.Digests()[headerRange] {
 		t.Error("the heads differ")
 	}
 }
--- a/internal/controlplane/news.go
+++ b/internal/controlplane/news.go
@@ -17,82 +17,82 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// News is the lists of all parts owned here, each with an age that proves that
+// Report is the lists of all parts owned here, each with an age that proves that
 // everything known at that time is in the list.
-func (l *Roll) News(ctx context.Context, ask *rpc.NewsAsk) *rpc.NewsReceipt {
-	began := l.r.Now()
-	receipt := &rpc.NewsReceipt{}
-	for no := range l.books {
-		part := l.p.Part(ids.Part(no))
-		term, since, isServing := part.Serving()
-		isYoung := l.r.Since(since) < l.r.Props.PlanSettle
-		if !isServing || isYoung && !l.r.Props.PlanKeep || part.Confirm(ctx, began) != nil {
+func (r *TargetRegistry) Report(ctx context.Context, request *rpc.NewsAsk) *rpc.NewsReceipt {
+	began := r.env.Now()
+	response := &rpc.NewsReceipt{}
+	for shard := range r.stores {
+		replica := r.consensus.Part(ids.Part(shard))
+		term, since, isServing := replica.Serving()
+		warmingUp := r.env.Since(since) < r.env.Props.PlanSettle
+		if !isServing || warmingUp && !r.env.Props.PlanKeep || replica.Confirm(ctx, began) != nil {
 			continue
 		}
-		lists := l.lists(ids.Part(no), term, isYoung)
-		digest := l.digest(ids.Part(no), lists)
-		news := rpc.PartNews{Part: ids.Part(no), Term: term, Digest: digest, Young: isYoung, Age: l.r.Since(began).Microseconds() + 1}
-		if ask.Known[ids.Part(no)] != digest {
+		lists := r.targetLists(ids.Part(shard), term, warmingUp)
+		digest := r.reportDigest(ids.Part(shard), lists)
+		news := rpc.PartNews{Part: ids.Part(shard), Term: term, Digest: digest, Young: warmingUp, Age: r.env.Since(began).Microseconds() + 1}
+		if request.Known[ids.Part(shard)] != digest {
 			news.Lists = lists
 		}
-		receipt.Parts = append(receipt.Parts, news)
+		response.Parts = append(response.Parts, news)
 	}
-	return receipt
+	return response
 }
 
-// lists is what was heard of a part. A young owner also names those that are
+// targetLists is what was heard of a part. A young owner also names those that are
 // known to be out and weren't heard from yet.
-func (l *Roll) lists(no ids.Part, term ids.Term, isYoung bool) map[string][]rpc.Listed {
-	marks, _ := l.books[no].All(coordination.Mark, "")
+func (r *TargetRegistry) targetLists(shard ids.Part, term ids.Term, warmingUp bool) map[string][]rpc.Listed {
+	marks, _ := r.stores[shard].All(coordination.Mark, "")
 	marked := map[string]rpc.BondRecord{}
 	for _, m := range marks {
 		marked[m.Name] = m
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.renew(no, term)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.resetOnNewTerm(shard, term)
 	lists := map[string][]rpc.Listed{}
-	for service, instances := range l.beats[no] {
-		for instance, h := range instances {
+	for service, instances := range r.targets[shard] {
+		for instance, target := range instances {
 			out := ""
 			m, isMarked := marked[service+"/"+instance]
 			delete(marked, service+"/"+instance)
-			silence := l.r.Since(h.at)
+			sinceLastSeen := r.env.Since(target.lastSeen)
 			switch {
 			case isMarked:
 				out = m.Holder
-			case h.beat.State != Serving:
-				out = h.beat.State
-			case silence >= l.r.Props.PlanSilence:
-				out = Silent
+			case target.heartbeat.State != StateServing:
+				out = target.heartbeat.State
+			case sinceLastSeen >= r.env.Props.PlanSilence:
+				out = StateTimedOut
 			}
-			if isIn := out == ""; isIn != h.isIn {
-				h.isIn = isIn
+			if isIn := out == ""; isIn != target.inRotation {
+				target.inRotation = isIn
 				event := eventlog.TargetOut
 				if isIn {
 					event = eventlog.TargetIn
 				}
-				l.r.Sign.Say(event, "service", service, "instance", instance, "address", h.beat.Address, "why", out)
+				r.env.Sign.Say(event, "service", service, "instance", instance, "address", target.heartbeat.Address, "why", out)
 			}
-			if silence > markKept {
+			if sinceLastSeen > departedRetention {
 				if isMarked {
-					l.r.Go(func() {
-						limited, end := context.WithTimeout(l.r, time.Second)
+					r.env.Go(func() {
+						limited, end := context.WithTimeout(r.env, time.Second)
 						defer end()
-						l.propose(limited, l.p.Part(no), &rpc.BondOp{Op: "unmark", Name: service + "/" + instance, Seq: m.Seq})
+						r.propose(limited, r.consensus.Part(shard), &rpc.BondOp{Op: "unmark", Name: service + "/" + instance, Seq: m.Seq})
 					})
 				}
 				delete(instances, instance)
 				continue
 			}
-			lists[service] = append(lists[service], rpc.Listed{Instance: instance, Address: h.beat.Address, Zone: h.beat.Zone, Weight: h.beat.Weight, Slots: h.beat.Slots, Cold: h.cold, Since: l.r.Since(h.first).Microseconds(), Out: out})
+			lists[service] = append(lists[service], rpc.Listed{Instance: instance, Address: target.heartbeat.Address, Zone: target.heartbeat.Zone, Weight: target.heartbeat.Weight, Slots: target.heartbeat.Slots, Cold: target.warmUp, Since: r.env.Since(target.firstSeen).Microseconds(), Out: out})
 		}
 		if len(instances) == 0 {
-			delete(l.beats[no], service)
+			delete(r.targets[shard], service)
 		}
 	}
 	for name, m := range marked {
-		if service, instance, _ := strings.Cut(name, "/"); isYoung {
+		if service, instance, _ := strings.Cut(name, "/"); warmingUp {
 			lists[service] = append(lists[service], rpc.Listed{Instance: instance, Out: m.Holder})
 		}
 	}
@@ -102,19 +102,19 @@
 	return lists
 }
 
-// digest is made anew only when a list says something else than the last time.
-func (l *Roll) digest(no ids.Part, lists map[string][]rpc.Listed) string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	last, ok := l.told[no]
-	if !ok || !isSame(last.lists, lists) {
-		last = told{lists, digestOf(lists)}
-		l.told[no] = last
+// reportDigest is made anew only when a list says something else than the last time.
+func (r *TargetRegistry) reportDigest(shard ids.Part, lists map[string][]rpc.Listed) string {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	last, ok := r.lastReports[shard]
+	if !ok || !equalLists(last.lists, lists) {
+		last = reportedLists{lists, digestLists(lists)}
+		r.lastReports[shard] = last
 	}
 	return last.digest
 }
 
-func isSame(one, two map[string][]rpc.Listed) bool {
+func equalLists(one, two map[string][]rpc.Listed) bool {
 	return maps.EqualFunc(one, two, func(a, b []rpc.Listed) bool {
 		return slices.EqualFunc(a, b, func(x, y rpc.Listed) bool {
 			x.Since, y.Since = 0, 0
@@ -123,8 +123,8 @@
 	})
 }
 
-// digestOf leaves out the ages, which change all the time.
-func digestOf(lists map[string][]rpc.Listed) string {
+// digestLists leaves out the ages, which change all the time.
+func digestLists(lists map[string][]rpc.Listed) string {
 	bare := make(map[string][]rpc.Listed, len(lists))
 	for service, list := range lists {
 		list = append([]rpc.Listed(nil), list...)
--- a/internal/controlplane/planner.go
+++ b/internal/controlplane/planner.go
@@ -21,210 +21,210 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-type news struct {
+type shardReport struct {
 	rpc.PartNews
-	asOf time.Time
-	got  time.Time
+	asOf       time.Time
+	receivedAt time.Time
 }
 
 // Planner is one core node's.
 type Planner struct {
-	r      *environment.Realm
-	w      *rpc.Wire
-	k      *membership.Kin
-	part   *consensus.Part
-	ledger *Ledger
-	kick   chan struct{}
+	env       *environment.Realm
+	transport *rpc.Wire
+	members   *membership.Kin
+	replica   *consensus.Part
+	config    *ConfigState
+	trigger   chan struct{}
 
-	planning environment.Turn
-	mu       sync.Mutex
-	term     ids.Term
-	news     map[ids.Part]*news
-	elders   map[ids.Part]map[string]bool
-	reflects map[ids.Part]time.Time
-	settled  *Sheet
-	clashes  map[clash]bool
-	zero     time.Time
+	planning          environment.Turn
+	mu                sync.Mutex
+	term              ids.Term
+	reports           map[ids.Part]*shardReport
+	previousTargets   map[ids.Part]map[string]bool
+	reflectedUpTo     map[ids.Part]time.Time
+	converged         *EpochState
+	reportedConflicts map[addressConflict]bool
+	startedAt         time.Time
 
-	isAwaited bool // a target waits for the epoch after the one planned last
+	awaitsAddressRelease bool // a target waits for the epoch after the one planned last
 }
 
-func NewPlanner(r *environment.Realm, w *rpc.Wire, k *membership.Kin, p *consensus.Node, ledger *Ledger) *Planner {
-	l := &Planner{r: r, w: w, k: k, part: p.Part(ids.Config), ledger: ledger, kick: make(chan struct{}, 1), clashes: map[clash]bool{}, zero: r.Now(), planning: environment.NewTurn()}
-	l.reset(ids.Term{})
-	return l
+func NewPlanner(env *environment.Realm, transport *rpc.Wire, members *membership.Kin, node *consensus.Node, config *ConfigState) *Planner {
+	p := &Planner{env: env, transport: transport, members: members, replica: node.Part(ids.Config), config: config, trigger: make(chan struct{}, 1), reportedConflicts: map[addressConflict]bool{}, startedAt: env.Now(), planning: environment.NewTurn()}
+	p.reset(ids.Term{})
+	return p
 }
 
-func (l *Planner) reset(term ids.Term) {
-	l.term = term
-	l.news, l.reflects = map[ids.Part]*news{}, map[ids.Part]time.Time{}
-	l.elders, l.settled = map[ids.Part]map[string]bool{}, nil
+func (p *Planner) reset(term ids.Term) {
+	p.term = term
+	p.reports, p.reflectedUpTo = map[ids.Part]*shardReport{}, map[ids.Part]time.Time{}
+	p.previousTargets, p.converged = map[ids.Part]map[string]bool{}, nil
 }
 
-// Open starts the planner's task.
-func (l *Planner) Open() {
-	l.r.Go(func() {
+// Start starts the planner's task.
+func (p *Planner) Start() {
+	p.env.Go(func() {
 		wakeup := time.NewTimer(1)
 		defer wakeup.Stop()
 		for {
 			select {
-			case <-l.r.Done():
+			case <-p.env.Done():
 				return
-			case <-l.kick:
+			case <-p.trigger:
 			case <-wakeup.C:
 			}
 			// What is stirred up together is planned together.
-			if !l.r.Pause(l.r.Props.PlanGather) {
+			if !p.env.Pause(p.env.Props.PlanGather) {
 				return
 			}
 			select {
-			case <-l.kick:
+			case <-p.trigger:
 			default:
 			}
-			wakeup.Reset(l.r.Props.PlanPoll)
-			if term, _, isServing := l.part.Serving(); isServing {
-				l.collect(term)
-				l.plan(l.r, nil, nil)
+			wakeup.Reset(p.env.Props.PlanPoll)
+			if term, _, isServing := p.replica.Serving(); isServing {
+				p.collectReports(term)
+				p.planEpoch(p.env, nil, nil)
 			}
 		}
 	})
 }
 
-// Kick has the news collected at once.
-func (l *Planner) Kick() {
+// Trigger has the news collected at once.
+func (p *Planner) Trigger() {
 	select {
-	case l.kick <- struct{}{}:
+	case p.trigger <- struct{}{}:
 	default:
 	}
 }
 
-// collect asks every live core node for the news of the parts it owns.
-func (l *Planner) collect(term ids.Term) {
-	l.mu.Lock()
-	if l.term != term {
-		l.reset(term)
+// collectReports asks every live core node for the news of the parts it owns.
+func (p *Planner) collectReports(term ids.Term) {
+	p.mu.Lock()
+	if p.term != term {
+		p.reset(term)
 	}
 	known := map[ids.Part]string{}
-	for no, n := range l.news {
-		known[no] = n.Digest
+	for shard, n := range p.reports {
+		known[shard] = n.Digest
 	}
-	l.mu.Unlock()
-	ctx, end := context.WithTimeout(l.r, 400*time.Millisecond)
+	p.mu.Unlock()
+	ctx, end := context.WithTimeout(p.env, 400*time.Millisecond)
 	defer end()
 	var all sync.WaitGroup
-	for _, m := range l.k.Cores() {
+	for _, m := range p.members.Cores() {
 		all.Add(1)
-		l.r.Go(func() {
+		p.env.Go(func() {
 			defer all.Done()
-			sent := l.r.Now()
-			var receipt rpc.NewsReceipt
-			if l.w.Ask(ctx, m.Wire, "plan.news", &rpc.NewsAsk{Known: known}, &receipt) == nil {
-				l.fold(term, sent, &receipt)
+			sent := p.env.Now()
+			var response rpc.NewsReceipt
+			if p.transport.Ask(ctx, m.Wire, "plan.news", &rpc.NewsAsk{Known: known}, &response) == nil {
+				p.mergeReports(term, sent, &response)
 			}
 		})
 	}
 	all.Wait()
 }
 
-func (l *Planner) fold(term ids.Term, sent time.Time, receipt *rpc.NewsReceipt) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.term != term {
+func (p *Planner) mergeReports(term ids.Term, sent time.Time, response *rpc.NewsReceipt) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.term != term {
 		return
 	}
-	for _, p := range receipt.Parts {
-		old := l.news[p.Part]
-		if old != nil && p.Term.Less(old.Term) {
+	for _, update := range response.Parts {
+		old := p.reports[update.Part]
+		if old != nil && update.Term.Less(old.Term) {
 			continue
 		}
-		if p.Lists == nil && (old == nil || old.Digest != p.Digest) {
+		if update.Lists == nil && (old == nil || old.Digest != update.Digest) {
 			continue
 		}
-		asOf := sent.Add(-time.Duration(p.Age) * time.Microsecond)
-		if old != nil && old.Term == p.Term && asOf.Before(old.asOf) {
+		asOf := sent.Add(-time.Duration(update.Age) * time.Microsecond)
+		if old != nil && old.Term == update.Term && asOf.Before(old.asOf) {
 			continue
 		}
-		if old == nil || old.Term != p.Term {
-			l.elders[p.Part] = nil
-			if p.Young {
-				l.elders[p.Part] = elders(l.ledger.Sheet(), p.Part)
+		if old == nil || old.Term != update.Term {
+			p.previousTargets[update.Part] = nil
+			if update.Young {
+				p.previousTargets[update.Part] = previousTargets(p.config.Current(), update.Part)
 			}
 		}
-		if p.Lists != nil || old.Young != p.Young {
-			l.settled = nil
+		if update.Lists != nil || old.Young != update.Young {
+			p.converged = nil
 		}
-		if p.Lists == nil {
-			p.Lists = old.Lists
+		if update.Lists == nil {
+			update.Lists = old.Lists
 		} else {
-			date(&p, sent.Sub(l.zero).Microseconds(), l.elders[p.Part])
+			normalizeAges(&update, sent.Sub(p.startedAt).Microseconds(), p.previousTargets[update.Part])
 		}
-		l.news[p.Part] = &news{PartNews: p, asOf: asOf, got: sent}
+		p.reports[update.Part] = &shardReport{PartNews: update, asOf: asOf, receivedAt: sent}
 	}
 }
 
-// plan commits an epoch if what it should say differs from the one in force.
-func (l *Planner) plan(ctx context.Context, change *rpc.ChangeReceipt, config *rpc.Config) error {
+// planEpoch commits an epoch if what it should say differs from the one in force.
+func (p *Planner) planEpoch(ctx context.Context, change *rpc.ChangeReceipt, config *rpc.Config) error {
 	if change == nil {
-		l.planning.Lock()
-		defer l.planning.Unlock()
+		p.planning.Lock()
+		defer p.planning.Unlock()
 	}
-	term, _, isServing := l.part.Serving()
+	term, _, isServing := p.replica.Serving()
 	if !isServing {
 		return errcode.New(errcode.NotOwner, "configuration part")
 	}
-	sheet := l.ledger.Sheet()
-	l.mu.Lock()
-	if l.term != term {
-		l.reset(term)
+	epoch := p.config.Current()
+	p.mu.Lock()
+	if p.term != term {
+		p.reset(term)
 	}
 	asOf := map[ids.Part]time.Time{}
-	for no, n := range l.news {
-		asOf[no] = n.asOf
+	for shard, n := range p.reports {
+		asOf[shard] = n.asOf
 	}
-	shares := l.shares()
-	planned := &rpc.Planned{Epoch: sheet.Epoch + 1, Change: change, Put: map[string]json.RawMessage{}}
-	if change != nil || l.settled != sheet || !bytes.Equal(sheet.Groups[Shares].Data, shares) {
-		differ(planned, sheet, l.want(sheet, config, shares))
+	shares := p.quotaShares()
+	planned := &rpc.Planned{Epoch: epoch.Epoch + 1, Change: change, Put: map[string]json.RawMessage{}}
+	if change != nil || p.converged != epoch || !bytes.Equal(epoch.Groups[SharesGroup].Data, shares) {
+		diffGroups(planned, epoch, p.desiredGroups(epoch, config, shares))
 		if len(planned.Put)+len(planned.Drop) == 0 {
-			l.settled = sheet
+			p.converged = epoch
 		}
 	}
-	l.mu.Unlock()
+	p.mu.Unlock()
 	if change != nil {
-		change.Epoch, planned.Memory = planned.Epoch, l.r.Props.PlanMemory
+		change.Epoch, planned.Memory = planned.Epoch, p.env.Props.PlanMemory
 	}
 	if len(planned.Put)+len(planned.Drop) > 0 || change != nil {
-		_, taken, err := l.part.Propose(ctx, planned)
+		_, applied, err := p.replica.Propose(ctx, planned)
 		if err != nil {
 			return err
 		}
-		if taken != true {
+		if applied != true {
 			return errcode.New(errcode.NotOwner, "epoch %d was planned by another", planned.Epoch)
 		}
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.isAwaited && len(planned.Put) > 0 {
-		l.Kick()
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.awaitsAddressRelease && len(planned.Put) > 0 {
+		p.Trigger()
 	}
-	if l.term == term {
-		for no, at := range asOf {
-			if l.reflects[no].Before(at) {
-				l.reflects[no] = at
+	if p.term == term {
+		for shard, at := range asOf {
+			if p.reflectedUpTo[shard].Before(at) {
+				p.reflectedUpTo[shard] = at
 			}
 		}
 	}
 	return nil
 }
 
-// differ puts into an epoch what is wanted and isn't in the one in force.
-func differ(planned *rpc.Planned, sheet *Sheet, want map[string]json.RawMessage) {
+// diffGroups puts into an epoch what is wanted and isn't in the one in force.
+func diffGroups(planned *rpc.Planned, epoch *EpochState, want map[string]json.RawMessage) {
 	for name, data := range want {
-		if old, ok := sheet.Groups[name]; !ok || !bytes.Equal(old.Data, data) {
+		if old, ok := epoch.Groups[name]; !ok || !bytes.Equal(old.Data, data) {
 			planned.Put[name] = data
 		}
 	}
-	for name := range sheet.Groups {
+	for name := range epoch.Groups {
 		if _, ok := want[name]; !ok {
 			planned.Drop = append(planned.Drop, name)
 		}
@@ -232,22 +232,22 @@
 	sort.Strings(planned.Drop)
 }
 
-// shares is the strength of every proxy that is there.
-func (l *Planner) shares() json.RawMessage {
+// quotaShares is the strength of every proxy that is there.
+func (p *Planner) quotaShares() json.RawMessage {
 	shares := map[ids.Name]int{}
-	for name, m := range l.k.View() {
+	for name, m := range p.members.View() {
 		// One that went is kept for a while: most come back at once, and a share that
 		// is too small does no harm, where an epoch for each coming and going does.
-		if m.Gate != "" && (m.State == membership.Alive || m.State == membership.Suspect || time.Since(m.Since) < l.r.Props.PlanLinger) {
+		if m.Gate != "" && (m.State == membership.Alive || m.State == membership.Suspect || time.Since(m.Since) < p.env.Props.PlanLinger) {
 			shares[name] = m.Strength
 		}
 	}
-	if l.r.Since(l.zero) < l.r.Props.PlanLinger {
+	if p.env.Since(p.startedAt) < p.env.Props.PlanLinger {
 		// Whoever has just started does not know yet who is there.
 		var before map[ids.Name]int
-		json.Unmarshal(l.ledger.Sheet().Groups[Shares].Data, &before)
+		json.Unmarshal(p.config.Current().Groups[SharesGroup].Data, &before)
 		for name, strength := range before {
-			if _, isKnown := l.k.View()[name]; !isKnown {
+			if _, isKnown := p.members.View()[name]; !isKnown {
 				shares[name] = strength
 			}
 		}
@@ -256,38 +256,38 @@
 	return raw
 }
 
-// want is what every group of the next epoch should hold. Without a change set
+// desiredGroups is what every group of the next epoch should hold. Without a change set
 // the operators' groups are taken over as they are.
-func (l *Planner) want(sheet *Sheet, config *rpc.Config, shares json.RawMessage) map[string]json.RawMessage {
+func (p *Planner) desiredGroups(epoch *EpochState, config *rpc.Config, shares json.RawMessage) map[string]json.RawMessage {
 	want := map[string]json.RawMessage{}
 	var services []rpc.Service
 	if config == nil {
-		for name, group := range sheet.Groups {
-			if isOperators(name) {
+		for name, group := range epoch.Groups {
+			if isOperatorGroup(name) {
 				want[name] = group.Data
 			}
 		}
-		json.Unmarshal(want[Services], &services)
+		json.Unmarshal(want[ServicesGroup], &services)
 	} else {
 		services = config.Services
-		want = groupsOf(*config)
+		want = encodeGroups(*config)
 	}
-	want[Shares] = shares
-	targets, clashes, isAwaited := settle(sheet, services, l.news)
-	l.isAwaited = isAwaited
+	want[SharesGroup] = shares
+	targets, clashes, isAwaited := resolveTargets(epoch, services, p.reports)
+	p.awaitsAddressRelease = isAwaited
 	for _, c := range clashes {
-		if !l.clashes[c] {
-			l.clashes[c] = true
-			l.r.Sign.Say(eventlog.AddressClash, "address", c.address, "one", c.one, "two", c.two)
+		if !p.reportedConflicts[c] {
+			p.reportedConflicts[c] = true
+			p.env.Sign.Say(eventlog.AddressClash, "address", c.address, "one", c.first, "two", c.second)
 		}
 	}
 	for _, s := range services {
-		old, isOld := sheet.Groups[Targets+s.Name]
-		if isOld && l.news[ids.PartOf(s.Name)] == nil {
-			want[Targets+s.Name] = old.Data
+		old, isOld := epoch.Groups[TargetsPrefix+s.Name]
+		if isOld && p.reports[ids.PartOf(s.Name)] == nil {
+			want[TargetsPrefix+s.Name] = old.Data
 			continue
 		}
-		want[Targets+s.Name], _ = json.Marshal(orEmpty(targets[s.Name]))
+		want[TargetsPrefix+s.Name], _ = json.Marshal(nonNil(targets[s.Name]))
 	}
 	return want
 }
--- a/internal/controlplane/roll.go
+++ b/internal/controlplane/roll.go
@@ -21,71 +21,71 @@
 )
 
 const (
-	Serving  = "serving"
-	Draining = "draining"
-	Leaving  = "leaving"
-	Silent   = "silent"
+	StateServing  = "serving"
+	StateDraining = "draining"
+	StateLeaving  = "leaving"
+	StateTimedOut = "silent"
 
-	markKept = 60 * time.Second
+	departedRetention = 60 * time.Second
 )
 
-type heard struct {
-	beat  rpc.Beat
-	cold  int64
-	first time.Time
-	at    time.Time
-	isIn  bool
+type targetRecord struct {
+	heartbeat  rpc.Beat
+	warmUp     int64
+	firstSeen  time.Time
+	lastSeen   time.Time
+	inRotation bool
 }
 
-// Roll is one core node's, over all parts.
-type Roll struct {
-	r      *environment.Realm
-	p      *consensus.Node
-	books  []*coordination.Book
-	ledger *Ledger
+// TargetRegistry is one core node's, over all parts.
+type TargetRegistry struct {
+	env       *environment.Realm
+	consensus *consensus.Node
+	stores    []*coordination.Book
+	config    *ConfigState
 
-	// Stirred is told when a list says something else; set before the first beat.
-	Stirred    func()
-	isStirring atomic.Bool
+	// OnChange is told when a list says something else; set before the first beat.
+	OnChange  func()
+	notifying atomic.Bool
 
-	mu    sync.Mutex
-	beats map[ids.Part]map[string]map[string]*heard
-	terms map[ids.Part]ids.Term
-	told  map[ids.Part]told
+	mu          sync.Mutex
+	targets     map[ids.Part]map[string]map[string]*targetRecord
+	terms       map[ids.Part]ids.Term
+	lastReports map[ids.Part]reportedLists
 }
 
-// told is what the last news of a part said, ages aside, and its digest.
-type told struct {
+// reportedLists is what the last news of a part said, ages aside, and its digest.
+type reportedLists struct {
 	lists  map[string][]rpc.Listed
 	digest string
 }
 
-func NewRoll(r *environment.Realm, p *consensus.Node, books []*coordination.Book, ledger *Ledger) *Roll {
-	return &Roll{r: r, p: p, books: books, ledger: ledger, beats: map[ids.Part]map[string]map[string]*heard{}, terms: map[ids.Part]ids.Term{}, told: map[ids.Part]told{}}
+func NewTargetRegistry(env *environment.Realm, node *consensus.Node, stores []*coordination.Book, config *ConfigState) *TargetRegistry {
+	return &TargetRegistry{env: env, consensus: node, stores: stores, config: config, targets: map[ids.Part]map[string]map[string]*targetRecord{}, terms: map[ids.Part]ids.Term{}, lastReports: map[ids.Part]reportedLists{}}
 }
 
-// CheckBeat names what is wrong with a beat.
-func CheckBeat(b *rpc.Beat) error {
+// ValidateHeartbeat names what is wrong with a beat.
+func ValidateHeartbeat(heartbeat *rpc.Beat) error {
 	var paths []string
-	if b.Service == "" || strings.ContainsAny(b.Service, "/ ") || len(b.Service) > 128 {
+	if heartbeat.Service == "" || strings.ContainsAny(heartbeat.Service, "/ ") || len(heartbeat.Service) > 128 {
 		paths = append(paths, "service: is empty, too long, or holds a slash or a space")
 	}
-	if b.Instance == "" || strings.ContainsAny(b.Instance, "/ ") || len(b.Instance) > 128 {
+	if heartbeat.Instance == "" || strings.ContainsAny(heartbeat.Instance, "/ ") || len(heartbeat.Instance) > 128 {
 		paths = append(paths, "instance: is empty, too long, or holds a slash or a space")
 	}
-	if _, err := netip.ParseAddrPort(b.Address); err != nil {
+	if _, err := netip.ParseAddrPort(heartbeat.Address); err != nil {
 		paths = append(paths, "address: is not an IP number with a port")
 	}
-	if b.Weight < 0 || b.Weight > 1_000_000 {
+	if heartbeat.Weight < 0 || heartbeat.Weight > 1_000_000 {
 		paths = append(paths, "weight: is outside 0 to 1000000")
 	}
-	if b.Slots < 0 {
+	if heartbeat.Slots < 0 {
 		paths = append(paths, "slots: is below zero")
 	}
-	if b.Cold < 0 {
+	if heartbeat.Cold < 0 {
 		paths = append(paths, "cold: is below zero")
 	}
-	if b.State != Serving && b.State != Draining && b.State != Leaving {
+	if heartbeat.State != StateServing && heartbeat.State != StateDraining && heartbeat.State != StateLeaving {
 		paths = append(paths, "state: is none of serving, draining, leaving")
 	}
 	if len(paths) > 0 {
@@ -94,136 +94,136 @@
 	return nil
 }
 
-// Take folds one beat into the part owned here.
-func (l *Roll) Take(ctx context.Context, b *rpc.Beat) error {
-	if err := CheckBeat(b); err != nil {
-		l.r.Sign.Say(eventlog.BeatRefused, "service", b.Service, "instance", b.Instance, "cause", err.Error())
+// HandleHeartbeat folds one beat into the part owned here.
+func (r *TargetRegistry) HandleHeartbeat(ctx context.Context, heartbeat *rpc.Beat) error {
+	if err := ValidateHeartbeat(heartbeat); err != nil {
+		r.env.Sign.Say(eventlog.BeatRefused, "service", heartbeat.Service, "instance", heartbeat.Instance, "cause", err.Error())
 		return err
 	}
-	no := ids.PartOf(b.Service)
-	part := l.p.Part(no)
-	term, _, isServing := part.Serving()
+	shard := ids.PartOf(heartbeat.Service)
+	replica := r.consensus.Part(shard)
+	term, _, isServing := replica.Serving()
 	if !isServing {
-		return errcode.New(errcode.NotOwner, "part %d", no)
+		return errcode.New(errcode.NotOwner, "part %d", shard)
 	}
-	if sheet := l.ledger.Sheet(); !l.r.Props.PlanStrangers && sheet.Epoch > 0 && !sheet.Has(b.Service) {
-		l.r.Sign.Say(eventlog.BeatRefused, "service", b.Service, "instance", b.Instance, "cause", "no such service")
-		return errcode.New(errcode.UnknownService, "%q", b.Service)
+	if epoch := r.config.Current(); !r.env.Props.PlanStrangers && epoch.Epoch > 0 && !epoch.HasService(heartbeat.Service) {
+		r.env.Sign.Say(eventlog.BeatRefused, "service", heartbeat.Service, "instance", heartbeat.Instance, "cause", "no such service")
+		return errcode.New(errcode.UnknownService, "%q", heartbeat.Service)
 	}
-	name := b.Service + "/" + b.Instance
-	marked, isMarked := l.books[no].Get(coordination.Mark, name)
-	l.mu.Lock()
-	l.renew(no, term)
-	if l.beats[no] == nil {
-		l.beats[no] = map[string]map[string]*heard{}
+	name := heartbeat.Service + "/" + heartbeat.Instance
+	marked, isMarked := r.stores[shard].Get(coordination.Mark, name)
+	r.mu.Lock()
+	r.resetOnNewTerm(shard, term)
+	if r.targets[shard] == nil {
+		r.targets[shard] = map[string]map[string]*targetRecord{}
 	}
-	instances := l.beats[no][b.Service]
+	instances := r.targets[shard][heartbeat.Service]
 	if instances == nil {
-		instances = map[string]*heard{}
-		l.beats[no][b.Service] = instances
+		instances = map[string]*targetRecord{}
+		r.targets[shard][heartbeat.Service] = instances
 	}
-	h := instances[b.Instance]
-	isOld := h != nil && b.Seq < h.beat.Seq || isMarked && b.Seq < marked.Seq
-	if isOld && b.State == Serving {
-		l.mu.Unlock()
+	target := instances[heartbeat.Instance]
+	isOld := target != nil && heartbeat.Seq < target.heartbeat.Seq || isMarked && heartbeat.Seq < marked.Seq
+	if isOld && heartbeat.State == StateServing {
+		r.mu.Unlock()
 		return nil
 	}
-	isNew := h == nil || l.r.Since(h.at) >= l.r.Props.PlanSilence || !isOld && isOther(&h.beat, b)
-	if h == nil {
-		h = &heard{first: l.r.Now(), cold: b.Cold}
-		instances[b.Instance] = h
+	isNew := target == nil || r.env.Since(target.lastSeen) >= r.env.Props.PlanSilence || !isOld && changesTarget(&target.heartbeat, heartbeat)
+	if target == nil {
+		target = &targetRecord{firstSeen: r.env.Now(), warmUp: heartbeat.Cold}
+		instances[heartbeat.Instance] = target
 	}
-	h.at = l.r.Now()
+	target.lastSeen = r.env.Now()
 	if !isOld {
-		h.beat = *b
+		target.heartbeat = *heartbeat
 	}
-	l.mu.Unlock()
+	r.mu.Unlock()
 	var op *rpc.BondOp
 	switch {
-	case b.State == Serving && isMarked && marked.Holder == Draining && b.Seq > marked.Seq:
-		op = &rpc.BondOp{Op: "unmark", Name: name, Seq: b.Seq}
-	case b.State != Serving && (!isMarked || marked.Holder != b.State && marked.Holder != Leaving):
-		op = &rpc.BondOp{Op: "mark", Name: name, Holder: b.State, Seq: b.Seq}
+	case heartbeat.State == StateServing && isMarked && marked.Holder == StateDraining && heartbeat.Seq > marked.Seq:
+		op = &rpc.BondOp{Op: "unmark", Name: name, Seq: heartbeat.Seq}
+	case heartbeat.State != StateServing && (!isMarked || marked.Holder != heartbeat.State && marked.Holder != StateLeaving):
+		op = &rpc.BondOp{Op: "mark", Name: name, Holder: heartbeat.State, Seq: heartbeat.Seq}
 	}
 	if op != nil {
-		if err := l.propose(ctx, part, op); err != nil {
+		if err := r.propose(ctx, replica, op); err != nil {
 			return err
 		}
 	}
 	if op != nil || isNew {
-		l.stir()
+		r.notifyChange()
 	}
 	if op != nil && op.Op == "mark" {
 		// The proxies hear of it before whoever goes may count on it.
-		linger(ctx, l.r)
+		waitForPropagation(ctx, r.env)
 	}
 	return nil
 }
 
-// isOther tells whether a beat says of its server what the last did not.
-func isOther(last, b *rpc.Beat) bool {
-	return last.State != b.State || last.Address != b.Address || last.Zone != b.Zone || last.Weight != b.Weight || last.Slots != b.Slots
+// changesTarget tells whether a beat says of its server what the last did not.
+func changesTarget(last, heartbeat *rpc.Beat) bool {
+	return last.State != heartbeat.State || last.Address != heartbeat.Address || last.Zone != heartbeat.Zone || last.Weight != heartbeat.Weight || last.Slots != heartbeat.Slots
 }
 
-// stir has the change told by a task of its own; many at once are told as one.
-func (l *Roll) stir() {
-	if l.Stirred != nil && l.isStirring.CompareAndSwap(false, true) {
-		l.r.Go(func() {
-			l.isStirring.Store(false)
-			l.Stirred()
+// notifyChange has the change told by a task of its own; many at once are told as one.
+func (r *TargetRegistry) notifyChange() {
+	if r.OnChange != nil && r.notifying.CompareAndSwap(false, true) {
+		r.env.Go(func() {
+			r.notifying.Store(false)
+			r.OnChange()
 		})
 	}
 }
 
-func (l *Roll) propose(ctx context.Context, part *consensus.Part, op *rpc.BondOp) error {
+func (r *TargetRegistry) propose(ctx context.Context, part *consensus.Part, op *rpc.BondOp) error {
 	_, _, err := part.Propose(ctx, op)
 	return err
 }
 
-// linger lets a moment pass between what is in force and the word that it is.
-func linger(ctx context.Context, r *environment.Realm) {
-	if r.Props.PlanHold == 0 {
+// waitForPropagation lets a moment pass between what is in force and the word that it is.
+func waitForPropagation(ctx context.Context, env *environment.Realm) {
+	if env.Props.PlanHold == 0 {
 		return
 	}
-	wakeup := time.NewTimer(r.Props.PlanHold)
+	wakeup := time.NewTimer(env.Props.PlanHold)
 	defer wakeup.Stop()
 	select {
 	case <-wakeup.C:
 	case <-ctx.Done():
-	case <-r.Done():
+	case <-env.Done():
 	}
 }
 
-// renew forgets what was heard under another term.
-func (l *Roll) renew(no ids.Part, term ids.Term) {
-	if l.terms[no] == term {
+// resetOnNewTerm forgets what was heard under another term.
+func (r *TargetRegistry) resetOnNewTerm(shard ids.Part, term ids.Term) {
+	if r.terms[shard] == term {
 		return
 	}
-	l.terms[no] = term
-	delete(l.beats, no)
+	r.terms[shard] = term
+	delete(r.targets, shard)
 }
 
-// Whose is the service of an instance, by the beats heard here, the marks kept
+// ServiceOf is the service of an instance, by the beats heard here, the marks kept
 // here, or the epoch in force; empty if none names it.
-func (l *Roll) Whose(instance string) string {
-	if service := l.heardAs(instance); service != "" {
+func (r *TargetRegistry) ServiceOf(instance string) string {
+	if service := r.serviceByHeartbeat(instance); service != "" {
 		return service
 	}
-	for _, book := range l.books {
-		marks, _ := book.All(coordination.Mark, "")
+	for _, store := range r.stores {
+		marks, _ := store.All(coordination.Mark, "")
 		for _, m := range marks {
 			if service, name, _ := strings.Cut(m.Name, "/"); name == instance {
 				return service
 			}
 		}
 	}
-	sheet := l.ledger.Sheet()
-	for name := range sheet.Groups {
-		service, isTargets := strings.CutPrefix(name, Targets)
+	epoch := r.config.Current()
+	for name := range epoch.Groups {
+		service, isTargets := strings.CutPrefix(name, TargetsPrefix)
 		if !isTargets {
 			continue
 		}
-		for _, t := range sheet.Targets(service) {
+		for _, t := range epoch.Targets(service) {
 			if t.Instance == instance {
 				return service
 			}
@@ -232,14 +232,14 @@
 	return ""
 }
 
-func (l *Roll) heardAs(instance string) (name string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (r *TargetRegistry) serviceByHeartbeat(instance string) (name string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	var last time.Time
-	for _, services := range l.beats {
+	for _, services := range r.targets {
 		for service, instances := range services {
-			if h := instances[instance]; h != nil && (name == "" || h.at.After(last)) {
-				name, last = service, h.at
+			if h := instances[instance]; h != nil && (name == "" || h.lastSeen.After(last)) {
+				name, last = service, h.lastSeen
 			}
 		}
 	}
@@ -247,17 +247,17 @@
 }
 
 // Rows is what the shell shows of the targets heard here.
-func (l *Roll) Rows() (rows [][]any) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for _, services := range l.beats {
+func (r *TargetRegistry) Rows() (rows [][]any) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, services := range r.targets {
 		for service, instances := range services {
 			for instance, h := range instances {
 				state := "out"
-				if h.isIn {
+				if h.inRotation {
 					state = "in"
 				}
-				rows = append(rows, []any{service, instance, h.beat.Address, h.beat.Zone, h.beat.Weight, state + " (" + h.beat.State + ")", l.r.Since(h.at).Round(time.Millisecond)})
+				rows = append(rows, []any{service, instance, h.heartbeat.Address, h.heartbeat.Zone, h.heartbeat.Weight, state + " (" + h.heartbeat.State + ")", r.env.Since(h.lastSeen).Round(time.Millisecond)})
 			}
 		}
 	}
--- a/internal/controlplane/settle.go
+++ b/internal/controlplane/settle.go
@@ -12,14 +12,14 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// elder is the first beat of whatever was in the epoch in force when the part
+// seenInPreviousTerm is the first beat of whatever was in the epoch in force when the part
 // changed its owner: older than all that the new owner heard for the first time.
-const elder = math.MinInt64
+const seenInPreviousTerm = math.MinInt64
 
-type clash struct{ address, one, two string }
+type addressConflict struct{ address, first, second string }
 
-// merge adds to a young list the targets held that it doesn't name at all.
-func merge(held []rpc.Target, list []rpc.Listed) []rpc.Listed {
+// mergePreviousTargets adds to a young list the targets held that it doesn't name at all.
+func mergePreviousTargets(held []rpc.Target, list []rpc.Listed) []rpc.Listed {
 	named := map[string]bool{}
 	for _, t := range list {
 		named[t.Instance] = true
@@ -27,21 +27,21 @@
 	merged := append([]rpc.Listed(nil), list...)
 	for _, t := range held {
 		if !named[t.Instance] {
-			merged = append(merged, rpc.Listed{Instance: t.Instance, Address: t.Address, Zone: t.Zone, Weight: t.Weight, Slots: t.Slots, Cold: t.Cold, Since: elder})
+			merged = append(merged, rpc.Listed{Instance: t.Instance, Address: t.Address, Zone: t.Zone, Weight: t.Weight, Slots: t.Slots, Cold: t.Cold, Since: seenInPreviousTerm})
 		}
 	}
 	return merged
 }
 
-// settle gives each address to one instance, and lists for every service of
+// resolveTargets gives each address to one instance, and lists for every service of
 // which there is news the targets that are in. The newest claim stands and older
 // ones go out in the same epoch; an address that another service holds in the
 // epoch in force comes in only once that epoch is past; it tells whether one waits so.
-func settle(sheet *Sheet, services []rpc.Service, all map[ids.Part]*news) (map[string][]rpc.Target, []clash, bool) {
+func resolveTargets(epoch *EpochState, services []rpc.Service, all map[ids.Part]*shardReport) (map[string][]rpc.Target, []addressConflict, bool) {
 	lists := map[string][]rpc.Listed{}
 	owners, newest := map[string]string{}, map[string]int64{}
 	holders := map[string]string{}
-	var clashes []clash
+	var clashes []addressConflict
 	for _, s := range services {
 		n := all[ids.PartOf(s.Name)]
 		if n == nil {
@@ -49,16 +49,16 @@
 		}
 		list := n.Lists[s.Name]
 		if n.Young {
-			list = merge(sheet.Targets(s.Name), list)
+			list = mergePreviousTargets(epoch.Targets(s.Name), list)
 		}
 		lists[s.Name] = list
 		for _, t := range list {
-			if t.Address == "" || t.Out == Silent || t.Out == Leaving {
+			if t.Address == "" || t.Out == StateTimedOut || t.Out == StateLeaving {
 				continue
 			}
 			id := s.Name + "/" + t.Instance
 			if other, ok := owners[t.Address]; ok {
-				clashes = append(clashes, clash{t.Address, min(other, id), max(other, id)})
+				clashes = append(clashes, addressConflict{t.Address, min(other, id), max(other, id)})
 				if newest[t.Address] > t.Since || newest[t.Address] == t.Since && other > id {
 					continue
 				}
@@ -67,12 +67,12 @@
 		}
 	}
 	isAwaited := false
-	for name := range sheet.Groups {
-		service, ok := strings.CutPrefix(name, Targets)
+	for name := range epoch.Groups {
+		service, ok := strings.CutPrefix(name, TargetsPrefix)
 		if !ok {
 			continue
 		}
-		for _, t := range sheet.Targets(service) {
+		for _, t := range epoch.Targets(service) {
 			if now, ok := holders[t.Address]; ok && now != service {
 				owners[t.Address], isAwaited = "", true
 			}
@@ -91,34 +91,34 @@
 	return targets, clashes, isAwaited
 }
 
-// elders names the targets of a part that are in an epoch.
-func elders(sheet *Sheet, no ids.Part) map[string]bool {
+// previousTargets names the targets of a part that are in an epoch.
+func previousTargets(epoch *EpochState, shard ids.Part) map[string]bool {
 	names := map[string]bool{}
-	for name := range sheet.Groups {
-		if service, ok := strings.CutPrefix(name, Targets); ok && ids.PartOf(service) == no {
-			for _, t := range sheet.Targets(service) {
-				names[claimName(service, t.Instance, t.Address)] = true
+	for name := range epoch.Groups {
+		if service, ok := strings.CutPrefix(name, TargetsPrefix); ok && ids.PartOf(service) == shard {
+			for _, t := range epoch.Targets(service) {
+				names[targetKey(service, t.Instance, t.Address)] = true
 			}
 		}
 	}
 	return names
 }
 
-func claimName(service, instance, address string) string {
+func targetKey(service, instance, address string) string {
 	return service + "/" + instance + " " + address
 }
 
-// date turns the ages of first beats into times since the planner's zero, and
+// normalizeAges turns the ages of first beats into times since the planner's zero, and
 // forgets the elders that a settled owner doesn't know.
-func date(p *rpc.PartNews, sent int64, known map[string]bool) {
+func normalizeAges(p *rpc.PartNews, sent int64, known map[string]bool) {
 	named := map[string]bool{}
 	for service, list := range p.Lists {
 		for i, t := range list {
-			name := claimName(service, t.Instance, t.Address)
+			name := targetKey(service, t.Instance, t.Address)
 			named[name] = true
 			list[i].Since = sent - t.Since
 			if known[name] {
-				list[i].Since = elder
+				list[i].Since = seenInPreviousTerm
 			}
 		}
 	}
--- a/internal/controlplane/settle_test.go
+++ b/internal/controlplane/settle_test.go
@@ -17,11 +17,11 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-func sheetWith(targets map[string][]rpc.Target) *Sheet {
-	sheet := &Sheet{Epoch: 1, Groups: map[string]rpc.Group{}}
+func sheetWith(targets map[string][]rpc.Target) *EpochState {
+	sheet := &EpochState{Epoch: 1, Groups: map[string]rpc.Group{}}
 	for service, list := range targets {
 		raw, _ := json.Marshal(list)
-		sheet.Groups[Targets+service] = rpc.Group{Data: raw}
+		sheet.Groups[TargetsPrefix+service] = rpc.Group{Data: raw}
 	}
 	return sheet
 }
@@ -43,19 +43,19 @@
 		"nobody is heard":              {true, nil, inForce},
 		"unheard goes when settled":    {false, []rpc.Listed{heard("a", "A", 5, "")}, inForce[:1]},
 		"new comes in":                 {true, []rpc.Listed{heard("c", "C", 5, "")}, []rpc.Target{inForce[0], inForce[1], held("c", "C")}},
-		"drained goes":                 {true, []rpc.Listed{heard("b", "B", 5, Draining)}, inForce[:1]},
-		"marked and unheard goes":      {true, []rpc.Listed{{Instance: "b", Out: Leaving}}, inForce[:1]},
-		"silent goes":                  {true, []rpc.Listed{heard("b", "B", 5, Silent)}, inForce[:1]},
+		"drained goes":                 {true, []rpc.Listed{heard("b", "B", 5, StateDraining)}, inForce[:1]},
+		"marked and unheard goes":      {true, []rpc.Listed{{Instance: "b", Out: StateLeaving}}, inForce[:1]},
+		"silent goes":                  {true, []rpc.Listed{heard("b", "B", 5, StateTimedOut)}, inForce[:1]},
 		"address is passed on":         {true, []rpc.Listed{heard("c", "B", 5, "")}, []rpc.Target{inForce[0], held("c", "B")}},
 		"heard at another address":     {true, []rpc.Listed{heard("b", "D", 5, "")}, []rpc.Target{inForce[0], held("b", "D")}},
 		"newest of two":                {false, []rpc.Listed{heard("a", "A", 5, ""), heard("c", "A", 6, "")}, []rpc.Target{held("c", "A")}},
-		"an elder against a new":       {true, []rpc.Listed{heard("b", "B", elder, ""), heard("c", "B", -3, "")}, []rpc.Target{inForce[0], held("c", "B")}},
-		"two marked without address":   {true, []rpc.Listed{{Instance: "x", Out: Draining}, {Instance: "y", Out: Draining}}, inForce},
+		"an elder against a new":       {true, []rpc.Listed{heard("b", "B", seenInPreviousTerm, ""), heard("c", "B", -3, "")}, []rpc.Target{inForce[0], held("c", "B")}},
+		"two marked without address":   {true, []rpc.Listed{{Instance: "x", Out: StateDraining}, {Instance: "y", Out: StateDraining}}, inForce},
 		"no address is never a target": {true, []rpc.Listed{{Instance: "x"}}, inForce},
 	} {
 		sheet := sheetWith(map[string][]rpc.Target{"s": inForce})
-		all := map[ids.Part]*news{ids.PartOf("s"): {PartNews: rpc.PartNews{Young: c.young, Lists: map[string][]rpc.Listed{"s": c.list}}}}
-		got, _, _ := settle(sheet, []rpc.Service{{Name: "s"}}, all)
+		all := map[ids.Part]*shardReport{ids.PartOf("s"): {PartNews: rpc.PartNews{Young: c.young, Lists: map[string][]rpc.Listed{"s": c.list}}}}
+		got, _, _ := resolveTargets(sheet, []rpc.Service{{Name: "s"}}, all)
 		if !reflect.DeepEqual(got["s"], c.want) {
 			t.Errorf("%s: %+v, want %+v", name, got["s"], c.want)
 		}
@@ -64,18 +64,18 @@
 
 func TestAnAddressChangesServiceInTwoEpochs(t *testing.T) {
 	services := []rpc.Service{{Name: "s"}, {Name: "t"}}
-	all := map[ids.Part]*news{}
+	all := map[ids.Part]*shardReport{}
 	for _, s := range services {
-		all[ids.PartOf(s.Name)] = &news{PartNews: rpc.PartNews{Young: true, Lists: map[string][]rpc.Listed{}}}
+		all[ids.PartOf(s.Name)] = &shardReport{PartNews: rpc.PartNews{Young: true, Lists: map[string][]rpc.Listed{}}}
 	}
 	all[ids.PartOf("t")].Lists["t"] = []rpc.Listed{{Instance: "n", Address: "A", Since: 5}}
 	all[ids.PartOf("t")].Lists["stranger"] = []rpc.Listed{{Instance: "o", Address: "A", Since: 9}}
 	sheet := sheetWith(map[string][]rpc.Target{"s": {{Instance: "a", Address: "A"}}, "t": {}})
-	one, _, _ := settle(sheet, services, all)
+	one, _, _ := resolveTargets(sheet, services, all)
 	if len(one["s"])+len(one["t"]) != 0 {
 		t.Fatalf("%+v", one)
 	}
-	two, _, _ := settle(sheetWith(one), services, all)
+	two, _, _ := resolveTargets(sheetWith(one), services, all)
 	if len(two["s"]) != 0 || len(two["t"]) != 1 {
 		t.Fatalf("%+v", two)
 	}
@@ -84,40 +84,40 @@
 func TestEldersStayOldUntilTheyGo(t *testing.T) {
 	no := ids.PartOf("s")
 	sheet := sheetWith(map[string][]rpc.Target{"s": {{Instance: "a", Address: "A"}, {Instance: "b", Address: "B"}}})
-	known := elders(sheet, no)
+	known := previousTargets(sheet, no)
 	p := &rpc.PartNews{Young: true, Lists: map[string][]rpc.Listed{"s": {{Instance: "a", Address: "A", Since: 3}, {Instance: "b", Address: "N", Since: 3}, {Instance: "c", Address: "A", Since: 4}}}}
-	date(p, 10, known)
-	if l := p.Lists["s"]; l[0].Since != elder || l[1].Since != 7 || l[2].Since != 6 || len(known) != 2 {
+	normalizeAges(p, 10, known)
+	if l := p.Lists["s"]; l[0].Since != seenInPreviousTerm || l[1].Since != 7 || l[2].Since != 6 || len(known) != 2 {
 		t.Fatalf("%+v %v", p, known)
 	}
-	date(&rpc.PartNews{Lists: map[string][]rpc.Listed{"s": {{Instance: "a", Address: "A"}}}}, 10, known)
-	if len(known) != 1 || !known[claimName("s", "a", "A")] {
+	normalizeAges(&rpc.PartNews{Lists: map[string][]rpc.Listed{"s": {{Instance: "a", Address: "A"}}}}, 10, known)
+	if len(known) != 1 || !known[targetKey("s", "a", "A")] {
 		t.Fatal(known)
 	}
-	if len(elders(sheet, (no+1)%ids.Parts)) != 0 {
+	if len(previousTargets(sheet, (no+1)%ids.Parts)) != 0 {
 		t.Fatal("another part's")
 	}
 }
 
 // newRoll is a roll without a fleet.
-func newRoll(t *testing.T) *Roll {
+func newRoll(t *testing.T) *TargetRegistry {
 	p := &config.Props{Name: "n", PlanSilence: time.Hour}
 	r := environment.New(t.Context(), p, eventlog.New(io.Discard, "info", "n"), environment.Net{})
 	var books []*coordination.Book
 	for range ids.Parts {
 		books = append(books, coordination.NewBook())
 	}
-	return NewRoll(r, nil, books, NewLedger())
+	return NewTargetRegistry(r, nil, books, NewConfigState())
 }
 
-func (l *Roll) hear(no ids.Part, cold int64, b rpc.Beat) {
-	if l.beats[no] == nil {
-		l.beats[no] = map[string]map[string]*heard{}
+func (r *TargetRegistry) addTarget(no ids.Part, cold int64, b rpc.Beat) {
+	if r.targets[no] == nil {
+		r.targets[no] = map[string]map[string]*targetRecord{}
 	}
-	if l.beats[no][b.Service] == nil {
-		l.beats[no][b.Service] = map[string]*heard{}
+	if r.targets[no][b.Service] == nil {
+		r.targets[no][b.Service] = map[string]*targetRecord{}
 	}
-	l.beats[no][b.Service][b.Instance] = &heard{beat: b, cold: cold, first: l.r.Now(), at: l.r.Now()}
+	r.targets[no][b.Service][b.Instance] = &targetRecord{heartbeat: b, warmUp: cold, firstSeen: r.env.Now(), lastSeen: r.env.Now()}
 }
 
 func putMark(t *testing.T, book *coordination.Book, name, holder string) {
@@ -128,36 +128,36 @@
 
 func TestListsNameSlotsFirstColdAndMarks(t *testing.T) {
 	l, no, term := newRoll(t), ids.PartOf("s"), ids.Term{Round: 1}
-	l.lists(no, term, true)
-	l.hear(no, 900, rpc.Beat{Service: "s", Instance: "a", Address: "A", State: Serving, Slots: 3, Cold: 900})
-	putMark(t, l.books[no], "s/gone", Leaving)
-	young := l.lists(no, term, true)["s"]
-	if len(young) != 2 || young[0].Slots != 3 || young[0].Cold != 900 || young[1].Instance != "gone" || young[1].Out != Leaving || young[1].Address != "" {
+	l.targetLists(no, term, true)
+	l.addTarget(no, 900, rpc.Beat{Service: "s", Instance: "a", Address: "A", State: StateServing, Slots: 3, Cold: 900})
+	putMark(t, l.stores[no], "s/gone", StateLeaving)
+	young := l.targetLists(no, term, true)["s"]
+	if len(young) != 2 || young[0].Slots != 3 || young[0].Cold != 900 || young[1].Instance != "gone" || young[1].Out != StateLeaving || young[1].Address != "" {
 		t.Fatalf("%+v", young)
 	}
-	one := l.digest(no, l.lists(no, term, false))
-	h := l.beats[no]["s"]["a"]
-	h.beat.Cold, h.first = 100, h.first.Add(-time.Minute)
-	lists := l.lists(no, term, false)
-	if two := l.digest(no, lists); one != two || one != digestOf(lists) {
+	one := l.reportDigest(no, l.targetLists(no, term, false))
+	h := l.targets[no]["s"]["a"]
+	h.heartbeat.Cold, h.firstSeen = 100, h.firstSeen.Add(-time.Minute)
+	lists := l.targetLists(no, term, false)
+	if two := l.reportDigest(no, lists); one != two || one != digestLists(lists) {
 		t.Fatal("the digest changed with time")
 	}
 	if len(lists["s"]) != 1 {
 		t.Fatalf("%+v", lists)
 	}
-	h.beat.Slots = 4
-	if lists = l.lists(no, term, false); l.digest(no, lists) == one || l.digest(no, lists) != digestOf(lists) {
+	h.heartbeat.Slots = 4
+	if lists = l.targetLists(no, term, false); l.reportDigest(no, lists) == one || l.reportDigest(no, lists) != digestLists(lists) {
 		t.Fatal("the digest stayed when slots changed")
 	}
 }
 
 func TestWhoseIsAnInstance(t *testing.T) {
 	l := newRoll(t)
-	l.ledger.sheet = sheetWith(map[string][]rpc.Target{"s": {{Instance: "planned"}, {Instance: "both"}}})
-	l.hear(ids.PartOf("u"), 0, rpc.Beat{Service: "u", Instance: "both"})
-	putMark(t, l.books[ids.PartOf("t")], "t/marked", Draining)
+	l.config.current = sheetWith(map[string][]rpc.Target{"s": {{Instance: "planned"}, {Instance: "both"}}})
+	l.addTarget(ids.PartOf("u"), 0, rpc.Beat{Service: "u", Instance: "both"})
+	putMark(t, l.stores[ids.PartOf("t")], "t/marked", StateDraining)
 	for instance, want := range map[string]string{"planned": "s", "both": "u", "marked": "t", "none": "", "": ""} {
-		if got := l.Whose(instance); got != want {
+		if got := l.ServiceOf(instance); got != want {
 			t.Errorf("%q is of %q, want %q", instance, got, want)
 		}
 	}
@@ -165,11 +165,11 @@
 
 func TestStirredIsToldAndMayBeMissing(t *testing.T) {
 	l := newRoll(t)
-	l.stir()
+	l.notifyChange()
 	heard := make(chan bool, 4)
-	l.Stirred = func() { heard <- true }
-	l.stir()
+	l.OnChange = func() { heard <- true }
+	l.notifyChange()
 	<-heard
-	l.stir()
+	l.notifyChange()
 	<-heard
 }
--- a/internal/controlplane/source.go
+++ b/internal/controlplane/source.go
@@ -14,20 +14,20 @@
 )
 
 const (
-	Sources = "source/"
+	SourcesPrefix = "source/"
 
 	sourceBuckets = 16
 )
 
-func sourceBucket(item string) string {
-	return fmt.Sprintf("%s%02d", Sources, ids.Score("source", item)%sourceBuckets)
+func sourceGroup(item string) string {
+	return fmt.Sprintf("%s%02d", SourcesPrefix, ids.Score("source", item)%sourceBuckets)
 }
 
-func mappingItem(name string) string { return "mappings/" + name }
-func serviceItem(name string) string { return "services/" + name }
+func routeSourceKey(name string) string   { return "mappings/" + name }
+func serviceSourceKey(name string) string { return "services/" + name }
 
-// detach takes the texts off a copy of the configuration; they come by item.
-func detach(config rpc.Config) (rpc.Config, map[string]json.RawMessage) {
+// detachSources takes the texts off a copy of the configuration; they come by item.
+func detachSources(config rpc.Config) (rpc.Config, map[string]json.RawMessage) {
 	sources := map[string]json.RawMessage{}
 	take := func(item string, source *json.RawMessage) {
 		if len(*source) > 0 && string(*source) != "null" {
@@ -37,67 +37,67 @@
 	}
 	config.Mappings, config.Services = slices.Clone(config.Mappings), slices.Clone(config.Services)
 	for i := range config.Mappings {
-		take(mappingItem(config.Mappings[i].Name), &config.Mappings[i].Source)
+		take(routeSourceKey(config.Mappings[i].Name), &config.Mappings[i].Source)
 	}
 	for i := range config.Services {
-		take(serviceItem(config.Services[i].Name), &config.Services[i].Source)
+		take(serviceSourceKey(config.Services[i].Name), &config.Services[i].Source)
 	}
 	if config.Manners != nil {
 		manners := *config.Manners
-		take(Manners, &manners.Source)
+		take(ClientLimitsGroup, &manners.Source)
 		config.Manners = &manners
 	}
 	return config, sources
 }
 
-func attach(config *rpc.Config, sources map[string]json.RawMessage) {
+func attachSources(config *rpc.Config, sources map[string]json.RawMessage) {
 	for i := range config.Mappings {
-		config.Mappings[i].Source = sources[mappingItem(config.Mappings[i].Name)]
+		config.Mappings[i].Source = sources[routeSourceKey(config.Mappings[i].Name)]
 	}
 	for i := range config.Services {
-		config.Services[i].Source = sources[serviceItem(config.Services[i].Name)]
+		config.Services[i].Source = sources[serviceSourceKey(config.Services[i].Name)]
 	}
 	if config.Manners != nil {
-		config.Manners.Source = sources[Manners]
+		config.Manners.Source = sources[ClientLimitsGroup]
 	}
 }
 
 // sources is the texts of the epoch by item.
-func (s *Sheet) sources() map[string]json.RawMessage {
+func (e *EpochState) sources() map[string]json.RawMessage {
 	sources := map[string]json.RawMessage{}
-	for name, group := range s.Groups {
-		if strings.HasPrefix(name, Sources) {
+	for name, group := range e.Groups {
+		if strings.HasPrefix(name, SourcesPrefix) {
 			json.Unmarshal(group.Data, &sources)
 		}
 	}
 	return sources
 }
 
-// isOperators tells the groups that only a change set writes.
-func isOperators(name string) bool {
-	return name == Services || name == Limits || name == Manners || strings.HasPrefix(name, Routes) || strings.HasPrefix(name, Sources)
+// isOperatorGroup tells the groups that only a change set writes.
+func isOperatorGroup(name string) bool {
+	return name == ServicesGroup || name == LimitsGroup || name == ClientLimitsGroup || strings.HasPrefix(name, RoutesPrefix) || strings.HasPrefix(name, SourcesPrefix)
 }
 
-// groupsOf cuts a configuration into its groups.
-func groupsOf(config rpc.Config) map[string]json.RawMessage {
+// encodeGroups cuts a configuration into its groups.
+func encodeGroups(config rpc.Config) map[string]json.RawMessage {
 	groups := map[string]json.RawMessage{}
 	put := func(name string, value any) { groups[name], _ = json.Marshal(value) }
-	config, sources := detach(config)
-	put(Services, orEmpty(config.Services))
-	put(Limits, orEmpty(config.Limits))
+	config, sources := detachSources(config)
+	put(ServicesGroup, nonNil(config.Services))
+	put(LimitsGroup, nonNil(config.Limits))
 	if config.Manners != nil {
-		put(Manners, config.Manners)
+		put(ClientLimitsGroup, config.Manners)
 	}
 	routes := map[string][]rpc.Mapping{}
 	for _, m := range config.Mappings {
-		routes[bucket(m.Name)] = append(routes[bucket(m.Name)], m)
+		routes[routeGroup(m.Name)] = append(routes[routeGroup(m.Name)], m)
 	}
 	for name, some := range routes {
 		put(name, some)
 	}
 	texts := map[string]map[string]json.RawMessage{}
 	for item, source := range sources {
-		name := sourceBucket(item)
+		name := sourceGroup(item)
 		if texts[name] == nil {
 			texts[name] = map[string]json.RawMessage{}
 		}
@@ -109,7 +109,7 @@
 	return groups
 }
 
-func orEmpty[T any](list []T) []T {
+func nonNil[T any](list []T) []T {
 	if list == nil {
 		return []T{}
 	}
--- a/internal/controlplane/submit.go
+++ b/internal/controlplane/submit.go
@@ -13,103 +13,103 @@
 )
 
 // Submit takes a change set whole, or not at all.
-func (l *Planner) Submit(ctx context.Context, change *rpc.Change) (*rpc.ChangeReceipt, error) {
-	receipt, isNew, err := l.submit(ctx, change)
+func (p *Planner) Submit(ctx context.Context, change *rpc.Change) (*rpc.ChangeReceipt, error) {
+	receipt, isNew, err := p.submit(ctx, change)
 	if isNew {
-		linger(ctx, l.r)
+		waitForPropagation(ctx, p.env)
 	}
 	return receipt, err
 }
 
-func (l *Planner) submit(ctx context.Context, change *rpc.Change) (receipt *rpc.ChangeReceipt, isNew bool, err error) {
-	l.planning.Lock()
-	defer l.planning.Unlock()
-	if err := l.part.Confirm(ctx, l.r.Now()); err != nil {
+func (p *Planner) submit(ctx context.Context, change *rpc.Change) (receipt *rpc.ChangeReceipt, isNew bool, err error) {
+	p.planning.Lock()
+	defer p.planning.Unlock()
+	if err := p.replica.Confirm(ctx, p.env.Now()); err != nil {
 		return nil, false, err
 	}
-	raw, _ := json.Marshal(change)
-	digest := Digest(raw)
-	sheet := l.ledger.Sheet()
-	first, err := sheet.Judge(change, digest)
+	encoded, _ := json.Marshal(change)
+	digest := Digest(encoded)
+	epoch := p.config.Current()
+	first, err := epoch.CheckPrecondition(change, digest)
 	if first != nil {
 		return first, false, nil
 	}
 	var config rpc.Config
 	if err == nil {
 		var paths []string
-		if config, paths = Lay(sheet.Config(), change); len(paths) > 0 {
+		if config, paths = MergeChange(epoch.Config(), change); len(paths) > 0 {
 			err = errcode.At(errcode.BadChange, paths)
 		}
 	}
 	if err != nil {
 		if !errcode.Is(err, errcode.ChangeReused) {
-			l.r.Sign.Say(eventlog.ChangeRefused, "id", change.Id, "code", errcode.Of(err).Code.No)
+			p.env.Sign.Say(eventlog.ChangeRefused, "id", change.Id, "code", errcode.Of(err).Code.No)
 		}
 		return nil, false, err
 	}
 	receipt = &rpc.ChangeReceipt{Id: change.Id, State: "accepted", Digest: digest, Version: change.Version}
-	if err := l.plan(ctx, receipt, &config); err != nil {
+	if err := p.planEpoch(ctx, receipt, &config); err != nil {
 		if errcode.Is(err, errcode.NotOwner) {
 			return nil, false, err
 		}
 		return nil, false, errcode.New(errcode.ChangeUnknown, "%v", err)
 	}
-	l.r.Sign.Say(eventlog.ChangeAccepted, "id", change.Id, "epoch", uint64(receipt.Epoch))
+	p.env.Sign.Say(eventlog.ChangeAccepted, "id", change.Id, "epoch", uint64(receipt.Epoch))
 	return receipt, true, nil
 }
 
-// AskChange tells what became of a change set. It waits for all that is in the
+// ChangeStatus tells what became of a change set. It waits for all that is in the
 // log, so that "absent" can't be followed by a late acceptance.
-func (l *Planner) AskChange(ctx context.Context, id string) (*rpc.ChangeReceipt, error) {
-	l.planning.Lock()
-	defer l.planning.Unlock()
-	if err := l.part.Barrier(ctx); err != nil {
+func (p *Planner) ChangeStatus(ctx context.Context, id string) (*rpc.ChangeReceipt, error) {
+	p.planning.Lock()
+	defer p.planning.Unlock()
+	if err := p.replica.Barrier(ctx); err != nil {
 		return nil, err
 	}
-	if receipt, ok := l.ledger.Sheet().Find(id); ok {
+	if receipt, ok := p.config.Current().FindChange(id); ok {
 		return &receipt, nil
 	}
 	return nil, errcode.New(errcode.ChangeAbsent, "%q", id)
 }
 
-// View is the epoch in force, confirmed since the call came.
-func (l *Planner) View(ctx context.Context) (*rpc.EpochView, error) {
-	if err := l.part.Confirm(ctx, l.r.Now()); err != nil {
+// EpochView is the epoch in force, confirmed since the call came.
+func (p *Planner) EpochView(ctx context.Context) (*rpc.EpochView, error) {
+	if err := p.replica.Confirm(ctx, p.env.Now()); err != nil {
 		return nil, err
 	}
-	return l.ledger.Sheet().View(), nil
+	return p.config.Current().View(), nil
 }
 
 // Config is the operators' configuration as they sent it, keys and all,
 // confirmed since the call came.
-func (l *Planner) Config(ctx context.Context) (*rpc.ConfigView, error) {
-	if err := l.part.Confirm(ctx, l.r.Now()); err != nil {
+func (p *Planner) Config(ctx context.Context) (*rpc.ConfigView, error) {
+	if err := p.replica.Confirm(ctx, p.env.Now()); err != nil {
 		return nil, err
 	}
-	sheet := l.ledger.Sheet()
-	return &rpc.ConfigView{Version: sheet.Version, Epoch: sheet.Epoch, Config: sheet.Config()}, nil
+	epoch := p.config.Current()
+	return &rpc.ConfigView{Version: epoch.Version, Epoch: epoch.Epoch, Config: epoch.Config()}, nil
 }
 
-// Pulse tells the epoch in force and the ages of what it reflects. It asks for
+// Freshness tells the epoch in force and the ages of what it reflects. It asks for
 // no round of its own: the age of the last one is told, and is what counts.
-func (l *Planner) Pulse() (*rpc.PulseReceipt, error) {
-	age, isServing := l.part.Age()
+func (p *Planner) Freshness() (*rpc.PulseReceipt, error) {
+	age, isServing := p.replica.Age()
 	if !isServing {
 		return nil, errcode.New(errcode.NotOwner, "configuration part")
 	}
-	began := l.r.Now()
-	term, _, _ := l.part.Serving()
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	receipt := &rpc.PulseReceipt{Parts: make([]int64, ids.Parts)}
-	for no := range receipt.Parts {
-		receipt.Parts[no] = -1
-		if at, ok := l.reflects[ids.Part(no)]; ok && l.term == term {
-			receipt.Parts[no] = l.r.Since(at).Microseconds() + 1
+	began := p.env.Now()
+	term, _, _ := p.replica.Serving()
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	response := &rpc.PulseReceipt{Parts: make([]int64, ids.Parts)}
+	for shard := range response.Parts {
+		response.Parts[shard] = -1
+		if at, ok := p.reflectedUpTo[ids.Part(shard)]; ok && p.term == term {
+			response.Parts[shard] = p.env.Since(at).Microseconds() + 1
 		}
 	}
-	sheet := l.ledger.Sheet()
-	receipt.Epoch, receipt.Binding = sheet.Epoch, sheet.Binding
-	receipt.Age = (age + l.r.Since(began)).Microseconds() + 1
-	return receipt, nil
+	epoch := p.config.Current()
+	response.Epoch, response.Binding = epoch.Epoch, epoch.LastBinding
+	response.Age = (age + p.env.Since(began)).Microseconds() + 1
+	return response, nil
 }
--- a/internal/controlplane/view.go
+++ b/internal/controlplane/view.go
@@ -3,35 +3,35 @@
 
 import "time"
 
-// Outlook is what the planner goes by.
-type Outlook struct {
-	Parts, Clashes int
-	Oldest         time.Duration // age of the oldest news
+// PlannerStats is what the planner goes by.
+type PlannerStats struct {
+	Shards, Conflicts int
+	OldestReport      time.Duration // age of the oldest news
 }
 
-func (l *Planner) Outlook() (v Outlook) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	v.Parts, v.Clashes = len(l.news), len(l.clashes)
-	for _, n := range l.news {
-		v.Oldest = max(v.Oldest, l.r.Since(n.asOf))
+func (p *Planner) Stats() (v PlannerStats) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	v.Shards, v.Conflicts = len(p.reports), len(p.reportedConflicts)
+	for _, n := range p.reports {
+		v.OldestReport = max(v.OldestReport, p.env.Since(n.asOf))
 	}
 	return v
 }
 
-// Standing is how targets of one service stand: in or out, and their own word.
-type Standing struct{ Service, State, Word string }
+// TargetStatus is how targets of one service stand: in or out, and their own word.
+type TargetStatus struct{ Service, State, Reported string }
 
-// Count is how many targets heard here stand in each way.
-func (l *Roll) Count() map[Standing]int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	counts := map[Standing]int{}
-	for _, services := range l.beats {
+// TargetCounts is how many targets heard here stand in each way.
+func (r *TargetRegistry) TargetCounts() map[TargetStatus]int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	counts := map[TargetStatus]int{}
+	for _, services := range r.targets {
 		for service, instances := range services {
 			for _, h := range instances {
-				at := Standing{service, "out", h.beat.State}
-				if h.isIn {
+				at := TargetStatus{service, "out", h.heartbeat.State}
+				if h.inRotation {
 					at.State = "in"
 				}
 				counts[at]++
--- a/internal/distribution/cache.go
+++ b/internal/distribution/cache.go
@@ -73,7 +73,7 @@
 			if !ok {
 				continue
 			}
-			whole, err := controlplane.Patch(old.Data, group.Put, group.Gone)
+			whole, err := controlplane.PatchTargets(old.Data, group.Put, group.Gone)
 			if err != nil {
 				continue
 			}
@@ -188,7 +188,7 @@
 
 // convert unpacks the groups; those that did not change are taken over.
 func convert(epoch ids.Epoch, manifest map[string]rpc.Held, groups map[string]rpc.Group, old *Chart) (*Chart, error) {
-	chart := &Chart{Epoch: epoch, Manifest: maps.Clone(manifest), groups: groups, sum: controlplane.SumOf(manifest),
+	chart := &Chart{Epoch: epoch, Manifest: maps.Clone(manifest), groups: groups, sum: controlplane.DigestManifest(manifest),
 		Services: map[string]rpc.Service{}, Limits: map[string]rpc.Limit{}, Targets: map[string][]rpc.Target{}, Shares: map[ids.Name]int{}}
 	read := func(name string, into any) error {
 		group, ok := groups[name]
@@ -203,7 +203,7 @@
 	isSame := func(name string) bool { return old != nil && old.groups[name].Digest == groups[name].Digest }
 	routes := map[string][]rpc.Mapping{}
 	for name := range groups {
-		if !strings.HasPrefix(name, controlplane.Routes) {
+		if !strings.HasPrefix(name, controlplane.RoutesPrefix) {
 			continue
 		}
 		var some []rpc.Mapping
@@ -217,16 +217,16 @@
 	chart.Routes = routes
 	var services []rpc.Service
 	var limits []rpc.Limit
-	if err := read(controlplane.Services, &services); err != nil {
+	if err := read(controlplane.ServicesGroup, &services); err != nil {
 		return nil, err
 	}
-	if err := read(controlplane.Limits, &limits); err != nil {
+	if err := read(controlplane.LimitsGroup, &limits); err != nil {
 		return nil, err
 	}
-	if err := read(controlplane.Shares, &chart.Shares); err != nil {
+	if err := read(controlplane.SharesGroup, &chart.Shares); err != nil {
 		return nil, err
 	}
-	if err := read(controlplane.Manners, &chart.Manners); err != nil {
+	if err := read(controlplane.ClientLimitsGroup, &chart.Manners); err != nil {
 		return nil, err
 	}
 	for _, s := range services {
@@ -236,7 +236,7 @@
 		chart.Limits[l.Service] = l
 	}
 	for name := range groups {
-		service, ok := strings.CutPrefix(name, controlplane.Targets)
+		service, ok := strings.CutPrefix(name, controlplane.TargetsPrefix)
 		if !ok {
 			continue
 		}
--- a/internal/distribution/serve.go
+++ b/internal/distribution/serve.go
@@ -26,7 +26,7 @@
 	w       *rpc.Wire
 	k       *membership.Kin
 	p       *consensus.Node
-	ledger  *controlplane.Ledger
+	ledger  *controlplane.ConfigState
 	planner *controlplane.Planner
 
 	mu     sync.Mutex
@@ -38,7 +38,7 @@
 	relays relays
 }
 
-func NewServer(r *environment.Realm, w *rpc.Wire, k *membership.Kin, p *consensus.Node, ledger *controlplane.Ledger, planner *controlplane.Planner) *Server {
+func NewServer(r *environment.Realm, w *rpc.Wire, k *membership.Kin, p *consensus.Node, ledger *controlplane.ConfigState, planner *controlplane.Planner) *Server {
 	s := &Server{r: r, w: w, k: k, p: p, ledger: ledger, planner: planner}
 	s.relays.r, s.relays.ask = r, s.ask
 	w.Handle("flow.listen", func(c *rpc.Call) (any, error) {
@@ -66,15 +66,15 @@
 	defer hold.Stop()
 	have := ask.Have
 	if ask.Sum != "" {
-		before := s.ledger.Past(ask.Epoch)
-		if before == nil || before.Sum() != ask.Sum {
+		before := s.ledger.AtEpoch(ask.Epoch)
+		if before == nil || before.ManifestDigest() != ask.Sum {
 			return &rpc.ListenReceipt{Epoch: ask.Epoch, Lost: true}, nil
 		}
 		have = before.Manifest()
 	}
 	for {
 		change := s.p.Part(ids.Config).Watch()
-		sheet := s.ledger.Sheet()
+		sheet := s.ledger.Current()
 		if sheet.Epoch > ask.Epoch {
 			if err := s.checkContact(); err != nil {
 				return nil, err
@@ -107,11 +107,11 @@
 }
 
 // along sends differences with the receipt if all of them are small.
-func (s *Server) along(sheet *controlplane.Sheet, have map[string]rpc.Held, receipt *rpc.ListenReceipt) {
+func (s *Server) along(sheet *controlplane.EpochState, have map[string]rpc.Held, receipt *rpc.ListenReceipt) {
 	groups := map[string]rpc.Group{}
 	size := 0
 	for name := range receipt.Changed {
-		group, ok := sheet.Carried(name)
+		group, ok := sheet.PublishedGroup(name)
 		if !ok {
 			return
 		}
@@ -133,7 +133,7 @@
 	instanceSize = 24
 )
 
-func differ(sheet *controlplane.Sheet, before map[string]rpc.Held) *rpc.ListenReceipt {
+func differ(sheet *controlplane.EpochState, before map[string]rpc.Held) *rpc.ListenReceipt {
 	receipt := &rpc.ListenReceipt{Epoch: sheet.Epoch, Changed: map[string]rpc.Held{}}
 	manifest := sheet.Manifest()
 	for name, held := range manifest {
@@ -152,7 +152,7 @@
 // short is a target list as what differs from the one that the asker holds, if that
 // is known here and the difference is right.
 func (s *Server) short(name, held string, group rpc.Group) rpc.Group {
-	if held == "" || !strings.HasPrefix(name, controlplane.Targets) {
+	if held == "" || !strings.HasPrefix(name, controlplane.TargetsPrefix) {
 		return group
 	}
 	key := name + " " + held + " " + group.Digest
@@ -165,9 +165,9 @@
 		return delta
 	}
 	delta = group
-	if from, isKept := s.ledger.Held(name, held); isKept {
-		if put, gone, isShorter := controlplane.Delta(from, group.Data); isShorter {
-			if whole, err := controlplane.Patch(from, put, gone); err == nil && controlplane.Digest(whole) == group.Digest {
+	if from, isKept := s.ledger.GroupData(name, held); isKept {
+		if put, gone, isShorter := controlplane.DiffTargets(from, group.Data); isShorter {
+			if whole, err := controlplane.PatchTargets(from, put, gone); err == nil && controlplane.Digest(whole) == group.Digest {
 				delta = rpc.Group{Digest: group.Digest, Stamp: group.Stamp, Base: held, Put: put, Gone: gone}
 			}
 		}
@@ -188,7 +188,7 @@
 // the time that passed since this node asked.
 func (s *Server) pulse(ctx context.Context) (*rpc.PulseReceipt, error) {
 	if s.p.Part(ids.Config).IsServing() {
-		return s.planner.Pulse()
+		return s.planner.Freshness()
 	}
 	return s.relays.get(ctx)
 }
@@ -213,5 +213,5 @@
 
 // HandleOwner answers other control nodes, at the owner only.
 func (s *Server) HandleOwner() {
-	s.w.Handle("flow.owner", func(c *rpc.Call) (any, error) { return s.planner.Pulse() })
+	s.w.Handle("flow.owner", func(c *rpc.Call) (any, error) { return s.planner.Freshness() })
 }
--- a/internal/distribution/serve_test.go
+++ b/internal/distribution/serve_test.go
@@ -22,17 +22,17 @@
 		return raw
 	}
 	for _, sizes := range [][2]int{{1, 0}, {9, 8}, {1, 2}} {
-		ledger := controlplane.NewLedger()
+		ledger := controlplane.NewConfigState()
 		s := &Server{ledger: ledger}
 		cache := NewCache(eventlog.New(t.Output(), "error", "test"))
-		const name = controlplane.Targets + "s"
+		const name = controlplane.TargetsPrefix + "s"
 		for epoch := ids.Epoch(1); epoch <= 8; epoch++ {
 			body, _ := json.Marshal(rpc.Planned{Epoch: epoch, Put: map[string]json.RawMessage{name: list(sizes[epoch%2])}})
 			if ledger.Apply(ids.Stamp(epoch), body) != true {
 				t.Fatal("not taken", epoch)
 			}
-			sheet := ledger.Sheet()
-			group, _ := sheet.Carried(name)
+			sheet := ledger.Current()
+			group, _ := sheet.PublishedGroup(name)
 			cache.Stage(map[string]rpc.Group{name: s.short(name, cache.Holds([]string{name})[name], group)})
 			if ok, err := cache.Swap(epoch, sheet.Manifest()); !ok || err != nil {
 				t.Fatalf("sizes %v: epoch %d is not in use: %v", sizes, epoch, err)
--- a/internal/distribution/whole.go
+++ b/internal/distribution/whole.go
@@ -70,14 +70,14 @@
 	mu     sync.Mutex
 	groups map[string]coded
 	wholes [2]struct {
-		sheet *controlplane.Sheet
+		sheet *controlplane.EpochState
 		raw   json.RawMessage
 	} // plain, and packed
 }
 
 // all is the whole of an epoch with its manifest, as the receipt of a full fetch, with
 // its groups packed or not.
-func (c *coder) all(sheet *controlplane.Sheet, isPacked bool) (json.RawMessage, error) {
+func (c *coder) all(sheet *controlplane.EpochState, isPacked bool) (json.RawMessage, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	kept := &c.wholes[0]
@@ -90,7 +90,7 @@
 	manifest := sheet.Manifest()
 	groups := make(map[string]json.RawMessage, len(manifest))
 	for name := range manifest {
-		group, _ := sheet.Carried(name)
+		group, _ := sheet.PublishedGroup(name)
 		raw, err := c.one(name, group)
 		if err != nil {
 			return nil, err
@@ -180,10 +180,10 @@
 	if err := s.checkContact(); err != nil {
 		return nil, err
 	}
-	sheet := s.ledger.Sheet()
+	sheet := s.ledger.Current()
 	receipt := &rpc.FetchReceipt{Epoch: sheet.Epoch, Groups: map[string]rpc.Group{}}
 	for _, name := range ask.Groups {
-		if group, ok := sheet.Carried(name); ok {
+		if group, ok := sheet.PublishedGroup(name); ok {
 			receipt.Groups[name] = s.short(name, ask.Held[name], group)
 		}
 	}
@@ -222,11 +222,11 @@
 	if s.checkContact() != nil {
 		return &rpc.FetchReceipt{}, nil
 	}
-	return s.hand(c, s.ledger.Sheet(), isPacked)
+	return s.hand(c, s.ledger.Current(), isPacked)
 }
 
 // hand gives the whole of an epoch if there is a place.
-func (s *Server) hand(c *rpc.Call, sheet *controlplane.Sheet, isPacked bool) (any, error) {
+func (s *Server) hand(c *rpc.Call, sheet *controlplane.EpochState, isPacked bool) (any, error) {
 	began := time.Now()
 	later, isTaken := s.turns.take(began, s.r.Props.FlowFetches, s.r.Props.FlowCool)
 	if !isTaken {
--- a/internal/distribution/whole_test.go
+++ b/internal/distribution/whole_test.go
@@ -84,15 +84,15 @@
 }
 
 // sheets is a ledger's epochs: each body changes one group more.
-func sheets(t *testing.T, n int) (list []*controlplane.Sheet) {
-	ledger := controlplane.NewLedger()
+func sheets(t *testing.T, n int) (list []*controlplane.EpochState) {
+	ledger := controlplane.NewConfigState()
 	for epoch := ids.Epoch(1); epoch <= ids.Epoch(n); epoch++ {
 		body, _ := json.Marshal(rpc.Planned{Epoch: epoch, Put: map[string]json.RawMessage{
-			fmt.Sprint(controlplane.Routes, epoch): json.RawMessage(`[]`), controlplane.Limits: json.RawMessage(fmt.Sprintf(`[{"service":"s<%d>"}]`, epoch))}})
+			fmt.Sprint(controlplane.RoutesPrefix, epoch): json.RawMessage(`[]`), controlplane.LimitsGroup: json.RawMessage(fmt.Sprintf(`[{"service":"s<%d>"}]`, epoch))}})
 		if ledger.Apply(ids.Stamp(epoch), body) != true {
 			t.Fatal("not taken", epoch)
 		}
-		list = append(list, ledger.Sheet())
+		list = append(list, ledger.Current())
 	}
 	return list
 }
@@ -108,9 +108,9 @@
 	if &first[0] != &again[0] {
 		t.Error("a second asker's text is made anew")
 	}
-	kept := c.groups[controlplane.Routes+"1"].raw
+	kept := c.groups[controlplane.RoutesPrefix+"1"].raw
 	whole, _ := c.all(epochs[2], false)
-	if now := c.groups[controlplane.Routes+"1"].raw; &kept[0] != &now[0] {
+	if now := c.groups[controlplane.RoutesPrefix+"1"].raw; &kept[0] != &now[0] {
 		t.Error("a group that did not change is made anew")
 	}
 	plain := &rpc.FetchReceipt{Epoch: 3, Manifest: epochs[2].Manifest(), Groups: epochs[2].Groups}
--- a/internal/gatewayapi/guise_test.go
+++ b/internal/gatewayapi/guise_test.go
@@ -45,7 +45,7 @@
 		t.Fatal(diff)
 	}
 	change.Id = "x"
-	if _, paths := controlplane.Lay(rpc.Config{}, change); len(paths) > 0 {
+	if _, paths := controlplane.MergeChange(rpc.Config{}, change); len(paths) > 0 {
 		t.Fatal(paths)
 	}
 }
--- a/internal/node/calls.go
+++ b/internal/node/calls.go
@@ -21,11 +21,11 @@
 	n.beats.Add(1)
 	limited, end := context.WithTimeout(ctx, beatTime)
 	defer end()
-	if err := controlplane.CheckBeat(beat); err != nil {
+	if err := controlplane.ValidateHeartbeat(beat); err != nil {
 		n.R.Sign.Say(eventlog.BeatRefused, "service", beat.Service, "instance", beat.Instance, "cause", err.Error())
 		return "", err
 	}
-	if beat.State != controlplane.Serving {
+	if beat.State != controlplane.StateServing {
 		n.R.Sign.Say(eventlog.TargetGoing, "service", beat.Service, "instance", beat.Instance, "state", beat.State)
 	}
 	no := ids.PartOf(beat.Service)
@@ -68,8 +68,8 @@
 	if service == "" {
 		return errcode.New(errcode.UnknownService, "of instance %q", instance)
 	}
-	n.R.Sign.Say(eventlog.TargetGoing, "service", service, "instance", instance, "state", controlplane.Leaving)
-	beat := &rpc.Beat{Service: service, Instance: instance, Seq: lastSeq, Address: "0.0.0.0:0", State: controlplane.Leaving}
+	n.R.Sign.Say(eventlog.TargetGoing, "service", service, "instance", instance, "state", controlplane.StateLeaving)
+	beat := &rpc.Beat{Service: service, Instance: instance, Seq: lastSeq, Address: "0.0.0.0:0", State: controlplane.StateLeaving}
 	var done struct{}
 	return n.pass(limited, op{ids.PartOf(service), "beat", beat}, 0, &done)
 }
@@ -80,7 +80,7 @@
 // whose finds the service of an instance: here first, then at all core nodes.
 func (n *Node) whose(ctx context.Context, instance string) string {
 	if n.Roll != nil {
-		if service := n.Roll.Whose(instance); service != "" {
+		if service := n.Roll.ServiceOf(instance); service != "" {
 			return service
 		}
 	}
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -205,16 +205,16 @@
 		}
 	}
 	s.add(metrics.PartsOwned, float64(owned))
-	s.add(metrics.EpochFolded, float64(n.Ledger.Sheet().Epoch))
+	s.add(metrics.EpochFolded, float64(n.Ledger.Current().Epoch))
 	s.add(metrics.StoreSyncs, float64(n.Store.Syncs()))
 	s.add(metrics.StoreStalled, n.Store.Stalled().Seconds())
-	for at, count := range n.Roll.Count() {
-		s.add(metrics.Targets, float64(count), at.Service, at.State, at.Word)
+	for at, count := range n.Roll.TargetCounts() {
+		s.add(metrics.Targets, float64(count), at.Service, at.State, at.Reported)
 	}
 	if n.Consensus.Part(ids.Config).IsServing() {
-		v := n.Planner.Outlook()
-		s.add(metrics.PlannerParts, float64(v.Parts))
-		s.add(metrics.PlannerOldest, v.Oldest.Seconds())
-		s.add(metrics.PlannerClashes, float64(v.Clashes))
+		v := n.Planner.Stats()
+		s.add(metrics.PlannerParts, float64(v.Shards))
+		s.add(metrics.PlannerOldest, v.OldestReport.Seconds())
+		s.add(metrics.PlannerClashes, float64(v.Conflicts))
 	}
 }
--- a/internal/node/pass.go
+++ b/internal/node/pass.go
@@ -205,7 +205,7 @@
 		if err := read(&beat); err != nil {
 			return nil, err
 		}
-		return struct{}{}, n.Roll.Take(ctx, &beat)
+		return struct{}{}, n.Roll.HandleHeartbeat(ctx, &beat)
 	case "bond":
 		var call rpc.BondOp
 		if err := read(&call); err != nil {
@@ -223,11 +223,11 @@
 		if err := read(&id); err != nil {
 			return nil, err
 		}
-		return n.Planner.AskChange(ctx, id)
+		return n.Planner.ChangeStatus(ctx, id)
 	case "config":
 		return n.Planner.Config(ctx)
 	case "epoch":
-		return n.Planner.View(ctx)
+		return n.Planner.EpochView(ctx)
 	}
 	return nil, errcode.New(errcode.UnknownKind, "%q", name)
 }
--- a/internal/node/seat.go
+++ b/internal/node/seat.go
@@ -40,8 +40,8 @@
 	Consensus *consensus.Node
 	Books     []*coordination.Book
 	Desk      *coordination.Desk
-	Ledger    *controlplane.Ledger
-	Roll      *controlplane.Roll
+	Ledger    *controlplane.ConfigState
+	Roll      *controlplane.TargetRegistry
 	Planner   *controlplane.Planner
 	Flow      *distribution.Client
 	Gate      *proxy.Gate
@@ -110,7 +110,7 @@
 	if me.Core {
 		n.Consensus.Open()
 		n.Desk.Open()
-		n.Planner.Open()
+		n.Planner.Start()
 	}
 	if err := n.serveApi(); err != nil {
 		return nil, err
@@ -173,8 +173,8 @@
 		n.Books = append(n.Books, book)
 		machines = append(machines, book)
 	}
-	n.Ledger = controlplane.NewLedger()
-	n.Ledger.Told = func(sheet *controlplane.Sheet, planned *rpc.Planned) {
+	n.Ledger = controlplane.NewConfigState()
+	n.Ledger.OnCommit = func(sheet *controlplane.EpochState, planned *rpc.Planned) {
 		change := ""
 		if planned.Change != nil {
 			change = planned.Change.Id
@@ -187,7 +187,7 @@
 		return err
 	}
 	n.Desk = coordination.NewDesk(n.R, n.Consensus, n.Books)
-	n.Roll = controlplane.NewRoll(n.R, n.Consensus, n.Books, n.Ledger)
+	n.Roll = controlplane.NewTargetRegistry(n.R, n.Consensus, n.Books, n.Ledger)
 	n.Planner = controlplane.NewPlanner(n.R, n.Wire, n.Kin, n.Consensus, n.Ledger)
 	distribution.NewServer(n.R, n.Wire, n.Kin, n.Consensus, n.Ledger, n.Planner).HandleOwner()
 	n.Wire.Handle("plan.whose", func(c *rpc.Call) (any, error) {
@@ -195,19 +195,19 @@
 		if err := c.Read(&ask); err != nil {
 			return nil, err
 		}
-		return &rpc.WhoseReceipt{Service: n.Roll.Whose(ask.Instance)}, nil
+		return &rpc.WhoseReceipt{Service: n.Roll.ServiceOf(ask.Instance)}, nil
 	})
 	n.Wire.Handle("plan.stir", func(c *rpc.Call) (any, error) {
-		n.Planner.Kick()
+		n.Planner.Trigger()
 		return struct{}{}, nil
 	})
-	n.Roll.Stirred = n.stir
+	n.Roll.OnChange = n.stir
 	n.Wire.Handle("plan.news", func(c *rpc.Call) (any, error) {
 		var ask rpc.NewsAsk
 		if err := c.Read(&ask); err != nil {
 			return nil, err
 		}
-		return n.Roll.News(c, &ask), nil
+		return n.Roll.Report(c, &ask), nil
 	})
 	return nil
 }
@@ -286,7 +286,7 @@
 // stir tells the owner of the configuration part that there is news of targets.
 func (n *Node) stir() {
 	if n.Consensus.Part(ids.Config).IsServing() {
-		n.Planner.Kick()
+		n.Planner.Trigger()
 		return
 	}
 	if !n.isStirring.CompareAndSwap(false, true) {
--- a/internal/simulator/address_test.go
+++ b/internal/simulator/address_test.go
@@ -21,7 +21,7 @@
 			if owner == nil {
 				return false
 			}
-			for _, target := range owner.Node().Ledger.Sheet().Targets(service) {
+			for _, target := range owner.Node().Ledger.Current().Targets(service) {
 				if target.Instance == instance {
 					return true
 				}
--- a/internal/simulator/contact_test.go
+++ b/internal/simulator/contact_test.go
@@ -47,7 +47,7 @@
 func (f *Fleet) givesOut(t *testing.T, m *Machine) (kinds []string) {
 	t.Helper()
 	var some []string
-	for name := range m.Node().Ledger.Sheet().Manifest() {
+	for name := range m.Node().Ledger.Current().Manifest() {
 		some = append(some, name)
 	}
 	for kind, ask := range map[string]any{
--- a/internal/simulator/late_test.go
+++ b/internal/simulator/late_test.go
@@ -135,7 +135,7 @@
 func groupsAt(epoch ids.Epoch) (map[string]rpc.Group, map[string]rpc.Held) {
 	raw, _ := json.Marshal([]rpc.Service{{Name: fmt.Sprint("s", epoch)}})
 	group := rpc.Group{Digest: controlplane.Digest(raw), Stamp: ids.Stamp(epoch), Data: raw}
-	return map[string]rpc.Group{controlplane.Services: group}, map[string]rpc.Held{controlplane.Services: {Digest: group.Digest, Stamp: group.Stamp}}
+	return map[string]rpc.Group{controlplane.ServicesGroup: group}, map[string]rpc.Held{controlplane.ServicesGroup: {Digest: group.Digest, Stamp: group.Stamp}}
 }
 
 // handle answers a proxy by what the test says.
--- a/internal/simulator/repair_test.go
+++ b/internal/simulator/repair_test.go
@@ -56,8 +56,8 @@
 		}
 		c := follower(f, ids.Config)
 		routes := ""
-		for name := range c.Node().Ledger.Sheet().Groups {
-			if strings.HasPrefix(name, controlplane.Routes) {
+		for name := range c.Node().Ledger.Current().Groups {
+			if strings.HasPrefix(name, controlplane.RoutesPrefix) {
 				routes = name
 			}
 		}
@@ -67,7 +67,7 @@
 		isMended := func() bool {
 			record, ok := m.Node().Books[no].Get("key", "app/a")
 			_, isForged := m.Node().Books[no].Get("key", "app/forged")
-			return ok && !isForged && string(record.Value) == `"right"` && len(c.Node().Ledger.Sheet().Config().Mappings) == 2
+			return ok && !isForged && string(record.Value) == `"right"` && len(c.Node().Ledger.Current().Config().Mappings) == 2
 		}
 		if isMended() {
 			t.Fatal("nothing was spoilt")
--- a/internal/simulator/sleep_test.go
+++ b/internal/simulator/sleep_test.go
@@ -50,13 +50,13 @@
 				if owner == nil || !f.IsUsable() {
 					return false
 				}
-				pulse, err := owner.Node().Planner.Pulse()
+				pulse, err := owner.Node().Planner.Freshness()
 				return err == nil && pulse.Age < time.Second.Microseconds()
 			}) {
 				t.Fatal("the fleet did not come back")
 			}
 			f.W.Suspend(owner.IP, time.Minute)
-			pulse, err := owner.Node().Planner.Pulse()
+			pulse, err := owner.Node().Planner.Freshness()
 			if err == nil && pulse.Age < time.Minute.Microseconds() {
 				t.Errorf("it tells an age of %d us", pulse.Age)
 			}
