--- /dev/null
+++ b/internal/gatewayapi/gatewayapi.go
@@ -0,0 +1,162 @@
+// Package guise reads Kubernetes-style objects as configuration: HTTPRoutes of
+// the gateway API, by its own types, turned into the mappings and services of a
+// change set. What has no counterpart here is refused by its path, never passed
+// over.
+package gatewayapi
+
+import (
+	"bytes"
+	"fmt"
+	"sort"
+	"strings"
+	"time"
+
+	gateway "sigs.k8s.io/gateway-api/apis/v1"
+	"sigs.k8s.io/yaml"
+
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
+)
+
+// Annotations by which a route says what the gateway API has no word for.
+const (
+	RepeatableAnnotation = "sumactrestle/repeatable"
+	OnceAnnotation       = "sumactrestle/once"
+)
+
+type converter struct {
+	changeSet rpc.Change
+	services  map[string]bool
+	problems  []string
+}
+
+func (c *converter) reject(path, format string, args ...any) {
+	c.problems = append(c.problems, path+": "+fmt.Sprintf(format, args...))
+}
+
+// Read turns a file of objects into a change set without id and base.
+func Read(raw []byte) (*rpc.Change, error) {
+	c := &converter{services: map[string]bool{}}
+	for i, document := range bytes.Split(raw, []byte("\n---")) {
+		document = bytes.TrimPrefix(bytes.TrimSpace(document), []byte("---"))
+		if len(bytes.TrimSpace(document)) > 0 {
+			c.convertObject(fmt.Sprintf("objects.%d", i), document)
+		}
+	}
+	for name := range c.services {
+		c.changeSet.Put.Services = append(c.changeSet.Put.Services, rpc.Service{Name: name})
+	}
+	sort.Slice(c.changeSet.Put.Services, func(i, j int) bool { return c.changeSet.Put.Services[i].Name < c.changeSet.Put.Services[j].Name })
+	if len(c.changeSet.Put.Mappings) == 0 && len(c.problems) == 0 {
+		c.reject("objects", "there is none")
+	}
+	if len(c.problems) > 0 {
+		return nil, errcode.At(errcode.BadChange, c.problems)
+	}
+	return &c.changeSet, nil
+}
+
+func (c *converter) convertObject(path string, document []byte) {
+	var route gateway.HTTPRoute
+	if err := yaml.UnmarshalStrict(document, &route); err != nil {
+		c.reject(path, "%v", err)
+		return
+	}
+	if route.Kind != "HTTPRoute" || route.APIVersion != gateway.GroupVersion.String() {
+		c.reject(path+".kind", "%s %s is not taken; HTTPRoute %s is", route.APIVersion, route.Kind, gateway.GroupVersion)
+		return
+	}
+	if route.Name == "" {
+		c.reject(path+".metadata.name", "is missing")
+	}
+	hosts := route.Spec.Hostnames
+	if len(hosts) == 0 {
+		hosts = []gateway.Hostname{""}
+	}
+	for i, host := range hosts {
+		if strings.Contains(string(host), "*") {
+			c.reject(fmt.Sprintf("%s.spec.hostnames.%d", path, i), "wildcards are not taken")
+		}
+	}
+	for i, rule := range route.Spec.Rules {
+		c.convertRule(fmt.Sprintf("%s.spec.rules.%d", path, i), &route, i, rule, hosts)
+	}
+}
+
+func (c *converter) convertRule(path string, route *gateway.HTTPRoute, index int, rule gateway.HTTPRouteRule, hosts []gateway.Hostname) {
+	if len(rule.Filters) > 0 {
+		c.reject(path+".filters", "are not taken")
+	}
+	if rule.Retry != nil {
+		c.reject(path+".retry", "is not taken; the annotation %s is", RepeatableAnnotation)
+	}
+	if rule.SessionPersistence != nil {
+		c.reject(path+".sessionPersistence", "is not taken")
+	}
+	base := rpc.Mapping{Repeatable: route.Annotations[RepeatableAnnotation] == "true"}
+	if value, ok := route.Annotations[OnceAnnotation]; ok {
+		once := value == "true"
+		base.Once = &once
+	}
+	if rule.Timeouts != nil {
+		if rule.Timeouts.BackendRequest != nil {
+			c.reject(path+".timeouts.backendRequest", "is not taken; request is")
+		}
+		if rule.Timeouts.Request != nil {
+			timeout, err := time.ParseDuration(string(*rule.Timeouts.Request))
+			if err != nil {
+				c.reject(path+".timeouts.request", "%v", err)
+			}
+			base.Deadline = timeout.Milliseconds()
+		}
+	}
+	for i, ref := range rule.BackendRefs {
+		refPath := fmt.Sprintf("%s.backendRefs.%d", path, i)
+		if len(ref.Filters) > 0 || ref.Namespace != nil || ref.Kind != nil && *ref.Kind != "Service" {
+			c.reject(refPath, "only a Service of the same space, without filters, is taken")
+		}
+		weight := 1
+		if ref.Weight != nil {
+			weight = int(*ref.Weight)
+		}
+		base.To = append(base.To, rpc.Split{Service: string(ref.Name), Weight: weight})
+		c.services[string(ref.Name)] = true
+	}
+	matches := rule.Matches
+	if len(matches) == 0 {
+		matches = []gateway.HTTPRouteMatch{{}}
+	}
+	for i, match := range matches {
+		c.convertMatch(fmt.Sprintf("%s.matches.%d", path, i), fmt.Sprintf("%s/%s/%d/%d", route.Namespace, route.Name, index, i), base, match, hosts)
+	}
+}
+
+func (c *converter) convertMatch(path, name string, route rpc.Mapping, match gateway.HTTPRouteMatch, hosts []gateway.Hostname) {
+	if len(match.Headers) > 0 {
+		c.reject(path+".headers", "are not taken")
+	}
+	if len(match.QueryParams) > 0 {
+		c.reject(path+".queryParams", "are not taken")
+	}
+	route.Path = "/"
+	if match.Path != nil {
+		if match.Path.Type != nil && *match.Path.Type != gateway.PathMatchPathPrefix {
+			c.reject(path+".path.type", "%s is not taken; PathPrefix is", *match.Path.Type)
+		}
+		if match.Path.Value != nil {
+			route.Path = *match.Path.Value
+		}
+	}
+	if match.Method != nil {
+		route.Methods = []string{string(*match.Method)}
+	}
+	for i, host := range hosts {
+		hostRoute := route
+		hostRoute.Name = strings.TrimPrefix(name, "/")
+		if len(hosts) > 1 {
+			hostRoute.Name += fmt.Sprint("/", i)
+		}
+		hostRoute.Host = string(host)
+		c.changeSet.Put.Mappings = append(c.changeSet.Put.Mappings, hostRoute)
+	}
+}
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -152,11 +152,11 @@
 
 func (s sheet) gate() {
 	g := s.n.Gate
-	s.add(metrics.GateInflight, float64(g.Inflight()))
-	s.add(metrics.GatePipes, float64(g.Pipes()))
+	s.add(metrics.GateInflight, float64(g.InFlight()))
+	s.add(metrics.GatePipes, float64(g.IdleConnections()))
 	s.add(metrics.GateFailed, float64(s.n.R.Sign.Counts()[eventlog.TryFailed.Name]))
 	answers := map[metrics.Outcome]int64{metrics.Ran: 0, metrics.NotRun: 0, metrics.Unknown: 0}
-	g.Outcome(func(name string, count int64) {
+	g.VisitOutcomes(func(name string, count int64) {
 		code, isCode := s.codes[name]
 		if !isCode {
 			answers[metrics.Ran] += count
@@ -168,12 +168,12 @@
 	for outcome, count := range answers {
 		s.add(metrics.GateAnswers, float64(count), outcome.String())
 	}
-	for _, p := range g.Posts() {
-		s.add(metrics.GatePosts, float64(p.In), p.Service, "in")
-		s.add(metrics.GatePosts, float64(p.Out), p.Service, "out")
+	for _, p := range g.EndpointCounts() {
+		s.add(metrics.GatePosts, float64(p.Available), p.Service, "in")
+		s.add(metrics.GatePosts, float64(p.Ejected), p.Service, "out")
 		s.add(metrics.GatePosts, float64(p.Barred), p.Service, "barred")
 	}
-	g.Budgets(func(service string, tries, debt float64) {
+	g.VisitRetryBudgets(func(service string, tries, debt float64) {
 		s.add(metrics.BudgetTries, tries, service)
 		s.add(metrics.BudgetDebt, debt, service)
 	})
--- a/internal/node/seat.go
+++ b/internal/node/seat.go
@@ -44,7 +44,7 @@
 	Roll      *controlplane.TargetRegistry
 	Planner   *controlplane.Planner
 	Flow      *distribution.Client
-	Gate      *proxy.Gate
+	Gate      *proxy.Proxy
 
 	mu      sync.Mutex
 	servers []*http.Server
@@ -262,7 +262,7 @@
 		n.Consensus.HandOver(ctx)
 	}
 	if n.Gate != nil {
-		n.Gate.Linger()
+		n.Gate.Drain()
 		n.R.Pause(n.R.Props.GateLinger)
 		n.Gate.Stop()
 	}
--- a/internal/node/show.go
+++ b/internal/node/show.go
@@ -73,11 +73,11 @@
 			add("event "+name, count)
 		}
 		if n.Gate != nil {
-			n.Gate.Outcomes.Range(func(name, count any) bool {
+			n.Gate.OutcomeCounts.Range(func(name, count any) bool {
 				add("outcome "+name.(string), count.(*atomic.Int64).Load())
 				return true
 			})
-			add("requests under way", n.Gate.Inflight())
+			add("requests under way", n.Gate.InFlight())
 		}
 		if n.Store != nil {
 			add("syncs", n.Store.Syncs())
--- a/internal/proxy/lane_test.go
+++ b/internal/proxy/admission_test.go
@@ -17,7 +17,7 @@
 )
 
 func TestLargeBodiesTakeTheLaneInTurn(t *testing.T) {
-	l, now := newLane(100, 1), time.Now()
+	l, now := NewUploads(100, 1), time.Now()
 	late := now.Add(time.Hour)
 	reserve := func(at time.Time, size int64) time.Duration {
 		got, ok := l.reserve(at, size, late)
@@ -44,22 +44,22 @@
 	if d := reserve(now.Add(2*time.Second), 50_000); d != 0 {
 		t.Error("an empty lane holds one up", d)
 	}
-	end, ok := l.begin(50_000, now.Add(time.Hour))
+	end, ok := l.BeginRead(50_000, now.Add(time.Hour))
 	if !ok {
 		t.Fatal("the first is not read")
 	}
-	if _, ok := l.begin(50_000, now); ok {
+	if _, ok := l.BeginRead(50_000, now); ok {
 		t.Error("a second is read beside the first")
 	}
-	if _, ok := l.begin(400, now); !ok {
+	if _, ok := l.BeginRead(400, now); !ok {
 		t.Error("a small one is not read")
 	}
 	end()
-	if _, ok := l.begin(-1, now.Add(time.Hour)); !ok {
+	if _, ok := l.BeginRead(-1, now.Add(time.Hour)); !ok {
 		t.Error("the place was not given back")
 	}
-	free := newLane(0, 0)
-	if _, ok := free.begin(1<<20, now); !ok {
+	free := NewUploads(0, 0)
+	if _, ok := free.BeginRead(1<<20, now); !ok {
 		t.Error("a lane without bounds bounds")
 	}
 	if at, ok := free.reserve(now, 1<<20, now); !ok || at != now {
@@ -93,10 +93,10 @@
 // body, and its body is left unread.
 func TestARefusedUploadIsLeftUnread(t *testing.T) {
 	r := environment.New(t.Context(), &config.Props{GateReturn: time.Second}, eventlog.New(io.Discard, "info", "n"), environment.Net{})
-	g := &Gate{r: r, lane: newLane(100, 1)}
+	g := &Proxy{environment: r, uploads: NewUploads(100, 1)}
 	n := &atomic.Int64{}
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		g.refuse(w, q, nil, errcode.New(errcode.Overload, "no place"))
+		g.reject(w, q, nil, errcode.New(errcode.Overload, "no place"))
 	}))
 	server.Listener = countingListener{server.Listener, n}
 	server.Start()
--- a/internal/proxy/budget.go
+++ b/internal/proxy/budget.go
@@ -14,203 +14,203 @@
 	"time"
 )
 
-const debtMax = -200
+const minTokens = -200
 
-// bucket is one service's: the tries it holds, and the orders lost without all
+// tokenBucket is one service's: the tries it holds, and the orders lost without all
 // other proxies' having heard of it, of which some still may.
-type bucket struct {
-	tries  float64
-	unsaid float64
-	debt   float64
-	at     time.Time
+type tokenBucket struct {
+	tokens     float64
+	unreported float64
+	debt       float64
+	refilledAt time.Time
 }
 
-// Bounds is what a service may have: a percentage of its traffic, and a base
+// Limits is what a service may have: a percentage of its traffic, and a base
 // for the whole fleet in a window.
-type Bounds struct{ Percent, Base int }
+type Limits struct{ Percent, Base int }
 
 // Budget counts for all services of one proxy.
 type Budget struct {
-	window   time.Duration
-	mu       sync.Mutex
-	services map[string]*bucket
-	keys     map[uint64]seenKey
-	swept    time.Time
-	fleets   []fleetSize
+	window      time.Duration
+	mu          sync.Mutex
+	services    map[string]*tokenBucket
+	keys        map[uint64]keyRecord
+	expiredAt   time.Time
+	proxyCounts []proxyCount
 }
 
-// seenKey is a caller's key that was handed over; its service is set as long as
+// keyRecord is a caller's key that was handed over; its service is set as long as
 // it counts here as a first request.
-type seenKey struct {
-	at      time.Time
-	service string
-	isTold  bool
+type keyRecord struct {
+	seenAt   time.Time
+	service  string
+	reported bool
 }
 
-// fleetSize is how many proxies there were until a moment; zero is until now.
-type fleetSize struct {
-	n     int
+// proxyCount is how many proxies there were until a moment; zero is until now.
+type proxyCount struct {
+	count int
 	until time.Time
 }
 
 // NewBudget counts over windows of that length.
 func NewBudget(window time.Duration) *Budget {
-	return &Budget{window: window, services: map[string]*bucket{}, keys: map[uint64]seenKey{}}
+	return &Budget{window: window, services: map[string]*tokenBucket{}, keys: map[uint64]keyRecord{}}
 }
 
-// Fleet notes how many proxies there are. For the length of the window the part
+// SetProxyCount notes how many proxies there are. For the length of the window the part
 // of the sixty is that of the largest fleet, for one that is gone may have used
 // its part.
-func (b *Budget) Fleet(n int) {
+func (b *Budget) SetProxyCount(count int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
-	var kept []fleetSize
-	for _, f := range b.fleets {
-		if f.until.IsZero() {
-			f.until = now
+	var kept []proxyCount
+	for _, past := range b.proxyCounts {
+		if past.until.IsZero() {
+			past.until = now
 		}
-		if now.Sub(f.until) <= b.window {
-			kept = append(kept, f)
+		if now.Sub(past.until) <= b.window {
+			kept = append(kept, past)
 		}
 	}
-	b.fleets = append(kept, fleetSize{n: n})
+	b.proxyCounts = append(kept, proxyCount{count: count})
 }
 
-func (b *Budget) proxies() int {
-	most := 1
-	for _, f := range b.fleets {
-		if f.until.IsZero() || time.Since(f.until) <= b.window {
-			most = max(most, f.n)
+func (b *Budget) maxProxyCount() int {
+	largest := 1
+	for _, past := range b.proxyCounts {
+		if past.until.IsZero() || time.Since(past.until) <= b.window {
+			largest = max(largest, past.count)
 		}
 	}
-	return most
+	return largest
 }
 
-// of is the service's bucket, filled up to now.
-func (b *Budget) of(service string, bounds Bounds) *bucket {
+// refill is the service's bucket, filled up to now.
+func (b *Budget) refill(service string, limits Limits) *tokenBucket {
 	now := time.Now()
-	l := b.services[service]
-	if l == nil {
-		l = &bucket{at: now}
-		b.services[service] = l
+	bucket := b.services[service]
+	if bucket == nil {
+		bucket = &tokenBucket{refilledAt: now}
+		b.services[service] = bucket
 	}
-	part := float64(bounds.Base) / 2 / float64(b.proxies())
-	if l.tries < part {
-		l.tries = min(l.tries+part*now.Sub(l.at).Seconds()/b.window.Seconds(), part)
+	share := float64(limits.Base) / 2 / float64(b.maxProxyCount())
+	if bucket.tokens < share {
+		bucket.tokens = min(bucket.tokens+share*now.Sub(bucket.refilledAt).Seconds()/b.window.Seconds(), share)
 	}
-	l.at = now
-	if paid := min(l.debt, max(0, l.tries)); paid > 0 {
-		l.debt -= paid
-		l.tries -= paid
+	bucket.refilledAt = now
+	if paid := min(bucket.debt, max(0, bucket.tokens)); paid > 0 {
+		bucket.debt -= paid
+		bucket.tokens -= paid
 	}
-	return l
+	return bucket
 }
 
-// Extra takes one extra try out of the budget, or says no.
-func (b *Budget) Extra(service string, bounds Bounds) bool {
+// Withdraw takes one extra try out of the budget, or says no.
+func (b *Budget) Withdraw(service string, limits Limits) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	l := b.of(service, bounds)
-	if l.tries < 1 {
+	bucket := b.refill(service, limits)
+	if bucket.tokens < 1 {
 		return false
 	}
-	l.tries--
+	bucket.tokens--
 	return true
 }
 
-// Seen remembers that a request under this key is handed over, as a first one
+// RecordRequest remembers that a request under this key is handed over, as a first one
 // of the service or as a repeat.
-func (b *Budget) Seen(service string, bounds Bounds, key uint64, isRepeat bool) {
+func (b *Budget) RecordRequest(service string, limits Limits, key uint64, retry bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if !isRepeat {
-		l := b.of(service, bounds)
-		l.tries = min(l.tries+float64(bounds.Percent)/100, max(1, float64(bounds.Base)/2/float64(b.proxies())))
+	if !retry {
+		bucket := b.refill(service, limits)
+		bucket.tokens = min(bucket.tokens+float64(limits.Percent)/100, max(1, float64(limits.Base)/2/float64(b.maxProxyCount())))
 	}
 	if key == 0 {
 		return
 	}
-	old := b.keys[key]
-	old.at = time.Now()
-	if !isRepeat {
-		old.service = service
+	record := b.keys[key]
+	record.seenAt = time.Now()
+	if !retry {
+		record.service = service
 	}
-	b.keys[key] = old
-	b.sweep()
+	b.keys[key] = record
+	b.expireKeys()
 }
 
-func (b *Budget) sweep() {
+func (b *Budget) expireKeys() {
 	now := time.Now()
-	if now.Sub(b.swept) < b.window {
+	if now.Sub(b.expiredAt) < b.window {
 		return
 	}
-	b.swept = now
-	for k, seen := range b.keys {
-		if now.Sub(seen.at) > 3*b.window {
-			delete(b.keys, k)
+	b.expiredAt = now
+	for key, record := range b.keys {
+		if now.Sub(record.seenAt) > 3*b.window {
+			delete(b.keys, key)
 		}
 	}
 }
 
-// Lose notes an order that got no answer; until all proxies have heard of it,
+// RecordLoss notes an order that got no answer; until all proxies have heard of it,
 // its repeat may come to one that takes it for a first request.
-func (b *Budget) Lose(service string) {
+func (b *Budget) RecordLoss(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if l := b.services[service]; l != nil {
-		l.unsaid++
+	if bucket := b.services[service]; bucket != nil {
+		bucket.unreported++
 	}
 }
 
-// Told marks keys as ones that the other proxies were told of. Those that not
+// RecordReported marks keys as ones that the other proxies were told of. Those that not
 // all have heard of are a debt, paid before any extra try is.
-func (b *Budget) Told(keys []uint64, services map[string]int, isHeard bool) {
+func (b *Budget) RecordReported(keys []uint64, services map[string]int, complete bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, key := range keys {
-		if seen, ok := b.keys[key]; ok {
-			seen.isTold = true
-			b.keys[key] = seen
+		if record, ok := b.keys[key]; ok {
+			record.reported = true
+			b.keys[key] = record
 		}
 	}
-	for service, n := range services {
-		l := b.services[service]
-		if l == nil {
+	for service, losses := range services {
+		bucket := b.services[service]
+		if bucket == nil {
 			continue
 		}
-		l.unsaid -= float64(n)
-		if !isHeard {
-			l.debt = min(l.debt+float64(n), -debtMax)
+		bucket.unreported -= float64(losses)
+		if !complete {
+			bucket.debt = min(bucket.debt+float64(losses), -minTokens)
 		}
 	}
 }
 
-// MayLose tells whether the bucket could pay for the repeats of all orders that
+// CoversLosses tells whether the bucket could pay for the repeats of all orders that
 // were lost unsaid. If not, no order with a key is handed over for a moment, for
 // its loss might not be told either.
-func (b *Budget) MayLose(service string, bounds Bounds) bool {
+func (b *Budget) CoversLosses(service string, limits Limits) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	l := b.of(service, bounds)
-	return l.unsaid+l.debt <= max(0, l.tries)+1+float64(bounds.Base)/8/float64(b.proxies())
+	bucket := b.refill(service, limits)
+	return bucket.unreported+bucket.debt <= max(0, bucket.tokens)+1+float64(limits.Base)/8/float64(b.maxProxyCount())
 }
 
-// Heard takes keys that another proxy tells of. One that was taken for a first
+// RecordPeerLosses takes keys that another proxy tells of. One that was taken for a first
 // request here, because the repeat was faster than the word of it, is counted
 // as the extra try that it was.
-func (b *Budget) Heard(keys []uint64) {
+func (b *Budget) RecordPeerLosses(keys []uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, key := range keys {
-		seen := b.keys[key]
-		if seen.service != "" && !seen.isTold {
-			if l := b.services[seen.service]; l != nil {
-				l.tries = max(l.tries-1, debtMax)
+		record := b.keys[key]
+		if record.service != "" && !record.reported {
+			if bucket := b.services[record.service]; bucket != nil {
+				bucket.tokens = max(bucket.tokens-1, minTokens)
 			}
 		}
-		seen.at, seen.service = time.Now(), ""
-		b.keys[key] = seen
+		record.seenAt, record.service = time.Now(), ""
+		b.keys[key] = record
 	}
-	b.sweep()
+	b.expireKeys()
 }
--- a/internal/proxy/endings_test.go
+++ b/internal/proxy/connection_test.go
@@ -106,27 +106,27 @@
 const bodySize = 300 << 10
 
 // exchange sends one request on a pipe, as a try does.
-func exchange(p *pipe, id string) (string, error) {
+func exchange(p *Connection, id string) (string, error) {
 	request, _ := http.NewRequest(http.MethodPost, "http://t/", bytes.NewReader(make([]byte, bodySize)))
 	request.Header.Set(namedBy, id)
-	out, ok := p.take(request, 1<<20)
+	out, ok := p.Begin(request, 1<<20)
 	if !ok {
 		return "", errors.New("the pipe is dead")
 	}
-	p.conn.SetDeadline(time.Now().Add(5 * time.Second))
-	err := request.Write(p.conn)
+	p.Conn.SetDeadline(time.Now().Add(5 * time.Second))
+	err := request.Write(p.Conn)
 	if err == nil {
-		p.written()
+		p.RequestWritten()
 	}
 	select {
 	case got := <-out:
-		if got.err != nil {
-			return "", got.err
+		if got.Err != nil {
+			return "", got.Err
 		}
-		if got.response.Header.Get(namedBy) != id {
-			return "", fmt.Errorf("the answer to %s", got.response.Header.Get(namedBy))
+		if got.HTTP.Header.Get(namedBy) != id {
+			return "", fmt.Errorf("the answer to %s", got.HTTP.Header.Get(namedBy))
 		}
-		return string(got.body), nil
+		return string(got.Body), nil
 	case <-time.After(6 * time.Second):
 		return "", fmt.Errorf("no answer; writing came to %v", err)
 	}
@@ -137,8 +137,8 @@
 		t.Run(e.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				near, far := net.Pipe()
-				p := &pipe{conn: near, keep: time.Minute, names: namedBy}
-				go p.run()
+				p := &Connection{Conn: near, idleTimeout: time.Minute, correlationHeader: namedBy}
+				go p.readLoop()
 				runs := make(chan string, 9)
 				go func() {
 					in := bufio.NewReader(far)
@@ -164,14 +164,14 @@
 					t.Errorf("the answer was held back for %s", took)
 				}
 				synctest.Wait()
-				if p.isIdle() != e.isKept {
-					t.Errorf("the connection is kept: %v", p.isIdle())
+				if p.IsIdle() != e.isKept {
+					t.Errorf("the connection is kept: %v", p.IsIdle())
 				}
 				next, err := exchange(p, "two")
 				if (err == nil) != e.isKept || e.isKept && next != "next" {
 					t.Errorf("the next request got %q, %v", next, err)
 				}
-				p.kill()
+				p.Abort()
 				far.Close()
 				n := 0
 				for id := range runs {
--- a/internal/proxy/sick_test.go
+++ b/internal/proxy/outlier_test.go
@@ -13,19 +13,19 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-func crewOf(n int) (*Gate, *crew) {
-	g := &Gate{r: &environment.Realm{Props: &config.Props{Zone: "a", GateSpill: 30}}}
+func crewOf(n int) (*Proxy, *Pool) {
+	g := &Proxy{environment: &environment.Realm{Props: &config.Props{Zone: "a", GateSpill: 30}}}
 	var list []rpc.Target
 	for i := range n {
 		list = append(list, rpc.Target{Instance: fmt.Sprint("t", i), Address: fmt.Sprint("10.0.0.", i), Zone: "a", Weight: 100, Slots: 2})
 	}
-	return g, g.newCrew("s", list, nil, time.Now())
+	return g, g.newPool("s", list, nil, time.Now())
 }
 
 // sentTo counts how many of so many requests go to the post.
-func sentTo(g *Gate, c *crew, p *post, n int) (sent int) {
+func sentTo(g *Proxy, c *Pool, p *Endpoint, n int) (sent int) {
 	for range n {
-		if g.assign(&course{crew: c, aim: time.Second, sharers: 1}, 0) == p {
+		if g.selectEndpoint(&requestPlan{endpoints: c, latencyTarget: time.Second, zoneProxies: 1}, 0) == p {
 			sent++
 		}
 	}
@@ -35,13 +35,13 @@
 func TestATargetThatFailsIsOutAndComesBackSlowly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, c := crewOf(10)
-		ill := c.posts[3]
-		ill.sicken(time.Now(), 1)
+		ill := c.Endpoints[3]
+		ill.AddToFailureScore(time.Now(), 1)
 		time.Sleep(100 * time.Millisecond)
 		if sentTo(g, c, ill, 1000) == 0 {
 			t.Error("out after one failure")
 		}
-		ill.sicken(time.Now(), 4)
+		ill.AddToFailureScore(time.Now(), 4)
 		time.Sleep(100 * time.Millisecond)
 		if n := sentTo(g, c, ill, 1000); n > 0 {
 			t.Errorf("%d of 1000 requests went to it", n)
@@ -57,11 +57,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		for _, ill := range []int{10, 5} {
 			g, c := crewOf(10)
-			for _, p := range c.posts[:ill] {
-				p.sicken(time.Now(), illMost)
+			for _, p := range c.Endpoints[:ill] {
+				p.AddToFailureScore(time.Now(), maxScore)
 			}
 			time.Sleep(100 * time.Millisecond)
-			if n := sentTo(g, c, c.posts[0], 1000); n < 50 {
+			if n := sentTo(g, c, c.Endpoints[0], 1000); n < 50 {
 				t.Errorf("%d of 10 fail, and one of them got %d of 1000 requests", ill, n)
 			}
 		}
@@ -71,14 +71,14 @@
 func TestAFailureIsNoQuickAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, c := crewOf(10)
-		for _, p := range c.posts {
-			p.answered(time.Now(), 100*time.Millisecond, true, true, "")
+		for _, p := range c.Endpoints {
+			p.RecordResponse(time.Now(), 100*time.Millisecond, true, true, "")
 		}
-		c.learn(100 * time.Millisecond)
+		c.RecordLatency(100 * time.Millisecond)
 		for range 20 {
-			c.posts[3].answered(time.Now(), time.Millisecond, false, false, "")
+			c.Endpoints[3].RecordResponse(time.Now(), time.Millisecond, false, false, "")
 		}
-		if n := sentTo(g, c, c.posts[3], 1000); n > 300 {
+		if n := sentTo(g, c, c.Endpoints[3], 1000); n > 300 {
 			t.Errorf("%d of 1000 requests went to a target that failed fast", n)
 		}
 	})
@@ -87,21 +87,21 @@
 func TestAServiceThatIsSlowAsAWholeIsNotCalm(t *testing.T) {
 	_, c := crewOf(3)
 	for range 200 {
-		c.learn(100 * time.Millisecond)
+		c.RecordLatency(100 * time.Millisecond)
 	}
-	if !c.isCalm() {
+	if !c.NearBaseline() {
 		t.Error("not calm, though nothing ever took longer")
 	}
 	for range 100 {
-		c.learn(300 * time.Millisecond)
+		c.RecordLatency(300 * time.Millisecond)
 	}
-	if c.isCalm() {
+	if c.NearBaseline() {
 		t.Error("calm, though all takes three times as long")
 	}
 	for range 200 {
-		c.learn(100 * time.Millisecond)
+		c.RecordLatency(100 * time.Millisecond)
 	}
-	if !c.isCalm() {
+	if !c.NearBaseline() {
 		t.Error("not calm after it")
 	}
 }
--- a/internal/proxy/pipe_test.go
+++ b/internal/proxy/pool_test.go
@@ -21,23 +21,23 @@
 			return near, nil
 		}})
 		defer r.End()
-		o := newPool(r)
-		defer o.prune(func(string) bool { return false })
+		o := NewConnectionPool(r)
+		defer o.Prune(func(string) bool { return false })
 		// use takes a pipe, and leaves it idle for a while.
-		use := func(rest time.Duration) *pipe {
-			p, err := o.get(r, "s", "t", time.Second)
+		use := func(rest time.Duration) *Connection {
+			p, err := o.Get(r, "s", "t", time.Second)
 			if err != nil {
 				t.Fatal(err)
 			}
-			o.put("s", p)
+			o.Put("s", p)
 			time.Sleep(rest)
 			return p
 		}
 		use(time.Second)
-		if p := use(time.Second); dials != 1 || p.idled != time.Second {
-			t.Fatalf("%d dials; idled for %s", dials, p.idled)
+		if p := use(time.Second); dials != 1 || p.IdledFor != time.Second {
+			t.Fatalf("%d dials; idled for %s", dials, p.IdledFor)
 		}
-		o.forgotten(time.Second, time.Now())
+		o.RecordStale(time.Second, time.Now())
 		use(200 * time.Millisecond)
 		if dials != 2 {
 			t.Error("a pipe that idled as long as one that was forgotten was used")
@@ -45,7 +45,7 @@
 		if use(time.Second); dials != 2 {
 			t.Error("a pipe that idled for a moment was not used")
 		}
-		time.Sleep(briefFor)
+		time.Sleep(idleLimitDuration)
 		if use(time.Second); dials != 2 {
 			t.Error("long after, pipes still may not idle")
 		}
--- /dev/null
+++ b/internal/proxy/proxy.go
@@ -0,0 +1,390 @@
+// The Gate takes callers' requests, plans each and carries the plan out. What
+// can't be done is answered at once, with a numbered code, the outcome as far
+// as it is known, and a spread Retry-After; nothing is ever held back.
+package proxy
+
+import (
+	"context"
+	"encoding/json"
+	"math/rand/v2"
+	"net/http"
+	"strconv"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/sumactrestle/sumactrestle/internal/distribution"
+	"github.com/sumactrestle/sumactrestle/internal/environment"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
+	"github.com/sumactrestle/sumactrestle/internal/eventlog"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
+	"github.com/sumactrestle/sumactrestle/internal/membership"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
+)
+
+const (
+	maxReplayableBody = 64 << 10
+
+	// staleRetryAfterFactor is how much later than for room a caller is asked to come back for
+	// a plan.
+	staleRetryAfterFactor = 5
+
+	// defaultMaxAttempts is how many targets one request is sent to, if its mapping names
+	// no number.
+	defaultMaxAttempts = 4
+)
+
+// Proxy is one proxy's.
+type Proxy struct {
+	environment       *environment.Realm
+	configuration     *distribution.Client
+	current           atomic.Pointer[epochView]
+	connections       *ConnectionPool
+	retryBudget       *Budget
+	orders            *Tracker
+	inFlightByService sync.Map
+	uploads           *Uploads
+	opaqueSeals       bool // answers bear an opaque seal, and nothing of ours is added
+	inFlight          atomic.Int64
+	stopping          atomic.Bool
+	// draining is set while a stopping proxy still serves whoever comes.
+	draining      atomic.Bool
+	orderReports  *orderReporter
+	outliers      *outlierReporter
+	membership    *membership.Kin
+	rpc           *rpc.Wire
+	unwritten     chan orderOutcome
+	coordinate    func(context.Context, *rpc.BondOp) (*rpc.BondReceipt, error)
+	OutcomeCounts sync.Map
+}
+
+func New(env *environment.Realm, configuration *distribution.Client, rpcClient *rpc.Wire, membership *membership.Kin, coordinate func(context.Context, *rpc.BondOp) (*rpc.BondReceipt, error)) *Proxy {
+	p := &Proxy{environment: env, configuration: configuration, connections: NewConnectionPool(env), retryBudget: NewBudget(env.Props.ExtraWindow), uploads: NewUploads(env.Props.GateRate, env.Props.GateBodies), opaqueSeals: env.Props.GateSeal == "opaque", orders: NewTracker(), membership: membership, rpc: rpcClient, coordinate: coordinate, unwritten: make(chan orderOutcome, 4096)}
+	env.Go(p.writeOutcomes)
+	p.orderReports = newOrderReporter(env, rpcClient, membership, p.retryBudget, p.orders, configuration.Cache.Chart)
+	p.outliers = newOutlierReporter(p)
+	configuration.Cache.Subscribe(func(snapshot *distribution.Chart) {
+		next := p.newEpochView(snapshot, p.current.Load())
+		p.current.Store(next)
+		p.retryBudget.SetProxyCount(len(snapshot.Shares))
+		p.connections.Prune(func(at string) bool { return next.addresses[at] })
+	})
+	return p
+}
+
+// Drain serves on, and has every connection closed after its next answer.
+func (p *Proxy) Drain() { p.draining.Store(true) }
+
+// Stop refuses what comes from now on.
+func (p *Proxy) Stop() { p.stopping.Store(true) }
+
+// Close ends the idle pipes.
+func (p *Proxy) Close() { p.connections.Prune(func(string) bool { return false }) }
+
+// InFlight is how many requests are under way.
+func (p *Proxy) InFlight() int64 { return p.inFlight.Load() }
+
+func (p *Proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	started, inFlight := time.Now(), p.inFlight.Add(1)
+	defer p.inFlight.Add(-1)
+	requestID := ""
+	if p.environment.Props.GateIds == "caller" {
+		requestID = r.Header.Get(p.environment.Props.HeaderRequest)
+	} else {
+		requestID = ids.NewID()
+	}
+	if requestID != "" {
+		w.Header().Set(p.environment.Props.HeaderRequest, requestID)
+	}
+	if p.draining.Load() {
+		w.Header().Set("Connection", "close")
+	}
+	plan, response, err := p.handle(w, r, requestID, inFlight)
+	if err != nil {
+		p.reject(w, r, plan, err)
+	} else {
+		p.writeResponse(w, plan, response)
+	}
+	p.recordDuration(plan, started, err)
+}
+
+// handle plans a request, asks for what it needs, and carries it out.
+func (p *Proxy) handle(w http.ResponseWriter, r *http.Request, requestID string, inFlight int64) (*requestPlan, *Response, error) {
+	if p.stopping.Load() {
+		w.Header().Set("Connection", "close")
+		return nil, nil, errcode.New(errcode.Stopping, "")
+	}
+	if inFlight > int64(p.environment.Props.GateInflight) {
+		return nil, nil, errcode.New(errcode.Overload, "%d requests are under way", inFlight-1)
+	}
+	if r.ContentLength > int64(p.environment.Props.GateRequest) {
+		return nil, nil, errcode.New(errcode.RequestTooLarge, "%d bytes", r.ContentLength)
+	}
+	plan, err := p.plan(r, requestID)
+	if plan != nil && !p.opaqueSeals {
+		w.Header().Set(HeaderEpoch, strconv.FormatUint(uint64(plan.snapshot.Epoch), 10))
+	}
+	if err != nil {
+		return plan, nil, err
+	}
+	release, err := p.admit(plan)
+	if err != nil {
+		return plan, nil, err
+	}
+	defer release()
+	if err := p.acquireRecord(plan); err != nil {
+		p.orders.End(plan.orderKey, attemptState(err))
+		return plan, nil, err
+	}
+	response, err := p.forward(plan, r)
+	p.orders.End(plan.orderKey, attemptState(err))
+	p.recordOutcome(plan, err)
+	if plan.orderKey != 0 && attemptState(err) == Unknown {
+		p.orderReports.report(lostOrder{plan.orderKey, plan.service.Name})
+	}
+	return plan, response, err
+}
+
+// attemptState tells what a try that ended so makes known of its order.
+func attemptState(err error) string {
+	switch {
+	case err == nil || errcode.Is(err, errcode.OrderRan):
+		return Ran
+	case errcode.Of(err).Code.Outcome == "unknown" && !errcode.Is(err, errcode.OrderUnderWay):
+		return Unknown
+	}
+	return Unheard
+}
+
+// admit holds the proxy's share of the service and the budget of repeats.
+func (p *Proxy) admit(plan *requestPlan) (func(), error) {
+	inFlight := p.serviceInFlight("service\n" + plan.service.Name)
+	count := inFlight.Add(1)
+	release := func() { inFlight.Add(-1) }
+	if limit := plan.snapshot.Limits[plan.service.Name].Inflight; limit > 0 {
+		if share := p.quotaShare(plan.snapshot, limit); count > share {
+			release()
+			return nil, errcode.New(errcode.Overload, "%s: the share of this proxy is %d", plan.service.Name, share)
+		}
+	}
+	if plan.orderKey != 0 && plan.recordName == "" && !plan.idempotent {
+		if err := p.checkLossCover(plan); err != nil {
+			release()
+			return nil, err
+		}
+	}
+	state := p.orders.Begin(plan.orderKey, plan.recordName != "")
+	plan.clientRetry = state != Unheard
+	if plan.clientRetry && plan.recordName != "" {
+		release()
+		return nil, errKnown(state, "this proxy handed it over")
+	}
+	if plan.clientRetry && !p.withdrawRetry(plan) {
+		p.orders.End(plan.orderKey, Unheard)
+		release()
+		return nil, errcode.New(errcode.BudgetSpent, "%s: a repeat of a request", plan.service.Name)
+	}
+	return release, nil
+}
+
+// checkLossCover tells whether an order that may be lost can be handed over, although
+// its repeat may come to a proxy that does not hear of it, or came from one that
+// could not tell this one: the others tell those that the epoch names.
+func (p *Proxy) checkLossCover(plan *requestPlan) error {
+	if _, ok := plan.snapshot.Shares[p.environment.Name]; !ok {
+		return errcode.New(errcode.Overload, "epoch %d does not name this proxy yet", plan.snapshot.Epoch)
+	}
+	if !p.retryBudget.CoversLosses(plan.service.Name, p.retryLimits(plan)) {
+		return errcode.New(errcode.Overload, "%s: orders were lost of which not all proxies know", plan.service.Name)
+	}
+	return nil
+}
+
+// quotaShare is this proxy's part of a fleet-wide bound, by strength.
+func (p *Proxy) quotaShare(snapshot *distribution.Chart, limit int) int64 {
+	total := 0
+	for _, strength := range snapshot.Shares {
+		total += strength
+	}
+	mine := snapshot.Shares[p.environment.Name]
+	if total == 0 || mine == 0 {
+		mine, total = 1, len(snapshot.Shares)+1
+	}
+	return max(1, int64(limit)*int64(mine)/int64(total))
+}
+
+func (p *Proxy) serviceInFlight(key string) *atomic.Int64 {
+	if found, ok := p.inFlightByService.Load(key); ok {
+		return found.(*atomic.Int64)
+	}
+	found, _ := p.inFlightByService.LoadOrStore(key, new(atomic.Int64))
+	return found.(*atomic.Int64)
+}
+
+func (p *Proxy) retryLimits(plan *requestPlan) Limits {
+	limits := Limits{Percent: p.environment.Props.ExtraPercent, Base: p.environment.Props.ExtraBase}
+	quota := plan.snapshot.Limits[plan.service.Name]
+	if quota.ExtraPercent != nil {
+		limits.Percent = min(limits.Percent, *quota.ExtraPercent)
+	}
+	if quota.ExtraBase != nil {
+		limits.Base = min(limits.Base, *quota.ExtraBase)
+	}
+	return limits
+}
+
+func (p *Proxy) withdrawRetry(plan *requestPlan) bool {
+	return p.retryBudget.Withdraw(plan.service.Name, p.retryLimits(plan))
+}
+
+// forward tries targets until one answers. A try that ran nothing, as far as is
+// known for certain, may be followed by another; one that may have run something
+// only if the request may be repeated. Each target that a request was sent to,
+// beyond the first, is paid from the budget of extra tries. A target's own failure at a
+// request that may be repeated is passed on only if no other target does better.
+func (p *Proxy) forward(plan *requestPlan, r *http.Request) (*Response, error) {
+	ctx, cancel := context.WithDeadline(p.environment, plan.deadline)
+	defer cancel()
+	if plan.idempotent {
+		// A target works for nobody once the caller has gone; what may not be repeated
+		// is left to end, for it may have run.
+		defer context.AfterFunc(r.Context(), cancel)()
+	}
+	body, replayable, err := p.requestBody(ctx, plan, r)
+	if err != nil {
+		return nil, err
+	}
+	var lastErr error
+	var failed *Response
+	sent, misses := 0, 0
+	written := false
+	for sent < plan.maxAttempts && misses < defaultMaxAttempts {
+		if r.Context().Err() != nil {
+			if !written {
+				lastErr = errcode.New(errcode.NotWritten, "%s: the caller has gone", plan.service.Name)
+			}
+			break
+		}
+		if len(plan.tried) > 0 && !p.uploads.AwaitTurn(ctx, r.ContentLength, plan.deadline) {
+			break
+		}
+		candidate := p.selectEndpoint(plan, r.ContentLength)
+		if candidate == nil || sent > 0 && (time.Now().After(plan.deadline) || !p.withdrawRetry(plan)) {
+			break
+		}
+		plan.tried = append(plan.tried, candidate)
+		response, wrote, err := p.attempt(ctx, plan, r, candidate, body, sent)
+		sent, plan.hedges = sent+plan.hedges, 0
+		if err == nil {
+			if response.HTTP.StatusCode < 500 || !plan.idempotent || !replayable {
+				return response, nil
+			}
+			failed = response
+			sent++
+			continue
+		}
+		mayHaveRun := wrote && response == nil
+		written = written || mayHaveRun
+		if wrote {
+			sent++
+		} else {
+			misses++
+		}
+		p.environment.Sign.Say(eventlog.TryFailed, "request", plan.requestID, "service", plan.service.Name, "instance", candidate.Target.Instance, "wrote", wrote, "cause", err.Error())
+		if !written || mayHaveRun {
+			lastErr = err
+		}
+		if mayHaveRun && !plan.idempotent || wrote && !replayable || errcode.Is(err, errcode.NotFresh) || errcode.Is(err, errcode.BodyCut) {
+			break
+		}
+	}
+	if failed != nil {
+		return failed, nil
+	}
+	if lastErr == nil {
+		lastErr = errcode.New(errcode.NotWritten, "%s", plan.service.Name)
+	}
+	return nil, lastErr
+}
+
+func (p *Proxy) writeResponse(w http.ResponseWriter, plan *requestPlan, response *Response) {
+	header := w.Header()
+	for name, values := range response.HTTP.Header {
+		header[name] = values
+	}
+	for _, option := range strings.Split(response.HTTP.Header.Get("Connection"), ",") {
+		header.Del(strings.TrimSpace(option))
+	}
+	for _, name := range hopByHop {
+		header.Del(name)
+	}
+	if p.draining.Load() {
+		header.Set("Connection", "close")
+	}
+	if !p.opaqueSeals {
+		header.Set(p.environment.Props.HeaderRequest, plan.requestID)
+		header.Set(HeaderOutcome, "ran")
+		header.Set(HeaderEpoch, strconv.FormatUint(uint64(plan.snapshot.Epoch), 10))
+	}
+	if response.HTTP.StatusCode != http.StatusNoContent && response.HTTP.StatusCode != http.StatusNotModified && response.HTTP.Request.Method != http.MethodHead {
+		header.Set("Content-Length", strconv.Itoa(len(response.Body)))
+	}
+	p.countOutcome("ran")
+	w.WriteHeader(response.HTTP.StatusCode)
+	w.Write(response.Body)
+}
+
+func (p *Proxy) countOutcome(outcome string) {
+	found, ok := p.OutcomeCounts.Load(outcome)
+	if !ok {
+		found, _ = p.OutcomeCounts.LoadOrStore(outcome, new(atomic.Int64))
+	}
+	found.(*atomic.Int64).Add(1)
+}
+
+// reject answers at once, and spreads the time to come back. What is said is
+// true of the order, if the request bore a key and the order is known here.
+func (p *Proxy) reject(w http.ResponseWriter, r *http.Request, plan *requestPlan, err error) {
+	problem := errcode.Of(err)
+	if key := KeyOf(r); key != 0 {
+		problem = Refusal(p.orders.State(key), problem)
+	}
+	p.countOutcome(problem.Code.Name)
+	header := w.Header()
+	header.Set("Content-Type", "application/json")
+	if !p.opaqueSeals {
+		header.Set(HeaderCode, strconv.Itoa(problem.Code.No))
+		header.Set(HeaderOutcome, problem.Code.Outcome)
+	}
+	if problem.Code.Status >= 500 || problem.Code.Status == http.StatusTooManyRequests || problem.Code.Status == http.StatusConflict {
+		delay := p.environment.Props.GateReturn
+		if problem.Code.No == errcode.NotFresh.No && delay < time.Second {
+			// A plan comes later than room does.
+			delay *= staleRetryAfterFactor
+		}
+		header.Set("Retry-After", retryAfter(delay))
+	}
+	status := problem.Code.Status
+	if status == 499 {
+		status = http.StatusBadGateway
+	}
+	body, _ := json.Marshal(map[string]any{"code": problem.Code.No, "name": problem.Code.Name, "outcome": problem.Code.Outcome, "text": problem.Code.Text, "note": problem.Note})
+	body = append(body, '\n')
+	unread := r.ContentLength != 0 && IsLarge(r.ContentLength) && (plan == nil || !plan.bodyRead)
+	if unread && p.uploads.rate > 0 && p.rejectUnread(w, status, body) {
+		return
+	}
+	w.WriteHeader(status)
+	w.Write(body)
+}
+
+// retryAfter spreads the time to come back over one to three times the least, in
+// seconds; below a second it is told in fractions.
+func retryAfter(minimum time.Duration) string {
+	if minimum >= time.Second {
+		return strconv.Itoa(int(minimum/time.Second) * (1 + rand.IntN(3)))
+	}
+	spread := minimum + time.Duration(rand.Int64N(int64(2*minimum)+1))
+	return strconv.FormatFloat(spread.Seconds(), 'f', 3, 64)
+}
--- a/internal/proxy/read_test.go
+++ b/internal/proxy/response_test.go
@@ -19,11 +19,11 @@
 	limit = 64
 )
 
-func readBytes(raw []byte, method, names string) (answer, *bufio.Reader, chan struct{}) {
+func readBytes(raw []byte, method, names string) (Response, *bufio.Reader, chan struct{}) {
 	request, _ := http.NewRequest(method, "http://server.example/x", nil)
 	request.Header.Set(namer, asked)
 	reader, more := bufio.NewReader(bytes.NewReader(raw)), make(chan struct{})
-	return read(reader, request, limit, more, names), reader, more
+	return readResponse(reader, request, limit, more, names), reader, more
 }
 
 func reply(id string, length int, body string) string {
@@ -54,23 +54,23 @@
 		default:
 			t.Fatal("whoever waits for the server's word waits on")
 		}
-		if got.err != nil {
-			if got.response != nil || got.body != nil {
+		if got.Err != nil {
+			if got.HTTP != nil || got.Body != nil {
 				t.Fatal("a problem came with an answer")
 			}
 			return
 		}
-		if got.response.StatusCode < 200 {
-			t.Fatalf("%d is no last answer", got.response.StatusCode)
+		if got.HTTP.StatusCode < 200 {
+			t.Fatalf("%d is no last answer", got.HTTP.StatusCode)
 		}
-		if len(got.body) > limit {
-			t.Fatalf("%d bytes are more than %d", len(got.body), limit)
+		if len(got.Body) > limit {
+			t.Fatalf("%d bytes are more than %d", len(got.Body), limit)
 		}
-		if n := got.response.ContentLength; n >= 0 && !isHead && int64(len(got.body)) != n {
-			t.Fatalf("%d bytes of %d pass for whole", len(got.body), n)
+		if n := got.HTTP.ContentLength; n >= 0 && !isHead && int64(len(got.Body)) != n {
+			t.Fatalf("%d bytes of %d pass for whole", len(got.Body), n)
 		}
 		// An answer in front that names another request leaves the right one in its place.
-		if got.response.Header.Get(namer) != asked {
+		if got.HTTP.Header.Get(namer) != asked {
 			return
 		}
 		front := reply("r0", 4, "late")
@@ -78,9 +78,9 @@
 			front = reply("r0", 4, "")
 		}
 		after, _, _ := readBytes(append([]byte(front), raw...), method, namer)
-		if after.err != nil || after.response.Header.Get(namer) != asked || !bytes.Equal(after.body, got.body) {
-			if surplusIn(raw, method) < surplus {
-				t.Fatalf("behind a surplus answer: %v %q", after.err, after.body)
+		if after.Err != nil || after.HTTP.Header.Get(namer) != asked || !bytes.Equal(after.Body, got.Body) {
+			if surplusIn(raw, method) < maxStrayResponses {
+				t.Fatalf("behind a surplus answer: %v %q", after.Err, after.Body)
 			}
 		}
 	})
@@ -126,8 +126,8 @@
 		"chunks that are cut off":         {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n" + namer + ": r1\r\n\r\n2\r\nok\r\n", namer, "", true},
 	} {
 		got, _, _ := readBytes([]byte(c.raw), http.MethodGet, c.names)
-		if (got.err != nil) != c.isFailed || string(got.body) != c.body {
-			t.Errorf("%s: %q, %v", name, got.body, got.err)
+		if (got.Err != nil) != c.isFailed || string(got.Body) != c.body {
+			t.Errorf("%s: %q, %v", name, got.Body, got.Err)
 		}
 	}
 }
--- a/internal/proxy/seal.go
+++ b/internal/proxy/seal.go
@@ -13,30 +13,30 @@
 
 // The headers between a proxy and a server, and towards the caller.
 const (
-	HeaderRequest  = "Sumac-Request"
-	HeaderTry      = "Sumac-Try"
-	HeaderService  = "Sumac-Service"
-	HeaderInstance = "Sumac-Instance"
-	HeaderSeal     = "Sumac-Seal"
-	HeaderOutcome  = "Sumac-Outcome"
-	HeaderCode     = "Sumac-Code"
-	HeaderEpoch    = "Sumac-Epoch"
-	HeaderProxy    = "Sumac-Proxy"
-	HeaderOnce     = "Idempotency-Key"
+	HeaderRequestID      = "Sumac-Request"
+	HeaderAttempt        = "Sumac-Try"
+	HeaderService        = "Sumac-Service"
+	HeaderInstance       = "Sumac-Instance"
+	HeaderSeal           = "Sumac-Seal"
+	HeaderOutcome        = "Sumac-Outcome"
+	HeaderCode           = "Sumac-Code"
+	HeaderEpoch          = "Sumac-Epoch"
+	HeaderProxy          = "Sumac-Proxy"
+	HeaderIdempotencyKey = "Idempotency-Key"
 )
 
 // Seal is what a server puts into HeaderSeal.
-func Seal(key, request, service, instance string, status int, body []byte) string {
+func Seal(key, requestID, service, instance string, status int, body []byte) string {
 	sum := sha256.Sum256(body)
-	sealer := hmac.New(sha256.New, []byte(key))
-	for _, word := range []string{request, service, instance, strconv.Itoa(status), hex.EncodeToString(sum[:])} {
-		sealer.Write([]byte(word))
-		sealer.Write([]byte{'\n'})
+	mac := hmac.New(sha256.New, []byte(key))
+	for _, field := range []string{requestID, service, instance, strconv.Itoa(status), hex.EncodeToString(sum[:])} {
+		mac.Write([]byte(field))
+		mac.Write([]byte{'\n'})
 	}
-	return hex.EncodeToString(sealer.Sum(nil))
+	return hex.EncodeToString(mac.Sum(nil))
 }
 
-// IsSealed checks a seal.
-func IsSealed(seal, key, request, service, instance string, status int, body []byte) bool {
-	return hmac.Equal([]byte(seal), []byte(Seal(key, request, service, instance, status, body)))
+// VerifySeal checks a seal.
+func VerifySeal(seal, key, requestID, service, instance string, status int, body []byte) bool {
+	return hmac.Equal([]byte(seal), []byte(Seal(key, requestID, service, instance, status, body)))
 }
--- a/internal/proxy/give.go
+++ b/internal/proxy/sockopt.go
@@ -12,28 +12,28 @@
 )
 
 const (
-	ackTime       = time.Second
-	ackTimeStream = 10 * time.Second
+	unackedTimeout       = time.Second
+	unackedStreamTimeout = 10 * time.Second
 
 	tcpUserTimeout = 18 // TCP_USER_TIMEOUT of Linux, in milliseconds
 )
 
-// giveUpAfter bounds the time that sent bytes may stay unacknowledged.
-func giveUpAfter(conn net.Conn, d time.Duration) {
+// setUserTimeout bounds the time that sent bytes may stay unacknowledged.
+func setUserTimeout(conn net.Conn, timeout time.Duration) {
 	switch c := conn.(type) {
 	case *net.TCPConn:
 		if raw, err := c.SyscallConn(); err == nil {
 			raw.Control(func(fd uintptr) {
-				syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(d.Milliseconds()))
+				syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(timeout.Milliseconds()))
 			})
 		}
 	case interface{ SetUserTimeout(time.Duration) }:
-		c.SetUserTimeout(d)
+		c.SetUserTimeout(timeout)
 	}
 }
 
-// throwAway closes a connection without sending what is still waiting.
-func throwAway(conn net.Conn) {
+// closeAbruptly closes a connection without sending what is still waiting.
+func closeAbruptly(conn net.Conn) {
 	if c, ok := conn.(interface{ SetLinger(int) error }); ok {
 		c.SetLinger(0)
 	}
--- a/internal/simulator/hurts.go
+++ b/internal/simulator/hurts.go
@@ -248,7 +248,7 @@
 			if f.Shape.IsStay {
 				rec.IsTry, rec.Request = true, ids.NewID()
 			}
-			fmt.Fprintf(conn, "POST /bookings HTTP/1.1\r\nHost: x\r\n%s: %s\r\n%s: %s\r\nContent-Length: %d\r\n\r\n", standin.CallHeader, call, proxy.HeaderRequest, rec.Request, len(body))
+			fmt.Fprintf(conn, "POST /bookings HTTP/1.1\r\nHost: x\r\n%s: %s\r\n%s: %s\r\nContent-Length: %d\r\n\r\n", standin.CallHeader, call, proxy.HeaderRequestID, rec.Request, len(body))
 			for at := 0; at < len(body) && (isWhole || at < len(body)/2); at += 16000 {
 				io.WriteString(conn, body[at:min(at+16000, len(body))])
 				pause(r, 40*time.Millisecond)
--- a/internal/standin/caller.go
+++ b/internal/standin/caller.go
@@ -60,11 +60,11 @@
 	request.Body, request.ContentLength = io.NopCloser(bytes.NewReader(body)), int64(len(body))
 	request.Header.Set(CallHeader, call)
 	if method != http.MethodGet {
-		request.Header.Set(proxy.HeaderOnce, call)
+		request.Header.Set(proxy.HeaderIdempotencyKey, call)
 	}
 	if c.IsPlain {
 		r.IsTry, r.Request = true, ids.NewID()
-		request.Header.Set(proxy.HeaderRequest, r.Request)
+		request.Header.Set(proxy.HeaderRequestID, r.Request)
 	}
 	response, err := c.client.Do(request)
 	if err != nil {
@@ -75,7 +75,7 @@
 	defer response.Body.Close()
 	raw, err := io.ReadAll(response.Body)
 	r.Status, r.Outcome, r.RetryAfter = response.StatusCode, response.Header.Get(proxy.HeaderOutcome), response.Header.Get("Retry-After")
-	if named := response.Header.Get(proxy.HeaderRequest); !c.IsPlain {
+	if named := response.Header.Get(proxy.HeaderRequestID); !c.IsPlain {
 		r.Request = named
 	} else if named != r.Request {
 		r.Note = "the answer names another request: " + named
--- a/internal/standin/plain.go
+++ b/internal/standin/plain.go
@@ -26,7 +26,7 @@
 
 // record is what a server sees of a request.
 func (s *Server) record(r *http.Request, kind string) checker.Record {
-	rec := checker.Record{Kind: kind, Call: r.Header.Get(CallHeader), Request: r.Header.Get(proxy.HeaderRequest), Proxy: r.Header.Get(proxy.HeaderProxy), Service: r.Header.Get(proxy.HeaderService), Owner: s.Service, Instance: s.Instance, Address: s.Address, Mapping: r.URL.Path, Repeatable: r.Method == http.MethodGet, IsTry: s.IsPlain}
+	rec := checker.Record{Kind: kind, Call: r.Header.Get(CallHeader), Request: r.Header.Get(proxy.HeaderRequestID), Proxy: r.Header.Get(proxy.HeaderProxy), Service: r.Header.Get(proxy.HeaderService), Owner: s.Service, Instance: s.Instance, Address: s.Address, Mapping: r.URL.Path, Repeatable: r.Method == http.MethodGet, IsTry: s.IsPlain}
 	epoch := r.Header.Get(proxy.HeaderEpoch)
 	if s.IsPlain {
 		rec.Service, rec.Proxy, epoch = s.Service, r.Header.Get(ActsAsHeader), r.Header.Get(ActsOnHeader)
@@ -51,7 +51,7 @@
 	rec := s.record(r, checker.Reached)
 	rec.Status = status
 	s.H.Add(rec)
-	w.Header().Set(proxy.HeaderRequest, rec.Request)
+	w.Header().Set(proxy.HeaderRequestID, rec.Request)
 	w.WriteHeader(status)
 	return true
 }
@@ -66,14 +66,14 @@
 	if err != nil {
 		return
 	}
-	fmt.Fprintf(conn, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n%s: %s\r\n%s: 1\r\n\r\n", proxy.HeaderRequest, rec.Request, HeaderUnrun)
+	fmt.Fprintf(conn, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n%s: %s\r\n%s: 1\r\n\r\n", proxy.HeaderRequestID, rec.Request, HeaderUnrun)
 	time.Sleep(5 * time.Second)
 	conn.Close()
 }
 
 // whole is a success as it goes over the wire.
 func whole(request, seal, body string) string {
-	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n%s: %s\r\n%s: %s\r\n\r\n%s", len(body), proxy.HeaderRequest, request, proxy.HeaderSeal, seal, body)
+	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n%s: %s\r\n%s: %s\r\n\r\n%s", len(body), proxy.HeaderRequestID, request, proxy.HeaderSeal, seal, body)
 }
 
 // told is how a call ended, by the answer alone.
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -228,7 +228,7 @@
 	}
 	seal := proxy.Seal(s.Key, request, s.Service, s.Instance, status, answer)
 	if s.IsPlain {
-		w.Header().Set(proxy.HeaderRequest, request)
+		w.Header().Set(proxy.HeaderRequestID, request)
 	}
 	hijack := func(text string) {
 		conn, _, err := w.(http.Hijacker).Hijack()
@@ -245,10 +245,10 @@
 		hijack("\x00\x01 what is this\r\n\r\n")
 		return
 	case Cut:
-		hijack(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n%s: %s\r\n%s: %s\r\n\r\n%s", len(answer), proxy.HeaderRequest, request, proxy.HeaderSeal, seal, answer[:len(answer)/2]))
+		hijack(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n%s: %s\r\n%s: %s\r\n\r\n%s", len(answer), proxy.HeaderRequestID, request, proxy.HeaderSeal, seal, answer[:len(answer)/2]))
 		return
 	case Unframed:
-		hijack(fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\n%s: %s\r\n\r\n%s", proxy.HeaderRequest, request, proxy.HeaderSeal, seal, answer))
+		hijack(fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\n%s: %s\r\n\r\n%s", proxy.HeaderRequestID, request, proxy.HeaderSeal, seal, answer))
 		return
 	case Twice:
 		hijack(whole(request, seal, string(answer)) + whole(request, seal, string(answer)))
@@ -260,7 +260,7 @@
 		if old, ok := s.last.Load().([]string); ok {
 			w.Header().Set(proxy.HeaderSeal, old[0])
 			if s.IsPlain {
-				w.Header().Set(proxy.HeaderRequest, old[2])
+				w.Header().Set(proxy.HeaderRequestID, old[2])
 			}
 			w.Write([]byte(old[1]))
 			return
