--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -15,269 +15,269 @@
 	"github.com/sumactrestle/sumactrestle/internal/storage"
 )
 
-const promiseTime = 800 * time.Millisecond
+const voteTimeout = 800 * time.Millisecond
 
 // isElectionDue tells whether the silence has lasted long enough for this member.
-func (t *Part) isElectionDue() bool {
-	if t.p.IsGoing() {
+func (r *Replica) isElectionDue() bool {
+	if r.node.IsStopping() {
 		return false
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.isOwner || t.isOutside || !t.voters.Holds(t.p.me) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.isLeader || r.isRemoved || !r.voters.Contains(r.node.self) {
 		return false
 	}
-	silence := t.p.r.Props.PactSilence
-	if t.heard.IsZero() {
+	timeout := r.node.env.Props.PactSilence
+	if r.lastLeaderContact.IsZero() {
 		// After a start, one round of a working owner is awaited; a member that
 		// hears one refuses whoever stands.
-		silence = min(silence, t.p.r.Props.PactRound*3/2)
+		timeout = min(timeout, r.node.env.Props.PactRound*3/2)
 	}
-	since := t.heard
-	if since.Before(t.since) {
-		since = t.since
+	start := r.lastLeaderContact
+	if start.Before(r.electionTimerStart) {
+		start = r.electionTimerStart
 	}
-	if t.p.r.Since(since) <= silence {
+	if r.node.env.Since(start) <= timeout {
 		return false
 	}
 	rank := 0
-	for _, peer := range Order(t.no, t.voters.All()) {
-		if peer == t.p.me {
+	for _, peer := range ElectionOrder(r.shard, r.voters.All()) {
+		if peer == r.node.self {
 			break
 		}
-		if t.p.k.IsLive(peer) {
+		if r.node.members.IsLive(peer) {
 			rank++
 		}
 	}
-	return t.p.r.Since(since) > silence+time.Duration(rank)*silence/2
+	return r.node.env.Since(start) > timeout+time.Duration(rank)*timeout/2
 }
 
-// promise answers a member that stands.
-func (t *Part) promise(ask *rpc.PromiseAsk) (*rpc.PromiseReceipt, error) {
-	t.mu.Lock()
-	if err := t.checkTerm(ask.Term, ask.From); err != nil {
-		t.mu.Unlock()
+// handleVote answers a member that stands.
+func (r *Replica) handleVote(request *rpc.PromiseAsk) (*rpc.PromiseReceipt, error) {
+	r.mu.Lock()
+	if err := r.checkTerm(request.Term, request.From); err != nil {
+		r.mu.Unlock()
 		return nil, err
 	}
-	receipt := &rpc.PromiseReceipt{From: t.p.me, Promised: t.promised}
-	isHeard := !ask.Invited && t.p.r.Since(t.heard) < t.p.r.Props.PactSilence*3/4 && !t.heard.IsZero()
-	if receipt.Outside = t.isRemoved(ask); receipt.Outside {
-		t.mu.Unlock()
-		return receipt, nil
+	response := &rpc.PromiseReceipt{From: r.node.self, Promised: r.currentTerm}
+	hasLiveLeader := !request.Invited && r.node.env.Since(r.lastLeaderContact) < r.node.env.Props.PactSilence*3/4 && !r.lastLeaderContact.IsZero()
+	if response.Outside = r.isRemovedCandidate(request); response.Outside {
+		r.mu.Unlock()
+		return response, nil
 	}
-	if t.isAheadOf(ask) {
+	if r.isFarAheadOf(request) {
 		// The candidate has promised its own term already; only a higher one passes there.
-		t.seen = max(t.seen, ask.Term.Round)
-		t.mu.Unlock()
-		t.p.once(t.no, func() { t.campaign(false) })
-		return receipt, nil
-	}
-	isConfirmed := t.isOwner && !ask.Invited && t.p.r.Since(t.confirmed()) < t.p.r.Props.PactSilence*3/4
-	if !t.promised.Less(ask.Term) || isHeard || isConfirmed {
-		t.mu.Unlock()
-		return receipt, nil
-	}
-	t.stepDown("a higher term stands")
-	t.promised = ask.Term
-	t.trace(Trace{Kind: TraceRaised, Term: ask.Term})
-	t.matchIn, t.matched = ask.Term, 0
-	t.since = t.p.r.Now()
-	w := t.p.store.Begin()
-	t.putPromise(w)
-	t.p.store.Hand(w)
-	receipt.Granted, receipt.Promised = true, ask.Term
-	receipt.Last, receipt.LastTerm = t.last()
-	receipt.Group, receipt.Former = t.voters.Current, t.voters.Former
-	if ask.Commit < t.base.Index {
-		snapshot := t.base
-		receipt.Snapshot = &snapshot
-	}
-	if from := t.sharedWith(ask); from < receipt.Last {
-		receipt.Entries = t.after(from)
-	}
-	t.mu.Unlock()
-	if err := w.Wait(); err != nil {
+		r.highestRound = max(r.highestRound, request.Term.Round)
+		r.mu.Unlock()
+		r.node.runOnce(r.shard, func() { r.campaign(false) })
+		return response, nil
+	}
+	isConfirmedLeader := r.isLeader && !request.Invited && r.node.env.Since(r.confirmedAt()) < r.node.env.Props.PactSilence*3/4
+	if !r.currentTerm.Less(request.Term) || hasLiveLeader || isConfirmedLeader {
+		r.mu.Unlock()
+		return response, nil
+	}
+	r.stepDown("a higher term stands")
+	r.currentTerm = request.Term
+	r.trace(TraceEvent{Kind: TraceTermRaised, Term: request.Term})
+	r.leaderMatchTerm, r.leaderMatchIndex = request.Term, 0
+	r.electionTimerStart = r.node.env.Now()
+	batch := r.node.store.Begin()
+	r.putCurrentTerm(batch)
+	r.node.store.Hand(batch)
+	response.Granted, response.Promised = true, request.Term
+	response.Last, response.LastTerm = r.lastEntry()
+	response.Group, response.Former = r.voters.Current, r.voters.Outgoing
+	if request.Commit < r.snapshot.Index {
+		snapshot := r.snapshot
+		response.Snapshot = &snapshot
+	}
+	if from := r.commonIndex(request); from < response.Last {
+		response.Entries = r.entriesAfter(from)
+	}
+	r.mu.Unlock()
+	if err := batch.Wait(); err != nil {
 		return nil, err
 	}
-	t.trace(Trace{Kind: TracePromised, Term: ask.Term})
-	return receipt, nil
+	r.trace(TraceEvent{Kind: TraceVoted, Term: request.Term})
+	return response, nil
 }
 
-// isRemoved tells whether a candidate has no vote in a group that is known to be
+// isRemovedCandidate tells whether a candidate has no vote in a group that is known to be
 // committed, and lacks what says so. Its promises would count for nothing, and its
 // term would only end the work of an owner.
-func (t *Part) isRemoved(ask *rpc.PromiseAsk) bool {
-	last, lastTerm := t.last()
-	isBehind := ask.LastTerm.Less(lastTerm) || ask.LastTerm == lastTerm && ask.Last <= last
-	return isBehind && t.commit >= t.votersAt && !t.voters.Holds(ask.From)
+func (r *Replica) isRemovedCandidate(request *rpc.PromiseAsk) bool {
+	last, lastTerm := r.lastEntry()
+	isBehind := request.LastTerm.Less(lastTerm) || request.LastTerm == lastTerm && request.Last <= last
+	return isBehind && r.commitIndex >= r.votersIndex && !r.voters.Contains(request.From)
 }
 
-// promiseBytes is how much of a log comes with a promise at most.
-const promiseBytes = 64 << 10
+// maxVoteBytes is how much of a log comes with a promise at most.
+const maxVoteBytes = 64 << 10
 
-// isAheadOf tells whether a candidate lacks so much of this member's log that it can't
+// isFarAheadOf tells whether a candidate lacks so much of this member's log that it can't
 // come with a promise: a snapshot, or many entries. So this member stands itself, if it
 // can lead.
-func (t *Part) isAheadOf(ask *rpc.PromiseAsk) bool {
-	if !t.voters.Holds(t.p.me) || t.isOutside || t.p.IsGoing() {
+func (r *Replica) isFarAheadOf(request *rpc.PromiseAsk) bool {
+	if !r.voters.Contains(r.node.self) || r.isRemoved || r.node.IsStopping() {
 		return false
 	}
-	last, lastTerm := t.last()
-	if !ask.LastTerm.Less(lastTerm) && (ask.LastTerm != lastTerm || last <= ask.Last) {
+	last, lastTerm := r.lastEntry()
+	if !request.LastTerm.Less(lastTerm) && (request.LastTerm != lastTerm || last <= request.Last) {
 		return false
 	}
-	if ask.Last < t.base.Index {
+	if request.Last < r.snapshot.Index {
 		return true
 	}
 	size := 0
-	for _, e := range t.after(t.sharedWith(ask)) {
+	for _, e := range r.entriesAfter(r.commonIndex(request)) {
 		size += len(e.Body)
 	}
-	return size > promiseBytes
+	return size > maxVoteBytes
 }
 
-// sharedWith is up to where a candidate surely has the entries of this log: all of its
+// commonIndex is up to where a candidate surely has the entries of this log: all of its
 // own if this log runs through its last one, else what it knows to be committed.
-func (t *Part) sharedWith(ask *rpc.PromiseAsk) ids.Stamp {
-	if term, isThere := t.at(ask.Last); isThere && term == ask.LastTerm {
-		return ask.Last
+func (r *Replica) commonIndex(request *rpc.PromiseAsk) ids.Stamp {
+	if term, isThere := r.termAt(request.Last); isThere && term == request.LastTerm {
+		return request.Last
 	}
-	return ask.Commit
+	return request.Commit
 }
 
-// noteOutside has this member rest until an owner sends it entries again: it was
+// noteRemoved has this member rest until an owner sends it entries again: it was
 // told that it is no member any more. Its copy stays as it is.
-func (t *Part) noteOutside(isOutside bool) {
-	if isOutside && !t.isOutside {
-		t.isOutside = true
-		t.p.say(eventlog.MemberRemoved, "part", int(t.no), "last_members", t.voters.String())
+func (r *Replica) noteRemoved(isOutside bool) {
+	if isOutside && !r.isRemoved {
+		r.isRemoved = true
+		r.node.log(eventlog.MemberRemoved, "part", int(r.shard), "last_members", r.voters.String())
 	}
 }
 
-// mostRounds is how far a term may be above the one known here. Rounds rise by one
+// maxRoundJump is how far a term may be above the one known here. Rounds rise by one
 // with each election, so a term beyond that is damaged; taken over, it would leave
 // no room for later ones.
-const mostRounds = 1 << 32
+const maxRoundJump = 1 << 32
 
 // checkTerm refuses a term that no election can have come to.
-func (t *Part) checkTerm(term ids.Term, from rpc.Peer) error {
-	if term.Round > t.promised.Round && term.Round-t.promised.Round > mostRounds {
-		err := errcode.New(errcode.BadMessage, "part %d: term %s is out of all order after %s", t.no, term, t.promised)
-		t.p.say(eventlog.MessageRefused, "code", errcode.BadMessage.No, "part", int(t.no), "from", string(from.Name), "cause", err.Error())
+func (r *Replica) checkTerm(term ids.Term, from rpc.Peer) error {
+	if term.Round > r.currentTerm.Round && term.Round-r.currentTerm.Round > maxRoundJump {
+		err := errcode.New(errcode.BadMessage, "part %d: term %s is out of all order after %s", r.shard, term, r.currentTerm)
+		r.node.log(eventlog.MessageRefused, "code", errcode.BadMessage.No, "part", int(r.shard), "from", string(from.Name), "cause", err.Error())
 		return err
 	}
 	return nil
 }
 
-// isInvitedBy tells whether an invitation comes from the owner that this member
+// isTransferFromLeader tells whether an invitation comes from the owner that this member
 // knows; one that is late must not end the work of the next owner.
-func (t *Part) isInvitedBy(ask *rpc.InviteAsk) bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.promised == ask.Term
+func (r *Replica) isTransferFromLeader(request *rpc.InviteAsk) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.currentTerm == request.Term
 }
 
 // campaign tries to become the owner.
-func (t *Part) campaign(isInvited bool) {
-	t.mu.Lock()
-	if t.isOwner || t.isOutside || !t.voters.Holds(t.p.me) || t.p.IsGoing() {
-		t.mu.Unlock()
+func (r *Replica) campaign(isTransfer bool) {
+	r.mu.Lock()
+	if r.isLeader || r.isRemoved || !r.voters.Contains(r.node.self) || r.node.IsStopping() {
+		r.mu.Unlock()
 		return
 	}
-	round := max(t.promised.Round, t.seen) + 1
-	term := ids.Term{Round: round, Node: t.p.me.Name}
-	t.promised, t.matchIn, t.matched = term, term, 0
-	t.trace(Trace{Kind: TraceRaised, Term: term})
-	t.since = t.p.r.Now()
-	w := t.p.store.Begin()
-	t.putPromise(w)
-	t.p.store.Hand(w)
-	commit := t.commit
-	mine := &rpc.PromiseReceipt{From: t.p.me, Granted: true, Group: t.voters.Current, Former: t.voters.Former}
-	mine.Last, mine.LastTerm = t.last()
-	t.mu.Unlock()
-	if w.Wait() != nil {
+	round := max(r.currentTerm.Round, r.highestRound) + 1
+	term := ids.Term{Round: round, Node: r.node.self.Name}
+	r.currentTerm, r.leaderMatchTerm, r.leaderMatchIndex = term, term, 0
+	r.trace(TraceEvent{Kind: TraceTermRaised, Term: term})
+	r.electionTimerStart = r.node.env.Now()
+	batch := r.node.store.Begin()
+	r.putCurrentTerm(batch)
+	r.node.store.Hand(batch)
+	commit := r.commitIndex
+	own := &rpc.PromiseReceipt{From: r.node.self, Granted: true, Group: r.voters.Current, Former: r.voters.Outgoing}
+	own.Last, own.LastTerm = r.lastEntry()
+	r.mu.Unlock()
+	if batch.Wait() != nil {
 		return
 	}
-	t.trace(Trace{Kind: TracePromised, Term: term})
-	sent := t.p.r.Now()
-	best, granted := t.gatherPromises(&rpc.PromiseAsk{Part: t.no, Term: term, From: t.p.me, Commit: commit, Last: mine.Last, LastTerm: mine.LastTerm, Invited: isInvited}, mine)
-	if best == nil || !votersOf(best).Holds(t.p.me) {
-		t.p.say(eventlog.StandFailed, "part", int(t.no), "term", term.String())
+	r.trace(TraceEvent{Kind: TraceVoted, Term: term})
+	sent := r.node.env.Now()
+	best, granted := r.collectVotes(&rpc.PromiseAsk{Part: r.shard, Term: term, From: r.node.self, Commit: commit, Last: own.Last, LastTerm: own.LastTerm, Invited: isTransfer}, own)
+	if best == nil || !votersNamedBy(best).Contains(r.node.self) {
+		r.node.log(eventlog.StandFailed, "part", int(r.shard), "term", term.String())
 		return
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.promised != term || t.p.r.IsOver() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.currentTerm != term || r.node.env.IsOver() {
 		return
 	}
-	w = t.p.store.Begin()
-	if best != mine {
-		if best.Snapshot != nil && best.Snapshot.Index > t.commit {
-			if err := t.install(w, best.Snapshot); err != nil {
+	batch = r.node.store.Begin()
+	if best != own {
+		if best.Snapshot != nil && best.Snapshot.Index > r.commitIndex {
+			if err := r.installSnapshot(batch, best.Snapshot); err != nil {
 				return
 			}
 		}
-		if last, _ := t.last(); last > best.Last {
-			t.cut(w, max(best.Last, t.commit))
+		if last, _ := r.lastEntry(); last > best.Last {
+			r.truncateAfter(batch, max(best.Last, r.commitIndex))
 		}
-		if err := t.adopt(w, best.Entries); err != nil {
-			t.p.say(eventlog.StandFailed, "part", int(t.no), "cause", err.Error())
+		if err := r.mergeEntries(batch, best.Entries); err != nil {
+			r.node.log(eventlog.StandFailed, "part", int(r.shard), "cause", err.Error())
 			if errcode.Is(err, errcode.Internal) {
-				t.broken(err.Error(), "from", string(best.From.Name))
+				r.reportCorruption(err.Error(), "from", string(best.From.Name))
 			}
-			t.p.store.Hand(w)
+			r.node.store.Hand(batch)
 			return
 		}
 	}
-	last, _ := t.last()
-	t.trace(Trace{Kind: TraceElected, Term: term, Index: last, Voters: t.voters, Granted: granted, TermAt: t.at})
-	t.becomeOwner(w, sent, granted)
+	last, _ := r.lastEntry()
+	r.trace(TraceEvent{Kind: TraceElected, Term: term, Index: last, Voters: r.voters, Granted: granted, TermAt: r.termAt})
+	r.becomeLeader(batch, sent, granted)
 }
 
-// gatherPromises asks for promises until a majority of the group that the most
+// collectVotes asks for promises until a majority of the group that the most
 // advanced log among them names has given one, and returns that log. The group
 // that this member knows may be old: only the adopted log tells who has a vote.
-func (t *Part) gatherPromises(ask *rpc.PromiseAsk, mine *rpc.PromiseReceipt) (*rpc.PromiseReceipt, []rpc.Peer) {
-	ctx, end := context.WithTimeout(t.p.r, promiseTime)
+func (r *Replica) collectVotes(request *rpc.PromiseAsk, own *rpc.PromiseReceipt) (*rpc.PromiseReceipt, []rpc.Peer) {
+	ctx, end := context.WithTimeout(r.node.env, voteTimeout)
 	defer end()
-	receipts := make(chan *rpc.PromiseReceipt)
-	asked := map[rpc.Peer]bool{t.p.me: true}
+	responses := make(chan *rpc.PromiseReceipt)
+	requested := map[rpc.Peer]bool{r.node.self: true}
 	pending := 0
-	askAll := func(group []rpc.Peer) {
+	requestFrom := func(group []rpc.Peer) {
 		for _, peer := range group {
-			if !asked[peer] {
-				asked[peer] = true
+			if !requested[peer] {
+				requested[peer] = true
 				pending++
-				t.p.r.Go(func() {
-					receipt := t.askPromise(ctx, ask, peer)
+				r.node.env.Go(func() {
+					response := r.requestVote(ctx, request, peer)
 					select {
-					case receipts <- receipt:
+					case responses <- response:
 					case <-ctx.Done():
 					}
 				})
 			}
 		}
 	}
-	best, granted := mine, []rpc.Peer{t.p.me}
-	askAll(votersOf(best).All())
+	best, granted := own, []rpc.Peer{r.node.self}
+	requestFrom(votersNamedBy(best).All())
 	for {
-		if votersOf(best).IsDecidedBy(granted) {
+		if votersNamedBy(best).HasQuorum(granted) {
 			return best, granted
 		}
 		if pending == 0 {
 			return nil, nil
 		}
 		select {
-		case receipt := <-receipts:
+		case response := <-responses:
 			pending--
-			if receipt == nil {
+			if response == nil {
 				continue
 			}
-			granted = append(granted, receipt.From)
-			if best.LastTerm.Less(receipt.LastTerm) || best.LastTerm == receipt.LastTerm && best.Last < receipt.Last {
-				best = receipt
-				askAll(votersOf(best).All())
+			granted = append(granted, response.From)
+			if best.LastTerm.Less(response.LastTerm) || best.LastTerm == response.LastTerm && best.Last < response.Last {
+				best = response
+				requestFrom(votersNamedBy(best).All())
 			}
 		case <-ctx.Done():
 			return nil, nil
@@ -285,104 +285,104 @@
 	}
 }
 
-// votersOf is the voters that the log behind a promise names.
-func votersOf(receipt *rpc.PromiseReceipt) Voters {
-	return Voters{Current: receipt.Group, Former: receipt.Former}
+// votersNamedBy is the voters that the log behind a promise names.
+func votersNamedBy(response *rpc.PromiseReceipt) Voters {
+	return Voters{Current: response.Group, Outgoing: response.Former}
 }
 
-// askPromise asks one member; nil if it can't be asked or refuses.
-func (t *Part) askPromise(ctx context.Context, ask *rpc.PromiseAsk, peer rpc.Peer) *rpc.PromiseReceipt {
-	m, ok := t.p.k.View()[peer.Name]
+// requestVote asks one member; nil if it can't be asked or refuses.
+func (r *Replica) requestVote(ctx context.Context, request *rpc.PromiseAsk, peer rpc.Peer) *rpc.PromiseReceipt {
+	m, ok := r.node.members.View()[peer.Name]
 	if !ok || m.Birth != peer.Birth {
 		return nil
 	}
-	receipt := &rpc.PromiseReceipt{}
-	if err := t.p.w.Ask(ctx, m.Wire, "pact.promise", ask, receipt); err != nil || receipt.From != peer {
+	response := &rpc.PromiseReceipt{}
+	if err := r.node.transport.Ask(ctx, m.Wire, "pact.promise", request, response); err != nil || response.From != peer {
 		return nil
 	}
-	if !receipt.Granted {
-		t.mu.Lock()
-		t.noteOutside(receipt.Outside)
-		t.seen = max(t.seen, receipt.Promised.Round)
-		t.mu.Unlock()
+	if !response.Granted {
+		r.mu.Lock()
+		r.noteRemoved(response.Outside)
+		r.highestRound = max(r.highestRound, response.Promised.Round)
+		r.mu.Unlock()
 		return nil
 	}
-	return receipt
+	return response
 }
 
-// becomeOwner makes this member the owner; it serves when its first entry commits.
-func (t *Part) becomeOwner(w *storage.Batch, sent time.Time, granted []rpc.Peer) {
-	t.isOwner, t.isServing = true, false
-	t.ctx, t.end = context.WithCancel(t.p.r)
-	t.match, t.acks, t.replicating = map[rpc.Peer]ids.Stamp{}, map[rpc.Peer]time.Time{}, map[rpc.Peer]bool{}
-	t.progress = map[rpc.Peer]time.Time{}
+// becomeLeader makes this member the owner; it serves when its first entry commits.
+func (r *Replica) becomeLeader(batch *storage.Batch, sent time.Time, granted []rpc.Peer) {
+	r.isLeader, r.isServing = true, false
+	r.leaderCtx, r.cancelLeadership = context.WithCancel(r.node.env)
+	r.matchIndex, r.lastAck, r.replicating = map[rpc.Peer]ids.Stamp{}, map[rpc.Peer]time.Time{}, map[rpc.Peer]bool{}
+	r.lastProgress = map[rpc.Peer]time.Time{}
 	for _, peer := range granted {
-		t.acks[peer] = sent
+		r.lastAck[peer] = sent
 	}
-	last, _ := t.last()
-	t.began = last + 1
-	t.append(w, rpc.Entry{Kind: ownEntry})
-	t.replicateToAll()
-	t.p.kickAll()
+	last, _ := r.lastEntry()
+	r.firstOwnIndex = last + 1
+	r.appendOwn(batch, rpc.Entry{Kind: entryNoOp})
+	r.replicateToAll()
+	r.node.kickAllHeartbeats()
 }
 
 // stepDown ends the ownership; whoever waits for a write is left unsure.
-func (t *Part) stepDown(cause string) {
-	if !t.isOwner {
+func (r *Replica) stepDown(cause string) {
+	if !r.isLeader {
 		return
 	}
-	t.isOwner, t.isServing = false, false
-	t.end()
-	t.failWaiters(0)
-	t.since = t.p.r.Now()
-	t.p.say(eventlog.PartLost, "part", int(t.no), "term", t.promised.String(), "cause", cause)
-	t.notify()
+	r.isLeader, r.isServing = false, false
+	r.cancelLeadership()
+	r.failProposals(0)
+	r.electionTimerStart = r.node.env.Now()
+	r.node.log(eventlog.PartLost, "part", int(r.shard), "term", r.currentTerm.String(), "cause", cause)
+	r.notifyChanged()
 }
 
-// broken is for what the rules on terms and majorities rule out: it is said, and
+// reportCorruption is for what the rules on terms and majorities rule out: it is said, and
 // the part is given up rather than written to.
-func (t *Part) broken(what string, pairs ...any) {
-	t.p.say(eventlog.PartBroken, append([]any{"part", int(t.no), "term", t.promised.String(), "cause", what}, pairs...)...)
-	t.stepDown("copies contradict one another")
+func (r *Replica) reportCorruption(cause string, fields ...any) {
+	r.node.log(eventlog.PartBroken, append([]any{"part", int(r.shard), "term", r.currentTerm.String(), "cause", cause}, fields...)...)
+	r.stepDown("copies contradict one another")
 }
 
-func (t *Part) yield(cause string) {
-	t.mu.Lock()
-	t.stepDown(cause)
-	t.mu.Unlock()
+func (r *Replica) resign(cause string) {
+	r.mu.Lock()
+	r.stepDown(cause)
+	r.mu.Unlock()
 }
 
-// checkMajority gives up a part whose term no majority confirms any more.
-func (t *Part) checkMajority() {
-	t.mu.Lock()
-	if t.isOwner && t.p.r.Since(t.confirmed()) > 2*t.p.r.Props.PactSilence {
-		t.stepDown("no majority in reach")
+// checkQuorum gives up a part whose term no majority confirms any more.
+func (r *Replica) checkQuorum() {
+	r.mu.Lock()
+	if r.isLeader && r.node.env.Since(r.confirmedAt()) > 2*r.node.env.Props.PactSilence {
+		r.stepDown("no majority in reach")
 	}
-	t.mu.Unlock()
+	r.mu.Unlock()
 }
 
-// handOver invites the next live member that has everything.
-func (t *Part) handOver(ctx context.Context) {
-	t.mu.Lock()
-	if !t.isServing {
-		t.mu.Unlock()
+// transferLeadership invites the next live member that has everything.
+func (r *Replica) transferLeadership(ctx context.Context) {
+	r.mu.Lock()
+	if !r.isServing {
+		r.mu.Unlock()
 		return
 	}
-	last, _ := t.last()
-	term := t.promised
-	var next *rpc.Member
-	for _, peer := range Order(t.no, t.voters.All()) {
-		m, ok := t.p.k.Of(peer.Name)
-		if peer != t.p.me && ok && m.Birth == peer.Birth && t.match[peer] == last {
-			next = &m
+	last, _ := r.lastEntry()
+	term := r.currentTerm
+	var target *rpc.Member
+	for _, peer := range ElectionOrder(r.shard, r.voters.All()) {
+		m, ok := r.node.members.Of(peer.Name)
+		if peer != r.node.self && ok && m.Birth == peer.Birth && r.matchIndex[peer] == last {
+			target = &m
 			break
 		}
 	}
-	t.stepDown("handed over")
-	t.mu.Unlock()
-	if next != nil {
+	r.stepDown("handed over")
+	r.mu.Unlock()
+	if target != nil {
 		limited, end := context.WithTimeout(ctx, time.Second)
 		defer end()
-		t.p.w.Ask(limited, next.Wire, "pact.invite", &rpc.InviteAsk{Part: t.no, Term: term}, nil)
+		r.node.transport.Ask(limited, target.Wire, "pact.invite", &rpc.InviteAsk{Part: r.shard, Term: term}, nil)
 	}
 }
--- a/internal/consensus/founding.go
+++ b/internal/consensus/founding.go
@@ -17,98 +17,98 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-const foundTime = 2 * time.Second
+const bootstrapTimeout = 2 * time.Second
 
-// seekCharter joins a fleet if there is one, or tries to found it.
-func (p *Node) seekCharter() {
-	cores := p.k.Cores()
+// bootstrap joins a fleet if there is one, or tries to found it.
+func (n *Node) bootstrap() {
+	cores := n.members.Cores()
 	for _, m := range cores {
-		if m.Fleet == "" || m.Name == p.r.Name {
+		if m.Fleet == "" || m.Name == n.env.Name {
 			continue
 		}
-		ctx, end := context.WithTimeout(p.r, foundTime)
+		ctx, end := context.WithTimeout(n.env, bootstrapTimeout)
 		var charter rpc.Charter
-		err := p.w.Ask(ctx, m.Wire, "pact.charter", struct{}{}, &charter)
+		err := n.transport.Ask(ctx, m.Wire, "pact.charter", struct{}{}, &charter)
 		end()
-		if err == nil && charter.Open && p.putCharter(&charter, charter.Round) == nil {
-			p.say(eventlog.FleetJoined, "fleet", charter.Fleet)
+		if err == nil && charter.Open && n.putCharter(&charter, charter.Round) == nil {
+			n.log(eventlog.FleetJoined, "fleet", charter.Fleet)
 			return
 		}
 	}
-	me := p.k.Me()
+	self := n.members.Me()
 	sort.Slice(cores, func(i, j int) bool { return cores[i].Name < cores[j].Name })
 	var founders []rpc.Member
 	for _, m := range cores {
 		if m.Fleet != "" {
 			return
 		}
-		if m.Founders == me.Founders && len(founders) < me.Founders {
+		if m.Founders == self.Founders && len(founders) < self.Founders {
 			founders = append(founders, m)
 		}
 	}
-	if me.Founders == 0 || len(founders) < me.Founders || founders[0].Name != me.Name {
+	if self.Founders == 0 || len(founders) < self.Founders || founders[0].Name != self.Name {
 		return
 	}
-	p.propose(founders)
+	n.proposeCharter(founders)
 }
 
-// propose runs one round of founding with all founders.
-func (p *Node) propose(founders []rpc.Member) {
-	p.mu.Lock()
-	round := ids.Term{Round: p.pledge.Round + 1, Node: p.me.Name}
-	p.mu.Unlock()
+// proposeCharter runs one round of founding with all founders.
+func (n *Node) proposeCharter(founders []rpc.Member) {
+	n.mu.Lock()
+	round := ids.Term{Round: n.bootstrapTerm.Round + 1, Node: n.self.Name}
+	n.mu.Unlock()
 	charter := &rpc.Charter{Fleet: ids.NewID(), Members: founders, Parts: ids.Parts}
-	receipts, ok := p.askAll(founders, &rpc.FoundAsk{Step: "promise", Round: round, From: p.me})
+	responses, ok := n.requestAll(founders, &rpc.FoundAsk{Step: "promise", Round: round, From: n.self})
 	var newest ids.Term
-	for _, receipt := range receipts {
-		if receipt.Charter != nil && newest.Less(receipt.Charter.Round) {
-			newest, charter = receipt.Charter.Round, receipt.Charter
+	for _, response := range responses {
+		if response.Charter != nil && newest.Less(response.Charter.Round) {
+			newest, charter = response.Charter.Round, response.Charter
 		}
-		p.mu.Lock()
-		if p.pledge.Round < receipt.Promised.Round {
-			p.pledge = ids.Term{Round: receipt.Promised.Round, Node: p.pledge.Node}
+		n.mu.Lock()
+		if n.bootstrapTerm.Round < response.Promised.Round {
+			n.bootstrapTerm = ids.Term{Round: response.Promised.Round, Node: n.bootstrapTerm.Node}
 		}
-		p.mu.Unlock()
+		n.mu.Unlock()
 	}
 	if !ok {
 		return
 	}
-	if isReborn(charter.Members, founders) {
+	if hasNewMemberID(charter.Members, founders) {
 		// A founder lost its disk before the charter opened. All founders have promised
 		// now, none of them has it open, and none takes part in anything while it is not:
 		// nothing can have been written under it.
 		charter = &rpc.Charter{Fleet: ids.NewID(), Members: founders, Parts: ids.Parts}
 	}
 	charter.Round = round
-	if _, ok := p.askAll(charter.Members, &rpc.FoundAsk{Step: "accept", Round: round, Charter: charter, From: p.me}); !ok {
+	if _, ok := n.requestAll(charter.Members, &rpc.FoundAsk{Step: "accept", Round: round, Charter: charter, From: n.self}); !ok {
 		return
 	}
 	opened := *charter
 	opened.Open = true
-	p.askAll(charter.Members, &rpc.FoundAsk{Step: "open", Round: round, Charter: &opened, From: p.me})
+	n.requestAll(charter.Members, &rpc.FoundAsk{Step: "open", Round: round, Charter: &opened, From: n.self})
 }
 
-// isReborn tells whether two lists name the same nodes, of which one at least has
+// hasNewMemberID tells whether two lists name the same nodes, of which one at least has
 // another birth now.
-func isReborn(members, founders []rpc.Member) bool {
-	births := map[ids.Name]ids.Birth{}
+func hasNewMemberID(members, founders []rpc.Member) bool {
+	ids := map[ids.Name]ids.Birth{}
 	for _, m := range members {
-		births[m.Name] = m.Birth
+		ids[m.Name] = m.Birth
 	}
-	isOther := false
+	differs := false
 	for _, m := range founders {
-		birth, isThere := births[m.Name]
+		id, isThere := ids[m.Name]
 		if !isThere {
 			return false
 		}
-		isOther = isOther || birth != m.Birth
+		differs = differs || id != m.Birth
 	}
-	return isOther && len(members) == len(founders)
+	return differs && len(members) == len(founders)
 }
 
-// askAll is true only if every one agreed.
-func (p *Node) askAll(founders []rpc.Member, ask *rpc.FoundAsk) ([]*rpc.FoundReceipt, bool) {
-	ctx, end := context.WithTimeout(p.r, foundTime)
+// requestAll is true only if every one agreed.
+func (n *Node) requestAll(founders []rpc.Member, request *rpc.FoundAsk) ([]*rpc.FoundReceipt, bool) {
+	ctx, end := context.WithTimeout(n.env, bootstrapTimeout)
 	defer end()
 	type result struct {
 		receipt *rpc.FoundReceipt
@@ -116,111 +116,111 @@
 	}
 	results := make(chan result, len(founders))
 	for _, m := range founders {
-		p.r.Go(func() {
-			receipt := &rpc.FoundReceipt{}
+		n.env.Go(func() {
+			response := &rpc.FoundReceipt{}
 			var err error
-			if m.Name == p.me.Name {
-				receipt, err = p.found(ask)
+			if m.Name == n.self.Name {
+				response, err = n.handleBootstrap(request)
 			} else {
-				err = p.w.Ask(ctx, m.Wire, "pact.found", ask, receipt)
+				err = n.transport.Ask(ctx, m.Wire, "pact.found", request, response)
 			}
 			if err != nil {
 				results <- result{}
 				return
 			}
-			results <- result{receipt, receipt.Ok && receipt.From.Birth == m.Birth}
+			results <- result{response, response.Ok && response.From.Birth == m.Birth}
 		})
 	}
-	isAll := true
-	var receipts []*rpc.FoundReceipt
+	allAgreed := true
+	var responses []*rpc.FoundReceipt
 	for range founders {
 		got := <-results
-		isAll = isAll && got.ok
+		allAgreed = allAgreed && got.ok
 		if got.receipt != nil {
-			receipts = append(receipts, got.receipt)
+			responses = append(responses, got.receipt)
 		}
 	}
-	return receipts, isAll
+	return responses, allAgreed
 }
 
-// found answers a step of founding.
-func (p *Node) found(ask *rpc.FoundAsk) (*rpc.FoundReceipt, error) {
-	p.mu.Lock()
-	receipt := &rpc.FoundReceipt{From: p.me, Promised: p.pledge, Charter: p.charter}
-	isOpen := p.charter != nil && p.charter.Open
-	isLower := ask.Round.Less(p.pledge)
-	p.mu.Unlock()
-	if ask.Step != "promise" && ask.Charter == nil {
-		return nil, errcode.New(errcode.BadMessage, "no charter in step %q", ask.Step)
+// handleBootstrap answers a step of founding.
+func (n *Node) handleBootstrap(request *rpc.FoundAsk) (*rpc.FoundReceipt, error) {
+	n.mu.Lock()
+	response := &rpc.FoundReceipt{From: n.self, Promised: n.bootstrapTerm, Charter: n.charter}
+	isOpen := n.charter != nil && n.charter.Open
+	isLower := request.Round.Less(n.bootstrapTerm)
+	n.mu.Unlock()
+	if request.Step != "promise" && request.Charter == nil {
+		return nil, errcode.New(errcode.BadMessage, "no charter in step %q", request.Step)
 	}
 	switch {
-	case isOpen || isLower && ask.Step != "open":
-		return receipt, nil
-	case ask.Step == "promise":
-		p.mu.Lock()
-		p.pledge = ask.Round
-		p.mu.Unlock()
-		raw, _ := json.Marshal(ask.Round)
-		w := p.store.Begin()
-		w.Put("pledge", raw)
-		p.store.Hand(w)
-		if err := w.Wait(); err != nil {
+	case isOpen || isLower && request.Step != "open":
+		return response, nil
+	case request.Step == "promise":
+		n.mu.Lock()
+		n.bootstrapTerm = request.Round
+		n.mu.Unlock()
+		raw, _ := json.Marshal(request.Round)
+		batch := n.store.Begin()
+		batch.Put("pledge", raw)
+		n.store.Hand(batch)
+		if err := batch.Wait(); err != nil {
 			return nil, err
 		}
-	case ask.Step == "accept" || ask.Step == "open":
-		if err := p.putCharter(ask.Charter, ask.Round); err != nil {
+	case request.Step == "accept" || request.Step == "open":
+		if err := n.putCharter(request.Charter, request.Round); err != nil {
 			return nil, err
 		}
-		if ask.Step == "open" {
-			p.say(eventlog.FleetFounded, "fleet", ask.Charter.Fleet, "members", len(ask.Charter.Members))
+		if request.Step == "open" {
+			n.log(eventlog.FleetFounded, "fleet", request.Charter.Fleet, "members", len(request.Charter.Members))
 		}
 	default:
-		return nil, errcode.New(errcode.BadMessage, "no step %q", ask.Step)
+		return nil, errcode.New(errcode.BadMessage, "no step %q", request.Step)
 	}
-	receipt.Ok, receipt.Promised = true, ask.Round
-	return receipt, nil
+	response.Ok, response.Promised = true, request.Round
+	return response, nil
 }
 
 // putCharter syncs a charter and, if it is open, enters the fleet.
-func (p *Node) putCharter(charter *rpc.Charter, round ids.Term) error {
-	p.mu.Lock()
-	if p.charter != nil && p.charter.Open {
-		p.mu.Unlock()
+func (n *Node) putCharter(charter *rpc.Charter, round ids.Term) error {
+	n.mu.Lock()
+	if n.charter != nil && n.charter.Open {
+		n.mu.Unlock()
 		return nil
 	}
-	if round.Less(p.pledge) && !charter.Open {
-		p.mu.Unlock()
+	if round.Less(n.bootstrapTerm) && !charter.Open {
+		n.mu.Unlock()
 		return errcode.New(errcode.NotOwner, "a higher round of founding was promised")
 	}
-	p.charter, p.pledge = charter, round
+	n.charter, n.bootstrapTerm = charter, round
 	raw, _ := json.Marshal(charter)
-	w := p.store.Begin()
-	w.Put("charter", raw)
-	p.store.Hand(w)
-	p.mu.Unlock()
-	if err := w.Wait(); err != nil {
+	batch := n.store.Begin()
+	batch.Put("charter", raw)
+	n.store.Hand(batch)
+	n.mu.Unlock()
+	if err := batch.Wait(); err != nil {
 		return err
 	}
-	if p.r.Trace != nil {
-		p.r.Trace(CharterTrace{IsOpen: charter.Open})
+	if n.env.Trace != nil {
+		n.env.Trace(CharterEvent{IsOpen: charter.Open})
 	}
 	if charter.Open {
-		p.enter(charter)
+		n.enterCluster(charter)
 	}
 	return nil
 }
 
-// enter shows the fleet to others and gives every part its first group.
-func (p *Node) enter(charter *rpc.Charter) {
-	for _, t := range p.parts {
-		t.mu.Lock()
-		if t.base.Index == 0 && len(t.base.Group) == 0 {
-			t.base.Group = Placement(t.no, charter.Members, t.p.r.Props.PactLosses)
-			t.refreshVoters()
+// enterCluster shows the fleet to others and gives every part its first group.
+func (n *Node) enterCluster(charter *rpc.Charter) {
+	for _, r := range n.replicas {
+		r.mu.Lock()
+		if r.snapshot.Index == 0 && len(r.snapshot.Group) == 0 {
+			r.snapshot.Group = PlaceVoters(r.shard, charter.Members, r.node.env.Props.PactLosses)
+			r.updateVoters()
 		}
-		t.since = t.p.r.Now()
-		t.mu.Unlock()
+		r.electionTimerStart = r.node.env.Now()
+		r.mu.Unlock()
 	}
-	p.k.Amend(func(m *rpc.Member) { m.Fleet = charter.Fleet })
-	close(p.Ready)
+	n.members.Amend(func(m *rpc.Member) { m.Fleet = charter.Fleet })
+	close(n.Bootstrapped)
 }
--- a/internal/consensus/heartbeat.go
+++ b/internal/consensus/heartbeat.go
@@ -14,72 +14,72 @@
 )
 
 type heartbeater struct {
-	kick  chan struct{}
-	end   context.CancelFunc
-	no    uint64
-	heard claimSet
+	kick     chan struct{}
+	cancel   context.CancelFunc
+	sequence uint64
+	acked    claimSet
 }
 
 // Members of no part owned here have no word to give; they are told who owns what
 // this much more seldom.
-const tellSeldom = 4
+const idleHeartbeatFactor = 4
 
 // keepHeartbeats has one task for each core node there is.
-func (p *Node) keepHeartbeats() {
-	view := p.k.View()
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for peer, r := range p.rounds {
+func (n *Node) keepHeartbeats() {
+	view := n.members.View()
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	for peer, h := range n.heartbeaters {
 		if m, ok := view[peer.Name]; !ok || m.Birth != peer.Birth {
-			r.end()
-			delete(p.rounds, peer)
-			delete(p.claimSets, peer)
+			h.cancel()
+			delete(n.heartbeaters, peer)
+			delete(n.receivedClaims, peer)
 		}
 	}
 	for name, m := range view {
 		peer := rpc.Peer{Name: name, Birth: m.Birth}
-		if !m.Core || name == p.r.Name || p.rounds[peer] != nil {
+		if !m.Core || name == n.env.Name || n.heartbeaters[peer] != nil {
 			continue
 		}
-		ctx, end := context.WithCancel(p.r)
-		r := &heartbeater{kick: make(chan struct{}, 1), end: end}
-		p.rounds[peer] = r
-		p.r.Go(func() { p.round(ctx, peer, r) })
+		ctx, end := context.WithCancel(n.env)
+		h := &heartbeater{kick: make(chan struct{}, 1), cancel: end}
+		n.heartbeaters[peer] = h
+		n.env.Go(func() { n.runHeartbeat(ctx, peer, h) })
 	}
 }
 
 // kickHeartbeats has the members of a group asked at once.
-func (p *Node) kickHeartbeats(group []rpc.Peer) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+func (n *Node) kickHeartbeats(group []rpc.Peer) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
 	for _, peer := range group {
-		if r := p.rounds[peer]; r != nil {
+		if h := n.heartbeaters[peer]; h != nil {
 			select {
-			case r.kick <- struct{}{}:
+			case h.kick <- struct{}{}:
 			default:
 			}
 		}
 	}
 }
 
-// kickAll has everybody told of a new owner at once.
-func (p *Node) kickAll() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for _, r := range p.rounds {
+// kickAllHeartbeats has everybody told of a new owner at once.
+func (n *Node) kickAllHeartbeats() {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	for _, h := range n.heartbeaters {
 		select {
-		case r.kick <- struct{}{}:
+		case h.kick <- struct{}{}:
 		default:
 		}
 	}
 }
 
-// isVoter tells whether a peer has a say in a part that this node owns.
-func (p *Node) isVoter(peer rpc.Peer) bool {
-	for _, t := range p.parts {
-		t.mu.Lock()
-		is := t.isOwner && t.voters.Holds(peer)
-		t.mu.Unlock()
+// isVoterOfLedShard tells whether a peer has a say in a part that this node owns.
+func (n *Node) isVoterOfLedShard(peer rpc.Peer) bool {
+	for _, r := range n.replicas {
+		r.mu.Lock()
+		is := r.isLeader && r.voters.Contains(peer)
+		r.mu.Unlock()
 		if is {
 			return true
 		}
@@ -87,195 +87,195 @@
 	return false
 }
 
-func (p *Node) round(ctx context.Context, peer rpc.Peer, r *heartbeater) {
+func (n *Node) runHeartbeat(ctx context.Context, peer rpc.Peer, h *heartbeater) {
 	wakeup := time.NewTimer(1)
 	defer wakeup.Stop()
 	for {
-		pause := p.r.Props.PactRound
+		pause := n.env.Props.PactRound
 		select {
 		case <-ctx.Done():
 			return
-		case <-r.kick:
+		case <-h.kick:
 			// Whoever kicks, does so about as often; the next kick is awaited a little
 			// longer, or there would be two rounds for each.
 			pause = pause * 3 / 2
 		case <-wakeup.C:
 		}
-		if !p.isVoter(peer) {
-			pause = p.r.Props.PactRound * tellSeldom
+		if !n.isVoterOfLedShard(peer) {
+			pause = n.env.Props.PactRound * idleHeartbeatFactor
 		}
 		wakeup.Reset(pause)
-		claims := p.claims()
-		m, ok := p.k.View()[peer.Name]
+		claims := n.claims()
+		m, ok := n.members.View()[peer.Name]
 		if len(claims) == 0 || !ok || m.Birth != peer.Birth {
 			continue
 		}
-		sent := p.r.Now()
+		sent := n.env.Now()
 		limited, end := context.WithTimeout(ctx, 500*time.Millisecond)
-		var receipt rpc.RoundReceipt
-		ask := r.ask(p.me, claims)
-		err := p.w.Ask(limited, m.Wire, "pact.round", ask, &receipt)
+		var response rpc.RoundReceipt
+		request := h.nextRequest(n.self, claims)
+		err := n.transport.Ask(limited, m.Wire, "pact.round", request, &response)
 		end()
-		if err != nil || receipt.From != peer || receipt.No != ask.No {
+		if err != nil || response.From != peer || response.No != request.No {
 			continue
 		}
-		r.took(ask, claims, receipt.Lost)
-		if !receipt.Lost {
-			p.creditHeartbeat(peer, sent, claims, &receipt)
+		h.acknowledge(request, claims, response.Lost)
+		if !response.Lost {
+			n.recordAcks(peer, sent, claims, &response)
 			continue
 		}
 		select {
-		case r.kick <- struct{}{}:
+		case h.kick <- struct{}{}:
 		default:
 		}
 	}
 }
 
-func (p *Node) claims() (claims []rpc.Claim) {
-	for _, t := range p.parts {
-		t.mu.Lock()
-		if t.isOwner {
-			claims = append(claims, rpc.Claim{Part: t.no, Term: t.promised, Commit: t.commit, Serving: t.isServing})
+func (n *Node) claims() (claims []rpc.Claim) {
+	for _, r := range n.replicas {
+		r.mu.Lock()
+		if r.isLeader {
+			claims = append(claims, rpc.Claim{Part: r.shard, Term: r.currentTerm, Commit: r.commitIndex, Serving: r.isServing})
 		}
-		t.mu.Unlock()
+		r.mu.Unlock()
 	}
 	return claims
 }
 
-// creditHeartbeat notes a member's word on each claim it did not refuse.
-func (p *Node) creditHeartbeat(peer rpc.Peer, sent time.Time, claims []rpc.Claim, receipt *rpc.RoundReceipt) {
-	no := map[ids.Part]ids.Term{}
-	for _, refused := range receipt.Refused {
-		no[refused.Part] = refused.Term
+// recordAcks notes a member's word on each claim it did not refuse.
+func (n *Node) recordAcks(peer rpc.Peer, sent time.Time, claims []rpc.Claim, response *rpc.RoundReceipt) {
+	shard := map[ids.Part]ids.Term{}
+	for _, refused := range response.Refused {
+		shard[refused.Part] = refused.Term
 	}
 	for _, claim := range claims {
-		t := p.parts[claim.Part]
-		t.mu.Lock()
-		if t.isOwner && t.promised == claim.Term {
-			if higher, ok := no[claim.Part]; ok {
-				t.seen = max(t.seen, higher.Round)
-				t.stepDown("a member promised " + higher.String())
-			} else if t.acks[peer].Before(sent) {
-				t.acks[peer] = sent
-				t.notify()
+		r := n.replicas[claim.Part]
+		r.mu.Lock()
+		if r.isLeader && r.currentTerm == claim.Term {
+			if higher, ok := shard[claim.Part]; ok {
+				r.highestRound = max(r.highestRound, higher.Round)
+				r.stepDown("a member promised " + higher.String())
+			} else if r.lastAck[peer].Before(sent) {
+				r.lastAck[peer] = sent
+				r.notifyChanged()
 			}
 		}
-		t.mu.Unlock()
+		r.mu.Unlock()
 	}
 }
 
-// answerHeartbeat answers a round.
-func (p *Node) answerHeartbeat(ask *rpc.RoundAsk) *rpc.RoundReceipt {
-	receipt := &rpc.RoundReceipt{From: p.me, No: ask.No}
-	claims, ok := p.whole(ask)
+// handleHeartbeat answers a round.
+func (n *Node) handleHeartbeat(request *rpc.RoundAsk) *rpc.RoundReceipt {
+	response := &rpc.RoundReceipt{From: n.self, No: request.No}
+	claims, ok := n.fullClaims(request)
 	if !ok {
-		receipt.Lost = true
-		return receipt
+		response.Lost = true
+		return response
 	}
 	for _, claim := range claims {
-		t, err := p.part(claim.Part)
+		r, err := n.lookupReplica(claim.Part)
 		if err != nil {
 			continue
 		}
-		t.mu.Lock()
-		if claim.Term.Less(t.promised) {
-			receipt.Refused = append(receipt.Refused, rpc.Claim{Part: claim.Part, Term: t.promised})
-			t.mu.Unlock()
+		r.mu.Lock()
+		if claim.Term.Less(r.currentTerm) {
+			response.Refused = append(response.Refused, rpc.Claim{Part: claim.Part, Term: r.currentTerm})
+			r.mu.Unlock()
 			continue
 		}
-		t.heard = t.p.r.Now()
-		if t.matchIn == claim.Term {
-			t.advance(min(claim.Commit, t.matched))
+		r.lastLeaderContact = r.node.env.Now()
+		if r.leaderMatchTerm == claim.Term {
+			r.advanceCommit(min(claim.Commit, r.leaderMatchIndex))
 		}
-		t.mu.Unlock()
+		r.mu.Unlock()
 		if claim.Serving {
-			p.noteOwner(claim.Part, ask.From.Name, claim.Term)
+			n.recordLeader(claim.Part, request.From.Name, claim.Term)
 		}
 	}
-	return receipt
+	return response
 }
 
-func (p *Node) noteOwner(no ids.Part, name ids.Name, term ids.Term) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if old := p.owners[no]; !term.Less(old.term) {
-		p.owners[no] = claimed{name: name, term: term, at: p.r.Now()}
+func (n *Node) recordLeader(shard ids.Part, name ids.Name, term ids.Term) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if old := n.leaders[shard]; !term.Less(old.term) {
+		n.leaders[shard] = leaderRecord{name: name, term: term, at: n.env.Now()}
 	}
 }
 
-// confirmed is the moment as of which a majority confirms the owner's term.
-func (t *Part) confirmed() time.Time {
-	now := t.p.r.Now()
-	age := t.voters.Reached(func(peer rpc.Peer) int64 {
-		if peer == t.p.me {
+// confirmedAt is the moment as of which a majority confirms the owner's term.
+func (r *Replica) confirmedAt() time.Time {
+	now := r.node.env.Now()
+	age := r.voters.QuorumValue(func(peer rpc.Peer) int64 {
+		if peer == r.node.self {
 			return 0
 		}
-		return -int64(now.Sub(t.acks[peer]))
+		return -int64(now.Sub(r.lastAck[peer]))
 	})
 	return now.Add(time.Duration(age))
 }
 
-// askAllAfter is how long the word of the nearestMajority is awaited before all are asked.
-const askAllAfter = 40 * time.Millisecond
+// confirmFallback is how long the word of the nearestMajority is awaited before all are asked.
+const confirmFallback = 40 * time.Millisecond
 
 // nearestMajority is the members that make a majority with this node: own zone first, and
 // those that seem live.
-func (p *Node) nearestMajority(voters Voters) []rpc.Peer {
-	group := voters.Current
+func (n *Node) nearestMajority(voters Voters) []rpc.Peer {
+	current := voters.Current
 	if voters.IsJoint() {
 		return voters.All()
 	}
-	var some []rpc.Peer
-	for _, m := range p.k.Cores() {
+	var nearest []rpc.Peer
+	for _, m := range n.members.Cores() {
 		peer := rpc.Peer{Name: m.Name, Birth: m.Birth}
-		if peer != p.me && holds(group, peer) && len(some) < len(group)/2 {
-			some = append(some, peer)
+		if peer != n.self && containsPeer(current, peer) && len(nearest) < len(current)/2 {
+			nearest = append(nearest, peer)
 		}
 	}
-	return some
+	return nearest
 }
 
-// Confirm waits until a majority has confirmed the term as of a moment. The nearestMajority
+// ConfirmLeadership waits until a majority has confirmed the term as of a moment. The nearestMajority
 // that make one are asked first, all if their word does not come at once.
-func (t *Part) Confirm(ctx context.Context, since time.Time) error {
+func (r *Replica) ConfirmLeadership(ctx context.Context, since time.Time) error {
 	var wakeup *time.Timer
 	var late <-chan time.Time
 	for {
-		t.mu.Lock()
-		if !t.isServing {
-			t.mu.Unlock()
-			return errcode.New(errcode.NotOwner, "part %d", t.no)
+		r.mu.Lock()
+		if !r.isServing {
+			r.mu.Unlock()
+			return errcode.New(errcode.NotOwner, "part %d", r.shard)
 		}
-		if !t.confirmed().Before(since) {
-			t.trace(Trace{Kind: TraceRead, Term: t.promised, Index: t.applied, Since: time.Now().Add(-t.p.r.Since(since))})
-			t.mu.Unlock()
+		if !r.confirmedAt().Before(since) {
+			r.trace(TraceEvent{Kind: TraceRead, Term: r.currentTerm, Index: r.appliedIndex, Since: time.Now().Add(-r.node.env.Since(since))})
+			r.mu.Unlock()
 			return nil
 		}
-		change, voters := t.change, t.voters
-		t.mu.Unlock()
+		change, voters := r.changed, r.voters
+		r.mu.Unlock()
 		if wakeup == nil {
-			wakeup = time.NewTimer(askAllAfter)
+			wakeup = time.NewTimer(confirmFallback)
 			defer wakeup.Stop()
 			late = wakeup.C
-			t.p.kickHeartbeats(t.p.nearestMajority(voters))
+			r.node.kickHeartbeats(r.node.nearestMajority(voters))
 		}
 		select {
 		case <-change:
 		case <-late:
 			late = nil
-			t.p.kickHeartbeats(voters.All())
+			r.node.kickHeartbeats(voters.All())
 		case <-ctx.Done():
-			return errcode.New(errcode.NoOwner, "part %d can't be confirmed: %v", t.no, ctx.Err())
+			return errcode.New(errcode.NoOwner, "part %d can't be confirmed: %v", r.shard, ctx.Err())
 		}
 	}
 }
 
-// Age is how long ago the term was confirmed; false if the part isn't served.
-func (t *Part) Age() (time.Duration, bool) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if !t.isServing {
+// ConfirmationAge is how long ago the term was confirmed; false if the part isn't served.
+func (r *Replica) ConfirmationAge() (time.Duration, bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if !r.isServing {
 		return 0, false
 	}
-	return t.p.r.Since(t.confirmed()), true
+	return r.node.env.Since(r.confirmedAt()), true
 }
--- a/internal/consensus/heartbeat_delta.go
+++ b/internal/consensus/heartbeat_delta.go
@@ -13,68 +13,68 @@
 
 // claimSet is all that one message claims, by its number.
 type claimSet struct {
-	no     uint64
-	claims map[ids.Part]rpc.Claim
+	sequence uint64
+	claims   map[ids.Part]rpc.Claim
 }
 
-func byPart(claims []rpc.Claim) map[ids.Part]rpc.Claim {
-	set := make(map[ids.Part]rpc.Claim, len(claims))
+func claimsByShard(claims []rpc.Claim) map[ids.Part]rpc.Claim {
+	byShard := make(map[ids.Part]rpc.Claim, len(claims))
 	for _, c := range claims {
-		set[c.Part] = c
+		byShard[c.Part] = c
 	}
-	return set
+	return byShard
 }
 
-// ask makes the next message; numbers begin anywhere, so that those of an earlier
+// nextRequest makes the next message; numbers begin anywhere, so that those of an earlier
 // life of this node are not met again.
-func (r *heartbeater) ask(from rpc.Peer, claims []rpc.Claim) *rpc.RoundAsk {
-	if r.no == 0 {
-		r.no = rand.Uint64() >> 2
+func (h *heartbeater) nextRequest(from rpc.Peer, claims []rpc.Claim) *rpc.RoundAsk {
+	if h.sequence == 0 {
+		h.sequence = rand.Uint64() >> 2
 	}
-	r.no++
-	ask := &rpc.RoundAsk{From: from, No: r.no, Base: r.heard.no}
-	now := byPart(claims)
+	h.sequence++
+	request := &rpc.RoundAsk{From: from, No: h.sequence, Base: h.acked.sequence}
+	now := claimsByShard(claims)
 	for _, c := range claims {
-		if old, ok := r.heard.claims[c.Part]; !ok || old != c {
-			ask.Claims = append(ask.Claims, c)
+		if old, ok := h.acked.claims[c.Part]; !ok || old != c {
+			request.Claims = append(request.Claims, c)
 		}
 	}
-	for no := range r.heard.claims {
+	for no := range h.acked.claims {
 		if _, ok := now[no]; !ok {
-			ask.Gone = append(ask.Gone, no)
+			request.Gone = append(request.Gone, no)
 		}
 	}
-	return ask
+	return request
 }
 
-// took notes that a message was heard, or that its base was lost.
-func (r *heartbeater) took(ask *rpc.RoundAsk, claims []rpc.Claim, isLost bool) {
-	r.heard = claimSet{}
+// acknowledge notes that a message was heard, or that its base was lost.
+func (h *heartbeater) acknowledge(request *rpc.RoundAsk, claims []rpc.Claim, isLost bool) {
+	h.acked = claimSet{}
 	if !isLost {
-		r.heard = claimSet{no: ask.No, claims: byPart(claims)}
+		h.acked = claimSet{sequence: request.No, claims: claimsByShard(claims)}
 	}
 }
 
-// whole is all that a message claims; false if its base is not the last heard.
-func (p *Node) whole(ask *rpc.RoundAsk) (map[ids.Part]rpc.Claim, bool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	last := p.claimSets[ask.From]
-	if ask.Base != 0 && last.no != ask.Base {
+// fullClaims is all that a message claims; false if its base is not the last heard.
+func (n *Node) fullClaims(request *rpc.RoundAsk) (map[ids.Part]rpc.Claim, bool) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	last := n.receivedClaims[request.From]
+	if request.Base != 0 && last.sequence != request.Base {
 		return nil, false
 	}
-	set := map[ids.Part]rpc.Claim{}
-	if ask.Base != 0 {
-		for no, c := range last.claims {
-			set[no] = c
+	claims := map[ids.Part]rpc.Claim{}
+	if request.Base != 0 {
+		for shard, c := range last.claims {
+			claims[shard] = c
 		}
 	}
-	for _, no := range ask.Gone {
-		delete(set, no)
+	for _, shard := range request.Gone {
+		delete(claims, shard)
 	}
-	for _, c := range ask.Claims {
-		set[c.Part] = c
+	for _, c := range request.Claims {
+		claims[c.Part] = c
 	}
-	p.claimSets[ask.From] = claimSet{no: ask.No, claims: set}
-	return set, true
+	n.receivedClaims[request.From] = claimSet{sequence: request.No, claims: claims}
+	return claims, true
 }
--- a/internal/consensus/membership.go
+++ b/internal/consensus/membership.go
@@ -19,76 +19,76 @@
 )
 
 const (
-	settleTime = 15 * time.Second
+	stableAfter = 15 * time.Second
 
 	// A learner is waited for as long as it comes closer, and given up after a pause
 	// without progress.
-	learnerPause  = 50 * time.Millisecond
-	learnerRest   = 2 * time.Second
-	learnerBehind = 16 // entries that a learner may lack when it becomes a member
+	learnerPollInterval = 50 * time.Millisecond
+	learnerStallTimeout = 2 * time.Second
+	maxLearnerLag       = 16 // entries that a learner may lack when it becomes a member
 
-	changeTime = 3 * time.Second
+	membershipChangeTimeout = 3 * time.Second
 )
 
-// superviseGroup is one look at the voters by the part's owner.
-func (t *Part) superviseGroup() {
-	t.mu.Lock()
-	voters, isSettled := t.voters, t.commit >= t.votersAt
-	t.mu.Unlock()
-	if !isSettled {
+// superviseVoters is one look at the voters by the part's owner.
+func (r *Replica) superviseVoters() {
+	r.mu.Lock()
+	voters, isStable := r.voters, r.commitIndex >= r.votersIndex
+	r.mu.Unlock()
+	if !isStable {
 		return
 	}
 	if voters.IsJoint() {
-		t.changeVoters(Voters{Current: voters.Current})
+		r.proposeVoters(Voters{Current: voters.Current})
 		return
 	}
-	lost := t.lostMembers(voters.Current)
-	wanted := t.replacements(voters.Current, lost)
-	if len(wanted) > 0 {
-		t.replace(voters.Current, wanted)
+	lost := r.lostVoters(voters.Current)
+	replacements := r.replacements(voters.Current, lost)
+	if len(replacements) > 0 {
+		r.replaceVoters(voters.Current, replacements)
 	} else if len(lost) == 0 {
-		t.returnOwnership(voters.Current)
+		r.returnToPreferredLeader(voters.Current)
 	}
 }
 
-// lostMembers is the members that came back under another birth, or are gone for
+// lostVoters is the members that came back under another birth, or are gone for
 // long.
-func (t *Part) lostMembers(group []rpc.Peer) (lost []rpc.Peer) {
-	view, long := t.p.k.View(), t.p.r.Props.PactGone
+func (r *Replica) lostVoters(group []rpc.Peer) (lost []rpc.Peer) {
+	view, goneAfter := r.node.members.View(), r.node.env.Props.PactGone
 	for _, peer := range group {
 		m, isKnown := view[peer.Name]
 		isReborn := isKnown && m.Birth != peer.Birth
-		isNeverSeen := !isKnown && t.p.r.Since(t.servedAt()) > long
-		isGone := isKnown && !t.p.k.IsLive(peer) && time.Since(m.Since) > long
-		if peer != t.p.me && (isReborn || isNeverSeen || isGone) {
+		isNeverSeen := !isKnown && r.node.env.Since(r.servingStart()) > goneAfter
+		isGone := isKnown && !r.node.members.IsLive(peer) && time.Since(m.Since) > goneAfter
+		if peer != r.node.self && (isReborn || isNeverSeen || isGone) {
 			lost = append(lost, peer)
 		}
 	}
 	return lost
 }
 
-// replacement is one member that comes in, for one that goes out if there is one.
-type replacement struct {
+// voterReplacement is one member that comes in, for one that goes out if there is one.
+type voterReplacement struct {
 	in, out rpc.Peer
 }
 
 // replacements pairs each lost member with the core node that takes its place: the
 // one of its own name, or a spare of the zone with the fewest members; and it fills
 // a group that is smaller than the fleet allows.
-func (t *Part) replacements(group, lost []rpc.Peer) (wanted []replacement) {
-	view := t.p.k.View()
+func (r *Replica) replacements(group, lost []rpc.Peer) (replacements []voterReplacement) {
+	view := r.node.members.View()
 	isTaken, zones := map[ids.Name]bool{}, map[string]int{}
 	for _, peer := range group {
-		if !holds(lost, peer) {
+		if !containsPeer(lost, peer) {
 			isTaken[peer.Name] = true
 			zones[view[peer.Name].Zone]++
 		}
 	}
-	cores := t.fleetCores()
-	take := func(out rpc.Peer, isFit func(rpc.Member) bool) bool {
+	cores := r.clusterCores()
+	assign := func(out rpc.Peer, suits func(rpc.Member) bool) bool {
 		var best *rpc.Member
 		for _, m := range cores {
-			if !isTaken[m.Name] && isFit(m) && (best == nil || zones[m.Zone] < zones[best.Zone]) {
+			if !isTaken[m.Name] && suits(m) && (best == nil || zones[m.Zone] < zones[best.Zone]) {
 				best = &m
 			}
 		}
@@ -97,7 +97,7 @@
 		}
 		isTaken[best.Name] = true
 		zones[best.Zone]++
-		wanted = append(wanted, replacement{in: rpc.Peer{Name: best.Name, Birth: best.Birth}, out: out})
+		replacements = append(replacements, voterReplacement{in: rpc.Peer{Name: best.Name, Birth: best.Birth}, out: out})
 		return true
 	}
 	isLost := map[ids.Name]bool{}
@@ -105,155 +105,155 @@
 		isLost[out.Name] = true
 	}
 	for _, out := range lost {
-		isBack := take(out, func(m rpc.Member) bool { return m.Name == out.Name })
-		if !isBack && isGone(view, out, t.p.r.Props.PactGone) {
-			take(out, func(m rpc.Member) bool { return !isLost[m.Name] })
+		isBack := assign(out, func(m rpc.Member) bool { return m.Name == out.Name })
+		if !isBack && isLongDead(view, out, r.node.env.Props.PactGone) {
+			assign(out, func(m rpc.Member) bool { return !isLost[m.Name] })
 		}
 	}
-	if size := Size(t.no, len(cores), t.p.r.Props.PactLosses); len(lost) == 0 && len(group) < size {
-		take(rpc.Peer{}, func(rpc.Member) bool { return true })
+	if size := ReplicationFactor(r.shard, len(cores), r.node.env.Props.PactLosses); len(lost) == 0 && len(group) < size {
+		assign(rpc.Peer{}, func(rpc.Member) bool { return true })
 	}
-	return wanted
+	return replacements
 }
 
-// fleetCores is the core nodes of this fleet that seem live.
-func (t *Part) fleetCores() (cores []rpc.Member) {
-	for _, m := range t.p.k.Cores() {
-		if m.Fleet == t.p.fleet() {
+// clusterCores is the core nodes of this fleet that seem live.
+func (r *Replica) clusterCores() (cores []rpc.Member) {
+	for _, m := range r.node.members.Cores() {
+		if m.Fleet == r.node.clusterID() {
 			cores = append(cores, m)
 		}
 	}
 	return cores
 }
 
-// replace has the newcomers catch up side by side, and puts those that did into
+// replaceVoters has the newcomers catch up side by side, and puts those that did into
 // the group in one change.
-func (t *Part) replace(group []rpc.Peer, wanted []replacement) {
-	caughtUp := make([]bool, len(wanted))
+func (r *Replica) replaceVoters(group []rpc.Peer, replacements []voterReplacement) {
+	caughtUp := make([]bool, len(replacements))
 	var all sync.WaitGroup
-	for i, r := range wanted {
+	for i, change := range replacements {
 		all.Add(1)
-		t.p.r.Go(func() {
+		r.node.env.Go(func() {
 			defer all.Done()
-			caughtUp[i] = t.catchUpLearner(r.in)
+			caughtUp[i] = r.catchUpLearner(change.in)
 		})
 	}
 	all.Wait()
 	next := slices.Clone(group)
-	for i, r := range wanted {
+	for i, change := range replacements {
 		if caughtUp[i] {
-			next = append(without(next, r.out), r.in)
+			next = append(without(next, change.out), change.in)
 		}
 	}
 	if slices.Equal(next, group) {
 		return
 	}
-	if t.changeVoters(Voters{Current: next, Former: group}) {
-		t.changeVoters(Voters{Current: next})
+	if r.proposeVoters(Voters{Current: next, Outgoing: group}) {
+		r.proposeVoters(Voters{Current: next})
 	}
 }
 
-// returnOwnership passes the part to the first in its order once that one is live
+// returnToPreferredLeader passes the part to the first in its order once that one is live
 // again and has shown that its disk works, so that owners stay spread.
-func (t *Part) returnOwnership(group []rpc.Peer) {
-	first := Order(t.no, group)[0]
-	if first == t.p.me || !t.p.k.IsLive(first) || time.Since(t.p.k.View()[first.Name].Since) < settleTime || t.p.r.Since(t.servedAt()) < settleTime {
+func (r *Replica) returnToPreferredLeader(voters []rpc.Peer) {
+	preferred := ElectionOrder(r.shard, voters)[0]
+	if preferred == r.node.self || !r.node.members.IsLive(preferred) || time.Since(r.node.members.View()[preferred.Name].Since) < stableAfter || r.node.env.Since(r.servingStart()) < stableAfter {
 		return
 	}
-	ctx, end := context.WithTimeout(t.p.r, time.Second)
+	ctx, end := context.WithTimeout(r.node.env, time.Second)
 	defer end()
-	index, _, err := t.propose(ctx, rpc.Entry{Kind: ownEntry})
+	index, _, err := r.propose(ctx, rpc.Entry{Kind: entryNoOp})
 	if err != nil {
 		return
 	}
 	for range 6 {
-		t.mu.Lock()
-		isThere := t.isServing && t.match[first] >= index
-		t.mu.Unlock()
-		if isThere {
-			t.handOver(ctx)
+		r.mu.Lock()
+		isCaughtUp := r.isServing && r.matchIndex[preferred] >= index
+		r.mu.Unlock()
+		if isCaughtUp {
+			r.transferLeadership(ctx)
 			return
 		}
-		if !t.p.r.Pause(50 * time.Millisecond) {
+		if !r.node.env.Pause(50 * time.Millisecond) {
 			return
 		}
 	}
 }
 
-// isGone tells whether a name has not been live, under any birth, for long.
-func isGone(view map[ids.Name]membership.Standing, peer rpc.Peer, long time.Duration) bool {
+// isLongDead tells whether a name has not been live, under any birth, for long.
+func isLongDead(view map[ids.Name]membership.Standing, peer rpc.Peer, goneAfter time.Duration) bool {
 	m, ok := view[peer.Name]
-	return !ok || m.State != membership.Alive && m.State != membership.Suspect && time.Since(m.Since) > long
+	return !ok || m.State != membership.Alive && m.State != membership.Suspect && time.Since(m.Since) > goneAfter
 }
 
-func (t *Part) servedAt() time.Time {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.served
+func (r *Replica) servingStart() time.Time {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.servingSince
 }
 
-func (p *Node) fleet() string {
-	if c := p.Charter(); c != nil {
+func (n *Node) clusterID() string {
+	if c := n.Charter(); c != nil {
 		return c.Fleet
 	}
 	return ""
 }
 
-func without(group []rpc.Peer, gone rpc.Peer) (rest []rpc.Peer) {
+func without(group []rpc.Peer, removed rpc.Peer) (remaining []rpc.Peer) {
 	for _, peer := range group {
-		if peer != gone {
-			rest = append(rest, peer)
+		if peer != removed {
+			remaining = append(remaining, peer)
 		}
 	}
-	return rest
+	return remaining
 }
 
 // catchUpLearner feeds a learner until it is close behind, as long as it comes
 // closer.
-func (t *Part) catchUpLearner(peer rpc.Peer) bool {
-	t.mu.Lock()
-	if !t.isServing {
-		t.mu.Unlock()
+func (r *Replica) catchUpLearner(peer rpc.Peer) bool {
+	r.mu.Lock()
+	if !r.isServing {
+		r.mu.Unlock()
 		return false
 	}
-	t.startReplicating(peer)
-	t.mu.Unlock()
-	for since := t.p.r.Now(); t.p.r.Since(since) < learnerRest; {
-		t.mu.Lock()
-		last, _ := t.last()
-		reached, isServing := t.match[peer], t.isServing
-		if t.progress[peer].After(since) {
-			since = t.progress[peer]
+	r.startReplicating(peer)
+	r.mu.Unlock()
+	for since := r.node.env.Now(); r.node.env.Since(since) < learnerStallTimeout; {
+		r.mu.Lock()
+		last, _ := r.lastEntry()
+		reached, isServing := r.matchIndex[peer], r.isServing
+		if r.lastProgress[peer].After(since) {
+			since = r.lastProgress[peer]
 		}
-		t.mu.Unlock()
+		r.mu.Unlock()
 		switch {
 		case !isServing:
 			return false
-		case reached > 0 && reached+learnerBehind >= last:
+		case reached > 0 && reached+maxLearnerLag >= last:
 			return true
 		}
-		if !t.p.r.Pause(learnerPause) {
+		if !r.node.env.Pause(learnerPollInterval) {
 			return false
 		}
 	}
 	return false
 }
 
-// changeVoters writes one step of a change, and tells whether it is committed.
-func (t *Part) changeVoters(next Voters) bool {
-	ctx, end := context.WithTimeout(t.p.r, changeTime)
+// proposeVoters writes one step of a change, and tells whether it is committed.
+func (r *Replica) proposeVoters(next Voters) bool {
+	ctx, end := context.WithTimeout(r.node.env, membershipChangeTimeout)
 	defer end()
-	_, _, err := t.propose(ctx, rpc.Entry{Kind: groupEntry, Group: next.Current, Former: next.Former})
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if !t.isOwner {
+	_, _, err := r.propose(ctx, rpc.Entry{Kind: entryMembershipChange, Group: next.Current, Former: next.Outgoing})
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if !r.isLeader {
 		return false
 	}
-	for peer := range t.replicating {
-		if !t.voters.Holds(peer) && t.commit >= t.votersAt {
-			delete(t.replicating, peer)
+	for peer := range r.replicating {
+		if !r.voters.Contains(peer) && r.commitIndex >= r.votersIndex {
+			delete(r.replicating, peer)
 		}
 	}
-	t.replicateToAll()
+	r.replicateToAll()
 	return err == nil
 }
--- a/internal/consensus/model/conformance.go
+++ b/internal/consensus/model/conformance.go
@@ -50,7 +50,7 @@
 
 // Observe takes one step of a node; steps that are no Trace are passed over.
 func (c *Conformance) Observe(step any) {
-	trace, ok := step.(consensus.Trace)
+	trace, ok := step.(consensus.TraceEvent)
 	if !ok {
 		return
 	}
@@ -60,18 +60,18 @@
 	if c.parts == nil {
 		c.parts = map[ids.Part]*observed{}
 	}
-	o := c.parts[trace.Part]
+	o := c.parts[trace.Shard]
 	if o == nil {
 		o = newObserved()
-		c.parts[trace.Part] = o
+		c.parts[trace.Shard] = o
 	}
 	breach := func(invariant, format string, args ...any) {
-		c.Breached(invariant, fmt.Sprintf("part %d, %s, term %s: ", trace.Part, trace.Member.Name, trace.Term)+fmt.Sprintf(format, args...))
+		c.Breached(invariant, fmt.Sprintf("part %d, %s, term %s: ", trace.Shard, trace.Member.Name, trace.Term)+fmt.Sprintf(format, args...))
 	}
 	switch trace.Kind {
-	case consensus.TraceRaised:
+	case consensus.TraceTermRaised:
 		o.raise(trace, breach)
-	case consensus.TracePromised:
+	case consensus.TraceVoted:
 		o.promise(trace)
 	case consensus.TraceElected:
 		o.elect(trace, breach)
@@ -93,25 +93,25 @@
 
 // raise demands that a disk forgets no promise; one that was not synced may be gone
 // after a loss of power.
-func (o *observed) raise(step consensus.Trace, breach breachFunc) {
+func (o *observed) raise(step consensus.TraceEvent, breach breachFunc) {
 	if step.Term.Less(o.promised[step.Member]) {
 		breach(PromiseWentDown, "it had promised %s", o.promised[step.Member])
 	}
 }
 
 // promise notes a synced promise; two that are synced at once are told in any order.
-func (o *observed) promise(step consensus.Trace) {
+func (o *observed) promise(step consensus.TraceEvent) {
 	if o.promised[step.Member].Less(step.Term) {
 		o.promised[step.Member] = step.Term
 	}
 }
 
-func (o *observed) elect(step consensus.Trace, breach breachFunc) {
+func (o *observed) elect(step consensus.TraceEvent, breach breachFunc) {
 	if other, isKnown := o.owners[step.Term]; isKnown {
 		breach(OwnersOfOneTerm, "it was %s's", other.Name)
 	}
 	o.owners[step.Term] = step.Member
-	if !step.Voters.IsDecidedBy(step.Granted) {
+	if !step.Voters.HasQuorum(step.Granted) {
 		breach(NoMajority, "%v of %s", step.Granted, step.Voters)
 	}
 	for _, peer := range step.Granted {
@@ -131,7 +131,7 @@
 	}
 }
 
-func (o *observed) commit(step consensus.Trace, breach breachFunc) {
+func (o *observed) commit(step consensus.TraceEvent, breach breachFunc) {
 	entry, isKnown := o.committed[step.Index]
 	if isKnown && entry.term != step.EntryTerm {
 		breach(CommittedDiffer, "entry %d is of %s, and of %s elsewhere", step.Index, step.EntryTerm, entry.term)
@@ -140,13 +140,13 @@
 	if !isKnown {
 		entry = committedEntry{term: step.EntryTerm, at: time.Now()}
 	}
-	if step.IsOwner && entry.by == (ids.Term{}) {
+	if step.IsLeader && entry.by == (ids.Term{}) {
 		entry.by, entry.at = step.Term, time.Now()
 		o.newest = max(o.newest, step.Index)
 	}
 	o.committed[step.Index] = entry
-	if step.IsChange && step.Index > o.votersAt {
-		if o.votersAt > 0 && !consensus.Meet(o.voters, step.Voters) {
+	if step.IsMembershipChange && step.Index > o.votersAt {
+		if o.votersAt > 0 && !consensus.QuorumsIntersect(o.voters, step.Voters) {
 			breach(GroupsDontMeet, "entry %d: %s after %s", step.Index, step.Voters, o.voters)
 		}
 		o.voters, o.votersAt = step.Voters, step.Index
@@ -154,7 +154,7 @@
 }
 
 // read demands that what was committed before a read began is answered from.
-func (o *observed) read(step consensus.Trace, breach breachFunc) {
+func (o *observed) read(step consensus.TraceEvent, breach breachFunc) {
 	for index := o.newest; index > step.Index; index-- {
 		if entry := o.committed[index]; entry.by != (ids.Term{}) && entry.at.Before(step.Since) {
 			breach(ReadIsOld, "answered up to %d, entry %d was committed under %s %s before", step.Index, index, entry.by, step.Since.Sub(entry.at))
--- a/internal/consensus/model/explore_test.go
+++ b/internal/consensus/model/explore_test.go
@@ -43,7 +43,7 @@
 	{"learners are voters", Rules{LearnersAreVoters: true}, Scope{Members: 4, Rounds: 2, Writes: 1}, []string{AckedLost, ReadIsOld}},
 }
 
-func TestTheProtocolKeepsItsInvariants(t *testing.T) {
+func TestExplore_ProtocolKeepsInvariants(t *testing.T) {
 	for _, part := range inCI {
 		result := Explore(part.rules, part.scope)
 		if result.Breach != nil {
@@ -53,9 +53,9 @@
 	}
 }
 
-// TestEachSafeguardIsNeeded takes the safeguards out one at a time; the model
+// TestExplore_EachSafeguardIsNeeded takes the safeguards out one at a time; the model
 // proves nothing where it can't tell.
-func TestEachSafeguardIsNeeded(t *testing.T) {
+func TestExplore_EachSafeguardIsNeeded(t *testing.T) {
 	for _, fault := range faults {
 		t.Run(fault.name, func(t *testing.T) {
 			t.Parallel()
@@ -75,10 +75,10 @@
 	}
 }
 
-// TestDeepExploration is the long walk, by command:
+// TestExplore_Deep is the long walk, by command:
 //
 //	go test ./internal/consensus/model -run Deep -deep 20000000 -v -timeout 1h
-func TestDeepExploration(t *testing.T) {
+func TestExplore_Deep(t *testing.T) {
 	if *deep == 0 {
 		t.Skip("give -deep")
 	}
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -21,47 +21,47 @@
 	"github.com/sumactrestle/sumactrestle/internal/storage"
 )
 
-// Machine is what a part's entries are folded into. Apply must come out the
+// StateMachine is what a part's entries are folded into. Apply must come out the
 // same on every member; the receipt goes to whoever proposed the entry.
-type Machine interface {
+type StateMachine interface {
 	Apply(index ids.Stamp, body json.RawMessage) any
-	// Capture takes hold of the state as it is now; what it returns writes it out, while
+	// Snapshot takes hold of the state as it is now; what it returns writes it out, while
 	// further entries are applied.
-	Capture() func() (json.RawMessage, error)
-	Load(state json.RawMessage) error
+	Snapshot() func() (json.RawMessage, error)
+	Restore(state json.RawMessage) error
 }
 
 // Node is all the parts of one core node.
 type Node struct {
-	r     *environment.Realm
-	w     *rpc.Wire
-	k     *membership.Kin
-	store *storage.Store
-	me    rpc.Peer
-	parts []*Part
+	env       *environment.Realm
+	transport *rpc.Wire
+	members   *membership.Kin
+	store     *storage.Store
+	self      rpc.Peer
+	replicas  []*Replica
 
-	mu        sync.Mutex
-	charter   *rpc.Charter
-	pledge    ids.Term
-	owners    map[ids.Part]claimed
-	rounds    map[rpc.Peer]*heartbeater
-	claimSets map[rpc.Peer]claimSet
-	isBusy    map[ids.Part]bool
-	isGoing   bool
-	started   time.Time
-	isAsking  atomic.Bool                // whether to stand
-	transfers map[rpc.Peer]chan struct{} // of snapshots, one at a time to each member
-	Ready     chan struct{}
+	mu             sync.Mutex
+	charter        *rpc.Charter
+	bootstrapTerm  ids.Term
+	leaders        map[ids.Part]leaderRecord
+	heartbeaters   map[rpc.Peer]*heartbeater
+	receivedClaims map[rpc.Peer]claimSet
+	busy           map[ids.Part]bool
+	isStopping     bool
+	started        time.Time
+	isPrevoting    atomic.Bool                // whether to stand
+	snapshotSlots  map[rpc.Peer]chan struct{} // of snapshots, one at a time to each member
+	Bootstrapped   chan struct{}
 }
 
-type claimed struct {
+type leaderRecord struct {
 	name ids.Name
 	term ids.Term
 	at   time.Time
 }
 
-// Born reads the birth from the store, or makes one for an empty store.
-func Born(store *storage.Store) (ids.Birth, error) {
+// LoadOrCreateMemberID reads the birth from the store, or makes one for an empty store.
+func LoadOrCreateMemberID(store *storage.Store) (ids.Birth, error) {
 	raw, err := store.Get("birth")
 	if err != nil {
 		return "", err
@@ -69,111 +69,111 @@
 	if raw != nil {
 		return ids.Birth(raw), nil
 	}
-	birth := ids.NewBirth()
-	w := store.Begin()
-	w.Put("birth", []byte(birth))
-	store.Hand(w)
-	return birth, w.Wait()
+	id := ids.NewBirth()
+	batch := store.Begin()
+	batch.Put("birth", []byte(id))
+	store.Hand(batch)
+	return id, batch.Wait()
 }
 
-func New(r *environment.Realm, w *rpc.Wire, k *membership.Kin, store *storage.Store, machines []Machine) (*Node, error) {
-	me := k.Me()
-	p := &Node{r: r, w: w, k: k, store: store, me: rpc.Peer{Name: me.Name, Birth: me.Birth},
-		owners: map[ids.Part]claimed{}, rounds: map[rpc.Peer]*heartbeater{}, claimSets: map[rpc.Peer]claimSet{}, isBusy: map[ids.Part]bool{}, transfers: map[rpc.Peer]chan struct{}{}, started: r.Now(), Ready: make(chan struct{})}
-	for no, machine := range machines {
-		p.parts = append(p.parts, newPart(p, ids.Part(no), machine))
+func New(env *environment.Realm, transport *rpc.Wire, members *membership.Kin, store *storage.Store, machines []StateMachine) (*Node, error) {
+	self := members.Me()
+	n := &Node{env: env, transport: transport, members: members, store: store, self: rpc.Peer{Name: self.Name, Birth: self.Birth},
+		leaders: map[ids.Part]leaderRecord{}, heartbeaters: map[rpc.Peer]*heartbeater{}, receivedClaims: map[rpc.Peer]claimSet{}, busy: map[ids.Part]bool{}, snapshotSlots: map[rpc.Peer]chan struct{}{}, started: env.Now(), Bootstrapped: make(chan struct{})}
+	for shard, machine := range machines {
+		n.replicas = append(n.replicas, newReplica(n, ids.Part(shard), machine))
 	}
-	if err := p.load(); err != nil {
+	if err := n.load(); err != nil {
 		return nil, err
 	}
-	handle(w, "pact.promise", func(c *rpc.Call, ask *rpc.PromiseAsk) (any, error) {
-		part, err := p.openPart(ask.Part)
+	registerHandler(transport, "pact.promise", func(c *rpc.Call, request *rpc.PromiseAsk) (any, error) {
+		r, err := n.votingReplica(request.Part)
 		if err != nil {
 			return nil, err
 		}
-		return part.promise(ask)
+		return r.handleVote(request)
 	})
-	handle(w, "pact.prevote", func(c *rpc.Call, ask *rpc.PrevoteAsk) (any, error) { return p.answerPrevote(ask), nil })
-	handle(w, "pact.append", func(c *rpc.Call, ask *rpc.AppendAsk) (any, error) {
-		part, err := p.openPart(ask.Part)
+	registerHandler(transport, "pact.prevote", func(c *rpc.Call, request *rpc.PrevoteAsk) (any, error) { return n.handlePrevote(request), nil })
+	registerHandler(transport, "pact.append", func(c *rpc.Call, request *rpc.AppendAsk) (any, error) {
+		r, err := n.votingReplica(request.Part)
 		if err != nil {
 			return nil, err
 		}
-		return part.accept(ask)
+		return r.handleAppend(request)
 	})
-	handle(w, "pact.chunk", func(c *rpc.Call, ask *rpc.ChunkAsk) (any, error) {
-		part, err := p.openPart(ask.Part)
+	registerHandler(transport, "pact.chunk", func(c *rpc.Call, request *rpc.ChunkAsk) (any, error) {
+		r, err := n.votingReplica(request.Part)
 		if err != nil {
 			return nil, err
 		}
-		return part.acceptChunk(ask)
+		return r.handleSnapshotChunk(request)
 	})
-	handle(w, "pact.round", func(c *rpc.Call, ask *rpc.RoundAsk) (any, error) { return p.answerHeartbeat(ask), nil })
-	handle(w, "pact.invite", func(c *rpc.Call, ask *rpc.InviteAsk) (any, error) {
-		part, err := p.part(ask.Part)
+	registerHandler(transport, "pact.round", func(c *rpc.Call, request *rpc.RoundAsk) (any, error) { return n.handleHeartbeat(request), nil })
+	registerHandler(transport, "pact.invite", func(c *rpc.Call, request *rpc.InviteAsk) (any, error) {
+		r, err := n.lookupReplica(request.Part)
 		if err != nil {
 			return nil, err
 		}
-		if !part.isInvitedBy(ask) {
-			return nil, errcode.New(errcode.NotOwner, "part %d: the invitation is of an old term", ask.Part)
+		if !r.isTransferFromLeader(request) {
+			return nil, errcode.New(errcode.NotOwner, "part %d: the invitation is of an old term", request.Part)
 		}
-		p.r.Go(func() { part.campaign(true) })
+		n.env.Go(func() { r.campaign(true) })
 		return struct{}{}, nil
 	})
-	p.openRepair()
-	handle(w, "pact.found", func(c *rpc.Call, ask *rpc.FoundAsk) (any, error) { return p.found(ask) })
-	handle(w, "pact.charter", func(c *rpc.Call, ask *struct{}) (any, error) {
-		if charter := p.Charter(); charter != nil {
+	n.registerRepair()
+	registerHandler(transport, "pact.found", func(c *rpc.Call, request *rpc.FoundAsk) (any, error) { return n.handleBootstrap(request) })
+	registerHandler(transport, "pact.charter", func(c *rpc.Call, request *struct{}) (any, error) {
+		if charter := n.Charter(); charter != nil {
 			return charter, nil
 		}
 		return nil, errcode.New(errcode.NoOwner, "no charter here")
 	})
-	return p, nil
+	return n, nil
 }
 
-// handle reads the ask before the verb sees it.
-func handle[T any](w *rpc.Wire, kind string, verb func(*rpc.Call, *T) (any, error)) {
-	w.Handle(kind, func(c *rpc.Call) (any, error) {
-		var ask T
-		if err := c.Read(&ask); err != nil {
+// registerHandler reads the ask before the verb sees it.
+func registerHandler[T any](transport *rpc.Wire, kind string, handler func(*rpc.Call, *T) (any, error)) {
+	transport.Handle(kind, func(c *rpc.Call) (any, error) {
+		var request T
+		if err := c.Read(&request); err != nil {
 			return nil, err
 		}
-		return verb(c, &ask)
+		return handler(c, &request)
 	})
 }
 
-func (p *Node) part(no ids.Part) (*Part, error) {
-	if no < 0 || int(no) >= len(p.parts) {
-		return nil, errcode.New(errcode.BadMessage, "no part %d", no)
+func (n *Node) lookupReplica(shard ids.Part) (*Replica, error) {
+	if shard < 0 || int(shard) >= len(n.replicas) {
+		return nil, errcode.New(errcode.BadMessage, "no part %d", shard)
 	}
-	return p.parts[no], nil
+	return n.replicas[shard], nil
 }
 
-// stallTime is for how long a write may take before this node gives up what it owns
+// diskStallTimeout is for how long a write may take before this node gives up what it owns
 // and takes no more from others: it has no vote that it can't sync.
-const stallTime = time.Second
+const diskStallTimeout = time.Second
 
-// openPart is a part of a fleet whose charter is open here. Before that this node has
+// votingReplica is a part of a fleet whose charter is open here. Before that this node has
 // no vote: the charter may yet be given up for another.
-func (p *Node) openPart(no ids.Part) (*Part, error) {
-	part, err := p.part(no)
-	if err == nil && p.Charter() == nil {
-		err = errcode.New(errcode.NotOwner, "part %d: no charter is open here", no)
+func (n *Node) votingReplica(shard ids.Part) (*Replica, error) {
+	r, err := n.lookupReplica(shard)
+	if err == nil && n.Charter() == nil {
+		err = errcode.New(errcode.NotOwner, "part %d: no charter is open here", shard)
 	}
-	if err == nil && p.store.Stalled() > stallTime {
-		err = errcode.New(errcode.StorageBroken, "part %d: the disk takes nothing", no)
+	if err == nil && n.store.Stalled() > diskStallTimeout {
+		err = errcode.New(errcode.StorageBroken, "part %d: the disk takes nothing", shard)
 	}
-	return part, err
+	return r, err
 }
 
-// Part is one of the parts; the number is known to be right.
-func (p *Node) Part(no ids.Part) *Part { return p.parts[no] }
+// Replica is one of the parts; the number is known to be right.
+func (n *Node) Replica(shard ids.Part) *Replica { return n.replicas[shard] }
 
-// Parts is all of them.
-func (p *Node) Parts() []*Part { return p.parts }
+// Replicas is all of them.
+func (n *Node) Replicas() []*Replica { return n.replicas }
 
-func (p *Node) load() error {
-	raw, err := p.store.Get("charter")
+func (n *Node) load() error {
+	raw, err := n.store.Get("charter")
 	if err != nil {
 		return err
 	}
@@ -182,203 +182,203 @@
 		if err := json.Unmarshal(raw, charter); err != nil {
 			return errcode.New(errcode.StorageBroken, "charter: %v", err)
 		}
-		p.charter, p.pledge = charter, charter.Round
+		n.charter, n.bootstrapTerm = charter, charter.Round
 	}
-	if raw, err = p.store.Get("pledge"); err != nil {
+	if raw, err = n.store.Get("pledge"); err != nil {
 		return err
 	}
 	if raw != nil {
-		if err := json.Unmarshal(raw, &p.pledge); err != nil {
+		if err := json.Unmarshal(raw, &n.bootstrapTerm); err != nil {
 			return errcode.New(errcode.StorageBroken, "pledge: %v", err)
 		}
 	}
-	for _, part := range p.parts {
-		if err := part.load(); err != nil {
+	for _, r := range n.replicas {
+		if err := r.load(); err != nil {
 			return err
 		}
 	}
-	if p.charter != nil && p.charter.Open {
-		p.enter(p.charter)
+	if n.charter != nil && n.charter.Open {
+		n.enterCluster(n.charter)
 	}
 	return nil
 }
 
-// Open starts the tasks; kin and wire are open already.
-func (p *Node) Open() {
-	p.r.Go(p.supervise)
-	p.r.Go(p.prevotes)
-	p.r.Go(p.repair)
+// Start starts the tasks; kin and wire are open already.
+func (n *Node) Start() {
+	n.env.Go(n.supervise)
+	n.env.Go(n.prevoteAfterStart)
+	n.env.Go(n.repairLoop)
 }
 
 // Charter is the open charter, or nil.
-func (p *Node) Charter() *rpc.Charter {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.charter == nil || !p.charter.Open {
+func (n *Node) Charter() *rpc.Charter {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.charter == nil || !n.charter.Open {
 		return nil
 	}
-	return p.charter
+	return n.charter
 }
 
-// Owner is who last claimed a part, as far as this node heard.
-func (p *Node) Owner(no ids.Part) (ids.Name, bool) {
-	if p.parts[no].IsOwner() {
-		return p.r.Name, true
+// Leader is who last claimed a part, as far as this node heard.
+func (n *Node) Leader(shard ids.Part) (ids.Name, bool) {
+	if n.replicas[shard].IsLeader() {
+		return n.env.Name, true
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	c, ok := p.owners[no]
-	return c.name, ok && p.r.Since(c.at) < p.r.Props.PactContact
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	c, ok := n.leaders[shard]
+	return c.name, ok && n.env.Since(c.at) < n.env.Props.PactContact
 }
 
-// HasContact tells whether this node knows of late that a majority follows a part's
+// HasQuorumContact tells whether this node knows of late that a majority follows a part's
 // owner: as the owner by the word of the others, else by the word of the owner, which
 // gives the part up when it has none of a majority. A node without contact may hold
 // old state and not know it, so it gives nothing out.
-func (p *Node) HasContact(no ids.Part) bool {
-	if age, isServing := p.parts[no].Age(); isServing {
-		return age < p.r.Props.PactContact
+func (n *Node) HasQuorumContact(shard ids.Part) bool {
+	if age, isServing := n.replicas[shard].ConfirmationAge(); isServing {
+		return age < n.env.Props.PactContact
 	}
-	name, isKnown := p.Owner(no)
-	return isKnown && name != p.r.Name
+	name, isKnown := n.Leader(shard)
+	return isKnown && name != n.env.Name
 }
 
-// HasLostContact tells whether contact is lost for so long that a call is better
+// HasLostQuorum tells whether contact is lost for so long that a call is better
 // taken to another node than held until it is back.
-func (p *Node) HasLostContact(no ids.Part) bool {
-	if p.HasContact(no) {
+func (n *Node) HasLostQuorum(shard ids.Part) bool {
+	if n.HasQuorumContact(shard) {
 		return false
 	}
-	p.mu.Lock()
-	last := p.owners[no].at
-	p.mu.Unlock()
-	if last.Before(p.started) {
-		last = p.started
+	n.mu.Lock()
+	last := n.leaders[shard].at
+	n.mu.Unlock()
+	if last.Before(n.started) {
+		last = n.started
 	}
-	return p.r.Since(last) > p.r.Props.PactContact
+	return n.env.Since(last) > n.env.Props.PactContact
 }
 
 // supervise is the slow hand: founding, rounds to new peers, standing, membership.
-func (p *Node) supervise() {
-	isNext := 0
-	for p.r.Pause(environment.Jitter(100 * time.Millisecond)) {
-		if p.Charter() == nil {
-			p.seekCharter()
+func (n *Node) supervise() {
+	tick := 0
+	for n.env.Pause(environment.Jitter(100 * time.Millisecond)) {
+		if n.Charter() == nil {
+			n.bootstrap()
 			continue
 		}
-		p.keepHeartbeats()
-		p.showKeeping()
-		isStalled := p.store.Stalled() > stallTime
-		var due []*Part
-		for _, part := range p.parts {
+		n.keepHeartbeats()
+		n.advertiseConfigVoter()
+		isStalled := n.store.Stalled() > diskStallTimeout
+		var due []*Replica
+		for _, r := range n.replicas {
 			if isStalled {
-				part.yield("disk stalls")
+				r.resign("disk stalls")
 				continue
 			}
-			part.checkMajority()
-			if part.isElectionDue() {
-				due = append(due, part)
+			r.checkQuorum()
+			if r.isElectionDue() {
+				due = append(due, r)
 			}
 		}
-		p.campaignFor(due)
-		if isNext++; isNext%5 == 0 && !p.IsGoing() {
-			for _, part := range p.parts {
-				if part.IsServing() {
-					p.once(part.no, part.superviseGroup)
+		n.prevoteAndCampaign(due)
+		if tick++; tick%5 == 0 && !n.IsStopping() {
+			for _, r := range n.replicas {
+				if r.IsServing() {
+					n.runOnce(r.shard, r.superviseVoters)
 				}
 			}
 		}
 	}
 }
 
-// showKeeping lets others know whether this node holds the configuration part, for
+// advertiseConfigVoter lets others know whether this node holds the configuration part, for
 // only such a node can tell proxies of it.
-func (p *Node) showKeeping() {
-	t := p.parts[ids.Config]
-	t.mu.Lock()
-	keeps := t.voters.Holds(p.me)
-	t.mu.Unlock()
-	if p.k.Me().Keeps != keeps {
-		p.k.Amend(func(m *rpc.Member) { m.Keeps = keeps })
+func (n *Node) advertiseConfigVoter() {
+	r := n.replicas[ids.Config]
+	r.mu.Lock()
+	isVoter := r.voters.Contains(n.self)
+	r.mu.Unlock()
+	if n.members.Me().Keeps != isVoter {
+		n.members.Amend(func(m *rpc.Member) { m.Keeps = isVoter })
 	}
 }
 
-// once runs a task for a part unless one is under way.
-func (p *Node) once(no ids.Part, task func()) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.isBusy[no] {
+// runOnce runs a task for a part unless one is under way.
+func (n *Node) runOnce(shard ids.Part, task func()) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.busy[shard] {
 		return
 	}
-	p.isBusy[no] = true
-	p.r.Go(func() {
+	n.busy[shard] = true
+	n.env.Go(func() {
 		task()
-		p.mu.Lock()
-		p.isBusy[no] = false
-		p.mu.Unlock()
+		n.mu.Lock()
+		n.busy[shard] = false
+		n.mu.Unlock()
 	})
 }
 
-func (p *Node) IsGoing() bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.isGoing
+func (n *Node) IsStopping() bool {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return n.isStopping
 }
 
-// HandOver passes all owned parts on, for a planned stop.
-func (p *Node) HandOver(ctx context.Context) {
-	p.mu.Lock()
-	p.isGoing = true
-	p.mu.Unlock()
+// TransferLeadership passes all owned parts on, for a planned stop.
+func (n *Node) TransferLeadership(ctx context.Context) {
+	n.mu.Lock()
+	n.isStopping = true
+	n.mu.Unlock()
 	var all sync.WaitGroup
-	for _, part := range p.parts {
-		if part.IsServing() {
+	for _, r := range n.replicas {
+		if r.IsServing() {
 			all.Add(1)
-			p.r.Go(func() {
+			n.env.Go(func() {
 				defer all.Done()
-				part.handOver(ctx)
+				r.transferLeadership(ctx)
 			})
 		}
 	}
 	all.Wait()
-	p.awaitOthers(ctx)
+	n.awaitQuorumWithoutSelf(ctx)
 }
 
 // A node that goes stays a voter for this share of its time to stop, as long as the
 // others would be no majority without it.
-const awaitShare = 0.6
+const stopShare = 0.6
 
-// awaitOthers waits until the other live members decide in every part without this
+// awaitQuorumWithoutSelf waits until the other live members decide in every part without this
 // one, or until the time for it is over.
-func (p *Node) awaitOthers(ctx context.Context) {
-	began, longest := p.r.Now(), time.Duration(awaitShare*float64(p.r.Props.StopGrace))
-	for ctx.Err() == nil && p.r.Since(began) < longest && p.isNeeded() {
-		if !p.r.Pause(50 * time.Millisecond) {
+func (n *Node) awaitQuorumWithoutSelf(ctx context.Context) {
+	began, longest := n.env.Now(), time.Duration(stopShare*float64(n.env.Props.StopGrace))
+	for ctx.Err() == nil && n.env.Since(began) < longest && n.isNeededForQuorum() {
+		if !n.env.Pause(50 * time.Millisecond) {
 			return
 		}
 	}
 }
 
-// isNeeded tells whether some part has no majority of members beside this node that
+// isNeededForQuorum tells whether some part has no majority of members beside this node that
 // are live and not even suspected.
-func (p *Node) isNeeded() bool {
-	view := p.k.View()
-	for _, t := range p.parts {
-		t.mu.Lock()
-		voters := t.voters
-		t.mu.Unlock()
-		var others []rpc.Peer
+func (n *Node) isNeededForQuorum() bool {
+	view := n.members.View()
+	for _, r := range n.replicas {
+		r.mu.Lock()
+		voters := r.voters
+		r.mu.Unlock()
+		var remaining []rpc.Peer
 		for _, peer := range voters.All() {
 			m := view[peer.Name]
-			if peer != p.me && m.Birth == peer.Birth && m.State == membership.Alive {
-				others = append(others, peer)
+			if peer != n.self && m.Birth == peer.Birth && m.State == membership.Alive {
+				remaining = append(remaining, peer)
 			}
 		}
-		if voters.Holds(p.me) && !voters.IsDecidedBy(others) {
+		if voters.Contains(n.self) && !voters.HasQuorum(remaining) {
 			return true
 		}
 	}
 	return false
 }
 
-func (p *Node) say(e eventlog.Event, pairs ...any) { p.r.Sign.Say(e, pairs...) }
+func (n *Node) log(event eventlog.Event, fields ...any) { n.env.Sign.Say(event, fields...) }
--- a/internal/consensus/part.go
+++ b/internal/consensus/part.go
@@ -20,346 +20,346 @@
 
 // Kinds of entries that are the part's own; all others are the machine's.
 const (
-	ownEntry   = "own"   // the first entry of an owner, and barriers
-	groupEntry = "group" // the voters from here on
+	entryNoOp             = "own"   // the first entry of an owner, and barriers
+	entryMembershipChange = "group" // the voters from here on
 )
 
-type waiter struct {
+type proposal struct {
 	term ids.Term
 	done chan any
 }
 
-// Part is one part on one member.
-type Part struct {
-	p       *Node
-	no      ids.Part
-	machine Machine
+// Replica is one part on one member.
+type Replica struct {
+	node         *Node
+	shard        ids.Part
+	stateMachine StateMachine
 
-	mu       sync.Mutex
-	change   chan struct{}
-	promised ids.Term
-	seen     uint64
-	base     rpc.Snapshot
-	entries  []rpc.Entry
-	commit   ids.Stamp
-	applied  ids.Stamp
-	voters   Voters
-	votersAt ids.Stamp
-	matched  ids.Stamp
-	matchIn  ids.Term
-	heard    time.Time
-	since    time.Time
+	mu                 sync.Mutex
+	changed            chan struct{}
+	currentTerm        ids.Term
+	highestRound       uint64
+	snapshot           rpc.Snapshot
+	entries            []rpc.Entry
+	commitIndex        ids.Stamp
+	appliedIndex       ids.Stamp
+	voters             Voters
+	votersIndex        ids.Stamp
+	leaderMatchIndex   ids.Stamp
+	leaderMatchTerm    ids.Term
+	lastLeaderContact  time.Time
+	electionTimerStart time.Time
 
-	isOutside   bool // was told to be no member any more
-	isOwner     bool
-	isServing   bool
-	served      time.Time
-	began       ids.Stamp
-	ctx         context.Context
-	end         context.CancelFunc
-	match       map[rpc.Peer]ids.Stamp
-	acks        map[rpc.Peer]time.Time
-	replicating map[rpc.Peer]bool
-	progress    map[rpc.Peer]time.Time // when each member last got something new
-	sending     int                    // snapshots on their way to members
-	sent        *packedSnapshot
-	isFolding   bool
-	tail        []rpc.Entry // the newest entries that the snapshot holds
-	incoming    *incoming
-	waiters     map[ids.Stamp]waiter
+	isRemoved         bool // was told to be no member any more
+	isLeader          bool
+	isServing         bool
+	servingSince      time.Time
+	firstOwnIndex     ids.Stamp
+	leaderCtx         context.Context
+	cancelLeadership  context.CancelFunc
+	matchIndex        map[rpc.Peer]ids.Stamp
+	lastAck           map[rpc.Peer]time.Time
+	replicating       map[rpc.Peer]bool
+	lastProgress      map[rpc.Peer]time.Time // when each member last got something new
+	snapshotsInFlight int                    // snapshots on their way to members
+	packedSnapshot    *packedSnapshot
+	isCompacting      bool
+	retained          []rpc.Entry // the newest entries that the snapshot holds
+	incomingSnapshot  *incomingSnapshot
+	proposals         map[ids.Stamp]proposal
 }
 
-func newPart(p *Node, no ids.Part, machine Machine) *Part {
-	return &Part{p: p, no: no, machine: machine, change: make(chan struct{}), since: p.r.Now(), waiters: map[ids.Stamp]waiter{}}
+func newReplica(node *Node, shard ids.Part, stateMachine StateMachine) *Replica {
+	return &Replica{node: node, shard: shard, stateMachine: stateMachine, changed: make(chan struct{}), electionTimerStart: node.env.Now(), proposals: map[ids.Stamp]proposal{}}
 }
 
-func (t *Part) key(kind string) string { return fmt.Sprintf("p/%02d/%s", t.no, kind) }
-func (t *Part) entryKey(index ids.Stamp) string {
-	return t.key(fmt.Sprintf("e/%016x", uint64(index)))
+func (r *Replica) key(kind string) string { return fmt.Sprintf("p/%02d/%s", r.shard, kind) }
+func (r *Replica) entryKey(index ids.Stamp) string {
+	return r.key(fmt.Sprintf("e/%016x", uint64(index)))
 }
 
 // load reads the part from the store and checks that nothing is missing.
-func (t *Part) load() error {
-	read := func(kind string, into any) error {
-		raw, err := t.p.store.Get(t.key(kind))
+func (r *Replica) load() error {
+	readRecord := func(kind string, target any) error {
+		raw, err := r.node.store.Get(r.key(kind))
 		if err != nil || raw == nil {
 			return err
 		}
-		return json.Unmarshal(raw, into)
+		return json.Unmarshal(raw, target)
 	}
-	if err := read("promised", &t.promised); err != nil {
-		return errcode.New(errcode.StorageBroken, "part %d: promise: %v", t.no, err)
+	if err := readRecord("promised", &r.currentTerm); err != nil {
+		return errcode.New(errcode.StorageBroken, "part %d: promise: %v", r.shard, err)
 	}
-	if err := read("base", &t.base); err != nil {
-		return errcode.New(errcode.StorageBroken, "part %d: snapshot: %v", t.no, err)
+	if err := readRecord("base", &r.snapshot); err != nil {
+		return errcode.New(errcode.StorageBroken, "part %d: snapshot: %v", r.shard, err)
 	}
-	if t.base.State != nil {
-		if err := t.machine.Load(t.base.State); err != nil {
-			return errcode.New(errcode.StorageBroken, "part %d: state: %v", t.no, err)
+	if r.snapshot.State != nil {
+		if err := r.stateMachine.Restore(r.snapshot.State); err != nil {
+			return errcode.New(errcode.StorageBroken, "part %d: state: %v", r.shard, err)
 		}
 	}
-	next := t.base.Index + 1
-	err := t.p.store.Walk(t.key("e/"), func(key string, value []byte) error {
+	next := r.snapshot.Index + 1
+	err := r.node.store.Walk(r.key("e/"), func(key string, value []byte) error {
 		var e rpc.Entry
 		if err := json.Unmarshal(value, &e); err != nil {
-			return errcode.New(errcode.StorageBroken, "part %d: %s: %v", t.no, key, err)
+			return errcode.New(errcode.StorageBroken, "part %d: %s: %v", r.shard, key, err)
 		}
 		if e.Index != next {
-			return errcode.New(errcode.StorageBroken, "part %d: entry %d stands where %d should", t.no, e.Index, next)
+			return errcode.New(errcode.StorageBroken, "part %d: entry %d stands where %d should", r.shard, e.Index, next)
 		}
-		if t.promised.Less(e.Term) {
-			return errcode.New(errcode.StorageBroken, "part %d: entry %d is above the promise", t.no, e.Index)
+		if r.currentTerm.Less(e.Term) {
+			return errcode.New(errcode.StorageBroken, "part %d: entry %d is above the promise", r.shard, e.Index)
 		}
-		t.entries = append(t.entries, e)
+		r.entries = append(r.entries, e)
 		next++
 		return nil
 	})
 	if err != nil {
 		return err
 	}
-	t.commit, t.applied = t.base.Index, t.base.Index
-	t.refreshVoters()
+	r.commitIndex, r.appliedIndex = r.snapshot.Index, r.snapshot.Index
+	r.updateVoters()
 	return nil
 }
 
-// refreshVoters finds the newest voters in the log.
-func (t *Part) refreshVoters() {
-	before := t.votersAt
-	last, _ := t.last()
-	t.voters, t.votersAt = t.votersAsOf(last)
-	if before != t.votersAt {
-		t.p.say(eventlog.GroupChanged, "part", int(t.no), "members", t.voters.String(), "index", uint64(t.votersAt))
+// updateVoters finds the newest voters in the log.
+func (r *Replica) updateVoters() {
+	before := r.votersIndex
+	last, _ := r.lastEntry()
+	r.voters, r.votersIndex = r.votersAsOf(last)
+	if before != r.votersIndex {
+		r.node.log(eventlog.GroupChanged, "part", int(r.shard), "members", r.voters.String(), "index", uint64(r.votersIndex))
 	}
 }
 
 // votersAsOf is the voters that the log names at an index, and where it does.
-func (t *Part) votersAsOf(index ids.Stamp) (Voters, ids.Stamp) {
-	for i := int(index - t.base.Index); i > 0; i-- {
-		if e := t.entries[i-1]; e.Kind == groupEntry {
-			return Voters{Current: e.Group, Former: e.Former}, e.Index
+func (r *Replica) votersAsOf(index ids.Stamp) (Voters, ids.Stamp) {
+	for i := int(index - r.snapshot.Index); i > 0; i-- {
+		if e := r.entries[i-1]; e.Kind == entryMembershipChange {
+			return Voters{Current: e.Group, Outgoing: e.Former}, e.Index
 		}
 	}
-	return Voters{Current: t.base.Group, Former: t.base.Former}, t.base.Index
+	return Voters{Current: r.snapshot.Group, Outgoing: r.snapshot.Former}, r.snapshot.Index
 }
 
-// checkSteps refuses entries that don't follow one another, or of which one changes
+// checkMembershipSteps refuses entries that don't follow one another, or of which one changes
 // the voters by more than a step.
-func (t *Part) checkSteps(after ids.Stamp, entries []rpc.Entry) error {
-	voters, _ := t.votersAsOf(after)
+func (r *Replica) checkMembershipSteps(after ids.Stamp, entries []rpc.Entry) error {
+	voters, _ := r.votersAsOf(after)
 	for i, e := range entries {
 		if e.Index != after+1+ids.Stamp(i) {
-			return errcode.New(errcode.BadMessage, "part %d: entry %d stands where %d should", t.no, e.Index, after+1+ids.Stamp(i))
+			return errcode.New(errcode.BadMessage, "part %d: entry %d stands where %d should", r.shard, e.Index, after+1+ids.Stamp(i))
 		}
-		next := Voters{Current: e.Group, Former: e.Former}
-		if e.Kind != groupEntry {
+		next := Voters{Current: e.Group, Outgoing: e.Former}
+		if e.Kind != entryMembershipChange {
 			continue
 		}
-		if !voters.mayBecome(next) {
-			return errcode.New(errcode.BadMessage, "part %d: entry %d skips a step from %s to %s", t.no, e.Index, voters, next)
+		if !voters.canBecome(next) {
+			return errcode.New(errcode.BadMessage, "part %d: entry %d skips a step from %s to %s", r.shard, e.Index, voters, next)
 		}
 		voters = next
 	}
 	return nil
 }
 
-func (t *Part) last() (ids.Stamp, ids.Term) {
-	if n := len(t.entries); n > 0 {
-		return t.entries[n-1].Index, t.entries[n-1].Term
+func (r *Replica) lastEntry() (ids.Stamp, ids.Term) {
+	if n := len(r.entries); n > 0 {
+		return r.entries[n-1].Index, r.entries[n-1].Term
 	}
-	return t.base.Index, t.base.Term
+	return r.snapshot.Index, r.snapshot.Term
 }
 
-// at is the entry's term; false if it is not in the log.
-func (t *Part) at(index ids.Stamp) (ids.Term, bool) {
-	if index == t.base.Index {
-		return t.base.Term, true
+// termAt is the entry's term; false if it is not in the log.
+func (r *Replica) termAt(index ids.Stamp) (ids.Term, bool) {
+	if index == r.snapshot.Index {
+		return r.snapshot.Term, true
 	}
-	if index < t.base.Index || index > t.base.Index+ids.Stamp(len(t.entries)) {
+	if index < r.snapshot.Index || index > r.snapshot.Index+ids.Stamp(len(r.entries)) {
 		return ids.Term{}, false
 	}
-	return t.entries[index-t.base.Index-1].Term, true
+	return r.entries[index-r.snapshot.Index-1].Term, true
 }
 
-// after is a copy of the entries above an index, which is in the log.
-func (t *Part) after(index ids.Stamp) []rpc.Entry {
-	if index < t.base.Index {
-		index = t.base.Index
+// entriesAfter is a copy of the entries above an index, which is in the log.
+func (r *Replica) entriesAfter(index ids.Stamp) []rpc.Entry {
+	if index < r.snapshot.Index {
+		index = r.snapshot.Index
 	}
-	return append([]rpc.Entry(nil), t.entries[index-t.base.Index:]...)
+	return append([]rpc.Entry(nil), r.entries[index-r.snapshot.Index:]...)
 }
 
-func (t *Part) notify() {
-	close(t.change)
-	t.change = make(chan struct{})
+func (r *Replica) notifyChanged() {
+	close(r.changed)
+	r.changed = make(chan struct{})
 }
 
-// putPromise and the other put verbs add to a batch what memory now says.
-func (t *Part) putPromise(w *storage.Batch) {
-	raw, _ := json.Marshal(t.promised)
-	w.Put(t.key("promised"), raw)
+// putCurrentTerm and the other put verbs add to a batch what memory now says.
+func (r *Replica) putCurrentTerm(batch *storage.Batch) {
+	raw, _ := json.Marshal(r.currentTerm)
+	batch.Put(r.key("promised"), raw)
 }
 
-func (t *Part) putEntries(w *storage.Batch, entries []rpc.Entry) {
+func (r *Replica) putEntries(batch *storage.Batch, entries []rpc.Entry) {
 	for _, e := range entries {
 		raw, _ := json.Marshal(e)
-		w.Put(t.entryKey(e.Index), raw)
+		batch.Put(r.entryKey(e.Index), raw)
 	}
 }
 
-// cut drops the entries above an index, on disk too.
-func (t *Part) cut(w *storage.Batch, index ids.Stamp) {
-	for _, e := range t.entries[index-t.base.Index:] {
-		w.Delete(t.entryKey(e.Index))
+// truncateAfter drops the entries above an index, on disk too.
+func (r *Replica) truncateAfter(batch *storage.Batch, index ids.Stamp) {
+	for _, e := range r.entries[index-r.snapshot.Index:] {
+		batch.Delete(r.entryKey(e.Index))
 	}
-	t.entries = append([]rpc.Entry(nil), t.entries[:index-t.base.Index]...)
+	r.entries = append([]rpc.Entry(nil), r.entries[:index-r.snapshot.Index]...)
 }
 
-// install replaces everything below and including a snapshot's index.
-func (t *Part) install(w *storage.Batch, s *rpc.Snapshot) error {
-	if err := t.machine.Load(s.State); err != nil {
-		return errcode.New(errcode.BadMessage, "part %d: snapshot: %v", t.no, err)
+// installSnapshot replaces everything below and including a snapshot's index.
+func (r *Replica) installSnapshot(batch *storage.Batch, s *rpc.Snapshot) error {
+	if err := r.stateMachine.Restore(s.State); err != nil {
+		return errcode.New(errcode.BadMessage, "part %d: snapshot: %v", r.shard, err)
 	}
-	t.cut(w, t.base.Index)
-	t.base, t.tail = *s, nil
-	raw, _ := json.Marshal(t.base)
-	w.Put(t.key("base"), raw)
-	t.commit, t.applied = s.Index, s.Index
-	t.refreshVoters()
+	r.truncateAfter(batch, r.snapshot.Index)
+	r.snapshot, r.retained = *s, nil
+	raw, _ := json.Marshal(r.snapshot)
+	batch.Put(r.key("base"), raw)
+	r.commitIndex, r.appliedIndex = s.Index, s.Index
+	r.updateVoters()
 	return nil
 }
 
-// adopt writes entries that follow prev into the log; those already there
+// mergeEntries writes entries that follow prev into the log; those already there
 // under the same term stay, the first that differs cuts all after it.
-func (t *Part) adopt(w *storage.Batch, entries []rpc.Entry) error {
+func (r *Replica) mergeEntries(batch *storage.Batch, entries []rpc.Entry) error {
 	for i, e := range entries {
-		if e.Index <= t.base.Index {
+		if e.Index <= r.snapshot.Index {
 			continue
 		}
-		term, isThere := t.at(e.Index)
+		term, isThere := r.termAt(e.Index)
 		if isThere && term == e.Term {
 			continue
 		}
-		if last, _ := t.last(); e.Index > last+1 {
-			return errcode.New(errcode.BadMessage, "part %d: entry %d does not follow %d", t.no, e.Index, last)
+		if last, _ := r.lastEntry(); e.Index > last+1 {
+			return errcode.New(errcode.BadMessage, "part %d: entry %d does not follow %d", r.shard, e.Index, last)
 		}
-		if err := t.checkSteps(e.Index-1, entries[i:]); err != nil {
+		if err := r.checkMembershipSteps(e.Index-1, entries[i:]); err != nil {
 			return err
 		}
 		if isThere {
-			if e.Index <= t.commit {
-				return errcode.New(errcode.Internal, "part %d: entry %d is committed and differs", t.no, e.Index)
+			if e.Index <= r.commitIndex {
+				return errcode.New(errcode.Internal, "part %d: entry %d is committed and differs", r.shard, e.Index)
 			}
-			t.cut(w, e.Index-1)
-			t.failWaiters(e.Index)
+			r.truncateAfter(batch, e.Index-1)
+			r.failProposals(e.Index)
 		}
-		t.entries = append(t.entries, entries[i:]...)
-		t.putEntries(w, entries[i:])
+		r.entries = append(r.entries, entries[i:]...)
+		r.putEntries(batch, entries[i:])
 		break
 	}
-	t.refreshVoters()
+	r.updateVoters()
 	return nil
 }
 
-func (t *Part) failWaiters(from ids.Stamp) {
-	for index, wait := range t.waiters {
+func (r *Replica) failProposals(from ids.Stamp) {
+	for index, waiting := range r.proposals {
 		if index >= from {
-			close(wait.done)
-			delete(t.waiters, index)
+			close(waiting.done)
+			delete(r.proposals, index)
 		}
 	}
 }
 
-// advance moves the commit and folds what it now covers.
-func (t *Part) advance(commit ids.Stamp) {
-	if last, _ := t.last(); commit > last {
+// advanceCommit moves the commit and folds what it now covers.
+func (r *Replica) advanceCommit(commit ids.Stamp) {
+	if last, _ := r.lastEntry(); commit > last {
 		commit = last
 	}
-	if commit <= t.commit {
+	if commit <= r.commitIndex {
 		return
 	}
-	t.commit = commit
-	for t.applied < t.commit {
-		e := t.entries[t.applied-t.base.Index]
-		t.applied++
-		t.trace(Trace{Kind: TraceCommitted, Term: t.promised, Index: e.Index, EntryTerm: e.Term, IsOwner: t.isOwner, IsChange: e.Kind == groupEntry, Voters: Voters{Current: e.Group, Former: e.Former}})
-		var receipt any
+	r.commitIndex = commit
+	for r.appliedIndex < r.commitIndex {
+		e := r.entries[r.appliedIndex-r.snapshot.Index]
+		r.appliedIndex++
+		r.trace(TraceEvent{Kind: TraceCommitted, Term: r.currentTerm, Index: e.Index, EntryTerm: e.Term, IsLeader: r.isLeader, IsMembershipChange: e.Kind == entryMembershipChange, Voters: Voters{Current: e.Group, Outgoing: e.Former}})
+		var response any
 		if e.Kind == "" {
-			receipt = t.machine.Apply(e.Index, e.Body)
+			response = r.stateMachine.Apply(e.Index, e.Body)
 		}
-		if wait, ok := t.waiters[e.Index]; ok {
-			delete(t.waiters, e.Index)
-			if wait.term == e.Term {
-				wait.done <- receipt
+		if waiting, ok := r.proposals[e.Index]; ok {
+			delete(r.proposals, e.Index)
+			if waiting.term == e.Term {
+				waiting.done <- response
 			} else {
-				close(wait.done)
+				close(waiting.done)
 			}
 		}
 	}
-	if t.isOwner && !t.isServing && t.commit >= t.began {
-		t.isServing, t.served = true, t.p.r.Now()
-		t.p.say(eventlog.PartOwned, "part", int(t.no), "term", t.promised.String(), "commit", uint64(t.commit))
+	if r.isLeader && !r.isServing && r.commitIndex >= r.firstOwnIndex {
+		r.isServing, r.servingSince = true, r.node.env.Now()
+		r.node.log(eventlog.PartOwned, "part", int(r.shard), "term", r.currentTerm.String(), "commit", uint64(r.commitIndex))
 	}
-	t.notify()
-	t.fold()
+	r.notifyChanged()
+	r.maybeCompact()
 }
 
-// count commits what a majority has synced under the owner's own term.
-func (t *Part) count() {
-	if !t.isOwner {
+// maybeCommit commits what a majority has synced under the owner's own term.
+func (r *Replica) maybeCommit() {
+	if !r.isLeader {
 		return
 	}
-	index := ids.Stamp(t.voters.Reached(func(peer rpc.Peer) int64 { return int64(t.match[peer]) }))
-	if term, ok := t.at(index); ok && term == t.promised && index > t.commit {
-		t.advance(index)
+	index := ids.Stamp(r.voters.QuorumValue(func(peer rpc.Peer) int64 { return int64(r.matchIndex[peer]) }))
+	if term, ok := r.termAt(index); ok && term == r.currentTerm && index > r.commitIndex {
+		r.advanceCommit(index)
 	}
 }
 
-func (t *Part) IsOwner() bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.isOwner
+func (r *Replica) IsLeader() bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.isLeader
 }
 
-func (t *Part) IsServing() bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.isServing
+func (r *Replica) IsServing() bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.isServing
 }
 
-// Serving tells since when this member serves the part, and under which term.
-func (t *Part) Serving() (ids.Term, time.Time, bool) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.promised, t.served, t.isServing
+// LeadershipSince tells since when this member serves the part, and under which term.
+func (r *Replica) LeadershipSince() (ids.Term, time.Time, bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.currentTerm, r.servingSince, r.isServing
 }
 
-// Watch is closed at the next change of the part.
-func (t *Part) Watch() <-chan struct{} {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.change
+// Changed is closed at the next change of the part.
+func (r *Replica) Changed() <-chan struct{} {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.changed
 }
 
 // Status is what the shell shows of a part.
 type Status struct {
-	Part      ids.Part
-	Promised  ids.Term
-	Commit    ids.Stamp
-	Last      ids.Stamp
-	IsOwner   bool
-	IsServing bool
-	Group     []rpc.Peer
-	Former    []rpc.Peer // not empty while a change of members is under way
-	Age       time.Duration
+	Shard           ids.Part
+	CurrentTerm     ids.Term
+	CommitIndex     ids.Stamp
+	LastIndex       ids.Stamp
+	IsLeader        bool
+	IsServing       bool
+	Voters          []rpc.Peer
+	OutgoingVoters  []rpc.Peer // not empty while a change of members is under way
+	ConfirmationAge time.Duration
 }
 
-func (t *Part) Status() Status {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	last, _ := t.last()
-	o := Status{Part: t.no, Promised: t.promised, Commit: t.commit, Last: last, IsOwner: t.isOwner, IsServing: t.isServing, Group: t.voters.Current, Former: t.voters.Former, Age: -1}
-	if t.isOwner {
-		o.Age = t.p.r.Since(t.confirmed())
+func (r *Replica) Status() Status {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	last, _ := r.lastEntry()
+	status := Status{Shard: r.shard, CurrentTerm: r.currentTerm, CommitIndex: r.commitIndex, LastIndex: last, IsLeader: r.isLeader, IsServing: r.isServing, Voters: r.voters.Current, OutgoingVoters: r.voters.Outgoing, ConfirmationAge: -1}
+	if r.isLeader {
+		status.ConfirmationAge = r.node.env.Since(r.confirmedAt())
 	}
-	return o
+	return status
 }
--- a/internal/consensus/placement.go
+++ b/internal/consensus/placement.go
@@ -10,12 +10,12 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// Order is the agreed order of a part's group.
-func Order(no ids.Part, group []rpc.Peer) []rpc.Peer {
-	order := append([]rpc.Peer(nil), group...)
-	word := fmt.Sprint("part", no)
+// ElectionOrder is the agreed order of a part's group.
+func ElectionOrder(shard ids.Part, voters []rpc.Peer) []rpc.Peer {
+	order := append([]rpc.Peer(nil), voters...)
+	seed := fmt.Sprint("part", shard)
 	sort.Slice(order, func(i, j int) bool {
-		a, b := ids.Score(word, string(order[i].Name)), ids.Score(word, string(order[j].Name))
+		a, b := ids.Score(seed, string(order[i].Name)), ids.Score(seed, string(order[j].Name))
 		if a != b {
 			return a > b
 		}
@@ -24,35 +24,35 @@
 	return order
 }
 
-// Placement picks the group of a part: spread over zones first, then by order.
-func Placement(no ids.Part, members []rpc.Member, losses int) []rpc.Peer {
-	var all []rpc.Peer
+// PlaceVoters picks the group of a part: spread over zones first, then by order.
+func PlaceVoters(shard ids.Part, members []rpc.Member, tolerated int) []rpc.Peer {
+	var peers []rpc.Peer
 	zones := map[ids.Name]string{}
 	for _, m := range members {
-		all = append(all, rpc.Peer{Name: m.Name, Birth: m.Birth})
+		peers = append(peers, rpc.Peer{Name: m.Name, Birth: m.Birth})
 		zones[m.Name] = m.Zone
 	}
-	size := Size(no, len(all), losses)
-	var group []rpc.Peer
+	size := ReplicationFactor(shard, len(peers), tolerated)
+	var voters []rpc.Peer
 	used := map[string]int{}
-	order := Order(no, all)
-	for level := 0; len(group) < size; level++ {
+	order := ElectionOrder(shard, peers)
+	for level := 0; len(voters) < size; level++ {
 		for _, peer := range order {
-			if len(group) < size && used[zones[peer.Name]] == level && !holds(group, peer) {
-				group = append(group, peer)
+			if len(voters) < size && used[zones[peer.Name]] == level && !containsPeer(voters, peer) {
+				voters = append(voters, peer)
 				used[zones[peer.Name]]++
 			}
 		}
 	}
-	return group
+	return voters
 }
 
-// Size is how many members a part has in a fleet of so many core nodes. It is
+// ReplicationFactor is how many members a part has in a fleet of so many core nodes. It is
 // odd where it can be: a fourth member would have to be heard for a majority
 // and would leave nobody to take a lost one's place.
-func Size(no ids.Part, cores, losses int) int {
-	size := 2*losses + 1
-	if no == ids.Config && cores >= 5 {
+func ReplicationFactor(shard ids.Part, cores, tolerated int) int {
+	size := 2*tolerated + 1
+	if shard == ids.Config && cores >= 5 {
 		size = max(size, 5)
 	}
 	return min(size, cores)
--- a/internal/consensus/prevote.go
+++ b/internal/consensus/prevote.go
@@ -19,164 +19,164 @@
 // How long all members are waited for, and how long the others are once one has
 // answered; and the pause between two rounds.
 const (
-	prevoteTime  = 100 * time.Millisecond
-	prevoteMore  = 30 * time.Millisecond
-	prevotePause = 30 * time.Millisecond
+	prevoteTimeout  = 100 * time.Millisecond
+	prevoteGrace    = 30 * time.Millisecond
+	prevoteInterval = 30 * time.Millisecond
 )
 
-// hasHeardNobody tells whether this member knows of no owner and of nobody who stands,
+// hasNoLeaderContact tells whether this member knows of no owner and of nobody who stands,
 // and has not waited long enough to stand without having asked.
-func (t *Part) hasHeardNobody() bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return !t.isOwner && !t.isOutside && t.voters.Holds(t.p.me) && t.heard.IsZero() && t.matchIn == ids.Term{}
+func (r *Replica) hasNoLeaderContact() bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return !r.isLeader && !r.isRemoved && r.voters.Contains(r.node.self) && r.lastLeaderContact.IsZero() && r.leaderMatchTerm == ids.Term{}
 }
 
-// hasOwner tells whether this member owns the part, heard its owner of late, or
+// hasLiveLeader tells whether this member owns the part, heard its owner of late, or
 // promised it to somebody a moment ago.
-func (t *Part) hasOwner() bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	silence := t.p.r.Props.PactSilence
-	isHeard := !t.heard.IsZero() && t.p.r.Since(t.heard) < silence*3/4
-	isPromised := t.matchIn != ids.Term{} && t.p.r.Since(t.since) < silence/2
-	return t.isOwner || isHeard || isPromised
+func (r *Replica) hasLiveLeader() bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	timeout := r.node.env.Props.PactSilence
+	hasContact := !r.lastLeaderContact.IsZero() && r.node.env.Since(r.lastLeaderContact) < timeout*3/4
+	hasVoted := r.leaderMatchTerm != ids.Term{} && r.node.env.Since(r.electionTimerStart) < timeout/2
+	return r.isLeader || hasContact || hasVoted
 }
 
-// answerPrevote answers a pre-vote.
-func (p *Node) answerPrevote(ask *rpc.PrevoteAsk) *rpc.PrevoteReceipt {
-	receipt := &rpc.PrevoteReceipt{From: p.me}
-	for _, no := range ask.Parts {
-		if t, err := p.part(no); err != nil || t.hasOwner() {
-			receipt.Spoken = append(receipt.Spoken, no)
+// handlePrevote answers a pre-vote.
+func (n *Node) handlePrevote(request *rpc.PrevoteAsk) *rpc.PrevoteReceipt {
+	response := &rpc.PrevoteReceipt{From: n.self}
+	for _, shard := range request.Parts {
+		if r, err := n.lookupReplica(shard); err != nil || r.hasLiveLeader() {
+			response.Spoken = append(response.Spoken, shard)
 		}
 	}
-	return receipt
+	return response
 }
 
-// prevotes asks in rounds for the parts that nobody was heard of, until there is
+// prevoteAfterStart asks in rounds for the parts that nobody was heard of, until there is
 // none: whoever has waited for the whole silence stands without having asked.
-func (p *Node) prevotes() {
+func (n *Node) prevoteAfterStart() {
 	select {
-	case <-p.Ready:
-	case <-p.r.Done():
+	case <-n.Bootstrapped:
+	case <-n.env.Done():
 		return
 	}
-	for p.r.Pause(environment.Jitter(prevotePause)) && !p.IsGoing() {
-		var parts []ids.Part
-		for _, t := range p.parts {
-			if t.hasHeardNobody() {
-				parts = append(parts, t.no)
+	for n.env.Pause(environment.Jitter(prevoteInterval)) && !n.IsStopping() {
+		var shards []ids.Part
+		for _, r := range n.replicas {
+			if r.hasNoLeaderContact() {
+				shards = append(shards, r.shard)
 			}
 		}
-		if len(parts) == 0 {
+		if len(shards) == 0 {
 			return
 		}
-		receipts := p.askPrevote(parts)
-		for _, no := range parts {
-			if t := p.parts[no]; t.hasHeardNobody() && t.mayCampaignEarly(receipts) {
-				p.once(no, func() { t.campaign(false) })
+		responses := n.requestPrevotes(shards)
+		for _, shard := range shards {
+			if r := n.replicas[shard]; r.hasNoLeaderContact() && r.mayCampaignAfterStart(responses) {
+				n.runOnce(shard, func() { r.campaign(false) })
 			}
 		}
 	}
 }
 
-// campaignFor stands for parts whose owner is silent, where a majority has not heard
+// prevoteAndCampaign stands for parts whose owner is silent, where a majority has not heard
 // one either: who is cut off, or on a slow link, must not end the work of an owner
 // that the others hear.
-func (p *Node) campaignFor(due []*Part) {
-	if len(due) == 0 || !p.isAsking.CompareAndSwap(false, true) {
+func (n *Node) prevoteAndCampaign(due []*Replica) {
+	if len(due) == 0 || !n.isPrevoting.CompareAndSwap(false, true) {
 		return
 	}
-	p.r.Go(func() {
-		defer p.isAsking.Store(false)
-		var parts []ids.Part
-		for _, t := range due {
-			parts = append(parts, t.no)
+	n.env.Go(func() {
+		defer n.isPrevoting.Store(false)
+		var shards []ids.Part
+		for _, r := range due {
+			shards = append(shards, r.shard)
 		}
-		receipts := p.askPrevote(parts)
-		for _, t := range due {
-			if t.isElectionDue() && t.mayCampaign(receipts) {
-				p.once(t.no, func() { t.campaign(false) })
+		responses := n.requestPrevotes(shards)
+		for _, r := range due {
+			if r.isElectionDue() && r.hasPrevoteQuorum(responses) {
+				n.runOnce(r.shard, func() { r.campaign(false) })
 			}
 		}
 	})
 }
 
-// mayCampaign tells whether enough members to decide know of no owner.
-func (t *Part) mayCampaign(receipts map[rpc.Peer]*rpc.PrevoteReceipt) bool {
-	t.mu.Lock()
-	voters := t.voters
-	t.mu.Unlock()
-	free := []rpc.Peer{t.p.me}
-	for peer, receipt := range receipts {
-		if !slices.Contains(receipt.Spoken, t.no) {
-			free = append(free, peer)
+// hasPrevoteQuorum tells whether enough members to decide know of no owner.
+func (r *Replica) hasPrevoteQuorum(responses map[rpc.Peer]*rpc.PrevoteReceipt) bool {
+	r.mu.Lock()
+	voters := r.voters
+	r.mu.Unlock()
+	supporters := []rpc.Peer{r.node.self}
+	for peer, response := range responses {
+		if !slices.Contains(response.Spoken, r.shard) {
+			supporters = append(supporters, peer)
 		}
 	}
-	return voters.IsDecidedBy(free)
+	return voters.HasQuorum(supporters)
 }
 
-func (p *Node) askPrevote(parts []ids.Part) map[rpc.Peer]*rpc.PrevoteReceipt {
-	ctx, end := context.WithTimeout(p.r, prevoteTime)
+func (n *Node) requestPrevotes(shards []ids.Part) map[rpc.Peer]*rpc.PrevoteReceipt {
+	ctx, end := context.WithTimeout(n.env, prevoteTimeout)
 	defer end()
 	var cores []rpc.Member
-	for _, m := range p.k.Cores() {
-		if m.Name != p.r.Name {
+	for _, m := range n.members.Cores() {
+		if m.Name != n.env.Name {
 			cores = append(cores, m)
 		}
 	}
-	answers := make(chan *rpc.PrevoteReceipt, len(cores))
+	results := make(chan *rpc.PrevoteReceipt, len(cores))
 	for _, m := range cores {
-		p.r.Go(func() {
-			receipt := &rpc.PrevoteReceipt{}
-			if p.w.Ask(ctx, m.Wire, "pact.prevote", &rpc.PrevoteAsk{Parts: parts}, receipt) != nil {
-				receipt = nil
+		n.env.Go(func() {
+			response := &rpc.PrevoteReceipt{}
+			if n.transport.Ask(ctx, m.Wire, "pact.prevote", &rpc.PrevoteAsk{Parts: shards}, response) != nil {
+				response = nil
 			}
-			answers <- receipt
+			results <- response
 		})
 	}
-	receipts := map[rpc.Peer]*rpc.PrevoteReceipt{}
-	var late <-chan time.Time
+	responses := map[rpc.Peer]*rpc.PrevoteReceipt{}
+	var grace <-chan time.Time
 	for range cores {
 		select {
-		case receipt := <-answers:
-			if receipt == nil {
+		case response := <-results:
+			if response == nil {
 				continue
 			}
-			receipts[receipt.From] = receipt
-			if late == nil {
-				wakeup := time.NewTimer(prevoteMore)
+			responses[response.From] = response
+			if grace == nil {
+				wakeup := time.NewTimer(prevoteGrace)
 				defer wakeup.Stop()
-				late = wakeup.C
+				grace = wakeup.C
 			}
-		case <-late:
-			return receipts
+		case <-grace:
+			return responses
 		}
 	}
-	return receipts
+	return responses
 }
 
-// mayCampaignEarly tells whether a majority answered, all who did know of no owner, and this
+// mayCampaignAfterStart tells whether a majority answered, all who did know of no owner, and this
 // member is the first of them.
-func (t *Part) mayCampaignEarly(receipts map[rpc.Peer]*rpc.PrevoteReceipt) bool {
-	t.mu.Lock()
-	voters := t.voters
-	t.mu.Unlock()
-	var there []rpc.Peer
+func (r *Replica) mayCampaignAfterStart(responses map[rpc.Peer]*rpc.PrevoteReceipt) bool {
+	r.mu.Lock()
+	voters := r.voters
+	r.mu.Unlock()
+	var answered []rpc.Peer
 	for _, peer := range voters.All() {
-		receipt := receipts[peer]
-		if peer != t.p.me && receipt == nil {
+		response := responses[peer]
+		if peer != r.node.self && response == nil {
 			continue
 		}
-		if receipt != nil {
-			for _, no := range receipt.Spoken {
-				if no == t.no {
+		if response != nil {
+			for _, no := range response.Spoken {
+				if no == r.shard {
 					return false
 				}
 			}
 		}
-		there = append(there, peer)
+		answered = append(answered, peer)
 	}
-	return voters.IsDecidedBy(there) && Order(t.no, there)[0] == t.p.me
+	return voters.HasQuorum(answered) && ElectionOrder(r.shard, answered)[0] == r.node.self
 }
--- a/internal/consensus/repair.go
+++ b/internal/consensus/repair.go
@@ -15,159 +15,159 @@
 )
 
 const (
-	comparePause = 10 * time.Second
-	compareTime  = 2 * time.Second
+	compareInterval = 10 * time.Second
+	compareTimeout  = 2 * time.Second
 )
 
-// Ranged is the state of a machine cut into named ranges.
-type Ranged interface {
-	Digests() map[string]string
-	Range(name string) (json.RawMessage, error)
-	Mend(name string, data json.RawMessage) error
+// RangeRepairer is the state of a machine cut into named ranges.
+type RangeRepairer interface {
+	RangeDigests() map[string]string
+	ExportRange(name string) (json.RawMessage, error)
+	Repair(name string, data json.RawMessage) error
 }
 
-func (p *Node) openRepair() {
-	handle(p.w, "pact.compare", func(c *rpc.Call, ask *rpc.CompareAsk) (any, error) {
-		t, err := p.part(ask.Part)
+func (n *Node) registerRepair() {
+	registerHandler(n.transport, "pact.compare", func(c *rpc.Call, request *rpc.CompareAsk) (any, error) {
+		r, err := n.lookupReplica(request.Part)
 		if err != nil {
 			return nil, err
 		}
-		return t.compare(ask), nil
+		return r.handleCompare(request), nil
 	})
-	handle(p.w, "pact.mend", func(c *rpc.Call, ask *rpc.MendAsk) (any, error) {
-		t, err := p.part(ask.Part)
+	registerHandler(n.transport, "pact.mend", func(c *rpc.Call, request *rpc.MendAsk) (any, error) {
+		r, err := n.lookupReplica(request.Part)
 		if err != nil {
 			return nil, err
 		}
-		return struct{}{}, t.mend(ask)
+		return struct{}{}, r.handleRepair(request)
 	})
 }
 
-// repair walks over the owned parts, one after another.
-func (p *Node) repair() {
-	for no := 0; p.r.Pause(comparePause / time.Duration(len(p.parts))); no++ {
-		if t := p.parts[no%len(p.parts)]; t.IsServing() {
-			t.compareAll()
+// repairLoop walks over the owned parts, one after another.
+func (n *Node) repairLoop() {
+	for shard := 0; n.env.Pause(compareInterval / time.Duration(len(n.replicas))); shard++ {
+		if r := n.replicas[shard%len(n.replicas)]; r.IsServing() {
+			r.compareReplicas()
 		}
 	}
 }
 
-// still runs a verb while the part stands still at a stamp; the zero stamp is
+// atIndex runs a verb while the part stands still at a stamp; the zero stamp is
 // whatever it stands at.
-func (t *Part) still(stamp ids.Stamp, term ids.Term, verb func(stamp ids.Stamp)) bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if stamp != 0 && t.applied != stamp || term.Less(t.promised) {
+func (r *Replica) atIndex(index ids.Stamp, term ids.Term, apply func(index ids.Stamp)) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if index != 0 && r.appliedIndex != index || term.Less(r.currentTerm) {
 		return false
 	}
-	verb(t.applied)
+	apply(r.appliedIndex)
 	return true
 }
 
-func (t *Part) compareAll() {
-	ranged, ok := t.machine.(Ranged)
+func (r *Replica) compareReplicas() {
+	ranged, ok := r.stateMachine.(RangeRepairer)
 	if !ok {
 		return
 	}
-	term, _, _ := t.Serving()
-	ask := &rpc.CompareAsk{Part: t.no, Term: term}
-	t.still(0, term, func(stamp ids.Stamp) { ask.Stamp, ask.Digests = stamp, ranged.Digests() })
-	t.mu.Lock()
-	group := t.voters.Current
-	t.mu.Unlock()
-	t.p.kickHeartbeats(group)
-	agree, against := 1, []rpc.Member{}
-	differ := map[ids.Name][]string{}
-	for _, peer := range group {
-		m, ok := t.p.k.Of(peer.Name)
-		if peer == t.p.me || !ok || m.Birth != peer.Birth {
+	term, _, _ := r.LeadershipSince()
+	request := &rpc.CompareAsk{Part: r.shard, Term: term}
+	r.atIndex(0, term, func(index ids.Stamp) { request.Stamp, request.Digests = index, ranged.RangeDigests() })
+	r.mu.Lock()
+	voters := r.voters.Current
+	r.mu.Unlock()
+	r.node.kickHeartbeats(voters)
+	agreeing, disagreeing := 1, []rpc.Member{}
+	differing := map[ids.Name][]string{}
+	for _, peer := range voters {
+		m, ok := r.node.members.Of(peer.Name)
+		if peer == r.node.self || !ok || m.Birth != peer.Birth {
 			continue
 		}
-		var receipt rpc.CompareReceipt
+		var response rpc.CompareReceipt
 		for range 3 {
-			ctx, end := context.WithTimeout(t.p.r, compareTime)
-			err := t.p.w.Ask(ctx, m.Wire, "pact.compare", ask, &receipt)
+			ctx, end := context.WithTimeout(r.node.env, compareTimeout)
+			err := r.node.transport.Ask(ctx, m.Wire, "pact.compare", request, &response)
 			end()
-			if err != nil || receipt.IsThere || !t.p.r.Pause(t.p.r.Props.PactRound) {
+			if err != nil || response.IsThere || !r.node.env.Pause(r.node.env.Props.PactRound) {
 				break
 			}
 		}
 		switch {
-		case receipt.From != peer || !receipt.IsThere:
-		case len(receipt.Differ) == 0:
-			agree++
+		case response.From != peer || !response.IsThere:
+		case len(response.Differ) == 0:
+			agreeing++
 		default:
-			against = append(against, m)
-			differ[m.Name] = receipt.Differ
+			disagreeing = append(disagreeing, m)
+			differing[m.Name] = response.Differ
 		}
 	}
-	if len(against) == 0 {
+	if len(disagreeing) == 0 {
 		return
 	}
-	if agree <= len(group)/2 {
-		if agree == 1 && len(against) > len(group)/2 {
-			t.yield("its copy differs from the others")
+	if agreeing <= len(voters)/2 {
+		if agreeing == 1 && len(disagreeing) > len(voters)/2 {
+			r.resign("its copy differs from the others")
 		}
 		return
 	}
-	for _, m := range against {
-		t.mendOne(ranged, term, m, differ[m.Name])
+	for _, m := range disagreeing {
+		r.repairMember(ranged, term, m, differing[m.Name])
 	}
 }
 
-func (t *Part) mendOne(ranged Ranged, term ids.Term, m rpc.Member, names []string) {
-	ask := &rpc.MendAsk{Part: t.no, Term: term, Ranges: map[string]json.RawMessage{}}
-	t.still(0, term, func(stamp ids.Stamp) {
-		ask.Stamp = stamp
-		for _, name := range names {
-			if data, err := ranged.Range(name); err == nil {
-				ask.Ranges[name] = data
+func (r *Replica) repairMember(ranged RangeRepairer, term ids.Term, m rpc.Member, ranges []string) {
+	request := &rpc.MendAsk{Part: r.shard, Term: term, Ranges: map[string]json.RawMessage{}}
+	r.atIndex(0, term, func(index ids.Stamp) {
+		request.Stamp = index
+		for _, name := range ranges {
+			if data, err := ranged.ExportRange(name); err == nil {
+				request.Ranges[name] = data
 			}
 		}
 	})
-	ctx, end := context.WithTimeout(t.p.r, compareTime)
+	ctx, end := context.WithTimeout(r.node.env, compareTimeout)
 	defer end()
-	t.p.w.Ask(ctx, m.Wire, "pact.mend", ask, nil)
+	r.node.transport.Ask(ctx, m.Wire, "pact.mend", request, nil)
 }
 
-func (t *Part) compare(ask *rpc.CompareAsk) *rpc.CompareReceipt {
-	receipt := &rpc.CompareReceipt{From: t.p.me}
-	ranged, ok := t.machine.(Ranged)
+func (r *Replica) handleCompare(request *rpc.CompareAsk) *rpc.CompareReceipt {
+	response := &rpc.CompareReceipt{From: r.node.self}
+	ranged, ok := r.stateMachine.(RangeRepairer)
 	if !ok {
-		return receipt
+		return response
 	}
-	receipt.IsThere = t.still(ask.Stamp, ask.Term, func(ids.Stamp) {
-		mine := ranged.Digests()
-		for name, digest := range ask.Digests {
+	response.IsThere = r.atIndex(request.Stamp, request.Term, func(ids.Stamp) {
+		mine := ranged.RangeDigests()
+		for name, digest := range request.Digests {
 			if mine[name] != digest {
-				receipt.Differ = append(receipt.Differ, name)
+				response.Differ = append(response.Differ, name)
 			}
 			delete(mine, name)
 		}
 		for name := range mine {
-			receipt.Differ = append(receipt.Differ, name)
+			response.Differ = append(response.Differ, name)
 		}
 	})
-	return receipt
+	return response
 }
 
-// mend takes ranges over, if the part still stands at their stamp, and keeps
+// handleRepair takes ranges over, if the part still stands at their stamp, and keeps
 // the mended whole as a snapshot, so that a restart does not bring the fault
 // back.
-func (t *Part) mend(ask *rpc.MendAsk) error {
-	ranged, ok := t.machine.(Ranged)
+func (r *Replica) handleRepair(request *rpc.MendAsk) error {
+	ranged, ok := r.stateMachine.(RangeRepairer)
 	if !ok {
 		return nil
 	}
 	var err error
-	t.still(ask.Stamp, ask.Term, func(ids.Stamp) {
-		for name, data := range ask.Ranges {
-			if err = ranged.Mend(name, data); err != nil {
+	r.atIndex(request.Stamp, request.Term, func(ids.Stamp) {
+		for name, data := range request.Ranges {
+			if err = ranged.Repair(name, data); err != nil {
 				return
 			}
 		}
-		t.takeSnapshot()
-		t.p.say(eventlog.PartMended, "part", int(t.no), "stamp", uint64(ask.Stamp), "ranges", len(ask.Ranges))
+		r.takeSnapshot()
+		r.node.log(eventlog.PartMended, "part", int(r.shard), "stamp", uint64(request.Stamp), "ranges", len(request.Ranges))
 	})
 	return err
 }
--- a/internal/consensus/replicate.go
+++ b/internal/consensus/replicate.go
@@ -16,106 +16,106 @@
 )
 
 const (
-	feedTime  = 3 * time.Second
-	feedMost  = 256
-	feedBytes = 64 << 10
+	appendTimeout    = 3 * time.Second
+	maxAppendEntries = 256
+	maxAppendBytes   = 64 << 10
 	// A message that is large all the same, for one entry is, has longer to arrive.
-	slowestLink = 64 << 10 // bytes a second
+	minLinkBytesPerSecond = 64 << 10 // bytes a second
 )
 
-// append adds an entry of the owner's own term.
-func (t *Part) append(w *storage.Batch, e rpc.Entry) ids.Stamp {
-	last, _ := t.last()
-	e.Index, e.Term = last+1, t.promised
-	t.entries = append(t.entries, e)
-	t.putEntries(w, []rpc.Entry{e})
-	if e.Kind == groupEntry {
-		t.refreshVoters()
+// appendOwn adds an entry of the owner's own term.
+func (r *Replica) appendOwn(batch *storage.Batch, e rpc.Entry) ids.Stamp {
+	last, _ := r.lastEntry()
+	e.Index, e.Term = last+1, r.currentTerm
+	r.entries = append(r.entries, e)
+	r.putEntries(batch, []rpc.Entry{e})
+	if e.Kind == entryMembershipChange {
+		r.updateVoters()
 	}
-	t.p.store.Hand(w)
-	term := t.promised
-	t.p.r.Go(func() {
-		if w.Wait() != nil {
+	r.node.store.Hand(batch)
+	term := r.currentTerm
+	r.node.env.Go(func() {
+		if batch.Wait() != nil {
 			return
 		}
-		t.mu.Lock()
-		defer t.mu.Unlock()
-		if t.isOwner && t.promised == term && t.match[t.p.me] < e.Index {
-			t.match[t.p.me] = e.Index
-			t.count()
+		r.mu.Lock()
+		defer r.mu.Unlock()
+		if r.isLeader && r.currentTerm == term && r.matchIndex[r.node.self] < e.Index {
+			r.matchIndex[r.node.self] = e.Index
+			r.maybeCommit()
 		}
 	})
-	t.notify()
+	r.notifyChanged()
 	return e.Index
 }
 
 // Propose writes an entry and waits until it is committed and folded. Without
 // ownership nothing is written; once written, only the receipt is certain.
-func (t *Part) Propose(ctx context.Context, body any) (ids.Stamp, any, error) {
+func (r *Replica) Propose(ctx context.Context, body any) (ids.Stamp, any, error) {
 	raw, err := json.Marshal(body)
 	if err != nil {
 		return 0, nil, errcode.New(errcode.Internal, "%v", err)
 	}
-	return t.propose(ctx, rpc.Entry{Body: raw})
+	return r.propose(ctx, rpc.Entry{Body: raw})
 }
 
 // Barrier returns once everything that is in the log now is committed.
-func (t *Part) Barrier(ctx context.Context) error {
-	_, _, err := t.propose(ctx, rpc.Entry{Kind: ownEntry})
+func (r *Replica) Barrier(ctx context.Context) error {
+	_, _, err := r.propose(ctx, rpc.Entry{Kind: entryNoOp})
 	return err
 }
 
-func (t *Part) propose(ctx context.Context, e rpc.Entry) (ids.Stamp, any, error) {
-	t.mu.Lock()
-	if !t.isServing {
-		t.mu.Unlock()
-		return 0, nil, errcode.New(errcode.NotOwner, "part %d", t.no)
+func (r *Replica) propose(ctx context.Context, e rpc.Entry) (ids.Stamp, any, error) {
+	r.mu.Lock()
+	if !r.isServing {
+		r.mu.Unlock()
+		return 0, nil, errcode.New(errcode.NotOwner, "part %d", r.shard)
 	}
-	if e.Kind == groupEntry && (t.commit < t.votersAt || !t.voters.mayBecome(Voters{Current: e.Group, Former: e.Former})) {
-		t.mu.Unlock()
-		return 0, nil, errcode.New(errcode.NotOwner, "part %d: the members have changed meanwhile", t.no)
+	if e.Kind == entryMembershipChange && (r.commitIndex < r.votersIndex || !r.voters.canBecome(Voters{Current: e.Group, Outgoing: e.Former})) {
+		r.mu.Unlock()
+		return 0, nil, errcode.New(errcode.NotOwner, "part %d: the members have changed meanwhile", r.shard)
 	}
-	w := t.p.store.Begin()
-	wait := waiter{term: t.promised, done: make(chan any, 1)}
-	last, _ := t.last()
-	t.waiters[last+1] = wait
-	index := t.append(w, e)
-	t.mu.Unlock()
+	batch := r.node.store.Begin()
+	waiting := proposal{term: r.currentTerm, done: make(chan any, 1)}
+	last, _ := r.lastEntry()
+	r.proposals[last+1] = waiting
+	index := r.appendOwn(batch, e)
+	r.mu.Unlock()
 	select {
-	case receipt, ok := <-wait.done:
+	case response, ok := <-waiting.done:
 		if !ok {
-			return index, nil, errcode.New(errcode.Unsure, "part %d changed its owner", t.no)
+			return index, nil, errcode.New(errcode.Unsure, "part %d changed its owner", r.shard)
 		}
-		return index, receipt, nil
+		return index, response, nil
 	case <-ctx.Done():
-		return index, nil, errcode.New(errcode.Unsure, "part %d: %v", t.no, ctx.Err())
-	case <-t.p.r.Done():
-		return index, nil, errcode.New(errcode.Unsure, "part %d: stopping", t.no)
+		return index, nil, errcode.New(errcode.Unsure, "part %d: %v", r.shard, ctx.Err())
+	case <-r.node.env.Done():
+		return index, nil, errcode.New(errcode.Unsure, "part %d: stopping", r.shard)
 	}
 }
 
-func (t *Part) replicateToAll() {
-	for _, peer := range t.voters.All() {
-		t.startReplicating(peer)
+func (r *Replica) replicateToAll() {
+	for _, peer := range r.voters.All() {
+		r.startReplicating(peer)
 	}
 }
 
-func (t *Part) startReplicating(peer rpc.Peer) {
-	if peer == t.p.me || t.replicating[peer] {
+func (r *Replica) startReplicating(peer rpc.Peer) {
+	if peer == r.node.self || r.replicating[peer] {
 		return
 	}
-	t.replicating[peer] = true
-	ctx, term := t.ctx, t.promised
-	t.p.r.Go(func() { t.replicate(ctx, term, peer) })
+	r.replicating[peer] = true
+	ctx, term := r.leaderCtx, r.currentTerm
+	r.node.env.Go(func() { r.replicateTo(ctx, term, peer) })
 }
 
-// replicate keeps one member up to date while the term lasts.
-func (t *Part) replicate(ctx context.Context, term ids.Term, peer rpc.Peer) {
-	t.mu.Lock()
-	next, _ := t.last()
-	t.mu.Unlock()
-	isKnown := false
-	told := ids.Stamp(0)
+// replicateTo keeps one member up to date while the term lasts.
+func (r *Replica) replicateTo(ctx context.Context, term ids.Term, peer rpc.Peer) {
+	r.mu.Lock()
+	next, _ := r.lastEntry()
+	r.mu.Unlock()
+	isMatched := false
+	sentCommit := ids.Stamp(0)
 	pause := func(d time.Duration) {
 		wakeup := time.NewTimer(d)
 		defer wakeup.Stop()
@@ -125,27 +125,27 @@
 		}
 	}
 	for ctx.Err() == nil {
-		t.mu.Lock()
-		if !t.isOwner || t.promised != term || !t.replicating[peer] {
-			t.mu.Unlock()
+		r.mu.Lock()
+		if !r.isLeader || r.currentTerm != term || !r.replicating[peer] {
+			r.mu.Unlock()
 			return
 		}
-		last, _ := t.last()
-		isTold := t.no != ids.Config || told >= t.commit
-		if isKnown && next > last && isTold {
-			change := t.change
-			t.mu.Unlock()
+		last, _ := r.lastEntry()
+		isCommitSent := r.shard != ids.Config || sentCommit >= r.commitIndex
+		if isMatched && next > last && isCommitSent {
+			change := r.changed
+			r.mu.Unlock()
 			select {
 			case <-change:
 			case <-ctx.Done():
 			}
 			continue
 		}
-		ask := &rpc.AppendAsk{Part: t.no, Term: term, From: t.p.me, Commit: t.commit}
-		prevTerm, entries, isThere := t.entriesFrom(next)
+		request := &rpc.AppendAsk{Part: r.shard, Term: term, From: r.node.self, Commit: r.commitIndex}
+		prevTerm, entries, isThere := r.entriesFrom(next)
 		if !isThere {
-			t.mu.Unlock()
-			match, err := t.sendSnapshot(ctx, term, peer)
+			r.mu.Unlock()
+			match, err := r.sendSnapshot(ctx, term, peer)
 			if err != nil {
 				pause(100 * time.Millisecond)
 				continue
@@ -153,113 +153,113 @@
 			next = match + 1
 			continue
 		}
-		ask.Prev, ask.PrevTerm = next-1, prevTerm
+		request.Prev, request.PrevTerm = next-1, prevTerm
 		size := 0
 		for _, e := range entries {
-			if len(ask.Entries) >= feedMost || size > feedBytes {
+			if len(request.Entries) >= maxAppendEntries || size > maxAppendBytes {
 				break
 			}
-			ask.Entries = append(ask.Entries, e)
+			request.Entries = append(request.Entries, e)
 			size += len(e.Body)
 		}
-		t.mu.Unlock()
-		m, ok := t.p.k.View()[peer.Name]
+		r.mu.Unlock()
+		m, ok := r.node.members.View()[peer.Name]
 		if !ok || m.Birth != peer.Birth {
 			pause(200 * time.Millisecond)
 			continue
 		}
-		limited, end := context.WithTimeout(ctx, feedTime+time.Duration(size)*time.Second/slowestLink)
-		var receipt rpc.AppendReceipt
-		err := t.p.w.Ask(limited, m.Wire, "pact.append", ask, &receipt)
+		limited, end := context.WithTimeout(ctx, appendTimeout+time.Duration(size)*time.Second/minLinkBytesPerSecond)
+		var response rpc.AppendReceipt
+		err := r.node.transport.Ask(limited, m.Wire, "pact.append", request, &response)
 		end()
-		if err != nil || receipt.From != peer {
+		if err != nil || response.From != peer {
 			pause(100 * time.Millisecond)
 			continue
 		}
-		t.mu.Lock()
-		last, _ = t.last()
+		r.mu.Lock()
+		last, _ = r.lastEntry()
 		switch {
-		case t.isOwner && t.promised == term && receipt.Promised == term && receipt.Match > last:
-			t.broken("a member has what its owner lacks", "member", string(peer.Name), "match", uint64(receipt.Match), "last", uint64(last))
-		case receipt.Ok:
-			isKnown, told, next = true, ask.Commit, receipt.Match+1
-			if t.isOwner && t.promised == term && t.match[peer] < receipt.Match {
-				t.match[peer], t.progress[peer] = receipt.Match, t.p.r.Now()
-				t.count()
-				t.notify()
+		case r.isLeader && r.currentTerm == term && response.Promised == term && response.Match > last:
+			r.reportCorruption("a member has what its owner lacks", "member", string(peer.Name), "match", uint64(response.Match), "last", uint64(last))
+		case response.Ok:
+			isMatched, sentCommit, next = true, request.Commit, response.Match+1
+			if r.isLeader && r.currentTerm == term && r.matchIndex[peer] < response.Match {
+				r.matchIndex[peer], r.lastProgress[peer] = response.Match, r.node.env.Now()
+				r.maybeCommit()
+				r.notifyChanged()
 			}
-		case term.Less(receipt.Promised):
-			t.seen = max(t.seen, receipt.Promised.Round)
-			if t.promised == term {
-				t.stepDown("a member promised a higher term")
+		case term.Less(response.Promised):
+			r.highestRound = max(r.highestRound, response.Promised.Round)
+			if r.currentTerm == term {
+				r.stepDown("a member promised a higher term")
 			}
 		default:
-			next = receipt.Match + 1
+			next = response.Match + 1
 		}
-		t.mu.Unlock()
+		r.mu.Unlock()
 	}
 }
 
-// contains tells whether the log already runs through a snapshot's entry. A
+// hasSnapshotEntry tells whether the log already runs through a snapshot's entry. A
 // snapshot that comes late must not cut away what was synced since.
-func (t *Part) contains(s *rpc.Snapshot) bool {
-	term, ok := t.at(s.Index)
+func (r *Replica) hasSnapshotEntry(s *rpc.Snapshot) bool {
+	term, ok := r.termAt(s.Index)
 	return ok && term == s.Term
 }
 
-// follow takes an owner's term for the one in force.
-func (t *Part) follow(w *storage.Batch, term ids.Term) {
-	if t.promised.Less(term) {
-		t.stepDown("a higher term owns")
-		t.promised = term
-		t.trace(Trace{Kind: TraceRaised, Term: term})
-		t.putPromise(w)
+// becomeFollower takes an owner's term for the one in force.
+func (r *Replica) becomeFollower(batch *storage.Batch, term ids.Term) {
+	if r.currentTerm.Less(term) {
+		r.stepDown("a higher term owns")
+		r.currentTerm = term
+		r.trace(TraceEvent{Kind: TraceTermRaised, Term: term})
+		r.putCurrentTerm(batch)
 	}
-	if t.matchIn != term {
-		t.matchIn, t.matched = term, 0
+	if r.leaderMatchTerm != term {
+		r.leaderMatchTerm, r.leaderMatchIndex = term, 0
 	}
-	t.heard, t.isOutside = t.p.r.Now(), false
+	r.lastLeaderContact, r.isRemoved = r.node.env.Now(), false
 }
 
-// accept is a member's answer to what it is fed.
-func (t *Part) accept(ask *rpc.AppendAsk) (*rpc.AppendReceipt, error) {
-	t.mu.Lock()
-	receipt := &rpc.AppendReceipt{From: t.p.me, Promised: t.promised}
-	if err := t.checkTerm(ask.Term, ask.From); err != nil {
-		t.mu.Unlock()
+// handleAppend is a member's answer to what it is fed.
+func (r *Replica) handleAppend(request *rpc.AppendAsk) (*rpc.AppendReceipt, error) {
+	r.mu.Lock()
+	response := &rpc.AppendReceipt{From: r.node.self, Promised: r.currentTerm}
+	if err := r.checkTerm(request.Term, request.From); err != nil {
+		r.mu.Unlock()
 		return nil, err
 	}
-	if ask.Term.Less(t.promised) {
-		t.mu.Unlock()
-		return receipt, nil
+	if request.Term.Less(r.currentTerm) {
+		r.mu.Unlock()
+		return response, nil
 	}
-	w := t.p.store.Begin()
-	t.follow(w, ask.Term)
-	receipt.Promised = ask.Term
-	last, _ := t.last()
-	prevTerm, ok := t.at(ask.Prev)
-	isBelow := ask.Prev < t.base.Index
-	if !isBelow && (!ok || prevTerm != ask.PrevTerm) {
-		t.p.store.Hand(w)
-		receipt.Match = min(t.commit, last)
-		t.mu.Unlock()
-		return receipt, w.Wait()
+	batch := r.node.store.Begin()
+	r.becomeFollower(batch, request.Term)
+	response.Promised = request.Term
+	last, _ := r.lastEntry()
+	prevTerm, ok := r.termAt(request.Prev)
+	isBelow := request.Prev < r.snapshot.Index
+	if !isBelow && (!ok || prevTerm != request.PrevTerm) {
+		r.node.store.Hand(batch)
+		response.Match = min(r.commitIndex, last)
+		r.mu.Unlock()
+		return response, batch.Wait()
 	}
-	if err := t.adopt(w, ask.Entries); err != nil {
-		t.p.store.Hand(w)
+	if err := r.mergeEntries(batch, request.Entries); err != nil {
+		r.node.store.Hand(batch)
 		if errcode.Is(err, errcode.Internal) {
-			t.broken(err.Error(), "from", string(ask.From.Name))
+			r.reportCorruption(err.Error(), "from", string(request.From.Name))
 		} else {
-			t.p.say(eventlog.MessageRefused, "kind", "pact.append", "part", int(t.no), "from", string(ask.From.Name), "cause", err.Error())
+			r.node.log(eventlog.MessageRefused, "kind", "pact.append", "part", int(r.shard), "from", string(request.From.Name), "cause", err.Error())
 		}
-		t.mu.Unlock()
+		r.mu.Unlock()
 		return nil, err
 	}
-	t.p.store.Hand(w)
-	receipt.Ok, receipt.Match = true, max(ask.Prev+ids.Stamp(len(ask.Entries)), t.base.Index)
-	t.matched = max(t.matched, receipt.Match)
-	t.advance(min(ask.Commit, t.matched))
-	t.mu.Unlock()
-	t.p.noteOwner(t.no, ask.From.Name, ask.Term)
-	return receipt, w.Wait()
+	r.node.store.Hand(batch)
+	response.Ok, response.Match = true, max(request.Prev+ids.Stamp(len(request.Entries)), r.snapshot.Index)
+	r.leaderMatchIndex = max(r.leaderMatchIndex, response.Match)
+	r.advanceCommit(min(request.Commit, r.leaderMatchIndex))
+	r.mu.Unlock()
+	r.node.recordLeader(r.shard, request.From.Name, request.Term)
+	return response, batch.Wait()
 }
--- a/internal/consensus/snapshot.go
+++ b/internal/consensus/snapshot.go
@@ -23,13 +23,13 @@
 )
 
 const (
-	// snapshotMost bounds what a member holds of a snapshot that is on its way, packed.
-	snapshotMost = 128 << 20
-	// unpackedMost bounds the snapshot itself.
-	unpackedMost = 1 << 30
+	// maxPackedSnapshot bounds what a member holds of a snapshot that is on its way, packed.
+	maxPackedSnapshot = 128 << 20
+	// maxSnapshot bounds the snapshot itself.
+	maxSnapshot = 1 << 30
 	// While a snapshot is sent, the log may grow to this many times its usual length,
 	// so that it reaches the member without a gap.
-	growWhileSending = 8
+	logGrowthWhileSending = 8
 )
 
 // packedSnapshot is a snapshot as it is sent.
@@ -40,107 +40,107 @@
 	data   []byte
 }
 
-// incoming is what a member has of a snapshot that is on its way.
-type incoming struct {
+// incomingSnapshot is what a member has of a snapshot that is on its way.
+type incomingSnapshot struct {
 	index  ids.Stamp
 	term   ids.Term
 	digest string
 	data   []byte
 }
 
-// fold makes a snapshot when the log has grown long; the state is written out while
+// maybeCompact makes a snapshot when the log has grown long; the state is written out while
 // the part goes on.
-func (t *Part) fold() {
-	most := t.p.r.Props.PactSnapshot
-	if t.sending > 0 {
-		most *= growWhileSending
+func (r *Replica) maybeCompact() {
+	threshold := r.node.env.Props.PactSnapshot
+	if r.snapshotsInFlight > 0 {
+		threshold *= logGrowthWhileSending
 	}
-	if t.isFolding || int(t.applied-t.base.Index) < most {
+	if r.isCompacting || int(r.appliedIndex-r.snapshot.Index) < threshold {
 		return
 	}
-	t.isFolding = true
-	index, write := t.applied, t.machine.Capture()
-	t.p.r.Go(func() {
-		state, err := write()
-		t.mu.Lock()
-		defer t.mu.Unlock()
-		t.isFolding = false
-		if err == nil && index > t.base.Index && !t.p.r.IsOver() {
-			t.compact(index, state)
+	r.isCompacting = true
+	index, encode := r.appliedIndex, r.stateMachine.Snapshot()
+	r.node.env.Go(func() {
+		state, err := encode()
+		r.mu.Lock()
+		defer r.mu.Unlock()
+		r.isCompacting = false
+		if err == nil && index > r.snapshot.Index && !r.node.env.IsOver() {
+			r.compact(index, state)
 		}
 	})
 }
 
 // takeSnapshot makes a snapshot of what is folded now.
-func (t *Part) takeSnapshot() {
-	if state, err := t.machine.Capture()(); err == nil {
-		t.compact(t.applied, state)
+func (r *Replica) takeSnapshot() {
+	if state, err := r.stateMachine.Snapshot()(); err == nil {
+		r.compact(r.appliedIndex, state)
 	}
 }
 
 // compact puts a snapshot in the place of the entries up to its index.
-func (t *Part) compact(index ids.Stamp, state json.RawMessage) {
-	term, _ := t.at(index)
-	voters, _ := t.votersAsOf(index)
-	w := t.p.store.Begin()
-	folded := t.entries[:index-t.base.Index]
-	for _, e := range folded {
-		w.Delete(t.entryKey(e.Index))
+func (r *Replica) compact(index ids.Stamp, state json.RawMessage) {
+	term, _ := r.termAt(index)
+	voters, _ := r.votersAsOf(index)
+	batch := r.node.store.Begin()
+	compacted := r.entries[:index-r.snapshot.Index]
+	for _, e := range compacted {
+		batch.Delete(r.entryKey(e.Index))
 	}
-	t.keepTail(folded)
-	t.entries = t.after(index)
-	t.base = rpc.Snapshot{Index: index, Term: term, Group: voters.Current, Former: voters.Former, State: state}
-	raw, _ := json.Marshal(t.base)
-	w.Put(t.key("base"), raw)
-	t.votersAt = max(t.votersAt, index)
-	t.p.store.Hand(w)
+	r.retainTail(compacted)
+	r.entries = r.entriesAfter(index)
+	r.snapshot = rpc.Snapshot{Index: index, Term: term, Group: voters.Current, Former: voters.Outgoing, State: state}
+	raw, _ := json.Marshal(r.snapshot)
+	batch.Put(r.key("base"), raw)
+	r.votersIndex = max(r.votersIndex, index)
+	r.node.store.Hand(batch)
 }
 
-// keepTail keeps the newest of the entries that a snapshot holds, by number and bytes.
-func (t *Part) keepTail(folded []rpc.Entry) {
-	all := append(append([]rpc.Entry(nil), t.tail...), folded...)
-	first, size := len(all), 0
-	for first > 0 && len(all)-first < t.p.r.Props.PactTail {
-		if size += len(all[first-1].Body); size > t.p.r.Props.PactTailBytes {
+// retainTail keeps the newest of the entries that a snapshot holds, by number and bytes.
+func (r *Replica) retainTail(compacted []rpc.Entry) {
+	candidates := append(append([]rpc.Entry(nil), r.retained...), compacted...)
+	start, size := len(candidates), 0
+	for start > 0 && len(candidates)-start < r.node.env.Props.PactTail {
+		if size += len(candidates[start-1].Body); size > r.node.env.Props.PactTailBytes {
 			break
 		}
-		first--
+		start--
 	}
-	t.tail = append([]rpc.Entry(nil), all[first:]...)
+	r.retained = append([]rpc.Entry(nil), candidates[start:]...)
 }
 
 // entriesFrom is the entries from an index on, with the term of the one before; false
 // if some of them are only in the snapshot.
-func (t *Part) entriesFrom(next ids.Stamp) (prevTerm ids.Term, entries []rpc.Entry, isThere bool) {
-	if next > t.base.Index {
-		prevTerm, isThere = t.at(next - 1)
-		return prevTerm, t.entries[next-1-t.base.Index:], isThere
+func (r *Replica) entriesFrom(next ids.Stamp) (prevTerm ids.Term, entries []rpc.Entry, isThere bool) {
+	if next > r.snapshot.Index {
+		prevTerm, isThere = r.termAt(next - 1)
+		return prevTerm, r.entries[next-1-r.snapshot.Index:], isThere
 	}
-	first := t.base.Index + 1 - ids.Stamp(len(t.tail))
+	first := r.snapshot.Index + 1 - ids.Stamp(len(r.retained))
 	if next <= first {
 		return ids.Term{}, nil, false
 	}
-	below := t.tail[next-first:]
-	return t.tail[next-1-first].Term, append(append([]rpc.Entry(nil), below...), t.entries...), true
+	below := r.retained[next-first:]
+	return r.retained[next-1-first].Term, append(append([]rpc.Entry(nil), below...), r.entries...), true
 }
 
-// packed is the snapshot as it is sent, made once; the part's lock is not held.
-func (t *Part) packed() *packedSnapshot {
-	t.mu.Lock()
-	base, kept := t.base, t.sent
-	t.mu.Unlock()
-	if kept != nil && kept.index == base.Index && kept.term == base.Term {
-		return kept
+// packSnapshot is the snapshot as it is sent, made once; the part's lock is not held.
+func (r *Replica) packSnapshot() *packedSnapshot {
+	r.mu.Lock()
+	base, cached := r.snapshot, r.packedSnapshot
+	r.mu.Unlock()
+	if cached != nil && cached.index == base.Index && cached.term == base.Term {
+		return cached
 	}
 	raw, _ := json.Marshal(&base)
-	made := packSnapshot(base.Index, base.Term, raw)
-	t.mu.Lock()
-	t.sent = made
-	t.mu.Unlock()
-	return made
+	packed := newPackedSnapshot(base.Index, base.Term, raw)
+	r.mu.Lock()
+	r.packedSnapshot = packed
+	r.mu.Unlock()
+	return packed
 }
 
-func packSnapshot(index ids.Stamp, term ids.Term, raw []byte) *packedSnapshot {
+func newPackedSnapshot(index ids.Stamp, term ids.Term, raw []byte) *packedSnapshot {
 	var data bytes.Buffer
 	writer, _ := flate.NewWriter(&data, flate.BestSpeed)
 	writer.Write(raw)
@@ -151,155 +151,155 @@
 
 // sendSnapshot sends the snapshot to a member, from where it has it, and tells up to
 // where the member's log is synced then.
-func (t *Part) sendSnapshot(ctx context.Context, term ids.Term, peer rpc.Peer) (matched ids.Stamp, err error) {
-	t.mu.Lock()
-	t.sending++
-	t.mu.Unlock()
+func (r *Replica) sendSnapshot(ctx context.Context, term ids.Term, peer rpc.Peer) (matched ids.Stamp, err error) {
+	r.mu.Lock()
+	r.snapshotsInFlight++
+	r.mu.Unlock()
 	defer func() {
-		t.mu.Lock()
-		t.sending--
-		t.mu.Unlock()
+		r.mu.Lock()
+		r.snapshotsInFlight--
+		r.mu.Unlock()
 	}()
-	turn := t.p.transferTo(peer)
+	slot := r.node.snapshotSlot(peer)
 	select {
-	case turn <- struct{}{}:
+	case slot <- struct{}{}:
 	case <-ctx.Done():
 		return 0, ctx.Err()
 	}
-	defer func() { <-turn }()
-	snapshot, offset := t.packed(), int64(0)
+	defer func() { <-slot }()
+	snapshot, offset := r.packSnapshot(), int64(0)
 	for ctx.Err() == nil {
-		m, ok := t.p.k.View()[peer.Name]
+		m, ok := r.node.members.View()[peer.Name]
 		if !ok || m.Birth != peer.Birth {
 			return 0, errcode.New(errcode.Unreached, "%s", peer.Name)
 		}
 		size := int64(len(snapshot.data))
-		ask := &rpc.ChunkAsk{Part: t.no, Term: term, From: t.p.me, Index: snapshot.index, Of: snapshot.term, Digest: snapshot.digest, Size: size, Offset: offset}
-		ask.Data = snapshot.data[offset:min(size, offset+int64(t.p.r.Props.PactChunk))]
-		limited, end := context.WithTimeout(ctx, feedTime)
-		var receipt rpc.ChunkReceipt
-		err := t.p.w.Ask(limited, m.Wire, "pact.chunk", ask, &receipt)
+		request := &rpc.ChunkAsk{Part: r.shard, Term: term, From: r.node.self, Index: snapshot.index, Of: snapshot.term, Digest: snapshot.digest, Size: size, Offset: offset}
+		request.Data = snapshot.data[offset:min(size, offset+int64(r.node.env.Props.PactChunk))]
+		limited, end := context.WithTimeout(ctx, appendTimeout)
+		var response rpc.ChunkReceipt
+		err := r.node.transport.Ask(limited, m.Wire, "pact.chunk", request, &response)
 		end()
 		switch {
 		case err != nil:
 			return 0, err
-		case receipt.From != peer:
-			return 0, errcode.New(errcode.Unreached, "%s is %s now", peer.Name, receipt.From.Name)
-		case term.Less(receipt.Promised):
-			t.deposed(term, receipt.Promised)
-			return 0, errcode.New(errcode.NotOwner, "part %d", t.no)
-		case receipt.Match > 0:
-			return receipt.Match, nil
-		case receipt.Have < 0 || receipt.Have > size:
-			return 0, errcode.New(errcode.BadMessage, "%d bytes of %d", receipt.Have, size)
+		case response.From != peer:
+			return 0, errcode.New(errcode.Unreached, "%s is %s now", peer.Name, response.From.Name)
+		case term.Less(response.Promised):
+			r.stepDownForTerm(term, response.Promised)
+			return 0, errcode.New(errcode.NotOwner, "part %d", r.shard)
+		case response.Match > 0:
+			return response.Match, nil
+		case response.Have < 0 || response.Have > size:
+			return 0, errcode.New(errcode.BadMessage, "%d bytes of %d", response.Have, size)
 		}
-		if offset = receipt.Have; offset > 0 {
-			t.noteProgress(peer)
+		if offset = response.Have; offset > 0 {
+			r.recordProgress(peer)
 		}
 	}
 	return 0, ctx.Err()
 }
 
-// transferTo is the turn for sending a member a snapshot: one part after another, so
+// snapshotSlot is the turn for sending a member a snapshot: one part after another, so
 // that what is small finds room on its link between two chunks.
-func (p *Node) transferTo(peer rpc.Peer) chan struct{} {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.transfers[peer] == nil {
-		p.transfers[peer] = make(chan struct{}, 1)
+func (n *Node) snapshotSlot(peer rpc.Peer) chan struct{} {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.snapshotSlots[peer] == nil {
+		n.snapshotSlots[peer] = make(chan struct{}, 1)
 	}
-	return p.transfers[peer]
+	return n.snapshotSlots[peer]
 }
 
-// noteProgress notes that a member has got something new.
-func (t *Part) noteProgress(peer rpc.Peer) {
-	t.mu.Lock()
-	t.progress[peer] = t.p.r.Now()
-	t.mu.Unlock()
+// recordProgress notes that a member has got something new.
+func (r *Replica) recordProgress(peer rpc.Peer) {
+	r.mu.Lock()
+	r.lastProgress[peer] = r.node.env.Now()
+	r.mu.Unlock()
 }
 
-// deposed gives the part up to a higher term that a member promised.
-func (t *Part) deposed(term, higher ids.Term) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.seen = max(t.seen, higher.Round)
-	if t.promised == term {
-		t.stepDown("a member promised a higher term")
+// stepDownForTerm gives the part up to a higher term that a member promised.
+func (r *Replica) stepDownForTerm(term, higher ids.Term) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.highestRound = max(r.highestRound, higher.Round)
+	if r.currentTerm == term {
+		r.stepDown("a member promised a higher term")
 	}
 }
 
-// acceptChunk takes a piece of a snapshot, and the snapshot when it is whole.
-func (t *Part) acceptChunk(ask *rpc.ChunkAsk) (*rpc.ChunkReceipt, error) {
-	t.mu.Lock()
-	receipt := &rpc.ChunkReceipt{From: t.p.me, Promised: t.promised}
-	if err := t.checkTerm(ask.Term, ask.From); err != nil {
-		t.mu.Unlock()
+// handleSnapshotChunk takes a piece of a snapshot, and the snapshot when it is whole.
+func (r *Replica) handleSnapshotChunk(request *rpc.ChunkAsk) (*rpc.ChunkReceipt, error) {
+	r.mu.Lock()
+	response := &rpc.ChunkReceipt{From: r.node.self, Promised: r.currentTerm}
+	if err := r.checkTerm(request.Term, request.From); err != nil {
+		r.mu.Unlock()
 		return nil, err
 	}
-	if ask.Term.Less(t.promised) {
-		t.mu.Unlock()
-		return receipt, nil
+	if request.Term.Less(r.currentTerm) {
+		r.mu.Unlock()
+		return response, nil
 	}
-	w := t.p.store.Begin()
-	t.follow(w, ask.Term)
-	receipt.Promised = ask.Term
-	err := t.takeChunk(w, ask, receipt)
+	batch := r.node.store.Begin()
+	r.becomeFollower(batch, request.Term)
+	response.Promised = request.Term
+	err := r.addChunk(batch, request, response)
 	// The promise that the batch may bear is in memory already.
-	t.p.store.Hand(w)
+	r.node.store.Hand(batch)
 	if err != nil {
-		t.incoming = nil
-		t.p.say(eventlog.MessageRefused, "kind", "pact.chunk", "part", int(t.no), "from", string(ask.From.Name), "cause", err.Error())
+		r.incomingSnapshot = nil
+		r.node.log(eventlog.MessageRefused, "kind", "pact.chunk", "part", int(r.shard), "from", string(request.From.Name), "cause", err.Error())
 	}
-	t.mu.Unlock()
+	r.mu.Unlock()
 	if err != nil {
 		return nil, err
 	}
-	return receipt, w.Wait()
+	return response, batch.Wait()
 }
 
-// takeChunk adds a chunk to what there is; one that does not fit is answered with how
+// addChunk adds a chunk to what there is; one that does not fit is answered with how
 // much is there.
-func (t *Part) takeChunk(w *storage.Batch, ask *rpc.ChunkAsk, receipt *rpc.ChunkReceipt) error {
-	if ask.Size <= 0 || ask.Size > snapshotMost || ask.Offset < 0 || ask.Offset+int64(len(ask.Data)) > ask.Size {
-		return errcode.New(errcode.BadMessage, "part %d: chunk of %d bytes at %d of %d", t.no, len(ask.Data), ask.Offset, ask.Size)
+func (r *Replica) addChunk(batch *storage.Batch, request *rpc.ChunkAsk, response *rpc.ChunkReceipt) error {
+	if request.Size <= 0 || request.Size > maxPackedSnapshot || request.Offset < 0 || request.Offset+int64(len(request.Data)) > request.Size {
+		return errcode.New(errcode.BadMessage, "part %d: chunk of %d bytes at %d of %d", r.shard, len(request.Data), request.Offset, request.Size)
 	}
-	if held := (&rpc.Snapshot{Index: ask.Index, Term: ask.Of}); ask.Index <= t.commit || t.contains(held) {
-		t.incoming = nil
-		receipt.Match = ask.Index
-		t.matched = max(t.matched, ask.Index)
+	if held := (&rpc.Snapshot{Index: request.Index, Term: request.Of}); request.Index <= r.commitIndex || r.hasSnapshotEntry(held) {
+		r.incomingSnapshot = nil
+		response.Match = request.Index
+		r.leaderMatchIndex = max(r.leaderMatchIndex, request.Index)
 		return nil
 	}
-	if in := t.incoming; in == nil || in.digest != ask.Digest || in.index != ask.Index || in.term != ask.Of {
-		t.incoming = &incoming{index: ask.Index, term: ask.Of, digest: ask.Digest}
+	if in := r.incomingSnapshot; in == nil || in.digest != request.Digest || in.index != request.Index || in.term != request.Of {
+		r.incomingSnapshot = &incomingSnapshot{index: request.Index, term: request.Of, digest: request.Digest}
 	}
-	in := t.incoming
-	if ask.Offset == int64(len(in.data)) {
-		in.data = append(in.data, ask.Data...)
+	in := r.incomingSnapshot
+	if request.Offset == int64(len(in.data)) {
+		in.data = append(in.data, request.Data...)
 	}
-	receipt.Have = int64(len(in.data))
-	if receipt.Have < ask.Size {
+	response.Have = int64(len(in.data))
+	if response.Have < request.Size {
 		return nil
 	}
 	snapshot, err := in.unpack()
 	if err != nil {
 		return err
 	}
-	if err := t.install(w, snapshot); err != nil {
+	if err := r.installSnapshot(batch, snapshot); err != nil {
 		return err
 	}
-	t.incoming = nil
-	receipt.Match = snapshot.Index
-	t.matched = max(t.matched, snapshot.Index)
+	r.incomingSnapshot = nil
+	response.Match = snapshot.Index
+	r.leaderMatchIndex = max(r.leaderMatchIndex, snapshot.Index)
 	return nil
 }
 
 // unpack checks the whole and reads it.
-func (in *incoming) unpack() (*rpc.Snapshot, error) {
+func (in *incomingSnapshot) unpack() (*rpc.Snapshot, error) {
 	sum := sha256.Sum256(in.data)
 	if digest := hex.EncodeToString(sum[:]); digest != in.digest {
 		return nil, errcode.New(errcode.BadMessage, "snapshot %d is damaged: its digest is %.8s, not %.8s", in.index, digest, in.digest)
 	}
-	raw, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(in.data)), unpackedMost))
+	raw, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(in.data)), maxSnapshot))
 	if err != nil {
 		return nil, errcode.New(errcode.BadMessage, "snapshot %d: %v", in.index, err)
 	}
--- a/internal/consensus/trace.go
+++ b/internal/consensus/trace.go
@@ -12,40 +12,40 @@
 
 // The steps of a part that a checker can follow.
 const (
-	TraceRaised    TraceKind = "raised"    // the member takes nothing below Term any more; not synced yet
-	TracePromised  TraceKind = "promised"  // Term is promised, and synced
-	TraceElected   TraceKind = "elected"   // Granted made the member the owner under Term
-	TraceCommitted TraceKind = "committed" // the entry at Index, of EntryTerm, is committed here
-	TraceRead      TraceKind = "read"      // a read that began at Since may be answered up to Index
+	TraceTermRaised TraceKind = "raised"    // the member takes nothing below Term any more; not synced yet
+	TraceVoted      TraceKind = "promised"  // Term is promised, and synced
+	TraceElected    TraceKind = "elected"   // Granted made the member the owner under Term
+	TraceCommitted  TraceKind = "committed" // the entry at Index, of EntryTerm, is committed here
+	TraceRead       TraceKind = "read"      // a read that began at Since may be answered up to Index
 )
 
-// Trace is one step of one part on one member. The simulator holds these steps
+// TraceEvent is one step of one part on one member. The simulator holds these steps
 // against the invariants of the protocol; in a running node nobody listens.
-type Trace struct {
-	Kind      TraceKind
-	Part      ids.Part
-	Member    rpc.Peer
-	Term      ids.Term
-	Index     ids.Stamp
-	EntryTerm ids.Term
-	IsOwner   bool
-	IsChange  bool // the entry names voters
-	Voters    Voters
-	Granted   []rpc.Peer
-	Since     time.Time
+type TraceEvent struct {
+	Kind               TraceKind
+	Shard              ids.Part
+	Member             rpc.Peer
+	Term               ids.Term
+	Index              ids.Stamp
+	EntryTerm          ids.Term
+	IsLeader           bool
+	IsMembershipChange bool // the entry names voters
+	Voters             Voters
+	Granted            []rpc.Peer
+	Since              time.Time
 	// TermAt is the term of the entry at an index of the new owner's log; false if
 	// the entry lies below its snapshot. It is called at once only.
 	TermAt func(ids.Stamp) (ids.Term, bool)
 }
 
-// CharterTrace is a charter that a node has synced, accepted or open.
-type CharterTrace struct{ IsOpen bool }
+// CharterEvent is a charter that a node has synced, accepted or open.
+type CharterEvent struct{ IsOpen bool }
 
 // trace tells a listener of a step; the part is locked or its step is over.
-func (t *Part) trace(step Trace) {
-	if t.p.r.Trace == nil {
+func (r *Replica) trace(step TraceEvent) {
+	if r.node.env.Trace == nil {
 		return
 	}
-	step.Part, step.Member = t.no, t.p.me
-	t.p.r.Trace(step)
+	step.Shard, step.Member = r.shard, r.node.self
+	r.node.env.Trace(step)
 }
--- a/internal/consensus/voters_test.go
+++ b/internal/consensus/voters_test.go
@@ -14,26 +14,26 @@
 	return list
 }
 
-func TestAJointChangeNeedsBothMajorities(t *testing.T) {
-	joint := Voters{Current: peers("ABD"), Former: peers("ABC")}
+func TestVoters_JointQuorum(t *testing.T) {
+	joint := Voters{Current: peers("ABD"), Outgoing: peers("ABC")}
 	for some, want := range map[string]bool{"AB": true, "AD": false, "AC": false, "ACD": true, "BCD": true, "CD": false, "ABCD": true, "": false} {
-		if got := joint.IsDecidedBy(peers(some)); got != want {
+		if got := joint.HasQuorum(peers(some)); got != want {
 			t.Errorf("%q decides: %v", some, got)
 		}
 	}
 	value := map[string]int64{"A": 9, "B": 5, "C": 1, "D": 7}
-	if got := joint.Reached(func(p rpc.Peer) int64 { return value[string(p.Name[len(p.Name)-1:])] }); got != 5 {
+	if got := joint.QuorumValue(func(p rpc.Peer) int64 { return value[string(p.Name[len(p.Name)-1:])] }); got != 5 {
 		t.Errorf("reached %d, want 5: the former majority is A and B", got)
 	}
 	reborn := rpc.Peer{Name: peers("A")[0].Name, Birth: "other"}
-	if joint.IsDecidedBy([]rpc.Peer{reborn, peers("B")[0]}) {
+	if joint.HasQuorum([]rpc.Peer{reborn, peers("B")[0]}) {
 		t.Error("another birth of a member has its vote")
 	}
 }
 
-func TestVotersChangeByOneStep(t *testing.T) {
+func TestVoters_CanBecome(t *testing.T) {
 	plain := func(names string) Voters { return Voters{Current: peers(names)} }
-	joint := func(names, former string) Voters { return Voters{Current: peers(names), Former: peers(former)} }
+	joint := func(names, former string) Voters { return Voters{Current: peers(names), Outgoing: peers(former)} }
 	for _, step := range []struct {
 		from, to Voters
 		want     bool
@@ -50,7 +50,7 @@
 		{joint("ABD", "ABC"), joint("ABE", "ABD"), false},
 		{plain("ABC"), plain(""), false},
 	} {
-		if got := step.from.mayBecome(step.to); got != step.want {
+		if got := step.from.canBecome(step.to); got != step.want {
 			t.Errorf("%s to %s: %v", step.from, step.to, got)
 		}
 	}
--- a/internal/controlplane/binding_test.go
+++ b/internal/controlplane/binding_test.go
@@ -49,9 +49,9 @@
 			t.Errorf("step %d: the last epoch that binds is %d, not %d", i+1, got, one.want)
 		}
 	}
-	raw, _ := l.Capture()()
+	raw, _ := l.Snapshot()()
 	other := NewConfigState()
-	if other.Load(raw); other.Current().LastBinding != other.Current().Epoch {
+	if other.Restore(raw); other.Current().LastBinding != other.Current().Epoch {
 		t.Error("a member that was loaded takes an epoch for one that does not bind, though it can't know")
 	}
 }
--- a/internal/controlplane/ledger.go
+++ b/internal/controlplane/ledger.go
@@ -162,8 +162,8 @@
 	return c.current
 }
 
-// Capture takes hold of the epoch in force, which is never written to.
-func (c *ConfigState) Capture() func() (json.RawMessage, error) {
+// Snapshot takes hold of the epoch in force, which is never written to.
+func (c *ConfigState) Snapshot() func() (json.RawMessage, error) {
 	s := c.Current()
 	return func() (json.RawMessage, error) { return s.marshal() }
 }
@@ -172,7 +172,7 @@
 	return json.Marshal(rpc.LedgerState{Epoch: e.Epoch, Changed: e.LastChange, Version: e.Version, Groups: e.Groups, Changes: e.Changes})
 }
 
-func (c *ConfigState) Load(raw json.RawMessage) error {
+func (c *ConfigState) Restore(raw json.RawMessage) error {
 	var state rpc.LedgerState
 	if err := json.Unmarshal(raw, &state); err != nil {
 		return err
--- a/internal/controlplane/ledger_test.go
+++ b/internal/controlplane/ledger_test.go
@@ -98,8 +98,8 @@
 	delete(want, "mappings/b")
 	wantSources(t, sheet, want)
 	other := NewConfigState()
-	raw, err := l.Capture()()
-	if err != nil || other.Load(raw) != nil {
+	raw, err := l.Snapshot()()
+	if err != nil || other.Restore(raw) != nil {
 		t.Fatal(err)
 	}
 	wantSources(t, other.Current(), want)
@@ -119,16 +119,16 @@
 			t.Errorf("%d: version %d, want %d", i, got, c.want)
 		}
 	}
-	raw, _ := l.Capture()()
-	head, _ := l.Range(headerRange)
+	raw, _ := l.Snapshot()()
+	head, _ := l.ExportRange(headerRange)
 	loaded, mended := NewConfigState(), NewConfigState()
-	if loaded.Load(raw) != nil || mended.Mend(headerRange, head) != nil {
+	if loaded.Restore(raw) != nil || mended.Repair(headerRange, head) != nil {
 		t.Fatal("not taken")
 	}
 	if loaded.Current().Version != 8 || mended.Current().Version != 8 {
 		t.Errorf("loaded %d, mended %d", loaded.Current().Version, mended.Current().Version)
 	}
-	if loaded.Digests()[headerRange] != l.Digests()[headerRange] {
+	if loaded.RangeDigests()[headerRange] != l.RangeDigests()[headerRange] {
 		t.Error("the heads differ")
 	}
 }
--- a/internal/controlplane/news.go
+++ b/internal/controlplane/news.go
@@ -23,10 +23,10 @@
 	began := r.env.Now()
 	response := &rpc.NewsReceipt{}
 	for shard := range r.stores {
-		replica := r.consensus.Part(ids.Part(shard))
-		term, since, isServing := replica.Serving()
+		replica := r.consensus.Replica(ids.Part(shard))
+		term, since, isServing := replica.LeadershipSince()
 		warmingUp := r.env.Since(since) < r.env.Props.PlanSettle
-		if !isServing || warmingUp && !r.env.Props.PlanKeep || replica.Confirm(ctx, began) != nil {
+		if !isServing || warmingUp && !r.env.Props.PlanKeep || replica.ConfirmLeadership(ctx, began) != nil {
 			continue
 		}
 		lists := r.targetLists(ids.Part(shard), term, warmingUp)
@@ -79,7 +79,7 @@
 					r.env.Go(func() {
 						limited, end := context.WithTimeout(r.env, time.Second)
 						defer end()
-						r.propose(limited, r.consensus.Part(shard), &rpc.BondOp{Op: "unmark", Name: service + "/" + instance, Seq: m.Seq})
+						r.propose(limited, r.consensus.Replica(shard), &rpc.BondOp{Op: "unmark", Name: service + "/" + instance, Seq: m.Seq})
 					})
 				}
 				delete(instances, instance)
--- a/internal/controlplane/planner.go
+++ b/internal/controlplane/planner.go
@@ -32,7 +32,7 @@
 	env       *environment.Realm
 	transport *rpc.Wire
 	members   *membership.Kin
-	replica   *consensus.Part
+	replica   *consensus.Replica
 	config    *ConfigState
 	trigger   chan struct{}
 
@@ -50,7 +50,7 @@
 }
 
 func NewPlanner(env *environment.Realm, transport *rpc.Wire, members *membership.Kin, node *consensus.Node, config *ConfigState) *Planner {
-	p := &Planner{env: env, transport: transport, members: members, replica: node.Part(ids.Config), config: config, trigger: make(chan struct{}, 1), reportedConflicts: map[addressConflict]bool{}, startedAt: env.Now(), planning: environment.NewTurn()}
+	p := &Planner{env: env, transport: transport, members: members, replica: node.Replica(ids.Config), config: config, trigger: make(chan struct{}, 1), reportedConflicts: map[addressConflict]bool{}, startedAt: env.Now(), planning: environment.NewTurn()}
 	p.reset(ids.Term{})
 	return p
 }
@@ -82,7 +82,7 @@
 			default:
 			}
 			wakeup.Reset(p.env.Props.PlanPoll)
-			if term, _, isServing := p.replica.Serving(); isServing {
+			if term, _, isServing := p.replica.LeadershipSince(); isServing {
 				p.collectReports(term)
 				p.planEpoch(p.env, nil, nil)
 			}
@@ -168,7 +168,7 @@
 		p.planning.Lock()
 		defer p.planning.Unlock()
 	}
-	term, _, isServing := p.replica.Serving()
+	term, _, isServing := p.replica.LeadershipSince()
 	if !isServing {
 		return errcode.New(errcode.NotOwner, "configuration part")
 	}
--- a/internal/controlplane/ranges.go
+++ b/internal/controlplane/ranges.go
@@ -19,8 +19,8 @@
 	return rpc.LedgerState{Epoch: s.Epoch, Changed: s.LastChange, Version: s.Version, Changes: s.Changes}
 }
 
-// Digests is one digest for each range. A group's is made of its data anew.
-func (c *ConfigState) Digests() map[string]string {
+// RangeDigests is one digest for each range. A group's is made of its data anew.
+func (c *ConfigState) RangeDigests() map[string]string {
 	s := c.Current()
 	raw, _ := json.Marshal(c.header(s))
 	digests := map[string]string{headerRange: Digest(raw)}
@@ -31,8 +31,8 @@
 	return digests
 }
 
-// Range is one range as it is.
-func (c *ConfigState) Range(name string) (json.RawMessage, error) {
+// ExportRange is one range as it is.
+func (c *ConfigState) ExportRange(name string) (json.RawMessage, error) {
 	s := c.Current()
 	if group, ok := strings.CutPrefix(name, groupRange); ok {
 		if g, ok := s.Groups[group]; ok {
@@ -43,8 +43,8 @@
 	return json.Marshal(c.header(s))
 }
 
-// Mend replaces one range; a group that is no longer there is taken out.
-func (c *ConfigState) Mend(name string, data json.RawMessage) error {
+// Repair replaces one range; a group that is no longer there is taken out.
+func (c *ConfigState) Repair(name string, data json.RawMessage) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	old := c.current
--- a/internal/controlplane/roll.go
+++ b/internal/controlplane/roll.go
@@ -101,8 +101,8 @@
 		return err
 	}
 	shard := ids.PartOf(heartbeat.Service)
-	replica := r.consensus.Part(shard)
-	term, _, isServing := replica.Serving()
+	replica := r.consensus.Replica(shard)
+	term, _, isServing := replica.LeadershipSince()
 	if !isServing {
 		return errcode.New(errcode.NotOwner, "part %d", shard)
 	}
@@ -175,7 +175,7 @@
 	}
 }
 
-func (r *TargetRegistry) propose(ctx context.Context, part *consensus.Part, op *rpc.BondOp) error {
+func (r *TargetRegistry) propose(ctx context.Context, part *consensus.Replica, op *rpc.BondOp) error {
 	_, _, err := part.Propose(ctx, op)
 	return err
 }
--- a/internal/controlplane/submit.go
+++ b/internal/controlplane/submit.go
@@ -24,7 +24,7 @@
 func (p *Planner) submit(ctx context.Context, change *rpc.Change) (receipt *rpc.ChangeReceipt, isNew bool, err error) {
 	p.planning.Lock()
 	defer p.planning.Unlock()
-	if err := p.replica.Confirm(ctx, p.env.Now()); err != nil {
+	if err := p.replica.ConfirmLeadership(ctx, p.env.Now()); err != nil {
 		return nil, false, err
 	}
 	encoded, _ := json.Marshal(change)
@@ -74,7 +74,7 @@
 
 // EpochView is the epoch in force, confirmed since the call came.
 func (p *Planner) EpochView(ctx context.Context) (*rpc.EpochView, error) {
-	if err := p.replica.Confirm(ctx, p.env.Now()); err != nil {
+	if err := p.replica.ConfirmLeadership(ctx, p.env.Now()); err != nil {
 		return nil, err
 	}
 	return p.config.Current().View(), nil
@@ -83,7 +83,7 @@
 // Config is the operators' configuration as they sent it, keys and all,
 // confirmed since the call came.
 func (p *Planner) Config(ctx context.Context) (*rpc.ConfigView, error) {
-	if err := p.replica.Confirm(ctx, p.env.Now()); err != nil {
+	if err := p.replica.ConfirmLeadership(ctx, p.env.Now()); err != nil {
 		return nil, err
 	}
 	epoch := p.config.Current()
@@ -93,12 +93,12 @@
 // Freshness tells the epoch in force and the ages of what it reflects. It asks for
 // no round of its own: the age of the last one is told, and is what counts.
 func (p *Planner) Freshness() (*rpc.PulseReceipt, error) {
-	age, isServing := p.replica.Age()
+	age, isServing := p.replica.ConfirmationAge()
 	if !isServing {
 		return nil, errcode.New(errcode.NotOwner, "configuration part")
 	}
 	began := p.env.Now()
-	term, _, _ := p.replica.Serving()
+	term, _, _ := p.replica.LeadershipSince()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	response := &rpc.PulseReceipt{Parts: make([]int64, ids.Parts)}
--- a/internal/coordination/book.go
+++ b/internal/coordination/book.go
@@ -272,9 +272,9 @@
 	return list, max(b.applied, from), true
 }
 
-// Capture takes a copy of the state, to be written out later; values are shared, for
+// Snapshot takes a copy of the state, to be written out later; values are shared, for
 // they are never written to.
-func (b *Book) Capture() func() (json.RawMessage, error) {
+func (b *Book) Snapshot() func() (json.RawMessage, error) {
 	state := b.copy()
 	return func() (json.RawMessage, error) {
 		sort.Slice(state.Records, func(i, j int) bool { return less(state.Records[i], state.Records[j]) })
@@ -297,8 +297,8 @@
 	return state
 }
 
-// Load replaces the whole state.
-func (b *Book) Load(raw json.RawMessage) error {
+// Restore replaces the whole state.
+func (b *Book) Restore(raw json.RawMessage) error {
 	var state rpc.BondState
 	if err := json.Unmarshal(raw, &state); err != nil {
 		return err
--- a/internal/coordination/book_test.go
+++ b/internal/coordination/book_test.go
@@ -41,12 +41,12 @@
 	if first.Count != 2 || again.Count != 2 || again.Stamp != 1 {
 		t.Fatal(first, again)
 	}
-	raw, err := book.Capture()()
+	raw, err := book.Snapshot()()
 	if err != nil {
 		t.Fatal(err)
 	}
 	other := NewBook()
-	if err := other.Load(raw); err != nil {
+	if err := other.Restore(raw); err != nil {
 		t.Fatal(err)
 	}
 	if again := apply(other, 3, rpc.BondOp{Op: "add", Id: "r", Name: "n", Delta: 2}); again.Count != 2 {
--- a/internal/coordination/claim.go
+++ b/internal/coordination/claim.go
@@ -40,7 +40,7 @@
 
 // sweep takes out claims that are older than that.
 func (d *Desk) sweep(no ids.Part) {
-	if !d.p.Part(no).IsServing() {
+	if !d.p.Replica(no).IsServing() {
 		d.past[no] = nil
 		return
 	}
@@ -56,7 +56,7 @@
 			d.r.Go(func() {
 				ctx, end := context.WithTimeout(d.r, 5*time.Second)
 				defer end()
-				d.p.Part(no).Propose(ctx, &rpc.BondOp{Op: "sweep", Name: "claims", Fence: old})
+				d.p.Replica(no).Propose(ctx, &rpc.BondOp{Op: "sweep", Name: "claims", Fence: old})
 			})
 			return
 		}
@@ -65,7 +65,7 @@
 
 // claim joins the gathering of the part, and picks its own receipt out of it.
 func (d *Desk) claim(ctx context.Context, no ids.Part, op *rpc.BondOp) (*rpc.BondReceipt, error) {
-	if !d.p.Part(no).IsServing() {
+	if !d.p.Replica(no).IsServing() {
 		return nil, errcode.New(errcode.NotOwner, "part %d", no)
 	}
 	d.mu.Lock()
@@ -109,7 +109,7 @@
 	}
 	ctx, end := context.WithTimeout(d.r, gatherTime)
 	defer end()
-	_, receipt, err := d.p.Part(no).Propose(ctx, &rpc.BondOp{Op: "claims", Name: "orders", Records: now.records})
+	_, receipt, err := d.p.Replica(no).Propose(ctx, &rpc.BondOp{Op: "claims", Name: "orders", Records: now.records})
 	got, ok := receipt.(*rpc.BondReceipt)
 	if err == nil && !ok {
 		err = errcode.New(errcode.Unsure, "part %d", no)
--- a/internal/coordination/desk.go
+++ b/internal/coordination/desk.go
@@ -62,15 +62,15 @@
 		return nil, problem
 	}
 	no := ids.PartOf(op.Name)
-	part, book := d.p.Part(no), d.books[no]
+	part, book := d.p.Replica(no), d.books[no]
 	switch op.Op {
 	case "get", "list", "watch", "follow", "renew":
 		began := d.r.Now()
-		term, _, isServing := part.Serving()
+		term, _, isServing := part.LeadershipSince()
 		if !isServing {
 			return nil, errcode.New(errcode.NotOwner, "part %d", no)
 		}
-		if err := part.Confirm(ctx, began); err != nil {
+		if err := part.ConfirmLeadership(ctx, began); err != nil {
 			return nil, err
 		}
 		switch op.Op {
@@ -94,7 +94,7 @@
 }
 
 func (d *Desk) propose(ctx context.Context, no ids.Part, op *rpc.BondOp) (*rpc.BondReceipt, error) {
-	_, receipt, err := d.p.Part(no).Propose(ctx, op)
+	_, receipt, err := d.p.Replica(no).Propose(ctx, op)
 	if err != nil {
 		return nil, err
 	}
@@ -191,17 +191,17 @@
 // acquire writes nothing while another's grant lasts, and has one whose time is
 // over taken back first.
 func (d *Desk) acquire(ctx context.Context, no ids.Part, op *rpc.BondOp) (*rpc.BondReceipt, error) {
-	began, part, book := d.r.Now(), d.p.Part(no), d.books[no]
+	began, part, book := d.r.Now(), d.p.Replica(no), d.books[no]
 	_, isRepeat := book.Seen(op.Id)
 	for !isRepeat {
-		term, _, isServing := part.Serving()
+		term, _, isServing := part.LeadershipSince()
 		if !isServing {
 			return nil, errcode.New(errcode.NotOwner, "part %d", no)
 		}
 		if lock, ok := book.Get(Lock, op.Name); !ok || lock.Holder == op.Holder {
 			break
 		}
-		if err := part.Confirm(ctx, began); err != nil {
+		if err := part.ConfirmLeadership(ctx, began); err != nil {
 			return nil, err
 		}
 		held, going := d.holding(no, term, op)
@@ -253,7 +253,7 @@
 	if !ok || record.Holder != op.Holder || record.Fence != op.Fence {
 		return &rpc.BondReceipt{Code: errcode.NotHeld.No, Fence: record.Fence}, nil
 	}
-	if now, _, isServing := d.p.Part(no).Serving(); !isServing || now != term {
+	if now, _, isServing := d.p.Replica(no).LeadershipSince(); !isServing || now != term {
 		return nil, errcode.New(errcode.NotOwner, "part %d", no)
 	}
 	ttl := op.Ttl
@@ -275,7 +275,7 @@
 // extend makes the grant last, unless it has passed meanwhile; it is never cut
 // shorter than an earlier call made it.
 func (d *Desk) extend(no ids.Part, name string, fence ids.Stamp, ttl int64) (*rpc.BondReceipt, error) {
-	term, _, isServing := d.p.Part(no).Serving()
+	term, _, isServing := d.p.Replica(no).LeadershipSince()
 	if !isServing {
 		return nil, errcode.New(errcode.Unsure, "part %d", no)
 	}
@@ -311,8 +311,8 @@
 	d.r.Go(func() {
 		ctx, end := context.WithTimeout(d.r, 5*time.Second)
 		defer end()
-		if now, _, isServing := d.p.Part(no).Serving(); isServing && now == term {
-			d.p.Part(no).Propose(ctx, &rpc.BondOp{Op: "expire", Name: lock.Name, Fence: lock.Fence})
+		if now, _, isServing := d.p.Replica(no).LeadershipSince(); isServing && now == term {
+			d.p.Replica(no).Propose(ctx, &rpc.BondOp{Op: "expire", Name: lock.Name, Fence: lock.Fence})
 		}
 		d.mu.Lock()
 		defer d.mu.Unlock()
@@ -325,7 +325,7 @@
 // expire takes back the grants of a part whose time is over, and forgets those
 // whose locks are gone.
 func (d *Desk) expire(no ids.Part) {
-	term, _, isServing := d.p.Part(no).Serving()
+	term, _, isServing := d.p.Replica(no).LeadershipSince()
 	if !isServing {
 		return
 	}
--- a/internal/coordination/desk_test.go
+++ b/internal/coordination/desk_test.go
@@ -27,7 +27,7 @@
 	d.Helper()
 	isThere := d.f.Until(30*time.Second, func() bool {
 		for _, m := range d.f.Cores() {
-			if n := m.Node(); n != nil && n.Consensus.Part(ids.PartOf(name)).IsServing() {
+			if n := m.Node(); n != nil && n.Consensus.Replica(ids.PartOf(name)).IsServing() {
 				owner = m
 				return true
 			}
@@ -52,7 +52,7 @@
 }
 
 func (d *desks) last(name string) ids.Stamp {
-	return d.owner(name).Node().Consensus.Part(ids.PartOf(name)).Status().Last
+	return d.owner(name).Node().Consensus.Replica(ids.PartOf(name)).Status().LastIndex
 }
 
 func (d *desks) expect(got *rpc.BondReceipt, code errcode.Code) *rpc.BondReceipt {
--- a/internal/coordination/ranges.go
+++ b/internal/coordination/ranges.go
@@ -49,8 +49,8 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// Digests is one digest for each range that holds anything.
-func (b *Book) Digests() map[string]string {
+// RangeDigests is one digest for each range that holds anything.
+func (b *Book) RangeDigests() map[string]string {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
 	digests := map[string]string{receipts: digest(b.receipts())}
@@ -60,8 +60,8 @@
 	return digests
 }
 
-// Range is one range as it is.
-func (b *Book) Range(name string) (json.RawMessage, error) {
+// ExportRange is one range as it is.
+func (b *Book) ExportRange(name string) (json.RawMessage, error) {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
 	if name == receipts {
@@ -70,8 +70,8 @@
 	return json.Marshal(b.cut()[name])
 }
 
-// Mend replaces one range.
-func (b *Book) Mend(name string, data json.RawMessage) error {
+// Repair replaces one range.
+func (b *Book) Repair(name string, data json.RawMessage) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if name == receipts {
--- a/internal/coordination/space_test.go
+++ b/internal/coordination/space_test.go
@@ -138,12 +138,12 @@
 			}
 		}
 		check(b)
-		raw, err := b.Capture()()
+		raw, err := b.Snapshot()()
 		if err != nil {
 			t.Fatal(err)
 		}
 		other := NewBook()
-		if err := other.Load(raw); err != nil {
+		if err := other.Restore(raw); err != nil {
 			t.Fatal(err)
 		}
 		check(other)
@@ -156,7 +156,7 @@
 		if again := set(other, 7, "s/a", "1"); again.Rev != 1 {
 			t.Fatal("a loaded state forgot a set", again)
 		}
-		if err := other.Load(json.RawMessage(`{"records":[],"seen":[],"events":[],"start":0,"applied":0}`)); err != nil {
+		if err := other.Restore(json.RawMessage(`{"records":[],"seen":[],"events":[],"start":0,"applied":0}`)); err != nil {
 			t.Fatal(err)
 		}
 		set(other, 8, "s/a", "1")
@@ -176,17 +176,17 @@
 	wrong.of(Space)["s"] = rpc.BondRecord{Name: "s", Kind: Space, Count: 1, Stamp: 5}
 	set(right, 6, "s/b", "1")
 	set(wrong, 6, "s/b", "1")
-	differing, digests := 0, wrong.Digests()
-	for name, digest := range right.Digests() {
+	differing, digests := 0, wrong.RangeDigests()
+	for name, digest := range right.RangeDigests() {
 		if digests[name] == digest {
 			continue
 		}
 		differing++
-		data, err := right.Range(name)
+		data, err := right.ExportRange(name)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := wrong.Mend(name, data); err != nil {
+		if err := wrong.Repair(name, data); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/coordination/watch.go
+++ b/internal/coordination/watch.go
@@ -13,7 +13,7 @@
 )
 
 // watch holds the call until something under the name happens.
-func (d *Desk) watch(ctx context.Context, part *consensus.Part, book *Book, op *rpc.BondOp) (*rpc.BondReceipt, error) {
+func (d *Desk) watch(ctx context.Context, part *consensus.Replica, book *Book, op *rpc.BondOp) (*rpc.BondReceipt, error) {
 	if op.From == 0 {
 		keys, stamp := book.All(Key, op.Name)
 		return &rpc.BondReceipt{Stamp: stamp, Keys: keys}, nil
@@ -21,7 +21,7 @@
 	hold := time.NewTimer(time.Duration(op.Hold) * time.Millisecond)
 	defer hold.Stop()
 	for {
-		change := part.Watch()
+		change := part.Changed()
 		events, next, isKept := book.Since(op.Name, op.From, 256)
 		if !isKept {
 			return &rpc.BondReceipt{Code: errcode.StampTooOld.No, Stamp: next}, nil
@@ -43,11 +43,11 @@
 }
 
 // follow holds the call until something is set in the space.
-func (d *Desk) follow(ctx context.Context, part *consensus.Part, book *Book, op *rpc.BondOp) (*rpc.BondReceipt, error) {
+func (d *Desk) follow(ctx context.Context, part *consensus.Replica, book *Book, op *rpc.BondOp) (*rpc.BondReceipt, error) {
 	hold := time.NewTimer(time.Duration(op.Hold) * time.Millisecond)
 	defer hold.Stop()
 	for {
-		change := part.Watch()
+		change := part.Changed()
 		events, rev, isKept := book.Follow(spaceOf(op.Name), op.From, 256)
 		if !isKept {
 			return &rpc.BondReceipt{Code: errcode.StampTooOld.No, Rev: rev}, nil
--- a/internal/distribution/serve.go
+++ b/internal/distribution/serve.go
@@ -73,7 +73,7 @@
 		have = before.Manifest()
 	}
 	for {
-		change := s.p.Part(ids.Config).Watch()
+		change := s.p.Replica(ids.Config).Changed()
 		sheet := s.ledger.Current()
 		if sheet.Epoch > ask.Epoch {
 			if err := s.checkContact(); err != nil {
@@ -100,7 +100,7 @@
 
 // checkContact refuses to give out what may be old: the asker takes another node.
 func (s *Server) checkContact() error {
-	if s.p.HasContact(ids.Config) {
+	if s.p.HasQuorumContact(ids.Config) {
 		return nil
 	}
 	return errcode.New(errcode.NoOwner, "no word of a majority of the configuration part")
@@ -187,14 +187,14 @@
 // pulse tells ages as the owner of the configuration part knows them, older by
 // the time that passed since this node asked.
 func (s *Server) pulse(ctx context.Context) (*rpc.PulseReceipt, error) {
-	if s.p.Part(ids.Config).IsServing() {
+	if s.p.Replica(ids.Config).IsServing() {
 		return s.planner.Freshness()
 	}
 	return s.relays.get(ctx)
 }
 
 func (s *Server) ask() (*rpc.PulseReceipt, error) {
-	name, ok := s.p.Owner(ids.Config)
+	name, ok := s.p.Leader(ids.Config)
 	if !ok || name == s.r.Name {
 		return nil, errcode.New(errcode.NoOwner, "configuration part")
 	}
--- a/internal/node/calls.go
+++ b/internal/node/calls.go
@@ -33,7 +33,7 @@
 	if err := n.pass(limited, op{no, "beat", beat}, 0, &done); err != nil {
 		return "", err
 	}
-	if n.Consensus == nil || !n.Consensus.Part(no).IsServing() {
+	if n.Consensus == nil || !n.Consensus.Replica(no).IsServing() {
 		better = n.ownerApi(no)
 	}
 	return better, nil
@@ -43,7 +43,7 @@
 func (n *Node) ownerApi(no ids.Part) string {
 	known := n.owners[no].Load()
 	if n.Consensus != nil {
-		if name, ok := n.Consensus.Owner(no); ok {
+		if name, ok := n.Consensus.Leader(no); ok {
 			if m, ok := n.Kin.Of(name); ok {
 				return m.Api
 			}
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -187,18 +187,18 @@
 
 func (s sheet) core() {
 	n, owned := s.n, 0
-	for _, part := range n.Consensus.Parts() {
+	for _, part := range n.Consensus.Replicas() {
 		o := part.Status()
-		no := strconv.Itoa(int(o.Part))
-		if o.Part == ids.Config {
+		no := strconv.Itoa(int(o.Shard))
+		if o.Shard == ids.Config {
 			no = "config"
 		}
-		s.add(metrics.PartTerm, float64(o.Promised.Round), no)
-		s.add(metrics.PartCommit, float64(o.Commit), no)
-		s.add(metrics.PartLast, float64(o.Last), no)
+		s.add(metrics.PartTerm, float64(o.CurrentTerm.Round), no)
+		s.add(metrics.PartCommit, float64(o.CommitIndex), no)
+		s.add(metrics.PartLast, float64(o.LastIndex), no)
 		s.add(metrics.PartServing, truth(o.IsServing), no)
-		if o.IsOwner {
-			s.add(metrics.PartAge, o.Age.Seconds(), no)
+		if o.IsLeader {
+			s.add(metrics.PartAge, o.ConfirmationAge.Seconds(), no)
 		}
 		if o.IsServing {
 			owned++
@@ -211,7 +211,7 @@
 	for at, count := range n.Roll.TargetCounts() {
 		s.add(metrics.Targets, float64(count), at.Service, at.State, at.Reported)
 	}
-	if n.Consensus.Part(ids.Config).IsServing() {
+	if n.Consensus.Replica(ids.Config).IsServing() {
 		v := n.Planner.Stats()
 		s.add(metrics.PlannerParts, float64(v.Shards))
 		s.add(metrics.PlannerOldest, v.OldestReport.Seconds())
--- a/internal/node/pass.go
+++ b/internal/node/pass.go
@@ -31,7 +31,7 @@
 	held, began := heldCall(o), n.R.Now()
 	var problem error
 	for try := 0; ctx.Err() == nil; try++ {
-		if n.Consensus != nil && n.Consensus.HasLostContact(o.part) {
+		if n.Consensus != nil && n.Consensus.HasLostQuorum(o.part) {
 			return errcode.New(errcode.NoOwner, "part %d: no word of a majority here; ask another node", o.part)
 		}
 		if held != nil && try > 0 {
@@ -39,7 +39,7 @@
 			rest.Hold = max(0, held.Hold-n.R.Since(began).Milliseconds())
 			raw, _ = json.Marshal(&rest)
 		}
-		if n.Consensus != nil && n.Consensus.Part(o.part).IsServing() {
+		if n.Consensus != nil && n.Consensus.Replica(o.part).IsServing() {
 			got, err := n.do(ctx, o.part, o.name, raw)
 			if err == nil {
 				return recast(got, into)
@@ -128,12 +128,12 @@
 }
 
 func (n *Node) isOwnedElsewhere(no ids.Part, address string) bool {
-	name, ok := n.Consensus.Owner(no)
+	name, ok := n.Consensus.Leader(no)
 	if !ok {
 		return false
 	}
 	if name == n.R.Name {
-		return n.Consensus.Part(no).IsServing()
+		return n.Consensus.Replica(no).IsServing()
 	}
 	m, ok := n.Kin.Of(name)
 	return ok && m.Wire != address
@@ -152,7 +152,7 @@
 // ownerOf is where to send an op: the known owner, or a core node in turn.
 func (n *Node) ownerOf(no ids.Part, try int) string {
 	if n.Consensus != nil {
-		if name, ok := n.Consensus.Owner(no); ok && name != n.R.Name {
+		if name, ok := n.Consensus.Leader(no); ok && name != n.R.Name {
 			if m, ok := n.Kin.Of(name); ok {
 				return m.Wire
 			}
--- a/internal/node/seat.go
+++ b/internal/node/seat.go
@@ -77,7 +77,7 @@
 		if n.Store, err = storage.Open(r); err != nil {
 			return nil, err
 		}
-		if me.Birth, err = consensus.Born(n.Store); err != nil {
+		if me.Birth, err = consensus.LoadOrCreateMemberID(n.Store); err != nil {
 			return nil, err
 		}
 		me.Core, me.Founders = true, p.FoundCores
@@ -108,7 +108,7 @@
 		return nil, errcode.New(errcode.BadProps, "wire.address: %v", err)
 	}
 	if me.Core {
-		n.Consensus.Open()
+		n.Consensus.Start()
 		n.Desk.Open()
 		n.Planner.Start()
 	}
@@ -167,7 +167,7 @@
 }
 
 func (n *Node) openCore() error {
-	var machines []consensus.Machine
+	var machines []consensus.StateMachine
 	for range ids.Parts {
 		book := coordination.NewBook()
 		n.Books = append(n.Books, book)
@@ -259,7 +259,7 @@
 	ctx, end := context.WithTimeout(n.R, n.R.Props.StopGrace)
 	defer end()
 	if n.Consensus != nil {
-		n.Consensus.HandOver(ctx)
+		n.Consensus.TransferLeadership(ctx)
 	}
 	if n.Gate != nil {
 		n.Gate.Drain()
@@ -285,7 +285,7 @@
 
 // stir tells the owner of the configuration part that there is news of targets.
 func (n *Node) stir() {
-	if n.Consensus.Part(ids.Config).IsServing() {
+	if n.Consensus.Replica(ids.Config).IsServing() {
 		n.Planner.Trigger()
 		return
 	}
--- a/internal/node/show.go
+++ b/internal/node/show.go
@@ -35,18 +35,18 @@
 	case api.ShowWhatParts:
 		columns("part", "owner", "term", "commit", "last", "serving", "age", "group")
 		if n.Consensus != nil {
-			for _, part := range n.Consensus.Parts() {
+			for _, part := range n.Consensus.Replicas() {
 				o := part.Status()
-				owner, _ := n.Consensus.Owner(o.Part)
+				owner, _ := n.Consensus.Leader(o.Shard)
 				group := ""
-				for _, peer := range o.Group {
+				for _, peer := range o.Voters {
 					group += string(peer.Name) + " "
 				}
-				no := fmt.Sprint(int(o.Part))
-				if o.Part == ids.Config {
+				no := fmt.Sprint(int(o.Shard))
+				if o.Shard == ids.Config {
 					no = "config"
 				}
-				add(no, owner, o.Promised, o.Commit, o.Last, o.IsServing, o.Age.Round(time.Millisecond), group)
+				add(no, owner, o.CurrentTerm, o.CommitIndex, o.LastIndex, o.IsServing, o.ConfirmationAge.Round(time.Millisecond), group)
 			}
 		}
 	case api.ShowWhatTargets:
--- a/internal/simulator/faults.go
+++ b/internal/simulator/faults.go
@@ -123,13 +123,13 @@
 	for no := range ids.Parts + 1 {
 		isOwned := false
 		for _, m := range f.Cores() {
-			part := m.Node().Consensus.Part(ids.Part(no))
+			part := m.Node().Consensus.Replica(ids.Part(no))
 			if !part.IsServing() {
 				continue
 			}
 			o := part.Status()
-			isOwned = o.Last == o.Commit && len(o.Group) == consensus.Size(ids.Part(no), len(f.Cores()), 1)
-			for _, peer := range o.Group {
+			isOwned = o.LastIndex == o.CommitIndex && len(o.Voters) == consensus.ReplicationFactor(ids.Part(no), len(f.Cores()), 1)
+			for _, peer := range o.Voters {
 				isOwned = isOwned && births[peer]
 			}
 		}
--- a/internal/simulator/found_test.go
+++ b/internal/simulator/found_test.go
@@ -103,7 +103,7 @@
 		accepted := make(chan struct{})
 		var once sync.Once
 		f.watchSteps(func(m *Machine, step any) {
-			if charter, ok := step.(consensus.CharterTrace); ok && m == victim && !charter.IsOpen {
+			if charter, ok := step.(consensus.CharterEvent); ok && m == victim && !charter.IsOpen {
 				for _, other := range f.Cores() {
 					f.W.Cut(victim.IP, other.IP)
 				}
--- a/internal/simulator/full_test.go
+++ b/internal/simulator/full_test.go
@@ -33,7 +33,7 @@
 			t.Error("it passes no calls on")
 		}
 		for no := range ids.Parts + 1 {
-			if node.Consensus.Part(ids.Part(no)).IsOwner() {
+			if node.Consensus.Replica(ids.Part(no)).IsLeader() {
 				t.Errorf("it still owns part %d", no)
 			}
 		}
@@ -55,7 +55,7 @@
 			}
 			time.Sleep(500 * time.Millisecond)
 			now := full.status(no)
-			return node.Store.Stalled() == 0 && now.Commit > before.Commit && now.Last == f.owner(no).status(no).Last
+			return node.Store.Stalled() == 0 && now.CommitIndex > before.CommitIndex && now.LastIndex == f.owner(no).status(no).LastIndex
 		}) {
 			t.Error("it does not come back by itself")
 		}
--- a/internal/simulator/hurts.go
+++ b/internal/simulator/hurts.go
@@ -39,7 +39,7 @@
 // ownerOf is the core node that serves a part, other than one.
 func ownerOf(f *Fleet, no ids.Part, but *Machine) *Machine {
 	for _, m := range f.Cores() {
-		if m != but && m.Node() != nil && m.Node().Consensus.Part(no).IsServing() {
+		if m != but && m.Node() != nil && m.Node().Consensus.Replica(no).IsServing() {
 			return m
 		}
 	}
--- a/internal/simulator/manner.go
+++ b/internal/simulator/manner.go
@@ -127,7 +127,7 @@
 		isOwned := false
 		for _, m := range running {
 			if node := m.Node(); node != nil {
-				if term, _, isServing := node.Consensus.Part(ids.Part(no)).Serving(); isServing {
+				if term, _, isServing := node.Consensus.Replica(ids.Part(no)).LeadershipSince(); isServing {
 					isOwned = true
 					fmt.Fprint(&names, m.Name, term, " ")
 				}
--- a/internal/simulator/prevote_test.go
+++ b/internal/simulator/prevote_test.go
@@ -115,13 +115,13 @@
 		time.Sleep(3 * time.Second)
 		owner := f.owner(ids.Config)
 		deaf := follower(f, ids.Config)
-		before := owner.status(ids.Config).Promised
+		before := owner.status(ids.Config).CurrentTerm
 		f.W.Cut(owner.IP, deaf.IP)
 		time.Sleep(5 * time.Second)
 		f.W.Heal()
 		time.Sleep(3 * time.Second)
-		if after := owner.status(ids.Config); !after.IsServing || after.Promised != before {
-			t.Errorf("the owner under %s was ended by one that did not hear it: %s", before, after.Promised)
+		if after := owner.status(ids.Config); !after.IsServing || after.CurrentTerm != before {
+			t.Errorf("the owner under %s was ended by one that did not hear it: %s", before, after.CurrentTerm)
 		}
 	})
 }
--- a/internal/simulator/repair_test.go
+++ b/internal/simulator/repair_test.go
@@ -22,7 +22,7 @@
 // follower is a core node that does not own a part.
 func follower(f *Fleet, no ids.Part) *Machine {
 	for _, m := range f.Cores() {
-		if !m.Node().Consensus.Part(no).IsServing() {
+		if !m.Node().Consensus.Replica(no).IsServing() {
 			return m
 		}
 	}
@@ -47,9 +47,9 @@
 		time.Sleep(time.Second)
 		m := follower(f, no)
 		book := m.Node().Books[no]
-		for name := range book.Digests() {
+		for name := range book.RangeDigests() {
 			if name != "receipts" {
-				if err := book.Mend(name, json.RawMessage(`[{"name":"app/forged","kind":"key","stamp":1}]`)); err != nil {
+				if err := book.Repair(name, json.RawMessage(`[{"name":"app/forged","kind":"key","stamp":1}]`)); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -61,7 +61,7 @@
 				routes = name
 			}
 		}
-		if err := c.Node().Ledger.Mend("group/"+routes, json.RawMessage(`{"digest":"x","stamp":1,"data":[]}`)); err != nil {
+		if err := c.Node().Ledger.Repair("group/"+routes, json.RawMessage(`{"digest":"x","stamp":1,"data":[]}`)); err != nil {
 			t.Fatal(err)
 		}
 		isMended := func() bool {
--- a/internal/simulator/replaced_test.go
+++ b/internal/simulator/replaced_test.go
@@ -21,7 +21,7 @@
 // owner is the core node that serves a part, or nil.
 func (f *Fleet) owner(no ids.Part) *Machine {
 	for _, m := range f.Cores() {
-		if m.Node() != nil && m.Node().Consensus.Part(no).IsServing() {
+		if m.Node() != nil && m.Node().Consensus.Replica(no).IsServing() {
 			return m
 		}
 	}
@@ -30,7 +30,7 @@
 
 // groupOf is a part's group as one member has it.
 func (f *Fleet) groupOf(m *Machine, no ids.Part) (group []*Machine) {
-	for _, peer := range m.Node().Consensus.Part(no).Status().Group {
+	for _, peer := range m.Node().Consensus.Replica(no).Status().Voters {
 		group = append(group, f.Of(string(peer.Name)))
 	}
 	return group
@@ -101,8 +101,8 @@
 	killed := make(chan *Machine, 1)
 	var once sync.Once
 	f.watchSteps(func(m *Machine, step any) {
-		trace, ok := step.(consensus.Trace)
-		if !ok || trace.Part != no || !trace.IsOwner || !trace.IsChange || !trace.Voters.IsJoint() {
+		trace, ok := step.(consensus.TraceEvent)
+		if !ok || trace.Shard != no || !trace.IsLeader || !trace.IsMembershipChange || !trace.Voters.IsJoint() {
 			return
 		}
 		once.Do(func() {
@@ -141,7 +141,7 @@
 		f.W.Heal()
 		if !f.Until(10*time.Second, func() bool {
 			m := f.owner(no)
-			return m != nil && len(m.status(no).Group) == 3 && len(m.status(no).Former) == 0
+			return m != nil && len(m.status(no).Voters) == 3 && len(m.status(no).OutgoingVoters) == 0
 		}) {
 			t.Error("the change is not finished by the next owner")
 		}
@@ -202,7 +202,7 @@
 
 // status is a part as a machine has it.
 func (m *Machine) status(no ids.Part) consensus.Status {
-	return m.Node().Consensus.Part(no).Status()
+	return m.Node().Consensus.Replica(no).Status()
 }
 
 // checkConformance fails where a step of a replicated part broke an invariant.
--- a/internal/simulator/snapshot_test.go
+++ b/internal/simulator/snapshot_test.go
@@ -111,7 +111,7 @@
 				if !f.Until(20*time.Second, f.isMended) {
 					t.Fatalf("not mended after %d changes", n+1)
 				}
-				state, _ := f.owner(ids.Config).Node().Ledger.Capture()()
+				state, _ := f.owner(ids.Config).Node().Ledger.Snapshot()()
 				sizes, times = append(sizes, len(state)), append(times, time.Since(began))
 			}
 		}
--- a/internal/simulator/spare_test.go
+++ b/internal/simulator/spare_test.go
@@ -31,12 +31,12 @@
 			for no := range ids.Parts + 1 {
 				isWhole := false
 				for _, m := range f.Cores() {
-					if m.Node() == nil || !m.Node().Consensus.Part(ids.Part(no)).IsServing() {
+					if m.Node() == nil || !m.Node().Consensus.Replica(ids.Part(no)).IsServing() {
 						continue
 					}
-					o := m.Node().Consensus.Part(ids.Part(no)).Status()
-					isWhole = len(o.Group) == 3 && o.Last == o.Commit
-					for _, peer := range o.Group {
+					o := m.Node().Consensus.Replica(ids.Part(no)).Status()
+					isWhole = len(o.Voters) == 3 && o.LastIndex == o.CommitIndex
+					for _, peer := range o.Voters {
 						isWhole = isWhole && peer.Name != "core1"
 					}
 				}
