--- a/cmd/sumac/calls.go
+++ b/cmd/sumac/calls.go
@@ -136,11 +136,11 @@
 	if change.ID == "" {
 		change.ID = "check"
 	}
-	var set rpc.Change
+	var set rpc.ChangeSet
 	if err := recast(change, &set); err != nil {
 		return err
 	}
-	var config rpc.Config
+	var config rpc.Configuration
 	if cmd.String("api") != "" {
 		c, err := client(cmd)
 		if err != nil {
@@ -158,7 +158,7 @@
 	if len(paths) > 0 {
 		return errcode.At(errcode.BadChange, paths)
 	}
-	fmt.Printf("%s: the change set is in order; with it there are %d mappings and %d services\n", path, len(next.Mappings), len(next.Services))
+	fmt.Printf("%s: the change set is in order; with it there are %d mappings and %d services\n", path, len(next.Routes), len(next.Services))
 	return nil
 }
 
--- a/internal/config/props.go
+++ b/internal/config/props.go
@@ -153,7 +153,7 @@
 	if p.WireAddress == "" {
 		faults = append(faults, "wire.address: is missing")
 	}
-	if p.ApiAddress == "" {
+	if p.APIAddress == "" {
 		faults = append(faults, "api.address: is missing")
 	}
 	if p.GateAddress == "" && p.DataFolder == "" {
--- a/internal/config/props_gen.go
+++ b/internal/config/props_gen.go
@@ -11,8 +11,8 @@
 	Seeds           []string      // wire addresses of other processes, three at best
 	WireAddress     string        // address for the other processes, TCP and UDP
 	WireAdvertise   string        // address that the others are told for this node, if it is not wire.address
-	ApiAddress      string        // address for back ends, applications and operators (HTTP)
-	ApiAdvertise    string        // address that the others are told for calls to this node, if it is not api.address
+	APIAddress      string        // address for back ends, applications and operators (HTTP)
+	APIAdvertise    string        // address that the others are told for calls to this node, if it is not api.address
 	GateAddress     string        // address for callers (HTTP); a node that has one is a proxy
 	DataFolder      string        // folder for the state; a node that has one is a core node
 	FoundCores      int           // how many empty core nodes found a fleet; 0 is for one that only joins
@@ -93,8 +93,8 @@
 	{key: "seeds", kind: "strings", fallback: "", low: "", high: "", doc: "wire addresses of other processes, three at best", set: func(p *Props, v any) { p.Seeds = v.([]string) }},
 	{key: "wire.address", kind: "address", fallback: "", low: "", high: "", doc: "address for the other processes, TCP and UDP", set: func(p *Props, v any) { p.WireAddress = v.(string) }},
 	{key: "wire.advertise", kind: "address", fallback: "", low: "", high: "", doc: "address that the others are told for this node, if it is not wire.address", set: func(p *Props, v any) { p.WireAdvertise = v.(string) }},
-	{key: "api.address", kind: "address", fallback: "", low: "", high: "", doc: "address for back ends, applications and operators (HTTP)", set: func(p *Props, v any) { p.ApiAddress = v.(string) }},
-	{key: "api.advertise", kind: "address", fallback: "", low: "", high: "", doc: "address that the others are told for calls to this node, if it is not api.address", set: func(p *Props, v any) { p.ApiAdvertise = v.(string) }},
+	{key: "api.address", kind: "address", fallback: "", low: "", high: "", doc: "address for back ends, applications and operators (HTTP)", set: func(p *Props, v any) { p.APIAddress = v.(string) }},
+	{key: "api.advertise", kind: "address", fallback: "", low: "", high: "", doc: "address that the others are told for calls to this node, if it is not api.address", set: func(p *Props, v any) { p.APIAdvertise = v.(string) }},
 	{key: "gate.address", kind: "address", fallback: "", low: "", high: "", doc: "address for callers (HTTP); a node that has one is a proxy", set: func(p *Props, v any) { p.GateAddress = v.(string) }},
 	{key: "data.folder", kind: "string", fallback: "", low: "", high: "", doc: "folder for the state; a node that has one is a core node", set: func(p *Props, v any) { p.DataFolder = v.(string) }},
 	{key: "found.cores", kind: "int", fallback: "3", low: "0", high: "9", doc: "how many empty core nodes found a fleet; 0 is for one that only joins", set: func(p *Props, v any) { p.FoundCores = v.(int) }},
--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -53,26 +53,26 @@
 }
 
 // handleVote answers a member that stands.
-func (r *Replica) handleVote(request *rpc.PromiseAsk) (*rpc.PromiseReceipt, error) {
+func (r *Replica) handleVote(request *rpc.VoteRequest) (*rpc.VoteResponse, error) {
 	r.mu.Lock()
 	if err := r.checkTerm(request.Term, request.From); err != nil {
 		r.mu.Unlock()
 		return nil, err
 	}
-	response := &rpc.PromiseReceipt{From: r.node.self, Promised: r.currentTerm}
-	hasLiveLeader := !request.Invited && r.node.env.Since(r.lastLeaderContact) < r.node.env.Props.PactSilence*3/4 && !r.lastLeaderContact.IsZero()
-	if response.Outside = r.isRemovedCandidate(request); response.Outside {
+	response := &rpc.VoteResponse{From: r.node.self, CurrentTerm: r.currentTerm}
+	hasLiveLeader := !request.LeadershipTransfer && r.node.env.Since(r.lastLeaderContact) < r.node.env.Props.PactSilence*3/4 && !r.lastLeaderContact.IsZero()
+	if response.NotMember = r.isRemovedCandidate(request); response.NotMember {
 		r.mu.Unlock()
 		return response, nil
 	}
 	if r.isFarAheadOf(request) {
 		// The candidate has promised its own term already; only a higher one passes there.
-		r.highestRound = max(r.highestRound, request.Term.Round)
+		r.highestRound = max(r.highestRound, request.Term.Number)
 		r.mu.Unlock()
 		r.node.runOnce(r.shard, func() { r.campaign(false) })
 		return response, nil
 	}
-	isConfirmedLeader := r.isLeader && !request.Invited && r.node.env.Since(r.confirmedAt()) < r.node.env.Props.PactSilence*3/4
+	isConfirmedLeader := r.isLeader && !request.LeadershipTransfer && r.node.env.Since(r.confirmedAt()) < r.node.env.Props.PactSilence*3/4
 	if !r.currentTerm.Less(request.Term) || hasLiveLeader || isConfirmedLeader {
 		r.mu.Unlock()
 		return response, nil
@@ -85,14 +85,14 @@
 	batch := r.node.store.Begin()
 	r.putCurrentTerm(batch)
 	r.node.store.Hand(batch)
-	response.Granted, response.Promised = true, request.Term
-	response.Last, response.LastTerm = r.lastEntry()
-	response.Group, response.Former = r.voters.Current, r.voters.Outgoing
+	response.Granted, response.CurrentTerm = true, request.Term
+	response.LastIndex, response.LastTerm = r.lastEntry()
+	response.Voters, response.OutgoingVoters = r.voters.Current, r.voters.Outgoing
 	if request.Commit < r.snapshot.Index {
 		snapshot := r.snapshot
 		response.Snapshot = &snapshot
 	}
-	if from := r.commonIndex(request); from < response.Last {
+	if from := r.commonIndex(request); from < response.LastIndex {
 		response.Entries = r.entriesAfter(from)
 	}
 	r.mu.Unlock()
@@ -106,9 +106,9 @@
 // isRemovedCandidate tells whether a candidate has no vote in a group that is known to be
 // committed, and lacks what says so. Its promises would count for nothing, and its
 // term would only end the work of an owner.
-func (r *Replica) isRemovedCandidate(request *rpc.PromiseAsk) bool {
+func (r *Replica) isRemovedCandidate(request *rpc.VoteRequest) bool {
 	last, lastTerm := r.lastEntry()
-	isBehind := request.LastTerm.Less(lastTerm) || request.LastTerm == lastTerm && request.Last <= last
+	isBehind := request.LastTerm.Less(lastTerm) || request.LastTerm == lastTerm && request.LastIndex <= last
 	return isBehind && r.commitIndex >= r.votersIndex && !r.voters.Contains(request.From)
 }
 
@@ -118,15 +118,15 @@
 // isFarAheadOf tells whether a candidate lacks so much of this member's log that it can't
 // come with a promise: a snapshot, or many entries. So this member stands itself, if it
 // can lead.
-func (r *Replica) isFarAheadOf(request *rpc.PromiseAsk) bool {
+func (r *Replica) isFarAheadOf(request *rpc.VoteRequest) bool {
 	if !r.voters.Contains(r.node.self) || r.isRemoved || r.node.IsStopping() {
 		return false
 	}
 	last, lastTerm := r.lastEntry()
-	if !request.LastTerm.Less(lastTerm) && (request.LastTerm != lastTerm || last <= request.Last) {
+	if !request.LastTerm.Less(lastTerm) && (request.LastTerm != lastTerm || last <= request.LastIndex) {
 		return false
 	}
-	if request.Last < r.snapshot.Index {
+	if request.LastIndex < r.snapshot.Index {
 		return true
 	}
 	size := 0
@@ -138,9 +138,9 @@
 
 // commonIndex is up to where a candidate surely has the entries of this log: all of its
 // own if this log runs through its last one, else what it knows to be committed.
-func (r *Replica) commonIndex(request *rpc.PromiseAsk) ids.Stamp {
-	if term, isThere := r.termAt(request.Last); isThere && term == request.LastTerm {
-		return request.Last
+func (r *Replica) commonIndex(request *rpc.VoteRequest) ids.Index {
+	if term, isThere := r.termAt(request.LastIndex); isThere && term == request.LastTerm {
+		return request.LastIndex
 	}
 	return request.Commit
 }
@@ -161,7 +161,7 @@
 
 // checkTerm refuses a term that no election can have come to.
 func (r *Replica) checkTerm(term ids.Term, from rpc.Peer) error {
-	if term.Round > r.currentTerm.Round && term.Round-r.currentTerm.Round > maxRoundJump {
+	if term.Number > r.currentTerm.Number && term.Number-r.currentTerm.Number > maxRoundJump {
 		err := errcode.New(errcode.BadMessage, "part %d: term %s is out of all order after %s", r.shard, term, r.currentTerm)
 		r.node.log(eventlog.MessageRefused, "code", errcode.BadMessage.No, "part", int(r.shard), "from", string(from.Name), "cause", err.Error())
 		return err
@@ -171,7 +171,7 @@
 
 // isTransferFromLeader tells whether an invitation comes from the owner that this member
 // knows; one that is late must not end the work of the next owner.
-func (r *Replica) isTransferFromLeader(request *rpc.InviteAsk) bool {
+func (r *Replica) isTransferFromLeader(request *rpc.CampaignRequest) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.currentTerm == request.Term
@@ -184,8 +184,8 @@
 		r.mu.Unlock()
 		return
 	}
-	round := max(r.currentTerm.Round, r.highestRound) + 1
-	term := ids.Term{Round: round, Node: r.node.self.Name}
+	round := max(r.currentTerm.Number, r.highestRound) + 1
+	term := ids.Term{Number: round, Node: r.node.self.Name}
 	r.currentTerm, r.leaderMatchTerm, r.leaderMatchIndex = term, term, 0
 	r.trace(TraceEvent{Kind: TraceTermRaised, Term: term})
 	r.electionTimerStart = r.node.env.Now()
@@ -193,15 +193,15 @@
 	r.putCurrentTerm(batch)
 	r.node.store.Hand(batch)
 	commit := r.commitIndex
-	own := &rpc.PromiseReceipt{From: r.node.self, Granted: true, Group: r.voters.Current, Former: r.voters.Outgoing}
-	own.Last, own.LastTerm = r.lastEntry()
+	own := &rpc.VoteResponse{From: r.node.self, Granted: true, Voters: r.voters.Current, OutgoingVoters: r.voters.Outgoing}
+	own.LastIndex, own.LastTerm = r.lastEntry()
 	r.mu.Unlock()
 	if batch.Wait() != nil {
 		return
 	}
 	r.trace(TraceEvent{Kind: TraceVoted, Term: term})
 	sent := r.node.env.Now()
-	best, granted := r.collectVotes(&rpc.PromiseAsk{Part: r.shard, Term: term, From: r.node.self, Commit: commit, Last: own.Last, LastTerm: own.LastTerm, Invited: isTransfer}, own)
+	best, granted := r.collectVotes(&rpc.VoteRequest{Shard: r.shard, Term: term, From: r.node.self, Commit: commit, LastIndex: own.LastIndex, LastTerm: own.LastTerm, LeadershipTransfer: isTransfer}, own)
 	if best == nil || !votersNamedBy(best).Contains(r.node.self) {
 		r.node.log(eventlog.StandFailed, "part", int(r.shard), "term", term.String())
 		return
@@ -218,8 +218,8 @@
 				return
 			}
 		}
-		if last, _ := r.lastEntry(); last > best.Last {
-			r.truncateAfter(batch, max(best.Last, r.commitIndex))
+		if last, _ := r.lastEntry(); last > best.LastIndex {
+			r.truncateAfter(batch, max(best.LastIndex, r.commitIndex))
 		}
 		if err := r.mergeEntries(batch, best.Entries); err != nil {
 			r.node.log(eventlog.StandFailed, "part", int(r.shard), "cause", err.Error())
@@ -238,10 +238,10 @@
 // collectVotes asks for promises until a majority of the group that the most
 // advanced log among them names has given one, and returns that log. The group
 // that this member knows may be old: only the adopted log tells who has a vote.
-func (r *Replica) collectVotes(request *rpc.PromiseAsk, own *rpc.PromiseReceipt) (*rpc.PromiseReceipt, []rpc.Peer) {
+func (r *Replica) collectVotes(request *rpc.VoteRequest, own *rpc.VoteResponse) (*rpc.VoteResponse, []rpc.Peer) {
 	ctx, end := context.WithTimeout(r.node.env, voteTimeout)
 	defer end()
-	responses := make(chan *rpc.PromiseReceipt)
+	responses := make(chan *rpc.VoteResponse)
 	requested := map[rpc.Peer]bool{r.node.self: true}
 	pending := 0
 	requestFrom := func(group []rpc.Peer) {
@@ -275,7 +275,7 @@
 				continue
 			}
 			granted = append(granted, response.From)
-			if best.LastTerm.Less(response.LastTerm) || best.LastTerm == response.LastTerm && best.Last < response.Last {
+			if best.LastTerm.Less(response.LastTerm) || best.LastTerm == response.LastTerm && best.LastIndex < response.LastIndex {
 				best = response
 				requestFrom(votersNamedBy(best).All())
 			}
@@ -286,24 +286,24 @@
 }
 
 // votersNamedBy is the voters that the log behind a promise names.
-func votersNamedBy(response *rpc.PromiseReceipt) Voters {
-	return Voters{Current: response.Group, Outgoing: response.Former}
+func votersNamedBy(response *rpc.VoteResponse) Voters {
+	return Voters{Current: response.Voters, Outgoing: response.OutgoingVoters}
 }
 
 // requestVote asks one member; nil if it can't be asked or refuses.
-func (r *Replica) requestVote(ctx context.Context, request *rpc.PromiseAsk, peer rpc.Peer) *rpc.PromiseReceipt {
+func (r *Replica) requestVote(ctx context.Context, request *rpc.VoteRequest, peer rpc.Peer) *rpc.VoteResponse {
 	m, ok := r.node.members.View()[peer.Name]
-	if !ok || m.Birth != peer.Birth {
+	if !ok || m.ID != peer.ID {
 		return nil
 	}
-	response := &rpc.PromiseReceipt{}
-	if err := r.node.transport.Ask(ctx, m.Wire, "pact.promise", request, response); err != nil || response.From != peer {
+	response := &rpc.VoteResponse{}
+	if err := r.node.transport.Ask(ctx, m.RPCAddress, "pact.promise", request, response); err != nil || response.From != peer {
 		return nil
 	}
 	if !response.Granted {
 		r.mu.Lock()
-		r.noteRemoved(response.Outside)
-		r.highestRound = max(r.highestRound, response.Promised.Round)
+		r.noteRemoved(response.NotMember)
+		r.highestRound = max(r.highestRound, response.CurrentTerm.Number)
 		r.mu.Unlock()
 		return nil
 	}
@@ -314,7 +314,7 @@
 func (r *Replica) becomeLeader(batch *storage.Batch, sent time.Time, granted []rpc.Peer) {
 	r.isLeader, r.isServing = true, false
 	r.leaderCtx, r.cancelLeadership = context.WithCancel(r.node.env)
-	r.matchIndex, r.lastAck, r.replicating = map[rpc.Peer]ids.Stamp{}, map[rpc.Peer]time.Time{}, map[rpc.Peer]bool{}
+	r.matchIndex, r.lastAck, r.replicating = map[rpc.Peer]ids.Index{}, map[rpc.Peer]time.Time{}, map[rpc.Peer]bool{}
 	r.lastProgress = map[rpc.Peer]time.Time{}
 	for _, peer := range granted {
 		r.lastAck[peer] = sent
@@ -373,7 +373,7 @@
 	var target *rpc.Member
 	for _, peer := range ElectionOrder(r.shard, r.voters.All()) {
 		m, ok := r.node.members.Of(peer.Name)
-		if peer != r.node.self && ok && m.Birth == peer.Birth && r.matchIndex[peer] == last {
+		if peer != r.node.self && ok && m.ID == peer.ID && r.matchIndex[peer] == last {
 			target = &m
 			break
 		}
@@ -383,6 +383,6 @@
 	if target != nil {
 		limited, end := context.WithTimeout(ctx, time.Second)
 		defer end()
-		r.node.transport.Ask(limited, target.Wire, "pact.invite", &rpc.InviteAsk{Part: r.shard, Term: term}, nil)
+		r.node.transport.Ask(limited, target.RPCAddress, "pact.invite", &rpc.CampaignRequest{Shard: r.shard, Term: term}, nil)
 	}
 }
--- a/internal/consensus/founding.go
+++ b/internal/consensus/founding.go
@@ -28,9 +28,9 @@
 		}
 		ctx, end := context.WithTimeout(n.env, bootstrapTimeout)
 		var charter rpc.Charter
-		err := n.transport.Ask(ctx, m.Wire, "pact.charter", struct{}{}, &charter)
+		err := n.transport.Ask(ctx, m.RPCAddress, "pact.charter", struct{}{}, &charter)
 		end()
-		if err == nil && charter.Open && n.putCharter(&charter, charter.Round) == nil {
+		if err == nil && charter.Open && n.putCharter(&charter, charter.Term) == nil {
 			n.log(eventlog.FleetJoined, "fleet", charter.Fleet)
 			return
 		}
@@ -55,18 +55,18 @@
 // proposeCharter runs one round of founding with all founders.
 func (n *Node) proposeCharter(founders []rpc.Member) {
 	n.mu.Lock()
-	round := ids.Term{Round: n.bootstrapTerm.Round + 1, Node: n.self.Name}
+	round := ids.Term{Number: n.bootstrapTerm.Number + 1, Node: n.self.Name}
 	n.mu.Unlock()
-	charter := &rpc.Charter{Fleet: ids.NewID(), Members: founders, Parts: ids.Parts}
-	responses, ok := n.requestAll(founders, &rpc.FoundAsk{Step: "promise", Round: round, From: n.self})
+	charter := &rpc.Charter{Fleet: ids.NewID(), Members: founders, ShardCount: ids.ShardCount}
+	responses, ok := n.requestAll(founders, &rpc.BootstrapRequest{Step: "promise", Term: round, From: n.self})
 	var newest ids.Term
 	for _, response := range responses {
-		if response.Charter != nil && newest.Less(response.Charter.Round) {
-			newest, charter = response.Charter.Round, response.Charter
+		if response.Charter != nil && newest.Less(response.Charter.Term) {
+			newest, charter = response.Charter.Term, response.Charter
 		}
 		n.mu.Lock()
-		if n.bootstrapTerm.Round < response.Promised.Round {
-			n.bootstrapTerm = ids.Term{Round: response.Promised.Round, Node: n.bootstrapTerm.Node}
+		if n.bootstrapTerm.Number < response.CurrentTerm.Number {
+			n.bootstrapTerm = ids.Term{Number: response.CurrentTerm.Number, Node: n.bootstrapTerm.Node}
 		}
 		n.mu.Unlock()
 	}
@@ -77,23 +77,23 @@
 		// A founder lost its disk before the charter opened. All founders have promised
 		// now, none of them has it open, and none takes part in anything while it is not:
 		// nothing can have been written under it.
-		charter = &rpc.Charter{Fleet: ids.NewID(), Members: founders, Parts: ids.Parts}
+		charter = &rpc.Charter{Fleet: ids.NewID(), Members: founders, ShardCount: ids.ShardCount}
 	}
-	charter.Round = round
-	if _, ok := n.requestAll(charter.Members, &rpc.FoundAsk{Step: "accept", Round: round, Charter: charter, From: n.self}); !ok {
+	charter.Term = round
+	if _, ok := n.requestAll(charter.Members, &rpc.BootstrapRequest{Step: "accept", Term: round, Charter: charter, From: n.self}); !ok {
 		return
 	}
 	opened := *charter
 	opened.Open = true
-	n.requestAll(charter.Members, &rpc.FoundAsk{Step: "open", Round: round, Charter: &opened, From: n.self})
+	n.requestAll(charter.Members, &rpc.BootstrapRequest{Step: "open", Term: round, Charter: &opened, From: n.self})
 }
 
 // hasNewMemberID tells whether two lists name the same nodes, of which one at least has
 // another birth now.
 func hasNewMemberID(members, founders []rpc.Member) bool {
-	ids := map[ids.Name]ids.Birth{}
+	ids := map[ids.NodeName]ids.MemberID{}
 	for _, m := range members {
-		ids[m.Name] = m.Birth
+		ids[m.Name] = m.ID
 	}
 	differs := false
 	for _, m := range founders {
@@ -101,38 +101,38 @@
 		if !isThere {
 			return false
 		}
-		differs = differs || id != m.Birth
+		differs = differs || id != m.ID
 	}
 	return differs && len(members) == len(founders)
 }
 
 // requestAll is true only if every one agreed.
-func (n *Node) requestAll(founders []rpc.Member, request *rpc.FoundAsk) ([]*rpc.FoundReceipt, bool) {
+func (n *Node) requestAll(founders []rpc.Member, request *rpc.BootstrapRequest) ([]*rpc.BootstrapResponse, bool) {
 	ctx, end := context.WithTimeout(n.env, bootstrapTimeout)
 	defer end()
 	type result struct {
-		receipt *rpc.FoundReceipt
+		receipt *rpc.BootstrapResponse
 		ok      bool
 	}
 	results := make(chan result, len(founders))
 	for _, m := range founders {
 		n.env.Go(func() {
-			response := &rpc.FoundReceipt{}
+			response := &rpc.BootstrapResponse{}
 			var err error
 			if m.Name == n.self.Name {
 				response, err = n.handleBootstrap(request)
 			} else {
-				err = n.transport.Ask(ctx, m.Wire, "pact.found", request, response)
+				err = n.transport.Ask(ctx, m.RPCAddress, "pact.found", request, response)
 			}
 			if err != nil {
 				results <- result{}
 				return
 			}
-			results <- result{response, response.Ok && response.From.Birth == m.Birth}
+			results <- result{response, response.Accepted && response.From.ID == m.ID}
 		})
 	}
 	allAgreed := true
-	var responses []*rpc.FoundReceipt
+	var responses []*rpc.BootstrapResponse
 	for range founders {
 		got := <-results
 		allAgreed = allAgreed && got.ok
@@ -144,11 +144,11 @@
 }
 
 // handleBootstrap answers a step of founding.
-func (n *Node) handleBootstrap(request *rpc.FoundAsk) (*rpc.FoundReceipt, error) {
+func (n *Node) handleBootstrap(request *rpc.BootstrapRequest) (*rpc.BootstrapResponse, error) {
 	n.mu.Lock()
-	response := &rpc.FoundReceipt{From: n.self, Promised: n.bootstrapTerm, Charter: n.charter}
+	response := &rpc.BootstrapResponse{From: n.self, CurrentTerm: n.bootstrapTerm, Charter: n.charter}
 	isOpen := n.charter != nil && n.charter.Open
-	isLower := request.Round.Less(n.bootstrapTerm)
+	isLower := request.Term.Less(n.bootstrapTerm)
 	n.mu.Unlock()
 	if request.Step != "promise" && request.Charter == nil {
 		return nil, errcode.New(errcode.BadMessage, "no charter in step %q", request.Step)
@@ -158,9 +158,9 @@
 		return response, nil
 	case request.Step == "promise":
 		n.mu.Lock()
-		n.bootstrapTerm = request.Round
+		n.bootstrapTerm = request.Term
 		n.mu.Unlock()
-		raw, _ := json.Marshal(request.Round)
+		raw, _ := json.Marshal(request.Term)
 		batch := n.store.Begin()
 		batch.Put("pledge", raw)
 		n.store.Hand(batch)
@@ -168,7 +168,7 @@
 			return nil, err
 		}
 	case request.Step == "accept" || request.Step == "open":
-		if err := n.putCharter(request.Charter, request.Round); err != nil {
+		if err := n.putCharter(request.Charter, request.Term); err != nil {
 			return nil, err
 		}
 		if request.Step == "open" {
@@ -177,7 +177,7 @@
 	default:
 		return nil, errcode.New(errcode.BadMessage, "no step %q", request.Step)
 	}
-	response.Ok, response.Promised = true, request.Round
+	response.Accepted, response.CurrentTerm = true, request.Term
 	return response, nil
 }
 
@@ -214,8 +214,8 @@
 func (n *Node) enterCluster(charter *rpc.Charter) {
 	for _, r := range n.replicas {
 		r.mu.Lock()
-		if r.snapshot.Index == 0 && len(r.snapshot.Group) == 0 {
-			r.snapshot.Group = PlaceVoters(r.shard, charter.Members, r.node.env.Props.PactLosses)
+		if r.snapshot.Index == 0 && len(r.snapshot.Voters) == 0 {
+			r.snapshot.Voters = PlaceVoters(r.shard, charter.Members, r.node.env.Props.PactLosses)
 			r.updateVoters()
 		}
 		r.electionTimerStart = r.node.env.Now()
--- a/internal/consensus/heartbeat.go
+++ b/internal/consensus/heartbeat.go
@@ -30,14 +30,14 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for peer, h := range n.heartbeaters {
-		if m, ok := view[peer.Name]; !ok || m.Birth != peer.Birth {
+		if m, ok := view[peer.Name]; !ok || m.ID != peer.ID {
 			h.cancel()
 			delete(n.heartbeaters, peer)
 			delete(n.receivedClaims, peer)
 		}
 	}
 	for name, m := range view {
-		peer := rpc.Peer{Name: name, Birth: m.Birth}
+		peer := rpc.Peer{Name: name, ID: m.ID}
 		if !m.Core || name == n.env.Name || n.heartbeaters[peer] != nil {
 			continue
 		}
@@ -107,20 +107,20 @@
 		wakeup.Reset(pause)
 		claims := n.claims()
 		m, ok := n.members.View()[peer.Name]
-		if len(claims) == 0 || !ok || m.Birth != peer.Birth {
+		if len(claims) == 0 || !ok || m.ID != peer.ID {
 			continue
 		}
 		sent := n.env.Now()
 		limited, end := context.WithTimeout(ctx, 500*time.Millisecond)
-		var response rpc.RoundReceipt
+		var response rpc.HeartbeatResponse
 		request := h.nextRequest(n.self, claims)
-		err := n.transport.Ask(limited, m.Wire, "pact.round", request, &response)
+		err := n.transport.Ask(limited, m.RPCAddress, "pact.round", request, &response)
 		end()
-		if err != nil || response.From != peer || response.No != request.No {
+		if err != nil || response.From != peer || response.Sequence != request.Sequence {
 			continue
 		}
-		h.acknowledge(request, claims, response.Lost)
-		if !response.Lost {
+		h.acknowledge(request, claims, response.BaseLost)
+		if !response.BaseLost {
 			n.recordAcks(peer, sent, claims, &response)
 			continue
 		}
@@ -131,11 +131,11 @@
 	}
 }
 
-func (n *Node) claims() (claims []rpc.Claim) {
+func (n *Node) claims() (claims []rpc.LeaderClaim) {
 	for _, r := range n.replicas {
 		r.mu.Lock()
 		if r.isLeader {
-			claims = append(claims, rpc.Claim{Part: r.shard, Term: r.currentTerm, Commit: r.commitIndex, Serving: r.isServing})
+			claims = append(claims, rpc.LeaderClaim{Shard: r.shard, Term: r.currentTerm, Commit: r.commitIndex, Serving: r.isServing})
 		}
 		r.mu.Unlock()
 	}
@@ -143,17 +143,17 @@
 }
 
 // recordAcks notes a member's word on each claim it did not refuse.
-func (n *Node) recordAcks(peer rpc.Peer, sent time.Time, claims []rpc.Claim, response *rpc.RoundReceipt) {
-	shard := map[ids.Part]ids.Term{}
-	for _, refused := range response.Refused {
-		shard[refused.Part] = refused.Term
+func (n *Node) recordAcks(peer rpc.Peer, sent time.Time, claims []rpc.LeaderClaim, response *rpc.HeartbeatResponse) {
+	shard := map[ids.Shard]ids.Term{}
+	for _, refused := range response.Rejected {
+		shard[refused.Shard] = refused.Term
 	}
 	for _, claim := range claims {
-		r := n.replicas[claim.Part]
+		r := n.replicas[claim.Shard]
 		r.mu.Lock()
 		if r.isLeader && r.currentTerm == claim.Term {
-			if higher, ok := shard[claim.Part]; ok {
-				r.highestRound = max(r.highestRound, higher.Round)
+			if higher, ok := shard[claim.Shard]; ok {
+				r.highestRound = max(r.highestRound, higher.Number)
 				r.stepDown("a member promised " + higher.String())
 			} else if r.lastAck[peer].Before(sent) {
 				r.lastAck[peer] = sent
@@ -165,21 +165,21 @@
 }
 
 // handleHeartbeat answers a round.
-func (n *Node) handleHeartbeat(request *rpc.RoundAsk) *rpc.RoundReceipt {
-	response := &rpc.RoundReceipt{From: n.self, No: request.No}
+func (n *Node) handleHeartbeat(request *rpc.HeartbeatRequest) *rpc.HeartbeatResponse {
+	response := &rpc.HeartbeatResponse{From: n.self, Sequence: request.Sequence}
 	claims, ok := n.fullClaims(request)
 	if !ok {
-		response.Lost = true
+		response.BaseLost = true
 		return response
 	}
 	for _, claim := range claims {
-		r, err := n.lookupReplica(claim.Part)
+		r, err := n.lookupReplica(claim.Shard)
 		if err != nil {
 			continue
 		}
 		r.mu.Lock()
 		if claim.Term.Less(r.currentTerm) {
-			response.Refused = append(response.Refused, rpc.Claim{Part: claim.Part, Term: r.currentTerm})
+			response.Rejected = append(response.Rejected, rpc.LeaderClaim{Shard: claim.Shard, Term: r.currentTerm})
 			r.mu.Unlock()
 			continue
 		}
@@ -189,13 +189,13 @@
 		}
 		r.mu.Unlock()
 		if claim.Serving {
-			n.recordLeader(claim.Part, request.From.Name, claim.Term)
+			n.recordLeader(claim.Shard, request.From.Name, claim.Term)
 		}
 	}
 	return response
 }
 
-func (n *Node) recordLeader(shard ids.Part, name ids.Name, term ids.Term) {
+func (n *Node) recordLeader(shard ids.Shard, name ids.NodeName, term ids.Term) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if old := n.leaders[shard]; !term.Less(old.term) {
@@ -227,7 +227,7 @@
 	}
 	var nearest []rpc.Peer
 	for _, m := range n.members.Cores() {
-		peer := rpc.Peer{Name: m.Name, Birth: m.Birth}
+		peer := rpc.Peer{Name: m.Name, ID: m.ID}
 		if peer != n.self && containsPeer(current, peer) && len(nearest) < len(current)/2 {
 			nearest = append(nearest, peer)
 		}
--- a/internal/consensus/heartbeat_delta.go
+++ b/internal/consensus/heartbeat_delta.go
@@ -14,67 +14,67 @@
 // claimSet is all that one message claims, by its number.
 type claimSet struct {
 	sequence uint64
-	claims   map[ids.Part]rpc.Claim
+	claims   map[ids.Shard]rpc.LeaderClaim
 }
 
-func claimsByShard(claims []rpc.Claim) map[ids.Part]rpc.Claim {
-	byShard := make(map[ids.Part]rpc.Claim, len(claims))
+func claimsByShard(claims []rpc.LeaderClaim) map[ids.Shard]rpc.LeaderClaim {
+	byShard := make(map[ids.Shard]rpc.LeaderClaim, len(claims))
 	for _, c := range claims {
-		byShard[c.Part] = c
+		byShard[c.Shard] = c
 	}
 	return byShard
 }
 
 // nextRequest makes the next message; numbers begin anywhere, so that those of an earlier
 // life of this node are not met again.
-func (h *heartbeater) nextRequest(from rpc.Peer, claims []rpc.Claim) *rpc.RoundAsk {
+func (h *heartbeater) nextRequest(from rpc.Peer, claims []rpc.LeaderClaim) *rpc.HeartbeatRequest {
 	if h.sequence == 0 {
 		h.sequence = rand.Uint64() >> 2
 	}
 	h.sequence++
-	request := &rpc.RoundAsk{From: from, No: h.sequence, Base: h.acked.sequence}
+	request := &rpc.HeartbeatRequest{From: from, Sequence: h.sequence, BaseSequence: h.acked.sequence}
 	now := claimsByShard(claims)
 	for _, c := range claims {
-		if old, ok := h.acked.claims[c.Part]; !ok || old != c {
+		if old, ok := h.acked.claims[c.Shard]; !ok || old != c {
 			request.Claims = append(request.Claims, c)
 		}
 	}
 	for no := range h.acked.claims {
 		if _, ok := now[no]; !ok {
-			request.Gone = append(request.Gone, no)
+			request.Released = append(request.Released, no)
 		}
 	}
 	return request
 }
 
 // acknowledge notes that a message was heard, or that its base was lost.
-func (h *heartbeater) acknowledge(request *rpc.RoundAsk, claims []rpc.Claim, isLost bool) {
+func (h *heartbeater) acknowledge(request *rpc.HeartbeatRequest, claims []rpc.LeaderClaim, isLost bool) {
 	h.acked = claimSet{}
 	if !isLost {
-		h.acked = claimSet{sequence: request.No, claims: claimsByShard(claims)}
+		h.acked = claimSet{sequence: request.Sequence, claims: claimsByShard(claims)}
 	}
 }
 
 // fullClaims is all that a message claims; false if its base is not the last heard.
-func (n *Node) fullClaims(request *rpc.RoundAsk) (map[ids.Part]rpc.Claim, bool) {
+func (n *Node) fullClaims(request *rpc.HeartbeatRequest) (map[ids.Shard]rpc.LeaderClaim, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	last := n.receivedClaims[request.From]
-	if request.Base != 0 && last.sequence != request.Base {
+	if request.BaseSequence != 0 && last.sequence != request.BaseSequence {
 		return nil, false
 	}
-	claims := map[ids.Part]rpc.Claim{}
-	if request.Base != 0 {
+	claims := map[ids.Shard]rpc.LeaderClaim{}
+	if request.BaseSequence != 0 {
 		for shard, c := range last.claims {
 			claims[shard] = c
 		}
 	}
-	for _, shard := range request.Gone {
+	for _, shard := range request.Released {
 		delete(claims, shard)
 	}
 	for _, c := range request.Claims {
-		claims[c.Part] = c
+		claims[c.Shard] = c
 	}
-	n.receivedClaims[request.From] = claimSet{sequence: request.No, claims: claims}
+	n.receivedClaims[request.From] = claimSet{sequence: request.Sequence, claims: claims}
 	return claims, true
 }
--- a/internal/consensus/membership.go
+++ b/internal/consensus/membership.go
@@ -57,7 +57,7 @@
 	view, goneAfter := r.node.members.View(), r.node.env.Props.PactGone
 	for _, peer := range group {
 		m, isKnown := view[peer.Name]
-		isReborn := isKnown && m.Birth != peer.Birth
+		isReborn := isKnown && m.ID != peer.ID
 		isNeverSeen := !isKnown && r.node.env.Since(r.servingStart()) > goneAfter
 		isGone := isKnown && !r.node.members.IsLive(peer) && time.Since(m.Since) > goneAfter
 		if peer != r.node.self && (isReborn || isNeverSeen || isGone) {
@@ -77,7 +77,7 @@
 // a group that is smaller than the fleet allows.
 func (r *Replica) replacements(group, lost []rpc.Peer) (replacements []voterReplacement) {
 	view := r.node.members.View()
-	isTaken, zones := map[ids.Name]bool{}, map[string]int{}
+	isTaken, zones := map[ids.NodeName]bool{}, map[string]int{}
 	for _, peer := range group {
 		if !containsPeer(lost, peer) {
 			isTaken[peer.Name] = true
@@ -97,10 +97,10 @@
 		}
 		isTaken[best.Name] = true
 		zones[best.Zone]++
-		replacements = append(replacements, voterReplacement{in: rpc.Peer{Name: best.Name, Birth: best.Birth}, out: out})
+		replacements = append(replacements, voterReplacement{in: rpc.Peer{Name: best.Name, ID: best.ID}, out: out})
 		return true
 	}
-	isLost := map[ids.Name]bool{}
+	isLost := map[ids.NodeName]bool{}
 	for _, out := range lost {
 		isLost[out.Name] = true
 	}
@@ -181,7 +181,7 @@
 }
 
 // isLongDead tells whether a name has not been live, under any birth, for long.
-func isLongDead(view map[ids.Name]membership.Standing, peer rpc.Peer, goneAfter time.Duration) bool {
+func isLongDead(view map[ids.NodeName]membership.Standing, peer rpc.Peer, goneAfter time.Duration) bool {
 	m, ok := view[peer.Name]
 	return !ok || m.State != membership.Alive && m.State != membership.Suspect && time.Since(m.Since) > goneAfter
 }
@@ -243,7 +243,7 @@
 func (r *Replica) proposeVoters(next Voters) bool {
 	ctx, end := context.WithTimeout(r.node.env, membershipChangeTimeout)
 	defer end()
-	_, _, err := r.propose(ctx, rpc.Entry{Kind: entryMembershipChange, Group: next.Current, Former: next.Outgoing})
+	_, _, err := r.propose(ctx, rpc.Entry{Kind: entryMembershipChange, Voters: next.Current, OutgoingVoters: next.Outgoing})
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.isLeader {
--- a/internal/consensus/model/conformance.go
+++ b/internal/consensus/model/conformance.go
@@ -24,7 +24,7 @@
 	Breached func(invariant, detail string)
 
 	mu    sync.Mutex
-	parts map[ids.Part]*observed
+	parts map[ids.Shard]*observed
 	steps int
 }
 
@@ -32,10 +32,10 @@
 type observed struct {
 	promised  map[rpc.Peer]ids.Term
 	owners    map[ids.Term]rpc.Peer
-	committed map[ids.Stamp]committedEntry
-	newest    ids.Stamp // the highest index that an owner has committed
+	committed map[ids.Index]committedEntry
+	newest    ids.Index // the highest index that an owner has committed
 	voters    consensus.Voters
-	votersAt  ids.Stamp
+	votersAt  ids.Index
 }
 
 type committedEntry struct {
@@ -45,7 +45,7 @@
 }
 
 func newObserved() *observed {
-	return &observed{promised: map[rpc.Peer]ids.Term{}, owners: map[ids.Term]rpc.Peer{}, committed: map[ids.Stamp]committedEntry{}}
+	return &observed{promised: map[rpc.Peer]ids.Term{}, owners: map[ids.Term]rpc.Peer{}, committed: map[ids.Index]committedEntry{}}
 }
 
 // Observe takes one step of a node; steps that are no Trace are passed over.
@@ -58,7 +58,7 @@
 	defer c.mu.Unlock()
 	c.steps++
 	if c.parts == nil {
-		c.parts = map[ids.Part]*observed{}
+		c.parts = map[ids.Shard]*observed{}
 	}
 	o := c.parts[trace.Shard]
 	if o == nil {
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -24,7 +24,7 @@
 // StateMachine is what a part's entries are folded into. Apply must come out the
 // same on every member; the receipt goes to whoever proposed the entry.
 type StateMachine interface {
-	Apply(index ids.Stamp, body json.RawMessage) any
+	Apply(index ids.Index, body json.RawMessage) any
 	// Snapshot takes hold of the state as it is now; what it returns writes it out, while
 	// further entries are applied.
 	Snapshot() func() (json.RawMessage, error)
@@ -43,10 +43,10 @@
 	mu             sync.Mutex
 	charter        *rpc.Charter
 	bootstrapTerm  ids.Term
-	leaders        map[ids.Part]leaderRecord
+	leaders        map[ids.Shard]leaderRecord
 	heartbeaters   map[rpc.Peer]*heartbeater
 	receivedClaims map[rpc.Peer]claimSet
-	busy           map[ids.Part]bool
+	busy           map[ids.Shard]bool
 	isStopping     bool
 	started        time.Time
 	isPrevoting    atomic.Bool                // whether to stand
@@ -55,21 +55,21 @@
 }
 
 type leaderRecord struct {
-	name ids.Name
+	name ids.NodeName
 	term ids.Term
 	at   time.Time
 }
 
 // LoadOrCreateMemberID reads the birth from the store, or makes one for an empty store.
-func LoadOrCreateMemberID(store *storage.Store) (ids.Birth, error) {
+func LoadOrCreateMemberID(store *storage.Store) (ids.MemberID, error) {
 	raw, err := store.Get("birth")
 	if err != nil {
 		return "", err
 	}
 	if raw != nil {
-		return ids.Birth(raw), nil
+		return ids.MemberID(raw), nil
 	}
-	id := ids.NewBirth()
+	id := ids.NewMemberID()
 	batch := store.Begin()
 	batch.Put("birth", []byte(id))
 	store.Hand(batch)
@@ -78,50 +78,50 @@
 
 func New(env *environment.Realm, transport *rpc.Wire, members *membership.Kin, store *storage.Store, machines []StateMachine) (*Node, error) {
 	self := members.Me()
-	n := &Node{env: env, transport: transport, members: members, store: store, self: rpc.Peer{Name: self.Name, Birth: self.Birth},
-		leaders: map[ids.Part]leaderRecord{}, heartbeaters: map[rpc.Peer]*heartbeater{}, receivedClaims: map[rpc.Peer]claimSet{}, busy: map[ids.Part]bool{}, snapshotSlots: map[rpc.Peer]chan struct{}{}, started: env.Now(), Bootstrapped: make(chan struct{})}
+	n := &Node{env: env, transport: transport, members: members, store: store, self: rpc.Peer{Name: self.Name, ID: self.ID},
+		leaders: map[ids.Shard]leaderRecord{}, heartbeaters: map[rpc.Peer]*heartbeater{}, receivedClaims: map[rpc.Peer]claimSet{}, busy: map[ids.Shard]bool{}, snapshotSlots: map[rpc.Peer]chan struct{}{}, started: env.Now(), Bootstrapped: make(chan struct{})}
 	for shard, machine := range machines {
-		n.replicas = append(n.replicas, newReplica(n, ids.Part(shard), machine))
+		n.replicas = append(n.replicas, newReplica(n, ids.Shard(shard), machine))
 	}
 	if err := n.load(); err != nil {
 		return nil, err
 	}
-	registerHandler(transport, "pact.promise", func(c *rpc.Call, request *rpc.PromiseAsk) (any, error) {
-		r, err := n.votingReplica(request.Part)
+	registerHandler(transport, "pact.promise", func(c *rpc.Call, request *rpc.VoteRequest) (any, error) {
+		r, err := n.votingReplica(request.Shard)
 		if err != nil {
 			return nil, err
 		}
 		return r.handleVote(request)
 	})
-	registerHandler(transport, "pact.prevote", func(c *rpc.Call, request *rpc.PrevoteAsk) (any, error) { return n.handlePrevote(request), nil })
-	registerHandler(transport, "pact.append", func(c *rpc.Call, request *rpc.AppendAsk) (any, error) {
-		r, err := n.votingReplica(request.Part)
+	registerHandler(transport, "pact.prevote", func(c *rpc.Call, request *rpc.PreVoteRequest) (any, error) { return n.handlePrevote(request), nil })
+	registerHandler(transport, "pact.append", func(c *rpc.Call, request *rpc.AppendRequest) (any, error) {
+		r, err := n.votingReplica(request.Shard)
 		if err != nil {
 			return nil, err
 		}
 		return r.handleAppend(request)
 	})
-	registerHandler(transport, "pact.chunk", func(c *rpc.Call, request *rpc.ChunkAsk) (any, error) {
-		r, err := n.votingReplica(request.Part)
+	registerHandler(transport, "pact.chunk", func(c *rpc.Call, request *rpc.SnapshotChunkRequest) (any, error) {
+		r, err := n.votingReplica(request.Shard)
 		if err != nil {
 			return nil, err
 		}
 		return r.handleSnapshotChunk(request)
 	})
-	registerHandler(transport, "pact.round", func(c *rpc.Call, request *rpc.RoundAsk) (any, error) { return n.handleHeartbeat(request), nil })
-	registerHandler(transport, "pact.invite", func(c *rpc.Call, request *rpc.InviteAsk) (any, error) {
-		r, err := n.lookupReplica(request.Part)
+	registerHandler(transport, "pact.round", func(c *rpc.Call, request *rpc.HeartbeatRequest) (any, error) { return n.handleHeartbeat(request), nil })
+	registerHandler(transport, "pact.invite", func(c *rpc.Call, request *rpc.CampaignRequest) (any, error) {
+		r, err := n.lookupReplica(request.Shard)
 		if err != nil {
 			return nil, err
 		}
 		if !r.isTransferFromLeader(request) {
-			return nil, errcode.New(errcode.NotOwner, "part %d: the invitation is of an old term", request.Part)
+			return nil, errcode.New(errcode.NotOwner, "part %d: the invitation is of an old term", request.Shard)
 		}
 		n.env.Go(func() { r.campaign(true) })
 		return struct{}{}, nil
 	})
 	n.registerRepair()
-	registerHandler(transport, "pact.found", func(c *rpc.Call, request *rpc.FoundAsk) (any, error) { return n.handleBootstrap(request) })
+	registerHandler(transport, "pact.found", func(c *rpc.Call, request *rpc.BootstrapRequest) (any, error) { return n.handleBootstrap(request) })
 	registerHandler(transport, "pact.charter", func(c *rpc.Call, request *struct{}) (any, error) {
 		if charter := n.Charter(); charter != nil {
 			return charter, nil
@@ -142,7 +142,7 @@
 	})
 }
 
-func (n *Node) lookupReplica(shard ids.Part) (*Replica, error) {
+func (n *Node) lookupReplica(shard ids.Shard) (*Replica, error) {
 	if shard < 0 || int(shard) >= len(n.replicas) {
 		return nil, errcode.New(errcode.BadMessage, "no part %d", shard)
 	}
@@ -155,7 +155,7 @@
 
 // votingReplica is a part of a fleet whose charter is open here. Before that this node has
 // no vote: the charter may yet be given up for another.
-func (n *Node) votingReplica(shard ids.Part) (*Replica, error) {
+func (n *Node) votingReplica(shard ids.Shard) (*Replica, error) {
 	r, err := n.lookupReplica(shard)
 	if err == nil && n.Charter() == nil {
 		err = errcode.New(errcode.NotOwner, "part %d: no charter is open here", shard)
@@ -167,7 +167,7 @@
 }
 
 // Replica is one of the parts; the number is known to be right.
-func (n *Node) Replica(shard ids.Part) *Replica { return n.replicas[shard] }
+func (n *Node) Replica(shard ids.Shard) *Replica { return n.replicas[shard] }
 
 // Replicas is all of them.
 func (n *Node) Replicas() []*Replica { return n.replicas }
@@ -182,7 +182,7 @@
 		if err := json.Unmarshal(raw, charter); err != nil {
 			return errcode.New(errcode.StorageBroken, "charter: %v", err)
 		}
-		n.charter, n.bootstrapTerm = charter, charter.Round
+		n.charter, n.bootstrapTerm = charter, charter.Term
 	}
 	if raw, err = n.store.Get("pledge"); err != nil {
 		return err
@@ -221,7 +221,7 @@
 }
 
 // Leader is who last claimed a part, as far as this node heard.
-func (n *Node) Leader(shard ids.Part) (ids.Name, bool) {
+func (n *Node) Leader(shard ids.Shard) (ids.NodeName, bool) {
 	if n.replicas[shard].IsLeader() {
 		return n.env.Name, true
 	}
@@ -235,7 +235,7 @@
 // owner: as the owner by the word of the others, else by the word of the owner, which
 // gives the part up when it has none of a majority. A node without contact may hold
 // old state and not know it, so it gives nothing out.
-func (n *Node) HasQuorumContact(shard ids.Part) bool {
+func (n *Node) HasQuorumContact(shard ids.Shard) bool {
 	if age, isServing := n.replicas[shard].ConfirmationAge(); isServing {
 		return age < n.env.Props.PactContact
 	}
@@ -245,7 +245,7 @@
 
 // HasLostQuorum tells whether contact is lost for so long that a call is better
 // taken to another node than held until it is back.
-func (n *Node) HasLostQuorum(shard ids.Part) bool {
+func (n *Node) HasLostQuorum(shard ids.Shard) bool {
 	if n.HasQuorumContact(shard) {
 		return false
 	}
@@ -294,17 +294,17 @@
 // advertiseConfigVoter lets others know whether this node holds the configuration part, for
 // only such a node can tell proxies of it.
 func (n *Node) advertiseConfigVoter() {
-	r := n.replicas[ids.Config]
+	r := n.replicas[ids.ConfigShard]
 	r.mu.Lock()
 	isVoter := r.voters.Contains(n.self)
 	r.mu.Unlock()
-	if n.members.Me().Keeps != isVoter {
-		n.members.Amend(func(m *rpc.Member) { m.Keeps = isVoter })
+	if n.members.Me().HoldsConfiguration != isVoter {
+		n.members.Amend(func(m *rpc.Member) { m.HoldsConfiguration = isVoter })
 	}
 }
 
 // runOnce runs a task for a part unless one is under way.
-func (n *Node) runOnce(shard ids.Part, task func()) {
+func (n *Node) runOnce(shard ids.Shard, task func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.busy[shard] {
@@ -370,7 +370,7 @@
 		var remaining []rpc.Peer
 		for _, peer := range voters.All() {
 			m := view[peer.Name]
-			if peer != n.self && m.Birth == peer.Birth && m.State == membership.Alive {
+			if peer != n.self && m.ID == peer.ID && m.State == membership.Alive {
 				remaining = append(remaining, peer)
 			}
 		}
--- a/internal/consensus/part.go
+++ b/internal/consensus/part.go
@@ -32,7 +32,7 @@
 // Replica is one part on one member.
 type Replica struct {
 	node         *Node
-	shard        ids.Part
+	shard        ids.Shard
 	stateMachine StateMachine
 
 	mu                 sync.Mutex
@@ -41,11 +41,11 @@
 	highestRound       uint64
 	snapshot           rpc.Snapshot
 	entries            []rpc.Entry
-	commitIndex        ids.Stamp
-	appliedIndex       ids.Stamp
+	commitIndex        ids.Index
+	appliedIndex       ids.Index
 	voters             Voters
-	votersIndex        ids.Stamp
-	leaderMatchIndex   ids.Stamp
+	votersIndex        ids.Index
+	leaderMatchIndex   ids.Index
 	leaderMatchTerm    ids.Term
 	lastLeaderContact  time.Time
 	electionTimerStart time.Time
@@ -54,10 +54,10 @@
 	isLeader          bool
 	isServing         bool
 	servingSince      time.Time
-	firstOwnIndex     ids.Stamp
+	firstOwnIndex     ids.Index
 	leaderCtx         context.Context
 	cancelLeadership  context.CancelFunc
-	matchIndex        map[rpc.Peer]ids.Stamp
+	matchIndex        map[rpc.Peer]ids.Index
 	lastAck           map[rpc.Peer]time.Time
 	replicating       map[rpc.Peer]bool
 	lastProgress      map[rpc.Peer]time.Time // when each member last got something new
@@ -66,15 +66,15 @@
 	isCompacting      bool
 	retained          []rpc.Entry // the newest entries that the snapshot holds
 	incomingSnapshot  *incomingSnapshot
-	proposals         map[ids.Stamp]proposal
+	proposals         map[ids.Index]proposal
 }
 
-func newReplica(node *Node, shard ids.Part, stateMachine StateMachine) *Replica {
-	return &Replica{node: node, shard: shard, stateMachine: stateMachine, changed: make(chan struct{}), electionTimerStart: node.env.Now(), proposals: map[ids.Stamp]proposal{}}
+func newReplica(node *Node, shard ids.Shard, stateMachine StateMachine) *Replica {
+	return &Replica{node: node, shard: shard, stateMachine: stateMachine, changed: make(chan struct{}), electionTimerStart: node.env.Now(), proposals: map[ids.Index]proposal{}}
 }
 
 func (r *Replica) key(kind string) string { return fmt.Sprintf("p/%02d/%s", r.shard, kind) }
-func (r *Replica) entryKey(index ids.Stamp) string {
+func (r *Replica) entryKey(index ids.Index) string {
 	return r.key(fmt.Sprintf("e/%016x", uint64(index)))
 }
 
@@ -133,24 +133,24 @@
 }
 
 // votersAsOf is the voters that the log names at an index, and where it does.
-func (r *Replica) votersAsOf(index ids.Stamp) (Voters, ids.Stamp) {
+func (r *Replica) votersAsOf(index ids.Index) (Voters, ids.Index) {
 	for i := int(index - r.snapshot.Index); i > 0; i-- {
 		if e := r.entries[i-1]; e.Kind == entryMembershipChange {
-			return Voters{Current: e.Group, Outgoing: e.Former}, e.Index
+			return Voters{Current: e.Voters, Outgoing: e.OutgoingVoters}, e.Index
 		}
 	}
-	return Voters{Current: r.snapshot.Group, Outgoing: r.snapshot.Former}, r.snapshot.Index
+	return Voters{Current: r.snapshot.Voters, Outgoing: r.snapshot.OutgoingVoters}, r.snapshot.Index
 }
 
 // checkMembershipSteps refuses entries that don't follow one another, or of which one changes
 // the voters by more than a step.
-func (r *Replica) checkMembershipSteps(after ids.Stamp, entries []rpc.Entry) error {
+func (r *Replica) checkMembershipSteps(after ids.Index, entries []rpc.Entry) error {
 	voters, _ := r.votersAsOf(after)
 	for i, e := range entries {
-		if e.Index != after+1+ids.Stamp(i) {
-			return errcode.New(errcode.BadMessage, "part %d: entry %d stands where %d should", r.shard, e.Index, after+1+ids.Stamp(i))
+		if e.Index != after+1+ids.Index(i) {
+			return errcode.New(errcode.BadMessage, "part %d: entry %d stands where %d should", r.shard, e.Index, after+1+ids.Index(i))
 		}
-		next := Voters{Current: e.Group, Outgoing: e.Former}
+		next := Voters{Current: e.Voters, Outgoing: e.OutgoingVoters}
 		if e.Kind != entryMembershipChange {
 			continue
 		}
@@ -162,7 +162,7 @@
 	return nil
 }
 
-func (r *Replica) lastEntry() (ids.Stamp, ids.Term) {
+func (r *Replica) lastEntry() (ids.Index, ids.Term) {
 	if n := len(r.entries); n > 0 {
 		return r.entries[n-1].Index, r.entries[n-1].Term
 	}
@@ -170,18 +170,18 @@
 }
 
 // termAt is the entry's term; false if it is not in the log.
-func (r *Replica) termAt(index ids.Stamp) (ids.Term, bool) {
+func (r *Replica) termAt(index ids.Index) (ids.Term, bool) {
 	if index == r.snapshot.Index {
 		return r.snapshot.Term, true
 	}
-	if index < r.snapshot.Index || index > r.snapshot.Index+ids.Stamp(len(r.entries)) {
+	if index < r.snapshot.Index || index > r.snapshot.Index+ids.Index(len(r.entries)) {
 		return ids.Term{}, false
 	}
 	return r.entries[index-r.snapshot.Index-1].Term, true
 }
 
 // entriesAfter is a copy of the entries above an index, which is in the log.
-func (r *Replica) entriesAfter(index ids.Stamp) []rpc.Entry {
+func (r *Replica) entriesAfter(index ids.Index) []rpc.Entry {
 	if index < r.snapshot.Index {
 		index = r.snapshot.Index
 	}
@@ -207,7 +207,7 @@
 }
 
 // truncateAfter drops the entries above an index, on disk too.
-func (r *Replica) truncateAfter(batch *storage.Batch, index ids.Stamp) {
+func (r *Replica) truncateAfter(batch *storage.Batch, index ids.Index) {
 	for _, e := range r.entries[index-r.snapshot.Index:] {
 		batch.Delete(r.entryKey(e.Index))
 	}
@@ -260,7 +260,7 @@
 	return nil
 }
 
-func (r *Replica) failProposals(from ids.Stamp) {
+func (r *Replica) failProposals(from ids.Index) {
 	for index, waiting := range r.proposals {
 		if index >= from {
 			close(waiting.done)
@@ -270,7 +270,7 @@
 }
 
 // advanceCommit moves the commit and folds what it now covers.
-func (r *Replica) advanceCommit(commit ids.Stamp) {
+func (r *Replica) advanceCommit(commit ids.Index) {
 	if last, _ := r.lastEntry(); commit > last {
 		commit = last
 	}
@@ -281,7 +281,7 @@
 	for r.appliedIndex < r.commitIndex {
 		e := r.entries[r.appliedIndex-r.snapshot.Index]
 		r.appliedIndex++
-		r.trace(TraceEvent{Kind: TraceCommitted, Term: r.currentTerm, Index: e.Index, EntryTerm: e.Term, IsLeader: r.isLeader, IsMembershipChange: e.Kind == entryMembershipChange, Voters: Voters{Current: e.Group, Outgoing: e.Former}})
+		r.trace(TraceEvent{Kind: TraceCommitted, Term: r.currentTerm, Index: e.Index, EntryTerm: e.Term, IsLeader: r.isLeader, IsMembershipChange: e.Kind == entryMembershipChange, Voters: Voters{Current: e.Voters, Outgoing: e.OutgoingVoters}})
 		var response any
 		if e.Kind == "" {
 			response = r.stateMachine.Apply(e.Index, e.Body)
@@ -308,7 +308,7 @@
 	if !r.isLeader {
 		return
 	}
-	index := ids.Stamp(r.voters.QuorumValue(func(peer rpc.Peer) int64 { return int64(r.matchIndex[peer]) }))
+	index := ids.Index(r.voters.QuorumValue(func(peer rpc.Peer) int64 { return int64(r.matchIndex[peer]) }))
 	if term, ok := r.termAt(index); ok && term == r.currentTerm && index > r.commitIndex {
 		r.advanceCommit(index)
 	}
@@ -342,10 +342,10 @@
 
 // Status is what the shell shows of a part.
 type Status struct {
-	Shard           ids.Part
+	Shard           ids.Shard
 	CurrentTerm     ids.Term
-	CommitIndex     ids.Stamp
-	LastIndex       ids.Stamp
+	CommitIndex     ids.Index
+	LastIndex       ids.Index
 	IsLeader        bool
 	IsServing       bool
 	Voters          []rpc.Peer
--- a/internal/consensus/part_test.go
+++ b/internal/consensus/part_test.go
@@ -25,7 +25,7 @@
 // recordingMachine is a machine that keeps the bodies of its entries.
 type recordingMachine struct{ commands []string }
 
-func (n *recordingMachine) Apply(_ ids.Stamp, body json.RawMessage) any {
+func (n *recordingMachine) Apply(_ ids.Index, body json.RawMessage) any {
 	n.commands = append(n.commands, string(body))
 	return nil
 }
@@ -58,24 +58,24 @@
 			t.Fatal(err)
 		}
 		machine := &recordingMachine{}
-		node := &Node{env: r, store: store, self: peers("A")[0], leaders: map[ids.Part]leaderRecord{}}
+		node := &Node{env: r, store: store, self: peers("A")[0], leaders: map[ids.Shard]leaderRecord{}}
 		part := newReplica(node, 0, machine)
 		node.replicas = []*Replica{part}
-		part.snapshot.Group = peers("ABC")
+		part.snapshot.Voters = peers("ABC")
 		part.updateVoters()
 		play(t, part, machine)
 	})
 }
 
-func testTerm(round uint64) ids.Term { return ids.Term{Round: round, Node: "core-B"} }
+func testTerm(round uint64) ids.Term { return ids.Term{Number: round, Node: "core-B"} }
 
-func appendRequest(round uint64, prev ids.Stamp, entries ...rpc.Entry) *rpc.AppendAsk {
-	request := &rpc.AppendAsk{Term: testTerm(round), From: peers("B")[0], Prev: prev}
+func appendRequest(round uint64, prev ids.Index, entries ...rpc.Entry) *rpc.AppendRequest {
+	request := &rpc.AppendRequest{Term: testTerm(round), From: peers("B")[0], PrevIndex: prev}
 	if prev > 0 {
 		request.PrevTerm = testTerm(round)
 	}
 	for i := range entries {
-		entries[i].Index, entries[i].Term = prev+1+ids.Stamp(i), testTerm(round)
+		entries[i].Index, entries[i].Term = prev+1+ids.Index(i), testTerm(round)
 	}
 	request.Entries = entries
 	return request
@@ -84,7 +84,7 @@
 func command(body string) rpc.Entry { return rpc.Entry{Body: json.RawMessage(body)} }
 
 func membershipChange(current, former string) rpc.Entry {
-	return rpc.Entry{Kind: entryMembershipChange, Group: peers(current), Former: peers(former)}
+	return rpc.Entry{Kind: entryMembershipChange, Voters: peers(current), OutgoingVoters: peers(former)}
 }
 
 // requireRejected demands that a message is refused by an event, and changes nothing.
@@ -111,7 +111,7 @@
 		late := command(`2`)
 		gap := appendRequest(3, 2, command(`2`), command(`3`))
 		gap.Entries[1].Index = 9
-		for what, request := range map[string]*rpc.AppendAsk{
+		for what, request := range map[string]*rpc.AppendRequest{
 			"two members at once without the joint step": appendRequest(3, 2, membershipChange("ABD", "")),
 			"a joint step from another group":            appendRequest(3, 2, membershipChange("ABD", "ABE")),
 			"a joint step that is followed by another":   appendRequest(3, 2, membershipChange("ABD", "ABC"), membershipChange("ABE", "ABD")),
@@ -132,20 +132,20 @@
 		if _, err := part.handleAppend(appendRequest(3, 0, rpc.Entry{Kind: entryNoOp}, command(`1`))); err != nil {
 			t.Fatal(err)
 		}
-		good := rpc.Snapshot{Index: 9, Term: testTerm(3), Group: peers("ABC"), State: json.RawMessage(`["1","2"]`)}
-		for what, change := range map[string]func(s *rpc.Snapshot, request *rpc.ChunkAsk){
-			"a foreign state":        func(s *rpc.Snapshot, _ *rpc.ChunkAsk) { s.State = json.RawMessage(`{"foreign":true}`) },
-			"a snapshot of nobody":   func(s *rpc.Snapshot, _ *rpc.ChunkAsk) { s.Group = nil },
-			"another's index":        func(_ *rpc.Snapshot, request *rpc.ChunkAsk) { request.Index = 8 },
-			"a wrong digest":         func(_ *rpc.Snapshot, request *rpc.ChunkAsk) { request.Digest = "00" },
-			"a byte turned":          func(_ *rpc.Snapshot, request *rpc.ChunkAsk) { request.Data[len(request.Data)/2] ^= 1 },
-			"more than was said":     func(_ *rpc.Snapshot, request *rpc.ChunkAsk) { request.Size-- },
-			"a size out of bounds":   func(_ *rpc.Snapshot, request *rpc.ChunkAsk) { request.Size = maxPackedSnapshot + 1 },
-			"an offset below zero":   func(_ *rpc.Snapshot, request *rpc.ChunkAsk) { request.Offset = -1 },
-			"a term from the future": func(_ *rpc.Snapshot, request *rpc.ChunkAsk) { request.Term = testTerm(1 << 60) },
+		good := rpc.Snapshot{Index: 9, Term: testTerm(3), Voters: peers("ABC"), State: json.RawMessage(`["1","2"]`)}
+		for what, change := range map[string]func(s *rpc.Snapshot, request *rpc.SnapshotChunkRequest){
+			"a foreign state":        func(s *rpc.Snapshot, _ *rpc.SnapshotChunkRequest) { s.State = json.RawMessage(`{"foreign":true}`) },
+			"a snapshot of nobody":   func(s *rpc.Snapshot, _ *rpc.SnapshotChunkRequest) { s.Voters = nil },
+			"another's index":        func(_ *rpc.Snapshot, request *rpc.SnapshotChunkRequest) { request.Index = 8 },
+			"a wrong digest":         func(_ *rpc.Snapshot, request *rpc.SnapshotChunkRequest) { request.Digest = "00" },
+			"a byte turned":          func(_ *rpc.Snapshot, request *rpc.SnapshotChunkRequest) { request.Data[len(request.Data)/2] ^= 1 },
+			"more than was said":     func(_ *rpc.Snapshot, request *rpc.SnapshotChunkRequest) { request.Size-- },
+			"a size out of bounds":   func(_ *rpc.Snapshot, request *rpc.SnapshotChunkRequest) { request.Size = maxPackedSnapshot + 1 },
+			"an offset below zero":   func(_ *rpc.Snapshot, request *rpc.SnapshotChunkRequest) { request.Offset = -1 },
+			"a term from the future": func(_ *rpc.Snapshot, request *rpc.SnapshotChunkRequest) { request.Term = testTerm(1 << 60) },
 		} {
 			snapshot := good
-			request := &rpc.ChunkAsk{Data: make([]byte, 3)}
+			request := &rpc.SnapshotChunkRequest{Data: make([]byte, 3)}
 			change(&snapshot, request)
 			chunk := chunksOf(&snapshot, 1<<20)[0]
 			change(&snapshot, chunk)
@@ -160,20 +160,20 @@
 }
 
 // chunksOf cuts a snapshot as an owner under its term would send it.
-func chunksOf(snapshot *rpc.Snapshot, size int) (asks []*rpc.ChunkAsk) {
+func chunksOf(snapshot *rpc.Snapshot, size int) (asks []*rpc.SnapshotChunkRequest) {
 	raw, _ := json.Marshal(snapshot)
 	packed := newPackedSnapshot(snapshot.Index, snapshot.Term, raw)
 	for offset := 0; offset < len(packed.data); offset += size {
 		data := slices.Clone(packed.data[offset:min(len(packed.data), offset+size)])
-		asks = append(asks, &rpc.ChunkAsk{Term: snapshot.Term, From: peers("B")[0], Index: packed.index, Of: packed.term, Digest: packed.digest, Size: int64(len(packed.data)), Offset: int64(offset), Data: data})
+		asks = append(asks, &rpc.SnapshotChunkRequest{Term: snapshot.Term, From: peers("B")[0], Index: packed.index, SnapshotTerm: packed.term, Digest: packed.digest, Size: int64(len(packed.data)), Offset: int64(offset), Data: data})
 	}
 	return asks
 }
 
 func TestReplica_ReassemblesSnapshotChunks(t *testing.T) {
 	runReplica(t, func(t *testing.T, part *Replica, machine *recordingMachine) {
-		chunks := chunksOf(&rpc.Snapshot{Index: 9, Term: testTerm(3), Group: peers("ABC"), State: json.RawMessage(`["1","2","3"]`)}, 20)
-		send := func(i int) *rpc.ChunkReceipt {
+		chunks := chunksOf(&rpc.Snapshot{Index: 9, Term: testTerm(3), Voters: peers("ABC"), State: json.RawMessage(`["1","2","3"]`)}, 20)
+		send := func(i int) *rpc.SnapshotChunkResponse {
 			response, err := part.handleSnapshotChunk(chunks[i])
 			if err != nil {
 				t.Fatal(i, err)
@@ -181,14 +181,14 @@
 			return response
 		}
 		last := len(chunks) - 1
-		if got := send(last); got.Have != 0 || got.Match != 0 {
+		if got := send(last); got.Received != 0 || got.MatchIndex != 0 {
 			t.Errorf("the last chunk alone: %+v", got)
 		}
 		for _, i := range []int{0, 2, 0, 1, 1} {
 			send(i)
 		}
-		if got := send(0); got.Have != 40 {
-			t.Errorf("%d bytes are there of 40", got.Have)
+		if got := send(0); got.Received != 40 {
+			t.Errorf("%d bytes are there of 40", got.Received)
 		}
 		// Another owner with the same snapshot goes on where the first one was.
 		for _, chunk := range chunks[2:] {
@@ -197,10 +197,10 @@
 		for i := 2; i < last; i++ {
 			send(i)
 		}
-		if got := send(last); got.Match != 9 || len(machine.commands) != 3 {
+		if got := send(last); got.MatchIndex != 9 || len(machine.commands) != 3 {
 			t.Errorf("%+v, state %q", got, machine.commands)
 		}
-		if got := send(last); got.Match != 9 {
+		if got := send(last); got.MatchIndex != 9 {
 			t.Errorf("what is there already: %+v", got)
 		}
 	})
@@ -214,14 +214,14 @@
 		future := appendRequest(1<<60, 1, command(`1`))
 		requireRejected(t, part, machine, "an entry from the future", func() error { _, err := part.handleAppend(future); return err })
 		requireRejected(t, part, machine, "a candidate from the future", func() error {
-			_, err := part.handleVote(&rpc.PromiseAsk{Term: testTerm(1 << 60), From: peers("B")[0]})
+			_, err := part.handleVote(&rpc.VoteRequest{Term: testTerm(1 << 60), From: peers("B")[0]})
 			return err
 		})
-		if part.isTransferFromLeader(&rpc.InviteAsk{Term: testTerm(2)}) || !part.isTransferFromLeader(&rpc.InviteAsk{Term: testTerm(3)}) {
+		if part.isTransferFromLeader(&rpc.CampaignRequest{Term: testTerm(2)}) || !part.isTransferFromLeader(&rpc.CampaignRequest{Term: testTerm(3)}) {
 			t.Error("an invitation counts that is not of the term in force")
 		}
 		response, err := part.handleAppend(appendRequest(2, 1, command(`1`)))
-		if err != nil || response.Ok || response.Promised != testTerm(3) {
+		if err != nil || response.Success || response.CurrentTerm != testTerm(3) {
 			t.Errorf("an entry of an old term: %+v, %v", response, err)
 		}
 	})
@@ -231,7 +231,7 @@
 // or the entries of that term would stand above what a restart finds.
 func TestReplica_RejectedSnapshotKeepsTerm(t *testing.T) {
 	runReplica(t, func(t *testing.T, part *Replica, machine *recordingMachine) {
-		request := chunksOf(&rpc.Snapshot{Index: 9, Term: testTerm(4), Group: peers("ABC"), State: json.RawMessage(`7`)}, 1<<20)[0]
+		request := chunksOf(&rpc.Snapshot{Index: 9, Term: testTerm(4), Voters: peers("ABC"), State: json.RawMessage(`7`)}, 1<<20)[0]
 		if _, err := part.handleSnapshotChunk(request); err == nil {
 			t.Fatal("a foreign snapshot is taken")
 		}
@@ -252,8 +252,8 @@
 			t.Fatal(err)
 		}
 		part.lastLeaderContact = time.Time{}
-		stale := &rpc.PromiseAsk{Term: testTerm(9), From: peers("C")[0], Last: 1, LastTerm: testTerm(3)}
-		if response, err := part.handleVote(stale); err != nil || response.Outside || !response.Granted {
+		stale := &rpc.VoteRequest{Term: testTerm(9), From: peers("C")[0], LastIndex: 1, LastTerm: testTerm(3)}
+		if response, err := part.handleVote(stale); err != nil || response.NotMember || !response.Granted {
 			t.Fatalf("a change that is not known to be committed shut a member out: %+v, %v", response, err)
 		}
 		again := appendRequest(10, 3)
@@ -263,13 +263,13 @@
 		}
 		before := part.Status().CurrentTerm
 		stale.Term = testTerm(20)
-		if response, err := part.handleVote(stale); err != nil || response.Granted || !response.Outside {
+		if response, err := part.handleVote(stale); err != nil || response.Granted || !response.NotMember {
 			t.Errorf("a removed member is promised to: %+v, %v", response, err)
 		}
 		if part.Status().CurrentTerm != before {
 			t.Error("its term ends the owner's")
 		}
-		ahead := &rpc.PromiseAsk{Term: testTerm(21), From: peers("C")[0], Last: 9, LastTerm: testTerm(12)}
+		ahead := &rpc.VoteRequest{Term: testTerm(21), From: peers("C")[0], LastIndex: 9, LastTerm: testTerm(12)}
 		part.lastLeaderContact = time.Time{}
 		if response, err := part.handleVote(ahead); err != nil || !response.Granted {
 			t.Errorf("one that may have been put back since is shut out: %+v, %v", response, err)
--- a/internal/consensus/placement.go
+++ b/internal/consensus/placement.go
@@ -11,11 +11,11 @@
 )
 
 // ElectionOrder is the agreed order of a part's group.
-func ElectionOrder(shard ids.Part, voters []rpc.Peer) []rpc.Peer {
+func ElectionOrder(shard ids.Shard, voters []rpc.Peer) []rpc.Peer {
 	order := append([]rpc.Peer(nil), voters...)
 	seed := fmt.Sprint("part", shard)
 	sort.Slice(order, func(i, j int) bool {
-		a, b := ids.Score(seed, string(order[i].Name)), ids.Score(seed, string(order[j].Name))
+		a, b := ids.Hash(seed, string(order[i].Name)), ids.Hash(seed, string(order[j].Name))
 		if a != b {
 			return a > b
 		}
@@ -25,11 +25,11 @@
 }
 
 // PlaceVoters picks the group of a part: spread over zones first, then by order.
-func PlaceVoters(shard ids.Part, members []rpc.Member, tolerated int) []rpc.Peer {
+func PlaceVoters(shard ids.Shard, members []rpc.Member, tolerated int) []rpc.Peer {
 	var peers []rpc.Peer
-	zones := map[ids.Name]string{}
+	zones := map[ids.NodeName]string{}
 	for _, m := range members {
-		peers = append(peers, rpc.Peer{Name: m.Name, Birth: m.Birth})
+		peers = append(peers, rpc.Peer{Name: m.Name, ID: m.ID})
 		zones[m.Name] = m.Zone
 	}
 	size := ReplicationFactor(shard, len(peers), tolerated)
@@ -50,9 +50,9 @@
 // ReplicationFactor is how many members a part has in a fleet of so many core nodes. It is
 // odd where it can be: a fourth member would have to be heard for a majority
 // and would leave nobody to take a lost one's place.
-func ReplicationFactor(shard ids.Part, cores, tolerated int) int {
+func ReplicationFactor(shard ids.Shard, cores, tolerated int) int {
 	size := 2*tolerated + 1
-	if shard == ids.Config && cores >= 5 {
+	if shard == ids.ConfigShard && cores >= 5 {
 		size = max(size, 5)
 	}
 	return min(size, cores)
--- a/internal/consensus/prevote.go
+++ b/internal/consensus/prevote.go
@@ -44,11 +44,11 @@
 }
 
 // handlePrevote answers a pre-vote.
-func (n *Node) handlePrevote(request *rpc.PrevoteAsk) *rpc.PrevoteReceipt {
-	response := &rpc.PrevoteReceipt{From: n.self}
-	for _, shard := range request.Parts {
+func (n *Node) handlePrevote(request *rpc.PreVoteRequest) *rpc.PreVoteResponse {
+	response := &rpc.PreVoteResponse{From: n.self}
+	for _, shard := range request.Shards {
 		if r, err := n.lookupReplica(shard); err != nil || r.hasLiveLeader() {
-			response.Spoken = append(response.Spoken, shard)
+			response.LedShards = append(response.LedShards, shard)
 		}
 	}
 	return response
@@ -63,7 +63,7 @@
 		return
 	}
 	for n.env.Pause(environment.Jitter(prevoteInterval)) && !n.IsStopping() {
-		var shards []ids.Part
+		var shards []ids.Shard
 		for _, r := range n.replicas {
 			if r.hasNoLeaderContact() {
 				shards = append(shards, r.shard)
@@ -90,7 +90,7 @@
 	}
 	n.env.Go(func() {
 		defer n.isPrevoting.Store(false)
-		var shards []ids.Part
+		var shards []ids.Shard
 		for _, r := range due {
 			shards = append(shards, r.shard)
 		}
@@ -104,20 +104,20 @@
 }
 
 // hasPrevoteQuorum tells whether enough members to decide know of no owner.
-func (r *Replica) hasPrevoteQuorum(responses map[rpc.Peer]*rpc.PrevoteReceipt) bool {
+func (r *Replica) hasPrevoteQuorum(responses map[rpc.Peer]*rpc.PreVoteResponse) bool {
 	r.mu.Lock()
 	voters := r.voters
 	r.mu.Unlock()
 	supporters := []rpc.Peer{r.node.self}
 	for peer, response := range responses {
-		if !slices.Contains(response.Spoken, r.shard) {
+		if !slices.Contains(response.LedShards, r.shard) {
 			supporters = append(supporters, peer)
 		}
 	}
 	return voters.HasQuorum(supporters)
 }
 
-func (n *Node) requestPrevotes(shards []ids.Part) map[rpc.Peer]*rpc.PrevoteReceipt {
+func (n *Node) requestPrevotes(shards []ids.Shard) map[rpc.Peer]*rpc.PreVoteResponse {
 	ctx, end := context.WithTimeout(n.env, prevoteTimeout)
 	defer end()
 	var cores []rpc.Member
@@ -126,17 +126,17 @@
 			cores = append(cores, m)
 		}
 	}
-	results := make(chan *rpc.PrevoteReceipt, len(cores))
+	results := make(chan *rpc.PreVoteResponse, len(cores))
 	for _, m := range cores {
 		n.env.Go(func() {
-			response := &rpc.PrevoteReceipt{}
-			if n.transport.Ask(ctx, m.Wire, "pact.prevote", &rpc.PrevoteAsk{Parts: shards}, response) != nil {
+			response := &rpc.PreVoteResponse{}
+			if n.transport.Ask(ctx, m.RPCAddress, "pact.prevote", &rpc.PreVoteRequest{Shards: shards}, response) != nil {
 				response = nil
 			}
 			results <- response
 		})
 	}
-	responses := map[rpc.Peer]*rpc.PrevoteReceipt{}
+	responses := map[rpc.Peer]*rpc.PreVoteResponse{}
 	var grace <-chan time.Time
 	for range cores {
 		select {
@@ -159,7 +159,7 @@
 
 // mayCampaignAfterStart tells whether a majority answered, all who did know of no owner, and this
 // member is the first of them.
-func (r *Replica) mayCampaignAfterStart(responses map[rpc.Peer]*rpc.PrevoteReceipt) bool {
+func (r *Replica) mayCampaignAfterStart(responses map[rpc.Peer]*rpc.PreVoteResponse) bool {
 	r.mu.Lock()
 	voters := r.voters
 	r.mu.Unlock()
@@ -170,7 +170,7 @@
 			continue
 		}
 		if response != nil {
-			for _, no := range response.Spoken {
+			for _, no := range response.LedShards {
 				if no == r.shard {
 					return false
 				}
--- a/internal/consensus/repair.go
+++ b/internal/consensus/repair.go
@@ -27,15 +27,15 @@
 }
 
 func (n *Node) registerRepair() {
-	registerHandler(n.transport, "pact.compare", func(c *rpc.Call, request *rpc.CompareAsk) (any, error) {
-		r, err := n.lookupReplica(request.Part)
+	registerHandler(n.transport, "pact.compare", func(c *rpc.Call, request *rpc.RangeDigestRequest) (any, error) {
+		r, err := n.lookupReplica(request.Shard)
 		if err != nil {
 			return nil, err
 		}
 		return r.handleCompare(request), nil
 	})
-	registerHandler(n.transport, "pact.mend", func(c *rpc.Call, request *rpc.MendAsk) (any, error) {
-		r, err := n.lookupReplica(request.Part)
+	registerHandler(n.transport, "pact.mend", func(c *rpc.Call, request *rpc.RepairRequest) (any, error) {
+		r, err := n.lookupReplica(request.Shard)
 		if err != nil {
 			return nil, err
 		}
@@ -54,7 +54,7 @@
 
 // atIndex runs a verb while the part stands still at a stamp; the zero stamp is
 // whatever it stands at.
-func (r *Replica) atIndex(index ids.Stamp, term ids.Term, apply func(index ids.Stamp)) bool {
+func (r *Replica) atIndex(index ids.Index, term ids.Term, apply func(index ids.Index)) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if index != 0 && r.appliedIndex != index || term.Less(r.currentTerm) {
@@ -70,35 +70,35 @@
 		return
 	}
 	term, _, _ := r.LeadershipSince()
-	request := &rpc.CompareAsk{Part: r.shard, Term: term}
-	r.atIndex(0, term, func(index ids.Stamp) { request.Stamp, request.Digests = index, ranged.RangeDigests() })
+	request := &rpc.RangeDigestRequest{Shard: r.shard, Term: term}
+	r.atIndex(0, term, func(index ids.Index) { request.Index, request.Digests = index, ranged.RangeDigests() })
 	r.mu.Lock()
 	voters := r.voters.Current
 	r.mu.Unlock()
 	r.node.kickHeartbeats(voters)
 	agreeing, disagreeing := 1, []rpc.Member{}
-	differing := map[ids.Name][]string{}
+	differing := map[ids.NodeName][]string{}
 	for _, peer := range voters {
 		m, ok := r.node.members.Of(peer.Name)
-		if peer == r.node.self || !ok || m.Birth != peer.Birth {
+		if peer == r.node.self || !ok || m.ID != peer.ID {
 			continue
 		}
-		var response rpc.CompareReceipt
+		var response rpc.RangeDigestResponse
 		for range 3 {
 			ctx, end := context.WithTimeout(r.node.env, compareTimeout)
-			err := r.node.transport.Ask(ctx, m.Wire, "pact.compare", request, &response)
+			err := r.node.transport.Ask(ctx, m.RPCAddress, "pact.compare", request, &response)
 			end()
-			if err != nil || response.IsThere || !r.node.env.Pause(r.node.env.Props.PactRound) {
+			if err != nil || response.AtIndex || !r.node.env.Pause(r.node.env.Props.PactRound) {
 				break
 			}
 		}
 		switch {
-		case response.From != peer || !response.IsThere:
-		case len(response.Differ) == 0:
+		case response.From != peer || !response.AtIndex:
+		case len(response.DifferingRanges) == 0:
 			agreeing++
 		default:
 			disagreeing = append(disagreeing, m)
-			differing[m.Name] = response.Differ
+			differing[m.Name] = response.DifferingRanges
 		}
 	}
 	if len(disagreeing) == 0 {
@@ -116,9 +116,9 @@
 }
 
 func (r *Replica) repairMember(ranged RangeRepairer, term ids.Term, m rpc.Member, ranges []string) {
-	request := &rpc.MendAsk{Part: r.shard, Term: term, Ranges: map[string]json.RawMessage{}}
-	r.atIndex(0, term, func(index ids.Stamp) {
-		request.Stamp = index
+	request := &rpc.RepairRequest{Shard: r.shard, Term: term, Ranges: map[string]json.RawMessage{}}
+	r.atIndex(0, term, func(index ids.Index) {
+		request.Index = index
 		for _, name := range ranges {
 			if data, err := ranged.ExportRange(name); err == nil {
 				request.Ranges[name] = data
@@ -127,25 +127,25 @@
 	})
 	ctx, end := context.WithTimeout(r.node.env, compareTimeout)
 	defer end()
-	r.node.transport.Ask(ctx, m.Wire, "pact.mend", request, nil)
+	r.node.transport.Ask(ctx, m.RPCAddress, "pact.mend", request, nil)
 }
 
-func (r *Replica) handleCompare(request *rpc.CompareAsk) *rpc.CompareReceipt {
-	response := &rpc.CompareReceipt{From: r.node.self}
+func (r *Replica) handleCompare(request *rpc.RangeDigestRequest) *rpc.RangeDigestResponse {
+	response := &rpc.RangeDigestResponse{From: r.node.self}
 	ranged, ok := r.stateMachine.(RangeRepairer)
 	if !ok {
 		return response
 	}
-	response.IsThere = r.atIndex(request.Stamp, request.Term, func(ids.Stamp) {
+	response.AtIndex = r.atIndex(request.Index, request.Term, func(ids.Index) {
 		mine := ranged.RangeDigests()
 		for name, digest := range request.Digests {
 			if mine[name] != digest {
-				response.Differ = append(response.Differ, name)
+				response.DifferingRanges = append(response.DifferingRanges, name)
 			}
 			delete(mine, name)
 		}
 		for name := range mine {
-			response.Differ = append(response.Differ, name)
+			response.DifferingRanges = append(response.DifferingRanges, name)
 		}
 	})
 	return response
@@ -154,20 +154,20 @@
 // handleRepair takes ranges over, if the part still stands at their stamp, and keeps
 // the mended whole as a snapshot, so that a restart does not bring the fault
 // back.
-func (r *Replica) handleRepair(request *rpc.MendAsk) error {
+func (r *Replica) handleRepair(request *rpc.RepairRequest) error {
 	ranged, ok := r.stateMachine.(RangeRepairer)
 	if !ok {
 		return nil
 	}
 	var err error
-	r.atIndex(request.Stamp, request.Term, func(ids.Stamp) {
+	r.atIndex(request.Index, request.Term, func(ids.Index) {
 		for name, data := range request.Ranges {
 			if err = ranged.Repair(name, data); err != nil {
 				return
 			}
 		}
 		r.takeSnapshot()
-		r.node.log(eventlog.PartMended, "part", int(r.shard), "stamp", uint64(request.Stamp), "ranges", len(request.Ranges))
+		r.node.log(eventlog.PartMended, "part", int(r.shard), "stamp", uint64(request.Index), "ranges", len(request.Ranges))
 	})
 	return err
 }
--- a/internal/consensus/replicate.go
+++ b/internal/consensus/replicate.go
@@ -24,7 +24,7 @@
 )
 
 // appendOwn adds an entry of the owner's own term.
-func (r *Replica) appendOwn(batch *storage.Batch, e rpc.Entry) ids.Stamp {
+func (r *Replica) appendOwn(batch *storage.Batch, e rpc.Entry) ids.Index {
 	last, _ := r.lastEntry()
 	e.Index, e.Term = last+1, r.currentTerm
 	r.entries = append(r.entries, e)
@@ -51,7 +51,7 @@
 
 // Propose writes an entry and waits until it is committed and folded. Without
 // ownership nothing is written; once written, only the receipt is certain.
-func (r *Replica) Propose(ctx context.Context, body any) (ids.Stamp, any, error) {
+func (r *Replica) Propose(ctx context.Context, body any) (ids.Index, any, error) {
 	raw, err := json.Marshal(body)
 	if err != nil {
 		return 0, nil, errcode.New(errcode.Internal, "%v", err)
@@ -65,13 +65,13 @@
 	return err
 }
 
-func (r *Replica) propose(ctx context.Context, e rpc.Entry) (ids.Stamp, any, error) {
+func (r *Replica) propose(ctx context.Context, e rpc.Entry) (ids.Index, any, error) {
 	r.mu.Lock()
 	if !r.isServing {
 		r.mu.Unlock()
 		return 0, nil, errcode.New(errcode.NotOwner, "part %d", r.shard)
 	}
-	if e.Kind == entryMembershipChange && (r.commitIndex < r.votersIndex || !r.voters.canBecome(Voters{Current: e.Group, Outgoing: e.Former})) {
+	if e.Kind == entryMembershipChange && (r.commitIndex < r.votersIndex || !r.voters.canBecome(Voters{Current: e.Voters, Outgoing: e.OutgoingVoters})) {
 		r.mu.Unlock()
 		return 0, nil, errcode.New(errcode.NotOwner, "part %d: the members have changed meanwhile", r.shard)
 	}
@@ -115,7 +115,7 @@
 	next, _ := r.lastEntry()
 	r.mu.Unlock()
 	isMatched := false
-	sentCommit := ids.Stamp(0)
+	sentCommit := ids.Index(0)
 	pause := func(d time.Duration) {
 		wakeup := time.NewTimer(d)
 		defer wakeup.Stop()
@@ -131,7 +131,7 @@
 			return
 		}
 		last, _ := r.lastEntry()
-		isCommitSent := r.shard != ids.Config || sentCommit >= r.commitIndex
+		isCommitSent := r.shard != ids.ConfigShard || sentCommit >= r.commitIndex
 		if isMatched && next > last && isCommitSent {
 			change := r.changed
 			r.mu.Unlock()
@@ -141,7 +141,7 @@
 			}
 			continue
 		}
-		request := &rpc.AppendAsk{Part: r.shard, Term: term, From: r.node.self, Commit: r.commitIndex}
+		request := &rpc.AppendRequest{Shard: r.shard, Term: term, From: r.node.self, Commit: r.commitIndex}
 		prevTerm, entries, isThere := r.entriesFrom(next)
 		if !isThere {
 			r.mu.Unlock()
@@ -153,7 +153,7 @@
 			next = match + 1
 			continue
 		}
-		request.Prev, request.PrevTerm = next-1, prevTerm
+		request.PrevIndex, request.PrevTerm = next-1, prevTerm
 		size := 0
 		for _, e := range entries {
 			if len(request.Entries) >= maxAppendEntries || size > maxAppendBytes {
@@ -164,13 +164,13 @@
 		}
 		r.mu.Unlock()
 		m, ok := r.node.members.View()[peer.Name]
-		if !ok || m.Birth != peer.Birth {
+		if !ok || m.ID != peer.ID {
 			pause(200 * time.Millisecond)
 			continue
 		}
 		limited, end := context.WithTimeout(ctx, appendTimeout+time.Duration(size)*time.Second/minLinkBytesPerSecond)
-		var response rpc.AppendReceipt
-		err := r.node.transport.Ask(limited, m.Wire, "pact.append", request, &response)
+		var response rpc.AppendResponse
+		err := r.node.transport.Ask(limited, m.RPCAddress, "pact.append", request, &response)
 		end()
 		if err != nil || response.From != peer {
 			pause(100 * time.Millisecond)
@@ -179,22 +179,22 @@
 		r.mu.Lock()
 		last, _ = r.lastEntry()
 		switch {
-		case r.isLeader && r.currentTerm == term && response.Promised == term && response.Match > last:
-			r.reportCorruption("a member has what its owner lacks", "member", string(peer.Name), "match", uint64(response.Match), "last", uint64(last))
-		case response.Ok:
-			isMatched, sentCommit, next = true, request.Commit, response.Match+1
-			if r.isLeader && r.currentTerm == term && r.matchIndex[peer] < response.Match {
-				r.matchIndex[peer], r.lastProgress[peer] = response.Match, r.node.env.Now()
+		case r.isLeader && r.currentTerm == term && response.CurrentTerm == term && response.MatchIndex > last:
+			r.reportCorruption("a member has what its owner lacks", "member", string(peer.Name), "match", uint64(response.MatchIndex), "last", uint64(last))
+		case response.Success:
+			isMatched, sentCommit, next = true, request.Commit, response.MatchIndex+1
+			if r.isLeader && r.currentTerm == term && r.matchIndex[peer] < response.MatchIndex {
+				r.matchIndex[peer], r.lastProgress[peer] = response.MatchIndex, r.node.env.Now()
 				r.maybeCommit()
 				r.notifyChanged()
 			}
-		case term.Less(response.Promised):
-			r.highestRound = max(r.highestRound, response.Promised.Round)
+		case term.Less(response.CurrentTerm):
+			r.highestRound = max(r.highestRound, response.CurrentTerm.Number)
 			if r.currentTerm == term {
 				r.stepDown("a member promised a higher term")
 			}
 		default:
-			next = response.Match + 1
+			next = response.MatchIndex + 1
 		}
 		r.mu.Unlock()
 	}
@@ -222,9 +222,9 @@
 }
 
 // handleAppend is a member's answer to what it is fed.
-func (r *Replica) handleAppend(request *rpc.AppendAsk) (*rpc.AppendReceipt, error) {
+func (r *Replica) handleAppend(request *rpc.AppendRequest) (*rpc.AppendResponse, error) {
 	r.mu.Lock()
-	response := &rpc.AppendReceipt{From: r.node.self, Promised: r.currentTerm}
+	response := &rpc.AppendResponse{From: r.node.self, CurrentTerm: r.currentTerm}
 	if err := r.checkTerm(request.Term, request.From); err != nil {
 		r.mu.Unlock()
 		return nil, err
@@ -235,13 +235,13 @@
 	}
 	batch := r.node.store.Begin()
 	r.becomeFollower(batch, request.Term)
-	response.Promised = request.Term
+	response.CurrentTerm = request.Term
 	last, _ := r.lastEntry()
-	prevTerm, ok := r.termAt(request.Prev)
-	isBelow := request.Prev < r.snapshot.Index
+	prevTerm, ok := r.termAt(request.PrevIndex)
+	isBelow := request.PrevIndex < r.snapshot.Index
 	if !isBelow && (!ok || prevTerm != request.PrevTerm) {
 		r.node.store.Hand(batch)
-		response.Match = min(r.commitIndex, last)
+		response.MatchIndex = min(r.commitIndex, last)
 		r.mu.Unlock()
 		return response, batch.Wait()
 	}
@@ -256,8 +256,8 @@
 		return nil, err
 	}
 	r.node.store.Hand(batch)
-	response.Ok, response.Match = true, max(request.Prev+ids.Stamp(len(request.Entries)), r.snapshot.Index)
-	r.leaderMatchIndex = max(r.leaderMatchIndex, response.Match)
+	response.Success, response.MatchIndex = true, max(request.PrevIndex+ids.Index(len(request.Entries)), r.snapshot.Index)
+	r.leaderMatchIndex = max(r.leaderMatchIndex, response.MatchIndex)
 	r.advanceCommit(min(request.Commit, r.leaderMatchIndex))
 	r.mu.Unlock()
 	r.node.recordLeader(r.shard, request.From.Name, request.Term)
--- a/internal/consensus/snapshot.go
+++ b/internal/consensus/snapshot.go
@@ -34,7 +34,7 @@
 
 // packedSnapshot is a snapshot as it is sent.
 type packedSnapshot struct {
-	index  ids.Stamp
+	index  ids.Index
 	term   ids.Term
 	digest string
 	data   []byte
@@ -42,7 +42,7 @@
 
 // incomingSnapshot is what a member has of a snapshot that is on its way.
 type incomingSnapshot struct {
-	index  ids.Stamp
+	index  ids.Index
 	term   ids.Term
 	digest string
 	data   []byte
@@ -79,7 +79,7 @@
 }
 
 // compact puts a snapshot in the place of the entries up to its index.
-func (r *Replica) compact(index ids.Stamp, state json.RawMessage) {
+func (r *Replica) compact(index ids.Index, state json.RawMessage) {
 	term, _ := r.termAt(index)
 	voters, _ := r.votersAsOf(index)
 	batch := r.node.store.Begin()
@@ -89,7 +89,7 @@
 	}
 	r.retainTail(compacted)
 	r.entries = r.entriesAfter(index)
-	r.snapshot = rpc.Snapshot{Index: index, Term: term, Group: voters.Current, Former: voters.Outgoing, State: state}
+	r.snapshot = rpc.Snapshot{Index: index, Term: term, Voters: voters.Current, OutgoingVoters: voters.Outgoing, State: state}
 	raw, _ := json.Marshal(r.snapshot)
 	batch.Put(r.key("base"), raw)
 	r.votersIndex = max(r.votersIndex, index)
@@ -111,12 +111,12 @@
 
 // entriesFrom is the entries from an index on, with the term of the one before; false
 // if some of them are only in the snapshot.
-func (r *Replica) entriesFrom(next ids.Stamp) (prevTerm ids.Term, entries []rpc.Entry, isThere bool) {
+func (r *Replica) entriesFrom(next ids.Index) (prevTerm ids.Term, entries []rpc.Entry, isThere bool) {
 	if next > r.snapshot.Index {
 		prevTerm, isThere = r.termAt(next - 1)
 		return prevTerm, r.entries[next-1-r.snapshot.Index:], isThere
 	}
-	first := r.snapshot.Index + 1 - ids.Stamp(len(r.retained))
+	first := r.snapshot.Index + 1 - ids.Index(len(r.retained))
 	if next <= first {
 		return ids.Term{}, nil, false
 	}
@@ -140,7 +140,7 @@
 	return packed
 }
 
-func newPackedSnapshot(index ids.Stamp, term ids.Term, raw []byte) *packedSnapshot {
+func newPackedSnapshot(index ids.Index, term ids.Term, raw []byte) *packedSnapshot {
 	var data bytes.Buffer
 	writer, _ := flate.NewWriter(&data, flate.BestSpeed)
 	writer.Write(raw)
@@ -151,7 +151,7 @@
 
 // sendSnapshot sends the snapshot to a member, from where it has it, and tells up to
 // where the member's log is synced then.
-func (r *Replica) sendSnapshot(ctx context.Context, term ids.Term, peer rpc.Peer) (matched ids.Stamp, err error) {
+func (r *Replica) sendSnapshot(ctx context.Context, term ids.Term, peer rpc.Peer) (matched ids.Index, err error) {
 	r.mu.Lock()
 	r.snapshotsInFlight++
 	r.mu.Unlock()
@@ -170,30 +170,30 @@
 	snapshot, offset := r.packSnapshot(), int64(0)
 	for ctx.Err() == nil {
 		m, ok := r.node.members.View()[peer.Name]
-		if !ok || m.Birth != peer.Birth {
+		if !ok || m.ID != peer.ID {
 			return 0, errcode.New(errcode.Unreached, "%s", peer.Name)
 		}
 		size := int64(len(snapshot.data))
-		request := &rpc.ChunkAsk{Part: r.shard, Term: term, From: r.node.self, Index: snapshot.index, Of: snapshot.term, Digest: snapshot.digest, Size: size, Offset: offset}
+		request := &rpc.SnapshotChunkRequest{Shard: r.shard, Term: term, From: r.node.self, Index: snapshot.index, SnapshotTerm: snapshot.term, Digest: snapshot.digest, Size: size, Offset: offset}
 		request.Data = snapshot.data[offset:min(size, offset+int64(r.node.env.Props.PactChunk))]
 		limited, end := context.WithTimeout(ctx, appendTimeout)
-		var response rpc.ChunkReceipt
-		err := r.node.transport.Ask(limited, m.Wire, "pact.chunk", request, &response)
+		var response rpc.SnapshotChunkResponse
+		err := r.node.transport.Ask(limited, m.RPCAddress, "pact.chunk", request, &response)
 		end()
 		switch {
 		case err != nil:
 			return 0, err
 		case response.From != peer:
 			return 0, errcode.New(errcode.Unreached, "%s is %s now", peer.Name, response.From.Name)
-		case term.Less(response.Promised):
-			r.stepDownForTerm(term, response.Promised)
+		case term.Less(response.CurrentTerm):
+			r.stepDownForTerm(term, response.CurrentTerm)
 			return 0, errcode.New(errcode.NotOwner, "part %d", r.shard)
-		case response.Match > 0:
-			return response.Match, nil
-		case response.Have < 0 || response.Have > size:
-			return 0, errcode.New(errcode.BadMessage, "%d bytes of %d", response.Have, size)
+		case response.MatchIndex > 0:
+			return response.MatchIndex, nil
+		case response.Received < 0 || response.Received > size:
+			return 0, errcode.New(errcode.BadMessage, "%d bytes of %d", response.Received, size)
 		}
-		if offset = response.Have; offset > 0 {
+		if offset = response.Received; offset > 0 {
 			r.recordProgress(peer)
 		}
 	}
@@ -222,16 +222,16 @@
 func (r *Replica) stepDownForTerm(term, higher ids.Term) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.highestRound = max(r.highestRound, higher.Round)
+	r.highestRound = max(r.highestRound, higher.Number)
 	if r.currentTerm == term {
 		r.stepDown("a member promised a higher term")
 	}
 }
 
 // handleSnapshotChunk takes a piece of a snapshot, and the snapshot when it is whole.
-func (r *Replica) handleSnapshotChunk(request *rpc.ChunkAsk) (*rpc.ChunkReceipt, error) {
+func (r *Replica) handleSnapshotChunk(request *rpc.SnapshotChunkRequest) (*rpc.SnapshotChunkResponse, error) {
 	r.mu.Lock()
-	response := &rpc.ChunkReceipt{From: r.node.self, Promised: r.currentTerm}
+	response := &rpc.SnapshotChunkResponse{From: r.node.self, CurrentTerm: r.currentTerm}
 	if err := r.checkTerm(request.Term, request.From); err != nil {
 		r.mu.Unlock()
 		return nil, err
@@ -242,7 +242,7 @@
 	}
 	batch := r.node.store.Begin()
 	r.becomeFollower(batch, request.Term)
-	response.Promised = request.Term
+	response.CurrentTerm = request.Term
 	err := r.addChunk(batch, request, response)
 	// The promise that the batch may bear is in memory already.
 	r.node.store.Hand(batch)
@@ -259,25 +259,25 @@
 
 // addChunk adds a chunk to what there is; one that does not fit is answered with how
 // much is there.
-func (r *Replica) addChunk(batch *storage.Batch, request *rpc.ChunkAsk, response *rpc.ChunkReceipt) error {
+func (r *Replica) addChunk(batch *storage.Batch, request *rpc.SnapshotChunkRequest, response *rpc.SnapshotChunkResponse) error {
 	if request.Size <= 0 || request.Size > maxPackedSnapshot || request.Offset < 0 || request.Offset+int64(len(request.Data)) > request.Size {
 		return errcode.New(errcode.BadMessage, "part %d: chunk of %d bytes at %d of %d", r.shard, len(request.Data), request.Offset, request.Size)
 	}
-	if held := (&rpc.Snapshot{Index: request.Index, Term: request.Of}); request.Index <= r.commitIndex || r.hasSnapshotEntry(held) {
+	if held := (&rpc.Snapshot{Index: request.Index, Term: request.SnapshotTerm}); request.Index <= r.commitIndex || r.hasSnapshotEntry(held) {
 		r.incomingSnapshot = nil
-		response.Match = request.Index
+		response.MatchIndex = request.Index
 		r.leaderMatchIndex = max(r.leaderMatchIndex, request.Index)
 		return nil
 	}
-	if in := r.incomingSnapshot; in == nil || in.digest != request.Digest || in.index != request.Index || in.term != request.Of {
-		r.incomingSnapshot = &incomingSnapshot{index: request.Index, term: request.Of, digest: request.Digest}
+	if in := r.incomingSnapshot; in == nil || in.digest != request.Digest || in.index != request.Index || in.term != request.SnapshotTerm {
+		r.incomingSnapshot = &incomingSnapshot{index: request.Index, term: request.SnapshotTerm, digest: request.Digest}
 	}
 	in := r.incomingSnapshot
 	if request.Offset == int64(len(in.data)) {
 		in.data = append(in.data, request.Data...)
 	}
-	response.Have = int64(len(in.data))
-	if response.Have < request.Size {
+	response.Received = int64(len(in.data))
+	if response.Received < request.Size {
 		return nil
 	}
 	snapshot, err := in.unpack()
@@ -288,7 +288,7 @@
 		return err
 	}
 	r.incomingSnapshot = nil
-	response.Match = snapshot.Index
+	response.MatchIndex = snapshot.Index
 	r.leaderMatchIndex = max(r.leaderMatchIndex, snapshot.Index)
 	return nil
 }
@@ -307,7 +307,7 @@
 	if err := json.Unmarshal(raw, snapshot); err != nil {
 		return nil, errcode.New(errcode.BadMessage, "snapshot %d: %v", in.index, err)
 	}
-	if snapshot.Index != in.index || snapshot.Term != in.term || len(snapshot.Group) == 0 {
+	if snapshot.Index != in.index || snapshot.Term != in.term || len(snapshot.Voters) == 0 {
 		return nil, errcode.New(errcode.BadMessage, "snapshot %d of %s is another's: %d of %s", in.index, in.term, snapshot.Index, snapshot.Term)
 	}
 	return snapshot, nil
--- a/internal/consensus/trace.go
+++ b/internal/consensus/trace.go
@@ -23,10 +23,10 @@
 // against the invariants of the protocol; in a running node nobody listens.
 type TraceEvent struct {
 	Kind               TraceKind
-	Shard              ids.Part
+	Shard              ids.Shard
 	Member             rpc.Peer
 	Term               ids.Term
-	Index              ids.Stamp
+	Index              ids.Index
 	EntryTerm          ids.Term
 	IsLeader           bool
 	IsMembershipChange bool // the entry names voters
@@ -35,7 +35,7 @@
 	Since              time.Time
 	// TermAt is the term of the entry at an index of the new owner's log; false if
 	// the entry lies below its snapshot. It is called at once only.
-	TermAt func(ids.Stamp) (ids.Term, bool)
+	TermAt func(ids.Index) (ids.Term, bool)
 }
 
 // CharterEvent is a charter that a node has synced, accepted or open.
--- a/internal/consensus/voters.go
+++ b/internal/consensus/voters.go
@@ -107,7 +107,7 @@
 func joinNames(peers []rpc.Peer) string {
 	var parts []string
 	for _, peer := range peers {
-		parts = append(parts, fmt.Sprintf("%s/%.4s", peer.Name, peer.Birth))
+		parts = append(parts, fmt.Sprintf("%s/%.4s", peer.Name, peer.ID))
 	}
 	return strings.Join(parts, " ")
 }
--- a/internal/consensus/voters_test.go
+++ b/internal/consensus/voters_test.go
@@ -9,7 +9,7 @@
 
 func peers(names string) (list []rpc.Peer) {
 	for _, name := range names {
-		list = append(list, rpc.Peer{Name: ids.Name("core-" + string(name)), Birth: "b"})
+		list = append(list, rpc.Peer{Name: ids.NodeName("core-" + string(name)), ID: "b"})
 	}
 	return list
 }
@@ -25,7 +25,7 @@
 	if got := joint.QuorumValue(func(p rpc.Peer) int64 { return value[string(p.Name[len(p.Name)-1:])] }); got != 5 {
 		t.Errorf("reached %d, want 5: the former majority is A and B", got)
 	}
-	reborn := rpc.Peer{Name: peers("A")[0].Name, Birth: "other"}
+	reborn := rpc.Peer{Name: peers("A")[0].Name, ID: "other"}
 	if joint.HasQuorum([]rpc.Peer{reborn, peers("B")[0]}) {
 		t.Error("another birth of a member has its vote")
 	}
--- a/internal/controlplane/binding_test.go
+++ b/internal/controlplane/binding_test.go
@@ -10,14 +10,14 @@
 
 func TestOnlyWhatTakesAwayOrWasSubmittedBinds(t *testing.T) {
 	l := NewConfigState()
-	step := func(change *rpc.ChangeReceipt, put map[string]any, drop ...string) ids.Epoch {
+	step := func(change *rpc.ChangeResult, put map[string]any, drop ...string) ids.Epoch {
 		t.Helper()
-		planned := &rpc.Planned{Epoch: l.Current().Epoch + 1, Change: change, Put: map[string]json.RawMessage{}, Drop: drop}
+		planned := &rpc.EpochEntry{Epoch: l.Current().Epoch + 1, Change: change, Put: map[string]json.RawMessage{}, Remove: drop}
 		for name, v := range put {
 			planned.Put[name], _ = json.Marshal(v)
 		}
 		raw, _ := json.Marshal(planned)
-		if l.Apply(ids.Stamp(planned.Epoch), raw) != true {
+		if l.Apply(ids.Index(planned.Epoch), raw) != true {
 			t.Fatal("not applied")
 		}
 		return l.Current().LastBinding
@@ -27,12 +27,12 @@
 	moved, drained, lighter := b, b, b
 	moved.Address, drained.Weight, lighter.Weight = "10.0.0.3:80", 0, 50
 	for i, one := range []struct {
-		change *rpc.ChangeReceipt
+		change *rpc.ChangeResult
 		put    map[string]any
 		drop   []string
 		want   ids.Epoch
 	}{
-		{&rpc.ChangeReceipt{Id: "first", Epoch: 1}, list(a), nil, 1},
+		{&rpc.ChangeResult{ID: "first", Epoch: 1}, list(a), nil, 1},
 		{nil, list(a, b), nil, 1},
 		{nil, map[string]any{SharesGroup: map[string]int{"proxy1": 100}}, nil, 1},
 		{nil, list(a, lighter), nil, 1},
@@ -41,7 +41,7 @@
 		{nil, list(a), nil, 6},
 		{nil, list(), nil, 8},
 		{nil, list(b), nil, 8},
-		{&rpc.ChangeReceipt{Id: "second", Epoch: 10}, nil, nil, 10},
+		{&rpc.ChangeResult{ID: "second", Epoch: 10}, nil, nil, 10},
 		{nil, list(b, a), nil, 10},
 		{nil, nil, []string{TargetsPrefix + "rates"}, 12},
 	} {
--- a/internal/controlplane/check.go
+++ b/internal/controlplane/check.go
@@ -16,25 +16,25 @@
 )
 
 // MergeChange puts a change set over a configuration and checks the result.
-func MergeChange(config rpc.Config, change *rpc.Change) (rpc.Config, []string) {
+func MergeChange(config rpc.Configuration, change *rpc.ChangeSet) (rpc.Configuration, []string) {
 	var paths []string
 	fail := func(format string, args ...any) { paths = append(paths, fmt.Sprintf(format, args...)) }
-	if change.Id == "" || len(change.Id) > 128 {
+	if change.ID == "" || len(change.ID) > 128 {
 		fail("id: is missing or longer than 128 bytes")
 	}
-	if change.Whole {
-		config = rpc.Config{}
-		if len(change.Drop.Mappings)+len(change.Drop.Services)+len(change.Drop.Limits) > 0 {
+	if change.Complete {
+		config = rpc.Configuration{}
+		if len(change.Remove.Routes)+len(change.Remove.Services)+len(change.Remove.Limits) > 0 {
 			fail("drop: has no place in a whole configuration")
 		}
 	}
-	next := rpc.Config{}
-	next.Mappings = mergeItems(config.Mappings, change.Put.Mappings, change.Drop.Mappings, func(m rpc.Mapping) string { return m.Name }, "mappings", fail)
-	next.Services = mergeItems(config.Services, change.Put.Services, change.Drop.Services, func(s rpc.Service) string { return s.Name }, "services", fail)
-	next.Limits = mergeItems(config.Limits, change.Put.Limits, change.Drop.Limits, func(l rpc.Limit) string { return l.Service }, "limits", fail)
-	next.Manners = config.Manners
-	if change.Put.Manners != nil {
-		next.Manners = change.Put.Manners
+	next := rpc.Configuration{}
+	next.Routes = mergeItems(config.Routes, change.Put.Routes, change.Remove.Routes, func(m rpc.Route) string { return m.Name }, "mappings", fail)
+	next.Services = mergeItems(config.Services, change.Put.Services, change.Remove.Services, func(s rpc.Service) string { return s.Name }, "services", fail)
+	next.Limits = mergeItems(config.Limits, change.Put.Limits, change.Remove.Limits, func(l rpc.Limit) string { return l.Service }, "limits", fail)
+	next.ClientLimits = config.ClientLimits
+	if change.Put.ClientLimits != nil {
+		next.ClientLimits = change.Put.ClientLimits
 	}
 	sortConfig(&next)
 	validateConfig(&next, fail)
@@ -71,9 +71,9 @@
 	return append(next, put...)
 }
 
-func validateConfig(c *rpc.Config, fail func(string, ...any)) {
-	if len(c.Mappings) > maxRoutes {
-		fail("mappings: %d are more than %d", len(c.Mappings), maxRoutes)
+func validateConfig(c *rpc.Configuration, fail func(string, ...any)) {
+	if len(c.Routes) > maxRoutes {
+		fail("mappings: %d are more than %d", len(c.Routes), maxRoutes)
 	}
 	if len(c.Services) > maxServices {
 		fail("services: %d are more than %d", len(c.Services), maxServices)
@@ -83,13 +83,13 @@
 		if s.Name == "" || strings.ContainsAny(s.Name, "/ \t\r\n") || len(s.Name) > 128 {
 			fail("services.%s.name: is empty, too long, or holds a slash or a space", s.Name)
 		}
-		if s.Pipes < 0 {
+		if s.MaxConnections < 0 {
 			fail("services.%s.pipes: is below zero", s.Name)
 		}
 		services[s.Name] = true
 	}
 	taken := map[string]string{}
-	for _, m := range c.Mappings {
+	for _, m := range c.Routes {
 		at := "mappings." + m.Name
 		if m.Name == "" || len(m.Name) > 256 {
 			fail("%s.name: is empty or too long", at)
@@ -97,11 +97,11 @@
 		if !strings.HasPrefix(m.Path, "/") {
 			fail("%s.path: does not begin with a slash", at)
 		}
-		if len(m.To) == 0 {
+		if len(m.Services) == 0 {
 			fail("%s.to: is empty", at)
 		}
 		total := 0
-		for i, split := range m.To {
+		for i, split := range m.Services {
 			if !services[split.Service] {
 				fail("%s.to.%d.service: there is no service %q", at, i, split.Service)
 			}
@@ -110,24 +110,24 @@
 			}
 			total += split.Weight
 		}
-		if len(m.To) > 0 && total == 0 {
+		if len(m.Services) > 0 && total == 0 {
 			fail("%s.to: all weights are zero", at)
 		}
-		if m.Deadline < 0 || m.Deadline > 600_000 {
+		if m.DeadlineMillis < 0 || m.DeadlineMillis > 600_000 {
 			fail("%s.deadline: is outside 0 to 600000 ms", at)
 		}
-		if m.Aim < 0 || m.Aim > 600_000 {
+		if m.LatencyTargetMillis < 0 || m.LatencyTargetMillis > 600_000 {
 			fail("%s.aim: is outside 0 to 600000 ms", at)
-		} else if m.Aim > 0 && m.Deadline > 0 && m.Aim >= m.Deadline+60_000 {
+		} else if m.LatencyTargetMillis > 0 && m.DeadlineMillis > 0 && m.LatencyTargetMillis >= m.DeadlineMillis+60_000 {
 			fail("%s.aim: is a minute or more above the deadline", at)
 		}
 		if m.Priority < 0 || m.Priority > 100 {
 			fail("%s.priority: is outside 0 to 100", at)
 		}
-		if m.Tries < 0 || m.Tries > 16 {
+		if m.MaxAttempts < 0 || m.MaxAttempts > 16 {
 			fail("%s.tries: is outside 0 to 16", at)
 		}
-		if m.Once != nil && *m.Once && m.Repeatable {
+		if m.Deduplicate != nil && *m.Deduplicate && m.Idempotent {
 			fail("%s.once: makes no sense for a repeatable mapping", at)
 		}
 		methods := m.Methods
@@ -149,33 +149,33 @@
 		if !services[l.Service] {
 			fail("limits.%s.service: there is no such service", l.Service)
 		}
-		if l.Inflight < 0 {
+		if l.MaxInFlight < 0 {
 			fail("limits.%s.inflight: is below zero", l.Service)
 		}
-		if l.ExtraPercent != nil && (*l.ExtraPercent < 0 || *l.ExtraPercent > 20) {
+		if l.RetryPercent != nil && (*l.RetryPercent < 0 || *l.RetryPercent > 20) {
 			fail("limits.%s.extra_percent: is outside 0 to 20", l.Service)
 		}
-		if l.ExtraBase != nil && (*l.ExtraBase < 0 || *l.ExtraBase > 60) {
+		if l.RetryBase != nil && (*l.RetryBase < 0 || *l.RetryBase > 60) {
 			fail("limits.%s.extra_base: is outside 0 to 60", l.Service)
 		}
 	}
-	validateClientLimits(c.Manners, fail)
+	validateClientLimits(c.ClientLimits, fail)
 }
 
-func validateClientLimits(m *rpc.Manners, fail func(string, ...any)) {
+func validateClientLimits(m *rpc.ClientLimits, fail func(string, ...any)) {
 	if m == nil {
 		return
 	}
-	if m.Header != 0 && (m.Header < 1<<10 || m.Header > 1<<20) {
+	if m.HeaderBytes != 0 && (m.HeaderBytes < 1<<10 || m.HeaderBytes > 1<<20) {
 		fail("manners.header: is neither 0 nor within 1024 to 1048576")
 	}
-	if m.Body < 0 {
+	if m.BodyBytes < 0 {
 		fail("manners.body: is below zero")
 	}
-	if m.HeaderTime < 0 || m.HeaderTime > 600_000 {
+	if m.HeaderTimeoutMillis < 0 || m.HeaderTimeoutMillis > 600_000 {
 		fail("manners.header_time: is outside 0 to 600000 ms")
 	}
-	if m.IdleTime < 0 || m.IdleTime > 600_000 {
+	if m.IdleTimeoutMillis < 0 || m.IdleTimeoutMillis > 600_000 {
 		fail("manners.idle_time: is outside 0 to 600000 ms")
 	}
 }
--- a/internal/controlplane/ledger.go
+++ b/internal/controlplane/ledger.go
@@ -35,7 +35,7 @@
 // routeGroup is the group that a mapping lies in. Routes are cut into a few groups
 // by name, so that a small change to a large configuration moves a small group.
 func routeGroup(name string) string {
-	return fmt.Sprintf("%s%02d", RoutesPrefix, ids.Score("mapping", name)%routeBuckets)
+	return fmt.Sprintf("%s%02d", RoutesPrefix, ids.Hash("mapping", name)%routeBuckets)
 }
 
 // EpochState is one epoch as it stands; it is never written to after it was made.
@@ -45,7 +45,7 @@
 	LastChange  ids.Epoch
 	Version     ids.Version
 	Groups      map[string]rpc.Group
-	Changes     []rpc.ChangeReceipt
+	Changes     []rpc.ChangeResult
 
 	manifestDigest atomic.Pointer[string]
 	appliedAt      time.Time // when it was folded here
@@ -62,7 +62,7 @@
 	mu       sync.RWMutex
 	current  *EpochState
 	previous []*EpochState // the epochs before, newest last
-	OnCommit func(*EpochState, *rpc.Planned)
+	OnCommit func(*EpochState, *rpc.EpochEntry)
 }
 
 func NewConfigState() *ConfigState {
@@ -76,8 +76,8 @@
 }
 
 // Apply folds one epoch; one that does not follow the last is not taken.
-func (c *ConfigState) Apply(index ids.Stamp, body json.RawMessage) any {
-	var planned rpc.Planned
+func (c *ConfigState) Apply(index ids.Index, body json.RawMessage) any {
+	var planned rpc.EpochEntry
 	if err := json.Unmarshal(body, &planned); err != nil {
 		return false
 	}
@@ -89,9 +89,9 @@
 	}
 	next := &EpochState{Epoch: planned.Epoch, LastChange: old.LastChange, Version: old.Version, Groups: maps.Clone(old.Groups), Changes: old.Changes, appliedAt: time.Now()}
 	for name, data := range planned.Put {
-		next.Groups[name] = rpc.Group{Digest: Digest(data), Stamp: ids.Stamp(planned.Epoch), Data: data}
+		next.Groups[name] = rpc.Group{Digest: Digest(data), Index: ids.Index(planned.Epoch), Data: data}
 	}
-	for _, name := range planned.Drop {
+	for _, name := range planned.Remove {
 		delete(next.Groups, name)
 	}
 	next.LastBinding = old.LastBinding
@@ -103,7 +103,7 @@
 		if planned.Change.Version > 0 {
 			next.Version = planned.Change.Version
 		}
-		next.Changes = appendChange(old.Changes, planned.Change, planned.Memory)
+		next.Changes = appendChange(old.Changes, planned.Change, planned.ResultsKept)
 	}
 	c.current = next
 	if c.previous = append(c.previous, old); len(c.previous) > maxPreviousEpochs {
@@ -118,7 +118,7 @@
 
 // appendChange adds a change set to those that are remembered. How many they may be
 // stands in the entry, so that all members fold the same whatever their settings say.
-func appendChange(old []rpc.ChangeReceipt, change *rpc.ChangeReceipt, limit int) []rpc.ChangeReceipt {
+func appendChange(old []rpc.ChangeResult, change *rpc.ChangeResult, limit int) []rpc.ChangeResult {
 	if limit == 0 {
 		limit = defaultChangeHistory
 	}
@@ -169,11 +169,11 @@
 }
 
 func (e *EpochState) marshal() (json.RawMessage, error) {
-	return json.Marshal(rpc.LedgerState{Epoch: e.Epoch, Changed: e.LastChange, Version: e.Version, Groups: e.Groups, Changes: e.Changes})
+	return json.Marshal(rpc.ConfigurationState{Epoch: e.Epoch, ChangedEpoch: e.LastChange, Version: e.Version, Groups: e.Groups, Results: e.Changes})
 }
 
 func (c *ConfigState) Restore(raw json.RawMessage) error {
-	var state rpc.LedgerState
+	var state rpc.ConfigurationState
 	if err := json.Unmarshal(raw, &state); err != nil {
 		return err
 	}
@@ -181,7 +181,7 @@
 		state.Groups = map[string]rpc.Group{}
 	}
 	c.mu.Lock()
-	c.current = &EpochState{Epoch: state.Epoch, LastBinding: state.Epoch, LastChange: state.Changed, Version: state.Version, Groups: state.Groups, Changes: state.Changes}
+	c.current = &EpochState{Epoch: state.Epoch, LastBinding: state.Epoch, LastChange: state.ChangedEpoch, Version: state.Version, Groups: state.Groups, Changes: state.Results}
 	c.mu.Unlock()
 	return nil
 }
--- a/internal/controlplane/ledger_test.go
+++ b/internal/controlplane/ledger_test.go
@@ -12,37 +12,37 @@
 )
 
 // commit lays a change set over a ledger and applies the epoch.
-func commit(t *testing.T, l *ConfigState, change *rpc.Change) *EpochState {
+func commit(t *testing.T, l *ConfigState, change *rpc.ChangeSet) *EpochState {
 	t.Helper()
 	sheet := l.Current()
 	config, paths := MergeChange(sheet.Config(), change)
 	if len(paths) > 0 {
 		t.Fatal(paths)
 	}
-	planned := &rpc.Planned{Epoch: sheet.Epoch + 1, Put: map[string]json.RawMessage{}, Change: &rpc.ChangeReceipt{Id: change.Id, Epoch: sheet.Epoch + 1, Version: change.Version}}
+	planned := &rpc.EpochEntry{Epoch: sheet.Epoch + 1, Put: map[string]json.RawMessage{}, Change: &rpc.ChangeResult{ID: change.ID, Epoch: sheet.Epoch + 1, Version: change.Version}}
 	diffGroups(planned, sheet, encodeGroups(config))
 	raw, err := json.Marshal(planned)
-	if err != nil || l.Apply(ids.Stamp(planned.Epoch), raw) != true {
+	if err != nil || l.Apply(ids.Index(planned.Epoch), raw) != true {
 		t.Fatal("not applied", err)
 	}
 	return l.Current()
 }
 
-func mappingFrom(name, source string) rpc.Mapping {
-	return rpc.Mapping{Name: name, Path: "/" + name, To: []rpc.Split{{Service: "s", Weight: 1}}, Source: json.RawMessage(source)}
+func mappingFrom(name, source string) rpc.Route {
+	return rpc.Route{Name: name, Path: "/" + name, Services: []rpc.WeightedService{{Service: "s", Weight: 1}}, Source: json.RawMessage(source)}
 }
 
 func sourcesOf(s *EpochState) map[string]string {
 	texts := map[string]string{}
 	c := s.Config()
-	for _, m := range c.Mappings {
+	for _, m := range c.Routes {
 		texts["mappings/"+m.Name] = string(m.Source)
 	}
 	for _, s := range c.Services {
 		texts["services/"+s.Name] = string(s.Source)
 	}
-	if c.Manners != nil {
-		texts["manners"] = string(c.Manners.Source)
+	if c.ClientLimits != nil {
+		texts["manners"] = string(c.ClientLimits.Source)
 	}
 	return texts
 }
@@ -79,21 +79,21 @@
 
 func TestSourcesComeBackAndAreNotCarried(t *testing.T) {
 	l := NewConfigState()
-	put := rpc.Config{
-		Mappings: []rpc.Mapping{mappingFrom("a", `{"x":1}`), mappingFrom("b", `{"x":2}`), mappingFrom("c", "")},
-		Services: []rpc.Service{{Name: "s", Source: json.RawMessage(`{"y":1}`)}, {Name: "t"}},
-		Manners:  &rpc.Manners{Body: 1, Source: json.RawMessage(`{"z":1}`)},
+	put := rpc.Configuration{
+		Routes:       []rpc.Route{mappingFrom("a", `{"x":1}`), mappingFrom("b", `{"x":2}`), mappingFrom("c", "")},
+		Services:     []rpc.Service{{Name: "s", Source: json.RawMessage(`{"y":1}`)}, {Name: "t"}},
+		ClientLimits: &rpc.ClientLimits{BodyBytes: 1, Source: json.RawMessage(`{"z":1}`)},
 	}
 	want := map[string]string{"mappings/a": `{"x":1}`, "mappings/b": `{"x":2}`, "mappings/c": "", "services/s": `{"y":1}`, "services/t": "", "manners": `{"z":1}`}
-	sheet := commit(t, l, &rpc.Change{Id: "1", Put: put})
+	sheet := commit(t, l, &rpc.ChangeSet{ID: "1", Put: put})
 	wantSources(t, sheet, want)
-	if string(put.Mappings[0].Source) == "" || string(put.Manners.Source) == "" {
+	if string(put.Routes[0].Source) == "" || string(put.ClientLimits.Source) == "" {
 		t.Error("the change set itself was written to")
 	}
-	sheet = commit(t, l, &rpc.Change{Id: "2", Put: rpc.Config{Mappings: []rpc.Mapping{mappingFrom("a", `{"x":9}`)}}})
+	sheet = commit(t, l, &rpc.ChangeSet{ID: "2", Put: rpc.Configuration{Routes: []rpc.Route{mappingFrom("a", `{"x":9}`)}}})
 	want["mappings/a"] = `{"x":9}`
 	wantSources(t, sheet, want)
-	sheet = commit(t, l, &rpc.Change{Id: "3", Put: rpc.Config{Mappings: []rpc.Mapping{mappingFrom("a", "")}}, Drop: rpc.Drops{Mappings: []string{"b"}}})
+	sheet = commit(t, l, &rpc.ChangeSet{ID: "3", Put: rpc.Configuration{Routes: []rpc.Route{mappingFrom("a", "")}}, Remove: rpc.Removals{Routes: []string{"b"}}})
 	want["mappings/a"] = ""
 	delete(want, "mappings/b")
 	wantSources(t, sheet, want)
@@ -103,7 +103,7 @@
 		t.Fatal(err)
 	}
 	wantSources(t, other.Current(), want)
-	sheet = commit(t, l, &rpc.Change{Id: "4", Whole: true, Put: rpc.Config{Services: []rpc.Service{{Name: "s"}}}})
+	sheet = commit(t, l, &rpc.ChangeSet{ID: "4", Complete: true, Put: rpc.Configuration{Services: []rpc.Service{{Name: "s"}}}})
 	wantSources(t, sheet, map[string]string{"services/s": ""})
 	for name := range sheet.Groups {
 		if strings.HasPrefix(name, SourcesPrefix) || name == ClientLimitsGroup {
@@ -115,7 +115,7 @@
 func TestTheVersionIsKept(t *testing.T) {
 	l := NewConfigState()
 	for i, c := range []struct{ sent, want ids.Version }{{0, 0}, {3, 3}, {0, 3}, {8, 8}} {
-		if got := commit(t, l, &rpc.Change{Id: string(rune('a' + i)), Version: c.sent}).Version; got != c.want {
+		if got := commit(t, l, &rpc.ChangeSet{ID: string(rune('a' + i)), Version: c.sent}).Version; got != c.want {
 			t.Errorf("%d: version %d, want %d", i, got, c.want)
 		}
 	}
--- a/internal/controlplane/news.go
+++ b/internal/controlplane/news.go
@@ -19,39 +19,39 @@
 
 // Report is the lists of all parts owned here, each with an age that proves that
 // everything known at that time is in the list.
-func (r *TargetRegistry) Report(ctx context.Context, request *rpc.NewsAsk) *rpc.NewsReceipt {
+func (r *TargetRegistry) Report(ctx context.Context, request *rpc.TargetReportRequest) *rpc.TargetReportResponse {
 	began := r.env.Now()
-	response := &rpc.NewsReceipt{}
+	response := &rpc.TargetReportResponse{}
 	for shard := range r.stores {
-		replica := r.consensus.Replica(ids.Part(shard))
+		replica := r.consensus.Replica(ids.Shard(shard))
 		term, since, isServing := replica.LeadershipSince()
 		warmingUp := r.env.Since(since) < r.env.Props.PlanSettle
 		if !isServing || warmingUp && !r.env.Props.PlanKeep || replica.ConfirmLeadership(ctx, began) != nil {
 			continue
 		}
-		lists := r.targetLists(ids.Part(shard), term, warmingUp)
-		digest := r.reportDigest(ids.Part(shard), lists)
-		news := rpc.PartNews{Part: ids.Part(shard), Term: term, Digest: digest, Young: warmingUp, Age: r.env.Since(began).Microseconds() + 1}
-		if request.Known[ids.Part(shard)] != digest {
-			news.Lists = lists
+		lists := r.targetLists(ids.Shard(shard), term, warmingUp)
+		digest := r.reportDigest(ids.Shard(shard), lists)
+		news := rpc.ShardTargets{Shard: ids.Shard(shard), Term: term, Digest: digest, Provisional: warmingUp, Age: r.env.Since(began).Microseconds() + 1}
+		if request.Known[ids.Shard(shard)] != digest {
+			news.Targets = lists
 		}
-		response.Parts = append(response.Parts, news)
+		response.Shards = append(response.Shards, news)
 	}
 	return response
 }
 
 // targetLists is what was heard of a part. A young owner also names those that are
 // known to be out and weren't heard from yet.
-func (r *TargetRegistry) targetLists(shard ids.Part, term ids.Term, warmingUp bool) map[string][]rpc.Listed {
+func (r *TargetRegistry) targetLists(shard ids.Shard, term ids.Term, warmingUp bool) map[string][]rpc.ReportedTarget {
 	marks, _ := r.stores[shard].All(coordination.Mark, "")
-	marked := map[string]rpc.BondRecord{}
+	marked := map[string]rpc.CoordinationRecord{}
 	for _, m := range marks {
 		marked[m.Name] = m
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.resetOnNewTerm(shard, term)
-	lists := map[string][]rpc.Listed{}
+	lists := map[string][]rpc.ReportedTarget{}
 	for service, instances := range r.targets[shard] {
 		for instance, target := range instances {
 			out := ""
@@ -79,13 +79,13 @@
 					r.env.Go(func() {
 						limited, end := context.WithTimeout(r.env, time.Second)
 						defer end()
-						r.propose(limited, r.consensus.Replica(shard), &rpc.BondOp{Op: "unmark", Name: service + "/" + instance, Seq: m.Seq})
+						r.propose(limited, r.consensus.Replica(shard), &rpc.CoordinationRequest{Operation: "unmark", Name: service + "/" + instance, Sequence: m.Sequence})
 					})
 				}
 				delete(instances, instance)
 				continue
 			}
-			lists[service] = append(lists[service], rpc.Listed{Instance: instance, Address: target.heartbeat.Address, Zone: target.heartbeat.Zone, Weight: target.heartbeat.Weight, Slots: target.heartbeat.Slots, Cold: target.warmUp, Since: r.env.Since(target.firstSeen).Microseconds(), Out: out})
+			lists[service] = append(lists[service], rpc.ReportedTarget{Instance: instance, Address: target.heartbeat.Address, Zone: target.heartbeat.Zone, Weight: target.heartbeat.Weight, Slots: target.heartbeat.Slots, SlowStartMillis: target.warmUp, Since: r.env.Since(target.firstSeen).Microseconds(), OutReason: out})
 		}
 		if len(instances) == 0 {
 			delete(r.targets[shard], service)
@@ -93,7 +93,7 @@
 	}
 	for name, m := range marked {
 		if service, instance, _ := strings.Cut(name, "/"); warmingUp {
-			lists[service] = append(lists[service], rpc.Listed{Instance: instance, Out: m.Holder})
+			lists[service] = append(lists[service], rpc.ReportedTarget{Instance: instance, OutReason: m.Holder})
 		}
 	}
 	for _, list := range lists {
@@ -103,7 +103,7 @@
 }
 
 // reportDigest is made anew only when a list says something else than the last time.
-func (r *TargetRegistry) reportDigest(shard ids.Part, lists map[string][]rpc.Listed) string {
+func (r *TargetRegistry) reportDigest(shard ids.Shard, lists map[string][]rpc.ReportedTarget) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	last, ok := r.lastReports[shard]
@@ -114,9 +114,9 @@
 	return last.digest
 }
 
-func equalLists(one, two map[string][]rpc.Listed) bool {
-	return maps.EqualFunc(one, two, func(a, b []rpc.Listed) bool {
-		return slices.EqualFunc(a, b, func(x, y rpc.Listed) bool {
+func equalLists(one, two map[string][]rpc.ReportedTarget) bool {
+	return maps.EqualFunc(one, two, func(a, b []rpc.ReportedTarget) bool {
+		return slices.EqualFunc(a, b, func(x, y rpc.ReportedTarget) bool {
 			x.Since, y.Since = 0, 0
 			return x == y
 		})
@@ -124,10 +124,10 @@
 }
 
 // digestLists leaves out the ages, which change all the time.
-func digestLists(lists map[string][]rpc.Listed) string {
-	bare := make(map[string][]rpc.Listed, len(lists))
+func digestLists(lists map[string][]rpc.ReportedTarget) string {
+	bare := make(map[string][]rpc.ReportedTarget, len(lists))
 	for service, list := range lists {
-		list = append([]rpc.Listed(nil), list...)
+		list = append([]rpc.ReportedTarget(nil), list...)
 		for i := range list {
 			list[i].Since = 0
 		}
--- a/internal/controlplane/planner.go
+++ b/internal/controlplane/planner.go
@@ -22,7 +22,7 @@
 )
 
 type shardReport struct {
-	rpc.PartNews
+	rpc.ShardTargets
 	asOf       time.Time
 	receivedAt time.Time
 }
@@ -39,9 +39,9 @@
 	planning          environment.Turn
 	mu                sync.Mutex
 	term              ids.Term
-	reports           map[ids.Part]*shardReport
-	previousTargets   map[ids.Part]map[string]bool
-	reflectedUpTo     map[ids.Part]time.Time
+	reports           map[ids.Shard]*shardReport
+	previousTargets   map[ids.Shard]map[string]bool
+	reflectedUpTo     map[ids.Shard]time.Time
 	converged         *EpochState
 	reportedConflicts map[addressConflict]bool
 	startedAt         time.Time
@@ -50,15 +50,15 @@
 }
 
 func NewPlanner(env *environment.Realm, transport *rpc.Wire, members *membership.Kin, node *consensus.Node, config *ConfigState) *Planner {
-	p := &Planner{env: env, transport: transport, members: members, replica: node.Replica(ids.Config), config: config, trigger: make(chan struct{}, 1), reportedConflicts: map[addressConflict]bool{}, startedAt: env.Now(), planning: environment.NewTurn()}
+	p := &Planner{env: env, transport: transport, members: members, replica: node.Replica(ids.ConfigShard), config: config, trigger: make(chan struct{}, 1), reportedConflicts: map[addressConflict]bool{}, startedAt: env.Now(), planning: environment.NewTurn()}
 	p.reset(ids.Term{})
 	return p
 }
 
 func (p *Planner) reset(term ids.Term) {
 	p.term = term
-	p.reports, p.reflectedUpTo = map[ids.Part]*shardReport{}, map[ids.Part]time.Time{}
-	p.previousTargets, p.converged = map[ids.Part]map[string]bool{}, nil
+	p.reports, p.reflectedUpTo = map[ids.Shard]*shardReport{}, map[ids.Shard]time.Time{}
+	p.previousTargets, p.converged = map[ids.Shard]map[string]bool{}, nil
 }
 
 // Start starts the planner's task.
@@ -104,7 +104,7 @@
 	if p.term != term {
 		p.reset(term)
 	}
-	known := map[ids.Part]string{}
+	known := map[ids.Shard]string{}
 	for shard, n := range p.reports {
 		known[shard] = n.Digest
 	}
@@ -117,8 +117,8 @@
 		p.env.Go(func() {
 			defer all.Done()
 			sent := p.env.Now()
-			var response rpc.NewsReceipt
-			if p.transport.Ask(ctx, m.Wire, "plan.news", &rpc.NewsAsk{Known: known}, &response) == nil {
+			var response rpc.TargetReportResponse
+			if p.transport.Ask(ctx, m.RPCAddress, "plan.news", &rpc.TargetReportRequest{Known: known}, &response) == nil {
 				p.mergeReports(term, sent, &response)
 			}
 		})
@@ -126,18 +126,18 @@
 	all.Wait()
 }
 
-func (p *Planner) mergeReports(term ids.Term, sent time.Time, response *rpc.NewsReceipt) {
+func (p *Planner) mergeReports(term ids.Term, sent time.Time, response *rpc.TargetReportResponse) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.term != term {
 		return
 	}
-	for _, update := range response.Parts {
-		old := p.reports[update.Part]
+	for _, update := range response.Shards {
+		old := p.reports[update.Shard]
 		if old != nil && update.Term.Less(old.Term) {
 			continue
 		}
-		if update.Lists == nil && (old == nil || old.Digest != update.Digest) {
+		if update.Targets == nil && (old == nil || old.Digest != update.Digest) {
 			continue
 		}
 		asOf := sent.Add(-time.Duration(update.Age) * time.Microsecond)
@@ -145,25 +145,25 @@
 			continue
 		}
 		if old == nil || old.Term != update.Term {
-			p.previousTargets[update.Part] = nil
-			if update.Young {
-				p.previousTargets[update.Part] = previousTargets(p.config.Current(), update.Part)
+			p.previousTargets[update.Shard] = nil
+			if update.Provisional {
+				p.previousTargets[update.Shard] = previousTargets(p.config.Current(), update.Shard)
 			}
 		}
-		if update.Lists != nil || old.Young != update.Young {
+		if update.Targets != nil || old.Provisional != update.Provisional {
 			p.converged = nil
 		}
-		if update.Lists == nil {
-			update.Lists = old.Lists
+		if update.Targets == nil {
+			update.Targets = old.Targets
 		} else {
-			normalizeAges(&update, sent.Sub(p.startedAt).Microseconds(), p.previousTargets[update.Part])
+			normalizeAges(&update, sent.Sub(p.startedAt).Microseconds(), p.previousTargets[update.Shard])
 		}
-		p.reports[update.Part] = &shardReport{PartNews: update, asOf: asOf, receivedAt: sent}
+		p.reports[update.Shard] = &shardReport{ShardTargets: update, asOf: asOf, receivedAt: sent}
 	}
 }
 
 // planEpoch commits an epoch if what it should say differs from the one in force.
-func (p *Planner) planEpoch(ctx context.Context, change *rpc.ChangeReceipt, config *rpc.Config) error {
+func (p *Planner) planEpoch(ctx context.Context, change *rpc.ChangeResult, config *rpc.Configuration) error {
 	if change == nil {
 		p.planning.Lock()
 		defer p.planning.Unlock()
@@ -177,23 +177,23 @@
 	if p.term != term {
 		p.reset(term)
 	}
-	asOf := map[ids.Part]time.Time{}
+	asOf := map[ids.Shard]time.Time{}
 	for shard, n := range p.reports {
 		asOf[shard] = n.asOf
 	}
 	shares := p.quotaShares()
-	planned := &rpc.Planned{Epoch: epoch.Epoch + 1, Change: change, Put: map[string]json.RawMessage{}}
+	planned := &rpc.EpochEntry{Epoch: epoch.Epoch + 1, Change: change, Put: map[string]json.RawMessage{}}
 	if change != nil || p.converged != epoch || !bytes.Equal(epoch.Groups[SharesGroup].Data, shares) {
 		diffGroups(planned, epoch, p.desiredGroups(epoch, config, shares))
-		if len(planned.Put)+len(planned.Drop) == 0 {
+		if len(planned.Put)+len(planned.Remove) == 0 {
 			p.converged = epoch
 		}
 	}
 	p.mu.Unlock()
 	if change != nil {
-		change.Epoch, planned.Memory = planned.Epoch, p.env.Props.PlanMemory
+		change.Epoch, planned.ResultsKept = planned.Epoch, p.env.Props.PlanMemory
 	}
-	if len(planned.Put)+len(planned.Drop) > 0 || change != nil {
+	if len(planned.Put)+len(planned.Remove) > 0 || change != nil {
 		_, applied, err := p.replica.Propose(ctx, planned)
 		if err != nil {
 			return err
@@ -218,7 +218,7 @@
 }
 
 // diffGroups puts into an epoch what is wanted and isn't in the one in force.
-func diffGroups(planned *rpc.Planned, epoch *EpochState, want map[string]json.RawMessage) {
+func diffGroups(planned *rpc.EpochEntry, epoch *EpochState, want map[string]json.RawMessage) {
 	for name, data := range want {
 		if old, ok := epoch.Groups[name]; !ok || !bytes.Equal(old.Data, data) {
 			planned.Put[name] = data
@@ -226,25 +226,25 @@
 	}
 	for name := range epoch.Groups {
 		if _, ok := want[name]; !ok {
-			planned.Drop = append(planned.Drop, name)
+			planned.Remove = append(planned.Remove, name)
 		}
 	}
-	sort.Strings(planned.Drop)
+	sort.Strings(planned.Remove)
 }
 
 // quotaShares is the strength of every proxy that is there.
 func (p *Planner) quotaShares() json.RawMessage {
-	shares := map[ids.Name]int{}
+	shares := map[ids.NodeName]int{}
 	for name, m := range p.members.View() {
 		// One that went is kept for a while: most come back at once, and a share that
 		// is too small does no harm, where an epoch for each coming and going does.
-		if m.Gate != "" && (m.State == membership.Alive || m.State == membership.Suspect || time.Since(m.Since) < p.env.Props.PlanLinger) {
+		if m.ProxyAddress != "" && (m.State == membership.Alive || m.State == membership.Suspect || time.Since(m.Since) < p.env.Props.PlanLinger) {
 			shares[name] = m.Strength
 		}
 	}
 	if p.env.Since(p.startedAt) < p.env.Props.PlanLinger {
 		// Whoever has just started does not know yet who is there.
-		var before map[ids.Name]int
+		var before map[ids.NodeName]int
 		json.Unmarshal(p.config.Current().Groups[SharesGroup].Data, &before)
 		for name, strength := range before {
 			if _, isKnown := p.members.View()[name]; !isKnown {
@@ -258,7 +258,7 @@
 
 // desiredGroups is what every group of the next epoch should hold. Without a change set
 // the operators' groups are taken over as they are.
-func (p *Planner) desiredGroups(epoch *EpochState, config *rpc.Config, shares json.RawMessage) map[string]json.RawMessage {
+func (p *Planner) desiredGroups(epoch *EpochState, config *rpc.Configuration, shares json.RawMessage) map[string]json.RawMessage {
 	want := map[string]json.RawMessage{}
 	var services []rpc.Service
 	if config == nil {
@@ -283,7 +283,7 @@
 	}
 	for _, s := range services {
 		old, isOld := epoch.Groups[TargetsPrefix+s.Name]
-		if isOld && p.reports[ids.PartOf(s.Name)] == nil {
+		if isOld && p.reports[ids.ShardOf(s.Name)] == nil {
 			want[TargetsPrefix+s.Name] = old.Data
 			continue
 		}
--- a/internal/controlplane/ranges.go
+++ b/internal/controlplane/ranges.go
@@ -15,8 +15,8 @@
 	headerRange = "head"
 )
 
-func (c *ConfigState) header(s *EpochState) rpc.LedgerState {
-	return rpc.LedgerState{Epoch: s.Epoch, Changed: s.LastChange, Version: s.Version, Changes: s.Changes}
+func (c *ConfigState) header(s *EpochState) rpc.ConfigurationState {
+	return rpc.ConfigurationState{Epoch: s.Epoch, ChangedEpoch: s.LastChange, Version: s.Version, Results: s.Changes}
 }
 
 // RangeDigests is one digest for each range. A group's is made of its data anew.
@@ -60,11 +60,11 @@
 			next.Groups[group] = *g
 		}
 	} else {
-		var head rpc.LedgerState
+		var head rpc.ConfigurationState
 		if err := json.Unmarshal(data, &head); err != nil {
 			return err
 		}
-		next.Epoch, next.LastChange, next.Version, next.Changes = head.Epoch, head.Changed, head.Version, head.Changes
+		next.Epoch, next.LastChange, next.Version, next.Changes = head.Epoch, head.ChangedEpoch, head.Version, head.Results
 	}
 	next.LastBinding = next.Epoch
 	c.current, c.previous = next, nil
--- a/internal/controlplane/roll.go
+++ b/internal/controlplane/roll.go
@@ -30,7 +30,7 @@
 )
 
 type targetRecord struct {
-	heartbeat  rpc.Beat
+	heartbeat  rpc.TargetHeartbeat
 	warmUp     int64
 	firstSeen  time.Time
 	lastSeen   time.Time
@@ -49,23 +49,23 @@
 	notifying atomic.Bool
 
 	mu          sync.Mutex
-	targets     map[ids.Part]map[string]map[string]*targetRecord
-	terms       map[ids.Part]ids.Term
-	lastReports map[ids.Part]reportedLists
+	targets     map[ids.Shard]map[string]map[string]*targetRecord
+	terms       map[ids.Shard]ids.Term
+	lastReports map[ids.Shard]reportedLists
 }
 
 // reportedLists is what the last news of a part said, ages aside, and its digest.
 type reportedLists struct {
-	lists  map[string][]rpc.Listed
+	lists  map[string][]rpc.ReportedTarget
 	digest string
 }
 
 func NewTargetRegistry(env *environment.Realm, node *consensus.Node, stores []*coordination.Book, config *ConfigState) *TargetRegistry {
-	return &TargetRegistry{env: env, consensus: node, stores: stores, config: config, targets: map[ids.Part]map[string]map[string]*targetRecord{}, terms: map[ids.Part]ids.Term{}, lastReports: map[ids.Part]reportedLists{}}
+	return &TargetRegistry{env: env, consensus: node, stores: stores, config: config, targets: map[ids.Shard]map[string]map[string]*targetRecord{}, terms: map[ids.Shard]ids.Term{}, lastReports: map[ids.Shard]reportedLists{}}
 }
 
 // ValidateHeartbeat names what is wrong with a beat.
-func ValidateHeartbeat(heartbeat *rpc.Beat) error {
+func ValidateHeartbeat(heartbeat *rpc.TargetHeartbeat) error {
 	var paths []string
 	if heartbeat.Service == "" || strings.ContainsAny(heartbeat.Service, "/ ") || len(heartbeat.Service) > 128 {
 		paths = append(paths, "service: is empty, too long, or holds a slash or a space")
@@ -82,7 +82,7 @@
 	if heartbeat.Slots < 0 {
 		paths = append(paths, "slots: is below zero")
 	}
-	if heartbeat.Cold < 0 {
+	if heartbeat.SlowStartMillis < 0 {
 		paths = append(paths, "cold: is below zero")
 	}
 	if heartbeat.State != StateServing && heartbeat.State != StateDraining && heartbeat.State != StateLeaving {
@@ -95,12 +95,12 @@
 }
 
 // HandleHeartbeat folds one beat into the part owned here.
-func (r *TargetRegistry) HandleHeartbeat(ctx context.Context, heartbeat *rpc.Beat) error {
+func (r *TargetRegistry) HandleHeartbeat(ctx context.Context, heartbeat *rpc.TargetHeartbeat) error {
 	if err := ValidateHeartbeat(heartbeat); err != nil {
 		r.env.Sign.Say(eventlog.BeatRefused, "service", heartbeat.Service, "instance", heartbeat.Instance, "cause", err.Error())
 		return err
 	}
-	shard := ids.PartOf(heartbeat.Service)
+	shard := ids.ShardOf(heartbeat.Service)
 	replica := r.consensus.Replica(shard)
 	term, _, isServing := replica.LeadershipSince()
 	if !isServing {
@@ -123,14 +123,14 @@
 		r.targets[shard][heartbeat.Service] = instances
 	}
 	target := instances[heartbeat.Instance]
-	isOld := target != nil && heartbeat.Seq < target.heartbeat.Seq || isMarked && heartbeat.Seq < marked.Seq
+	isOld := target != nil && heartbeat.Sequence < target.heartbeat.Sequence || isMarked && heartbeat.Sequence < marked.Sequence
 	if isOld && heartbeat.State == StateServing {
 		r.mu.Unlock()
 		return nil
 	}
 	isNew := target == nil || r.env.Since(target.lastSeen) >= r.env.Props.PlanSilence || !isOld && changesTarget(&target.heartbeat, heartbeat)
 	if target == nil {
-		target = &targetRecord{firstSeen: r.env.Now(), warmUp: heartbeat.Cold}
+		target = &targetRecord{firstSeen: r.env.Now(), warmUp: heartbeat.SlowStartMillis}
 		instances[heartbeat.Instance] = target
 	}
 	target.lastSeen = r.env.Now()
@@ -138,12 +138,12 @@
 		target.heartbeat = *heartbeat
 	}
 	r.mu.Unlock()
-	var op *rpc.BondOp
+	var op *rpc.CoordinationRequest
 	switch {
-	case heartbeat.State == StateServing && isMarked && marked.Holder == StateDraining && heartbeat.Seq > marked.Seq:
-		op = &rpc.BondOp{Op: "unmark", Name: name, Seq: heartbeat.Seq}
+	case heartbeat.State == StateServing && isMarked && marked.Holder == StateDraining && heartbeat.Sequence > marked.Sequence:
+		op = &rpc.CoordinationRequest{Operation: "unmark", Name: name, Sequence: heartbeat.Sequence}
 	case heartbeat.State != StateServing && (!isMarked || marked.Holder != heartbeat.State && marked.Holder != StateLeaving):
-		op = &rpc.BondOp{Op: "mark", Name: name, Holder: heartbeat.State, Seq: heartbeat.Seq}
+		op = &rpc.CoordinationRequest{Operation: "mark", Name: name, Holder: heartbeat.State, Sequence: heartbeat.Sequence}
 	}
 	if op != nil {
 		if err := r.propose(ctx, replica, op); err != nil {
@@ -153,7 +153,7 @@
 	if op != nil || isNew {
 		r.notifyChange()
 	}
-	if op != nil && op.Op == "mark" {
+	if op != nil && op.Operation == "mark" {
 		// The proxies hear of it before whoever goes may count on it.
 		waitForPropagation(ctx, r.env)
 	}
@@ -161,7 +161,7 @@
 }
 
 // changesTarget tells whether a beat says of its server what the last did not.
-func changesTarget(last, heartbeat *rpc.Beat) bool {
+func changesTarget(last, heartbeat *rpc.TargetHeartbeat) bool {
 	return last.State != heartbeat.State || last.Address != heartbeat.Address || last.Zone != heartbeat.Zone || last.Weight != heartbeat.Weight || last.Slots != heartbeat.Slots
 }
 
@@ -175,7 +175,7 @@
 	}
 }
 
-func (r *TargetRegistry) propose(ctx context.Context, part *consensus.Replica, op *rpc.BondOp) error {
+func (r *TargetRegistry) propose(ctx context.Context, part *consensus.Replica, op *rpc.CoordinationRequest) error {
 	_, _, err := part.Propose(ctx, op)
 	return err
 }
@@ -195,7 +195,7 @@
 }
 
 // resetOnNewTerm forgets what was heard under another term.
-func (r *TargetRegistry) resetOnNewTerm(shard ids.Part, term ids.Term) {
+func (r *TargetRegistry) resetOnNewTerm(shard ids.Shard, term ids.Term) {
 	if r.terms[shard] == term {
 		return
 	}
--- a/internal/controlplane/settle.go
+++ b/internal/controlplane/settle.go
@@ -19,15 +19,15 @@
 type addressConflict struct{ address, first, second string }
 
 // mergePreviousTargets adds to a young list the targets held that it doesn't name at all.
-func mergePreviousTargets(held []rpc.Target, list []rpc.Listed) []rpc.Listed {
+func mergePreviousTargets(held []rpc.Target, list []rpc.ReportedTarget) []rpc.ReportedTarget {
 	named := map[string]bool{}
 	for _, t := range list {
 		named[t.Instance] = true
 	}
-	merged := append([]rpc.Listed(nil), list...)
+	merged := append([]rpc.ReportedTarget(nil), list...)
 	for _, t := range held {
 		if !named[t.Instance] {
-			merged = append(merged, rpc.Listed{Instance: t.Instance, Address: t.Address, Zone: t.Zone, Weight: t.Weight, Slots: t.Slots, Cold: t.Cold, Since: seenInPreviousTerm})
+			merged = append(merged, rpc.ReportedTarget{Instance: t.Instance, Address: t.Address, Zone: t.Zone, Weight: t.Weight, Slots: t.Slots, SlowStartMillis: t.SlowStartMillis, Since: seenInPreviousTerm})
 		}
 	}
 	return merged
@@ -37,23 +37,23 @@
 // which there is news the targets that are in. The newest claim stands and older
 // ones go out in the same epoch; an address that another service holds in the
 // epoch in force comes in only once that epoch is past; it tells whether one waits so.
-func resolveTargets(epoch *EpochState, services []rpc.Service, all map[ids.Part]*shardReport) (map[string][]rpc.Target, []addressConflict, bool) {
-	lists := map[string][]rpc.Listed{}
+func resolveTargets(epoch *EpochState, services []rpc.Service, all map[ids.Shard]*shardReport) (map[string][]rpc.Target, []addressConflict, bool) {
+	lists := map[string][]rpc.ReportedTarget{}
 	owners, newest := map[string]string{}, map[string]int64{}
 	holders := map[string]string{}
 	var clashes []addressConflict
 	for _, s := range services {
-		n := all[ids.PartOf(s.Name)]
+		n := all[ids.ShardOf(s.Name)]
 		if n == nil {
 			continue
 		}
-		list := n.Lists[s.Name]
-		if n.Young {
+		list := n.Targets[s.Name]
+		if n.Provisional {
 			list = mergePreviousTargets(epoch.Targets(s.Name), list)
 		}
 		lists[s.Name] = list
 		for _, t := range list {
-			if t.Address == "" || t.Out == StateTimedOut || t.Out == StateLeaving {
+			if t.Address == "" || t.OutReason == StateTimedOut || t.OutReason == StateLeaving {
 				continue
 			}
 			id := s.Name + "/" + t.Instance
@@ -82,8 +82,8 @@
 	for service, list := range lists {
 		targets[service] = []rpc.Target{}
 		for _, t := range list {
-			if t.Out == "" && t.Address != "" && owners[t.Address] == service+"/"+t.Instance {
-				targets[service] = append(targets[service], rpc.Target{Instance: t.Instance, Address: t.Address, Zone: t.Zone, Weight: t.Weight, Slots: t.Slots, Cold: t.Cold})
+			if t.OutReason == "" && t.Address != "" && owners[t.Address] == service+"/"+t.Instance {
+				targets[service] = append(targets[service], rpc.Target{Instance: t.Instance, Address: t.Address, Zone: t.Zone, Weight: t.Weight, Slots: t.Slots, SlowStartMillis: t.SlowStartMillis})
 			}
 		}
 		sort.Slice(targets[service], func(i, j int) bool { return targets[service][i].Instance < targets[service][j].Instance })
@@ -92,10 +92,10 @@
 }
 
 // previousTargets names the targets of a part that are in an epoch.
-func previousTargets(epoch *EpochState, shard ids.Part) map[string]bool {
+func previousTargets(epoch *EpochState, shard ids.Shard) map[string]bool {
 	names := map[string]bool{}
 	for name := range epoch.Groups {
-		if service, ok := strings.CutPrefix(name, TargetsPrefix); ok && ids.PartOf(service) == shard {
+		if service, ok := strings.CutPrefix(name, TargetsPrefix); ok && ids.ShardOf(service) == shard {
 			for _, t := range epoch.Targets(service) {
 				names[targetKey(service, t.Instance, t.Address)] = true
 			}
@@ -110,9 +110,9 @@
 
 // normalizeAges turns the ages of first beats into times since the planner's zero, and
 // forgets the elders that a settled owner doesn't know.
-func normalizeAges(p *rpc.PartNews, sent int64, known map[string]bool) {
+func normalizeAges(p *rpc.ShardTargets, sent int64, known map[string]bool) {
 	named := map[string]bool{}
-	for service, list := range p.Lists {
+	for service, list := range p.Targets {
 		for i, t := range list {
 			name := targetKey(service, t.Instance, t.Address)
 			named[name] = true
@@ -123,7 +123,7 @@
 		}
 	}
 	for name := range known {
-		if !p.Young && !named[name] {
+		if !p.Provisional && !named[name] {
 			delete(known, name)
 		}
 	}
--- a/internal/controlplane/settle_test.go
+++ b/internal/controlplane/settle_test.go
@@ -28,33 +28,33 @@
 
 func TestListsAreSettled(t *testing.T) {
 	held := func(instance, address string) rpc.Target {
-		return rpc.Target{Instance: instance, Address: address, Weight: 1, Slots: 4, Cold: 7}
+		return rpc.Target{Instance: instance, Address: address, Weight: 1, Slots: 4, SlowStartMillis: 7}
 	}
-	heard := func(instance, address string, since int64, out string) rpc.Listed {
-		return rpc.Listed{Instance: instance, Address: address, Weight: 1, Slots: 4, Cold: 7, Since: since, Out: out}
+	heard := func(instance, address string, since int64, out string) rpc.ReportedTarget {
+		return rpc.ReportedTarget{Instance: instance, Address: address, Weight: 1, Slots: 4, SlowStartMillis: 7, Since: since, OutReason: out}
 	}
 	inForce := []rpc.Target{held("a", "A"), held("b", "B")}
 	for name, c := range map[string]struct {
 		young bool
-		list  []rpc.Listed
+		list  []rpc.ReportedTarget
 		want  []rpc.Target
 	}{
-		"unheard is kept":              {true, []rpc.Listed{heard("a", "A", 5, "")}, inForce},
+		"unheard is kept":              {true, []rpc.ReportedTarget{heard("a", "A", 5, "")}, inForce},
 		"nobody is heard":              {true, nil, inForce},
-		"unheard goes when settled":    {false, []rpc.Listed{heard("a", "A", 5, "")}, inForce[:1]},
-		"new comes in":                 {true, []rpc.Listed{heard("c", "C", 5, "")}, []rpc.Target{inForce[0], inForce[1], held("c", "C")}},
-		"drained goes":                 {true, []rpc.Listed{heard("b", "B", 5, StateDraining)}, inForce[:1]},
-		"marked and unheard goes":      {true, []rpc.Listed{{Instance: "b", Out: StateLeaving}}, inForce[:1]},
-		"silent goes":                  {true, []rpc.Listed{heard("b", "B", 5, StateTimedOut)}, inForce[:1]},
-		"address is passed on":         {true, []rpc.Listed{heard("c", "B", 5, "")}, []rpc.Target{inForce[0], held("c", "B")}},
-		"heard at another address":     {true, []rpc.Listed{heard("b", "D", 5, "")}, []rpc.Target{inForce[0], held("b", "D")}},
-		"newest of two":                {false, []rpc.Listed{heard("a", "A", 5, ""), heard("c", "A", 6, "")}, []rpc.Target{held("c", "A")}},
-		"an elder against a new":       {true, []rpc.Listed{heard("b", "B", seenInPreviousTerm, ""), heard("c", "B", -3, "")}, []rpc.Target{inForce[0], held("c", "B")}},
-		"two marked without address":   {true, []rpc.Listed{{Instance: "x", Out: StateDraining}, {Instance: "y", Out: StateDraining}}, inForce},
-		"no address is never a target": {true, []rpc.Listed{{Instance: "x"}}, inForce},
+		"unheard goes when settled":    {false, []rpc.ReportedTarget{heard("a", "A", 5, "")}, inForce[:1]},
+		"new comes in":                 {true, []rpc.ReportedTarget{heard("c", "C", 5, "")}, []rpc.Target{inForce[0], inForce[1], held("c", "C")}},
+		"drained goes":                 {true, []rpc.ReportedTarget{heard("b", "B", 5, StateDraining)}, inForce[:1]},
+		"marked and unheard goes":      {true, []rpc.ReportedTarget{{Instance: "b", OutReason: StateLeaving}}, inForce[:1]},
+		"silent goes":                  {true, []rpc.ReportedTarget{heard("b", "B", 5, StateTimedOut)}, inForce[:1]},
+		"address is passed on":         {true, []rpc.ReportedTarget{heard("c", "B", 5, "")}, []rpc.Target{inForce[0], held("c", "B")}},
+		"heard at another address":     {true, []rpc.ReportedTarget{heard("b", "D", 5, "")}, []rpc.Target{inForce[0], held("b", "D")}},
+		"newest of two":                {false, []rpc.ReportedTarget{heard("a", "A", 5, ""), heard("c", "A", 6, "")}, []rpc.Target{held("c", "A")}},
+		"an elder against a new":       {true, []rpc.ReportedTarget{heard("b", "B", seenInPreviousTerm, ""), heard("c", "B", -3, "")}, []rpc.Target{inForce[0], held("c", "B")}},
+		"two marked without address":   {true, []rpc.ReportedTarget{{Instance: "x", OutReason: StateDraining}, {Instance: "y", OutReason: StateDraining}}, inForce},
+		"no address is never a target": {true, []rpc.ReportedTarget{{Instance: "x"}}, inForce},
 	} {
 		sheet := sheetWith(map[string][]rpc.Target{"s": inForce})
-		all := map[ids.Part]*shardReport{ids.PartOf("s"): {PartNews: rpc.PartNews{Young: c.young, Lists: map[string][]rpc.Listed{"s": c.list}}}}
+		all := map[ids.Shard]*shardReport{ids.ShardOf("s"): {ShardTargets: rpc.ShardTargets{Provisional: c.young, Targets: map[string][]rpc.ReportedTarget{"s": c.list}}}}
 		got, _, _ := resolveTargets(sheet, []rpc.Service{{Name: "s"}}, all)
 		if !reflect.DeepEqual(got["s"], c.want) {
 			t.Errorf("%s: %+v, want %+v", name, got["s"], c.want)
@@ -64,12 +64,12 @@
 
 func TestAnAddressChangesServiceInTwoEpochs(t *testing.T) {
 	services := []rpc.Service{{Name: "s"}, {Name: "t"}}
-	all := map[ids.Part]*shardReport{}
+	all := map[ids.Shard]*shardReport{}
 	for _, s := range services {
-		all[ids.PartOf(s.Name)] = &shardReport{PartNews: rpc.PartNews{Young: true, Lists: map[string][]rpc.Listed{}}}
+		all[ids.ShardOf(s.Name)] = &shardReport{ShardTargets: rpc.ShardTargets{Provisional: true, Targets: map[string][]rpc.ReportedTarget{}}}
 	}
-	all[ids.PartOf("t")].Lists["t"] = []rpc.Listed{{Instance: "n", Address: "A", Since: 5}}
-	all[ids.PartOf("t")].Lists["stranger"] = []rpc.Listed{{Instance: "o", Address: "A", Since: 9}}
+	all[ids.ShardOf("t")].Targets["t"] = []rpc.ReportedTarget{{Instance: "n", Address: "A", Since: 5}}
+	all[ids.ShardOf("t")].Targets["stranger"] = []rpc.ReportedTarget{{Instance: "o", Address: "A", Since: 9}}
 	sheet := sheetWith(map[string][]rpc.Target{"s": {{Instance: "a", Address: "A"}}, "t": {}})
 	one, _, _ := resolveTargets(sheet, services, all)
 	if len(one["s"])+len(one["t"]) != 0 {
@@ -82,19 +82,19 @@
 }
 
 func TestEldersStayOldUntilTheyGo(t *testing.T) {
-	no := ids.PartOf("s")
+	no := ids.ShardOf("s")
 	sheet := sheetWith(map[string][]rpc.Target{"s": {{Instance: "a", Address: "A"}, {Instance: "b", Address: "B"}}})
 	known := previousTargets(sheet, no)
-	p := &rpc.PartNews{Young: true, Lists: map[string][]rpc.Listed{"s": {{Instance: "a", Address: "A", Since: 3}, {Instance: "b", Address: "N", Since: 3}, {Instance: "c", Address: "A", Since: 4}}}}
+	p := &rpc.ShardTargets{Provisional: true, Targets: map[string][]rpc.ReportedTarget{"s": {{Instance: "a", Address: "A", Since: 3}, {Instance: "b", Address: "N", Since: 3}, {Instance: "c", Address: "A", Since: 4}}}}
 	normalizeAges(p, 10, known)
-	if l := p.Lists["s"]; l[0].Since != seenInPreviousTerm || l[1].Since != 7 || l[2].Since != 6 || len(known) != 2 {
+	if l := p.Targets["s"]; l[0].Since != seenInPreviousTerm || l[1].Since != 7 || l[2].Since != 6 || len(known) != 2 {
 		t.Fatalf("%+v %v", p, known)
 	}
-	normalizeAges(&rpc.PartNews{Lists: map[string][]rpc.Listed{"s": {{Instance: "a", Address: "A"}}}}, 10, known)
+	normalizeAges(&rpc.ShardTargets{Targets: map[string][]rpc.ReportedTarget{"s": {{Instance: "a", Address: "A"}}}}, 10, known)
 	if len(known) != 1 || !known[targetKey("s", "a", "A")] {
 		t.Fatal(known)
 	}
-	if len(previousTargets(sheet, (no+1)%ids.Parts)) != 0 {
+	if len(previousTargets(sheet, (no+1)%ids.ShardCount)) != 0 {
 		t.Fatal("another part's")
 	}
 }
@@ -104,13 +104,13 @@
 	p := &config.Props{Name: "n", PlanSilence: time.Hour}
 	r := environment.New(t.Context(), p, eventlog.New(io.Discard, "info", "n"), environment.Net{})
 	var books []*coordination.Book
-	for range ids.Parts {
+	for range ids.ShardCount {
 		books = append(books, coordination.NewBook())
 	}
 	return NewTargetRegistry(r, nil, books, NewConfigState())
 }
 
-func (r *TargetRegistry) addTarget(no ids.Part, cold int64, b rpc.Beat) {
+func (r *TargetRegistry) addTarget(no ids.Shard, cold int64, b rpc.TargetHeartbeat) {
 	if r.targets[no] == nil {
 		r.targets[no] = map[string]map[string]*targetRecord{}
 	}
@@ -122,22 +122,22 @@
 
 func putMark(t *testing.T, book *coordination.Book, name, holder string) {
 	t.Helper()
-	raw, _ := json.Marshal(rpc.BondOp{Op: "mark", Name: name, Holder: holder, Seq: 1})
+	raw, _ := json.Marshal(rpc.CoordinationRequest{Operation: "mark", Name: name, Holder: holder, Sequence: 1})
 	book.Apply(1, raw)
 }
 
 func TestListsNameSlotsFirstColdAndMarks(t *testing.T) {
-	l, no, term := newRoll(t), ids.PartOf("s"), ids.Term{Round: 1}
+	l, no, term := newRoll(t), ids.ShardOf("s"), ids.Term{Number: 1}
 	l.targetLists(no, term, true)
-	l.addTarget(no, 900, rpc.Beat{Service: "s", Instance: "a", Address: "A", State: StateServing, Slots: 3, Cold: 900})
+	l.addTarget(no, 900, rpc.TargetHeartbeat{Service: "s", Instance: "a", Address: "A", State: StateServing, Slots: 3, SlowStartMillis: 900})
 	putMark(t, l.stores[no], "s/gone", StateLeaving)
 	young := l.targetLists(no, term, true)["s"]
-	if len(young) != 2 || young[0].Slots != 3 || young[0].Cold != 900 || young[1].Instance != "gone" || young[1].Out != StateLeaving || young[1].Address != "" {
+	if len(young) != 2 || young[0].Slots != 3 || young[0].SlowStartMillis != 900 || young[1].Instance != "gone" || young[1].OutReason != StateLeaving || young[1].Address != "" {
 		t.Fatalf("%+v", young)
 	}
 	one := l.reportDigest(no, l.targetLists(no, term, false))
 	h := l.targets[no]["s"]["a"]
-	h.heartbeat.Cold, h.firstSeen = 100, h.firstSeen.Add(-time.Minute)
+	h.heartbeat.SlowStartMillis, h.firstSeen = 100, h.firstSeen.Add(-time.Minute)
 	lists := l.targetLists(no, term, false)
 	if two := l.reportDigest(no, lists); one != two || one != digestLists(lists) {
 		t.Fatal("the digest changed with time")
@@ -154,8 +154,8 @@
 func TestWhoseIsAnInstance(t *testing.T) {
 	l := newRoll(t)
 	l.config.current = sheetWith(map[string][]rpc.Target{"s": {{Instance: "planned"}, {Instance: "both"}}})
-	l.addTarget(ids.PartOf("u"), 0, rpc.Beat{Service: "u", Instance: "both"})
-	putMark(t, l.stores[ids.PartOf("t")], "t/marked", StateDraining)
+	l.addTarget(ids.ShardOf("u"), 0, rpc.TargetHeartbeat{Service: "u", Instance: "both"})
+	putMark(t, l.stores[ids.ShardOf("t")], "t/marked", StateDraining)
 	for instance, want := range map[string]string{"planned": "s", "both": "u", "marked": "t", "none": "", "": ""} {
 		if got := l.ServiceOf(instance); got != want {
 			t.Errorf("%q is of %q, want %q", instance, got, want)
--- a/internal/controlplane/source.go
+++ b/internal/controlplane/source.go
@@ -20,14 +20,14 @@
 )
 
 func sourceGroup(item string) string {
-	return fmt.Sprintf("%s%02d", SourcesPrefix, ids.Score("source", item)%sourceBuckets)
+	return fmt.Sprintf("%s%02d", SourcesPrefix, ids.Hash("source", item)%sourceBuckets)
 }
 
 func routeSourceKey(name string) string   { return "mappings/" + name }
 func serviceSourceKey(name string) string { return "services/" + name }
 
 // detachSources takes the texts off a copy of the configuration; they come by item.
-func detachSources(config rpc.Config) (rpc.Config, map[string]json.RawMessage) {
+func detachSources(config rpc.Configuration) (rpc.Configuration, map[string]json.RawMessage) {
 	sources := map[string]json.RawMessage{}
 	take := func(item string, source *json.RawMessage) {
 		if len(*source) > 0 && string(*source) != "null" {
@@ -35,30 +35,30 @@
 		}
 		*source = nil
 	}
-	config.Mappings, config.Services = slices.Clone(config.Mappings), slices.Clone(config.Services)
-	for i := range config.Mappings {
-		take(routeSourceKey(config.Mappings[i].Name), &config.Mappings[i].Source)
+	config.Routes, config.Services = slices.Clone(config.Routes), slices.Clone(config.Services)
+	for i := range config.Routes {
+		take(routeSourceKey(config.Routes[i].Name), &config.Routes[i].Source)
 	}
 	for i := range config.Services {
 		take(serviceSourceKey(config.Services[i].Name), &config.Services[i].Source)
 	}
-	if config.Manners != nil {
-		manners := *config.Manners
+	if config.ClientLimits != nil {
+		manners := *config.ClientLimits
 		take(ClientLimitsGroup, &manners.Source)
-		config.Manners = &manners
+		config.ClientLimits = &manners
 	}
 	return config, sources
 }
 
-func attachSources(config *rpc.Config, sources map[string]json.RawMessage) {
-	for i := range config.Mappings {
-		config.Mappings[i].Source = sources[routeSourceKey(config.Mappings[i].Name)]
+func attachSources(config *rpc.Configuration, sources map[string]json.RawMessage) {
+	for i := range config.Routes {
+		config.Routes[i].Source = sources[routeSourceKey(config.Routes[i].Name)]
 	}
 	for i := range config.Services {
 		config.Services[i].Source = sources[serviceSourceKey(config.Services[i].Name)]
 	}
-	if config.Manners != nil {
-		config.Manners.Source = sources[ClientLimitsGroup]
+	if config.ClientLimits != nil {
+		config.ClientLimits.Source = sources[ClientLimitsGroup]
 	}
 }
 
@@ -79,17 +79,17 @@
 }
 
 // encodeGroups cuts a configuration into its groups.
-func encodeGroups(config rpc.Config) map[string]json.RawMessage {
+func encodeGroups(config rpc.Configuration) map[string]json.RawMessage {
 	groups := map[string]json.RawMessage{}
 	put := func(name string, value any) { groups[name], _ = json.Marshal(value) }
 	config, sources := detachSources(config)
 	put(ServicesGroup, nonNil(config.Services))
 	put(LimitsGroup, nonNil(config.Limits))
-	if config.Manners != nil {
-		put(ClientLimitsGroup, config.Manners)
+	if config.ClientLimits != nil {
+		put(ClientLimitsGroup, config.ClientLimits)
 	}
-	routes := map[string][]rpc.Mapping{}
-	for _, m := range config.Mappings {
+	routes := map[string][]rpc.Route{}
+	for _, m := range config.Routes {
 		routes[routeGroup(m.Name)] = append(routes[routeGroup(m.Name)], m)
 	}
 	for name, some := range routes {
--- a/internal/controlplane/submit.go
+++ b/internal/controlplane/submit.go
@@ -13,7 +13,7 @@
 )
 
 // Submit takes a change set whole, or not at all.
-func (p *Planner) Submit(ctx context.Context, change *rpc.Change) (*rpc.ChangeReceipt, error) {
+func (p *Planner) Submit(ctx context.Context, change *rpc.ChangeSet) (*rpc.ChangeResult, error) {
 	receipt, isNew, err := p.submit(ctx, change)
 	if isNew {
 		waitForPropagation(ctx, p.env)
@@ -21,7 +21,7 @@
 	return receipt, err
 }
 
-func (p *Planner) submit(ctx context.Context, change *rpc.Change) (receipt *rpc.ChangeReceipt, isNew bool, err error) {
+func (p *Planner) submit(ctx context.Context, change *rpc.ChangeSet) (receipt *rpc.ChangeResult, isNew bool, err error) {
 	p.planning.Lock()
 	defer p.planning.Unlock()
 	if err := p.replica.ConfirmLeadership(ctx, p.env.Now()); err != nil {
@@ -34,7 +34,7 @@
 	if first != nil {
 		return first, false, nil
 	}
-	var config rpc.Config
+	var config rpc.Configuration
 	if err == nil {
 		var paths []string
 		if config, paths = MergeChange(epoch.Config(), change); len(paths) > 0 {
@@ -43,24 +43,24 @@
 	}
 	if err != nil {
 		if !errcode.Is(err, errcode.ChangeReused) {
-			p.env.Sign.Say(eventlog.ChangeRefused, "id", change.Id, "code", errcode.Of(err).Code.No)
+			p.env.Sign.Say(eventlog.ChangeRefused, "id", change.ID, "code", errcode.Of(err).Code.No)
 		}
 		return nil, false, err
 	}
-	receipt = &rpc.ChangeReceipt{Id: change.Id, State: "accepted", Digest: digest, Version: change.Version}
+	receipt = &rpc.ChangeResult{ID: change.ID, State: "accepted", Digest: digest, Version: change.Version}
 	if err := p.planEpoch(ctx, receipt, &config); err != nil {
 		if errcode.Is(err, errcode.NotOwner) {
 			return nil, false, err
 		}
 		return nil, false, errcode.New(errcode.ChangeUnknown, "%v", err)
 	}
-	p.env.Sign.Say(eventlog.ChangeAccepted, "id", change.Id, "epoch", uint64(receipt.Epoch))
+	p.env.Sign.Say(eventlog.ChangeAccepted, "id", change.ID, "epoch", uint64(receipt.Epoch))
 	return receipt, true, nil
 }
 
 // ChangeStatus tells what became of a change set. It waits for all that is in the
 // log, so that "absent" can't be followed by a late acceptance.
-func (p *Planner) ChangeStatus(ctx context.Context, id string) (*rpc.ChangeReceipt, error) {
+func (p *Planner) ChangeStatus(ctx context.Context, id string) (*rpc.ChangeResult, error) {
 	p.planning.Lock()
 	defer p.planning.Unlock()
 	if err := p.replica.Barrier(ctx); err != nil {
@@ -82,17 +82,17 @@
 
 // Config is the operators' configuration as they sent it, keys and all,
 // confirmed since the call came.
-func (p *Planner) Config(ctx context.Context) (*rpc.ConfigView, error) {
+func (p *Planner) Config(ctx context.Context) (*rpc.ConfigurationView, error) {
 	if err := p.replica.ConfirmLeadership(ctx, p.env.Now()); err != nil {
 		return nil, err
 	}
 	epoch := p.config.Current()
-	return &rpc.ConfigView{Version: epoch.Version, Epoch: epoch.Epoch, Config: epoch.Config()}, nil
+	return &rpc.ConfigurationView{Version: epoch.Version, Epoch: epoch.Epoch, Configuration: epoch.Config()}, nil
 }
 
 // Freshness tells the epoch in force and the ages of what it reflects. It asks for
 // no round of its own: the age of the last one is told, and is what counts.
-func (p *Planner) Freshness() (*rpc.PulseReceipt, error) {
+func (p *Planner) Freshness() (*rpc.FreshnessResponse, error) {
 	age, isServing := p.replica.ConfirmationAge()
 	if !isServing {
 		return nil, errcode.New(errcode.NotOwner, "configuration part")
@@ -101,15 +101,15 @@
 	term, _, _ := p.replica.LeadershipSince()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	response := &rpc.PulseReceipt{Parts: make([]int64, ids.Parts)}
-	for shard := range response.Parts {
-		response.Parts[shard] = -1
-		if at, ok := p.reflectedUpTo[ids.Part(shard)]; ok && p.term == term {
-			response.Parts[shard] = p.env.Since(at).Microseconds() + 1
+	response := &rpc.FreshnessResponse{ShardAgeMicros: make([]int64, ids.ShardCount)}
+	for shard := range response.ShardAgeMicros {
+		response.ShardAgeMicros[shard] = -1
+		if at, ok := p.reflectedUpTo[ids.Shard(shard)]; ok && p.term == term {
+			response.ShardAgeMicros[shard] = p.env.Since(at).Microseconds() + 1
 		}
 	}
 	epoch := p.config.Current()
-	response.Epoch, response.Binding = epoch.Epoch, epoch.LastBinding
-	response.Age = (age + p.env.Since(began)).Microseconds() + 1
+	response.Epoch, response.BindingEpoch = epoch.Epoch, epoch.LastBinding
+	response.AgeMicros = (age + p.env.Since(began)).Microseconds() + 1
 	return response, nil
 }
--- a/internal/coordination/book.go
+++ b/internal/coordination/book.go
@@ -34,30 +34,30 @@
 // Book is one data part's state.
 type Book struct {
 	mu      sync.RWMutex
-	records map[string]map[string]rpc.BondRecord
-	seen    map[string]rpc.BondReceipt
+	records map[string]map[string]rpc.CoordinationRecord
+	seen    map[string]rpc.CoordinationResponse
 	order   []string
-	events  []rpc.BondEvent
+	events  []rpc.WatchEvent
 	times   []time.Time
-	start   ids.Stamp
-	starts  map[string]ids.Stamp
-	applied ids.Stamp
+	start   ids.Index
+	starts  map[string]ids.Index
+	applied ids.Index
 }
 
 func NewBook() *Book {
-	return &Book{records: map[string]map[string]rpc.BondRecord{}, seen: map[string]rpc.BondReceipt{}, starts: map[string]ids.Stamp{}}
+	return &Book{records: map[string]map[string]rpc.CoordinationRecord{}, seen: map[string]rpc.CoordinationResponse{}, starts: map[string]ids.Index{}}
 }
 
 // of is the records of one kind, so that looking through one kind does not cost
 // what the others weigh.
-func (b *Book) of(kind string) map[string]rpc.BondRecord {
+func (b *Book) of(kind string) map[string]rpc.CoordinationRecord {
 	if b.records[kind] == nil {
-		b.records[kind] = map[string]rpc.BondRecord{}
+		b.records[kind] = map[string]rpc.CoordinationRecord{}
 	}
 	return b.records[kind]
 }
 
-func less(a, z rpc.BondRecord) bool {
+func less(a, z rpc.CoordinationRecord) bool {
 	if a.Kind != z.Kind {
 		return a.Kind < z.Kind
 	}
@@ -65,26 +65,26 @@
 }
 
 // Apply folds one entry.
-func (b *Book) Apply(index ids.Stamp, body json.RawMessage) any {
-	var op rpc.BondOp
+func (b *Book) Apply(index ids.Index, body json.RawMessage) any {
+	var op rpc.CoordinationRequest
 	if err := json.Unmarshal(body, &op); err != nil {
-		return &rpc.BondReceipt{Code: errcode.BadCall.No, Note: err.Error()}
+		return &rpc.CoordinationResponse{Code: errcode.BadCall.No, Note: err.Error()}
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.applied = index
-	if op.Op == "set" && op.Id != "" {
-		op.Id = setId(&op)
+	if op.Operation == "set" && op.ID != "" {
+		op.ID = setId(&op)
 	}
-	if op.Id != "" {
-		if first, ok := b.seen[op.Id]; ok {
+	if op.ID != "" {
+		if first, ok := b.seen[op.ID]; ok {
 			return &first
 		}
 	}
 	receipt := b.fold(index, &op)
-	if op.Id != "" && (op.Op != "set" || receipt.Code == 0) {
-		b.seen[op.Id] = *receipt
-		b.order = append(b.order, op.Id)
+	if op.ID != "" && (op.Operation != "set" || receipt.Code == 0) {
+		b.seen[op.ID] = *receipt
+		b.order = append(b.order, op.ID)
 		if len(b.order) > seenKept {
 			delete(b.seen, b.order[0])
 			b.order = b.order[1:]
@@ -94,105 +94,105 @@
 	return receipt
 }
 
-func (b *Book) fold(index ids.Stamp, op *rpc.BondOp) *rpc.BondReceipt {
-	refuse := func(code errcode.Code, old rpc.BondRecord) *rpc.BondReceipt {
-		return &rpc.BondReceipt{Code: code.No, Stamp: old.Stamp, Rev: old.Rev, Holder: old.Holder, Fence: old.Fence, Ttl: old.Ttl}
+func (b *Book) fold(index ids.Index, op *rpc.CoordinationRequest) *rpc.CoordinationResponse {
+	refuse := func(code errcode.Code, old rpc.CoordinationRecord) *rpc.CoordinationResponse {
+		return &rpc.CoordinationResponse{Code: code.No, Index: old.Index, Revision: old.Revision, Holder: old.Holder, FencingToken: old.FencingToken, TTL: old.TTL}
 	}
-	switch op.Op {
+	switch op.Operation {
 	case "put", "drop":
 		old, ok := b.of(Key)[op.Name]
-		if op.If != nil && *op.If != old.Stamp {
+		if op.IfIndex != nil && *op.IfIndex != old.Index {
 			return refuse(errcode.StampDiffers, old)
 		}
-		if op.Op == "drop" {
+		if op.Operation == "drop" {
 			if !ok {
 				return refuse(errcode.NoKey, old)
 			}
 			b.remove(index, old)
-			return &rpc.BondReceipt{Stamp: index}
+			return &rpc.CoordinationResponse{Index: index}
 		}
-		b.set(rpc.BondRecord{Name: op.Name, Kind: Key, Value: op.Value, Stamp: index})
-		return &rpc.BondReceipt{Stamp: index, Value: op.Value}
+		b.set(rpc.CoordinationRecord{Name: op.Name, Kind: Key, Value: op.Value, Index: index})
+		return &rpc.CoordinationResponse{Index: index, Value: op.Value}
 	case "set":
 		old, ok := b.of(Key)[op.Name]
-		if op.Rev != nil && (*op.Rev != old.Rev || ok && *op.Rev == 0) {
+		if op.IfRevision != nil && (*op.IfRevision != old.Revision || ok && *op.IfRevision == 0) {
 			return refuse(errcode.StampDiffers, old)
 		}
 		rev := b.rise(index, spaceOf(op.Name))
-		b.set(rpc.BondRecord{Name: op.Name, Kind: Key, Value: op.Value, Rev: rev, Stamp: index})
-		return &rpc.BondReceipt{Stamp: index, Rev: rev}
+		b.set(rpc.CoordinationRecord{Name: op.Name, Kind: Key, Value: op.Value, Revision: rev, Index: index})
+		return &rpc.CoordinationResponse{Index: index, Revision: rev}
 	case "add":
 		old := b.of(Count)[op.Name]
 		count := old.Count + op.Delta
-		b.set(rpc.BondRecord{Name: op.Name, Kind: Count, Count: count, Stamp: index})
-		return &rpc.BondReceipt{Stamp: index, Count: count}
+		b.set(rpc.CoordinationRecord{Name: op.Name, Kind: Count, Count: count, Index: index})
+		return &rpc.CoordinationResponse{Index: index, Count: count}
 	case "acquire":
 		old, ok := b.of(Lock)[op.Name]
 		if ok && old.Holder != op.Holder {
 			return refuse(errcode.Held, old)
 		}
 		if ok {
-			b.stretch(old, op.Ttl)
-			return &rpc.BondReceipt{Stamp: old.Stamp, Holder: old.Holder, Fence: old.Fence, Ttl: op.Ttl, Value: old.Value}
+			b.stretch(old, op.TTL)
+			return &rpc.CoordinationResponse{Index: old.Index, Holder: old.Holder, FencingToken: old.FencingToken, TTL: op.TTL, Value: old.Value}
 		}
-		b.set(rpc.BondRecord{Name: op.Name, Kind: Lock, Holder: op.Holder, Fence: index, Ttl: op.Ttl, Value: op.Value, Stamp: index})
-		return &rpc.BondReceipt{Stamp: index, Holder: op.Holder, Fence: index, Ttl: op.Ttl, Value: op.Value}
+		b.set(rpc.CoordinationRecord{Name: op.Name, Kind: Lock, Holder: op.Holder, FencingToken: index, TTL: op.TTL, Value: op.Value, Index: index})
+		return &rpc.CoordinationResponse{Index: index, Holder: op.Holder, FencingToken: index, TTL: op.TTL, Value: op.Value}
 	case "stretch":
 		old, ok := b.of(Lock)[op.Name]
-		if !ok || old.Fence != op.Fence || old.Holder != op.Holder {
+		if !ok || old.FencingToken != op.FencingToken || old.Holder != op.Holder {
 			return refuse(errcode.NotHeld, old)
 		}
-		b.stretch(old, op.Ttl)
-		return &rpc.BondReceipt{Stamp: old.Stamp, Holder: old.Holder, Fence: old.Fence, Ttl: op.Ttl}
+		b.stretch(old, op.TTL)
+		return &rpc.CoordinationResponse{Index: old.Index, Holder: old.Holder, FencingToken: old.FencingToken, TTL: op.TTL}
 	case "release", "expire":
 		old, ok := b.of(Lock)[op.Name]
-		if !ok || old.Fence != op.Fence || op.Op == "release" && old.Holder != op.Holder {
+		if !ok || old.FencingToken != op.FencingToken || op.Operation == "release" && old.Holder != op.Holder {
 			return refuse(errcode.NotHeld, old)
 		}
 		b.remove(index, old)
-		return &rpc.BondReceipt{Stamp: index}
+		return &rpc.CoordinationResponse{Index: index}
 	case "claims", "unclaim", "settle", "sweep":
 		return b.claim(index, op)
 	case "mark":
 		old, ok := b.of(Mark)[op.Name]
-		if ok && (old.Seq > op.Seq || old.Holder == "leaving") {
+		if ok && (old.Sequence > op.Sequence || old.Holder == "leaving") {
 			return refuse(errcode.StampDiffers, old)
 		}
-		b.of(Mark)[op.Name] = rpc.BondRecord{Name: op.Name, Kind: Mark, Holder: op.Holder, Seq: op.Seq, Stamp: index}
-		return &rpc.BondReceipt{Stamp: index, Holder: op.Holder}
+		b.of(Mark)[op.Name] = rpc.CoordinationRecord{Name: op.Name, Kind: Mark, Holder: op.Holder, Sequence: op.Sequence, Index: index}
+		return &rpc.CoordinationResponse{Index: index, Holder: op.Holder}
 	case "unmark":
 		old, ok := b.of(Mark)[op.Name]
-		if !ok || old.Seq > op.Seq {
+		if !ok || old.Sequence > op.Sequence {
 			return refuse(errcode.NoKey, old)
 		}
 		delete(b.of(Mark), op.Name)
-		return &rpc.BondReceipt{Stamp: index}
+		return &rpc.CoordinationResponse{Index: index}
 	}
-	return &rpc.BondReceipt{Code: errcode.BadCall.No, Note: op.Op}
+	return &rpc.CoordinationResponse{Code: errcode.BadCall.No, Note: op.Operation}
 }
 
-func (b *Book) set(record rpc.BondRecord) {
+func (b *Book) set(record rpc.CoordinationRecord) {
 	b.of(record.Kind)[record.Name] = record
 	value := record.Value
 	if record.Kind == Count {
 		value, _ = json.Marshal(record.Count)
 	}
-	b.tell(rpc.BondEvent{Stamp: record.Stamp, Rev: record.Rev, Name: record.Name, Kind: record.Kind, Value: value})
+	b.tell(rpc.WatchEvent{Index: record.Index, Revision: record.Revision, Name: record.Name, Kind: record.Kind, Value: value})
 }
 
 // stretch raises the time that a lock's grant starts with under a new owner; it
 // never falls, for a call that asked for more may still count on it.
-func (b *Book) stretch(lock rpc.BondRecord, ttl int64) {
-	lock.Ttl = max(lock.Ttl, ttl)
+func (b *Book) stretch(lock rpc.CoordinationRecord, ttl int64) {
+	lock.TTL = max(lock.TTL, ttl)
 	b.of(Lock)[lock.Name] = lock
 }
 
-func (b *Book) remove(index ids.Stamp, record rpc.BondRecord) {
+func (b *Book) remove(index ids.Index, record rpc.CoordinationRecord) {
 	delete(b.of(record.Kind), record.Name)
-	b.tell(rpc.BondEvent{Stamp: index, Name: record.Name, Kind: record.Kind, Gone: true})
+	b.tell(rpc.WatchEvent{Index: index, Name: record.Name, Kind: record.Kind, Deleted: true})
 }
 
-func (b *Book) tell(e rpc.BondEvent) {
+func (b *Book) tell(e rpc.WatchEvent) {
 	b.events = append(b.events, e)
 	b.times = append(b.times, time.Now())
 }
@@ -204,19 +204,19 @@
 		n++
 	}
 	if n > 0 {
-		b.start = b.events[n-1].Stamp
+		b.start = b.events[n-1].Index
 		for _, e := range b.events[:n] {
-			if space := spaceOf(e.Name); e.Rev > b.starts[space] {
-				b.starts[space] = e.Rev
+			if space := spaceOf(e.Name); e.Revision > b.starts[space] {
+				b.starts[space] = e.Revision
 			}
 		}
-		b.events = append([]rpc.BondEvent(nil), b.events[n:]...)
+		b.events = append([]rpc.WatchEvent(nil), b.events[n:]...)
 		b.times = append([]time.Time(nil), b.times[n:]...)
 	}
 }
 
 // Get reads one name.
-func (b *Book) Get(kind, name string) (rpc.BondRecord, bool) {
+func (b *Book) Get(kind, name string) (rpc.CoordinationRecord, bool) {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
 	record, ok := b.records[kind][name]
@@ -231,7 +231,7 @@
 }
 
 // Seen is the receipt kept for a request id.
-func (b *Book) Seen(id string) (rpc.BondReceipt, bool) {
+func (b *Book) Seen(id string) (rpc.CoordinationResponse, bool) {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
 	receipt, ok := b.seen[id]
@@ -240,10 +240,10 @@
 
 // All lists the records of a kind whose names have the prefix, in order, with
 // the stamp up to which they hold.
-func (b *Book) All(kind, prefix string) ([]rpc.BondRecord, ids.Stamp) {
+func (b *Book) All(kind, prefix string) ([]rpc.CoordinationRecord, ids.Index) {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
-	var list []rpc.BondRecord
+	var list []rpc.CoordinationRecord
 	for _, record := range b.records[kind] {
 		if strings.HasPrefix(record.Name, prefix) {
 			list = append(list, record)
@@ -254,17 +254,17 @@
 }
 
 // Since is the events of a prefix after a stamp, and the stamp to resume from.
-func (b *Book) Since(prefix string, from ids.Stamp, most int) (list []rpc.BondEvent, next ids.Stamp, isKept bool) {
+func (b *Book) Since(prefix string, from ids.Index, most int) (list []rpc.WatchEvent, next ids.Index, isKept bool) {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
 	if from < b.start {
 		return nil, b.applied, false
 	}
-	at := sort.Search(len(b.events), func(i int) bool { return b.events[i].Stamp > from })
+	at := sort.Search(len(b.events), func(i int) bool { return b.events[i].Index > from })
 	for _, e := range b.events[at:] {
 		if strings.HasPrefix(e.Name, prefix) {
 			if len(list) == most {
-				return list, list[most-1].Stamp, true
+				return list, list[most-1].Index, true
 			}
 			list = append(list, e)
 		}
@@ -282,41 +282,41 @@
 	}
 }
 
-func (b *Book) copy() *rpc.BondState {
+func (b *Book) copy() *rpc.CoordinationState {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
-	state := &rpc.BondState{Events: slices.Clone(b.events), Start: b.start, Applied: b.applied, Starts: maps.Clone(b.starts)}
+	state := &rpc.CoordinationState{Events: slices.Clone(b.events), Start: b.start, Applied: b.applied, Starts: maps.Clone(b.starts)}
 	for _, kind := range b.records {
 		for _, record := range kind {
 			state.Records = append(state.Records, record)
 		}
 	}
 	for _, id := range b.order {
-		state.Seen = append(state.Seen, rpc.BondSeen{Id: id, Receipt: b.seen[id]})
+		state.Completed = append(state.Completed, rpc.CompletedRequest{ID: id, Response: b.seen[id]})
 	}
 	return state
 }
 
 // Restore replaces the whole state.
 func (b *Book) Restore(raw json.RawMessage) error {
-	var state rpc.BondState
+	var state rpc.CoordinationState
 	if err := json.Unmarshal(raw, &state); err != nil {
 		return err
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.records, b.seen, b.order = map[string]map[string]rpc.BondRecord{}, map[string]rpc.BondReceipt{}, nil
+	b.records, b.seen, b.order = map[string]map[string]rpc.CoordinationRecord{}, map[string]rpc.CoordinationResponse{}, nil
 	for _, record := range state.Records {
 		b.of(record.Kind)[record.Name] = record
 	}
-	for _, s := range state.Seen {
-		b.seen[s.Id] = s.Receipt
-		b.order = append(b.order, s.Id)
+	for _, s := range state.Completed {
+		b.seen[s.ID] = s.Response
+		b.order = append(b.order, s.ID)
 	}
 	b.events, b.start, b.applied = state.Events, state.Start, state.Applied
 	b.starts = state.Starts
 	if b.starts == nil {
-		b.starts = map[string]ids.Stamp{}
+		b.starts = map[string]ids.Index{}
 	}
 	b.times = make([]time.Time, len(b.events))
 	for i := range b.times {
--- a/internal/coordination/book_test.go
+++ b/internal/coordination/book_test.go
@@ -15,17 +15,17 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-func apply(b *Book, index ids.Stamp, op rpc.BondOp) *rpc.BondReceipt {
+func apply(b *Book, index ids.Index, op rpc.CoordinationRequest) *rpc.CoordinationResponse {
 	raw, _ := json.Marshal(op)
-	return b.Apply(index, raw).(*rpc.BondReceipt)
+	return b.Apply(index, raw).(*rpc.CoordinationResponse)
 }
 
 func BenchmarkMarksAmongManyKeys(b *testing.B) {
 	book := NewBook()
 	for i := range 20000 {
-		apply(book, ids.Stamp(i+1), rpc.BondOp{Op: "put", Name: fmt.Sprint("k/", i), Value: json.RawMessage("1")})
+		apply(book, ids.Index(i+1), rpc.CoordinationRequest{Operation: "put", Name: fmt.Sprint("k/", i), Value: json.RawMessage("1")})
 	}
-	apply(book, 20001, rpc.BondOp{Op: "mark", Name: "rates/i1", Holder: "draining", Seq: 1})
+	apply(book, 20001, rpc.CoordinationRequest{Operation: "mark", Name: "rates/i1", Holder: "draining", Sequence: 1})
 	b.ResetTimer()
 	for b.Loop() {
 		if list, _ := book.All(Mark, ""); len(list) != 1 {
@@ -36,9 +36,9 @@
 
 func TestARepeatGetsTheFirstReceipt(t *testing.T) {
 	book := NewBook()
-	first := apply(book, 1, rpc.BondOp{Op: "add", Id: "r", Name: "n", Delta: 2})
-	again := apply(book, 2, rpc.BondOp{Op: "add", Id: "r", Name: "n", Delta: 2})
-	if first.Count != 2 || again.Count != 2 || again.Stamp != 1 {
+	first := apply(book, 1, rpc.CoordinationRequest{Operation: "add", ID: "r", Name: "n", Delta: 2})
+	again := apply(book, 2, rpc.CoordinationRequest{Operation: "add", ID: "r", Name: "n", Delta: 2})
+	if first.Count != 2 || again.Count != 2 || again.Index != 1 {
 		t.Fatal(first, again)
 	}
 	raw, err := book.Snapshot()()
@@ -49,10 +49,10 @@
 	if err := other.Restore(raw); err != nil {
 		t.Fatal(err)
 	}
-	if again := apply(other, 3, rpc.BondOp{Op: "add", Id: "r", Name: "n", Delta: 2}); again.Count != 2 {
+	if again := apply(other, 3, rpc.CoordinationRequest{Operation: "add", ID: "r", Name: "n", Delta: 2}); again.Count != 2 {
 		t.Fatal("a loaded state forgot the receipt", again)
 	}
-	if next := apply(other, 4, rpc.BondOp{Op: "add", Name: "n", Delta: 2}); next.Count != 4 {
+	if next := apply(other, 4, rpc.CoordinationRequest{Operation: "add", Name: "n", Delta: 2}); next.Count != 4 {
 		t.Fatal(next)
 	}
 }
@@ -60,8 +60,8 @@
 func TestEventsAreKeptForAMinute(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		book := NewBook()
-		put := func(index ids.Stamp) {
-			apply(book, index, rpc.BondOp{Op: "put", Name: "a/x", Value: json.RawMessage("1")})
+		put := func(index ids.Index) {
+			apply(book, index, rpc.CoordinationRequest{Operation: "put", Name: "a/x", Value: json.RawMessage("1")})
 		}
 		put(1)
 		time.Sleep(40 * time.Second)
@@ -82,18 +82,18 @@
 
 func TestFencesGrowAndOnlyTheHolderReleases(t *testing.T) {
 	book := NewBook()
-	one := apply(book, 5, rpc.BondOp{Op: "acquire", Name: "l", Holder: "a", Ttl: 1000})
-	if held := apply(book, 6, rpc.BondOp{Op: "acquire", Name: "l", Holder: "b", Ttl: 1000}); held.Code != errcode.Held.No || held.Holder != "a" {
+	one := apply(book, 5, rpc.CoordinationRequest{Operation: "acquire", Name: "l", Holder: "a", TTL: 1000})
+	if held := apply(book, 6, rpc.CoordinationRequest{Operation: "acquire", Name: "l", Holder: "b", TTL: 1000}); held.Code != errcode.Held.No || held.Holder != "a" {
 		t.Fatal(held)
 	}
-	if no := apply(book, 7, rpc.BondOp{Op: "release", Name: "l", Holder: "b", Fence: one.Fence}); no.Code != errcode.NotHeld.No {
+	if no := apply(book, 7, rpc.CoordinationRequest{Operation: "release", Name: "l", Holder: "b", FencingToken: one.FencingToken}); no.Code != errcode.NotHeld.No {
 		t.Fatal(no)
 	}
-	if no := apply(book, 8, rpc.BondOp{Op: "expire", Name: "l", Fence: one.Fence - 1}); no.Code != errcode.NotHeld.No {
+	if no := apply(book, 8, rpc.CoordinationRequest{Operation: "expire", Name: "l", FencingToken: one.FencingToken - 1}); no.Code != errcode.NotHeld.No {
 		t.Fatal("an old grant's end took the new one", no)
 	}
-	apply(book, 9, rpc.BondOp{Op: "release", Name: "l", Holder: "a", Fence: one.Fence})
-	if two := apply(book, 10, rpc.BondOp{Op: "acquire", Name: "l", Holder: "b", Ttl: 1000}); two.Fence <= one.Fence {
+	apply(book, 9, rpc.CoordinationRequest{Operation: "release", Name: "l", Holder: "a", FencingToken: one.FencingToken})
+	if two := apply(book, 10, rpc.CoordinationRequest{Operation: "acquire", Name: "l", Holder: "b", TTL: 1000}); two.FencingToken <= one.FencingToken {
 		t.Fatal(one, two)
 	}
 }
@@ -102,10 +102,10 @@
 // stand in the way of the order for as long as claims are kept.
 func TestAClaimThatWasGivenBackIsNotTakenLate(t *testing.T) {
 	b := NewBook()
-	claim := func(index ids.Stamp, holder string) bool {
-		return apply(b, index, rpc.BondOp{Op: "claims", Name: "orders", Records: []rpc.BondRecord{{Name: "orders/a", Holder: holder}}}).Keys[0].Kind != held
+	claim := func(index ids.Index, holder string) bool {
+		return apply(b, index, rpc.CoordinationRequest{Operation: "claims", Name: "orders", Records: []rpc.CoordinationRecord{{Name: "orders/a", Holder: holder}}}).Records[0].Kind != held
 	}
-	apply(b, 1, rpc.BondOp{Op: "unclaim", Name: "orders/a", Holder: "one"})
+	apply(b, 1, rpc.CoordinationRequest{Operation: "unclaim", Name: "orders/a", Holder: "one"})
 	if claim(2, "one") {
 		t.Error("the late claim was taken")
 	}
--- a/internal/coordination/desk.go
+++ b/internal/coordination/desk.go
@@ -18,7 +18,7 @@
 )
 
 type grant struct {
-	fence     ids.Stamp
+	fence     ids.Index
 	until     time.Time
 	isGoingBy bool
 	going     chan struct{}
@@ -26,20 +26,20 @@
 
 // Desk is one core node's.
 type Desk struct {
-	past  [ids.Parts][]moment
+	past  [ids.ShardCount][]moment
 	r     *environment.Realm
 	p     *consensus.Node
 	books []*Book
 
 	mu     sync.Mutex
-	terms  map[ids.Part]ids.Term
-	grants map[ids.Part]map[string]*grant
+	terms  map[ids.Shard]ids.Term
+	grants map[ids.Shard]map[string]*grant
 
-	gathered map[ids.Part]*gathering
+	gathered map[ids.Shard]*gathering
 }
 
 func NewDesk(r *environment.Realm, p *consensus.Node, books []*Book) *Desk {
-	return &Desk{r: r, p: p, books: books, terms: map[ids.Part]ids.Term{}, grants: map[ids.Part]map[string]*grant{}, gathered: map[ids.Part]*gathering{}}
+	return &Desk{r: r, p: p, books: books, terms: map[ids.Shard]ids.Term{}, grants: map[ids.Shard]map[string]*grant{}, gathered: map[ids.Shard]*gathering{}}
 }
 
 // Open starts to watch over the grants.
@@ -47,9 +47,9 @@
 	d.r.Go(func() {
 		for i := 0; d.r.Pause(100 * time.Millisecond); i++ {
 			for no := range d.books {
-				d.expire(ids.Part(no))
+				d.expire(ids.Shard(no))
 				if i%100 == 0 {
-					d.sweep(ids.Part(no))
+					d.sweep(ids.Shard(no))
 				}
 			}
 		}
@@ -57,13 +57,13 @@
 }
 
 // Do carries out one call on a part owned here.
-func (d *Desk) Do(ctx context.Context, op *rpc.BondOp) (*rpc.BondReceipt, error) {
+func (d *Desk) Do(ctx context.Context, op *rpc.CoordinationRequest) (*rpc.CoordinationResponse, error) {
 	if problem := check(op); problem != nil {
 		return nil, problem
 	}
-	no := ids.PartOf(op.Name)
+	no := ids.ShardOf(op.Name)
 	part, book := d.p.Replica(no), d.books[no]
-	switch op.Op {
+	switch op.Operation {
 	case "get", "list", "watch", "follow", "renew":
 		began := d.r.Now()
 		term, _, isServing := part.LeadershipSince()
@@ -73,12 +73,12 @@
 		if err := part.ConfirmLeadership(ctx, began); err != nil {
 			return nil, err
 		}
-		switch op.Op {
+		switch op.Operation {
 		case "get":
 			return d.get(book, op)
 		case "list":
 			keys, stamp := book.All(Key, op.Name)
-			return &rpc.BondReceipt{Stamp: stamp, Keys: keys}, nil
+			return &rpc.CoordinationResponse{Index: stamp, Records: keys}, nil
 		case "watch":
 			return d.watch(ctx, part, book, op)
 		case "follow":
@@ -93,19 +93,19 @@
 	return d.propose(ctx, no, op)
 }
 
-func (d *Desk) propose(ctx context.Context, no ids.Part, op *rpc.BondOp) (*rpc.BondReceipt, error) {
+func (d *Desk) propose(ctx context.Context, no ids.Shard, op *rpc.CoordinationRequest) (*rpc.CoordinationResponse, error) {
 	_, receipt, err := d.p.Replica(no).Propose(ctx, op)
 	if err != nil {
 		return nil, err
 	}
-	got, ok := receipt.(*rpc.BondReceipt)
+	got, ok := receipt.(*rpc.CoordinationResponse)
 	if !ok {
 		return nil, errcode.New(errcode.Unsure, "part %d", no)
 	}
 	return got, nil
 }
 
-func check(op *rpc.BondOp) error {
+func check(op *rpc.CoordinationRequest) error {
 	var paths []string
 	if op.Name == "" || len(op.Name) > 512 {
 		paths = append(paths, "name: is missing or longer than 512 bytes")
@@ -113,9 +113,9 @@
 	if len(op.Value) > 64<<10 {
 		paths = append(paths, "value: is larger than 64 KiB")
 	}
-	isTimed := op.Ttl >= 10 && op.Ttl <= 3600_000
+	isTimed := op.TTL >= 10 && op.TTL <= 3600_000
 	space, rest, hasSlash := strings.Cut(op.Name, "/")
-	switch op.Op {
+	switch op.Operation {
 	case "get", "list", "watch", "put", "drop", "mark", "unmark", "expire", "claim", "unclaim", "settle":
 	case "add":
 	case "set":
@@ -137,14 +137,14 @@
 			paths = append(paths, "ttl: is outside 10 ms to 1 h")
 		}
 	case "release", "renew":
-		if op.Holder == "" || op.Fence == 0 {
+		if op.Holder == "" || op.FencingToken == 0 {
 			paths = append(paths, "holder, fence: are missing")
 		}
-		if op.Op == "renew" && op.Ttl != 0 && !isTimed {
+		if op.Operation == "renew" && op.TTL != 0 && !isTimed {
 			paths = append(paths, "ttl: is outside 10 ms to 1 h")
 		}
 	default:
-		paths = append(paths, "op: "+op.Op+" is not known")
+		paths = append(paths, "op: "+op.Operation+" is not known")
 	}
 	if len(paths) > 0 {
 		return errcode.At(errcode.BadCall, paths)
@@ -152,24 +152,24 @@
 	return nil
 }
 
-func (d *Desk) get(book *Book, op *rpc.BondOp) (*rpc.BondReceipt, error) {
+func (d *Desk) get(book *Book, op *rpc.CoordinationRequest) (*rpc.CoordinationResponse, error) {
 	kind := Key
 	if op.Holder != "" {
 		kind = op.Holder
 	}
 	record, ok := book.Get(kind, op.Name)
 	if !ok && kind == Count {
-		return &rpc.BondReceipt{}, nil
+		return &rpc.CoordinationResponse{}, nil
 	}
 	if !ok {
-		return &rpc.BondReceipt{Code: errcode.NoKey.No}, nil
+		return &rpc.CoordinationResponse{Code: errcode.NoKey.No}, nil
 	}
-	return &rpc.BondReceipt{Stamp: record.Stamp, Rev: record.Rev, Value: record.Value, Count: record.Count, Holder: record.Holder, Fence: record.Fence, Ttl: record.Ttl}, nil
+	return &rpc.CoordinationResponse{Index: record.Index, Revision: record.Revision, Value: record.Value, Count: record.Count, Holder: record.Holder, FencingToken: record.FencingToken, TTL: record.TTL}, nil
 }
 
 // under returns the grants of the part for this term, emptied at a new one; nil
 // if a newer one has begun.
-func (d *Desk) under(no ids.Part, term ids.Term) map[string]*grant {
+func (d *Desk) under(no ids.Shard, term ids.Term) map[string]*grant {
 	if term.Less(d.terms[no]) {
 		return nil
 	}
@@ -181,18 +181,18 @@
 
 // see is the grant of a lock as the book has it while d.mu is held; one that this
 // owner sees for the first time starts at full length.
-func (d *Desk) see(grants map[string]*grant, lock rpc.BondRecord) *grant {
-	if g := grants[lock.Name]; g == nil || g.fence != lock.Fence {
-		grants[lock.Name] = &grant{fence: lock.Fence, until: d.r.Now().Add(time.Duration(lock.Ttl) * time.Millisecond)}
+func (d *Desk) see(grants map[string]*grant, lock rpc.CoordinationRecord) *grant {
+	if g := grants[lock.Name]; g == nil || g.fence != lock.FencingToken {
+		grants[lock.Name] = &grant{fence: lock.FencingToken, until: d.r.Now().Add(time.Duration(lock.TTL) * time.Millisecond)}
 	}
 	return grants[lock.Name]
 }
 
 // acquire writes nothing while another's grant lasts, and has one whose time is
 // over taken back first.
-func (d *Desk) acquire(ctx context.Context, no ids.Part, op *rpc.BondOp) (*rpc.BondReceipt, error) {
+func (d *Desk) acquire(ctx context.Context, no ids.Shard, op *rpc.CoordinationRequest) (*rpc.CoordinationResponse, error) {
 	began, part, book := d.r.Now(), d.p.Replica(no), d.books[no]
-	_, isRepeat := book.Seen(op.Id)
+	_, isRepeat := book.Seen(op.ID)
 	for !isRepeat {
 		term, _, isServing := part.LeadershipSince()
 		if !isServing {
@@ -223,7 +223,7 @@
 	if err != nil || got.Code != 0 {
 		return got, err
 	}
-	renewed, err := d.extend(no, op.Name, got.Fence, got.Ttl)
+	renewed, err := d.extend(no, op.Name, got.FencingToken, got.TTL)
 	if err != nil || renewed.Code != 0 {
 		return renewed, err
 	}
@@ -232,7 +232,7 @@
 
 // holding is the refusal while another holds the lock, or else what ends when
 // its grant has been taken back.
-func (d *Desk) holding(no ids.Part, term ids.Term, op *rpc.BondOp) (*rpc.BondReceipt, <-chan struct{}) {
+func (d *Desk) holding(no ids.Shard, term ids.Term, op *rpc.CoordinationRequest) (*rpc.CoordinationResponse, <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	grants := d.under(no, term)
@@ -243,38 +243,38 @@
 	if g := d.see(grants, lock); g.isGoingBy || !d.r.Now().Before(g.until) {
 		return nil, d.goBy(no, term, lock, g)
 	}
-	return &rpc.BondReceipt{Code: errcode.Held.No, Stamp: lock.Stamp, Holder: lock.Holder, Fence: lock.Fence, Ttl: lock.Ttl}, nil
+	return &rpc.CoordinationResponse{Code: errcode.Held.No, Index: lock.Index, Holder: lock.Holder, FencingToken: lock.FencingToken, TTL: lock.TTL}, nil
 }
 
 // renew extends the grant; a time above the lock's own is written first, so that
 // a new owner does not end the grant early.
-func (d *Desk) renew(ctx context.Context, no ids.Part, term ids.Term, op *rpc.BondOp) (*rpc.BondReceipt, error) {
+func (d *Desk) renew(ctx context.Context, no ids.Shard, term ids.Term, op *rpc.CoordinationRequest) (*rpc.CoordinationResponse, error) {
 	record, ok := d.books[no].Get(Lock, op.Name)
-	if !ok || record.Holder != op.Holder || record.Fence != op.Fence {
-		return &rpc.BondReceipt{Code: errcode.NotHeld.No, Fence: record.Fence}, nil
+	if !ok || record.Holder != op.Holder || record.FencingToken != op.FencingToken {
+		return &rpc.CoordinationResponse{Code: errcode.NotHeld.No, FencingToken: record.FencingToken}, nil
 	}
 	if now, _, isServing := d.p.Replica(no).LeadershipSince(); !isServing || now != term {
 		return nil, errcode.New(errcode.NotOwner, "part %d", no)
 	}
-	ttl := op.Ttl
+	ttl := op.TTL
 	if ttl == 0 {
-		ttl = record.Ttl
+		ttl = record.TTL
 	}
-	if ttl > record.Ttl {
-		if got, err := d.extend(no, op.Name, op.Fence, record.Ttl); err != nil || got.Code != 0 {
+	if ttl > record.TTL {
+		if got, err := d.extend(no, op.Name, op.FencingToken, record.TTL); err != nil || got.Code != 0 {
 			return got, err
 		}
-		stretch := &rpc.BondOp{Op: "stretch", Name: op.Name, Holder: op.Holder, Fence: op.Fence, Ttl: ttl}
+		stretch := &rpc.CoordinationRequest{Operation: "stretch", Name: op.Name, Holder: op.Holder, FencingToken: op.FencingToken, TTL: ttl}
 		if got, err := d.propose(ctx, no, stretch); err != nil || got.Code != 0 {
 			return got, err
 		}
 	}
-	return d.extend(no, op.Name, op.Fence, ttl)
+	return d.extend(no, op.Name, op.FencingToken, ttl)
 }
 
 // extend makes the grant last, unless it has passed meanwhile; it is never cut
 // shorter than an earlier call made it.
-func (d *Desk) extend(no ids.Part, name string, fence ids.Stamp, ttl int64) (*rpc.BondReceipt, error) {
+func (d *Desk) extend(no ids.Shard, name string, fence ids.Index, ttl int64) (*rpc.CoordinationResponse, error) {
 	term, _, isServing := d.p.Replica(no).LeadershipSince()
 	if !isServing {
 		return nil, errcode.New(errcode.Unsure, "part %d", no)
@@ -286,22 +286,22 @@
 		return nil, errcode.New(errcode.Unsure, "part %d", no)
 	}
 	lock, ok := d.books[no].Get(Lock, name)
-	if !ok || lock.Fence != fence {
-		return &rpc.BondReceipt{Code: errcode.NotHeld.No, Fence: fence}, nil
+	if !ok || lock.FencingToken != fence {
+		return &rpc.CoordinationResponse{Code: errcode.NotHeld.No, FencingToken: fence}, nil
 	}
 	g := d.see(grants, lock)
 	if g.isGoingBy {
-		return &rpc.BondReceipt{Code: errcode.NotHeld.No, Fence: fence}, nil
+		return &rpc.CoordinationResponse{Code: errcode.NotHeld.No, FencingToken: fence}, nil
 	}
 	if until := d.r.Now().Add(time.Duration(ttl) * time.Millisecond); until.After(g.until) {
 		g.until = until
 	}
-	return &rpc.BondReceipt{Fence: fence, Ttl: ttl, Stamp: fence}, nil
+	return &rpc.CoordinationResponse{FencingToken: fence, TTL: ttl, Index: fence}, nil
 }
 
 // goBy has a grant taken back, by one entry at a time; the grant can't be renewed
 // from then on, also if the entry has to be tried again.
-func (d *Desk) goBy(no ids.Part, term ids.Term, lock rpc.BondRecord, g *grant) <-chan struct{} {
+func (d *Desk) goBy(no ids.Shard, term ids.Term, lock rpc.CoordinationRecord, g *grant) <-chan struct{} {
 	g.isGoingBy = true
 	if g.going != nil {
 		return g.going
@@ -312,7 +312,7 @@
 		ctx, end := context.WithTimeout(d.r, 5*time.Second)
 		defer end()
 		if now, _, isServing := d.p.Replica(no).LeadershipSince(); isServing && now == term {
-			d.p.Replica(no).Propose(ctx, &rpc.BondOp{Op: "expire", Name: lock.Name, Fence: lock.Fence})
+			d.p.Replica(no).Propose(ctx, &rpc.CoordinationRequest{Operation: "expire", Name: lock.Name, FencingToken: lock.FencingToken})
 		}
 		d.mu.Lock()
 		defer d.mu.Unlock()
@@ -324,7 +324,7 @@
 
 // expire takes back the grants of a part whose time is over, and forgets those
 // whose locks are gone.
-func (d *Desk) expire(no ids.Part) {
+func (d *Desk) expire(no ids.Shard) {
 	term, _, isServing := d.p.Replica(no).LeadershipSince()
 	if !isServing {
 		return
--- a/internal/coordination/desk_test.go
+++ b/internal/coordination/desk_test.go
@@ -27,7 +27,7 @@
 	d.Helper()
 	isThere := d.f.Until(30*time.Second, func() bool {
 		for _, m := range d.f.Cores() {
-			if n := m.Node(); n != nil && n.Consensus.Replica(ids.PartOf(name)).IsServing() {
+			if n := m.Node(); n != nil && n.Consensus.Replica(ids.ShardOf(name)).IsServing() {
 				owner = m
 				return true
 			}
@@ -40,22 +40,22 @@
 	return owner
 }
 
-func (d *desks) do(op rpc.BondOp) *rpc.BondReceipt {
+func (d *desks) do(op rpc.CoordinationRequest) *rpc.CoordinationResponse {
 	d.Helper()
 	ctx, end := context.WithTimeout(context.Background(), 5*time.Second)
 	defer end()
 	receipt, err := d.owner(op.Name).Node().Desk.Do(ctx, &op)
 	if err != nil {
-		d.Fatal(op.Op, err)
+		d.Fatal(op.Operation, err)
 	}
 	return receipt
 }
 
-func (d *desks) last(name string) ids.Stamp {
-	return d.owner(name).Node().Consensus.Replica(ids.PartOf(name)).Status().LastIndex
+func (d *desks) last(name string) ids.Index {
+	return d.owner(name).Node().Consensus.Replica(ids.ShardOf(name)).Status().LastIndex
 }
 
-func (d *desks) expect(got *rpc.BondReceipt, code errcode.Code) *rpc.BondReceipt {
+func (d *desks) expect(got *rpc.CoordinationResponse, code errcode.Code) *rpc.CoordinationResponse {
 	d.Helper()
 	if got.Code != code.No {
 		d.Fatalf("%+v; wanted %s", got, code.Name)
@@ -78,49 +78,49 @@
 
 func TestShortLocks(t *testing.T) {
 	on(t, func(d *desks) {
-		acquire := func(holder string, ttl int64) *rpc.BondReceipt {
+		acquire := func(holder string, ttl int64) *rpc.CoordinationResponse {
 			d.Helper()
-			return d.do(rpc.BondOp{Op: "acquire", Name: "l", Holder: holder, Ttl: ttl})
+			return d.do(rpc.CoordinationRequest{Operation: "acquire", Name: "l", Holder: holder, TTL: ttl})
 		}
-		renew := func(fence ids.Stamp, ttl int64) *rpc.BondReceipt {
+		renew := func(fence ids.Index, ttl int64) *rpc.CoordinationResponse {
 			d.Helper()
-			return d.do(rpc.BondOp{Op: "renew", Name: "l", Holder: "a", Fence: fence, Ttl: ttl})
+			return d.do(rpc.CoordinationRequest{Operation: "renew", Name: "l", Holder: "a", FencingToken: fence, TTL: ttl})
 		}
 		one := d.expect(acquire("a", 1000), done)
 		before := d.last("l")
 		for range 10 {
-			if held := d.expect(acquire("b", 1000), errcode.Held); held.Holder != "a" || held.Fence != one.Fence {
+			if held := d.expect(acquire("b", 1000), errcode.Held); held.Holder != "a" || held.FencingToken != one.FencingToken {
 				d.Fatal(held)
 			}
 		}
-		d.expect(renew(one.Fence, 400), done)
-		d.expect(renew(one.Fence, 0), done)
+		d.expect(renew(one.FencingToken, 400), done)
+		d.expect(renew(one.FencingToken, 0), done)
 		if d.last("l") != before {
 			d.Fatal("a refusal or a renewal was written")
 		}
-		if got := d.expect(acquire("a", 20), done); got.Fence != one.Fence || got.Ttl != 20 {
+		if got := d.expect(acquire("a", 20), done); got.FencingToken != one.FencingToken || got.TTL != 20 {
 			d.Fatal(got)
 		}
 		time.Sleep(800 * time.Millisecond)
 		d.expect(acquire("b", 1000), errcode.Held)
-		if got := d.expect(renew(one.Fence, 5000), done); got.Ttl != 5000 {
+		if got := d.expect(renew(one.FencingToken, 5000), done); got.TTL != 5000 {
 			d.Fatal(got)
 		}
 		time.Sleep(4800 * time.Millisecond)
 		d.expect(acquire("b", 1000), errcode.Held)
 		time.Sleep(300 * time.Millisecond)
 		two := d.expect(acquire("b", 10), done)
-		if two.Fence <= one.Fence {
+		if two.FencingToken <= one.FencingToken {
 			d.Fatal(one, two)
 		}
-		d.expect(renew(one.Fence, 0), errcode.NotHeld)
-		d.expect(d.do(rpc.BondOp{Op: "release", Name: "l", Holder: "a", Fence: one.Fence}), errcode.NotHeld)
+		d.expect(renew(one.FencingToken, 0), errcode.NotHeld)
+		d.expect(d.do(rpc.CoordinationRequest{Operation: "release", Name: "l", Holder: "a", FencingToken: one.FencingToken}), errcode.NotHeld)
 		time.Sleep(10 * time.Millisecond)
-		if three := d.expect(acquire("a", 50), done); three.Fence <= two.Fence {
+		if three := d.expect(acquire("a", 50), done); three.FencingToken <= two.FencingToken {
 			d.Fatal(two, three)
 		}
 		time.Sleep(time.Second)
-		d.expect(d.do(rpc.BondOp{Op: "get", Name: "l", Holder: "lock"}), errcode.NoKey)
+		d.expect(d.do(rpc.CoordinationRequest{Operation: "get", Name: "l", Holder: "lock"}), errcode.NoKey)
 	})
 }
 
@@ -129,7 +129,7 @@
 		const ttl = 30 * time.Millisecond
 		type holding struct {
 			from, to time.Time
-			fence    ids.Stamp
+			fence    ids.Index
 		}
 		holdings := make(chan holding, 10000)
 		ended := make(chan struct{})
@@ -139,10 +139,10 @@
 				for n := range 60 {
 					sent := time.Now()
 					ctx, end := context.WithTimeout(context.Background(), 5*time.Second)
-					receipt, err := d.owner("l").Node().Desk.Do(ctx, &rpc.BondOp{Op: "acquire", Name: "l", Holder: fmt.Sprint(i, "/", n), Ttl: ttl.Milliseconds()})
+					receipt, err := d.owner("l").Node().Desk.Do(ctx, &rpc.CoordinationRequest{Operation: "acquire", Name: "l", Holder: fmt.Sprint(i, "/", n), TTL: ttl.Milliseconds()})
 					end()
 					if got := time.Now(); err == nil && receipt.Code == 0 && got.Before(sent.Add(ttl)) {
-						holdings <- holding{got, sent.Add(ttl), receipt.Fence}
+						holdings <- holding{got, sent.Add(ttl), receipt.FencingToken}
 					}
 					time.Sleep(7 * time.Millisecond)
 				}
@@ -174,20 +174,20 @@
 
 func TestANewOwnerDoesNotEndAStretchedGrantEarly(t *testing.T) {
 	on(t, func(d *desks) {
-		one := d.expect(d.do(rpc.BondOp{Op: "acquire", Name: "l", Holder: "a", Ttl: 100}), done)
-		d.expect(d.do(rpc.BondOp{Op: "renew", Name: "l", Holder: "a", Fence: one.Fence, Ttl: 60_000}), done)
+		one := d.expect(d.do(rpc.CoordinationRequest{Operation: "acquire", Name: "l", Holder: "a", TTL: 100}), done)
+		d.expect(d.do(rpc.CoordinationRequest{Operation: "renew", Name: "l", Holder: "a", FencingToken: one.FencingToken, TTL: 60_000}), done)
 		sent := time.Now()
 		old := d.owner("l")
 		old.Kill(false)
 		for time.Since(sent) < 59*time.Second {
-			d.expect(d.do(rpc.BondOp{Op: "acquire", Name: "l", Holder: "b", Ttl: 100}), errcode.Held)
+			d.expect(d.do(rpc.CoordinationRequest{Operation: "acquire", Name: "l", Holder: "b", TTL: 100}), errcode.Held)
 			time.Sleep(3 * time.Second)
 		}
 		if d.owner("l") == old {
 			d.Fatal("the owner did not change")
 		}
 		time.Sleep(30 * time.Second)
-		if two := d.expect(d.do(rpc.BondOp{Op: "acquire", Name: "l", Holder: "b", Ttl: 100}), done); two.Fence <= one.Fence {
+		if two := d.expect(d.do(rpc.CoordinationRequest{Operation: "acquire", Name: "l", Holder: "b", TTL: 100}), done); two.FencingToken <= one.FencingToken {
 			d.Fatal(one, two)
 		}
 	})
@@ -195,37 +195,37 @@
 
 func TestAFollowerIsAnsweredAtTheNextSet(t *testing.T) {
 	on(t, func(d *desks) {
-		set := func(value int) *rpc.BondReceipt {
-			return d.expect(d.do(rpc.BondOp{Op: "set", Name: "s/a", Value: json.RawMessage(fmt.Sprint(value))}), done)
+		set := func(value int) *rpc.CoordinationResponse {
+			return d.expect(d.do(rpc.CoordinationRequest{Operation: "set", Name: "s/a", Value: json.RawMessage(fmt.Sprint(value))}), done)
 		}
-		follow := func(from ids.Stamp, hold int64) *rpc.BondReceipt {
-			return d.expect(d.do(rpc.BondOp{Op: "follow", Name: "s/", From: from, Hold: hold}), done)
+		follow := func(from ids.Index, hold int64) *rpc.CoordinationResponse {
+			return d.expect(d.do(rpc.CoordinationRequest{Operation: "follow", Name: "s/", FromIndex: from, Wait: hold}), done)
 		}
 		set(1)
-		if got := d.do(rpc.BondOp{Op: "get", Name: "s/a"}); got.Rev != 1 || string(got.Value) != "1" {
+		if got := d.do(rpc.CoordinationRequest{Operation: "get", Name: "s/a"}); got.Revision != 1 || string(got.Value) != "1" {
 			d.Fatal(got)
 		}
-		if got := follow(0, 1000); got.Rev != 1 || len(got.Events) != 0 {
+		if got := follow(0, 1000); got.Revision != 1 || len(got.Events) != 0 {
 			d.Fatal(got)
 		}
 		began := time.Now()
-		if got := follow(1, 1000); got.Rev != 1 || len(got.Events) != 0 || time.Since(began) < time.Second {
+		if got := follow(1, 1000); got.Revision != 1 || len(got.Events) != 0 || time.Since(began) < time.Second {
 			d.Fatal(got)
 		}
-		if got := follow(9, 100); got.Rev != 9 || len(got.Events) != 0 {
+		if got := follow(9, 100); got.Revision != 9 || len(got.Events) != 0 {
 			d.Fatal(got)
 		}
-		answer := make(chan *rpc.BondReceipt)
+		answer := make(chan *rpc.CoordinationResponse)
 		began = time.Now()
 		go func() { answer <- follow(1, 4000) }()
 		time.Sleep(500 * time.Millisecond)
 		set(2)
-		if got := <-answer; got.Rev != 2 || len(got.Events) != 1 || got.Events[0].Rev != 2 || time.Since(began) > time.Second {
+		if got := <-answer; got.Revision != 2 || len(got.Events) != 1 || got.Events[0].Revision != 2 || time.Since(began) > time.Second {
 			d.Fatal(got)
 		}
 		d.owner("s/").Kill(false)
 		set(3)
-		if got := follow(1, 100); got.Rev != 3 || len(got.Events) != 2 {
+		if got := follow(1, 100); got.Revision != 3 || len(got.Events) != 2 {
 			d.Fatal("a change of owner lost a set", got)
 		}
 	})
@@ -233,17 +233,17 @@
 
 func TestCallsThatCantBeRead(t *testing.T) {
 	on(t, func(d *desks) {
-		for _, op := range []rpc.BondOp{
-			{Op: "set", Name: "s", Value: json.RawMessage("1")},
-			{Op: "set", Name: "s/", Value: json.RawMessage("1")},
-			{Op: "set", Name: "/a", Value: json.RawMessage("1")},
-			{Op: "set", Name: "s/a"},
-			{Op: "follow", Name: "s"},
-			{Op: "follow", Name: "s/a"},
-			{Op: "acquire", Name: "l", Holder: "a", Ttl: 9},
-			{Op: "acquire", Name: "l", Holder: "a", Ttl: 3600_001},
-			{Op: "renew", Name: "l", Holder: "a", Fence: 1, Ttl: 9},
-			{Op: "stretch", Name: "l", Holder: "a", Fence: 1, Ttl: 100},
+		for _, op := range []rpc.CoordinationRequest{
+			{Operation: "set", Name: "s", Value: json.RawMessage("1")},
+			{Operation: "set", Name: "s/", Value: json.RawMessage("1")},
+			{Operation: "set", Name: "/a", Value: json.RawMessage("1")},
+			{Operation: "set", Name: "s/a"},
+			{Operation: "follow", Name: "s"},
+			{Operation: "follow", Name: "s/a"},
+			{Operation: "acquire", Name: "l", Holder: "a", TTL: 9},
+			{Operation: "acquire", Name: "l", Holder: "a", TTL: 3600_001},
+			{Operation: "renew", Name: "l", Holder: "a", FencingToken: 1, TTL: 9},
+			{Operation: "stretch", Name: "l", Holder: "a", FencingToken: 1, TTL: 100},
 		} {
 			if _, err := d.owner(op.Name).Node().Desk.Do(context.Background(), &op); !errcode.Is(err, errcode.BadCall) {
 				d.Error(op, err)
--- a/internal/coordination/ranges.go
+++ b/internal/coordination/ranges.go
@@ -18,11 +18,11 @@
 	receipts = "receipts"
 )
 
-func rangeOf(name string) string { return fmt.Sprint("names/", ids.Score("range", name)%ranges) }
+func rangeOf(name string) string { return fmt.Sprint("names/", ids.Hash("range", name)%ranges) }
 
 // cut is the records of each range, in order.
-func (b *Book) cut() map[string][]rpc.BondRecord {
-	cut := map[string][]rpc.BondRecord{}
+func (b *Book) cut() map[string][]rpc.CoordinationRecord {
+	cut := map[string][]rpc.CoordinationRecord{}
 	for _, kind := range b.records {
 		for _, record := range kind {
 			name := rangeOf(record.Name)
@@ -35,10 +35,10 @@
 	return cut
 }
 
-func (b *Book) receipts() []rpc.BondSeen {
-	list := make([]rpc.BondSeen, 0, len(b.order))
+func (b *Book) receipts() []rpc.CompletedRequest {
+	list := make([]rpc.CompletedRequest, 0, len(b.order))
 	for _, id := range b.order {
-		list = append(list, rpc.BondSeen{Id: id, Receipt: b.seen[id]})
+		list = append(list, rpc.CompletedRequest{ID: id, Response: b.seen[id]})
 	}
 	return list
 }
@@ -75,18 +75,18 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if name == receipts {
-		var list []rpc.BondSeen
+		var list []rpc.CompletedRequest
 		if err := json.Unmarshal(data, &list); err != nil {
 			return err
 		}
-		b.seen, b.order = map[string]rpc.BondReceipt{}, nil
+		b.seen, b.order = map[string]rpc.CoordinationResponse{}, nil
 		for _, s := range list {
-			b.seen[s.Id] = s.Receipt
-			b.order = append(b.order, s.Id)
+			b.seen[s.ID] = s.Response
+			b.order = append(b.order, s.ID)
 		}
 		return nil
 	}
-	var list []rpc.BondRecord
+	var list []rpc.CoordinationRecord
 	if err := json.Unmarshal(data, &list); err != nil {
 		return err
 	}
--- a/internal/coordination/space.go
+++ b/internal/coordination/space.go
@@ -20,24 +20,24 @@
 // setId is what a set under an id is known by: its name and that id, so that a
 // repeat is known for one whatever revision it names. Without an id a set is never
 // a repeat: a value may be set again.
-func setId(op *rpc.BondOp) string {
-	sum := sha256.Sum256([]byte(op.Name + "\x00" + op.Id))
+func setId(op *rpc.CoordinationRequest) string {
+	sum := sha256.Sum256([]byte(op.Name + "\x00" + op.ID))
 	return "set/" + hex.EncodeToString(sum[:16])
 }
 
 // rise counts one more set in a space.
-func (b *Book) rise(index ids.Stamp, space string) ids.Stamp {
+func (b *Book) rise(index ids.Index, space string) ids.Index {
 	count := b.of(Space)[space].Count + 1
-	b.of(Space)[space] = rpc.BondRecord{Name: space, Kind: Space, Count: count, Stamp: index}
-	return ids.Stamp(count)
+	b.of(Space)[space] = rpc.CoordinationRecord{Name: space, Kind: Space, Count: count, Index: index}
+	return ids.Index(count)
 }
 
 // Follow is the sets of a space after a revision, and the revision to go on from.
 // They must follow it without a gap, also on a copy whose count was mended.
-func (b *Book) Follow(space string, from ids.Stamp, most int) (list []rpc.BondEvent, rev ids.Stamp, isKept bool) {
+func (b *Book) Follow(space string, from ids.Index, most int) (list []rpc.WatchEvent, rev ids.Index, isKept bool) {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
-	rev = ids.Stamp(b.records[Space][space].Count)
+	rev = ids.Index(b.records[Space][space].Count)
 	if from == 0 || rev <= from {
 		return nil, max(rev, from), true
 	}
@@ -46,23 +46,23 @@
 	}
 	at := len(b.events)
 	for i := at - 1; i >= 0; i-- {
-		if e := &b.events[i]; e.Rev > 0 && spaceOf(e.Name) == space {
-			if e.Rev <= from {
+		if e := &b.events[i]; e.Revision > 0 && spaceOf(e.Name) == space {
+			if e.Revision <= from {
 				break
 			}
 			at = i
 		}
 	}
 	for _, e := range b.events[at:] {
-		if e.Rev == 0 || spaceOf(e.Name) != space {
+		if e.Revision == 0 || spaceOf(e.Name) != space {
 			continue
 		}
-		if e.Rev != from+ids.Stamp(len(list))+1 {
+		if e.Revision != from+ids.Index(len(list))+1 {
 			return nil, rev, false
 		}
 		if list = append(list, e); len(list) == most {
-			return list, e.Rev, true
+			return list, e.Revision, true
 		}
 	}
-	return list, rev, from+ids.Stamp(len(list)) == rev
+	return list, rev, from+ids.Index(len(list)) == rev
 }
