--- a/internal/coordination/space_test.go
+++ b/internal/coordination/space_test.go
@@ -15,20 +15,20 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-func set(b *Book, index ids.Stamp, name, value string, rev ...ids.Stamp) *rpc.BondReceipt {
-	op := rpc.BondOp{Op: "set", Id: value, Name: name, Value: json.RawMessage(value)}
+func set(b *Book, index ids.Index, name, value string, rev ...ids.Index) *rpc.CoordinationResponse {
+	op := rpc.CoordinationRequest{Operation: "set", ID: value, Name: name, Value: json.RawMessage(value)}
 	if len(rev) > 0 {
-		op.Rev = &rev[0]
+		op.IfRevision = &rev[0]
 	}
 	return apply(b, index, op)
 }
 
 func TestASpaceCountsItsSets(t *testing.T) {
 	b := NewBook()
-	expect := func(got *rpc.BondReceipt, code int, rev ids.Stamp) {
+	expect := func(got *rpc.CoordinationResponse, code int, rev ids.Index) {
 		t.Helper()
-		if got.Code != code || got.Rev != rev {
-			t.Fatalf("code %d, rev %d; wanted %d, %d", got.Code, got.Rev, code, rev)
+		if got.Code != code || got.Revision != rev {
+			t.Fatalf("code %d, rev %d; wanted %d, %d", got.Code, got.Revision, code, rev)
 		}
 	}
 	expect(set(b, 10, "s/a", "1", 0), 0, 1)
@@ -38,10 +38,10 @@
 	expect(set(b, 14, "s/c", "1", 1), errcode.StampDiffers.No, 0)
 	expect(set(b, 15, "s/a", "2", 1), 0, 3)
 	expect(set(b, 16, "other/a", "1"), 0, 1)
-	apply(b, 17, rpc.BondOp{Op: "put", Name: "s/put", Value: json.RawMessage("1")})
+	apply(b, 17, rpc.CoordinationRequest{Operation: "put", Name: "s/put", Value: json.RawMessage("1")})
 	expect(set(b, 18, "s/put", "2", 0), errcode.StampDiffers.No, 0)
 	expect(set(b, 19, "s/c", "1", 0), 0, 4)
-	if record, ok := b.Get(Key, "s/a"); !ok || record.Rev != 3 || record.Stamp != 15 || string(record.Value) != "2" {
+	if record, ok := b.Get(Key, "s/a"); !ok || record.Revision != 3 || record.Index != 15 || string(record.Value) != "2" {
 		t.Fatal(record)
 	}
 	if keys, _ := b.All(Key, "s"); len(keys) != 4 {
@@ -52,12 +52,12 @@
 func TestAValueIsSetAgainWithoutAnId(t *testing.T) {
 	b := NewBook()
 	for i, value := range []string{"1", "2", "1"} {
-		got := apply(b, ids.Stamp(i+1), rpc.BondOp{Op: "set", Name: "s/a", Value: json.RawMessage(value)})
-		if got.Code != 0 || got.Rev != ids.Stamp(i+1) {
+		got := apply(b, ids.Index(i+1), rpc.CoordinationRequest{Operation: "set", Name: "s/a", Value: json.RawMessage(value)})
+		if got.Code != 0 || got.Revision != ids.Index(i+1) {
 			t.Fatal(i, got)
 		}
 	}
-	if record, _ := b.Get(Key, "s/a"); record.Rev != 3 || string(record.Value) != "1" {
+	if record, _ := b.Get(Key, "s/a"); record.Revision != 3 || string(record.Value) != "1" {
 		t.Fatal("a value that was set back is not there", record)
 	}
 }
@@ -66,18 +66,18 @@
 	b := NewBook()
 	set(b, 1, "s/a", `"x"`, 0)
 	set(b, 2, "s/a", `"y"`, 1)
-	for i, again := range []*rpc.BondReceipt{set(b, 3, "s/a", `"x"`, 0), set(b, 4, "s/a", `"x"`), set(b, 5, "s/a", `"x"`, 7)} {
-		if again.Code != 0 || again.Rev != 1 || again.Stamp != 1 {
+	for i, again := range []*rpc.CoordinationResponse{set(b, 3, "s/a", `"x"`, 0), set(b, 4, "s/a", `"x"`), set(b, 5, "s/a", `"x"`, 7)} {
+		if again.Code != 0 || again.Revision != 1 || again.Index != 1 {
 			t.Fatal(i, again)
 		}
 	}
-	if record, _ := b.Get(Key, "s/a"); string(record.Value) != `"y"` || record.Rev != 2 {
+	if record, _ := b.Get(Key, "s/a"); string(record.Value) != `"y"` || record.Revision != 2 {
 		t.Fatal("a repeat wrote", record)
 	}
-	if no := set(b, 6, "s/a", `"z"`, 1); no.Code != errcode.StampDiffers.No || no.Rev != 2 {
+	if no := set(b, 6, "s/a", `"z"`, 1); no.Code != errcode.StampDiffers.No || no.Revision != 2 {
 		t.Fatal(no)
 	}
-	if yes := set(b, 7, "s/a", `"z"`, 2); yes.Code != 0 || yes.Rev != 3 {
+	if yes := set(b, 7, "s/a", `"z"`, 2); yes.Code != 0 || yes.Revision != 3 {
 		t.Fatal("a failure was remembered", yes)
 	}
 	if b.Size(Space) != 1 {
@@ -91,25 +91,25 @@
 		t.Fatal(list, rev, ok)
 	}
 	for i := range 9 {
-		index := ids.Stamp(3 * i)
+		index := ids.Index(3 * i)
 		set(b, index+1, fmt.Sprint("s/", i), "1")
 		set(b, index+2, fmt.Sprint("t/", i), "1")
-		apply(b, index+3, rpc.BondOp{Op: "add", Name: "s/n", Delta: 1})
+		apply(b, index+3, rpc.CoordinationRequest{Operation: "add", Name: "s/n", Delta: 1})
 	}
 	if list, rev, ok := b.Follow("s", 0, 10); !ok || len(list) != 0 || rev != 9 {
 		t.Fatal(list, rev, ok)
 	}
-	for from := ids.Stamp(1); from <= 12; from++ {
+	for from := ids.Index(1); from <= 12; from++ {
 		list, rev, ok := b.Follow("s", from, 4)
 		if wanted := min(4, 9-min(int(from), 9)); !ok || len(list) != wanted {
 			t.Fatal(from, list, ok)
 		}
 		for i, e := range list {
-			if e.Rev != from+ids.Stamp(i)+1 || e.Name != fmt.Sprint("s/", e.Rev-1) || e.Kind != Key || string(e.Value) != "1" {
+			if e.Revision != from+ids.Index(i)+1 || e.Name != fmt.Sprint("s/", e.Revision-1) || e.Kind != Key || string(e.Value) != "1" {
 				t.Fatal(from, i, e)
 			}
 		}
-		if len(list) == 4 && rev != list[3].Rev || len(list) < 4 && rev != max(9, from) {
+		if len(list) == 4 && rev != list[3].Revision || len(list) < 4 && rev != max(9, from) {
 			t.Fatal(from, rev)
 		}
 	}
@@ -130,7 +130,7 @@
 			if _, rev, ok := b.Follow("s", 1, 10); ok || rev != 4 {
 				t.Fatal("a follower that missed a set was not told", rev, ok)
 			}
-			if list, rev, ok := b.Follow("s", 2, 10); !ok || rev != 4 || len(list) != 2 || list[0].Rev != 3 {
+			if list, rev, ok := b.Follow("s", 2, 10); !ok || rev != 4 || len(list) != 2 || list[0].Revision != 3 {
 				t.Fatal(list, rev, ok)
 			}
 			if list, rev, ok := b.Follow("t", 1, 10); !ok || rev != 1 || len(list) != 0 {
@@ -150,10 +150,10 @@
 		if other.starts["s"] != 2 || other.starts["t"] != 1 {
 			t.Fatal(other.starts)
 		}
-		if next := set(other, 6, "s/a", "4", 4); next.Code != 0 || next.Rev != 5 {
+		if next := set(other, 6, "s/a", "4", 4); next.Code != 0 || next.Revision != 5 {
 			t.Fatal(next)
 		}
-		if again := set(other, 7, "s/a", "1"); again.Rev != 1 {
+		if again := set(other, 7, "s/a", "1"); again.Revision != 1 {
 			t.Fatal("a loaded state forgot a set", again)
 		}
 		if err := other.Restore(json.RawMessage(`{"records":[],"seen":[],"events":[],"start":0,"applied":0}`)); err != nil {
@@ -161,7 +161,7 @@
 		}
 		set(other, 8, "s/a", "1")
 		time.Sleep(61 * time.Second)
-		if next := set(other, 9, "s/a", "2"); next.Rev != 2 || other.starts["s"] != 1 {
+		if next := set(other, 9, "s/a", "2"); next.Revision != 2 || other.starts["s"] != 1 {
 			t.Fatal(next, other.starts)
 		}
 	})
@@ -170,10 +170,10 @@
 func TestRepairBringsBackASpacesCount(t *testing.T) {
 	right, wrong := NewBook(), NewBook()
 	for i := range 5 {
-		set(right, ids.Stamp(i+1), "s/a", fmt.Sprint(i))
-		set(wrong, ids.Stamp(i+1), "s/a", fmt.Sprint(i))
+		set(right, ids.Index(i+1), "s/a", fmt.Sprint(i))
+		set(wrong, ids.Index(i+1), "s/a", fmt.Sprint(i))
 	}
-	wrong.of(Space)["s"] = rpc.BondRecord{Name: "s", Kind: Space, Count: 1, Stamp: 5}
+	wrong.of(Space)["s"] = rpc.CoordinationRecord{Name: "s", Kind: Space, Count: 1, Index: 5}
 	set(right, 6, "s/b", "1")
 	set(wrong, 6, "s/b", "1")
 	differing, digests := 0, wrong.RangeDigests()
@@ -196,7 +196,7 @@
 	if _, _, ok := wrong.Follow("s", 5, 10); ok {
 		t.Fatal("a set that the copy told under another revision was passed over in silence")
 	}
-	if a, b := set(right, 7, "s/c", "1"), set(wrong, 7, "s/c", "1"); a.Rev != 7 || b.Rev != 7 {
+	if a, b := set(right, 7, "s/c", "1"), set(wrong, 7, "s/c", "1"); a.Revision != 7 || b.Revision != 7 {
 		t.Fatal(a, b)
 	}
 	if list, _, ok := wrong.Follow("s", 6, 10); !ok || len(list) != 1 {
@@ -206,33 +206,33 @@
 
 func TestALocksTimeOnlyGrows(t *testing.T) {
 	b := NewBook()
-	first := apply(b, 5, rpc.BondOp{Op: "acquire", Name: "l", Holder: "a", Ttl: 1000})
+	first := apply(b, 5, rpc.CoordinationRequest{Operation: "acquire", Name: "l", Holder: "a", TTL: 1000})
 	expect := func(ttl int64) {
 		t.Helper()
-		if lock, ok := b.Get(Lock, "l"); !ok || lock.Ttl != ttl || lock.Fence != first.Fence || lock.Holder != "a" {
+		if lock, ok := b.Get(Lock, "l"); !ok || lock.TTL != ttl || lock.FencingToken != first.FencingToken || lock.Holder != "a" {
 			t.Fatal(lock, ok)
 		}
 	}
-	if again := apply(b, 6, rpc.BondOp{Op: "acquire", Name: "l", Holder: "a", Ttl: 50}); again.Fence != first.Fence || again.Ttl != 50 {
+	if again := apply(b, 6, rpc.CoordinationRequest{Operation: "acquire", Name: "l", Holder: "a", TTL: 50}); again.FencingToken != first.FencingToken || again.TTL != 50 {
 		t.Fatal(again)
 	}
 	expect(1000)
-	if again := apply(b, 7, rpc.BondOp{Op: "acquire", Name: "l", Holder: "a", Ttl: 2000}); again.Fence != first.Fence || again.Ttl != 2000 {
+	if again := apply(b, 7, rpc.CoordinationRequest{Operation: "acquire", Name: "l", Holder: "a", TTL: 2000}); again.FencingToken != first.FencingToken || again.TTL != 2000 {
 		t.Fatal(again)
 	}
 	expect(2000)
-	for _, op := range []rpc.BondOp{{Holder: "b", Fence: 5}, {Holder: "a", Fence: 4}} {
-		op.Op, op.Name, op.Ttl = "stretch", "l", 9000
+	for _, op := range []rpc.CoordinationRequest{{Holder: "b", FencingToken: 5}, {Holder: "a", FencingToken: 4}} {
+		op.Operation, op.Name, op.TTL = "stretch", "l", 9000
 		if no := apply(b, 8, op); no.Code != errcode.NotHeld.No {
 			t.Fatal(no)
 		}
 	}
 	expect(2000)
-	if held := apply(b, 9, rpc.BondOp{Op: "acquire", Name: "l", Holder: "b", Ttl: 9000}); held.Code != errcode.Held.No || held.Ttl != 2000 {
+	if held := apply(b, 9, rpc.CoordinationRequest{Operation: "acquire", Name: "l", Holder: "b", TTL: 9000}); held.Code != errcode.Held.No || held.TTL != 2000 {
 		t.Fatal(held)
 	}
 	for _, ttl := range []int64{3000, 100} {
-		if got := apply(b, 10, rpc.BondOp{Op: "stretch", Name: "l", Holder: "a", Fence: 5, Ttl: ttl}); got.Code != 0 || got.Ttl != ttl {
+		if got := apply(b, 10, rpc.CoordinationRequest{Operation: "stretch", Name: "l", Holder: "a", FencingToken: 5, TTL: ttl}); got.Code != 0 || got.TTL != ttl {
 			t.Fatal(got)
 		}
 		expect(3000)
--- a/internal/coordination/watch.go
+++ b/internal/coordination/watch.go
@@ -13,21 +13,21 @@
 )
 
 // watch holds the call until something under the name happens.
-func (d *Desk) watch(ctx context.Context, part *consensus.Replica, book *Book, op *rpc.BondOp) (*rpc.BondReceipt, error) {
-	if op.From == 0 {
+func (d *Desk) watch(ctx context.Context, part *consensus.Replica, book *Book, op *rpc.CoordinationRequest) (*rpc.CoordinationResponse, error) {
+	if op.FromIndex == 0 {
 		keys, stamp := book.All(Key, op.Name)
-		return &rpc.BondReceipt{Stamp: stamp, Keys: keys}, nil
+		return &rpc.CoordinationResponse{Index: stamp, Records: keys}, nil
 	}
-	hold := time.NewTimer(time.Duration(op.Hold) * time.Millisecond)
+	hold := time.NewTimer(time.Duration(op.Wait) * time.Millisecond)
 	defer hold.Stop()
 	for {
 		change := part.Changed()
-		events, next, isKept := book.Since(op.Name, op.From, 256)
+		events, next, isKept := book.Since(op.Name, op.FromIndex, 256)
 		if !isKept {
-			return &rpc.BondReceipt{Code: errcode.StampTooOld.No, Stamp: next}, nil
+			return &rpc.CoordinationResponse{Code: errcode.StampTooOld.No, Index: next}, nil
 		}
 		if len(events) > 0 {
-			return &rpc.BondReceipt{Stamp: next, Events: events}, nil
+			return &rpc.CoordinationResponse{Index: next, Events: events}, nil
 		}
 		if !part.IsServing() {
 			return nil, errcode.New(errcode.NotOwner, "part changed its owner")
@@ -35,25 +35,25 @@
 		select {
 		case <-change:
 		case <-hold.C:
-			return &rpc.BondReceipt{Stamp: next}, nil
+			return &rpc.CoordinationResponse{Index: next}, nil
 		case <-ctx.Done():
-			return &rpc.BondReceipt{Stamp: next}, nil
+			return &rpc.CoordinationResponse{Index: next}, nil
 		}
 	}
 }
 
 // follow holds the call until something is set in the space.
-func (d *Desk) follow(ctx context.Context, part *consensus.Replica, book *Book, op *rpc.BondOp) (*rpc.BondReceipt, error) {
-	hold := time.NewTimer(time.Duration(op.Hold) * time.Millisecond)
+func (d *Desk) follow(ctx context.Context, part *consensus.Replica, book *Book, op *rpc.CoordinationRequest) (*rpc.CoordinationResponse, error) {
+	hold := time.NewTimer(time.Duration(op.Wait) * time.Millisecond)
 	defer hold.Stop()
 	for {
 		change := part.Changed()
-		events, rev, isKept := book.Follow(spaceOf(op.Name), op.From, 256)
+		events, rev, isKept := book.Follow(spaceOf(op.Name), op.FromIndex, 256)
 		if !isKept {
-			return &rpc.BondReceipt{Code: errcode.StampTooOld.No, Rev: rev}, nil
+			return &rpc.CoordinationResponse{Code: errcode.StampTooOld.No, Revision: rev}, nil
 		}
-		if len(events) > 0 || op.From == 0 {
-			return &rpc.BondReceipt{Rev: rev, Events: events}, nil
+		if len(events) > 0 || op.FromIndex == 0 {
+			return &rpc.CoordinationResponse{Revision: rev, Events: events}, nil
 		}
 		if !part.IsServing() {
 			return nil, errcode.New(errcode.NotOwner, "part changed its owner")
@@ -61,9 +61,9 @@
 		select {
 		case <-change:
 		case <-hold.C:
-			return &rpc.BondReceipt{Rev: rev}, nil
+			return &rpc.CoordinationResponse{Revision: rev}, nil
 		case <-ctx.Done():
-			return &rpc.BondReceipt{Rev: rev}, nil
+			return &rpc.CoordinationResponse{Revision: rev}, nil
 		}
 	}
 }
--- a/internal/distribution/age.go
+++ b/internal/distribution/age.go
@@ -10,7 +10,7 @@
 )
 
 // swap takes an epoch into use that was made then, and notes its age.
-func (c *Client) swap(epoch ids.Epoch, manifest map[string]rpc.Held, made time.Time) (bool, error) {
+func (c *Client) swap(epoch ids.Epoch, manifest map[string]rpc.GroupVersion, made time.Time) (bool, error) {
 	ok, err := c.Cache.Swap(epoch, manifest)
 	if ok && err == nil {
 		c.r.Times.Epoch.Take(time.Since(made))
--- a/internal/distribution/cache.go
+++ b/internal/distribution/cache.go
@@ -22,13 +22,13 @@
 // Chart is one epoch, converted for use; it is never written to.
 type Chart struct {
 	Epoch    ids.Epoch
-	Manifest map[string]rpc.Held
-	Routes   map[string][]rpc.Mapping
+	Manifest map[string]rpc.GroupVersion
+	Routes   map[string][]rpc.Route
 	Services map[string]rpc.Service
 	Limits   map[string]rpc.Limit
-	Manners  *rpc.Manners
+	Manners  *rpc.ClientLimits
 	Targets  map[string][]rpc.Target
-	Shares   map[ids.Name]int
+	Shares   map[ids.NodeName]int
 	groups   map[string]rpc.Group
 	sum      string
 }
@@ -52,7 +52,7 @@
 func (c *Cache) Chart() *Chart { return c.chart.Load() }
 
 // Have is what a listener request carries: each group's digest and version.
-func (c *Cache) Have() (ids.Epoch, map[string]rpc.Held) {
+func (c *Cache) Have() (ids.Epoch, map[string]rpc.GroupVersion) {
 	chart := c.Chart()
 	if chart == nil {
 		return 0, nil
@@ -65,19 +65,19 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for name, group := range groups {
-		if old, ok := c.held(name); ok && group.Stamp <= old.Stamp {
+		if old, ok := c.held(name); ok && group.Index <= old.Index {
 			continue
 		}
-		if group.Base != "" {
-			old, ok := c.under(name, group.Base)
+		if group.BaseDigest != "" {
+			old, ok := c.under(name, group.BaseDigest)
 			if !ok {
 				continue
 			}
-			whole, err := controlplane.PatchTargets(old.Data, group.Put, group.Gone)
+			whole, err := controlplane.PatchTargets(old.Data, group.PutTargets, group.RemovedTargets)
 			if err != nil {
 				continue
 			}
-			group = rpc.Group{Digest: group.Digest, Stamp: group.Stamp, Data: whole}
+			group = rpc.Group{Digest: group.Digest, Index: group.Index, Data: whole}
 		}
 		if controlplane.Digest(group.Data) != group.Digest {
 			continue
@@ -124,7 +124,7 @@
 }
 
 // Missing is which groups of a manifest are neither in use nor staged.
-func (c *Cache) Missing(manifest map[string]rpc.Held) (names []string) {
+func (c *Cache) Missing(manifest map[string]rpc.GroupVersion) (names []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for name, held := range manifest {
@@ -136,7 +136,7 @@
 	return names
 }
 
-func (c *Cache) has(name string, held rpc.Held) bool {
+func (c *Cache) has(name string, held rpc.GroupVersion) bool {
 	if group, ok := c.staged[name]; ok && group.Digest == held.Digest {
 		return true
 	}
@@ -148,7 +148,7 @@
 }
 
 // Swap takes a whole epoch into use if it is newer and all of it is there.
-func (c *Cache) Swap(epoch ids.Epoch, manifest map[string]rpc.Held) (bool, error) {
+func (c *Cache) Swap(epoch ids.Epoch, manifest map[string]rpc.GroupVersion) (bool, error) {
 	c.mu.Lock()
 	old := c.Chart()
 	if old != nil && epoch <= old.Epoch {
@@ -173,7 +173,7 @@
 		return false, err
 	}
 	for name, group := range c.staged {
-		if now, ok := groups[name]; ok && group.Stamp <= now.Stamp {
+		if now, ok := groups[name]; ok && group.Index <= now.Index {
 			delete(c.staged, name)
 		}
 	}
@@ -187,9 +187,9 @@
 }
 
 // convert unpacks the groups; those that did not change are taken over.
-func convert(epoch ids.Epoch, manifest map[string]rpc.Held, groups map[string]rpc.Group, old *Chart) (*Chart, error) {
+func convert(epoch ids.Epoch, manifest map[string]rpc.GroupVersion, groups map[string]rpc.Group, old *Chart) (*Chart, error) {
 	chart := &Chart{Epoch: epoch, Manifest: maps.Clone(manifest), groups: groups, sum: controlplane.DigestManifest(manifest),
-		Services: map[string]rpc.Service{}, Limits: map[string]rpc.Limit{}, Targets: map[string][]rpc.Target{}, Shares: map[ids.Name]int{}}
+		Services: map[string]rpc.Service{}, Limits: map[string]rpc.Limit{}, Targets: map[string][]rpc.Target{}, Shares: map[ids.NodeName]int{}}
 	read := func(name string, into any) error {
 		group, ok := groups[name]
 		if !ok {
@@ -201,12 +201,12 @@
 		return nil
 	}
 	isSame := func(name string) bool { return old != nil && old.groups[name].Digest == groups[name].Digest }
-	routes := map[string][]rpc.Mapping{}
+	routes := map[string][]rpc.Route{}
 	for name := range groups {
 		if !strings.HasPrefix(name, controlplane.RoutesPrefix) {
 			continue
 		}
-		var some []rpc.Mapping
+		var some []rpc.Route
 		if isSame(name) {
 			some = old.Routes[name]
 		} else if err := read(name, &some); err != nil {
@@ -252,10 +252,10 @@
 }
 
 // Delta makes a whole manifest of the one in use and what a listener reported.
-func (c *Cache) Delta(base map[string]rpc.Held, receipt *rpc.ListenReceipt) map[string]rpc.Held {
+func (c *Cache) Delta(base map[string]rpc.GroupVersion, receipt *rpc.ListenResponse) map[string]rpc.GroupVersion {
 	manifest := maps.Clone(base)
 	if manifest == nil {
-		manifest = map[string]rpc.Held{}
+		manifest = map[string]rpc.GroupVersion{}
 	}
 	for _, name := range receipt.Removed {
 		delete(manifest, name)
--- a/internal/distribution/cache_test.go
+++ b/internal/distribution/cache_test.go
@@ -12,14 +12,14 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-func group(data string, stamp ids.Stamp) rpc.Group {
-	return rpc.Group{Digest: controlplane.Digest([]byte(data)), Stamp: stamp, Data: json.RawMessage(data)}
+func group(data string, stamp ids.Index) rpc.Group {
+	return rpc.Group{Digest: controlplane.Digest([]byte(data)), Index: stamp, Data: json.RawMessage(data)}
 }
 
-func manifest(groups map[string]rpc.Group) map[string]rpc.Held {
-	m := map[string]rpc.Held{}
+func manifest(groups map[string]rpc.Group) map[string]rpc.GroupVersion {
+	m := map[string]rpc.GroupVersion{}
 	for name, g := range groups {
-		m[name] = rpc.Held{Digest: g.Digest, Stamp: g.Stamp}
+		m[name] = rpc.GroupVersion{Digest: g.Digest, Index: g.Index}
 	}
 	return m
 }
--- a/internal/distribution/client.go
+++ b/internal/distribution/client.go
@@ -23,7 +23,7 @@
 	Epoch   ids.Epoch
 	Binding ids.Epoch // the last that bore a change set or took a target away
 	Config  time.Time
-	Parts   [ids.Parts]time.Time
+	Parts   [ids.ShardCount]time.Time
 }
 
 // Vouched is the newest ages, and the last that vouch for the epoch before.
@@ -53,13 +53,13 @@
 	catching   sync.Map     // addresses at which a catch-up is under way
 
 	mu        sync.Mutex
-	listening map[ids.Name]string
+	listening map[ids.NodeName]string
 	fetching  environment.Turn
 	isFresh   bool
 }
 
 func NewClient(r *environment.Realm, w *rpc.Wire, k *membership.Kin) *Client {
-	c := &Client{r: r, w: w, k: k, born: r.Now(), Cache: NewCache(r.Sign), listening: map[ids.Name]string{}, fetching: environment.NewTurn()}
+	c := &Client{r: r, w: w, k: k, born: r.Now(), Cache: NewCache(r.Sign), listening: map[ids.NodeName]string{}, fetching: environment.NewTurn()}
 	c.ages.Store(&Vouched{})
 	return c
 }
@@ -69,13 +69,13 @@
 	for {
 		for _, m := range c.servers() {
 			c.mu.Lock()
-			isNew := c.listening[m.Name] != m.Wire
+			isNew := c.listening[m.Name] != m.RPCAddress
 			if isNew {
-				c.listening[m.Name] = m.Wire
+				c.listening[m.Name] = m.RPCAddress
 			}
 			c.mu.Unlock()
 			if isNew {
-				c.r.Go(func() { c.listen(m.Name, m.Wire) })
+				c.r.Go(func() { c.listen(m.Name, m.RPCAddress) })
 			}
 		}
 		if !c.r.Pause(500 * time.Millisecond) {
@@ -105,7 +105,7 @@
 
 // listen is the task for one control node; it ends when the node is no longer one
 // to listen to.
-func (c *Client) listen(name ids.Name, address string) {
+func (c *Client) listen(name ids.NodeName, address string) {
 	defer func() {
 		c.mu.Lock()
 		if c.listening[name] == address {
@@ -115,7 +115,7 @@
 	}()
 	tries := 0
 	for !c.r.IsOver() {
-		if !slices.ContainsFunc(c.servers(), func(m rpc.Member) bool { return m.Name == name && m.Wire == address }) {
+		if !slices.ContainsFunc(c.servers(), func(m rpc.Member) bool { return m.Name == name && m.RPCAddress == address }) {
 			return
 		}
 		isNewer, err := c.poll(c.r, address)
@@ -144,20 +144,20 @@
 	epoch, have := c.Cache.Have()
 	ctx, end := context.WithTimeout(life, c.r.Props.FlowHold+2*time.Second)
 	defer end()
-	var receipt rpc.ListenReceipt
-	ask := &rpc.ListenAsk{Epoch: epoch, Have: have}
+	var receipt rpc.ListenResponse
+	ask := &rpc.ListenRequest{Epoch: epoch, Versions: have}
 	if chart := c.Cache.Chart(); chart != nil && chart.Epoch == epoch {
-		ask.Sum, ask.Have = chart.sum, nil
+		ask.CombinedDigest, ask.Versions = chart.sum, nil
 		near := c.servers()
-		ask.Small = c.r.Props.FlowServers > 0 && len(near) > 0 && near[0].Wire == address
+		ask.AcceptsDeltas = c.r.Props.FlowServers > 0 && len(near) > 0 && near[0].RPCAddress == address
 	}
 	if err := c.w.Ask(ctx, address, "flow.listen", ask, &receipt); err != nil {
 		return false, err
 	}
-	if receipt.Lost {
+	if receipt.UnknownDigest {
 		// Where the epoch is not known any more, or not yet, each group is named.
-		receipt = rpc.ListenReceipt{}
-		if err := c.w.Ask(ctx, address, "flow.listen", &rpc.ListenAsk{Epoch: epoch, Have: have}, &receipt); err != nil {
+		receipt = rpc.ListenResponse{}
+		if err := c.w.Ask(ctx, address, "flow.listen", &rpc.ListenRequest{Epoch: epoch, Versions: have}, &receipt); err != nil {
 			return false, err
 		}
 	}
@@ -165,7 +165,7 @@
 		return true, nil
 	}
 	made := time.Now().Add(-time.Duration(receipt.Age) * time.Millisecond)
-	isNewer = len(receipt.Groups) > 0 && c.Cache.Stage(receipt.Groups)
+	isNewer = len(receipt.Deltas) > 0 && c.Cache.Stage(receipt.Deltas)
 	manifest := c.Cache.Delta(have, &receipt)
 	if len(c.Cache.Missing(manifest)) == 0 {
 		ok, err := c.swap(receipt.Epoch, manifest, made)
@@ -183,16 +183,16 @@
 	if missing := c.Cache.Missing(manifest); len(missing) > 0 {
 		limited, stop := context.WithTimeout(c.r, 3*time.Second)
 		defer stop()
-		fetched, err := c.fetch(limited, address, &rpc.FetchAsk{Groups: missing, Held: c.Cache.Holds(missing)})
+		fetched, err := c.fetch(limited, address, &rpc.FetchRequest{Groups: missing, HeldDigests: c.Cache.Holds(missing)})
 		if err != nil {
 			return false, err
 		}
 		isNewer = c.Cache.Stage(fetched.Groups) || isNewer
 		left := c.Cache.Missing(manifest)
-		left = slices.DeleteFunc(left, func(name string) bool { return fetched.Groups[name].Base == "" })
+		left = slices.DeleteFunc(left, func(name string) bool { return fetched.Groups[name].BaseDigest == "" })
 		if len(left) > 0 {
 			// A difference that did not fit is fetched whole.
-			if fetched, err = c.fetch(limited, address, &rpc.FetchAsk{Groups: left}); err != nil {
+			if fetched, err = c.fetch(limited, address, &rpc.FetchRequest{Groups: left}); err != nil {
 				return false, err
 			}
 			isNewer = c.Cache.Stage(fetched.Groups) || isNewer
@@ -205,7 +205,7 @@
 // leaveToNear gives the listener of a control node in the own zone a moment to
 // fetch first, if there is one, so that groups seldom come from another zone.
 func (c *Client) leaveToNear(address string) {
-	if cores := c.k.Keepers(); !c.k.IsNear(address) && len(cores) > 0 && c.k.IsNear(cores[0].Wire) {
+	if cores := c.k.Keepers(); !c.k.IsNear(address) && len(cores) > 0 && c.k.IsNear(cores[0].RPCAddress) {
 		c.r.Pause(nearPause)
 	}
 }
--- a/internal/distribution/fresh.go
+++ b/internal/distribution/fresh.go
@@ -18,19 +18,19 @@
 // renew takes over what a pulse brought. Ages that name an epoch newer than the
 // one in use can't vouch for it, but those held before still do until they are
 // too old; so both are kept.
-func (c *Client) renew(sent time.Time, receipt *rpc.PulseReceipt) {
+func (c *Client) renew(sent time.Time, receipt *rpc.FreshnessResponse) {
 	c.heard()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	held := c.ages.Load()
-	if receipt.Epoch < held.Newest.Epoch || len(receipt.Parts) != ids.Parts {
+	if receipt.Epoch < held.Newest.Epoch || len(receipt.ShardAgeMicros) != ids.ShardCount {
 		return
 	}
-	next := Ages{Epoch: receipt.Epoch, Binding: receipt.Binding, Config: sent.Add(-time.Duration(receipt.Age) * time.Microsecond)}
+	next := Ages{Epoch: receipt.Epoch, Binding: receipt.BindingEpoch, Config: sent.Add(-time.Duration(receipt.AgeMicros) * time.Microsecond)}
 	if next.Binding == 0 || next.Binding > next.Epoch {
 		next.Binding = next.Epoch // an older build tells none
 	}
-	for i, age := range receipt.Parts {
+	for i, age := range receipt.ShardAgeMicros {
 		if age >= 0 {
 			next.Parts[i] = sent.Add(-time.Duration(age) * time.Microsecond)
 		}
@@ -73,7 +73,7 @@
 		return behind == 0 || c.isNewest(chart, behind)
 	}
 	held := c.ages.Load()
-	no, bound := ids.PartOf(service), c.r.Props.FlowFresh
+	no, bound := ids.ShardOf(service), c.r.Props.FlowFresh
 	for _, a := range []*Ages{&held.Newest, &held.Before} {
 		if a.Epoch <= chart.Epoch && c.r.Since(a.Config) < bound && a.Config.After(c.born) && (service == "" || c.r.Since(a.Parts[no]) < bound) {
 			return true
--- a/internal/distribution/fresh_test.go
+++ b/internal/distribution/fresh_test.go
@@ -28,7 +28,7 @@
 	} {
 		c := &Client{r: r, Cache: NewCache(r.Sign)}
 		c.ages.Store(&Vouched{})
-		c.renew(r.Now(), &rpc.PulseReceipt{Epoch: one.epoch, Binding: one.binding, Age: one.age.Microseconds(), Parts: make([]int64, ids.Parts)})
+		c.renew(r.Now(), &rpc.FreshnessResponse{Epoch: one.epoch, BindingEpoch: one.binding, AgeMicros: one.age.Microseconds(), ShardAgeMicros: make([]int64, ids.ShardCount)})
 		if got := c.IsFresh(&Chart{Epoch: 7}, "rates"); got != one.isFresh {
 			t.Errorf("%+v: fresh is %v", one, got)
 		}
--- a/internal/distribution/pack.go
+++ b/internal/distribution/pack.go
@@ -23,9 +23,9 @@
 )
 
 // fetch asks for groups and unpacks them.
-func (c *Client) fetch(ctx context.Context, address string, ask *rpc.FetchAsk) (*rpc.FetchReceipt, error) {
-	ask.Packs = true
-	receipt := &rpc.FetchReceipt{}
+func (c *Client) fetch(ctx context.Context, address string, ask *rpc.FetchRequest) (*rpc.FetchResponse, error) {
+	ask.AcceptsPacked = true
+	receipt := &rpc.FetchResponse{}
 	if err := c.w.Ask(ctx, address, "flow.fetch", ask, receipt); err != nil {
 		return nil, err
 	}
@@ -41,14 +41,14 @@
 }
 
 // pack replaces the groups of a receipt by their packed form, if that is shorter.
-func (s *Server) pack(receipt *rpc.FetchReceipt) {
+func (s *Server) pack(receipt *rpc.FetchResponse) {
 	size, key := 0, strings.Builder{}
 	for _, name := range slices.Sorted(maps.Keys(receipt.Groups)) {
 		group := receipt.Groups[name]
-		size += len(group.Data) + targetSize*len(group.Put) + instanceSize*len(group.Gone)
+		size += len(group.Data) + targetSize*len(group.PutTargets) + instanceSize*len(group.RemovedTargets)
 		// A version is not in the digest: the same text may come again under another.
-		stamp, _ := json.Marshal(group.Stamp)
-		key.WriteString(name + " " + group.Digest + " " + group.Base + " " + string(stamp) + "\n")
+		stamp, _ := json.Marshal(group.Index)
+		key.WriteString(name + " " + group.Digest + " " + group.BaseDigest + " " + string(stamp) + "\n")
 	}
 	if size < packLeast {
 		return
--- a/internal/distribution/pack_test.go
+++ b/internal/distribution/pack_test.go
@@ -10,18 +10,18 @@
 )
 
 func groupsOf(routes int) map[string]rpc.Group {
-	list := []rpc.Mapping{}
+	list := []rpc.Route{}
 	for i := range routes {
-		list = append(list, rpc.Mapping{Name: fmt.Sprintf("route-%d", i), Path: fmt.Sprintf("/place/%d", i), To: []rpc.Split{{Service: "rates", Weight: 100}}, Deadline: 4000})
+		list = append(list, rpc.Route{Name: fmt.Sprintf("route-%d", i), Path: fmt.Sprintf("/place/%d", i), Services: []rpc.WeightedService{{Service: "rates", Weight: 100}}, DeadlineMillis: 4000})
 	}
 	data, _ := json.Marshal(list)
-	return map[string]rpc.Group{"routes/1": {Digest: fmt.Sprint("d", routes), Stamp: 7, Data: data}}
+	return map[string]rpc.Group{"routes/1": {Digest: fmt.Sprint("d", routes), Index: 7, Data: data}}
 }
 
 func TestLargeGroupsArePackedAndComeBackWhole(t *testing.T) {
 	s, groups := &Server{}, groupsOf(400)
 	plain, _ := json.Marshal(groups)
-	receipt := &rpc.FetchReceipt{Groups: groups}
+	receipt := &rpc.FetchResponse{Groups: groups}
 	s.pack(receipt)
 	if receipt.Groups != nil || len(receipt.Packed) > len(plain)/5 {
 		t.Fatalf("%d bytes were packed into %d", len(plain), len(receipt.Packed))
@@ -30,17 +30,17 @@
 	if err != nil || !reflect.DeepEqual(got, groups) {
 		t.Fatal("what was unpacked differs", err)
 	}
-	again := &rpc.FetchReceipt{Groups: groups}
+	again := &rpc.FetchResponse{Groups: groups}
 	if s.pack(again); len(s.packs) != 1 || &again.Packed[0] != &receipt.Packed[0] {
 		t.Error("the same groups were packed twice")
 	}
 	newer := groupsOf(400)
 	group := newer["routes/1"]
-	group.Stamp++
+	group.Index++
 	newer["routes/1"] = group
-	later := &rpc.FetchReceipt{Groups: newer}
+	later := &rpc.FetchResponse{Groups: newer}
 	s.pack(later)
-	if got, err := unpack(later.Packed, 1<<20); err != nil || got["routes/1"].Stamp != group.Stamp {
+	if got, err := unpack(later.Packed, 1<<20); err != nil || got["routes/1"].Index != group.Index {
 		t.Error("the same text under another version came with the old one", err)
 	}
 	if _, err := unpack(receipt.Packed, 1000); err == nil {
@@ -52,7 +52,7 @@
 }
 
 func TestSmallGroupsGoAsTheyAre(t *testing.T) {
-	s, receipt := &Server{}, &rpc.FetchReceipt{Groups: groupsOf(3)}
+	s, receipt := &Server{}, &rpc.FetchResponse{Groups: groupsOf(3)}
 	if s.pack(receipt); receipt.Packed != nil || len(receipt.Groups) != 1 {
 		t.Error("a few routes were packed")
 	}
--- a/internal/distribution/pulse.go
+++ b/internal/distribution/pulse.go
@@ -79,13 +79,13 @@
 	sent := c.r.Now()
 	ctx, end := context.WithTimeout(c.r, limit)
 	defer end()
-	var receipt rpc.PulseReceipt
-	if err := c.w.Ask(ctx, m.Wire, "flow.pulse", &rpc.PulseAsk{}, &receipt); err != nil {
+	var receipt rpc.FreshnessResponse
+	if err := c.w.Ask(ctx, m.RPCAddress, "flow.pulse", &rpc.FreshnessRequest{}, &receipt); err != nil {
 		c.passBy(pick)
 		return false
 	}
 	c.renew(sent, &receipt)
-	c.catchUp(m.Wire, receipt.Epoch)
+	c.catchUp(m.RPCAddress, receipt.Epoch)
 	c.meet(m)
 	return true
 }
@@ -111,7 +111,7 @@
 // configuration; all core nodes of them if none is known to.
 func (c *Client) lostKeepers() []rpc.Member {
 	cores := slices.DeleteFunc(c.k.Lost(), func(m rpc.Member) bool { return !m.Core })
-	if keepers := slices.DeleteFunc(slices.Clone(cores), func(m rpc.Member) bool { return !m.Keeps }); len(keepers) > 0 {
+	if keepers := slices.DeleteFunc(slices.Clone(cores), func(m rpc.Member) bool { return !m.HoldsConfiguration }); len(keepers) > 0 {
 		return keepers
 	}
 	return cores
@@ -121,7 +121,7 @@
 // through its list all that it knows.
 func (c *Client) meet(m rpc.Member) {
 	if _, isKnown := c.k.Of(m.Name); !isKnown {
-		c.r.Go(func() { c.k.Sync(m.Wire) })
+		c.r.Go(func() { c.k.Sync(m.RPCAddress) })
 	}
 }
 
--- a/internal/distribution/relay.go
+++ b/internal/distribution/relay.go
@@ -17,14 +17,14 @@
 type relay struct {
 	done    chan struct{}
 	sent    time.Time
-	receipt *rpc.PulseReceipt
+	receipt *rpc.FreshnessResponse
 	err     error
 }
 
 // relays are a control node's, one after another.
 type relays struct {
 	r   *environment.Realm
-	ask func() (*rpc.PulseReceipt, error)
+	ask func() (*rpc.FreshnessResponse, error)
 
 	mu        sync.Mutex
 	isRunning bool
@@ -43,7 +43,7 @@
 
 // get waits for a relay that is sent from now on; its ages are older by the time that
 // passed since it was sent.
-func (s *relays) get(ctx context.Context) (*rpc.PulseReceipt, error) {
+func (s *relays) get(ctx context.Context) (*rpc.FreshnessResponse, error) {
 	s.mu.Lock()
 	mine := s.waiting
 	if s.told != nil && s.r.Since(s.told.sent) < relayTime {
@@ -67,11 +67,11 @@
 		return nil, mine.err
 	}
 	grown := s.r.Since(mine.sent).Microseconds() + 1
-	receipt := &rpc.PulseReceipt{Epoch: mine.receipt.Epoch, Binding: mine.receipt.Binding, Age: mine.receipt.Age + grown, Parts: make([]int64, len(mine.receipt.Parts))}
-	for i, age := range mine.receipt.Parts {
-		receipt.Parts[i] = age
+	receipt := &rpc.FreshnessResponse{Epoch: mine.receipt.Epoch, BindingEpoch: mine.receipt.BindingEpoch, AgeMicros: mine.receipt.AgeMicros + grown, ShardAgeMicros: make([]int64, len(mine.receipt.ShardAgeMicros))}
+	for i, age := range mine.receipt.ShardAgeMicros {
+		receipt.ShardAgeMicros[i] = age
 		if age >= 0 {
-			receipt.Parts[i] = age + grown
+			receipt.ShardAgeMicros[i] = age + grown
 		}
 	}
 	return receipt, nil
--- a/internal/distribution/relay_test.go
+++ b/internal/distribution/relay_test.go
@@ -21,13 +21,13 @@
 		const way = 5 * time.Millisecond
 		relayed := 0
 		var isCut atomic.Bool
-		s := &relays{r: r, ask: func() (*rpc.PulseReceipt, error) {
+		s := &relays{r: r, ask: func() (*rpc.FreshnessResponse, error) {
 			relayed++
 			time.Sleep(way)
 			if isCut.Load() {
 				return nil, errors.New("cut")
 			}
-			return &rpc.PulseReceipt{Epoch: 3, Age: 1000, Parts: []int64{-1, 2000}}, nil
+			return &rpc.FreshnessResponse{Epoch: 3, AgeMicros: 1000, ShardAgeMicros: []int64{-1, 2000}}, nil
 		}}
 		least := r.Props.FlowPulse / relayShare
 		one := func() {
@@ -38,8 +38,8 @@
 				t.Errorf("%v after %s", err, took)
 				return
 			}
-			if age := receipt.Age; age < 1000+way.Microseconds() || age > 1000+(took+relayTime).Microseconds()+1 || receipt.Parts[0] != -1 || receipt.Parts[1] != age+1000 {
-				t.Errorf("ages %d and %v after %s", age, receipt.Parts, took)
+			if age := receipt.AgeMicros; age < 1000+way.Microseconds() || age > 1000+(took+relayTime).Microseconds()+1 || receipt.ShardAgeMicros[0] != -1 || receipt.ShardAgeMicros[1] != age+1000 {
+				t.Errorf("ages %d and %v after %s", age, receipt.ShardAgeMicros, took)
 			}
 		}
 		// A first one does not wait.
--- a/internal/distribution/serve.go
+++ b/internal/distribution/serve.go
@@ -42,14 +42,14 @@
 	s := &Server{r: r, w: w, k: k, p: p, ledger: ledger, planner: planner}
 	s.relays.r, s.relays.ask = r, s.ask
 	w.Handle("flow.listen", func(c *rpc.Call) (any, error) {
-		var ask rpc.ListenAsk
+		var ask rpc.ListenRequest
 		if err := c.Read(&ask); err != nil {
 			return nil, err
 		}
 		return s.listen(c, &ask)
 	})
 	w.Handle("flow.fetch", func(c *rpc.Call) (any, error) {
-		var ask rpc.FetchAsk
+		var ask rpc.FetchRequest
 		if err := c.Read(&ask); err != nil {
 			return nil, err
 		}
@@ -61,19 +61,19 @@
 
 // listen holds the request until a group differs from what the asker has, in
 // an epoch newer than the asker's, or the hold time is over.
-func (s *Server) listen(ctx context.Context, ask *rpc.ListenAsk) (*rpc.ListenReceipt, error) {
+func (s *Server) listen(ctx context.Context, ask *rpc.ListenRequest) (*rpc.ListenResponse, error) {
 	hold := time.NewTimer(s.r.Props.FlowHold)
 	defer hold.Stop()
-	have := ask.Have
-	if ask.Sum != "" {
+	have := ask.Versions
+	if ask.CombinedDigest != "" {
 		before := s.ledger.AtEpoch(ask.Epoch)
-		if before == nil || before.ManifestDigest() != ask.Sum {
-			return &rpc.ListenReceipt{Epoch: ask.Epoch, Lost: true}, nil
+		if before == nil || before.ManifestDigest() != ask.CombinedDigest {
+			return &rpc.ListenResponse{Epoch: ask.Epoch, UnknownDigest: true}, nil
 		}
 		have = before.Manifest()
 	}
 	for {
-		change := s.p.Replica(ids.Config).Changed()
+		change := s.p.Replica(ids.ConfigShard).Changed()
 		sheet := s.ledger.Current()
 		if sheet.Epoch > ask.Epoch {
 			if err := s.checkContact(); err != nil {
@@ -81,7 +81,7 @@
 			}
 			receipt := differ(sheet, have)
 			receipt.Age = sheet.Age().Milliseconds()
-			if ask.Small {
+			if ask.AcceptsDeltas {
 				s.along(sheet, have, receipt)
 			}
 			return receipt, nil
@@ -89,9 +89,9 @@
 		select {
 		case <-change:
 		case <-hold.C:
-			return &rpc.ListenReceipt{Epoch: sheet.Epoch}, nil
+			return &rpc.ListenResponse{Epoch: sheet.Epoch}, nil
 		case <-ctx.Done():
-			return &rpc.ListenReceipt{Epoch: sheet.Epoch}, nil
+			return &rpc.ListenResponse{Epoch: sheet.Epoch}, nil
 		case <-s.r.Done():
 			return nil, errcode.New(errcode.Stopping, "")
 		}
@@ -100,14 +100,14 @@
 
 // checkContact refuses to give out what may be old: the asker takes another node.
 func (s *Server) checkContact() error {
-	if s.p.HasQuorumContact(ids.Config) {
+	if s.p.HasQuorumContact(ids.ConfigShard) {
 		return nil
 	}
 	return errcode.New(errcode.NoOwner, "no word of a majority of the configuration part")
 }
 
 // along sends differences with the receipt if all of them are small.
-func (s *Server) along(sheet *controlplane.EpochState, have map[string]rpc.Held, receipt *rpc.ListenReceipt) {
+func (s *Server) along(sheet *controlplane.EpochState, have map[string]rpc.GroupVersion, receipt *rpc.ListenResponse) {
 	groups := map[string]rpc.Group{}
 	size := 0
 	for name := range receipt.Changed {
@@ -116,13 +116,13 @@
 			return
 		}
 		group = s.short(name, have[name].Digest, group)
-		size += len(group.Data) + targetSize*len(group.Put) + instanceSize*len(group.Gone)
+		size += len(group.Data) + targetSize*len(group.PutTargets) + instanceSize*len(group.RemovedTargets)
 		if size > alongMost {
 			return
 		}
 		groups[name] = group
 	}
-	receipt.Groups = groups
+	receipt.Deltas = groups
 }
 
 // What comes along with a receipt, in bytes at most, and what a target and an
@@ -133,8 +133,8 @@
 	instanceSize = 24
 )
 
-func differ(sheet *controlplane.EpochState, before map[string]rpc.Held) *rpc.ListenReceipt {
-	receipt := &rpc.ListenReceipt{Epoch: sheet.Epoch, Changed: map[string]rpc.Held{}}
+func differ(sheet *controlplane.EpochState, before map[string]rpc.GroupVersion) *rpc.ListenResponse {
+	receipt := &rpc.ListenResponse{Epoch: sheet.Epoch, Changed: map[string]rpc.GroupVersion{}}
 	manifest := sheet.Manifest()
 	for name, held := range manifest {
 		if have, ok := before[name]; !ok || have != held {
@@ -161,14 +161,14 @@
 	s.mu.Unlock()
 	if ok {
 		// The same step may have been made before, when it bore another version.
-		delta.Stamp = group.Stamp
+		delta.Index = group.Index
 		return delta
 	}
 	delta = group
 	if from, isKept := s.ledger.GroupData(name, held); isKept {
 		if put, gone, isShorter := controlplane.DiffTargets(from, group.Data); isShorter {
 			if whole, err := controlplane.PatchTargets(from, put, gone); err == nil && controlplane.Digest(whole) == group.Digest {
-				delta = rpc.Group{Digest: group.Digest, Stamp: group.Stamp, Base: held, Put: put, Gone: gone}
+				delta = rpc.Group{Digest: group.Digest, Index: group.Index, BaseDigest: held, PutTargets: put, RemovedTargets: gone}
 			}
 		}
 	}
@@ -186,15 +186,15 @@
 
 // pulse tells ages as the owner of the configuration part knows them, older by
 // the time that passed since this node asked.
-func (s *Server) pulse(ctx context.Context) (*rpc.PulseReceipt, error) {
-	if s.p.Replica(ids.Config).IsServing() {
+func (s *Server) pulse(ctx context.Context) (*rpc.FreshnessResponse, error) {
+	if s.p.Replica(ids.ConfigShard).IsServing() {
 		return s.planner.Freshness()
 	}
 	return s.relays.get(ctx)
 }
 
-func (s *Server) ask() (*rpc.PulseReceipt, error) {
-	name, ok := s.p.Leader(ids.Config)
+func (s *Server) ask() (*rpc.FreshnessResponse, error) {
+	name, ok := s.p.Leader(ids.ConfigShard)
 	if !ok || name == s.r.Name {
 		return nil, errcode.New(errcode.NoOwner, "configuration part")
 	}
@@ -204,8 +204,8 @@
 	}
 	ctx, end := context.WithTimeout(s.r, 500*time.Millisecond)
 	defer end()
-	var receipt rpc.PulseReceipt
-	if err := s.w.AskHop(ctx, m.Wire, "flow.owner", 1, &rpc.PulseAsk{}, &receipt); err != nil {
+	var receipt rpc.FreshnessResponse
+	if err := s.w.AskHop(ctx, m.RPCAddress, "flow.owner", 1, &rpc.FreshnessRequest{}, &receipt); err != nil {
 		return nil, err
 	}
 	return &receipt, nil
--- a/internal/distribution/serve_test.go
+++ b/internal/distribution/serve_test.go
@@ -27,8 +27,8 @@
 		cache := NewCache(eventlog.New(t.Output(), "error", "test"))
 		const name = controlplane.TargetsPrefix + "s"
 		for epoch := ids.Epoch(1); epoch <= 8; epoch++ {
-			body, _ := json.Marshal(rpc.Planned{Epoch: epoch, Put: map[string]json.RawMessage{name: list(sizes[epoch%2])}})
-			if ledger.Apply(ids.Stamp(epoch), body) != true {
+			body, _ := json.Marshal(rpc.EpochEntry{Epoch: epoch, Put: map[string]json.RawMessage{name: list(sizes[epoch%2])}})
+			if ledger.Apply(ids.Index(epoch), body) != true {
 				t.Fatal("not taken", epoch)
 			}
 			sheet := ledger.Current()
--- a/internal/distribution/start.go
+++ b/internal/distribution/start.go
@@ -47,15 +47,15 @@
 func (c *Client) fetchAll() (isDone, isLoaded bool, later time.Duration) {
 	for _, m := range c.k.Keepers() {
 		ctx, end := context.WithTimeout(c.r, 5*time.Second)
-		receipt, err := c.fetch(ctx, m.Wire, &rpc.FetchAsk{})
+		receipt, err := c.fetch(ctx, m.RPCAddress, &rpc.FetchRequest{})
 		end()
 		if err != nil {
 			isLoaded = isLoaded || errcode.Is(err, errcode.ReplyLost)
 			c.r.Sign.Say(eventlog.FetchFailed, "node", string(m.Name), "cause", err.Error())
 			continue
 		}
-		if receipt.Later > 0 {
-			told := time.Duration(receipt.Later) * time.Millisecond
+		if receipt.RetryAfterMillis > 0 {
+			told := time.Duration(receipt.RetryAfterMillis) * time.Millisecond
 			if later == 0 || told < later {
 				later = told
 			}
--- a/internal/distribution/whole.go
+++ b/internal/distribution/whole.go
@@ -60,7 +60,7 @@
 
 // coded is a group as it goes out.
 type coded struct {
-	stamp  ids.Stamp
+	stamp  ids.Index
 	digest string
 	raw    json.RawMessage
 }
@@ -102,7 +102,7 @@
 			delete(c.groups, name)
 		}
 	}
-	receipt := &rpc.FetchReceipt{Epoch: sheet.Epoch, Manifest: manifest}
+	receipt := &rpc.FetchResponse{Epoch: sheet.Epoch, Manifest: manifest}
 	text, err := joinGroups(groups)
 	if err != nil {
 		return nil, err
@@ -129,7 +129,7 @@
 
 // one is group; the lock is held.
 func (c *coder) one(name string, group rpc.Group) (json.RawMessage, error) {
-	if kept, ok := c.groups[name]; ok && kept.digest == group.Digest && kept.stamp == group.Stamp {
+	if kept, ok := c.groups[name]; ok && kept.digest == group.Digest && kept.stamp == group.Index {
 		return kept.raw, nil
 	}
 	raw, err := json.Marshal(&group)
@@ -139,7 +139,7 @@
 	if c.groups == nil {
 		c.groups = map[string]coded{}
 	}
-	c.groups[name] = coded{stamp: group.Stamp, digest: group.Digest, raw: raw}
+	c.groups[name] = coded{stamp: group.Index, digest: group.Digest, raw: raw}
 	return raw, nil
 }
 
@@ -164,7 +164,7 @@
 }
 
 // withGroups is a receipt with the text of its groups.
-func withGroups(receipt *rpc.FetchReceipt, groups json.RawMessage) (json.RawMessage, error) {
+func withGroups(receipt *rpc.FetchResponse, groups json.RawMessage) (json.RawMessage, error) {
 	head, err := json.Marshal(receipt)
 	if err != nil {
 		return nil, err
@@ -173,21 +173,21 @@
 }
 
 // fetch answers a fetch: of the groups named, or of all.
-func (s *Server) fetch(c *rpc.Call, ask *rpc.FetchAsk) (any, error) {
+func (s *Server) fetch(c *rpc.Call, ask *rpc.FetchRequest) (any, error) {
 	if len(ask.Groups) == 0 {
-		return s.fetchAll(c, ask.Packs)
+		return s.fetchAll(c, ask.AcceptsPacked)
 	}
 	if err := s.checkContact(); err != nil {
 		return nil, err
 	}
 	sheet := s.ledger.Current()
-	receipt := &rpc.FetchReceipt{Epoch: sheet.Epoch, Groups: map[string]rpc.Group{}}
+	receipt := &rpc.FetchResponse{Epoch: sheet.Epoch, Groups: map[string]rpc.Group{}}
 	for _, name := range ask.Groups {
 		if group, ok := sheet.PublishedGroup(name); ok {
-			receipt.Groups[name] = s.short(name, ask.Held[name], group)
+			receipt.Groups[name] = s.short(name, ask.HeldDigests[name], group)
 		}
 	}
-	if ask.Packs {
+	if ask.AcceptsPacked {
 		if s.pack(receipt); receipt.Packed != nil {
 			return receipt, nil
 		}
@@ -195,7 +195,7 @@
 	groups := map[string]json.RawMessage{}
 	for name, group := range receipt.Groups {
 		raw, err := json.RawMessage(nil), error(nil)
-		if group.Base == "" {
+		if group.BaseDigest == "" {
 			raw, err = s.coder.group(name, group)
 		} else {
 			raw, err = json.Marshal(&group)
@@ -220,7 +220,7 @@
 	// A member that was just started holds what its last snapshot holds, until an
 	// owner has told it how far the log is committed.
 	if s.checkContact() != nil {
-		return &rpc.FetchReceipt{}, nil
+		return &rpc.FetchResponse{}, nil
 	}
 	return s.hand(c, s.ledger.Current(), isPacked)
 }
@@ -230,7 +230,7 @@
 	began := time.Now()
 	later, isTaken := s.turns.take(began, s.r.Props.FlowFetches, s.r.Props.FlowCool)
 	if !isTaken {
-		return &rpc.FetchReceipt{Later: max(later.Milliseconds(), 1)}, nil
+		return &rpc.FetchResponse{RetryAfterMillis: max(later.Milliseconds(), 1)}, nil
 	}
 	leave := func() { s.turns.leave(time.Since(began)) }
 	raw, err := s.coder.all(sheet, isPacked)
--- a/internal/distribution/whole_test.go
+++ b/internal/distribution/whole_test.go
@@ -87,9 +87,9 @@
 func sheets(t *testing.T, n int) (list []*controlplane.EpochState) {
 	ledger := controlplane.NewConfigState()
 	for epoch := ids.Epoch(1); epoch <= ids.Epoch(n); epoch++ {
-		body, _ := json.Marshal(rpc.Planned{Epoch: epoch, Put: map[string]json.RawMessage{
+		body, _ := json.Marshal(rpc.EpochEntry{Epoch: epoch, Put: map[string]json.RawMessage{
 			fmt.Sprint(controlplane.RoutesPrefix, epoch): json.RawMessage(`[]`), controlplane.LimitsGroup: json.RawMessage(fmt.Sprintf(`[{"service":"s<%d>"}]`, epoch))}})
-		if ledger.Apply(ids.Stamp(epoch), body) != true {
+		if ledger.Apply(ids.Index(epoch), body) != true {
 			t.Fatal("not taken", epoch)
 		}
 		list = append(list, ledger.Current())
@@ -113,8 +113,8 @@
 	if now := c.groups[controlplane.RoutesPrefix+"1"].raw; &kept[0] != &now[0] {
 		t.Error("a group that did not change is made anew")
 	}
-	plain := &rpc.FetchReceipt{Epoch: 3, Manifest: epochs[2].Manifest(), Groups: epochs[2].Groups}
-	var got rpc.FetchReceipt
+	plain := &rpc.FetchResponse{Epoch: 3, Manifest: epochs[2].Manifest(), Groups: epochs[2].Groups}
+	var got rpc.FetchResponse
 	if err := json.Unmarshal(whole, &got); err != nil || !reflect.DeepEqual(plain, &got) {
 		t.Errorf("%v: %s", err, whole)
 	}
@@ -144,7 +144,7 @@
 			if raw, ok := got.(*rpc.Raw); ok {
 				return raw, 0
 			}
-			return nil, got.(*rpc.FetchReceipt).Later
+			return nil, got.(*rpc.FetchResponse).RetryAfterMillis
 		}
 		gone, leave := context.WithCancel(ctx)
 		leave()
@@ -192,11 +192,11 @@
 }
 
 // fakeCore answers fetches as told, and counts them.
-func fakeCore(t *testing.T, board *switchboard, ctx context.Context, name ids.Name, address string, others func() []rpc.Member, fetch func(n int) any) *[]time.Time {
+func fakeCore(t *testing.T, board *switchboard, ctx context.Context, name ids.NodeName, address string, others func() []rpc.Member, fetch func(n int) any) *[]time.Time {
 	r := board.realm(t, ctx, string(name), address)
 	w := rpc.New(r)
 	asked := &[]time.Time{}
-	w.Handle("kin.sync", func(c *rpc.Call) (any, error) { return &rpc.KinSync{Members: others()}, nil })
+	w.Handle("kin.sync", func(c *rpc.Call) (any, error) { return &rpc.MembershipSync{Members: others()}, nil })
 	w.Handle("flow.fetch", func(c *rpc.Call) (any, error) {
 		*asked = append(*asked, time.Now())
 		return fetch(len(*asked)), nil
@@ -218,23 +218,23 @@
 			ctx, end := context.WithCancel(t.Context())
 			var members []rpc.Member
 			for i := range 3 {
-				members = append(members, rpc.Member{Name: ids.Name(fmt.Sprint("core", i)), Birth: "b", Wire: fmt.Sprintf("10.0.0.%d:1", i+1), Zone: "a", Core: true, Keeps: true, Incarnation: 1, State: membership.Alive})
+				members = append(members, rpc.Member{Name: ids.NodeName(fmt.Sprint("core", i)), ID: "b", RPCAddress: fmt.Sprintf("10.0.0.%d:1", i+1), Zone: "a", Core: true, HoldsConfiguration: true, Incarnation: 1, State: membership.Alive})
 			}
 			var asked [3]*[]time.Time
 			r := board.realm(t, ctx, "proxy", "10.0.0.9:7")
 			w := rpc.New(r)
-			k := membership.New(r, w, rpc.Member{Name: "proxy", Birth: "p", Wire: "10.0.0.9:7", Zone: "a"})
-			order := map[ids.Name]int{}
+			k := membership.New(r, w, rpc.Member{Name: "proxy", ID: "p", RPCAddress: "10.0.0.9:7", Zone: "a"})
+			order := map[ids.NodeName]int{}
 			for i, m := range members {
-				asked[i] = fakeCore(t, board, ctx, m.Name, m.Wire, func() []rpc.Member { return members }, func(n int) any {
+				asked[i] = fakeCore(t, board, ctx, m.Name, m.RPCAddress, func() []rpc.Member { return members }, func(n int) any {
 					// The last in the list gives, or all give only when asked the sixth time.
 					if last && order[m.Name] == 2 || n > 5 {
 						return full
 					}
-					return &rpc.FetchReceipt{Later: 70}
+					return &rpc.FetchResponse{RetryAfterMillis: 70}
 				})
 			}
-			if !k.Sync(members[0].Wire) {
+			if !k.Sync(members[0].RPCAddress) {
 				t.Fatal("no members")
 			}
 			for i, m := range k.Keepers() {
--- a/internal/environment/realm.go
+++ b/internal/environment/realm.go
@@ -39,7 +39,7 @@
 	Props *config.Props
 	Sign  *eventlog.Sign
 	Net   Net
-	Name  ids.Name
+	Name  ids.NodeName
 	Times *metrics.Times
 	// Trace is called with the steps of the replicated parts, if it is set; the
 	// simulator holds them against the model.
@@ -54,7 +54,7 @@
 
 func New(parent context.Context, p *config.Props, s *eventlog.Sign, n Net) *Realm {
 	ctx, end := context.WithCancel(parent)
-	r := &Realm{Context: ctx, Props: p, Sign: s, Net: n, Name: ids.Name(p.Name), Times: &metrics.Times{Services: p.MetricsServices}, end: end}
+	r := &Realm{Context: ctx, Props: p, Sign: s, Net: n, Name: ids.NodeName(p.Name), Times: &metrics.Times{Services: p.MetricsServices}, end: end}
 	r.idle = sync.NewCond(&r.mu)
 	return r
 }
--- a/internal/gatewayapi/gatewayapi.go
+++ b/internal/gatewayapi/gatewayapi.go
@@ -25,7 +25,7 @@
 )
 
 type converter struct {
-	changeSet rpc.Change
+	changeSet rpc.ChangeSet
 	services  map[string]bool
 	problems  []string
 }
@@ -35,7 +35,7 @@
 }
 
 // Read turns a file of objects into a change set without id and base.
-func Read(raw []byte) (*rpc.Change, error) {
+func Read(raw []byte) (*rpc.ChangeSet, error) {
 	c := &converter{services: map[string]bool{}}
 	for i, document := range bytes.Split(raw, []byte("\n---")) {
 		document = bytes.TrimPrefix(bytes.TrimSpace(document), []byte("---"))
@@ -47,7 +47,7 @@
 		c.changeSet.Put.Services = append(c.changeSet.Put.Services, rpc.Service{Name: name})
 	}
 	sort.Slice(c.changeSet.Put.Services, func(i, j int) bool { return c.changeSet.Put.Services[i].Name < c.changeSet.Put.Services[j].Name })
-	if len(c.changeSet.Put.Mappings) == 0 && len(c.problems) == 0 {
+	if len(c.changeSet.Put.Routes) == 0 && len(c.problems) == 0 {
 		c.reject("objects", "there is none")
 	}
 	if len(c.problems) > 0 {
@@ -93,10 +93,10 @@
 	if rule.SessionPersistence != nil {
 		c.reject(path+".sessionPersistence", "is not taken")
 	}
-	base := rpc.Mapping{Repeatable: route.Annotations[RepeatableAnnotation] == "true"}
+	base := rpc.Route{Idempotent: route.Annotations[RepeatableAnnotation] == "true"}
 	if value, ok := route.Annotations[OnceAnnotation]; ok {
 		once := value == "true"
-		base.Once = &once
+		base.Deduplicate = &once
 	}
 	if rule.Timeouts != nil {
 		if rule.Timeouts.BackendRequest != nil {
@@ -107,7 +107,7 @@
 			if err != nil {
 				c.reject(path+".timeouts.request", "%v", err)
 			}
-			base.Deadline = timeout.Milliseconds()
+			base.DeadlineMillis = timeout.Milliseconds()
 		}
 	}
 	for i, ref := range rule.BackendRefs {
@@ -119,7 +119,7 @@
 		if ref.Weight != nil {
 			weight = int(*ref.Weight)
 		}
-		base.To = append(base.To, rpc.Split{Service: string(ref.Name), Weight: weight})
+		base.Services = append(base.Services, rpc.WeightedService{Service: string(ref.Name), Weight: weight})
 		c.services[string(ref.Name)] = true
 	}
 	matches := rule.Matches
@@ -131,7 +131,7 @@
 	}
 }
 
-func (c *converter) convertMatch(path, name string, route rpc.Mapping, match gateway.HTTPRouteMatch, hosts []gateway.Hostname) {
+func (c *converter) convertMatch(path, name string, route rpc.Route, match gateway.HTTPRouteMatch, hosts []gateway.Hostname) {
 	if len(match.Headers) > 0 {
 		c.reject(path+".headers", "are not taken")
 	}
@@ -157,6 +157,6 @@
 			hostRoute.Name += fmt.Sprint("/", i)
 		}
 		hostRoute.Host = string(host)
-		c.changeSet.Put.Mappings = append(c.changeSet.Put.Mappings, hostRoute)
+		c.changeSet.Put.Routes = append(c.changeSet.Put.Routes, hostRoute)
 	}
 }
--- a/internal/gatewayapi/gatewayapi_test.go
+++ b/internal/gatewayapi/gatewayapi_test.go
@@ -34,18 +34,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := rpc.Config{
-		Mappings: []rpc.Mapping{
-			{Name: "rates/0/0", Host: "rates.example", Path: "/rates", Methods: []string{"GET"}, To: []rpc.Split{{Service: "rates", Weight: 9}, {Service: "rates2", Weight: 1}}, Repeatable: true, Deadline: 3000},
-			{Name: "orders/0/0", Path: "/", To: []rpc.Split{{Service: "bookings", Weight: 1}}, Once: new(true)},
+	want := rpc.Configuration{
+		Routes: []rpc.Route{
+			{Name: "rates/0/0", Host: "rates.example", Path: "/rates", Methods: []string{"GET"}, Services: []rpc.WeightedService{{Service: "rates", Weight: 9}, {Service: "rates2", Weight: 1}}, Idempotent: true, DeadlineMillis: 3000},
+			{Name: "orders/0/0", Path: "/", Services: []rpc.WeightedService{{Service: "bookings", Weight: 1}}, Deduplicate: new(true)},
 		},
 		Services: []rpc.Service{{Name: "bookings"}, {Name: "rates"}, {Name: "rates2"}},
 	}
 	if diff := cmp.Diff(want, change.Put); diff != "" {
 		t.Fatal(diff)
 	}
-	change.Id = "x"
-	if _, paths := controlplane.MergeChange(rpc.Config{}, change); len(paths) > 0 {
+	change.ID = "x"
+	if _, paths := controlplane.MergeChange(rpc.Configuration{}, change); len(paths) > 0 {
 		t.Fatal(paths)
 	}
 }
--- a/internal/hollow/part.go
+++ b/internal/hollow/part.go
@@ -225,8 +225,8 @@
 	}
 	ctx, end := context.WithTimeout(parent, 10*time.Second)
 	defer end()
-	var receipt rpc.FetchReceipt
-	if err := node.Wire.Ask(ctx, cores[0].Wire, "flow.fetch", &rpc.FetchAsk{}, &receipt); err != nil {
+	var receipt rpc.FetchResponse
+	if err := node.Wire.Ask(ctx, cores[0].RPCAddress, "flow.fetch", &rpc.FetchRequest{}, &receipt); err != nil {
 		return nil, err
 	}
 	weights := map[string]int64{}
--- a/internal/ids/mark.go
+++ b/internal/ids/mark.go
@@ -13,37 +13,37 @@
 )
 
 type (
-	Name  string
-	Birth string
-	Part  int
-	Stamp uint64
-	Epoch uint64
+	NodeName string
+	MemberID string
+	Shard    int
+	Index    uint64
+	Epoch    uint64
 
 	// Version is the operators' own number of a configuration; it only grows.
 	Version uint64
 )
 
-// Parts is the number of data parts; the configuration part comes after them.
+// ShardCount is the number of data parts; the configuration part comes after them.
 const (
-	Parts  = 16
-	Config = Part(Parts)
+	ShardCount  = 16
+	ConfigShard = Shard(ShardCount)
 )
 
 type Term struct {
-	Round uint64 `json:"round"`
-	Node  Name   `json:"node"`
+	Number uint64   `json:"round"`
+	Node   NodeName `json:"node"`
 }
 
-func (t Term) Less(o Term) bool {
-	if t.Round != o.Round {
-		return t.Round < o.Round
+func (t Term) Less(other Term) bool {
+	if t.Number != other.Number {
+		return t.Number < other.Number
 	}
-	return t.Node < o.Node
+	return t.Node < other.Node
 }
 
-func (t Term) String() string { return fmt.Sprintf("%d.%s", t.Round, t.Node) }
+func (t Term) String() string { return fmt.Sprintf("%d.%s", t.Number, t.Node) }
 
-func NewBirth() Birth { return Birth(NewID()) }
+func NewMemberID() MemberID { return MemberID(NewID()) }
 
 func NewID() string {
 	raw := make([]byte, 8)
@@ -53,15 +53,15 @@
 	return hex.EncodeToString(raw)
 }
 
-// PartOf hashes the space of a name, which is what stands before its first
+// ShardOf hashes the space of a name, which is what stands before its first
 // slash, so that a space lies whole in one part and can be watched there.
-func PartOf(name string) Part {
+func ShardOf(name string) Shard {
 	space, _, _ := strings.Cut(name, "/")
-	return Part(Score(space) % Parts)
+	return Shard(Hash(space) % ShardCount)
 }
 
-// Score is the project's one hash for placement.
-func Score(words ...string) uint64 {
+// Hash is the project's one hash for placement.
+func Hash(words ...string) uint64 {
 	h := fnv.New64a()
 	for _, word := range words {
 		h.Write([]byte(word))
--- a/internal/membership/kin.go
+++ b/internal/membership/kin.go
@@ -46,12 +46,12 @@
 
 	mu      sync.Mutex
 	me      rpc.Member
-	members map[ids.Name]*known
+	members map[ids.NodeName]*known
 	seq     uint64
 	acks    map[uint64]chan struct{}
-	order   []ids.Name
+	order   []ids.NodeName
 	turn    uint64
-	view    atomic.Pointer[map[ids.Name]Standing]
+	view    atomic.Pointer[map[ids.NodeName]Standing]
 	zones   atomic.Pointer[map[string]string]
 
 	sum     uint64 // of all members but this one
@@ -77,11 +77,11 @@
 
 func New(r *environment.Realm, w *rpc.Wire, me rpc.Member) *Kin {
 	me.Incarnation, me.State = 1, Alive
-	k := &Kin{r: r, w: w, me: me, members: map[ids.Name]*known{}, acks: map[uint64]chan struct{}{}}
+	k := &Kin{r: r, w: w, me: me, members: map[ids.NodeName]*known{}, acks: map[uint64]chan struct{}{}}
 	k.publish()
 	k.Reseed(r.Props.Seeds)
 	w.Handle("kin.sync", func(c *rpc.Call) (any, error) {
-		var ask rpc.KinSync
+		var ask rpc.MembershipSync
 		if err := c.Read(&ask); err != nil {
 			return nil, err
 		}
@@ -140,10 +140,10 @@
 }
 
 // View is all members by name, this one included; not to be written to.
-func (k *Kin) View() map[ids.Name]Standing { return *k.view.Load() }
+func (k *Kin) View() map[ids.NodeName]Standing { return *k.view.Load() }
 
 // Of finds a member that is not down.
-func (k *Kin) Of(name ids.Name) (rpc.Member, bool) {
+func (k *Kin) Of(name ids.NodeName) (rpc.Member, bool) {
 	s, ok := k.View()[name]
 	return s.Member, ok && (s.State == Alive || s.State == Suspect)
 }
@@ -151,7 +151,7 @@
 // IsLive tells whether exactly this life of a node seems live.
 func (k *Kin) IsLive(peer rpc.Peer) bool {
 	m, ok := k.Of(peer.Name)
-	return ok && m.Birth == peer.Birth
+	return ok && m.ID == peer.ID
 }
 
 // Cores is the live core members, own zone first, then by a fixed order.
@@ -168,7 +168,7 @@
 		if (a.Zone == zone) != (b.Zone == zone) {
 			return a.Zone == zone
 		}
-		x, y := ids.Score(string(k.r.Name), string(a.Name)), ids.Score(string(k.r.Name), string(b.Name))
+		x, y := ids.Hash(string(k.r.Name), string(a.Name)), ids.Hash(string(k.r.Name), string(b.Name))
 		if x != y {
 			return x < y
 		}
@@ -183,7 +183,7 @@
 	cores := k.Cores()
 	var keepers []rpc.Member
 	for _, m := range cores {
-		if m.Keeps {
+		if m.HoldsConfiguration {
 			keepers = append(keepers, m)
 		}
 	}
@@ -194,7 +194,7 @@
 }
 
 func (k *Kin) publish() {
-	view := make(map[ids.Name]Standing, len(k.members)+1)
+	view := make(map[ids.NodeName]Standing, len(k.members)+1)
 	for name, m := range k.members {
 		view[name] = Standing{m.member, m.since}
 	}
@@ -206,7 +206,7 @@
 	k.isMoved = false
 	zones := make(map[string]string, len(view))
 	for _, m := range view {
-		zones[hostOf(m.Wire)] = m.Zone
+		zones[hostOf(m.RPCAddress)] = m.Zone
 	}
 	k.zones.Store(&zones)
 }
@@ -248,16 +248,16 @@
 			before = old.member
 		}
 		if !isNewer(before, ok, m) {
-			if ok && m.Birth == before.Birth && m.State == Alive && m.Incarnation == before.Incarnation && !isList {
+			if ok && m.ID == before.ID && m.State == Alive && m.Incarnation == before.Incarnation && !isList {
 				old.heard++
 			}
 			continue
 		}
 		switch {
 		case !ok:
-			k.r.Sign.Say(eventlog.MemberUp, "member", string(m.Name), "wire", m.Wire, "zone", m.Zone)
-		case before.Birth != m.Birth:
-			k.r.Sign.Say(eventlog.MemberReborn, "member", string(m.Name), "birth", string(m.Birth), "wire", m.Wire)
+			k.r.Sign.Say(eventlog.MemberUp, "member", string(m.Name), "wire", m.RPCAddress, "zone", m.Zone)
+		case before.ID != m.ID:
+			k.r.Sign.Say(eventlog.MemberReborn, "member", string(m.Name), "birth", string(m.ID), "wire", m.RPCAddress)
 		default:
 			k.tell(before.State, m)
 			if before.State == Down && m.State == Alive {
@@ -265,7 +265,7 @@
 			}
 		}
 		fresh := &known{member: m, since: time.Now(), sum: sumOf(m)}
-		if ok && before.Birth == m.Birth && rank(before.State) == rank(m.State) {
+		if ok && before.ID == m.ID && rank(before.State) == rank(m.State) {
 			fresh.since = old.since
 		}
 		if isList && !ok {
@@ -275,7 +275,7 @@
 			k.sum ^= old.sum
 		}
 		k.sum ^= fresh.sum
-		k.isMoved = k.isMoved || !ok || before.Wire != m.Wire || before.Zone != m.Zone
+		k.isMoved = k.isMoved || !ok || before.RPCAddress != m.RPCAddress || before.Zone != m.Zone
 		k.members[m.Name] = fresh
 		didChange = true
 	}
@@ -288,11 +288,11 @@
 // anything is.
 func isNewer(old rpc.Member, isKnown bool, m rpc.Member) bool {
 	switch {
-	case m.Name == "" || m.Birth == "" || m.Wire == "":
+	case m.Name == "" || m.ID == "" || m.RPCAddress == "":
 		return false
 	case !isKnown:
 		return rank(m.State) < 2
-	case old.Birth != m.Birth:
+	case old.ID != m.ID:
 		return m.State == Alive && m.Incarnation > old.Incarnation
 	}
 	return m.Incarnation > old.Incarnation || m.Incarnation == old.Incarnation && rank(m.State) > rank(old.State)
@@ -300,8 +300,8 @@
 
 // refutes is the incarnation by which this node answers word of itself; 0 for none.
 func refutes(me, m rpc.Member) uint64 {
-	isDoubted := m.Birth == me.Birth && m.State != Alive && me.State == Alive
-	if m.Incarnation >= me.Incarnation && (isDoubted || m.Birth != me.Birth) {
+	isDoubted := m.ID == me.ID && m.State != Alive && me.State == Alive
+	if m.Incarnation >= me.Incarnation && (isDoubted || m.ID != me.ID) {
 		return m.Incarnation + 1
 	}
 	return 0
@@ -326,7 +326,7 @@
 	}
 	switch m.State {
 	case Alive:
-		k.r.Sign.Say(eventlog.MemberUp, "member", string(m.Name), "wire", m.Wire, "zone", m.Zone)
+		k.r.Sign.Say(eventlog.MemberUp, "member", string(m.Name), "wire", m.RPCAddress, "zone", m.Zone)
 	case Suspect:
 		k.r.Sign.Say(eventlog.MemberSuspect, "member", string(m.Name))
 	default:
@@ -382,7 +382,7 @@
 	told := 0
 	for name, s := range k.View() {
 		if name != k.r.Name && s.State == Alive && told < 4 {
-			k.send(s.Wire, rpc.Probe{Kind: "news", News: []rpc.Member{me}})
+			k.send(s.RPCAddress, rpc.Probe{Kind: "news", Updates: []rpc.Member{me}})
 			told++
 		}
 	}
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -23,9 +23,9 @@
 
 func (k *Kin) send(address string, probe rpc.Probe) {
 	me := k.Me()
-	probe.From, probe.Birth = me.Name, me.Birth
-	if probe.News == nil {
-		probe.News = k.gossip()
+	probe.From, probe.FromID = me.Name, me.ID
+	if probe.Updates == nil {
+		probe.Updates = k.gossip()
 	}
 	raw, err := json.Marshal(probe)
 	if err != nil {
@@ -54,25 +54,25 @@
 			k.r.Sign.Say(eventlog.MessageRefused, "kind", "kin.probe", "from", from.String())
 			continue
 		}
-		k.learn(probe.News)
+		k.learn(probe.Updates)
 		switch probe.Kind {
 		case "ping":
 			if probe.To != "" && probe.To != k.r.Name {
 				continue
 			}
-			if !k.IsLive(rpc.Peer{Name: probe.From, Birth: probe.Birth}) {
+			if !k.IsLive(rpc.Peer{Name: probe.From, ID: probe.FromID}) {
 				k.send(from.String(), rpc.Probe{Kind: "who"})
 			}
 			news := k.gossip()
-			isDoubted := slices.ContainsFunc(probe.News, func(m rpc.Member) bool { return m.Name == k.r.Name })
+			isDoubted := slices.ContainsFunc(probe.Updates, func(m rpc.Member) bool { return m.Name == k.r.Name })
 			if isDoubted || k.presents() {
 				news = append(news, k.Me())
 			}
-			k.send(from.String(), rpc.Probe{Kind: "ack", Seq: probe.Seq, News: news})
+			k.send(from.String(), rpc.Probe{Kind: "ack", Sequence: probe.Sequence, Updates: news})
 		case "ack":
 			k.mu.Lock()
-			if waiter, ok := k.acks[probe.Seq]; ok {
-				delete(k.acks, probe.Seq)
+			if waiter, ok := k.acks[probe.Sequence]; ok {
+				delete(k.acks, probe.Sequence)
 				close(waiter)
 			}
 			k.mu.Unlock()
@@ -83,10 +83,10 @@
 			if !ok {
 				continue
 			}
-			seq := probe.Seq
+			seq := probe.Sequence
 			k.r.Go(func() {
-				if k.ping(to.Wire, to.Name, nil) {
-					k.send(from.String(), rpc.Probe{Kind: "ack", Seq: seq})
+				if k.ping(to.RPCAddress, to.Name, nil) {
+					k.send(from.String(), rpc.Probe{Kind: "ack", Sequence: seq})
 				}
 			})
 		}
@@ -95,19 +95,19 @@
 
 // present makes this node, and all it knows, known to one that asked who it is:
 // machines that come back together find one another first, and nobody else.
-func (k *Kin) present(name ids.Name) {
+func (k *Kin) present(name ids.NodeName) {
 	m, ok := k.Of(name)
 	if !ok || !k.isPresenting.CompareAndSwap(false, true) {
 		return
 	}
 	k.r.Go(func() {
 		defer k.isPresenting.Store(false)
-		k.exchange(m.Wire, true)
+		k.exchange(m.RPCAddress, true)
 	})
 }
 
 // ping waits for the ack of one member; meanwhile verbs run after half time.
-func (k *Kin) ping(address string, name ids.Name, relay func(seq uint64)) bool {
+func (k *Kin) ping(address string, name ids.NodeName, relay func(seq uint64)) bool {
 	k.mu.Lock()
 	k.seq++
 	seq := k.seq
@@ -130,10 +130,10 @@
 		}
 		return false
 	}
-	ping := rpc.Probe{Kind: "ping", Seq: seq, To: name}
+	ping := rpc.Probe{Kind: "ping", Sequence: seq, To: name}
 	if s, ok := k.View()[name]; ok && s.State == Suspect {
 		// Whoever is suspected must hear of it to refute it.
-		ping.News = append(k.gossip(), s.Member)
+		ping.Updates = append(k.gossip(), s.Member)
 	}
 	k.send(address, ping)
 	if await() {
@@ -167,7 +167,7 @@
 		// zone's members ask them too.
 		k.turn++
 		for name, s := range view {
-			isNear := s.Zone == k.r.Props.Zone || len(view) < probeAll || ids.Score(string(name))%4 == k.turn%4
+			isNear := s.Zone == k.r.Props.Zone || len(view) < probeAll || ids.Hash(string(name))%4 == k.turn%4
 			if name != k.r.Name && rank(s.State) < 2 && isNear {
 				k.order = append(k.order, name)
 			}
@@ -188,12 +188,12 @@
 			asked := 0
 			for name, s := range k.View() {
 				if name != k.r.Name && name != target.Name && s.State == Alive && asked < 2 {
-					k.send(s.Wire, rpc.Probe{Kind: "relay", Seq: seq, To: target.Name})
+					k.send(s.RPCAddress, rpc.Probe{Kind: "relay", Sequence: seq, To: target.Name})
 					asked++
 				}
 			}
 		}
-		if !k.ping(target.Wire, target.Name, relay) && !k.isHere(target) && !k.r.IsOver() {
+		if !k.ping(target.RPCAddress, target.Name, relay) && !k.isHere(target) && !k.r.IsOver() {
 			target.State = Suspect
 			k.learn([]rpc.Member{target})
 		}
@@ -205,11 +205,11 @@
 	ctx, end := context.WithTimeout(k.r, max(2*k.r.Props.KinReply, 500*time.Millisecond))
 	defer end()
 	var m rpc.Member
-	if k.w.Ask(ctx, target.Wire, "kin.here", struct{}{}, &m) != nil || m.Name != target.Name {
+	if k.w.Ask(ctx, target.RPCAddress, "kin.here", struct{}{}, &m) != nil || m.Name != target.Name {
 		return false
 	}
 	k.learn([]rpc.Member{m})
-	return m.Birth == target.Birth
+	return m.ID == target.ID
 }
 
 // patience is how long a suspect may refute: news takes longer to go round in a
--- a/internal/membership/search.go
+++ b/internal/membership/search.go
@@ -30,10 +30,10 @@
 }
 
 func (k *Kin) search() {
-	hunts := map[ids.Name]*hunt{}
+	hunts := map[ids.NodeName]*hunt{}
 	for k.r.Pause(environment.Jitter(searchTurn)) {
 		for _, m := range k.due(hunts, time.Now()) {
-			k.r.Go(func() { k.Sync(m.Wire) })
+			k.r.Go(func() { k.Sync(m.RPCAddress) })
 		}
 	}
 }
@@ -41,7 +41,7 @@
 // Lost is the members that went down of late without a word, by name.
 func (k *Kin) Lost() (members []rpc.Member) { return lostOf(k.View(), time.Now()) }
 
-func lostOf(view map[ids.Name]Standing, now time.Time) (members []rpc.Member) {
+func lostOf(view map[ids.NodeName]Standing, now time.Time) (members []rpc.Member) {
 	for _, s := range view {
 		if s.State == Down && now.Sub(s.Since) < lostKept {
 			members = append(members, s.Member)
@@ -53,7 +53,7 @@
 
 // due picks the lost members that are to be asked now, those that waited longest, and
 // sets when they are to be asked again.
-func (k *Kin) due(hunts map[ids.Name]*hunt, now time.Time) (some []rpc.Member) {
+func (k *Kin) due(hunts map[ids.NodeName]*hunt, now time.Time) (some []rpc.Member) {
 	view := k.View()
 	lost := slices.DeleteFunc(lostOf(view, now), func(m rpc.Member) bool { return !k.searches(view, m) })
 	for name := range hunts {
@@ -85,13 +85,13 @@
 }
 
 // searches tells whether this node is one of those that look for a lost member.
-func (k *Kin) searches(view map[ids.Name]Standing, lost rpc.Member) bool {
+func (k *Kin) searches(view map[ids.NodeName]Standing, lost rpc.Member) bool {
 	if lost.Core && len(view) < probeAll {
 		return true
 	}
-	mine, before := ids.Score(string(lost.Name), string(k.r.Name)), 0
+	mine, before := ids.Hash(string(lost.Name), string(k.r.Name)), 0
 	for name, s := range view {
-		if name != k.r.Name && rank(s.State) < 2 && ids.Score(string(lost.Name), string(name)) < mine {
+		if name != k.r.Name && rank(s.State) < 2 && ids.Hash(string(lost.Name), string(name)) < mine {
 			if before++; before >= searchers {
 				return false
 			}
--- a/internal/membership/sync.go
+++ b/internal/membership/sync.go
@@ -42,7 +42,7 @@
 		} else {
 			for name, s := range k.View() {
 				if name != k.r.Name && rank(s.State) < 2 {
-					addresses = append(addresses, s.Wire)
+					addresses = append(addresses, s.RPCAddress)
 				}
 			}
 			if len(addresses) > 0 {
@@ -119,34 +119,34 @@
 func (k *Kin) exchange(address string, isShown bool) bool {
 	ctx, end := context.WithTimeout(k.r, time.Second)
 	defer end()
-	ask := &rpc.KinSync{Ranges: k.ranges()}
-	if isShown || ask.Ranges == 1 {
+	ask := &rpc.MembershipSync{RangeCount: k.ranges()}
+	if isShown || ask.RangeCount == 1 {
 		ask.Members = []rpc.Member{k.Me()}
 	}
 	ask.Digest = k.digest()
-	var receipt rpc.KinSync
+	var receipt rpc.MembershipSync
 	if err := k.w.Ask(ctx, address, "kin.sync", ask, &receipt); err != nil {
 		return false
 	}
 	switch {
-	case receipt.Later > 0:
+	case receipt.RetryAfterMillis > 0:
 		k.isRefused.Store(true)
 		return false
-	case receipt.IsSame:
+	case receipt.Same:
 		return true
-	case ask.Ranges > 1 && len(receipt.Sums) == ask.Ranges:
-		mine := k.sums(ask.Ranges)
-		ask = &rpc.KinSync{Ranges: ask.Ranges}
-		for no, sum := range receipt.Sums {
+	case ask.RangeCount > 1 && len(receipt.RangeDigests) == ask.RangeCount:
+		mine := k.sums(ask.RangeCount)
+		ask = &rpc.MembershipSync{RangeCount: ask.RangeCount}
+		for no, sum := range receipt.RangeDigests {
 			if sum != mine[no] {
-				ask.Differ = append(ask.Differ, no)
+				ask.DifferingRanges = append(ask.DifferingRanges, no)
 			}
 		}
-		if len(ask.Differ) == 0 {
+		if len(ask.DifferingRanges) == 0 {
 			return true
 		}
-		ask.Members = k.within(ask.Ranges, ask.Differ)
-		receipt = rpc.KinSync{}
+		ask.Members = k.within(ask.RangeCount, ask.DifferingRanges)
+		receipt = rpc.MembershipSync{}
 		if err := k.w.Ask(ctx, address, "kin.sync", ask, &receipt); err != nil {
 			return false
 		}
@@ -155,13 +155,13 @@
 	}
 	k.take(receipt.Members, true)
 	if mine := newer(k.whole(), receipt.Members); len(mine) > 0 {
-		ask = &rpc.KinSync{Members: mine, Digest: k.digest(), Ranges: rangesMost}
+		ask = &rpc.MembershipSync{Members: mine, Digest: k.digest(), RangeCount: rangesMost}
 		for _, m := range mine {
-			if no := rangeOf(m.Name, rangesMost); !slices.Contains(ask.Differ, no) {
-				ask.Differ = append(ask.Differ, no)
+			if no := rangeOf(m.Name, rangesMost); !slices.Contains(ask.DifferingRanges, no) {
+				ask.DifferingRanges = append(ask.DifferingRanges, no)
 			}
 		}
-		receipt = rpc.KinSync{}
+		receipt = rpc.MembershipSync{}
 		if err := k.w.Ask(ctx, address, "kin.sync", ask, &receipt); err != nil {
 			return false
 		}
@@ -172,21 +172,21 @@
 }
 
 // compare answers an exchange.
-func (k *Kin) compare(ask *rpc.KinSync) (any, error) {
+func (k *Kin) compare(ask *rpc.MembershipSync) (any, error) {
 	k.take(ask.Members, len(ask.Members) > 1)
 	switch {
 	case ask.Digest != 0 && ask.Digest == k.digest():
-		return &rpc.KinSync{IsSame: true}, nil
-	case ask.Ranges > rangesMost || ask.Ranges < 0:
-		ask.Ranges = 0
-	case len(ask.Differ) > 0 && ask.Ranges > 1:
-		return &rpc.KinSync{Members: newer(k.within(ask.Ranges, ask.Differ), ask.Members)}, nil
-	case ask.Ranges > 1:
-		return &rpc.KinSync{Sums: k.sums(ask.Ranges)}, nil
+		return &rpc.MembershipSync{Same: true}, nil
+	case ask.RangeCount > rangesMost || ask.RangeCount < 0:
+		ask.RangeCount = 0
+	case len(ask.DifferingRanges) > 0 && ask.RangeCount > 1:
+		return &rpc.MembershipSync{Members: newer(k.within(ask.RangeCount, ask.DifferingRanges), ask.Members)}, nil
+	case ask.RangeCount > 1:
+		return &rpc.MembershipSync{RangeDigests: k.sums(ask.RangeCount)}, nil
 	}
-	if k.lists.Add(1) > listsMost && ask.Ranges == 1 {
+	if k.lists.Add(1) > listsMost && ask.RangeCount == 1 {
 		k.lists.Add(-1)
-		return &rpc.KinSync{Later: joinPause.Milliseconds()}, nil
+		return &rpc.MembershipSync{RetryAfterMillis: joinPause.Milliseconds()}, nil
 	}
 	leave := func() { k.lists.Add(-1) }
 	raw, err := k.encoded()
@@ -199,7 +199,7 @@
 
 // listed is a view's whole list as it goes out.
 type listed struct {
-	view *map[ids.Name]Standing
+	view *map[ids.NodeName]Standing
 	raw  json.RawMessage
 }
 
@@ -208,7 +208,7 @@
 	if kept := k.listed.Load(); kept != nil && kept.view == view {
 		return kept.raw, nil
 	}
-	raw, err := json.Marshal(&rpc.KinSync{Members: listOf(*view)})
+	raw, err := json.Marshal(&rpc.MembershipSync{Members: listOf(*view)})
 	if err != nil {
 		return nil, err
 	}
@@ -216,7 +216,7 @@
 	return raw, nil
 }
 
-func listOf(view map[ids.Name]Standing) []rpc.Member {
+func listOf(view map[ids.NodeName]Standing) []rpc.Member {
 	list := make([]rpc.Member, 0, len(view))
 	for _, s := range view {
 		list = append(list, s.Member)
@@ -236,8 +236,8 @@
 	return n
 }
 
-func rangeOf(name ids.Name, ranges int) int {
-	return int(ids.Score("range", string(name)) % uint64(ranges))
+func rangeOf(name ids.NodeName, ranges int) int {
+	return int(ids.Hash("range", string(name)) % uint64(ranges))
 }
 
 // sumOf is a member's part in a digest. Those that are gone have none: a node that
@@ -246,7 +246,7 @@
 	if rank(m.State) == 2 {
 		return 0
 	}
-	return ids.Score(string(m.Name), string(m.Birth), strconv.FormatUint(m.Incarnation, 10), m.State)
+	return ids.Hash(string(m.Name), string(m.ID), strconv.FormatUint(m.Incarnation, 10), m.State)
 }
 
 // digest is one number for all that is known here.
@@ -283,13 +283,13 @@
 
 // newer is what one list says and another does not, or less of.
 func newer(ours, theirs []rpc.Member) (mine []rpc.Member) {
-	known := map[ids.Name]rpc.Member{}
+	known := map[ids.NodeName]rpc.Member{}
 	for _, m := range theirs {
 		known[m.Name] = m
 	}
 	for _, m := range ours {
 		old, ok := known[m.Name]
-		if !ok && rank(m.State) < 2 || ok && (old.Birth != m.Birth || old.Incarnation < m.Incarnation || old.Incarnation == m.Incarnation && rank(old.State) < rank(m.State)) {
+		if !ok && rank(m.State) < 2 || ok && (old.ID != m.ID || old.Incarnation < m.Incarnation || old.Incarnation == m.Incarnation && rank(old.State) < rank(m.State)) {
 			mine = append(mine, m)
 		}
 	}
--- a/internal/membership/sync_test.go
+++ b/internal/membership/sync_test.go
@@ -69,7 +69,7 @@
 }
 
 func member(no int) rpc.Member {
-	return rpc.Member{Name: ids.Name(fmt.Sprint("node", no)), Birth: ids.Birth(fmt.Sprint("birth", no)), Wire: fmt.Sprintf("10.1.%d.%d:7000", no/200, no%200), Zone: fmt.Sprint("z", no%7), Strength: 100, Incarnation: 1, State: Alive}
+	return rpc.Member{Name: ids.NodeName(fmt.Sprint("node", no)), ID: ids.MemberID(fmt.Sprint("birth", no)), RPCAddress: fmt.Sprintf("10.1.%d.%d:7000", no/200, no%200), Zone: fmt.Sprint("z", no%7), Strength: 100, Incarnation: 1, State: Alive}
 }
 
 func members(n int) (list []rpc.Member) {
@@ -82,7 +82,7 @@
 // start is a node's view; it neither probes nor compares by itself.
 func (l *lines) start(t *testing.T, ctx context.Context, m rpc.Member) *Kin {
 	t.Helper()
-	settings, err := config.Load("", map[string]string{"name": string(m.Name), "zone": m.Zone, "wire.address": m.Wire, "api.address": "10.0.0.9:1", "gate.address": "10.0.0.9:2"})
+	settings, err := config.Load("", map[string]string{"name": string(m.Name), "zone": m.Zone, "wire.address": m.RPCAddress, "api.address": "10.0.0.9:1", "gate.address": "10.0.0.9:2"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -104,8 +104,8 @@
 
 // isSame tells whether both hold the same of all that are not gone.
 func isSame(a, b *Kin) bool {
-	live := func(k *Kin) map[ids.Name]rpc.Member {
-		some := map[ids.Name]rpc.Member{}
+	live := func(k *Kin) map[ids.NodeName]rpc.Member {
+		some := map[ids.NodeName]rpc.Member{}
 		for name, s := range k.View() {
 			if rank(s.State) < 2 {
 				some[name] = s.Member
@@ -124,18 +124,18 @@
 		a, b := l.start(t, ctx, member(0)), l.start(t, ctx, member(1))
 		a.take(members(460), true)
 		b.take(members(460), true)
-		if !a.Sync(b.Me().Wire) {
+		if !a.Sync(b.Me().RPCAddress) {
 			t.Fatal("not in touch")
 		}
 		if cost := sent(a) + sent(b); cost > 400 {
 			t.Errorf("lists that are the same cost %d bytes", cost)
 		}
 		restarted, down := member(77), member(300)
-		restarted.Birth, restarted.Incarnation, down.State = "another", 5, Down
+		restarted.ID, restarted.Incarnation, down.State = "another", 5, Down
 		a.take([]rpc.Member{restarted}, false)
 		b.take([]rpc.Member{down}, false)
 		before := sent(a) + sent(b)
-		if !a.Sync(b.Me().Wire) || !isSame(a, b) {
+		if !a.Sync(b.Me().RPCAddress) || !isSame(a, b) {
 			t.Fatal("the lists still differ")
 		}
 		if cost := sent(a) + sent(b) - before; cost > 8000 {
@@ -143,12 +143,12 @@
 		}
 		// One who knows nobody gets it all, and is known.
 		c := l.start(t, ctx, member(460))
-		if !c.Sync(b.Me().Wire) || !isSame(b, c) {
+		if !c.Sync(b.Me().RPCAddress) || !isSame(b, c) {
 			t.Error("who joins does not know all, or is not known")
 		}
 		// That it never heard of the one that is down does not make lists differ.
 		before = sent(b) + sent(c)
-		if !c.Sync(b.Me().Wire) {
+		if !c.Sync(b.Me().RPCAddress) {
 			t.Fatal("not in touch")
 		}
 		if cost := sent(b) + sent(c) - before; cost > 400 {
@@ -167,11 +167,11 @@
 			m := member(i * 7 % 50)
 			m.Incarnation, m.State = uint64(1+i%5), []string{Alive, Suspect, Down, Alive, Left}[i%5]
 			if i%11 == 0 {
-				m.Birth = ids.Birth(fmt.Sprint("again", i))
+				m.ID = ids.MemberID(fmt.Sprint("again", i))
 			}
 			a.take([]rpc.Member{m}, i%2 == 0)
 		}
-		a.Amend(func(m *rpc.Member) { m.Keeps = true })
+		a.Amend(func(m *rpc.Member) { m.HoldsConfiguration = true })
 		b.take(a.whole(), true)
 		a.take(b.whole(), true)
 		b.take(a.whole(), true)
@@ -203,7 +203,7 @@
 		a.take(members(460), true)
 		var given []*rpc.Raw
 		for range listsMost {
-			got, err := a.compare(&rpc.KinSync{Digest: 1, Ranges: 1})
+			got, err := a.compare(&rpc.MembershipSync{Digest: 1, RangeCount: 1})
 			raw, ok := got.(*rpc.Raw)
 			if !ok || err != nil {
 				t.Fatal(got, err)
@@ -213,20 +213,20 @@
 		if &given[0].Body[0] != &given[1].Body[0] {
 			t.Error("the list is encoded anew for each")
 		}
-		got, _ := a.compare(&rpc.KinSync{Digest: 1, Ranges: 1})
-		if receipt, ok := got.(*rpc.KinSync); !ok || receipt.Later == 0 {
+		got, _ := a.compare(&rpc.MembershipSync{Digest: 1, RangeCount: 1})
+		if receipt, ok := got.(*rpc.MembershipSync); !ok || receipt.RetryAfterMillis == 0 {
 			t.Errorf("one more is given: %T", got)
 		}
 		// What differs in little is compared all the same.
-		if got, _ := a.compare(&rpc.KinSync{Digest: 1, Ranges: 16}); len(got.(*rpc.KinSync).Sums) != 16 {
+		if got, _ := a.compare(&rpc.MembershipSync{Digest: 1, RangeCount: 16}); len(got.(*rpc.MembershipSync).RangeDigests) != 16 {
 			t.Error("no sums")
 		}
 		b := l.start(t, ctx, member(1))
-		if b.Sync(a.Me().Wire) || !b.isRefused.Load() {
+		if b.Sync(a.Me().RPCAddress) || !b.isRefused.Load() {
 			t.Error("the refusal is not noted")
 		}
 		given[0].Sent()
-		if !b.Sync(a.Me().Wire) || len(b.View()) != 460 {
+		if !b.Sync(a.Me().RPCAddress) || len(b.View()) != 460 {
 			t.Error("a place was lost")
 		}
 	})
@@ -249,7 +249,7 @@
 			down := lost
 			down.State = Down
 			k.take([]rpc.Member{down}, false)
-			if some := k.due(map[ids.Name]*hunt{}, time.Now()); len(some) == 1 && some[0].Name == lost.Name {
+			if some := k.due(map[ids.NodeName]*hunt{}, time.Now()); len(some) == 1 && some[0].Name == lost.Name {
 				looking++
 				one = k
 			}
@@ -258,7 +258,7 @@
 			t.Fatalf("%d nodes look for one lost member", looking)
 		}
 		// The pauses grow, up to a bound; it is given up in the end.
-		hunts := map[ids.Name]*hunt{}
+		hunts := map[ids.NodeName]*hunt{}
 		var asked []time.Time
 		for range 2 * int(lostKept/time.Second) {
 			if len(one.due(hunts, time.Now())) > 0 {
@@ -352,7 +352,7 @@
 			if right := map[int]int{10: 9, 60: searchers}[size]; len(lookers) != right {
 				t.Fatalf("%d of %d nodes look for a lost core node", len(lookers), size)
 			}
-			hunts, last := map[ids.Name]*hunt{}, time.Now()
+			hunts, last := map[ids.NodeName]*hunt{}, time.Now()
 			for range 1200 {
 				if len(lookers[0].due(hunts, time.Now())) > 0 {
 					last = time.Now()
--- a/internal/node/calls.go
+++ b/internal/node/calls.go
@@ -17,7 +17,7 @@
 
 // Take folds a server's beat. The address is where later beats are taken without
 // being passed on; it is empty if that is here, or not known.
-func (n *Node) Take(ctx context.Context, beat *rpc.Beat) (better string, err error) {
+func (n *Node) Take(ctx context.Context, beat *rpc.TargetHeartbeat) (better string, err error) {
 	n.beats.Add(1)
 	limited, end := context.WithTimeout(ctx, beatTime)
 	defer end()
@@ -28,7 +28,7 @@
 	if beat.State != controlplane.StateServing {
 		n.R.Sign.Say(eventlog.TargetGoing, "service", beat.Service, "instance", beat.Instance, "state", beat.State)
 	}
-	no := ids.PartOf(beat.Service)
+	no := ids.ShardOf(beat.Service)
 	var done struct{}
 	if err := n.pass(limited, op{no, "beat", beat}, 0, &done); err != nil {
 		return "", err
@@ -40,12 +40,12 @@
 }
 
 // ownerApi is the API address of the node that owns a part, if it is known.
-func (n *Node) ownerApi(no ids.Part) string {
+func (n *Node) ownerApi(no ids.Shard) string {
 	known := n.owners[no].Load()
 	if n.Consensus != nil {
 		if name, ok := n.Consensus.Leader(no); ok {
 			if m, ok := n.Kin.Of(name); ok {
-				return m.Api
+				return m.APIAddress
 			}
 		}
 	}
@@ -53,8 +53,8 @@
 		return ""
 	}
 	for _, m := range n.Kin.Cores() {
-		if m.Wire == *known {
-			return m.Api
+		if m.RPCAddress == *known {
+			return m.APIAddress
 		}
 	}
 	return ""
@@ -69,9 +69,9 @@
 		return errcode.New(errcode.UnknownService, "of instance %q", instance)
 	}
 	n.R.Sign.Say(eventlog.TargetGoing, "service", service, "instance", instance, "state", controlplane.StateLeaving)
-	beat := &rpc.Beat{Service: service, Instance: instance, Seq: lastSeq, Address: "0.0.0.0:0", State: controlplane.StateLeaving}
+	beat := &rpc.TargetHeartbeat{Service: service, Instance: instance, Sequence: lastSeq, Address: "0.0.0.0:0", State: controlplane.StateLeaving}
 	var done struct{}
-	return n.pass(limited, op{ids.PartOf(service), "beat", beat}, 0, &done)
+	return n.pass(limited, op{ids.ShardOf(service), "beat", beat}, 0, &done)
 }
 
 // lastSeq is above every number that an instance gives its beats.
@@ -96,8 +96,8 @@
 		all.Add(1)
 		n.R.Go(func() {
 			defer all.Done()
-			var receipt rpc.WhoseReceipt
-			if n.Wire.Ask(limited, m.Wire, "plan.whose", &rpc.WhoseAsk{Instance: instance}, &receipt) == nil && receipt.Service != "" {
+			var receipt rpc.InstanceLookupResponse
+			if n.Wire.Ask(limited, m.RPCAddress, "plan.whose", &rpc.InstanceLookupRequest{Instance: instance}, &receipt) == nil && receipt.Service != "" {
 				found <- receipt.Service
 			}
 		})
@@ -108,11 +108,11 @@
 
 // Submit is answered with yes or no by the owner alone: any other node can't know
 // whether the set was accepted when it was sent before under its id.
-func (n *Node) Submit(ctx context.Context, change *rpc.Change) (*rpc.ChangeReceipt, error) {
+func (n *Node) Submit(ctx context.Context, change *rpc.ChangeSet) (*rpc.ChangeResult, error) {
 	limited, end := context.WithTimeout(ctx, 2*callTime)
 	defer end()
-	receipt := &rpc.ChangeReceipt{}
-	err := n.pass(limited, op{ids.Config, "submit", change}, 0, receipt)
+	receipt := &rpc.ChangeResult{}
+	err := n.pass(limited, op{ids.ConfigShard, "submit", change}, 0, receipt)
 	if err != nil && errcode.Of(err).Code.Outcome != "" {
 		err = errcode.New(errcode.ChangeUnknown, "%v", err)
 	}
@@ -120,25 +120,25 @@
 }
 
 // Config is the configuration in force, as the operators sent it.
-func (n *Node) Config(ctx context.Context) (*rpc.ConfigView, error) {
+func (n *Node) Config(ctx context.Context) (*rpc.ConfigurationView, error) {
 	limited, end := context.WithTimeout(ctx, callTime)
 	defer end()
-	view := &rpc.ConfigView{}
-	return view, n.pass(limited, op{ids.Config, "config", nil}, 0, view)
+	view := &rpc.ConfigurationView{}
+	return view, n.pass(limited, op{ids.ConfigShard, "config", nil}, 0, view)
 }
 
 // Bond passes a coordination call. One under an id may be a repeat of one that
 // was done, so that only an owner can say that it was not.
-func (n *Node) Bond(ctx context.Context, call *rpc.BondOp) (*rpc.BondReceipt, error) {
-	limited, end := context.WithTimeout(ctx, callTime+time.Duration(call.Hold)*time.Millisecond)
+func (n *Node) Bond(ctx context.Context, call *rpc.CoordinationRequest) (*rpc.CoordinationResponse, error) {
+	limited, end := context.WithTimeout(ctx, callTime+time.Duration(call.Wait)*time.Millisecond)
 	defer end()
-	if call.Op != "watch" && call.Op != "follow" {
+	if call.Operation != "watch" && call.Operation != "follow" {
 		defer n.called(time.Now())
 	}
-	receipt := &rpc.BondReceipt{}
-	if err := n.pass(limited, op{ids.PartOf(call.Name), "bond", call}, 0, receipt); err != nil {
+	receipt := &rpc.CoordinationResponse{}
+	if err := n.pass(limited, op{ids.ShardOf(call.Name), "bond", call}, 0, receipt); err != nil {
 		isNotRun := errcode.Of(err).Code.Outcome == "not run"
-		if errcode.Is(err, errcode.ReplyLost) || isNotRun && call.Id != "" {
+		if errcode.Is(err, errcode.ReplyLost) || isNotRun && call.ID != "" {
 			err = errcode.New(errcode.Unsure, "%v", err)
 		}
 		return nil, err
--- a/internal/node/desk.go
+++ b/internal/node/desk.go
@@ -32,7 +32,7 @@
 var _ api.Handler = (*desk)(nil)
 
 func (d *desk) Beat(ctx context.Context, req *api.Beat) (*api.Taken, error) {
-	beat := &rpc.Beat{Service: req.Service, Instance: req.Instance, Seq: req.Seq, Address: req.Address, Zone: req.Zone.Or(""), Weight: req.Weight.Or(100), State: string(req.State)}
+	beat := &rpc.TargetHeartbeat{Service: req.Service, Instance: req.Instance, Sequence: req.Seq, Address: req.Address, Zone: req.Zone.Or(""), Weight: req.Weight.Or(100), State: string(req.State)}
 	if _, err := d.n.Take(ctx, beat); err != nil {
 		return nil, err
 	}
@@ -40,7 +40,7 @@
 }
 
 func (d *desk) Submit(ctx context.Context, req *api.Change) (*api.ChangeReceipt, error) {
-	var change rpc.Change
+	var change rpc.ChangeSet
 	if err := recast(req, &change); err != nil {
 		return nil, err
 	}
@@ -56,18 +56,18 @@
 	limited, end := context.WithTimeout(ctx, callTime)
 	defer end()
 	receipt := &api.ChangeReceipt{}
-	return receipt, d.n.pass(limited, op{ids.Config, "change", params.ID}, 0, receipt)
+	return receipt, d.n.pass(limited, op{ids.ConfigShard, "change", params.ID}, 0, receipt)
 }
 
 func (d *desk) Epoch(ctx context.Context) (*api.EpochView, error) {
 	limited, end := context.WithTimeout(ctx, callTime)
 	defer end()
 	view := &api.EpochView{}
-	return view, d.n.pass(limited, op{ids.Config, "epoch", nil}, 0, view)
+	return view, d.n.pass(limited, op{ids.ConfigShard, "epoch", nil}, 0, view)
 }
 
 // bond passes a coordination call; a code in the receipt becomes a problem.
-func (d *desk) bond(ctx context.Context, call *rpc.BondOp) (*api.Receipt, error) {
+func (d *desk) bond(ctx context.Context, call *rpc.CoordinationRequest) (*api.Receipt, error) {
 	receipt, err := d.n.Bond(ctx, call)
 	if err != nil {
 		return nil, err
@@ -86,17 +86,17 @@
 // told is a problem that says more: the stamp, fence and holder in force.
 type told struct {
 	errcode.Problem
-	receipt rpc.BondReceipt
+	receipt rpc.CoordinationResponse
 }
 
 func (t *told) Error() string { return t.Problem.Error() }
 func (t *told) Unwrap() error { return &t.Problem }
 
-func callOf(op string, req *api.Call) *rpc.BondOp {
-	call := &rpc.BondOp{Op: op, Id: req.ID.Or(""), Name: req.Name, Value: json.RawMessage(req.Value), Delta: req.Delta.Or(1), Holder: req.Holder.Or(""), Ttl: req.TTL.Or(0), Fence: ids.Stamp(req.Fence.Or(0))}
+func callOf(op string, req *api.Call) *rpc.CoordinationRequest {
+	call := &rpc.CoordinationRequest{Operation: op, ID: req.ID.Or(""), Name: req.Name, Value: json.RawMessage(req.Value), Delta: req.Delta.Or(1), Holder: req.Holder.Or(""), TTL: req.TTL.Or(0), FencingToken: ids.Index(req.Fence.Or(0))}
 	if stamp, ok := req.If.Get(); ok {
-		wanted := ids.Stamp(stamp)
-		call.If = &wanted
+		wanted := ids.Index(stamp)
+		call.IfIndex = &wanted
 	}
 	return call
 }
@@ -110,11 +110,11 @@
 }
 
 func (d *desk) GetKey(ctx context.Context, params api.GetKeyParams) (*api.Receipt, error) {
-	return d.bond(ctx, &rpc.BondOp{Op: "get", Name: params.Name})
+	return d.bond(ctx, &rpc.CoordinationRequest{Operation: "get", Name: params.Name})
 }
 
 func (d *desk) ListKeys(ctx context.Context, params api.ListKeysParams) (*api.Receipt, error) {
-	return d.bond(ctx, &rpc.BondOp{Op: "list", Name: params.Prefix})
+	return d.bond(ctx, &rpc.CoordinationRequest{Operation: "list", Name: params.Prefix})
 }
 
 func (d *desk) AddCounter(ctx context.Context, req *api.Call) (*api.Receipt, error) {
@@ -122,15 +122,15 @@
 }
 
 func (d *desk) GetCounter(ctx context.Context, params api.GetCounterParams) (*api.Receipt, error) {
-	return d.bond(ctx, &rpc.BondOp{Op: "get", Name: params.Name, Holder: coordination.Count})
+	return d.bond(ctx, &rpc.CoordinationRequest{Operation: "get", Name: params.Name, Holder: coordination.Count})
 }
 
 func (d *desk) GetLock(ctx context.Context, params api.GetLockParams) (*api.Receipt, error) {
-	return d.bond(ctx, &rpc.BondOp{Op: "get", Name: params.Name, Holder: coordination.Lock})
+	return d.bond(ctx, &rpc.CoordinationRequest{Operation: "get", Name: params.Name, Holder: coordination.Lock})
 }
 
 func (d *desk) GetLeader(ctx context.Context, params api.GetLeaderParams) (*api.Receipt, error) {
-	return d.bond(ctx, &rpc.BondOp{Op: "get", Name: params.Name, Holder: coordination.Lock})
+	return d.bond(ctx, &rpc.CoordinationRequest{Operation: "get", Name: params.Name, Holder: coordination.Lock})
 }
 
 func (d *desk) Lock(ctx context.Context, req *api.Call, params api.LockParams) (*api.Receipt, error) {
@@ -143,7 +143,7 @@
 }
 
 func (d *desk) Watch(ctx context.Context, params api.WatchParams) (*api.Receipt, error) {
-	return d.bond(ctx, &rpc.BondOp{Op: "watch", Name: params.Name, From: ids.Stamp(params.From), Hold: params.Hold.Or(20000)})
+	return d.bond(ctx, &rpc.CoordinationRequest{Operation: "watch", Name: params.Name, FromIndex: ids.Index(params.From), Wait: params.Hold.Or(20000)})
 }
 
 func (d *desk) Health(ctx context.Context) (*api.Health, error) {
@@ -176,8 +176,8 @@
 		out.Response.Outcome = api.NewOptString(p.Code.Outcome)
 	}
 	if t, ok := err.(*told); ok {
-		out.Response.Stamp = api.NewOptUint64(uint64(t.receipt.Stamp))
-		out.Response.Fence = api.NewOptUint64(uint64(t.receipt.Fence))
+		out.Response.Stamp = api.NewOptUint64(uint64(t.receipt.Index))
+		out.Response.Fence = api.NewOptUint64(uint64(t.receipt.FencingToken))
 		if t.receipt.Holder != "" {
 			out.Response.Holder = api.NewOptString(t.receipt.Holder)
 		}
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -102,7 +102,7 @@
 	}
 	members := map[[2]string]int{}
 	for _, m := range n.Kin.View() {
-		members[[2]string{m.State, roleOf(m.Core, m.Gate)}]++
+		members[[2]string{m.State, roleOf(m.Core, m.ProxyAddress)}]++
 	}
 	for at, count := range members {
 		s.add(metrics.Members, float64(count), at[0], at[1])
@@ -190,10 +190,10 @@
 	for _, part := range n.Consensus.Replicas() {
 		o := part.Status()
 		no := strconv.Itoa(int(o.Shard))
-		if o.Shard == ids.Config {
+		if o.Shard == ids.ConfigShard {
 			no = "config"
 		}
-		s.add(metrics.PartTerm, float64(o.CurrentTerm.Round), no)
+		s.add(metrics.PartTerm, float64(o.CurrentTerm.Number), no)
 		s.add(metrics.PartCommit, float64(o.CommitIndex), no)
 		s.add(metrics.PartLast, float64(o.LastIndex), no)
 		s.add(metrics.PartServing, truth(o.IsServing), no)
@@ -211,7 +211,7 @@
 	for at, count := range n.Roll.TargetCounts() {
 		s.add(metrics.Targets, float64(count), at.Service, at.State, at.Reported)
 	}
-	if n.Consensus.Replica(ids.Config).IsServing() {
+	if n.Consensus.Replica(ids.ConfigShard).IsServing() {
 		v := n.Planner.Stats()
 		s.add(metrics.PlannerParts, float64(v.Shards))
 		s.add(metrics.PlannerOldest, v.OldestReport.Seconds())
--- a/internal/node/pass.go
+++ b/internal/node/pass.go
@@ -15,7 +15,7 @@
 
 // op is one call that belongs to a part.
 type op struct {
-	part ids.Part
+	part ids.Shard
 	name string
 	body any
 }
@@ -36,7 +36,7 @@
 		}
 		if held != nil && try > 0 {
 			rest := *held
-			rest.Hold = max(0, held.Hold-n.R.Since(began).Milliseconds())
+			rest.Wait = max(0, held.Wait-n.R.Since(began).Milliseconds())
 			raw, _ = json.Marshal(&rest)
 		}
 		if n.Consensus != nil && n.Consensus.Replica(o.part).IsServing() {
@@ -46,12 +46,12 @@
 			}
 			problem = err
 		} else if address := n.ownerOf(o.part, try); address != "" {
-			var receipt rpc.PassReceipt
+			var receipt rpc.ForwardResponse
 			limited, end := ctx, context.CancelFunc(func() {})
 			if held != nil {
 				limited, end = n.whileOwnedAt(ctx, o.part, address)
 			}
-			err := n.Wire.AskHop(limited, address, "seat.pass", hops+1, &rpc.PassAsk{Part: o.part, Op: o.name, Body: raw}, &receipt)
+			err := n.Wire.AskHop(limited, address, "seat.pass", hops+1, &rpc.ForwardRequest{Shard: o.part, Operation: o.name, Body: raw}, &receipt)
 			if err != nil && held != nil && (context.Cause(limited) == errMoved || errcode.Is(err, errcode.ReplyLost)) {
 				err = errcode.New(errcode.NoOwner, "part %d: %v", o.part, err)
 			}
@@ -88,16 +88,16 @@
 
 // heldCall is the call if it is held until something happens: it only reads, so that
 // it may be asked for again at another owner.
-func heldCall(o op) *rpc.BondOp {
+func heldCall(o op) *rpc.CoordinationRequest {
 	if o.name != "bond" {
 		return nil
 	}
-	call, ok := o.body.(*rpc.BondOp)
+	call, ok := o.body.(*rpc.CoordinationRequest)
 	if raw, isRaw := o.body.(json.RawMessage); isRaw {
-		call = &rpc.BondOp{}
+		call = &rpc.CoordinationRequest{}
 		ok = json.Unmarshal(raw, call) == nil
 	}
-	if !ok || call.Hold <= 0 || call.Op != "follow" && call.Op != "watch" {
+	if !ok || call.Wait <= 0 || call.Operation != "follow" && call.Operation != "watch" {
 		return nil
 	}
 	return call
@@ -105,7 +105,7 @@
 
 // whileOwnedAt ends once the part is owned elsewhere: an owner that lost its power
 // answers nothing, and a held call is silent for so long that silence says nothing.
-func (n *Node) whileOwnedAt(ctx context.Context, no ids.Part, address string) (context.Context, context.CancelFunc) {
+func (n *Node) whileOwnedAt(ctx context.Context, no ids.Shard, address string) (context.Context, context.CancelFunc) {
 	limited, end := context.WithCancelCause(ctx)
 	if n.Consensus != nil {
 		n.R.Go(func() {
@@ -127,7 +127,7 @@
 	return limited, func() { end(nil) }
 }
 
-func (n *Node) isOwnedElsewhere(no ids.Part, address string) bool {
+func (n *Node) isOwnedElsewhere(no ids.Shard, address string) bool {
 	name, ok := n.Consensus.Leader(no)
 	if !ok {
 		return false
@@ -136,7 +136,7 @@
 		return n.Consensus.Replica(no).IsServing()
 	}
 	m, ok := n.Kin.Of(name)
-	return ok && m.Wire != address
+	return ok && m.RPCAddress != address
 }
 
 // isRetryable is true only for what certainly did not run.
@@ -150,11 +150,11 @@
 }
 
 // ownerOf is where to send an op: the known owner, or a core node in turn.
-func (n *Node) ownerOf(no ids.Part, try int) string {
+func (n *Node) ownerOf(no ids.Shard, try int) string {
 	if n.Consensus != nil {
 		if name, ok := n.Consensus.Leader(no); ok && name != n.R.Name {
 			if m, ok := n.Kin.Of(name); ok {
-				return m.Wire
+				return m.RPCAddress
 			}
 		}
 	}
@@ -170,29 +170,29 @@
 	if len(cores) == 0 {
 		return ""
 	}
-	return cores[try%len(cores)].Wire
+	return cores[try%len(cores)].RPCAddress
 }
 
 func (n *Node) passed(c *rpc.Call) (any, error) {
-	var ask rpc.PassAsk
+	var ask rpc.ForwardRequest
 	if err := c.Read(&ask); err != nil {
 		return nil, err
 	}
-	if ask.Part < 0 || ask.Part > ids.Config {
-		return nil, errcode.New(errcode.BadMessage, "no part %d", ask.Part)
+	if ask.Shard < 0 || ask.Shard > ids.ConfigShard {
+		return nil, errcode.New(errcode.BadMessage, "no part %d", ask.Shard)
 	}
 	if c.Hops > rpc.Hops {
 		return nil, errcode.New(errcode.TooManyHops, "%d", c.Hops)
 	}
 	var body json.RawMessage
-	if err := n.pass(c, op{ask.Part, ask.Op, ask.Body}, c.Hops, &body); err != nil {
+	if err := n.pass(c, op{ask.Shard, ask.Operation, ask.Body}, c.Hops, &body); err != nil {
 		return nil, err
 	}
-	return &rpc.PassReceipt{Body: body}, nil
+	return &rpc.ForwardResponse{Body: body}, nil
 }
 
 // do carries an op out at the owner.
-func (n *Node) do(ctx context.Context, no ids.Part, name string, raw json.RawMessage) (any, error) {
+func (n *Node) do(ctx context.Context, no ids.Shard, name string, raw json.RawMessage) (any, error) {
 	read := func(into any) error {
 		if err := json.Unmarshal(raw, into); err != nil {
 			return errcode.New(errcode.BadMessage, "%s: %v", name, err)
@@ -201,19 +201,19 @@
 	}
 	switch name {
 	case "beat":
-		var beat rpc.Beat
+		var beat rpc.TargetHeartbeat
 		if err := read(&beat); err != nil {
 			return nil, err
 		}
 		return struct{}{}, n.Roll.HandleHeartbeat(ctx, &beat)
 	case "bond":
-		var call rpc.BondOp
+		var call rpc.CoordinationRequest
 		if err := read(&call); err != nil {
 			return nil, err
 		}
 		return n.Desk.Do(ctx, &call)
 	case "submit":
-		var change rpc.Change
+		var change rpc.ChangeSet
 		if err := read(&change); err != nil {
 			return nil, err
 		}
--- a/internal/node/seat.go
+++ b/internal/node/seat.go
@@ -48,7 +48,7 @@
 
 	mu      sync.Mutex
 	servers []*http.Server
-	owners  [ids.Parts + 1]atomic.Pointer[string]
+	owners  [ids.ShardCount + 1]atomic.Pointer[string]
 	isGoing atomic.Bool
 
 	isStirring atomic.Bool
@@ -65,19 +65,19 @@
 func Start(r *environment.Realm, faces ...Face) (*Node, error) {
 	n := &Node{R: r, Wire: rpc.New(r)}
 	p := r.Props
-	me := rpc.Member{Name: r.Name, Birth: ids.NewBirth(), Wire: p.WireAddress, Api: p.ApiAddress, Gate: p.GateAddress, Zone: p.Zone, Strength: p.Strength}
+	me := rpc.Member{Name: r.Name, ID: ids.NewMemberID(), RPCAddress: p.WireAddress, APIAddress: p.APIAddress, ProxyAddress: p.GateAddress, Zone: p.Zone, Strength: p.Strength}
 	if p.WireAdvertise != "" {
-		me.Wire = p.WireAdvertise
+		me.RPCAddress = p.WireAdvertise
 	}
-	if p.ApiAdvertise != "" {
-		me.Api = p.ApiAdvertise
+	if p.APIAdvertise != "" {
+		me.APIAddress = p.APIAdvertise
 	}
 	if p.DataFolder != "" {
 		var err error
 		if n.Store, err = storage.Open(r); err != nil {
 			return nil, err
 		}
-		if me.Birth, err = consensus.LoadOrCreateMemberID(n.Store); err != nil {
+		if me.ID, err = consensus.LoadOrCreateMemberID(n.Store); err != nil {
 			return nil, err
 		}
 		me.Core, me.Founders = true, p.FoundCores
@@ -94,9 +94,9 @@
 	}
 	if p.GateAddress != "" {
 		n.Flow = distribution.NewClient(r, n.Wire, n.Kin)
-		n.Gate = proxy.New(r, n.Flow, n.Wire, n.Kin, func(ctx context.Context, call *rpc.BondOp) (*rpc.BondReceipt, error) {
-			var receipt rpc.BondReceipt
-			err := n.pass(ctx, op{ids.PartOf(call.Name), "bond", call}, 0, &receipt)
+		n.Gate = proxy.New(r, n.Flow, n.Wire, n.Kin, func(ctx context.Context, call *rpc.CoordinationRequest) (*rpc.CoordinationResponse, error) {
+			var receipt rpc.CoordinationResponse
+			err := n.pass(ctx, op{ids.ShardOf(call.Name), "bond", call}, 0, &receipt)
 			return &receipt, err
 		})
 	}
@@ -137,7 +137,7 @@
 			return nil, err
 		}
 	}
-	r.Sign.Say(eventlog.NodeStarted, "birth", string(me.Birth), "core", me.Core, "gate", p.GateAddress)
+	r.Sign.Say(eventlog.NodeStarted, "birth", string(me.ID), "core", me.Core, "gate", p.GateAddress)
 	return n, nil
 }
 
@@ -168,18 +168,18 @@
 
 func (n *Node) openCore() error {
 	var machines []consensus.StateMachine
-	for range ids.Parts {
+	for range ids.ShardCount {
 		book := coordination.NewBook()
 		n.Books = append(n.Books, book)
 		machines = append(machines, book)
 	}
 	n.Ledger = controlplane.NewConfigState()
-	n.Ledger.OnCommit = func(sheet *controlplane.EpochState, planned *rpc.Planned) {
+	n.Ledger.OnCommit = func(sheet *controlplane.EpochState, planned *rpc.EpochEntry) {
 		change := ""
 		if planned.Change != nil {
-			change = planned.Change.Id
+			change = planned.Change.ID
 		}
-		n.R.Sign.Say(eventlog.EpochCommitted, "epoch", uint64(sheet.Epoch), "change", change, "groups", len(planned.Put)+len(planned.Drop))
+		n.R.Sign.Say(eventlog.EpochCommitted, "epoch", uint64(sheet.Epoch), "change", change, "groups", len(planned.Put)+len(planned.Remove))
 	}
 	machines = append(machines, n.Ledger)
 	var err error
@@ -191,11 +191,11 @@
 	n.Planner = controlplane.NewPlanner(n.R, n.Wire, n.Kin, n.Consensus, n.Ledger)
 	distribution.NewServer(n.R, n.Wire, n.Kin, n.Consensus, n.Ledger, n.Planner).HandleOwner()
 	n.Wire.Handle("plan.whose", func(c *rpc.Call) (any, error) {
-		var ask rpc.WhoseAsk
+		var ask rpc.InstanceLookupRequest
 		if err := c.Read(&ask); err != nil {
 			return nil, err
 		}
-		return &rpc.WhoseReceipt{Service: n.Roll.ServiceOf(ask.Instance)}, nil
+		return &rpc.InstanceLookupResponse{Service: n.Roll.ServiceOf(ask.Instance)}, nil
 	})
 	n.Wire.Handle("plan.stir", func(c *rpc.Call) (any, error) {
 		n.Planner.Trigger()
@@ -203,7 +203,7 @@
 	})
 	n.Roll.OnChange = n.stir
 	n.Wire.Handle("plan.news", func(c *rpc.Call) (any, error) {
-		var ask rpc.NewsAsk
+		var ask rpc.TargetReportRequest
 		if err := c.Read(&ask); err != nil {
 			return nil, err
 		}
@@ -246,7 +246,7 @@
 	if err != nil {
 		return errcode.New(errcode.Internal, "%v", err)
 	}
-	return n.serve(n.R.Props.ApiAddress, "api.address", http.MaxBytesHandler(n.withMetrics(server), apiMost))
+	return n.serve(n.R.Props.APIAddress, "api.address", http.MaxBytesHandler(n.withMetrics(server), apiMost))
 }
 
 // Stop is the planned stop: this node says that it is not ready, and, if it is a
@@ -285,7 +285,7 @@
 
 // stir tells the owner of the configuration part that there is news of targets.
 func (n *Node) stir() {
-	if n.Consensus.Replica(ids.Config).IsServing() {
+	if n.Consensus.Replica(ids.ConfigShard).IsServing() {
 		n.Planner.Trigger()
 		return
 	}
@@ -294,7 +294,7 @@
 	}
 	n.R.Go(func() {
 		defer n.isStirring.Store(false)
-		if address := n.ownerOf(ids.Config, 0); address != "" {
+		if address := n.ownerOf(ids.ConfigShard, 0); address != "" {
 			ctx, end := context.WithTimeout(n.R, 500*time.Millisecond)
 			defer end()
 			n.Wire.Ask(ctx, address, "plan.stir", struct{}{}, nil)
--- a/internal/node/show.go
+++ b/internal/node/show.go
@@ -30,7 +30,7 @@
 	case api.ShowWhatMembers:
 		columns("name", "state", "role", "zone", "wire", "gate", "strength", "birth", "fleet")
 		for name, m := range n.Kin.View() {
-			add(name, m.State, roleOf(m.Core, m.Gate), m.Zone, m.Wire, m.Gate, m.Strength, m.Birth, m.Fleet)
+			add(name, m.State, roleOf(m.Core, m.ProxyAddress), m.Zone, m.RPCAddress, m.ProxyAddress, m.Strength, m.ID, m.Fleet)
 		}
 	case api.ShowWhatParts:
 		columns("part", "owner", "term", "commit", "last", "serving", "age", "group")
@@ -43,7 +43,7 @@
 					group += string(peer.Name) + " "
 				}
 				no := fmt.Sprint(int(o.Shard))
-				if o.Shard == ids.Config {
+				if o.Shard == ids.ConfigShard {
 					no = "config"
 				}
 				add(no, owner, o.CurrentTerm, o.CommitIndex, o.LastIndex, o.IsServing, o.ConfirmationAge.Round(time.Millisecond), group)
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -25,8 +25,8 @@
 // targets can't be asked whether they want a body, it is read whole in any case.
 func (p *Proxy) requestBody(ctx context.Context, plan *requestPlan, r *http.Request) (func() io.Reader, bool, error) {
 	maxBytes := int64(p.environment.Props.GateRequest)
-	if limits := plan.snapshot.Manners; limits != nil && limits.Body > 0 {
-		maxBytes = min(maxBytes, limits.Body)
+	if limits := plan.snapshot.Manners; limits != nil && limits.BodyBytes > 0 {
+		maxBytes = min(maxBytes, limits.BodyBytes)
 	}
 	if r.ContentLength > maxBytes {
 		return nil, false, errcode.New(errcode.RequestTooLarge, "%d bytes", r.ContentLength)
--- a/internal/proxy/endpoint.go
+++ b/internal/proxy/endpoint.go
@@ -89,8 +89,8 @@
 		candidate := known[key]
 		if candidate == nil {
 			candidate = &Endpoint{Key: key, ReportID: reportID(key), Target: target, SameZone: target.Zone == p.environment.Props.Zone}
-			if target.Cold > 0 && previous != nil {
-				candidate.warmUpUntil = now.Add(time.Duration(target.Cold) * time.Millisecond)
+			if target.SlowStartMillis > 0 && previous != nil {
+				candidate.warmUpUntil = now.Add(time.Duration(target.SlowStartMillis) * time.Millisecond)
 			}
 		}
 		pool.Endpoints = append(pool.Endpoints, candidate)
--- a/internal/proxy/idempotency.go
+++ b/internal/proxy/idempotency.go
@@ -61,7 +61,7 @@
 	}
 	ctx, cancel := context.WithDeadline(p.environment, deadline)
 	defer cancel()
-	response, err := p.coordinate(ctx, &rpc.BondOp{Op: "claim", Name: plan.recordName, Holder: p.holder(plan)})
+	response, err := p.coordinate(ctx, &rpc.CoordinationRequest{Operation: "claim", Name: plan.recordName, Holder: p.holder(plan)})
 	if err != nil {
 		p.environment.Go(func() { p.releaseRecord(plan) })
 		return errcode.New(errcode.NoOwner, "the order can't be claimed: %v", err)
@@ -80,14 +80,14 @@
 // holder names the request, and the life of the proxy that it came to.
 func (p *Proxy) holder(plan *requestPlan) string {
 	self := p.membership.Me()
-	return string(self.Name) + " " + string(self.Birth) + " " + plan.requestID
+	return string(self.Name) + " " + string(self.ID) + " " + plan.requestID
 }
 
 // holderAlive tells whether the proxy that claimed an order still lives. If not, it
 // will not say any more what became of the order.
 func (p *Proxy) holderAlive(holder string) bool {
 	fields := strings.Split(holder, " ")
-	return len(fields) != 3 || p.membership.IsLive(rpc.Peer{Name: ids.Name(fields[0]), Birth: ids.Birth(fields[1])})
+	return len(fields) != 3 || p.membership.IsLive(rpc.Peer{Name: ids.NodeName(fields[0]), ID: ids.MemberID(fields[1])})
 }
 
 // releaseRecord frees the key of an order of which nothing was written.
@@ -95,7 +95,7 @@
 	ctx, cancel := context.WithTimeout(p.environment, 5*recordTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
-		if _, err := p.coordinate(ctx, &rpc.BondOp{Op: "unclaim", Name: plan.recordName, Holder: p.holder(plan)}); err == nil {
+		if _, err := p.coordinate(ctx, &rpc.CoordinationRequest{Operation: "unclaim", Name: plan.recordName, Holder: p.holder(plan)}); err == nil {
 			return
 		}
 		p.environment.Pause(100 * time.Millisecond)
@@ -143,14 +143,14 @@
 				more = false
 			}
 		}
-		byShard := map[ids.Part]*rpc.BondOp{}
+		byShard := map[ids.Shard]*rpc.CoordinationRequest{}
 		for _, outcome := range batch {
-			shard := ids.PartOf(outcome.recordName)
+			shard := ids.ShardOf(outcome.recordName)
 			if byShard[shard] == nil {
-				byShard[shard] = &rpc.BondOp{Op: "settle", Name: outcome.recordName}
+				byShard[shard] = &rpc.CoordinationRequest{Operation: "settle", Name: outcome.recordName}
 			}
 			value, _ := json.Marshal(outcome.state)
-			byShard[shard].Records = append(byShard[shard].Records, rpc.BondRecord{Name: outcome.recordName, Holder: outcome.holder, Value: value})
+			byShard[shard].Records = append(byShard[shard].Records, rpc.CoordinationRecord{Name: outcome.recordName, Holder: outcome.holder, Value: value})
 		}
 		for _, operation := range byShard {
 			p.environment.Go(func() {
--- a/internal/proxy/order_report.go
+++ b/internal/proxy/order_report.go
@@ -40,7 +40,7 @@
 func newOrderReporter(env *environment.Realm, rpcClient *rpc.Wire, membership *membership.Kin, budget *Budget, orders *Tracker, snapshot func() *distribution.Chart) *orderReporter {
 	reporter := &orderReporter{environment: env, rpc: rpcClient, membership: membership, budget: budget, snapshot: snapshot, queue: make(chan lostOrder, maxReportBatch)}
 	rpcClient.Handle("gate.seen", func(call *rpc.Call) (any, error) {
-		var request rpc.SeenAsk
+		var request rpc.UnansweredRequests
 		if err := call.Read(&request); err != nil {
 			return nil, err
 		}
@@ -103,7 +103,7 @@
 	}
 	for name, member := range o.membership.View() {
 		_, named := snapshot.Shares[name]
-		if name == o.environment.Name || member.Gate == "" || member.State == membership.Left {
+		if name == o.environment.Name || member.ProxyAddress == "" || member.State == membership.Left {
 			continue
 		}
 		pending.Add(1)
@@ -111,7 +111,7 @@
 			defer pending.Done()
 			ctx, cancel := context.WithTimeout(o.environment, reportTimeout)
 			defer cancel()
-			if o.rpc.Ask(ctx, member.Wire, "gate.seen", &rpc.SeenAsk{Keys: keys}, nil) != nil && named {
+			if o.rpc.Ask(ctx, member.RPCAddress, "gate.seen", &rpc.UnansweredRequests{Keys: keys}, nil) != nil && named {
 				unreached.Add(1)
 			}
 		})
--- a/internal/proxy/outlier.go
+++ b/internal/proxy/outlier.go
@@ -94,11 +94,11 @@
 func newOutlierReporter(proxy *Proxy) *outlierReporter {
 	reporter := &outlierReporter{proxy: proxy, failures: map[string]int{}, wake: make(chan struct{}, 1)}
 	proxy.rpc.Handle("gate.ill", func(call *rpc.Call) (any, error) {
-		var request rpc.IllAsk
+		var request rpc.FailureReport
 		if err := call.Read(&request); err != nil {
 			return nil, err
 		}
-		reporter.applyReport(request.Fails)
+		reporter.applyReport(request.Failures)
 		return struct{}{}, nil
 	})
 	proxy.environment.Go(reporter.run)
@@ -121,7 +121,7 @@
 }
 
 // reportID is by what proxies name a target to one another.
-func reportID(key string) string { return strconv.FormatUint(ids.Score(key), 36) }
+func reportID(key string) string { return strconv.FormatUint(ids.Hash(key), 36) }
 
 func (r *outlierReporter) applyReport(failures map[string]int) {
 	view := r.proxy.current.Load()
@@ -161,13 +161,13 @@
 		return
 	}
 	for name, member := range r.proxy.membership.View() {
-		if name == r.proxy.environment.Name || member.Gate == "" || member.Zone != r.proxy.environment.Props.Zone || member.State != membership.Alive {
+		if name == r.proxy.environment.Name || member.ProxyAddress == "" || member.Zone != r.proxy.environment.Props.Zone || member.State != membership.Alive {
 			continue
 		}
 		r.proxy.environment.Go(func() {
 			ctx, cancel := context.WithTimeout(r.proxy.environment, outlierReportTimeout)
 			defer cancel()
-			r.proxy.rpc.Ask(ctx, member.Wire, "gate.ill", &rpc.IllAsk{Fails: failures}, nil)
+			r.proxy.rpc.Ask(ctx, member.RPCAddress, "gate.ill", &rpc.FailureReport{Failures: failures}, nil)
 		})
 	}
 }
--- a/internal/proxy/plan.go
+++ b/internal/proxy/plan.go
@@ -19,7 +19,7 @@
 type requestPlan struct {
 	requestID     string
 	snapshot      *distribution.Chart
-	route         *rpc.Mapping
+	route         *rpc.Route
 	service       rpc.Service
 	endpoints     *Pool
 	tried         []*Endpoint
@@ -49,7 +49,7 @@
 // epochView finds mappings by path, and knows the targets of the epoch.
 type epochView struct {
 	snapshot     *distribution.Chart
-	routesByPath map[string][]*rpc.Mapping
+	routesByPath map[string][]*rpc.Route
 	addresses    map[string]bool
 	byReportID   map[string]*Endpoint // by what proxies name them to one another
 	pools        map[string]*Pool
@@ -61,7 +61,7 @@
 	if view.hasSameRoutes(previous) {
 		view.routesByPath = previous.routesByPath
 	} else {
-		view.routesByPath = map[string][]*rpc.Mapping{}
+		view.routesByPath = map[string][]*rpc.Route{}
 		for _, routes := range snapshot.Routes {
 			for i := range routes {
 				path := strings.TrimSuffix(routes[i].Path, "/")
@@ -101,7 +101,7 @@
 }
 
 // match takes the longest path that fits, one with a host before one without.
-func (v *epochView) match(r *http.Request) *rpc.Mapping {
+func (v *epochView) match(r *http.Request) *rpc.Route {
 	host := r.Host
 	if strings.IndexByte(host, ':') >= 0 {
 		if hostname, _, err := net.SplitHostPort(host); err == nil {
@@ -111,7 +111,7 @@
 	requestPath := r.URL.Path
 	path := strings.TrimSuffix(requestPath, "/")
 	for {
-		var best *rpc.Mapping
+		var best *rpc.Route
 		for _, route := range v.routesByPath[path] {
 			if route.Host != "" && route.Host != host || !allowsMethod(route, r.Method) {
 				continue
@@ -134,7 +134,7 @@
 	}
 }
 
-func allowsMethod(route *rpc.Mapping, method string) bool {
+func allowsMethod(route *rpc.Route, method string) bool {
 	if len(route.Methods) == 0 {
 		return true
 	}
@@ -147,21 +147,21 @@
 }
 
 // chooseService chooses a service by the weights of the mapping's splits.
-func chooseService(route *rpc.Mapping) string {
+func chooseService(route *rpc.Route) string {
 	total := 0
-	for _, split := range route.To {
+	for _, split := range route.Services {
 		total += split.Weight
 	}
 	if total <= 0 {
-		return route.To[0].Service
+		return route.Services[0].Service
 	}
 	n := rand.IntN(total)
-	for _, split := range route.To {
+	for _, split := range route.Services {
 		if n -= split.Weight; n < 0 {
 			return split.Service
 		}
 	}
-	return route.To[0].Service
+	return route.Services[0].Service
 }
 
 // plan plans a request. With a problem, the course says at least under which
@@ -185,24 +185,24 @@
 	if !ok {
 		return plan, errcode.New(errcode.NoTarget, "service of %s", plan.route.Name)
 	}
-	plan.service, plan.idempotent, plan.maxAttempts = service, plan.route.Repeatable, defaultMaxAttempts
-	if plan.route.Tries > 0 {
-		plan.maxAttempts = plan.route.Tries
+	plan.service, plan.idempotent, plan.maxAttempts = service, plan.route.Idempotent, defaultMaxAttempts
+	if plan.route.MaxAttempts > 0 {
+		plan.maxAttempts = plan.route.MaxAttempts
 	}
-	if once := plan.route.Once == nil || *plan.route.Once; plan.orderKey != 0 && once && !plan.idempotent {
+	if once := plan.route.Deduplicate == nil || *plan.route.Deduplicate; plan.orderKey != 0 && once && !plan.idempotent {
 		plan.recordName = recordName(r)
 	}
 	now := time.Now()
 	plan.deadline = now.Add(p.environment.Props.GateDeadline)
-	if plan.route.Deadline > 0 {
-		plan.deadline = now.Add(time.Duration(plan.route.Deadline) * time.Millisecond)
+	if plan.route.DeadlineMillis > 0 {
+		plan.deadline = now.Add(time.Duration(plan.route.DeadlineMillis) * time.Millisecond)
 	}
 	if milliseconds, err := strconv.ParseInt(r.Header.Get(p.environment.Props.HeaderDeadline), 10, 64); err == nil && milliseconds >= 0 && milliseconds < 3600_000 {
 		if requested := now.Add(time.Duration(milliseconds) * time.Millisecond); requested.Before(plan.deadline) {
 			plan.deadline = requested
 		}
 	}
-	plan.latencyTarget = time.Duration(plan.route.Aim) * time.Millisecond
+	plan.latencyTarget = time.Duration(plan.route.LatencyTargetMillis) * time.Millisecond
 	if plan.latencyTarget <= 0 {
 		plan.latencyTarget = plan.deadline.Sub(now) / 4
 	}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -55,11 +55,11 @@
 	membership    *membership.Kin
 	rpc           *rpc.Wire
 	unwritten     chan orderOutcome
-	coordinate    func(context.Context, *rpc.BondOp) (*rpc.BondReceipt, error)
+	coordinate    func(context.Context, *rpc.CoordinationRequest) (*rpc.CoordinationResponse, error)
 	OutcomeCounts sync.Map
 }
 
-func New(env *environment.Realm, configuration *distribution.Client, rpcClient *rpc.Wire, membership *membership.Kin, coordinate func(context.Context, *rpc.BondOp) (*rpc.BondReceipt, error)) *Proxy {
+func New(env *environment.Realm, configuration *distribution.Client, rpcClient *rpc.Wire, membership *membership.Kin, coordinate func(context.Context, *rpc.CoordinationRequest) (*rpc.CoordinationResponse, error)) *Proxy {
 	p := &Proxy{environment: env, configuration: configuration, connections: NewConnectionPool(env), retryBudget: NewBudget(env.Props.ExtraWindow), uploads: NewUploads(env.Props.GateRate, env.Props.GateBodies), opaqueSeals: env.Props.GateSeal == "opaque", orders: NewTracker(), membership: membership, rpc: rpcClient, coordinate: coordinate, unwritten: make(chan orderOutcome, 4096)}
 	env.Go(p.writeOutcomes)
 	p.orderReports = newOrderReporter(env, rpcClient, membership, p.retryBudget, p.orders, configuration.Cache.Chart)
@@ -162,7 +162,7 @@
 	inFlight := p.serviceInFlight("service\n" + plan.service.Name)
 	count := inFlight.Add(1)
 	release := func() { inFlight.Add(-1) }
-	if limit := plan.snapshot.Limits[plan.service.Name].Inflight; limit > 0 {
+	if limit := plan.snapshot.Limits[plan.service.Name].MaxInFlight; limit > 0 {
 		if share := p.quotaShare(plan.snapshot, limit); count > share {
 			release()
 			return nil, errcode.New(errcode.Overload, "%s: the share of this proxy is %d", plan.service.Name, share)
@@ -225,11 +225,11 @@
 func (p *Proxy) retryLimits(plan *requestPlan) Limits {
 	limits := Limits{Percent: p.environment.Props.ExtraPercent, Base: p.environment.Props.ExtraBase}
 	quota := plan.snapshot.Limits[plan.service.Name]
-	if quota.ExtraPercent != nil {
-		limits.Percent = min(limits.Percent, *quota.ExtraPercent)
+	if quota.RetryPercent != nil {
+		limits.Percent = min(limits.Percent, *quota.RetryPercent)
 	}
-	if quota.ExtraBase != nil {
-		limits.Base = min(limits.Base, *quota.ExtraBase)
+	if quota.RetryBase != nil {
+		limits.Base = min(limits.Base, *quota.RetryBase)
 	}
 	return limits
 }
--- a/internal/proxy/tracker.go
+++ b/internal/proxy/tracker.go
@@ -48,7 +48,7 @@
 	if key == "" {
 		return 0
 	}
-	return ids.Score(r.Method, r.URL.Path, key) | 1
+	return ids.Hash(r.Method, r.URL.Path, key) | 1
 }
 
 func (o *trackedOrder) state() string {
--- a/internal/rpc/messages_gen.go
+++ b/internal/rpc/messages_gen.go
@@ -8,13 +8,10 @@
 	"github.com/sumactrestle/sumactrestle/internal/ids"
 )
 
-var _ json.RawMessage
-var _ ids.Stamp
-
 // Frame is one line on a pipe: an ask or its receipt.
 type Frame struct {
-	V        int             `json:"v,omitempty"`
-	Id       uint64          `json:"id"`
+	Version  int             `json:"v,omitempty"`
+	ID       uint64          `json:"id"`
 	Kind     string          `json:"kind,omitempty"`
 	Deadline int64           `json:"deadline,omitempty"`
 	Hops     int             `json:"hops,omitempty"`
@@ -26,562 +23,596 @@
 
 // Peer names one life of a node: the same name with another birth is another member.
 type Peer struct {
-	Name  ids.Name  `json:"name"`
-	Birth ids.Birth `json:"birth"`
+	Name ids.NodeName `json:"name"`
+	ID   ids.MemberID `json:"birth"`
 }
 
-// Member is what a node knows of a node; keeps tells that it is a member of the configuration part.
+// Member is what a node knows of a node; keeps tells that it is a member of the
+// configuration part.
 type Member struct {
-	Name        ids.Name  `json:"name"`
-	Birth       ids.Birth `json:"birth"`
-	Wire        string    `json:"wire"`
-	Api         string    `json:"api,omitempty"`
-	Gate        string    `json:"gate,omitempty"`
-	Zone        string    `json:"zone"`
-	Strength    int       `json:"strength"`
-	Core        bool      `json:"core,omitempty"`
-	Keeps       bool      `json:"keeps,omitempty"`
-	Founders    int       `json:"founders,omitempty"`
-	Fleet       string    `json:"fleet,omitempty"`
-	Incarnation uint64    `json:"incarnation"`
-	State       string    `json:"state"`
-}
-
-// Probe is one datagram of the membership: ping, ack, a ping on another's behalf, or who are you.
+	Name               ids.NodeName `json:"name"`
+	ID                 ids.MemberID `json:"birth"`
+	RPCAddress         string       `json:"wire"`
+	APIAddress         string       `json:"api,omitempty"`
+	ProxyAddress       string       `json:"gate,omitempty"`
+	Zone               string       `json:"zone"`
+	Strength           int          `json:"strength"`
+	Core               bool         `json:"core,omitempty"`
+	HoldsConfiguration bool         `json:"keeps,omitempty"`
+	Founders           int          `json:"founders,omitempty"`
+	Fleet              string       `json:"fleet,omitempty"`
+	Incarnation        uint64       `json:"incarnation"`
+	State              string       `json:"state"`
+}
+
+// Probe is one datagram of the membership: ping, ack, a ping on another's behalf, or who
+// are you.
 type Probe struct {
-	Kind  string    `json:"kind"`
-	Seq   uint64    `json:"seq"`
-	From  ids.Name  `json:"from"`
-	Birth ids.Birth `json:"birth"`
-	To    ids.Name  `json:"to,omitempty"`
-	Via   string    `json:"via,omitempty"`
-	Back  string    `json:"back,omitempty"`
-	News  []Member  `json:"news,omitempty"`
-}
-
-// KinSync exchanges member lists. An ask bears a digest of all that is known; ranges is into how many ranges of names the asker would have it cut (1 asks for the whole list, 0 is an older build's and does too), members what the asker tells. The receipt says that both are the same, or each range's digest, or members, or in how many milliseconds to come again. An ask with differ names the ranges that differ, with the asker's members of these.
-type KinSync struct {
-	Digest  uint64   `json:"digest,omitempty"`
-	Ranges  int      `json:"ranges,omitempty"`
-	Differ  []int    `json:"differ,omitempty"`
-	Sums    []uint32 `json:"sums,omitempty"`
-	IsSame  bool     `json:"is_same,omitempty"`
-	Later   int64    `json:"later,omitempty"`
-	Members []Member `json:"members,omitempty"`
-}
-
-// Entry is one entry of a part's log; a group entry with former members is the joint step of a change, under which a decision needs a majority of both.
+	Kind     string       `json:"kind"`
+	Sequence uint64       `json:"seq"`
+	From     ids.NodeName `json:"from"`
+	FromID   ids.MemberID `json:"birth"`
+	To       ids.NodeName `json:"to,omitempty"`
+	Via      string       `json:"via,omitempty"`
+	Back     string       `json:"back,omitempty"`
+	Updates  []Member     `json:"news,omitempty"`
+}
+
+// MembershipSync exchanges member lists. An ask bears a digest of all that is known;
+// ranges is into how many ranges of names the asker would have it cut (1 asks for the
+// whole list, 0 is an older build's and does too), members what the asker tells. The
+// receipt says that both are the same, or each range's digest, or members, or in how many
+// milliseconds to come again. An ask with differ names the ranges that differ, with the
+// asker's members of these.
+type MembershipSync struct {
+	Digest           uint64   `json:"digest,omitempty"`
+	RangeCount       int      `json:"ranges,omitempty"`
+	DifferingRanges  []int    `json:"differ,omitempty"`
+	RangeDigests     []uint32 `json:"sums,omitempty"`
+	Same             bool     `json:"is_same,omitempty"`
+	RetryAfterMillis int64    `json:"later,omitempty"`
+	Members          []Member `json:"members,omitempty"`
+}
+
+// Entry is one entry of a part's log; a group entry with former members is the joint step
+// of a change, under which a decision needs a majority of both.
 type Entry struct {
-	Index  ids.Stamp       `json:"index"`
-	Term   ids.Term        `json:"term"`
-	Kind   string          `json:"kind,omitempty"`
-	Group  []Peer          `json:"group,omitempty"`
-	Former []Peer          `json:"former,omitempty"`
-	Body   json.RawMessage `json:"body,omitempty"`
-}
-
-// PromiseAsk asks a member to refuse terms below this one; last tells how far the candidate's log goes.
-type PromiseAsk struct {
-	Part     ids.Part  `json:"part"`
-	Term     ids.Term  `json:"term"`
-	From     Peer      `json:"from"`
-	Commit   ids.Stamp `json:"commit"`
-	Last     ids.Stamp `json:"last"`
-	LastTerm ids.Term  `json:"last_term"`
-	Invited  bool      `json:"invited,omitempty"`
-}
-
-// PromiseReceipt is a synced promise with the member's log after the asker's commit, and the voters that this log names; outside refuses a candidate that is no member any more.
-type PromiseReceipt struct {
-	Granted  bool      `json:"granted"`
-	Promised ids.Term  `json:"promised"`
-	From     Peer      `json:"from"`
-	LastTerm ids.Term  `json:"last_term"`
-	Last     ids.Stamp `json:"last"`
-	Group    []Peer    `json:"group,omitempty"`
-	Former   []Peer    `json:"former,omitempty"`
-	Outside  bool      `json:"outside,omitempty"`
-	Snapshot *Snapshot `json:"snapshot,omitempty"`
-	Entries  []Entry   `json:"entries,omitempty"`
-}
-
-// PrevoteAsk asks a member which of these parts it knows an owner of, or somebody who stands.
-type PrevoteAsk struct {
-	Parts []ids.Part `json:"parts"`
-}
-
-// PrevoteReceipt names the parts that are spoken for, as far as a member knows.
-type PrevoteReceipt struct {
-	From   Peer       `json:"from"`
-	Spoken []ids.Part `json:"spoken,omitempty"`
+	Index          ids.Index       `json:"index"`
+	Term           ids.Term        `json:"term"`
+	Kind           string          `json:"kind,omitempty"`
+	Voters         []Peer          `json:"group,omitempty"`
+	OutgoingVoters []Peer          `json:"former,omitempty"`
+	Body           json.RawMessage `json:"body,omitempty"`
+}
+
+// VoteRequest asks a member to refuse terms below this one; last tells how far the
+// candidate's log goes.
+type VoteRequest struct {
+	Shard              ids.Shard `json:"part"`
+	Term               ids.Term  `json:"term"`
+	From               Peer      `json:"from"`
+	Commit             ids.Index `json:"commit"`
+	LastIndex          ids.Index `json:"last"`
+	LastTerm           ids.Term  `json:"last_term"`
+	LeadershipTransfer bool      `json:"invited,omitempty"`
+}
+
+// VoteResponse is a synced promise with the member's log after the asker's commit, and
+// the voters that this log names; outside refuses a candidate that is no member any more.
+type VoteResponse struct {
+	Granted        bool      `json:"granted"`
+	CurrentTerm    ids.Term  `json:"promised"`
+	From           Peer      `json:"from"`
+	LastTerm       ids.Term  `json:"last_term"`
+	LastIndex      ids.Index `json:"last"`
+	Voters         []Peer    `json:"group,omitempty"`
+	OutgoingVoters []Peer    `json:"former,omitempty"`
+	NotMember      bool      `json:"outside,omitempty"`
+	Snapshot       *Snapshot `json:"snapshot,omitempty"`
+	Entries        []Entry   `json:"entries,omitempty"`
+}
+
+// PreVoteRequest asks a member which of these parts it knows an owner of, or somebody who
+// stands.
+type PreVoteRequest struct {
+	Shards []ids.Shard `json:"parts"`
+}
+
+// PreVoteResponse names the parts that are spoken for, as far as a member knows.
+type PreVoteResponse struct {
+	From      Peer        `json:"from"`
+	LedShards []ids.Shard `json:"spoken,omitempty"`
 }
 
 // Snapshot is a part's whole state at an index.
 type Snapshot struct {
-	Index  ids.Stamp       `json:"index"`
-	Term   ids.Term        `json:"term"`
-	Group  []Peer          `json:"group"`
-	Former []Peer          `json:"former,omitempty"`
-	State  json.RawMessage `json:"state"`
-}
-
-// AppendAsk carries entries from an owner to a member.
-type AppendAsk struct {
-	Part     ids.Part  `json:"part"`
-	Term     ids.Term  `json:"term"`
-	From     Peer      `json:"from"`
-	Prev     ids.Stamp `json:"prev"`
-	PrevTerm ids.Term  `json:"prev_term"`
-	Commit   ids.Stamp `json:"commit"`
-	Entries  []Entry   `json:"entries,omitempty"`
-}
-
-// ChunkAsk carries a piece of a packed snapshot from an owner to a member: size is of the whole, digest its SHA-256, of the term of its last entry.
-type ChunkAsk struct {
-	Part   ids.Part  `json:"part"`
-	Term   ids.Term  `json:"term"`
-	From   Peer      `json:"from"`
-	Index  ids.Stamp `json:"index"`
-	Of     ids.Term  `json:"of"`
-	Digest string    `json:"digest"`
-	Size   int64     `json:"size"`
-	Offset int64     `json:"offset"`
-	Data   []byte    `json:"data"`
-}
-
-// ChunkReceipt tells how much of a snapshot a member has, or up to where its log is synced since it has the whole.
-type ChunkReceipt struct {
-	From     Peer      `json:"from"`
-	Promised ids.Term  `json:"promised"`
-	Have     int64     `json:"have"`
-	Match    ids.Stamp `json:"match,omitempty"`
-}
-
-// AppendReceipt tells what a member has synced.
-type AppendReceipt struct {
-	From     Peer      `json:"from"`
-	Ok       bool      `json:"ok"`
-	Promised ids.Term  `json:"promised"`
-	Match    ids.Stamp `json:"match"`
-}
-
-// Claim is an owner's claim to a part.
-type Claim struct {
-	Part    ids.Part  `json:"part"`
+	Index          ids.Index       `json:"index"`
+	Term           ids.Term        `json:"term"`
+	Voters         []Peer          `json:"group"`
+	OutgoingVoters []Peer          `json:"former,omitempty"`
+	State          json.RawMessage `json:"state"`
+}
+
+// AppendRequest carries entries from an owner to a member.
+type AppendRequest struct {
+	Shard     ids.Shard `json:"part"`
+	Term      ids.Term  `json:"term"`
+	From      Peer      `json:"from"`
+	PrevIndex ids.Index `json:"prev"`
+	PrevTerm  ids.Term  `json:"prev_term"`
+	Commit    ids.Index `json:"commit"`
+	Entries   []Entry   `json:"entries,omitempty"`
+}
+
+// SnapshotChunkRequest carries a piece of a packed snapshot from an owner to a member:
+// size is of the whole, digest its SHA-256, of the term of its last entry.
+type SnapshotChunkRequest struct {
+	Shard        ids.Shard `json:"part"`
+	Term         ids.Term  `json:"term"`
+	From         Peer      `json:"from"`
+	Index        ids.Index `json:"index"`
+	SnapshotTerm ids.Term  `json:"of"`
+	Digest       string    `json:"digest"`
+	Size         int64     `json:"size"`
+	Offset       int64     `json:"offset"`
+	Data         []byte    `json:"data"`
+}
+
+// SnapshotChunkResponse tells how much of a snapshot a member has, or up to where its log
+// is synced since it has the whole.
+type SnapshotChunkResponse struct {
+	From        Peer      `json:"from"`
+	CurrentTerm ids.Term  `json:"promised"`
+	Received    int64     `json:"have"`
+	MatchIndex  ids.Index `json:"match,omitempty"`
+}
+
+// AppendResponse tells what a member has synced.
+type AppendResponse struct {
+	From        Peer      `json:"from"`
+	Success     bool      `json:"ok"`
+	CurrentTerm ids.Term  `json:"promised"`
+	MatchIndex  ids.Index `json:"match"`
+}
+
+// LeaderClaim is an owner's claim to a part.
+type LeaderClaim struct {
+	Shard   ids.Shard `json:"part"`
 	Term    ids.Term  `json:"term"`
-	Commit  ids.Stamp `json:"commit"`
+	Commit  ids.Index `json:"commit"`
 	Serving bool      `json:"serving,omitempty"`
 }
 
-// RoundAsk confirms all the terms that a node holds, in one message: those of the message named as base, but for what is said here.
-type RoundAsk struct {
-	From   Peer       `json:"from"`
-	No     uint64     `json:"no"`
-	Base   uint64     `json:"base,omitempty"`
-	Claims []Claim    `json:"claims,omitempty"`
-	Gone   []ids.Part `json:"gone,omitempty"`
+// HeartbeatRequest confirms all the terms that a node holds, in one message: those of the
+// message named as base, but for what is said here.
+type HeartbeatRequest struct {
+	From         Peer          `json:"from"`
+	Sequence     uint64        `json:"no"`
+	BaseSequence uint64        `json:"base,omitempty"`
+	Claims       []LeaderClaim `json:"claims,omitempty"`
+	Released     []ids.Shard   `json:"gone,omitempty"`
 }
 
-// RoundReceipt lists the parts whose claim is refused, with the term promised; or says that the base is lost, and nothing was heard.
-type RoundReceipt struct {
-	From    Peer    `json:"from"`
-	No      uint64  `json:"no"`
-	Refused []Claim `json:"refused,omitempty"`
-	Lost    bool    `json:"lost,omitempty"`
+// HeartbeatResponse lists the parts whose claim is refused, with the term promised; or
+// says that the base is lost, and nothing was heard.
+type HeartbeatResponse struct {
+	From     Peer          `json:"from"`
+	Sequence uint64        `json:"no"`
+	Rejected []LeaderClaim `json:"refused,omitempty"`
+	BaseLost bool          `json:"lost,omitempty"`
 }
 
-// InviteAsk asks a member to stand for a part at once.
-type InviteAsk struct {
-	Part ids.Part `json:"part"`
-	Term ids.Term `json:"term"`
+// CampaignRequest asks a member to stand for a part at once.
+type CampaignRequest struct {
+	Shard ids.Shard `json:"part"`
+	Term  ids.Term  `json:"term"`
 }
 
 // Charter is the founding of a fleet.
 type Charter struct {
-	Fleet   string   `json:"fleet"`
-	Round   ids.Term `json:"round"`
-	Members []Member `json:"members"`
-	Parts   int      `json:"parts"`
-	Open    bool     `json:"open,omitempty"`
+	Fleet      string   `json:"fleet"`
+	Term       ids.Term `json:"round"`
+	Members    []Member `json:"members"`
+	ShardCount int      `json:"parts"`
+	Open       bool     `json:"open,omitempty"`
 }
 
-// FoundAsk is one step of founding: promise, accept or open.
-type FoundAsk struct {
+// BootstrapRequest is one step of founding: promise, accept or open.
+type BootstrapRequest struct {
 	Step    string   `json:"step"`
-	Round   ids.Term `json:"round"`
+	Term    ids.Term `json:"round"`
 	Charter *Charter `json:"charter,omitempty"`
 	From    Peer     `json:"from"`
 }
 
-// FoundReceipt answers a step of founding.
-type FoundReceipt struct {
-	Ok       bool     `json:"ok"`
-	From     Peer     `json:"from"`
-	Promised ids.Term `json:"promised"`
-	Charter  *Charter `json:"charter,omitempty"`
+// BootstrapResponse answers a step of founding.
+type BootstrapResponse struct {
+	Accepted    bool     `json:"ok"`
+	From        Peer     `json:"from"`
+	CurrentTerm ids.Term `json:"promised"`
+	Charter     *Charter `json:"charter,omitempty"`
 }
 
-// PassAsk passes a call on to the owner of a part.
-type PassAsk struct {
-	Part ids.Part        `json:"part"`
-	Op   string          `json:"op"`
-	Body json.RawMessage `json:"body"`
+// ForwardRequest passes a call on to the owner of a part.
+type ForwardRequest struct {
+	Shard     ids.Shard       `json:"part"`
+	Operation string          `json:"op"`
+	Body      json.RawMessage `json:"body"`
 }
 
-// PassReceipt is the call's receipt from the owner.
-type PassReceipt struct {
+// ForwardResponse is the call's receipt from the owner.
+type ForwardResponse struct {
 	Body json.RawMessage `json:"body"`
 }
 
-// Beat is what a server reports of itself.
-type Beat struct {
-	Service  string `json:"service"`
-	Instance string `json:"instance"`
-	Seq      uint64 `json:"seq"`
-	Address  string `json:"address"`
-	Zone     string `json:"zone"`
-	Weight   int    `json:"weight"`
-	State    string `json:"state"`
-	Slots    int    `json:"slots,omitempty"`
-	Cold     int64  `json:"cold,omitempty"`
-	Build    string `json:"build,omitempty"`
+// TargetHeartbeat is what a server reports of itself.
+type TargetHeartbeat struct {
+	Service         string `json:"service"`
+	Instance        string `json:"instance"`
+	Sequence        uint64 `json:"seq"`
+	Address         string `json:"address"`
+	Zone            string `json:"zone"`
+	Weight          int    `json:"weight"`
+	State           string `json:"state"`
+	Slots           int    `json:"slots,omitempty"`
+	SlowStartMillis int64  `json:"cold,omitempty"`
+	Build           string `json:"build,omitempty"`
 }
 
-// Target is one server of a service in an epoch; cold is for how many milliseconds it is slow after its first beat.
+// Target is one server of a service in an epoch; cold is for how many milliseconds it is
+// slow after its first beat.
 type Target struct {
-	Instance string `json:"instance"`
-	Address  string `json:"address"`
-	Zone     string `json:"zone"`
-	Weight   int    `json:"weight"`
-	Slots    int    `json:"slots,omitempty"`
-	Cold     int64  `json:"cold,omitempty"`
+	Instance        string `json:"instance"`
+	Address         string `json:"address"`
+	Zone            string `json:"zone"`
+	Weight          int    `json:"weight"`
+	Slots           int    `json:"slots,omitempty"`
+	SlowStartMillis int64  `json:"cold,omitempty"`
 }
 
-// Listed is a target in a part's news, with the age of its first beat.
-type Listed struct {
-	Instance string `json:"instance"`
-	Address  string `json:"address"`
-	Zone     string `json:"zone"`
-	Weight   int    `json:"weight"`
-	Slots    int    `json:"slots,omitempty"`
-	Cold     int64  `json:"cold,omitempty"`
-	Since    int64  `json:"since"`
-	Out      string `json:"out,omitempty"`
+// ReportedTarget is a target in a part's news, with the age of its first beat.
+type ReportedTarget struct {
+	Instance        string `json:"instance"`
+	Address         string `json:"address"`
+	Zone            string `json:"zone"`
+	Weight          int    `json:"weight"`
+	Slots           int    `json:"slots,omitempty"`
+	SlowStartMillis int64  `json:"cold,omitempty"`
+	Since           int64  `json:"since"`
+	OutReason       string `json:"out,omitempty"`
 }
 
-// NewsAsk collects the target lists of the parts a node owns.
-type NewsAsk struct {
-	Known map[ids.Part]string `json:"known,omitempty"`
+// TargetReportRequest collects the target lists of the parts a node owns.
+type TargetReportRequest struct {
+	Known map[ids.Shard]string `json:"known,omitempty"`
 }
 
-// PartNews is the target lists of one part, as of an age.
-type PartNews struct {
-	Part   ids.Part            `json:"part"`
-	Term   ids.Term            `json:"term"`
-	Digest string              `json:"digest"`
-	Age    int64               `json:"age"`
-	Young  bool                `json:"young,omitempty"`
-	Lists  map[string][]Listed `json:"lists"`
+// ShardTargets is the target lists of one part, as of an age.
+type ShardTargets struct {
+	Shard       ids.Shard                   `json:"part"`
+	Term        ids.Term                    `json:"term"`
+	Digest      string                      `json:"digest"`
+	Age         int64                       `json:"age"`
+	Provisional bool                        `json:"young,omitempty"`
+	Targets     map[string][]ReportedTarget `json:"lists"`
 }
 
-// NewsReceipt answers NewsAsk.
-type NewsReceipt struct {
-	Parts []PartNews `json:"parts,omitempty"`
+// TargetReportResponse answers TargetReportRequest.
+type TargetReportResponse struct {
+	Shards []ShardTargets `json:"parts,omitempty"`
 }
 
-// Held is what a cache holds of a group.
-type Held struct {
+// GroupVersion is what a cache holds of a group.
+type GroupVersion struct {
 	Digest string    `json:"digest"`
-	Stamp  ids.Stamp `json:"stamp"`
+	Index  ids.Index `json:"stamp"`
 }
 
-// ListenAsk is the held listener request: each group's digest and version, or, where the control node knows the epoch named, one sum over them; small asks for small differences at once.
-type ListenAsk struct {
-	Epoch ids.Epoch       `json:"epoch"`
-	Sum   string          `json:"sum,omitempty"`
-	Small bool            `json:"small,omitempty"`
-	Have  map[string]Held `json:"have,omitempty"`
+// ListenRequest is the held listener request: each group's digest and version, or, where
+// the control node knows the epoch named, one sum over them; small asks for small
+// differences at once.
+type ListenRequest struct {
+	Epoch          ids.Epoch               `json:"epoch"`
+	CombinedDigest string                  `json:"sum,omitempty"`
+	AcceptsDeltas  bool                    `json:"small,omitempty"`
+	Versions       map[string]GroupVersion `json:"have,omitempty"`
 }
 
-// ListenReceipt names the groups that differ; none when the hold time is over; lost says that the sum is of nothing known here; groups are differences so small that they come along.
-type ListenReceipt struct {
-	Epoch   ids.Epoch        `json:"epoch"`
-	Age     int64            `json:"age,omitempty"`
-	Lost    bool             `json:"lost,omitempty"`
-	Groups  map[string]Group `json:"groups,omitempty"`
-	Changed map[string]Held  `json:"changed,omitempty"`
-	Removed []string         `json:"removed,omitempty"`
+// ListenResponse names the groups that differ; none when the hold time is over; lost says
+// that the sum is of nothing known here; groups are differences so small that they come
+// along.
+type ListenResponse struct {
+	Epoch         ids.Epoch               `json:"epoch"`
+	Age           int64                   `json:"age,omitempty"`
+	UnknownDigest bool                    `json:"lost,omitempty"`
+	Deltas        map[string]Group        `json:"groups,omitempty"`
+	Changed       map[string]GroupVersion `json:"changed,omitempty"`
+	Removed       []string                `json:"removed,omitempty"`
 }
 
-// FetchAsk fetches groups; all of them when none is named; of those held under a digest the difference will do; packs tells that the asker reads packed groups.
-type FetchAsk struct {
-	Groups []string          `json:"groups,omitempty"`
-	Held   map[string]string `json:"held,omitempty"`
-	Packs  bool              `json:"packs,omitempty"`
+// FetchRequest fetches groups; all of them when none is named; of those held under a
+// digest the difference will do; packs tells that the asker reads packed groups.
+type FetchRequest struct {
+	Groups        []string          `json:"groups,omitempty"`
+	HeldDigests   map[string]string `json:"held,omitempty"`
+	AcceptsPacked bool              `json:"packs,omitempty"`
 }
 
-// Group is one configuration group; of a target list it may be what differs from the one with the digest named as base.
+// Group is one configuration group; of a target list it may be what differs from the one
+// with the digest named as base.
 type Group struct {
-	Digest string          `json:"digest"`
-	Stamp  ids.Stamp       `json:"stamp"`
-	Data   json.RawMessage `json:"data,omitempty"`
-	Base   string          `json:"base,omitempty"`
-	Put    []Target        `json:"put,omitempty"`
-	Gone   []string        `json:"gone,omitempty"`
-}
-
-// FetchReceipt is groups of one epoch, with the manifest if all were asked for; later says in how many milliseconds to ask again, as too many fetch everything just now; packed is the groups, deflated.
-type FetchReceipt struct {
-	Epoch    ids.Epoch        `json:"epoch"`
-	Later    int64            `json:"later,omitempty"`
-	Manifest map[string]Held  `json:"manifest,omitempty"`
-	Groups   map[string]Group `json:"groups,omitempty"`
-	Packed   []byte           `json:"packed,omitempty"`
-}
-
-// PulseAsk renews freshness.
-type PulseAsk struct {
-}
-
-// PulseReceipt tells how old the confirmations are, in microseconds; below zero is never. Binding is the last epoch that bore a change set or took a target away.
-type PulseReceipt struct {
-	Epoch   ids.Epoch `json:"epoch"`
-	Binding ids.Epoch `json:"binding,omitempty"`
-	Age     int64     `json:"age"`
-	Parts   []int64   `json:"parts"`
-}
-
-// BondOp is one call on the coordination state.
-type BondOp struct {
-	Id      string          `json:"id,omitempty"`
-	Op      string          `json:"op"`
-	Name    string          `json:"name"`
-	Value   json.RawMessage `json:"value,omitempty"`
-	If      *ids.Stamp      `json:"if,omitempty"`
-	Rev     *ids.Stamp      `json:"rev,omitempty"`
-	Delta   int64           `json:"delta,omitempty"`
-	Holder  string          `json:"holder,omitempty"`
-	Ttl     int64           `json:"ttl,omitempty"`
-	Fence   ids.Stamp       `json:"fence,omitempty"`
-	From    ids.Stamp       `json:"from,omitempty"`
-	Hold    int64           `json:"hold,omitempty"`
-	Seq     uint64          `json:"seq,omitempty"`
-	Records []BondRecord    `json:"records,omitempty"`
-}
-
-// BondReceipt is the receipt of such a call; the code is zero when it was done; rev is the space's own count.
-type BondReceipt struct {
-	Code   int             `json:"code,omitempty"`
-	Note   string          `json:"note,omitempty"`
-	Stamp  ids.Stamp       `json:"stamp"`
-	Rev    ids.Stamp       `json:"rev,omitempty"`
-	Value  json.RawMessage `json:"value,omitempty"`
-	Count  int64           `json:"count,omitempty"`
-	Holder string          `json:"holder,omitempty"`
-	Fence  ids.Stamp       `json:"fence,omitempty"`
-	Ttl    int64           `json:"ttl,omitempty"`
-	Events []BondEvent     `json:"events,omitempty"`
-	Keys   []BondRecord    `json:"keys,omitempty"`
-}
-
-// BondEvent is one change that a watch sees.
-type BondEvent struct {
-	Stamp ids.Stamp       `json:"stamp"`
-	Rev   ids.Stamp       `json:"rev,omitempty"`
-	Name  string          `json:"name"`
-	Kind  string          `json:"kind"`
-	Value json.RawMessage `json:"value,omitempty"`
-	Gone  bool            `json:"gone,omitempty"`
-}
-
-// BondRecord is one name's state.
-type BondRecord struct {
-	Name   string          `json:"name"`
-	Kind   string          `json:"kind"`
-	Value  json.RawMessage `json:"value,omitempty"`
-	Count  int64           `json:"count,omitempty"`
-	Holder string          `json:"holder,omitempty"`
-	Fence  ids.Stamp       `json:"fence,omitempty"`
-	Ttl    int64           `json:"ttl,omitempty"`
-	Seq    uint64          `json:"seq,omitempty"`
-	Rev    ids.Stamp       `json:"rev,omitempty"`
-	Stamp  ids.Stamp       `json:"stamp"`
-}
-
-// BondSeen is the receipt kept for a request id.
-type BondSeen struct {
-	Id      string      `json:"id"`
-	Receipt BondReceipt `json:"receipt"`
-}
-
-// BondState is the whole state of a data part.
-type BondState struct {
-	Records []BondRecord         `json:"records"`
-	Seen    []BondSeen           `json:"seen"`
-	Events  []BondEvent          `json:"events"`
-	Starts  map[string]ids.Stamp `json:"starts,omitempty"`
-	Start   ids.Stamp            `json:"start"`
-	Applied ids.Stamp            `json:"applied"`
-}
-
-// Split is one service's weight in a mapping.
-type Split struct {
+	Digest         string          `json:"digest"`
+	Index          ids.Index       `json:"stamp"`
+	Data           json.RawMessage `json:"data,omitempty"`
+	BaseDigest     string          `json:"base,omitempty"`
+	PutTargets     []Target        `json:"put,omitempty"`
+	RemovedTargets []string        `json:"gone,omitempty"`
+}
+
+// FetchResponse is groups of one epoch, with the manifest if all were asked for; later
+// says in how many milliseconds to ask again, as too many fetch everything just now;
+// packed is the groups, deflated.
+type FetchResponse struct {
+	Epoch            ids.Epoch               `json:"epoch"`
+	RetryAfterMillis int64                   `json:"later,omitempty"`
+	Manifest         map[string]GroupVersion `json:"manifest,omitempty"`
+	Groups           map[string]Group        `json:"groups,omitempty"`
+	Packed           []byte                  `json:"packed,omitempty"`
+}
+
+// FreshnessRequest renews freshness.
+type FreshnessRequest struct {
+}
+
+// FreshnessResponse tells how old the confirmations are, in microseconds; below zero is
+// never. Binding is the last epoch that bore a change set or took a target away.
+type FreshnessResponse struct {
+	Epoch          ids.Epoch `json:"epoch"`
+	BindingEpoch   ids.Epoch `json:"binding,omitempty"`
+	AgeMicros      int64     `json:"age"`
+	ShardAgeMicros []int64   `json:"parts"`
+}
+
+// CoordinationRequest is one call on the coordination state.
+type CoordinationRequest struct {
+	ID           string               `json:"id,omitempty"`
+	Operation    string               `json:"op"`
+	Name         string               `json:"name"`
+	Value        json.RawMessage      `json:"value,omitempty"`
+	IfIndex      *ids.Index           `json:"if,omitempty"`
+	IfRevision   *ids.Index           `json:"rev,omitempty"`
+	Delta        int64                `json:"delta,omitempty"`
+	Holder       string               `json:"holder,omitempty"`
+	TTL          int64                `json:"ttl,omitempty"`
+	FencingToken ids.Index            `json:"fence,omitempty"`
+	FromIndex    ids.Index            `json:"from,omitempty"`
+	Wait         int64                `json:"hold,omitempty"`
+	Sequence     uint64               `json:"seq,omitempty"`
+	Records      []CoordinationRecord `json:"records,omitempty"`
+}
+
+// CoordinationResponse is the receipt of such a call; the code is zero when it was done;
+// rev is the space's own count.
+type CoordinationResponse struct {
+	Code         int                  `json:"code,omitempty"`
+	Note         string               `json:"note,omitempty"`
+	Index        ids.Index            `json:"stamp"`
+	Revision     ids.Index            `json:"rev,omitempty"`
+	Value        json.RawMessage      `json:"value,omitempty"`
+	Count        int64                `json:"count,omitempty"`
+	Holder       string               `json:"holder,omitempty"`
+	FencingToken ids.Index            `json:"fence,omitempty"`
+	TTL          int64                `json:"ttl,omitempty"`
+	Events       []WatchEvent         `json:"events,omitempty"`
+	Records      []CoordinationRecord `json:"keys,omitempty"`
+}
+
+// WatchEvent is one change that a watch sees.
+type WatchEvent struct {
+	Index    ids.Index       `json:"stamp"`
+	Revision ids.Index       `json:"rev,omitempty"`
+	Name     string          `json:"name"`
+	Kind     string          `json:"kind"`
+	Value    json.RawMessage `json:"value,omitempty"`
+	Deleted  bool            `json:"gone,omitempty"`
+}
+
+// CoordinationRecord is one name's state.
+type CoordinationRecord struct {
+	Name         string          `json:"name"`
+	Kind         string          `json:"kind"`
+	Value        json.RawMessage `json:"value,omitempty"`
+	Count        int64           `json:"count,omitempty"`
+	Holder       string          `json:"holder,omitempty"`
+	FencingToken ids.Index       `json:"fence,omitempty"`
+	TTL          int64           `json:"ttl,omitempty"`
+	Sequence     uint64          `json:"seq,omitempty"`
+	Revision     ids.Index       `json:"rev,omitempty"`
+	Index        ids.Index       `json:"stamp"`
+}
+
+// CompletedRequest is the receipt kept for a request id.
+type CompletedRequest struct {
+	ID       string               `json:"id"`
+	Response CoordinationResponse `json:"receipt"`
+}
+
+// CoordinationState is the whole state of a data part.
+type CoordinationState struct {
+	Records   []CoordinationRecord `json:"records"`
+	Completed []CompletedRequest   `json:"seen"`
+	Events    []WatchEvent         `json:"events"`
+	Starts    map[string]ids.Index `json:"starts,omitempty"`
+	Start     ids.Index            `json:"start"`
+	Applied   ids.Index            `json:"applied"`
+}
+
+// WeightedService is one service's weight in a mapping.
+type WeightedService struct {
 	Service string `json:"service"`
 	Weight  int    `json:"weight"`
 }
 
-// Mapping leads requests to services.
-type Mapping struct {
-	Name       string          `json:"name"`
-	Host       string          `json:"host,omitempty"`
-	Path       string          `json:"path"`
-	Methods    []string        `json:"methods,omitempty"`
-	To         []Split         `json:"to"`
-	Repeatable bool            `json:"repeatable,omitempty"`
-	Once       *bool           `json:"once,omitempty"`
-	Deadline   int64           `json:"deadline,omitempty"`
-	Aim        int64           `json:"aim,omitempty"`
-	Priority   int             `json:"priority,omitempty"`
-	Tries      int             `json:"tries,omitempty"`
-	Source     json.RawMessage `json:"source,omitempty"`
-}
-
-// Service is a group of servers that answer alike; pipes bounds the connections to each of them from all proxies together.
+// Route leads requests to services.
+type Route struct {
+	Name                string            `json:"name"`
+	Host                string            `json:"host,omitempty"`
+	Path                string            `json:"path"`
+	Methods             []string          `json:"methods,omitempty"`
+	Services            []WeightedService `json:"to"`
+	Idempotent          bool              `json:"repeatable,omitempty"`
+	Deduplicate         *bool             `json:"once,omitempty"`
+	DeadlineMillis      int64             `json:"deadline,omitempty"`
+	LatencyTargetMillis int64             `json:"aim,omitempty"`
+	Priority            int               `json:"priority,omitempty"`
+	MaxAttempts         int               `json:"tries,omitempty"`
+	Source              json.RawMessage   `json:"source,omitempty"`
+}
+
+// Service is a group of servers that answer alike; pipes bounds the connections to each
+// of them from all proxies together.
 type Service struct {
-	Name   string          `json:"name"`
-	Key    string          `json:"key,omitempty"`
-	Pipes  int             `json:"pipes,omitempty"`
-	Probe  string          `json:"probe,omitempty"`
-	Source json.RawMessage `json:"source,omitempty"`
+	Name            string          `json:"name"`
+	Key             string          `json:"key,omitempty"`
+	MaxConnections  int             `json:"pipes,omitempty"`
+	HealthCheckPath string          `json:"probe,omitempty"`
+	Source          json.RawMessage `json:"source,omitempty"`
 }
 
 // Limit bounds a service over the whole fleet.
 type Limit struct {
 	Service      string `json:"service"`
-	Inflight     int    `json:"inflight,omitempty"`
-	ExtraPercent *int   `json:"extra_percent,omitempty"`
-	ExtraBase    *int   `json:"extra_base,omitempty"`
+	MaxInFlight  int    `json:"inflight,omitempty"`
+	RetryPercent *int   `json:"extra_percent,omitempty"`
+	RetryBase    *int   `json:"extra_base,omitempty"`
 }
 
-// Manners is what callers may send: bytes of a head and of a body, milliseconds for a head and of idling.
-type Manners struct {
-	Header     int             `json:"header,omitempty"`
-	Body       int64           `json:"body,omitempty"`
-	HeaderTime int64           `json:"header_time,omitempty"`
-	IdleTime   int64           `json:"idle_time,omitempty"`
-	Source     json.RawMessage `json:"source,omitempty"`
+// ClientLimits is what callers may send: bytes of a head and of a body, milliseconds for
+// a head and of idling.
+type ClientLimits struct {
+	HeaderBytes         int             `json:"header,omitempty"`
+	BodyBytes           int64           `json:"body,omitempty"`
+	HeaderTimeoutMillis int64           `json:"header_time,omitempty"`
+	IdleTimeoutMillis   int64           `json:"idle_time,omitempty"`
+	Source              json.RawMessage `json:"source,omitempty"`
 }
 
-// Config is a whole configuration.
-type Config struct {
-	Mappings []Mapping `json:"mappings,omitempty"`
-	Services []Service `json:"services,omitempty"`
-	Limits   []Limit   `json:"limits,omitempty"`
-	Manners  *Manners  `json:"manners,omitempty"`
+// Configuration is a whole configuration.
+type Configuration struct {
+	Routes       []Route       `json:"mappings,omitempty"`
+	Services     []Service     `json:"services,omitempty"`
+	Limits       []Limit       `json:"limits,omitempty"`
+	ClientLimits *ClientLimits `json:"manners,omitempty"`
 }
 
-// Drops names what a change set takes out.
-type Drops struct {
-	Mappings []string `json:"mappings,omitempty"`
+// Removals names what a change set takes out.
+type Removals struct {
+	Routes   []string `json:"mappings,omitempty"`
 	Services []string `json:"services,omitempty"`
 	Limits   []string `json:"limits,omitempty"`
 }
 
-// Change is a change set: all of it is taken, or none.
-type Change struct {
-	Id      string       `json:"id"`
-	Base    ids.Epoch    `json:"base"`
-	Whole   bool         `json:"whole,omitempty"`
-	Version ids.Version  `json:"version,omitempty"`
-	Over    *ids.Version `json:"over,omitempty"`
-	Put     Config       `json:"put,omitempty"`
-	Drop    Drops        `json:"drop,omitempty"`
-	Note    string       `json:"note,omitempty"`
+// ChangeSet is a change set: all of it is taken, or none.
+type ChangeSet struct {
+	ID          string        `json:"id"`
+	BaseEpoch   ids.Epoch     `json:"base"`
+	Complete    bool          `json:"whole,omitempty"`
+	Version     ids.Version   `json:"version,omitempty"`
+	BaseVersion *ids.Version  `json:"over,omitempty"`
+	Put         Configuration `json:"put,omitempty"`
+	Remove      Removals      `json:"drop,omitempty"`
+	Note        string        `json:"note,omitempty"`
 }
 
-// ChangeReceipt tells what became of a change set.
-type ChangeReceipt struct {
-	Id      string      `json:"id"`
+// ChangeResult tells what became of a change set.
+type ChangeResult struct {
+	ID      string      `json:"id"`
 	State   string      `json:"state"`
 	Epoch   ids.Epoch   `json:"epoch"`
 	Digest  string      `json:"digest"`
 	Version ids.Version `json:"version,omitempty"`
 }
 
-// Planned is one entry of the configuration part: a whole epoch, as what differs from the one before; memory is how many change sets all members remember from it on, 0 is an older build's.
-type Planned struct {
-	Epoch  ids.Epoch                  `json:"epoch"`
-	Change *ChangeReceipt             `json:"change,omitempty"`
-	Memory int                        `json:"memory,omitempty"`
-	Put    map[string]json.RawMessage `json:"put,omitempty"`
-	Drop   []string                   `json:"drop,omitempty"`
+// EpochEntry is one entry of the configuration part: a whole epoch, as what differs from
+// the one before; memory is how many change sets all members remember from it on, 0 is an
+// older build's.
+type EpochEntry struct {
+	Epoch       ids.Epoch                  `json:"epoch"`
+	Change      *ChangeResult              `json:"change,omitempty"`
+	ResultsKept int                        `json:"memory,omitempty"`
+	Put         map[string]json.RawMessage `json:"put,omitempty"`
+	Remove      []string                   `json:"drop,omitempty"`
 }
 
-// LedgerState is the whole state of the configuration part.
-type LedgerState struct {
-	Epoch   ids.Epoch        `json:"epoch"`
-	Changed ids.Epoch        `json:"changed"`
-	Version ids.Version      `json:"version,omitempty"`
-	Groups  map[string]Group `json:"groups"`
-	Changes []ChangeReceipt  `json:"changes"`
+// ConfigurationState is the whole state of the configuration part.
+type ConfigurationState struct {
+	Epoch        ids.Epoch        `json:"epoch"`
+	ChangedEpoch ids.Epoch        `json:"changed"`
+	Version      ids.Version      `json:"version,omitempty"`
+	Groups       map[string]Group `json:"groups"`
+	Results      []ChangeResult   `json:"changes"`
 }
 
 // EpochView is what operators see of the epoch in force.
 type EpochView struct {
-	Epoch    ids.Epoch           `json:"epoch"`
-	Changed  ids.Epoch           `json:"changed"`
-	Manifest map[string]Held     `json:"manifest"`
-	Config   Config              `json:"config"`
-	Targets  map[string][]Target `json:"targets"`
-	Shares   map[ids.Name]int    `json:"shares"`
+	Epoch         ids.Epoch               `json:"epoch"`
+	ChangedEpoch  ids.Epoch               `json:"changed"`
+	Manifest      map[string]GroupVersion `json:"manifest"`
+	Configuration Configuration           `json:"config"`
+	Targets       map[string][]Target     `json:"targets"`
+	Shares        map[ids.NodeName]int    `json:"shares"`
 }
 
-// ConfigView is the operators' configuration as they sent it, with their own version.
-type ConfigView struct {
-	Version ids.Version `json:"version"`
-	Epoch   ids.Epoch   `json:"epoch"`
-	Config  Config      `json:"config"`
+// ConfigurationView is the operators' configuration as they sent it, with their own
+// version.
+type ConfigurationView struct {
+	Version       ids.Version   `json:"version"`
+	Epoch         ids.Epoch     `json:"epoch"`
+	Configuration Configuration `json:"config"`
 }
 
-// WhoseAsk asks which service an instance serves.
-type WhoseAsk struct {
+// InstanceLookupRequest asks which service an instance serves.
+type InstanceLookupRequest struct {
 	Instance string `json:"instance"`
 }
 
-// WhoseReceipt names the service of an instance; none if it is not known.
-type WhoseReceipt struct {
+// InstanceLookupResponse names the service of an instance; none if it is not known.
+type InstanceLookupResponse struct {
 	Service string `json:"service,omitempty"`
 }
 
-// SeenAsk tells other proxies of orders that were handed over and got no answer, by the hash of method, path and caller's key.
-type SeenAsk struct {
+// UnansweredRequests tells other proxies of orders that were handed over and got no
+// answer, by the hash of method, path and caller's key.
+type UnansweredRequests struct {
 	Keys []uint64 `json:"keys"`
 }
 
-// IllAsk tells other proxies how often targets failed since the last word, by the hash of service, instance and address.
-type IllAsk struct {
-	Fails map[string]int `json:"fails"`
+// FailureReport tells other proxies how often targets failed since the last word, by the
+// hash of service, instance and address.
+type FailureReport struct {
+	Failures map[string]int `json:"fails"`
 }
 
-// CompareAsk names the digests of a part's ranges at a stamp.
-type CompareAsk struct {
-	Part    ids.Part          `json:"part"`
+// RangeDigestRequest names the digests of a part's ranges at a stamp.
+type RangeDigestRequest struct {
+	Shard   ids.Shard         `json:"part"`
 	Term    ids.Term          `json:"term"`
-	Stamp   ids.Stamp         `json:"stamp"`
+	Index   ids.Index         `json:"stamp"`
 	Digests map[string]string `json:"digests"`
 }
 
-// CompareReceipt names the ranges that differ; none is said when the member is not at that stamp.
-type CompareReceipt struct {
-	From    Peer     `json:"from"`
-	IsThere bool     `json:"is_there"`
-	Differ  []string `json:"differ,omitempty"`
+// RangeDigestResponse names the ranges that differ; none is said when the member is not
+// at that stamp.
+type RangeDigestResponse struct {
+	From            Peer     `json:"from"`
+	AtIndex         bool     `json:"is_there"`
+	DifferingRanges []string `json:"differ,omitempty"`
 }
 
-// MendAsk carries whole ranges as they are at a stamp.
-type MendAsk struct {
-	Part   ids.Part                   `json:"part"`
+// RepairRequest carries whole ranges as they are at a stamp.
+type RepairRequest struct {
+	Shard  ids.Shard                  `json:"part"`
 	Term   ids.Term                   `json:"term"`
-	Stamp  ids.Stamp                  `json:"stamp"`
+	Index  ids.Index                  `json:"stamp"`
 	Ranges map[string]json.RawMessage `json:"ranges"`
 }
--- a/internal/rpc/pack_test.go
+++ b/internal/rpc/pack_test.go
@@ -20,9 +20,9 @@
 func TestAPackedFrameIsTheFrameAsJson(t *testing.T) {
 	large, _ := json.Marshal(strings.Repeat("a<b", joined))
 	for _, frame := range []*Frame{
-		{V: Version, Id: 1, Code: 4004, Note: "gone <&>", Paths: []string{"a"}},
-		{V: Version, Id: 2, Kind: "kin.sync", Deadline: 9, Body: json.RawMessage(`{"digest":7}`)},
-		{Id: 0, Body: large},
+		{Version: Version, ID: 1, Code: 4004, Note: "gone <&>", Paths: []string{"a"}},
+		{Version: Version, ID: 2, Kind: "kin.sync", Deadline: 9, Body: json.RawMessage(`{"digest":7}`)},
+		{ID: 0, Body: large},
 	} {
 		plain, err := json.Marshal(frame)
 		if err != nil {
@@ -57,10 +57,10 @@
 			<-c.Done()
 			return &Raw{Body: json.RawMessage(`{"large":true}`), Sent: func() { sent++ }}, nil
 		})
-		ask := &Frame{V: Version, Id: 5, Kind: "slow", Deadline: 20_000}
+		ask := &Frame{Version: Version, ID: 5, Kind: "slow", Deadline: 20_000}
 		got := time.Now()
 		receipt, leave := w.answer(ctx, ask, got)
-		if begun != 1 || receipt.Body != nil || receipt.Code != errcode.ReplyLost.No || receipt.Id != 5 || leave == nil {
+		if begun != 1 || receipt.Body != nil || receipt.Code != errcode.ReplyLost.No || receipt.ID != 5 || leave == nil {
 			t.Errorf("begun %d, %+v", begun, receipt)
 		}
 		leave()
@@ -69,7 +69,7 @@
 		}
 		// Read from the pipe, but not begun until its asker had given up.
 		receipt, leave = w.answer(ctx, ask, got)
-		if begun != 1 || leave != nil || !reflect.DeepEqual(receipt, &Frame{V: Version, Id: 5, Code: errcode.ReplyLost.No, Note: "slow: not begun, its time is over"}) {
+		if begun != 1 || leave != nil || !reflect.DeepEqual(receipt, &Frame{Version: Version, ID: 5, Code: errcode.ReplyLost.No, Note: "slow: not begun, its time is over"}) {
 			t.Errorf("begun %d, %+v", begun, receipt)
 		}
 	})
--- a/internal/rpc/pipe.go
+++ b/internal/rpc/pipe.go
@@ -100,8 +100,8 @@
 		}
 		p.mu.Lock()
 		p.lastUse = time.Now()
-		waiter := p.waiting[receipt.Id]
-		delete(p.waiting, receipt.Id)
+		waiter := p.waiting[receipt.ID]
+		delete(p.waiting, receipt.ID)
 		p.mu.Unlock()
 		if waiter != nil {
 			waiter <- receipt
@@ -188,8 +188,8 @@
 		return nil, errcode.New(errcode.Unreached, "%s: pipe closed", p.address)
 	}
 	p.next++
-	frame.Id = p.next
-	p.waiting[frame.Id] = waiter
+	frame.ID = p.next
+	p.waiting[frame.ID] = waiter
 	p.lastUse = time.Now()
 	p.mu.Unlock()
 	raw, err := pack(frame)
@@ -214,7 +214,7 @@
 		return receipt, nil
 	case <-ctx.Done():
 		p.mu.Lock()
-		delete(p.waiting, frame.Id)
+		delete(p.waiting, frame.ID)
 		isDeaf := p.lastGot.Before(sent) && time.Since(sent) > p.w.r.Props.WireDeaf
 		p.mu.Unlock()
 		if isDeaf {
--- a/internal/rpc/wire.go
+++ b/internal/rpc/wire.go
@@ -199,15 +199,15 @@
 // has given up is not begun, and a receipt that comes too late goes out without its
 // body, as a sign of life.
 func (w *Wire) answer(ctx context.Context, ask *Frame, got time.Time) (receipt *Frame, sent func()) {
-	receipt = &Frame{V: Version, Id: ask.Id}
+	receipt = &Frame{Version: Version, ID: ask.ID}
 	fail := func(err error) (*Frame, func()) {
 		p := errcode.Of(err)
 		receipt.Code, receipt.Note, receipt.Paths = p.Code.No, p.Note, p.Paths
 		return receipt, sent
 	}
-	if ask.V != Version {
-		w.r.Sign.Say(eventlog.MessageRefused, "code", errcode.WrongVersion.No, "kind", ask.Kind, "version", ask.V)
-		return fail(errcode.New(errcode.WrongVersion, "%d, not %d", ask.V, Version))
+	if ask.Version != Version {
+		w.r.Sign.Say(eventlog.MessageRefused, "code", errcode.WrongVersion.No, "kind", ask.Kind, "version", ask.Version)
+		return fail(errcode.New(errcode.WrongVersion, "%d, not %d", ask.Version, Version))
 	}
 	handle, ok := w.handlers[ask.Kind]
 	if !ok {
@@ -282,7 +282,7 @@
 	if err != nil {
 		return errcode.New(errcode.Internal, "%v", err)
 	}
-	frame := &Frame{V: Version, Kind: kind, Hops: hops, Body: raw}
+	frame := &Frame{Version: Version, Kind: kind, Hops: hops, Body: raw}
 	if end, ok := ctx.Deadline(); ok {
 		left := time.Until(end)
 		if left <= 0 {
@@ -294,8 +294,8 @@
 	if err != nil {
 		return err
 	}
-	if receipt.V != Version {
-		return errcode.New(errcode.ReplyLost, "%s %s: answered in version %d of the wire, not %d", address, kind, receipt.V, Version)
+	if receipt.Version != Version {
+		return errcode.New(errcode.ReplyLost, "%s %s: answered in version %d of the wire, not %d", address, kind, receipt.Version, Version)
 	}
 	if receipt.Code != 0 {
 		code, ok := errcode.Codes[receipt.Code]
@@ -328,4 +328,4 @@
 }
 
 // From is the id of the node that asks, for logs.
-func (w *Wire) From() ids.Name { return w.r.Name }
+func (w *Wire) From() ids.NodeName { return w.r.Name }
--- a/internal/simulator/address_test.go
+++ b/internal/simulator/address_test.go
@@ -17,7 +17,7 @@
 	inFleet(t, shape, func(t *testing.T, f *Fleet) {
 		core := f.Cores()[0]
 		holds := func(service, instance string) bool {
-			owner := ownerOf(f, ids.Config, nil)
+			owner := ownerOf(f, ids.ConfigShard, nil)
 			if owner == nil {
 				return false
 			}
@@ -31,7 +31,7 @@
 		for i := range 4 {
 			address := fmt.Sprintf("10.77.0.%d:8080", i+1)
 			beat := func(service, instance string, seq uint64) {
-				_, err := core.Node().Take(f.ctx, &rpc.Beat{Service: service, Instance: instance, Seq: seq, Address: address, Zone: "zone1", Weight: 100, State: "serving"})
+				_, err := core.Node().Take(f.ctx, &rpc.TargetHeartbeat{Service: service, Instance: instance, Sequence: seq, Address: address, Zone: "zone1", Weight: 100, State: "serving"})
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/internal/simulator/contact_test.go
+++ b/internal/simulator/contact_test.go
@@ -33,7 +33,7 @@
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(3 * time.Second))
 	body, _ := json.Marshal(ask)
-	line, _ := json.Marshal(&rpc.Frame{V: rpc.Version, Id: 1, Kind: kind, Body: body})
+	line, _ := json.Marshal(&rpc.Frame{Version: rpc.Version, ID: 1, Kind: kind, Body: body})
 	fmt.Fprintf(conn, "%s\n", line)
 	answer, err := bufio.NewReader(conn).ReadBytes('\n')
 	receipt := &rpc.Frame{}
@@ -51,16 +51,16 @@
 		some = append(some, name)
 	}
 	for kind, ask := range map[string]any{
-		"flow.listen": &rpc.ListenAsk{Have: map[string]rpc.Held{}},
-		"flow.fetch":  &rpc.FetchAsk{Groups: some},
-		"flow.pulse":  &rpc.PulseAsk{},
+		"flow.listen": &rpc.ListenRequest{Versions: map[string]rpc.GroupVersion{}},
+		"flow.fetch":  &rpc.FetchRequest{Groups: some},
+		"flow.pulse":  &rpc.FreshnessRequest{},
 	} {
 		if f.askWire(t, m, kind, ask).Code == 0 {
 			kinds = append(kinds, kind)
 		}
 	}
-	whole := rpc.FetchReceipt{}
-	if frame := f.askWire(t, m, "flow.fetch", &rpc.FetchAsk{}); frame.Code == 0 && json.Unmarshal(frame.Body, &whole) == nil && whole.Epoch > 0 {
+	whole := rpc.FetchResponse{}
+	if frame := f.askWire(t, m, "flow.fetch", &rpc.FetchRequest{}); frame.Code == 0 && json.Unmarshal(frame.Body, &whole) == nil && whole.Epoch > 0 {
 		kinds = append(kinds, "full fetch")
 	}
 	return kinds
@@ -99,9 +99,9 @@
 
 func playContact(t *testing.T, f *Fleet, manner string, isOwner bool) {
 	time.Sleep(3 * time.Second)
-	m := f.owner(ids.Config)
+	m := f.owner(ids.ConfigShard)
 	if !isOwner {
-		m = follower(f, ids.Config)
+		m = follower(f, ids.ConfigShard)
 	}
 	if got := f.givesOut(t, m); len(got) != 4 {
 		t.Fatalf("in contact it gives out only %v", got)
@@ -176,7 +176,7 @@
 			t.Fatal(err)
 		}
 		time.Sleep(3 * time.Second)
-		m, proxyNode := follower(f, ids.Config), f.Of("proxy1")
+		m, proxyNode := follower(f, ids.ConfigShard), f.Of("proxy1")
 		proxyNode.Kill(false)
 		f.cutContact(m, "with a third of the callers")
 		time.Sleep(shapeContact)
--- a/internal/simulator/faults.go
+++ b/internal/simulator/faults.go
@@ -118,17 +118,17 @@
 	births := map[rpc.Peer]bool{}
 	for _, m := range f.Cores() {
 		me := m.Node().Kin.Me()
-		births[rpc.Peer{Name: me.Name, Birth: me.Birth}] = true
+		births[rpc.Peer{Name: me.Name, ID: me.ID}] = true
 	}
-	for no := range ids.Parts + 1 {
+	for no := range ids.ShardCount + 1 {
 		isOwned := false
 		for _, m := range f.Cores() {
-			part := m.Node().Consensus.Replica(ids.Part(no))
+			part := m.Node().Consensus.Replica(ids.Shard(no))
 			if !part.IsServing() {
 				continue
 			}
 			o := part.Status()
-			isOwned = o.LastIndex == o.CommitIndex && len(o.Voters) == consensus.ReplicationFactor(ids.Part(no), len(f.Cores()), 1)
+			isOwned = o.LastIndex == o.CommitIndex && len(o.Voters) == consensus.ReplicationFactor(ids.Shard(no), len(f.Cores()), 1)
 			for _, peer := range o.Voters {
 				isOwned = isOwned && births[peer]
 			}
--- a/internal/simulator/follow_test.go
+++ b/internal/simulator/follow_test.go
@@ -16,12 +16,12 @@
 func TestAFollowerPassedToAnOwnerThatWentHearsOfTheNextSet(t *testing.T) {
 	inFleet(t, one(), func(t *testing.T, f *Fleet) {
 		const key = "group/k"
-		no := ids.PartOf(key)
-		set := func(m *Machine, value string) (*rpc.BondReceipt, error) {
+		no := ids.ShardOf(key)
+		set := func(m *Machine, value string) (*rpc.CoordinationResponse, error) {
 			raw, _ := json.Marshal(value)
 			ctx, end := context.WithTimeout(f.ctx, 4*time.Second)
 			defer end()
-			return m.Node().Bond(ctx, &rpc.BondOp{Op: "set", Name: key, Value: raw})
+			return m.Node().Bond(ctx, &rpc.CoordinationRequest{Operation: "set", Name: key, Value: raw})
 		}
 		for i := range 5 {
 			var owner *Machine
@@ -44,7 +44,7 @@
 			heard := make(chan time.Time, len(rest))
 			for _, m := range rest {
 				go func() {
-					got, err := m.Node().Bond(f.ctx, &rpc.BondOp{Op: "follow", Name: "group/", From: first.Rev, Hold: 30000})
+					got, err := m.Node().Bond(f.ctx, &rpc.CoordinationRequest{Operation: "follow", Name: "group/", FromIndex: first.Revision, Wait: 30000})
 					if err != nil || len(got.Events) == 0 {
 						t.Errorf("round %d: %+v %v", i, got, err)
 						return
--- a/internal/simulator/full_test.go
+++ b/internal/simulator/full_test.go
@@ -16,7 +16,7 @@
 func TestANodeWhoseDiskIsFullGoesOn(t *testing.T) {
 	inFleet(t, one(), func(t *testing.T, f *Fleet) {
 		time.Sleep(3 * time.Second)
-		no := ids.PartOf("app/a")
+		no := ids.ShardOf("app/a")
 		full := f.owner(no)
 		node := full.Node()
 		client := standin.Client(f.W.Net(f.outside(1)), full.Api())
@@ -32,8 +32,8 @@
 		if !f.Until(3*time.Second, put) {
 			t.Error("it passes no calls on")
 		}
-		for no := range ids.Parts + 1 {
-			if node.Consensus.Replica(ids.Part(no)).IsLeader() {
+		for no := range ids.ShardCount + 1 {
+			if node.Consensus.Replica(ids.Shard(no)).IsLeader() {
 				t.Errorf("it still owns part %d", no)
 			}
 		}
@@ -70,7 +70,7 @@
 	inFleet(t, one(), func(t *testing.T, f *Fleet) {
 		time.Sleep(3 * time.Second)
 		m := f.Of("core2")
-		birth := m.Node().Kin.Me().Birth
+		birth := m.Node().Kin.Me().ID
 		f.W.Disk(m.IP).Fill()
 		m.Kill(true)
 		isUp := make(chan struct{})
@@ -89,7 +89,7 @@
 		if m.Node() == nil {
 			t.Fatal("it is not up when there is room")
 		}
-		if now := m.Node().Kin.Me().Birth; now != birth {
+		if now := m.Node().Kin.Me().ID; now != birth {
 			t.Errorf("its data was set aside: it was born as %s and is %s", birth, now)
 		}
 		if !f.Until(10*time.Second, f.isMended) {
--- a/internal/simulator/hold_test.go
+++ b/internal/simulator/hold_test.go
@@ -16,7 +16,7 @@
 	inFleet(t, shape, func(t *testing.T, f *Fleet) {
 		server, proxyNode := f.Servers("rates")[0], f.Of("proxy1").Node()
 		began := time.Now()
-		beat := &rpc.Beat{Service: "rates", Instance: server.Instance, Seq: 1 << 30, Address: server.Address, Zone: "zone1", Weight: 100, State: "draining"}
+		beat := &rpc.TargetHeartbeat{Service: "rates", Instance: server.Instance, Sequence: 1 << 30, Address: server.Address, Zone: "zone1", Weight: 100, State: "draining"}
 		if _, err := f.Cores()[0].Node().Take(f.ctx, beat); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/simulator/hurts.go
+++ b/internal/simulator/hurts.go
@@ -37,7 +37,7 @@
 }
 
 // ownerOf is the core node that serves a part, other than one.
-func ownerOf(f *Fleet, no ids.Part, but *Machine) *Machine {
+func ownerOf(f *Fleet, no ids.Shard, but *Machine) *Machine {
 	for _, m := range f.Cores() {
 		if m != but && m.Node() != nil && m.Node().Consensus.Replica(no).IsServing() {
 			return m
@@ -52,9 +52,9 @@
 	f.nap(500*time.Millisecond, 2*time.Second)
 	isChange, isWipe, isOwner := f.Rand.IntN(2) == 0, f.Rand.IntN(2) == 0, f.Rand.IntN(2) == 0
 	name := fmt.Sprint("acked", f.Rand.IntN(100))
-	no := ids.PartOf(name)
+	no := ids.ShardOf(name)
 	if isChange {
-		no = ids.Config
+		no = ids.ConfigShard
 	}
 	owner := ownerOf(f, no, nil)
 	if owner == nil {
--- a/internal/simulator/late_test.go
+++ b/internal/simulator/late_test.go
@@ -128,14 +128,14 @@
 	}
 	r := environment.New(t.Context(), p, eventlog.New(io.Discard, "error", name), w.Net(host(address)))
 	line := rpc.New(r)
-	who := membership.New(r, line, rpc.Member{Name: ids.Name(name), Birth: ids.Birth("b" + name), Wire: address, Zone: zone, Core: isCore, Keeps: isCore})
+	who := membership.New(r, line, rpc.Member{Name: ids.NodeName(name), ID: ids.MemberID("b" + name), RPCAddress: address, Zone: zone, Core: isCore, HoldsConfiguration: isCore})
 	return r, line, who
 }
 
-func groupsAt(epoch ids.Epoch) (map[string]rpc.Group, map[string]rpc.Held) {
+func groupsAt(epoch ids.Epoch) (map[string]rpc.Group, map[string]rpc.GroupVersion) {
 	raw, _ := json.Marshal([]rpc.Service{{Name: fmt.Sprint("s", epoch)}})
-	group := rpc.Group{Digest: controlplane.Digest(raw), Stamp: ids.Stamp(epoch), Data: raw}
-	return map[string]rpc.Group{controlplane.ServicesGroup: group}, map[string]rpc.Held{controlplane.ServicesGroup: {Digest: group.Digest, Stamp: group.Stamp}}
+	group := rpc.Group{Digest: controlplane.Digest(raw), Index: ids.Index(epoch), Data: raw}
+	return map[string]rpc.Group{controlplane.ServicesGroup: group}, map[string]rpc.GroupVersion{controlplane.ServicesGroup: {Digest: group.Digest, Index: group.Index}}
 }
 
 // handle answers a proxy by what the test says.
@@ -143,22 +143,22 @@
 	s.epoch.Store(1)
 	s.gives.Store(1)
 	s.Handle("flow.pulse", func(*rpc.Call) (any, error) {
-		return &rpc.PulseReceipt{Epoch: ids.Epoch(s.epoch.Load()), Parts: make([]int64, ids.Parts)}, nil
+		return &rpc.FreshnessResponse{Epoch: ids.Epoch(s.epoch.Load()), ShardAgeMicros: make([]int64, ids.ShardCount)}, nil
 	})
 	s.Handle("flow.listen", func(c *rpc.Call) (any, error) {
-		var ask rpc.ListenAsk
+		var ask rpc.ListenRequest
 		if err := c.Read(&ask); err != nil {
 			return nil, err
 		}
 		no := s.listens.Add(1)
 		for ids.Epoch(s.gives.Load()) <= ask.Epoch || no <= s.stuck.Load() {
 			if c.Err() != nil || !r.Pause(5*time.Millisecond) {
-				return &rpc.ListenReceipt{Epoch: ask.Epoch}, nil
+				return &rpc.ListenResponse{Epoch: ask.Epoch}, nil
 			}
 		}
 		epoch := ids.Epoch(s.gives.Load())
 		_, held := groupsAt(epoch)
-		return &rpc.ListenReceipt{Epoch: epoch, Changed: held}, nil
+		return &rpc.ListenResponse{Epoch: epoch, Changed: held}, nil
 	})
 	s.Handle("flow.fetch", func(c *rpc.Call) (any, error) {
 		if s.hangs.Load() {
@@ -167,7 +167,7 @@
 		}
 		epoch := ids.Epoch(s.gives.Load())
 		groups, held := groupsAt(epoch)
-		return &rpc.FetchReceipt{Epoch: epoch, Manifest: held, Groups: groups}, nil
+		return &rpc.FetchResponse{Epoch: epoch, Manifest: held, Groups: groups}, nil
 	})
 }
 
--- a/internal/simulator/manner.go
+++ b/internal/simulator/manner.go
@@ -123,11 +123,11 @@
 		}
 	}
 	var names strings.Builder
-	for no := range ids.Parts + 1 {
+	for no := range ids.ShardCount + 1 {
 		isOwned := false
 		for _, m := range running {
 			if node := m.Node(); node != nil {
-				if term, _, isServing := node.Consensus.Replica(ids.Part(no)).LeadershipSince(); isServing {
+				if term, _, isServing := node.Consensus.Replica(ids.Shard(no)).LeadershipSince(); isServing {
 					isOwned = true
 					fmt.Fprint(&names, m.Name, term, " ")
 				}
--- a/internal/simulator/prevote_test.go
+++ b/internal/simulator/prevote_test.go
@@ -13,8 +13,8 @@
 
 // served is how many parts have an owner that serves.
 func served(f *Fleet) (n int) {
-	for no := range ids.Parts + 1 {
-		if ownerOf(f, ids.Part(no), nil) != nil {
+	for no := range ids.ShardCount + 1 {
+		if ownerOf(f, ids.Shard(no), nil) != nil {
 			n++
 		}
 	}
@@ -33,7 +33,7 @@
 					f.up(m)
 				}
 				back := time.Now()
-				for served(f) < ids.Parts+1 && time.Since(back) < 10*time.Second {
+				for served(f) < ids.ShardCount+1 && time.Since(back) < 10*time.Second {
 					time.Sleep(10 * time.Millisecond)
 				}
 				if took := time.Since(back); took > 450*time.Millisecond {
@@ -113,14 +113,14 @@
 func TestAMemberThatHearsNothingEndsNoOwnership(t *testing.T) {
 	inFleet(t, one(), func(t *testing.T, f *Fleet) {
 		time.Sleep(3 * time.Second)
-		owner := f.owner(ids.Config)
-		deaf := follower(f, ids.Config)
-		before := owner.status(ids.Config).CurrentTerm
+		owner := f.owner(ids.ConfigShard)
+		deaf := follower(f, ids.ConfigShard)
+		before := owner.status(ids.ConfigShard).CurrentTerm
 		f.W.Cut(owner.IP, deaf.IP)
 		time.Sleep(5 * time.Second)
 		f.W.Heal()
 		time.Sleep(3 * time.Second)
-		if after := owner.status(ids.Config); !after.IsServing || after.CurrentTerm != before {
+		if after := owner.status(ids.ConfigShard); !after.IsServing || after.CurrentTerm != before {
 			t.Errorf("the owner under %s was ended by one that did not hear it: %s", before, after.CurrentTerm)
 		}
 	})
--- a/internal/simulator/repair_test.go
+++ b/internal/simulator/repair_test.go
@@ -20,7 +20,7 @@
 )
 
 // follower is a core node that does not own a part.
-func follower(f *Fleet, no ids.Part) *Machine {
+func follower(f *Fleet, no ids.Shard) *Machine {
 	for _, m := range f.Cores() {
 		if !m.Node().Consensus.Replica(no).IsServing() {
 			return m
@@ -43,7 +43,7 @@
 			}
 		}
 		put(`"right"`)
-		no := ids.PartOf("app/a")
+		no := ids.ShardOf("app/a")
 		time.Sleep(time.Second)
 		m := follower(f, no)
 		book := m.Node().Books[no]
@@ -54,7 +54,7 @@
 				}
 			}
 		}
-		c := follower(f, ids.Config)
+		c := follower(f, ids.ConfigShard)
 		routes := ""
 		for name := range c.Node().Ledger.Current().Groups {
 			if strings.HasPrefix(name, controlplane.RoutesPrefix) {
@@ -67,7 +67,7 @@
 		isMended := func() bool {
 			record, ok := m.Node().Books[no].Get("key", "app/a")
 			_, isForged := m.Node().Books[no].Get("key", "app/forged")
-			return ok && !isForged && string(record.Value) == `"right"` && len(c.Node().Ledger.Current().Config().Mappings) == 2
+			return ok && !isForged && string(record.Value) == `"right"` && len(c.Node().Ledger.Current().Config().Routes) == 2
 		}
 		if isMended() {
 			t.Fatal("nothing was spoilt")
--- a/internal/simulator/replaced_test.go
+++ b/internal/simulator/replaced_test.go
@@ -19,7 +19,7 @@
 )
 
 // owner is the core node that serves a part, or nil.
-func (f *Fleet) owner(no ids.Part) *Machine {
+func (f *Fleet) owner(no ids.Shard) *Machine {
 	for _, m := range f.Cores() {
 		if m.Node() != nil && m.Node().Consensus.Replica(no).IsServing() {
 			return m
@@ -29,7 +29,7 @@
 }
 
 // groupOf is a part's group as one member has it.
-func (f *Fleet) groupOf(m *Machine, no ids.Part) (group []*Machine) {
+func (f *Fleet) groupOf(m *Machine, no ids.Shard) (group []*Machine) {
 	for _, peer := range m.Node().Consensus.Replica(no).Status().Voters {
 		group = append(group, f.Of(string(peer.Name)))
 	}
@@ -57,7 +57,7 @@
 
 // replaceOne cuts one member of a part off until a spare has its place, and
 // returns the owner, the member replaced, the one that stayed and the spare.
-func (f *Fleet) replaceOne(t *testing.T, no ids.Part) (owner, replaced, stayed, spare *Machine) {
+func (f *Fleet) replaceOne(t *testing.T, no ids.Shard) (owner, replaced, stayed, spare *Machine) {
 	t.Helper()
 	owner = f.owner(no)
 	before := f.groupOf(owner, no)
@@ -97,7 +97,7 @@
 
 // killAtJointStep takes the power of the owner at the moment at which the first step
 // of a change of a part's voters is committed there.
-func (f *Fleet) killAtJointStep(no ids.Part) <-chan *Machine {
+func (f *Fleet) killAtJointStep(no ids.Shard) <-chan *Machine {
 	killed := make(chan *Machine, 1)
 	var once sync.Once
 	f.watchSteps(func(m *Machine, step any) {
@@ -117,7 +117,7 @@
 
 func TestAnOwnersDeathLeavesNoReplacementHalfDone(t *testing.T) {
 	inFleet(t, fiveCores(), func(t *testing.T, f *Fleet) {
-		no := ids.PartOf("app/a")
+		no := ids.ShardOf("app/a")
 		time.Sleep(3 * time.Second)
 		owner := f.owner(no)
 		var lost *Machine
@@ -173,7 +173,7 @@
 		}
 		put(`"old"`)
 		time.Sleep(3 * time.Second)
-		no := ids.PartOf("app/a")
+		no := ids.ShardOf("app/a")
 		owner, replaced, stayed, spare := f.replaceOne(t, no)
 		f.cutFrom(stayed, owner, spare)
 		time.Sleep(700 * time.Millisecond)
@@ -201,7 +201,7 @@
 }
 
 // status is a part as a machine has it.
-func (m *Machine) status(no ids.Part) consensus.Status {
+func (m *Machine) status(no ids.Shard) consensus.Status {
 	return m.Node().Consensus.Replica(no).Status()
 }
 
--- a/internal/simulator/rivals.go
+++ b/internal/simulator/rivals.go
@@ -17,7 +17,7 @@
 
 // Rivals starts such operators; what they are told is judged with the versions.
 func (f *Fleet) Rivals(mean time.Duration) {
-	var taken []*rpc.Change
+	var taken []*rpc.ChangeSet
 	f.task(func(r *rand.Rand) {
 		pause(r, mean)
 		node := f.anyNode(r)
@@ -51,7 +51,7 @@
 
 // insist sends an order up to four times, of which the first answers may be lost, and
 // tells whether it was taken.
-func (f *Fleet) insist(r *rand.Rand, change *rpc.Change) bool {
+func (f *Fleet) insist(r *rand.Rand, change *rpc.ChangeSet) bool {
 	for try := range 4 {
 		node := f.anyNode(r)
 		if node == nil {
@@ -76,7 +76,7 @@
 // and again.
 func takeovers(f *Fleet) {
 	f.nap(300*time.Millisecond, 2*time.Second)
-	owner := ownerOf(f, ids.Config, nil)
+	owner := ownerOf(f, ids.ConfigShard, nil)
 	if owner == nil {
 		return
 	}
--- a/internal/simulator/rivals_test.go
+++ b/internal/simulator/rivals_test.go
@@ -17,13 +17,13 @@
 	shape := one()
 	shape.Settings["pact.snapshot"] = "60"
 	inFleet(t, shape, func(t *testing.T, f *Fleet) {
-		order := func(n int) *rpc.Change {
+		order := func(n int) *rpc.ChangeSet {
 			over := ids.Version(n)
 			name := fmt.Sprint("numbered-order", n%7)
-			return &rpc.Change{Id: fmt.Sprint("order", n), Version: over + 1, Over: &over, Put: rpc.Config{Mappings: []rpc.Mapping{{Name: name, Path: "/" + name, To: []rpc.Split{{Service: "rates", Weight: 1 + n}}, Source: []byte(`{}`)}}}}
+			return &rpc.ChangeSet{ID: fmt.Sprint("order", n), Version: over + 1, BaseVersion: &over, Put: rpc.Configuration{Routes: []rpc.Route{{Name: name, Path: "/" + name, Services: []rpc.WeightedService{{Service: "rates", Weight: 1 + n}}, Source: []byte(`{}`)}}}}
 		}
-		submit := func(m *Machine, change *rpc.Change) (*rpc.ChangeReceipt, error) {
-			var receipt *rpc.ChangeReceipt
+		submit := func(m *Machine, change *rpc.ChangeSet) (*rpc.ChangeResult, error) {
+			var receipt *rpc.ChangeResult
 			var err error
 			f.Until(10*time.Second, func() bool {
 				ctx, end := context.WithTimeout(f.ctx, time.Second)
@@ -33,7 +33,7 @@
 			})
 			return receipt, err
 		}
-		var first *rpc.ChangeReceipt
+		var first *rpc.ChangeResult
 		const orders = 300
 		for n := range orders {
 			receipt, err := submit(f.Cores()[n%3], order(n))
@@ -44,7 +44,7 @@
 				first = receipt
 			}
 			if n%70 == 50 {
-				m := f.owner(ids.Config)
+				m := f.owner(ids.ConfigShard)
 				m.Kill(true)
 				if n%140 == 50 {
 					f.W.Disk(m.IP).Wipe()
@@ -59,8 +59,8 @@
 				t.Errorf("%s: %+v, %v; it was epoch %d", m.Name, again, err, first.Epoch)
 			}
 			other := order(0)
-			other.Put.Mappings[0].To[0].Weight = 999
-			other.Id = "another text"
+			other.Put.Routes[0].Services[0].Weight = 999
+			other.ID = "another text"
 			if _, err := submit(m, other); !errcode.Is(err, errcode.ChangeConflict) {
 				t.Errorf("another text under an old number: %v", err)
 			}
--- a/internal/simulator/sleep_test.go
+++ b/internal/simulator/sleep_test.go
@@ -46,19 +46,19 @@
 		var owner *Machine
 		for range 5 {
 			if !f.Until(10*time.Second, func() bool {
-				owner = ownerOf(f, ids.Config, nil)
+				owner = ownerOf(f, ids.ConfigShard, nil)
 				if owner == nil || !f.IsUsable() {
 					return false
 				}
 				pulse, err := owner.Node().Planner.Freshness()
-				return err == nil && pulse.Age < time.Second.Microseconds()
+				return err == nil && pulse.AgeMicros < time.Second.Microseconds()
 			}) {
 				t.Fatal("the fleet did not come back")
 			}
 			f.W.Suspend(owner.IP, time.Minute)
 			pulse, err := owner.Node().Planner.Freshness()
-			if err == nil && pulse.Age < time.Minute.Microseconds() {
-				t.Errorf("it tells an age of %d us", pulse.Age)
+			if err == nil && pulse.AgeMicros < time.Minute.Microseconds() {
+				t.Errorf("it tells an age of %d us", pulse.AgeMicros)
 			}
 		}
 	})
--- a/internal/simulator/slide_test.go
+++ b/internal/simulator/slide_test.go
@@ -30,7 +30,7 @@
 	shape.Settings["pact.silence"], shape.Settings["pact.round"] = "400ms", "100ms"
 	shape.Settings["flow.pulse"], shape.Settings["flow.retry"] = "20ms", "10ms"
 	inFleet(t, shape, func(t *testing.T, f *Fleet) {
-		old := ownerOf(f, ids.Config, nil)
+		old := ownerOf(f, ids.ConfigShard, nil)
 		near := f.some(func(m *Machine) bool { return m.IsProxy && m.Zone == old.Zone })[0]
 		for _, m := range f.Machines {
 			if m != old && m != near {
@@ -39,7 +39,7 @@
 			}
 		}
 		var fresh *Machine
-		if !f.Until(time.Second, func() bool { fresh = ownerOf(f, ids.Config, old); return fresh != nil }) {
+		if !f.Until(time.Second, func() bool { fresh = ownerOf(f, ids.ConfigShard, old); return fresh != nil }) {
 			t.Fatal("nobody took the configuration part over")
 		}
 		operator := standin.NewOperator(f.W.Net(f.outside(4)), f.H, fresh.Api())
--- a/internal/simulator/snapshot_test.go
+++ b/internal/simulator/snapshot_test.go
@@ -19,7 +19,7 @@
 )
 
 // fillPart writes about so many megabytes, which can't be packed, into one part.
-func (f *Fleet) fillPart(t *testing.T, megabytes int) ids.Part {
+func (f *Fleet) fillPart(t *testing.T, megabytes int) ids.Shard {
 	t.Helper()
 	client := standin.Client(f.W.Net(f.outside(1)), f.Of("proxy1").Api())
 	r := rand.New(rand.NewPCG(1, 2))
@@ -33,7 +33,7 @@
 			t.Fatal(err)
 		}
 	}
-	return ids.PartOf("app/0")
+	return ids.ShardOf("app/0")
 }
 
 func TestALargeStateReachesAMemberOverASlowLink(t *testing.T) {
@@ -69,9 +69,9 @@
 	shape.Settings["pact.snapshot"] = "40"
 	inFleet(t, shape, func(t *testing.T, f *Fleet) {
 		version := ids.Version(0)
-		submit := func(put []rpc.Mapping) {
+		submit := func(put []rpc.Route) {
 			over := version
-			change := &rpc.Change{Id: fmt.Sprint("c", version), Version: version + 1, Over: &over, Put: rpc.Config{Mappings: put}}
+			change := &rpc.ChangeSet{ID: fmt.Sprint("c", version), Version: version + 1, BaseVersion: &over, Put: rpc.Configuration{Routes: put}}
 			var err error
 			if !f.Until(20*time.Second, func() bool {
 				ctx, end := context.WithTimeout(f.ctx, 3*time.Second)
@@ -83,10 +83,10 @@
 			}
 			version++
 		}
-		route := func(n int) rpc.Mapping {
-			return rpc.Mapping{Name: fmt.Sprint("route", n), Host: fmt.Sprintf("host%d.example", n%50), Path: fmt.Sprintf("/path%d/", n), Deadline: 800 + int64(version)%100, Aim: 300, Tries: 2, To: []rpc.Split{{Service: "rates", Weight: 1}}, Source: []byte(fmt.Sprintf(`{"item":"route%d","version":%d}`, n, version))}
+		route := func(n int) rpc.Route {
+			return rpc.Route{Name: fmt.Sprint("route", n), Host: fmt.Sprintf("host%d.example", n%50), Path: fmt.Sprintf("/path%d/", n), DeadlineMillis: 800 + int64(version)%100, LatencyTargetMillis: 300, MaxAttempts: 2, Services: []rpc.WeightedService{{Service: "rates", Weight: 1}}, Source: []byte(fmt.Sprintf(`{"item":"route%d","version":%d}`, n, version))}
 		}
-		var all []rpc.Mapping
+		var all []rpc.Route
 		for n := range *routes {
 			all = append(all, route(n))
 		}
@@ -94,7 +94,7 @@
 		var sizes []int
 		var times []time.Duration
 		for n := range *changes {
-			submit([]rpc.Mapping{route(n % *routes), route((n*7 + 1) % *routes)})
+			submit([]rpc.Route{route(n % *routes), route((n*7 + 1) % *routes)})
 			m := f.Cores()[n%3]
 			switch n % 30 {
 			case 10:
@@ -111,7 +111,7 @@
 				if !f.Until(20*time.Second, f.isMended) {
 					t.Fatalf("not mended after %d changes", n+1)
 				}
-				state, _ := f.owner(ids.Config).Node().Ledger.Snapshot()()
+				state, _ := f.owner(ids.ConfigShard).Node().Ledger.Snapshot()()
 				sizes, times = append(sizes, len(state)), append(times, time.Since(began))
 			}
 		}
@@ -134,7 +134,7 @@
 	shape.Settings["pact.tail"] = "5"
 	inFleet(t, shape, func(t *testing.T, f *Fleet) {
 		client := standin.Client(f.W.Net(f.outside(1)), f.Of("proxy1").Api())
-		no := ids.PartOf("app/a")
+		no := ids.ShardOf("app/a")
 		behind := follower(f, no)
 		behind.Kill(true)
 		time.Sleep(2 * time.Second)
--- a/internal/simulator/spaces.go
+++ b/internal/simulator/spaces.go
@@ -25,8 +25,8 @@
 }
 
 // direct makes one coordination call at a node; refused is what its owner said.
-func (f *Fleet) direct(node *node.Node, rec checker.Record, op *rpc.BondOp) (*rpc.BondReceipt, string) {
-	rec.Kind, rec.Start, rec.Op = checker.Bonded, f.H.Now(), cmpOr(rec.Op, op.Op)
+func (f *Fleet) direct(node *node.Node, rec checker.Record, op *rpc.CoordinationRequest) (*rpc.CoordinationResponse, string) {
+	rec.Kind, rec.Start, rec.Op = checker.Bonded, f.H.Now(), cmpOr(rec.Op, op.Operation)
 	rec.Name, rec.Holder = op.Name, op.Holder
 	ctx, end := context.WithTimeout(f.ctx, 4*time.Second)
 	defer end()
@@ -34,21 +34,21 @@
 	rec.Outcome = "done"
 	switch {
 	case err != nil:
-		rec.Outcome, rec.Note, rec.Code, got = "unknown", err.Error(), errcode.Of(err).Code.No, &rpc.BondReceipt{}
+		rec.Outcome, rec.Note, rec.Code, got = "unknown", err.Error(), errcode.Of(err).Code.No, &rpc.CoordinationResponse{}
 	case got.Code != 0:
 		rec.Outcome, rec.Code = "refused", got.Code
 	}
-	if op.Op == "set" || op.Op == "get" {
-		rec.Stamp = uint64(got.Rev)
+	if op.Operation == "set" || op.Operation == "get" {
+		rec.Stamp = uint64(got.Revision)
 	}
-	if op.Op == "get" {
+	if op.Operation == "get" {
 		json.Unmarshal(got.Value, &rec.Digest)
 		if got.Code == errcode.NoKey.No {
 			rec.Outcome = "done"
 		}
 	}
 	if rec.Fence == 0 {
-		rec.Fence = uint64(got.Fence)
+		rec.Fence = uint64(got.FencingToken)
 	}
 	f.H.Add(rec)
 	return got, rec.Outcome
@@ -72,15 +72,15 @@
 			}
 			key, value := fmt.Sprint(counted, "k", r.IntN(3)), ids.NewID()
 			raw, _ := json.Marshal(value)
-			op := &rpc.BondOp{Op: "set", Id: value, Name: key, Value: raw}
+			op := &rpc.CoordinationRequest{Operation: "set", ID: value, Name: key, Value: raw}
 			rec := checker.Record{Request: value, Digest: value}
 			if r.IntN(2) == 0 {
-				got, outcome := f.direct(node, checker.Record{Op: "look"}, &rpc.BondOp{Op: "get", Name: key})
+				got, outcome := f.direct(node, checker.Record{Op: "look"}, &rpc.CoordinationRequest{Operation: "get", Name: key})
 				if outcome != "done" {
 					return
 				}
-				rev := got.Rev
-				op.Rev, rec.IsIf, rec.From = &rev, true, uint64(rev)
+				rev := got.Revision
+				op.IfRevision, rec.IsIf, rec.From = &rev, true, uint64(rev)
 				pause(r, 100*time.Millisecond)
 			}
 			for range 4 {
@@ -96,12 +96,12 @@
 		})
 	}
 	for i := range 2 {
-		from := ids.Stamp(0)
+		from := ids.Index(0)
 		f.task(func(r *rand.Rand) { f.followOnce(r, &from); pause(r, time.Duration(1+i*3000)*time.Millisecond) })
 	}
 }
 
-func (f *Fleet) followOnce(r *rand.Rand, from *ids.Stamp) {
+func (f *Fleet) followOnce(r *rand.Rand, from *ids.Index) {
 	node := f.anyNode(r)
 	if node == nil {
 		time.Sleep(100 * time.Millisecond)
@@ -110,24 +110,24 @@
 	rec := checker.Record{Kind: checker.Followed, Start: f.H.Now(), Name: counted, From: uint64(*from), Outcome: "done"}
 	ctx, end := context.WithTimeout(f.ctx, 6*time.Second)
 	defer end()
-	got, err := node.Bond(ctx, &rpc.BondOp{Op: "follow", Name: counted, From: *from, Hold: 2000})
+	got, err := node.Bond(ctx, &rpc.CoordinationRequest{Operation: "follow", Name: counted, FromIndex: *from, Wait: 2000})
 	if err != nil {
 		time.Sleep(100 * time.Millisecond)
 		return
 	}
-	rec.Stamp = uint64(got.Rev)
+	rec.Stamp = uint64(got.Revision)
 	if got.Code == errcode.StampTooOld.No {
 		rec.Outcome = "too old"
 	}
 	for _, e := range got.Events {
 		var id string
 		json.Unmarshal(e.Value, &id)
-		rec.Stamps, rec.Names = append(rec.Stamps, uint64(e.Rev)), append(rec.Names, e.Name+" "+id)
+		rec.Stamps, rec.Names = append(rec.Stamps, uint64(e.Revision)), append(rec.Names, e.Name+" "+id)
 	}
 	if *from > 0 {
 		f.H.Add(rec)
 	}
-	*from = got.Rev
+	*from = got.Revision
 }
 
 // Timed starts those who hold a lock for a moment, with a time in each call.
@@ -141,30 +141,30 @@
 			}
 			name, holder := fmt.Sprint("hold/", r.IntN(2)), fmt.Sprint("holder", i, "-", ids.NewID())
 			ttl := func() int64 { return 50 + r.Int64N(2500) }
-			call := func(op rpc.BondOp) (*rpc.BondReceipt, string) {
-				op.Name, op.Holder, op.Id = name, holder, ids.NewID()
-				return f.direct(node, checker.Record{Fence: uint64(op.Fence), Ttl: time.Duration(op.Ttl) * time.Millisecond}, &op)
+			call := func(op rpc.CoordinationRequest) (*rpc.CoordinationResponse, string) {
+				op.Name, op.Holder, op.ID = name, holder, ids.NewID()
+				return f.direct(node, checker.Record{Fence: uint64(op.FencingToken), Ttl: time.Duration(op.TTL) * time.Millisecond}, &op)
 			}
-			got, outcome := call(rpc.BondOp{Op: "acquire", Ttl: ttl()})
+			got, outcome := call(rpc.CoordinationRequest{Operation: "acquire", TTL: ttl()})
 			if outcome != "done" {
 				return
 			}
-			fence := got.Fence
+			fence := got.FencingToken
 			for range r.IntN(5) {
 				pause(r, 600*time.Millisecond)
 				if other := f.anyNode(r); other != nil {
 					node = other
 				}
-				op := rpc.BondOp{Op: "renew", Fence: fence, Ttl: ttl()}
+				op := rpc.CoordinationRequest{Operation: "renew", FencingToken: fence, TTL: ttl()}
 				if r.IntN(3) == 0 {
-					op = rpc.BondOp{Op: "acquire", Ttl: ttl()}
+					op = rpc.CoordinationRequest{Operation: "acquire", TTL: ttl()}
 				}
-				if got, outcome = call(op); outcome != "done" || got.Fence != fence {
+				if got, outcome = call(op); outcome != "done" || got.FencingToken != fence {
 					return
 				}
 			}
 			if r.IntN(2) == 0 {
-				call(rpc.BondOp{Op: "release", Fence: fence})
+				call(rpc.CoordinationRequest{Operation: "release", FencingToken: fence})
 			}
 		})
 	}
--- a/internal/simulator/spare_test.go
+++ b/internal/simulator/spare_test.go
@@ -28,13 +28,13 @@
 		lost.Kill(true)
 		f.W.Disk(lost.IP).Wipe()
 		isReplaced := func() bool {
-			for no := range ids.Parts + 1 {
+			for no := range ids.ShardCount + 1 {
 				isWhole := false
 				for _, m := range f.Cores() {
-					if m.Node() == nil || !m.Node().Consensus.Replica(ids.Part(no)).IsServing() {
+					if m.Node() == nil || !m.Node().Consensus.Replica(ids.Shard(no)).IsServing() {
 						continue
 					}
-					o := m.Node().Consensus.Replica(ids.Part(no)).Status()
+					o := m.Node().Consensus.Replica(ids.Shard(no)).Status()
 					isWhole = len(o.Voters) == 3 && o.LastIndex == o.CommitIndex
 					for _, peer := range o.Voters {
 						isWhole = isWhole && peer.Name != "core1"
