--- a/internal/simulator/versions.go
+++ b/internal/simulator/versions.go
@@ -59,24 +59,24 @@
 }
 
 // numberedChange is a change over a version, with a text of its own.
-func numberedChange(r *rand.Rand, over ids.Version) *rpc.Change {
+func numberedChange(r *rand.Rand, over ids.Version) *rpc.ChangeSet {
 	id, service := numbered+ids.NewID(), "rates"
 	if r.IntN(6) == 0 {
 		service = standin.Nowhere
 	}
 	source, _ := json.Marshal(map[string]string{"as": "sent", "id": id})
-	m := rpc.Mapping{Name: id, Path: "/numbered/" + id, To: []rpc.Split{{Service: service, Weight: 1}}, Source: source}
-	return &rpc.Change{Id: id, Version: over + 1 + ids.Version(r.IntN(2)), Over: &over, Put: rpc.Config{Mappings: []rpc.Mapping{m}}}
+	m := rpc.Route{Name: id, Path: "/numbered/" + id, Services: []rpc.WeightedService{{Service: service, Weight: 1}}, Source: source}
+	return &rpc.ChangeSet{ID: id, Version: over + 1 + ids.Version(r.IntN(2)), BaseVersion: &over, Put: rpc.Configuration{Routes: []rpc.Route{m}}}
 }
 
-func (f *Fleet) submitVersion(node *node.Node, change *rpc.Change) string {
+func (f *Fleet) submitVersion(node *node.Node, change *rpc.ChangeSet) string {
 	return f.submitWithin(8*time.Second, node, change)
 }
 
 // submitWithin sends a change and gives it up after a time; it may then be taken, or be
 // on its way.
-func (f *Fleet) submitWithin(limit time.Duration, node *node.Node, change *rpc.Change) string {
-	rec := checker.Record{Kind: checker.Version, Start: f.H.Now(), Name: change.Id, Stamp: uint64(change.Version), From: uint64(*change.Over), Digest: string(change.Put.Mappings[0].Source), Outcome: "accepted", Invalid: change.Put.Mappings[0].To[0].Service == standin.Nowhere}
+func (f *Fleet) submitWithin(limit time.Duration, node *node.Node, change *rpc.ChangeSet) string {
+	rec := checker.Record{Kind: checker.Version, Start: f.H.Now(), Name: change.ID, Stamp: uint64(change.Version), From: uint64(*change.BaseVersion), Digest: string(change.Put.Routes[0].Source), Outcome: "accepted", Invalid: change.Put.Routes[0].Services[0].Service == standin.Nowhere}
 	ctx, end := context.WithTimeout(f.ctx, limit)
 	defer end()
 	receipt, err := node.Submit(ctx, change)
@@ -93,7 +93,7 @@
 }
 
 // readBackAll records what of the operators' texts is in force; nil if it can't be had.
-func (f *Fleet) readBackAll(node *node.Node) *rpc.ConfigView {
+func (f *Fleet) readBackAll(node *node.Node) *rpc.ConfigurationView {
 	rec := checker.Record{Kind: checker.ReadBack, Start: f.H.Now(), Lead: map[string]string{}}
 	ctx, end := context.WithTimeout(f.ctx, 4*time.Second)
 	defer end()
@@ -102,7 +102,7 @@
 		return nil
 	}
 	rec.Stamp, rec.Epoch = uint64(view.Version), uint64(view.Epoch)
-	for _, m := range view.Config.Mappings {
+	for _, m := range view.Configuration.Routes {
 		if strings.HasPrefix(m.Name, numbered) {
 			rec.Lead[m.Name] = string(m.Source)
 		}
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -97,7 +97,7 @@
 		clients := map[string]*api.Client{}
 		for i := 0; ctx.Err() == nil; i++ {
 			began := time.Now()
-			address := s.Nodes[(int(ids.Score(s.Instance)%64)+i/8)%len(s.Nodes)]
+			address := s.Nodes[(int(ids.Hash(s.Instance)%64)+i/8)%len(s.Nodes)]
 			if clients[address] == nil {
 				clients[address] = Client(s.Net, address)
 			}
