--- a/internal/rpc/messages_gen.go
+++ b/internal/rpc/messages_gen.go
@@ -8,7 +8,9 @@
 	"github.com/sumactrestle/sumactrestle/internal/ids"
 )
 
-// Frame is one line on a pipe: an ask or its receipt.
+// Frame is one line on a connection between two processes: a request, or the response
+// with the same ID. Deadline is in microseconds from its arrival; Hops counts how often a
+// request was forwarded.
 type Frame struct {
 	Version  int             `json:"v,omitempty"`
 	ID       uint64          `json:"id"`
@@ -21,14 +23,14 @@
 	Body     json.RawMessage `json:"body,omitempty"`
 }
 
-// Peer names one life of a node: the same name with another birth is another member.
+// Peer names one life of a node. The same name with another member ID is another member.
 type Peer struct {
 	Name ids.NodeName `json:"name"`
 	ID   ids.MemberID `json:"birth"`
 }
 
-// Member is what a node knows of a node; keeps tells that it is a member of the
-// configuration part.
+// Member is what a node knows of another node. HoldsConfiguration tells that it is a
+// member of the configuration shard; Incarnation orders what is said of it, as in SWIM.
 type Member struct {
 	Name               ids.NodeName `json:"name"`
 	ID                 ids.MemberID `json:"birth"`
@@ -45,8 +47,8 @@
 	State              string       `json:"state"`
 }
 
-// Probe is one datagram of the membership: ping, ack, a ping on another's behalf, or who
-// are you.
+// Probe is one datagram of the membership protocol: a ping, an acknowledgement, a ping on
+// another node's behalf, or the question who the sender is.
 type Probe struct {
 	Kind     string       `json:"kind"`
 	Sequence uint64       `json:"seq"`
@@ -58,12 +60,12 @@
 	Updates  []Member     `json:"news,omitempty"`
 }
 
-// MembershipSync exchanges member lists. An ask bears a digest of all that is known;
-// ranges is into how many ranges of names the asker would have it cut (1 asks for the
-// whole list, 0 is an older build's and does too), members what the asker tells. The
-// receipt says that both are the same, or each range's digest, or members, or in how many
-// milliseconds to come again. An ask with differ names the ranges that differ, with the
-// asker's members of these.
+// MembershipSync exchanges member lists. A request bears a digest of all that its sender
+// knows. RangeCount is into how many ranges of names the sender wants the list cut (1
+// asks for the complete list; 0 comes from older builds and does too), and Members is
+// what the sender tells. The response says that both lists are the same, or gives each
+// range's digest, or members, or after how many milliseconds to come again. A request
+// with DifferingRanges names the ranges that differ, with the sender's members of these.
 type MembershipSync struct {
 	Digest           uint64   `json:"digest,omitempty"`
 	RangeCount       int      `json:"ranges,omitempty"`
@@ -74,8 +76,9 @@
 	Members          []Member `json:"members,omitempty"`
 }
 
-// Entry is one entry of a part's log; a group entry with former members is the joint step
-// of a change, under which a decision needs a majority of both.
+// Entry is one entry of a shard's log. A voters entry with outgoing voters is the joint
+// step of a membership change, under which a decision needs a majority of both (Raft,
+// joint consensus).
 type Entry struct {
 	Index          ids.Index       `json:"index"`
 	Term           ids.Term        `json:"term"`
@@ -85,8 +88,8 @@
 	Body           json.RawMessage `json:"body,omitempty"`
 }
 
-// VoteRequest asks a member to refuse terms below this one; last tells how far the
-// candidate's log goes.
+// VoteRequest asks a member to vote for the sender's term, and so to reject all terms
+// below it. LastIndex and LastTerm tell how far the candidate's log goes.
 type VoteRequest struct {
 	Shard              ids.Shard `json:"part"`
 	Term               ids.Term  `json:"term"`
@@ -97,8 +100,9 @@
 	LeadershipTransfer bool      `json:"invited,omitempty"`
 }
 
-// VoteResponse is a synced promise with the member's log after the asker's commit, and
-// the voters that this log names; outside refuses a candidate that is no member any more.
+// VoteResponse is a vote, synced to disk before it is sent, with the member's log after
+// the candidate's commit index and the voters that this log names. NotMember rejects a
+// candidate that was removed from the group.
 type VoteResponse struct {
 	Granted        bool      `json:"granted"`
 	CurrentTerm    ids.Term  `json:"promised"`
@@ -112,19 +116,20 @@
 	Entries        []Entry   `json:"entries,omitempty"`
 }
 
-// PreVoteRequest asks a member which of these parts it knows an owner of, or somebody who
-// stands.
+// PreVoteRequest asks a member for which of these shards it knows a leader or a
+// candidate.
 type PreVoteRequest struct {
 	Shards []ids.Shard `json:"parts"`
 }
 
-// PreVoteResponse names the parts that are spoken for, as far as a member knows.
+// PreVoteResponse names the shards that have a leader or a candidate as far as the member
+// knows.
 type PreVoteResponse struct {
 	From      Peer        `json:"from"`
 	LedShards []ids.Shard `json:"spoken,omitempty"`
 }
 
-// Snapshot is a part's whole state at an index.
+// Snapshot is a shard's complete state at an index.
 type Snapshot struct {
 	Index          ids.Index       `json:"index"`
 	Term           ids.Term        `json:"term"`
@@ -133,7 +138,7 @@
 	State          json.RawMessage `json:"state"`
 }
 
-// AppendRequest carries entries from an owner to a member.
+// AppendRequest carries log entries from a leader to a follower.
 type AppendRequest struct {
 	Shard     ids.Shard `json:"part"`
 	Term      ids.Term  `json:"term"`
@@ -144,8 +149,9 @@
 	Entries   []Entry   `json:"entries,omitempty"`
 }
 
-// SnapshotChunkRequest carries a piece of a packed snapshot from an owner to a member:
-// size is of the whole, digest its SHA-256, of the term of its last entry.
+// SnapshotChunkRequest carries a chunk of a packed snapshot from a leader to a follower.
+// Size is that of the complete packed snapshot in bytes, Digest its SHA-256, SnapshotTerm
+// the term of its last entry.
 type SnapshotChunkRequest struct {
 	Shard        ids.Shard `json:"part"`
 	Term         ids.Term  `json:"term"`
@@ -158,8 +164,8 @@
 	Data         []byte    `json:"data"`
 }
 
-// SnapshotChunkResponse tells how much of a snapshot a member has, or up to where its log
-// is synced since it has the whole.
+// SnapshotChunkResponse tells how many bytes of a snapshot a follower has, or, once it
+// has all of it, up to which index its log is synced.
 type SnapshotChunkResponse struct {
 	From        Peer      `json:"from"`
 	CurrentTerm ids.Term  `json:"promised"`
@@ -167,7 +173,7 @@
 	MatchIndex  ids.Index `json:"match,omitempty"`
 }
 
-// AppendResponse tells what a member has synced.
+// AppendResponse tells up to which index a follower has synced the leader's log.
 type AppendResponse struct {
 	From        Peer      `json:"from"`
 	Success     bool      `json:"ok"`
@@ -175,7 +181,7 @@
 	MatchIndex  ids.Index `json:"match"`
 }
 
-// LeaderClaim is an owner's claim to a part.
+// LeaderClaim says that the sender leads a shard in a term.
 type LeaderClaim struct {
 	Shard   ids.Shard `json:"part"`
 	Term    ids.Term  `json:"term"`
@@ -183,8 +189,9 @@
 	Serving bool      `json:"serving,omitempty"`
 }
 
-// HeartbeatRequest confirms all the terms that a node holds, in one message: those of the
-// message named as base, but for what is said here.
+// HeartbeatRequest confirms, in one message, all the terms in which a node leads. It
+// holds the claims that differ from those of the message BaseSequence, and the shards
+// that were released since.
 type HeartbeatRequest struct {
 	From         Peer          `json:"from"`
 	Sequence     uint64        `json:"no"`
@@ -193,8 +200,9 @@
 	Released     []ids.Shard   `json:"gone,omitempty"`
 }
 
-// HeartbeatResponse lists the parts whose claim is refused, with the term promised; or
-// says that the base is lost, and nothing was heard.
+// HeartbeatResponse lists the claims that are rejected, each with the receiver's current
+// term. BaseLost says that the receiver no longer knows the message that the request
+// builds on, and took nothing from it.
 type HeartbeatResponse struct {
 	From     Peer          `json:"from"`
 	Sequence uint64        `json:"no"`
@@ -202,13 +210,14 @@
 	BaseLost bool          `json:"lost,omitempty"`
 }
 
-// CampaignRequest asks a member to stand for a part at once.
+// CampaignRequest asks a member to campaign for a shard at once; a leader that stops
+// sends it (Raft, leadership transfer).
 type CampaignRequest struct {
 	Shard ids.Shard `json:"part"`
 	Term  ids.Term  `json:"term"`
 }
 
-// Charter is the founding of a fleet.
+// Charter is the bootstrap record of a fleet: its identity and its first members.
 type Charter struct {
 	Fleet      string   `json:"fleet"`
 	Term       ids.Term `json:"round"`
@@ -217,7 +226,7 @@
 	Open       bool     `json:"open,omitempty"`
 }
 
-// BootstrapRequest is one step of founding: promise, accept or open.
+// BootstrapRequest is one step of bootstrapping a fleet: prepare, accept or open.
 type BootstrapRequest struct {
 	Step    string   `json:"step"`
 	Term    ids.Term `json:"round"`
@@ -225,7 +234,7 @@
 	From    Peer     `json:"from"`
 }
 
-// BootstrapResponse answers a step of founding.
+// BootstrapResponse answers one step of bootstrapping.
 type BootstrapResponse struct {
 	Accepted    bool     `json:"ok"`
 	From        Peer     `json:"from"`
@@ -233,19 +242,20 @@
 	Charter     *Charter `json:"charter,omitempty"`
 }
 
-// ForwardRequest passes a call on to the owner of a part.
+// ForwardRequest forwards a call to the leader of a shard.
 type ForwardRequest struct {
 	Shard     ids.Shard       `json:"part"`
 	Operation string          `json:"op"`
 	Body      json.RawMessage `json:"body"`
 }
 
-// ForwardResponse is the call's receipt from the owner.
+// ForwardResponse is the leader's response to a forwarded call.
 type ForwardResponse struct {
 	Body json.RawMessage `json:"body"`
 }
 
-// TargetHeartbeat is what a server reports of itself.
+// TargetHeartbeat is what a target reports of itself. SlowStartMillis is for how long it
+// is slow after its first heartbeat.
 type TargetHeartbeat struct {
 	Service         string `json:"service"`
 	Instance        string `json:"instance"`
@@ -259,8 +269,8 @@
 	Build           string `json:"build,omitempty"`
 }
 
-// Target is one server of a service in an epoch; cold is for how many milliseconds it is
-// slow after its first beat.
+// Target is one target of a service in an epoch. SlowStartMillis is for how long it is
+// slow after its first heartbeat.
 type Target struct {
 	Instance        string `json:"instance"`
 	Address         string `json:"address"`
@@ -270,7 +280,8 @@
 	SlowStartMillis int64  `json:"cold,omitempty"`
 }
 
-// ReportedTarget is a target in a part's news, with the age of its first beat.
+// ReportedTarget is a target in a shard's report. Since is when its first heartbeat came,
+// in microseconds before the report; OutReason says why it takes no traffic.
 type ReportedTarget struct {
 	Instance        string `json:"instance"`
 	Address         string `json:"address"`
@@ -282,12 +293,15 @@
 	OutReason       string `json:"out,omitempty"`
 }
 
-// TargetReportRequest collects the target lists of the parts a node owns.
+// TargetReportRequest collects the target lists of the shards that a node leads. Known
+// holds the digests that the sender has.
 type TargetReportRequest struct {
 	Known map[ids.Shard]string `json:"known,omitempty"`
 }
 
-// ShardTargets is the target lists of one part, as of an age.
+// ShardTargets is the target lists of one shard. Age is how old they are, in
+// microseconds. Provisional says that the leader is new and may not have heard from all
+// targets yet.
 type ShardTargets struct {
 	Shard       ids.Shard                   `json:"part"`
 	Term        ids.Term                    `json:"term"`
@@ -302,15 +316,15 @@
 	Shards []ShardTargets `json:"parts,omitempty"`
 }
 
-// GroupVersion is what a cache holds of a group.
+// GroupVersion is the digest and version of a configuration group, as a cache holds it.
 type GroupVersion struct {
 	Digest string    `json:"digest"`
 	Index  ids.Index `json:"stamp"`
 }
 
-// ListenRequest is the held listener request: each group's digest and version, or, where
-// the control node knows the epoch named, one sum over them; small asks for small
-// differences at once.
+// ListenRequest is the pending listener request of the paper's long polling: each group's
+// digest and version, or, where the control node knows the epoch named, one digest over
+// them all. AcceptsDeltas asks for small differences at once.
 type ListenRequest struct {
 	Epoch          ids.Epoch               `json:"epoch"`
 	CombinedDigest string                  `json:"sum,omitempty"`
@@ -318,9 +332,9 @@
 	Versions       map[string]GroupVersion `json:"have,omitempty"`
 }
 
-// ListenResponse names the groups that differ; none when the hold time is over; lost says
-// that the sum is of nothing known here; groups are differences so small that they come
-// along.
+// ListenResponse names the groups that changed; none when the hold time is over.
+// UnknownDigest says that the combined digest fits nothing known here. Deltas are
+// differences small enough to come along.
 type ListenResponse struct {
 	Epoch         ids.Epoch               `json:"epoch"`
 	Age           int64                   `json:"age,omitempty"`
@@ -330,16 +344,16 @@
 	Removed       []string                `json:"removed,omitempty"`
 }
 
-// FetchRequest fetches groups; all of them when none is named; of those held under a
-// digest the difference will do; packs tells that the asker reads packed groups.
+// FetchRequest fetches groups, or all of them when none is named. For groups held under a
+// digest a difference will do. AcceptsPacked tells that the sender reads deflated groups.
 type FetchRequest struct {
 	Groups        []string          `json:"groups,omitempty"`
 	HeldDigests   map[string]string `json:"held,omitempty"`
 	AcceptsPacked bool              `json:"packs,omitempty"`
 }
 
-// Group is one configuration group; of a target list it may be what differs from the one
-// with the digest named as base.
+// Group is one configuration group. A target list may be a difference from the one with
+// BaseDigest.
 type Group struct {
 	Digest         string          `json:"digest"`
 	Index          ids.Index       `json:"stamp"`
@@ -349,9 +363,9 @@
 	RemovedTargets []string        `json:"gone,omitempty"`
 }
 
-// FetchResponse is groups of one epoch, with the manifest if all were asked for; later
-// says in how many milliseconds to ask again, as too many fetch everything just now;
-// packed is the groups, deflated.
+// FetchResponse is groups of one epoch, with the manifest if all were asked for.
+// RetryAfterMillis is set when too many fetch everything just now. Packed is the groups,
+// deflated.
 type FetchResponse struct {
 	Epoch            ids.Epoch               `json:"epoch"`
 	RetryAfterMillis int64                   `json:"later,omitempty"`
@@ -360,12 +374,13 @@
 	Packed           []byte                  `json:"packed,omitempty"`
 }
 
-// FreshnessRequest renews freshness.
+// FreshnessRequest asks how old the control node's confirmations are.
 type FreshnessRequest struct {
 }
 
-// FreshnessResponse tells how old the confirmations are, in microseconds; below zero is
-// never. Binding is the last epoch that bore a change set or took a target away.
+// FreshnessResponse tells how old the confirmations of the configuration and of each
+// shard are, in microseconds; below zero is never. BindingEpoch is the last epoch that
+// bore a change set or took a target away.
 type FreshnessResponse struct {
 	Epoch          ids.Epoch `json:"epoch"`
 	BindingEpoch   ids.Epoch `json:"binding,omitempty"`
@@ -373,7 +388,8 @@
 	ShardAgeMicros []int64   `json:"parts"`
 }
 
-// CoordinationRequest is one call on the coordination state.
+// CoordinationRequest is one call on a space's locks, counters, keys or watches. TTL and
+// Wait are in milliseconds.
 type CoordinationRequest struct {
 	ID           string               `json:"id,omitempty"`
 	Operation    string               `json:"op"`
@@ -391,8 +407,8 @@
 	Records      []CoordinationRecord `json:"records,omitempty"`
 }
 
-// CoordinationResponse is the receipt of such a call; the code is zero when it was done;
-// rev is the space's own count.
+// CoordinationResponse is the response to such a call. Code is zero when it was done.
+// Revision is the space's own count.
 type CoordinationResponse struct {
 	Code         int                  `json:"code,omitempty"`
 	Note         string               `json:"note,omitempty"`
@@ -417,7 +433,7 @@
 	Deleted  bool            `json:"gone,omitempty"`
 }
 
-// CoordinationRecord is one name's state.
+// CoordinationRecord is the state of one name: a key, counter or lock.
 type CoordinationRecord struct {
 	Name         string          `json:"name"`
 	Kind         string          `json:"kind"`
@@ -431,13 +447,15 @@
 	Index        ids.Index       `json:"stamp"`
 }
 
-// CompletedRequest is the receipt kept for a request id.
+// CompletedRequest is the response kept for a request ID, so that a repeated request gets
+// it again.
 type CompletedRequest struct {
 	ID       string               `json:"id"`
 	Response CoordinationResponse `json:"receipt"`
 }
 
-// CoordinationState is the whole state of a data part.
+// CoordinationState is the complete coordination state of a data shard. Start is the
+// index from which watches can resume.
 type CoordinationState struct {
 	Records   []CoordinationRecord `json:"records"`
 	Completed []CompletedRequest   `json:"seen"`
@@ -447,13 +465,14 @@
 	Applied   ids.Index            `json:"applied"`
 }
 
-// WeightedService is one service's weight in a mapping.
+// WeightedService is one service's weight in a route.
 type WeightedService struct {
 	Service string `json:"service"`
 	Weight  int    `json:"weight"`
 }
 
-// Route leads requests to services.
+// Route leads requests to services. DeadlineMillis and LatencyTargetMillis are in
+// milliseconds.
 type Route struct {
 	Name                string            `json:"name"`
 	Host                string            `json:"host,omitempty"`
@@ -469,8 +488,8 @@
 	Source              json.RawMessage   `json:"source,omitempty"`
 }
 
-// Service is a group of servers that answer alike; pipes bounds the connections to each
-// of them from all proxies together.
+// Service is a group of targets that answer alike. MaxConnections bounds the connections
+// to each of them from all proxies together.
 type Service struct {
 	Name            string          `json:"name"`
 	Key             string          `json:"key,omitempty"`
@@ -479,7 +498,8 @@
 	Source          json.RawMessage `json:"source,omitempty"`
 }
 
-// Limit bounds a service over the whole fleet.
+// Limit bounds a service over the complete fleet: requests in flight, and retries as a
+// percentage of first requests and a base.
 type Limit struct {
 	Service      string `json:"service"`
 	MaxInFlight  int    `json:"inflight,omitempty"`
@@ -487,8 +507,8 @@
 	RetryBase    *int   `json:"extra_base,omitempty"`
 }
 
-// ClientLimits is what callers may send: bytes of a head and of a body, milliseconds for
-// a head and of idling.
+// ClientLimits bounds what clients may send: bytes of a header and of a body, and
+// milliseconds for a header and of idling.
 type ClientLimits struct {
 	HeaderBytes         int             `json:"header,omitempty"`
 	BodyBytes           int64           `json:"body,omitempty"`
@@ -497,7 +517,7 @@
 	Source              json.RawMessage `json:"source,omitempty"`
 }
 
-// Configuration is a whole configuration.
+// Configuration is a complete configuration.
 type Configuration struct {
 	Routes       []Route       `json:"mappings,omitempty"`
 	Services     []Service     `json:"services,omitempty"`
@@ -512,7 +532,7 @@
 	Limits   []string `json:"limits,omitempty"`
 }
 
-// ChangeSet is a change set: all of it is taken, or none.
+// ChangeSet is a change of the configuration: all of it is applied, or nothing.
 type ChangeSet struct {
 	ID          string        `json:"id"`
 	BaseEpoch   ids.Epoch     `json:"base"`
@@ -533,9 +553,9 @@
 	Version ids.Version `json:"version,omitempty"`
 }
 
-// EpochEntry is one entry of the configuration part: a whole epoch, as what differs from
-// the one before; memory is how many change sets all members remember from it on, 0 is an
-// older build's.
+// EpochEntry is one entry of the configuration shard: a complete epoch, as what differs
+// from the one before. ResultsKept is how many results of change sets all members
+// remember from this entry on; 0 comes from older builds.
 type EpochEntry struct {
 	Epoch       ids.Epoch                  `json:"epoch"`
 	Change      *ChangeResult              `json:"change,omitempty"`
@@ -544,7 +564,7 @@
 	Remove      []string                   `json:"drop,omitempty"`
 }
 
-// ConfigurationState is the whole state of the configuration part.
+// ConfigurationState is the complete state of the configuration shard.
 type ConfigurationState struct {
 	Epoch        ids.Epoch        `json:"epoch"`
 	ChangedEpoch ids.Epoch        `json:"changed"`
@@ -581,19 +601,19 @@
 	Service string `json:"service,omitempty"`
 }
 
-// UnansweredRequests tells other proxies of orders that were handed over and got no
-// answer, by the hash of method, path and caller's key.
+// UnansweredRequests tells other proxies of keyed requests that were handed to a target
+// and got no answer, by the hash of method, path and idempotency key.
 type UnansweredRequests struct {
 	Keys []uint64 `json:"keys"`
 }
 
-// FailureReport tells other proxies how often targets failed since the last word, by the
-// hash of service, instance and address.
+// FailureReport tells other proxies how often targets failed since the last report, by
+// the hash of service, instance and address.
 type FailureReport struct {
 	Failures map[string]int `json:"fails"`
 }
 
-// RangeDigestRequest names the digests of a part's ranges at a stamp.
+// RangeDigestRequest names the digests of a shard's key ranges at an index.
 type RangeDigestRequest struct {
 	Shard   ids.Shard         `json:"part"`
 	Term    ids.Term          `json:"term"`
@@ -601,15 +621,15 @@
 	Digests map[string]string `json:"digests"`
 }
 
-// RangeDigestResponse names the ranges that differ; none is said when the member is not
-// at that stamp.
+// RangeDigestResponse names the ranges that differ; none when the member is not at that
+// index.
 type RangeDigestResponse struct {
 	From            Peer     `json:"from"`
 	AtIndex         bool     `json:"is_there"`
 	DifferingRanges []string `json:"differ,omitempty"`
 }
 
-// RepairRequest carries whole ranges as they are at a stamp.
+// RepairRequest carries complete key ranges as they are at an index.
 type RepairRequest struct {
 	Shard  ids.Shard                  `json:"part"`
 	Term   ids.Term                   `json:"term"`
