--- a/cmd/sumac/main.go
+++ b/cmd/sumac/main.go
@@ -106,7 +106,7 @@
 			return errcode.New(errcode.BadProps, "data.folder: %v", err)
 		}
 	}
-	r := environment.New(ctx, p, eventlog.New(out, p.LogLevel, p.Name), environment.Host(p.WireAddress))
+	r := environment.New(ctx, p, eventlog.New(out, p.LogLevel, p.Name), environment.NewHost(p.WireAddress))
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	node, err := node.StartUnless(signals, r)
@@ -115,14 +115,14 @@
 	}
 	var failed <-chan struct{}
 	if node.Store != nil {
-		failed = node.Store.Failed
+		failed = node.Store.Corrupted
 	}
 	select {
 	case <-signals:
 		node.Stop()
 		return nil
 	case <-failed:
-		r.End()
+		r.Shutdown()
 		return errcode.New(errcode.StorageBroken, "%s", p.DataFolder)
 	}
 }
--- a/internal/consensus/antientropy.go
+++ b/internal/consensus/antientropy.go
@@ -45,7 +45,7 @@
 
 // repairLoop walks over the owned parts, one after another.
 func (n *Node) repairLoop() {
-	for shard := 0; n.env.Pause(compareInterval / time.Duration(len(n.replicas))); shard++ {
+	for shard := 0; n.env.Sleep(compareInterval / time.Duration(len(n.replicas))); shard++ {
 		if r := n.replicas[shard%len(n.replicas)]; r.IsServing() {
 			r.compareReplicas()
 		}
@@ -79,7 +79,7 @@
 	agreeing, disagreeing := 1, []rpc.Member{}
 	differing := map[ids.NodeName][]string{}
 	for _, peer := range voters {
-		m, ok := r.node.members.Of(peer.Name)
+		m, ok := r.node.members.Lookup(peer.Name)
 		if peer == r.node.self || !ok || m.ID != peer.ID {
 			continue
 		}
@@ -88,7 +88,7 @@
 			ctx, end := context.WithTimeout(r.node.env, compareTimeout)
 			err := r.node.transport.Ask(ctx, m.RPCAddress, "pact.compare", request, &response)
 			end()
-			if err != nil || response.AtIndex || !r.node.env.Pause(r.node.env.Props.PactRound) {
+			if err != nil || response.AtIndex || !r.node.env.Sleep(r.node.env.Config.PactRound) {
 				break
 			}
 		}
--- a/internal/consensus/bootstrap.go
+++ b/internal/consensus/bootstrap.go
@@ -21,7 +21,7 @@
 
 // bootstrap joins a fleet if there is one, or tries to found it.
 func (n *Node) bootstrap() {
-	cores := n.members.Cores()
+	cores := n.members.CoreMembers()
 	for _, m := range cores {
 		if m.Fleet == "" || m.Name == n.env.Name {
 			continue
@@ -35,7 +35,7 @@
 			return
 		}
 	}
-	self := n.members.Me()
+	self := n.members.Self()
 	sort.Slice(cores, func(i, j int) bool { return cores[i].Name < cores[j].Name })
 	var founders []rpc.Member
 	for _, m := range cores {
@@ -161,9 +161,9 @@
 		n.bootstrapTerm = request.Term
 		n.mu.Unlock()
 		raw, _ := json.Marshal(request.Term)
-		batch := n.store.Begin()
+		batch := n.store.NewBatch()
 		batch.Put("pledge", raw)
-		n.store.Hand(batch)
+		n.store.Submit(batch)
 		if err := batch.Wait(); err != nil {
 			return nil, err
 		}
@@ -194,9 +194,9 @@
 	}
 	n.charter, n.bootstrapTerm = charter, round
 	raw, _ := json.Marshal(charter)
-	batch := n.store.Begin()
+	batch := n.store.NewBatch()
 	batch.Put("charter", raw)
-	n.store.Hand(batch)
+	n.store.Submit(batch)
 	n.mu.Unlock()
 	if err := batch.Wait(); err != nil {
 		return err
@@ -215,12 +215,12 @@
 	for _, r := range n.replicas {
 		r.mu.Lock()
 		if r.snapshot.Index == 0 && len(r.snapshot.Voters) == 0 {
-			r.snapshot.Voters = PlaceVoters(r.shard, charter.Members, r.node.env.Props.PactLosses)
+			r.snapshot.Voters = PlaceVoters(r.shard, charter.Members, r.node.env.Config.PactLosses)
 			r.updateVoters()
 		}
 		r.electionTimerStart = r.node.env.Now()
 		r.mu.Unlock()
 	}
-	n.members.Amend(func(m *rpc.Member) { m.Fleet = charter.Fleet })
+	n.members.UpdateSelf(func(m *rpc.Member) { m.Fleet = charter.Fleet })
 	close(n.Bootstrapped)
 }
--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -27,11 +27,11 @@
 	if r.isLeader || r.isRemoved || !r.voters.Contains(r.node.self) {
 		return false
 	}
-	timeout := r.node.env.Props.PactSilence
+	timeout := r.node.env.Config.PactSilence
 	if r.lastLeaderContact.IsZero() {
 		// After a start, one round of a working owner is awaited; a member that
 		// hears one refuses whoever stands.
-		timeout = min(timeout, r.node.env.Props.PactRound*3/2)
+		timeout = min(timeout, r.node.env.Config.PactRound*3/2)
 	}
 	start := r.lastLeaderContact
 	if start.Before(r.electionTimerStart) {
@@ -60,7 +60,7 @@
 		return nil, err
 	}
 	response := &rpc.VoteResponse{From: r.node.self, CurrentTerm: r.currentTerm}
-	hasLiveLeader := !request.LeadershipTransfer && r.node.env.Since(r.lastLeaderContact) < r.node.env.Props.PactSilence*3/4 && !r.lastLeaderContact.IsZero()
+	hasLiveLeader := !request.LeadershipTransfer && r.node.env.Since(r.lastLeaderContact) < r.node.env.Config.PactSilence*3/4 && !r.lastLeaderContact.IsZero()
 	if response.NotMember = r.isRemovedCandidate(request); response.NotMember {
 		r.mu.Unlock()
 		return response, nil
@@ -72,7 +72,7 @@
 		r.node.runOnce(r.shard, func() { r.campaign(false) })
 		return response, nil
 	}
-	isConfirmedLeader := r.isLeader && !request.LeadershipTransfer && r.node.env.Since(r.confirmedAt()) < r.node.env.Props.PactSilence*3/4
+	isConfirmedLeader := r.isLeader && !request.LeadershipTransfer && r.node.env.Since(r.confirmedAt()) < r.node.env.Config.PactSilence*3/4
 	if !r.currentTerm.Less(request.Term) || hasLiveLeader || isConfirmedLeader {
 		r.mu.Unlock()
 		return response, nil
@@ -82,9 +82,9 @@
 	r.trace(TraceEvent{Kind: TraceTermRaised, Term: request.Term})
 	r.leaderMatchTerm, r.leaderMatchIndex = request.Term, 0
 	r.electionTimerStart = r.node.env.Now()
-	batch := r.node.store.Begin()
+	batch := r.node.store.NewBatch()
 	r.putCurrentTerm(batch)
-	r.node.store.Hand(batch)
+	r.node.store.Submit(batch)
 	response.Granted, response.CurrentTerm = true, request.Term
 	response.LastIndex, response.LastTerm = r.lastEntry()
 	response.Voters, response.OutgoingVoters = r.voters.Current, r.voters.Outgoing
@@ -189,9 +189,9 @@
 	r.currentTerm, r.leaderMatchTerm, r.leaderMatchIndex = term, term, 0
 	r.trace(TraceEvent{Kind: TraceTermRaised, Term: term})
 	r.electionTimerStart = r.node.env.Now()
-	batch := r.node.store.Begin()
+	batch := r.node.store.NewBatch()
 	r.putCurrentTerm(batch)
-	r.node.store.Hand(batch)
+	r.node.store.Submit(batch)
 	commit := r.commitIndex
 	own := &rpc.VoteResponse{From: r.node.self, Granted: true, Voters: r.voters.Current, OutgoingVoters: r.voters.Outgoing}
 	own.LastIndex, own.LastTerm = r.lastEntry()
@@ -208,10 +208,10 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.currentTerm != term || r.node.env.IsOver() {
+	if r.currentTerm != term || r.node.env.IsStopping() {
 		return
 	}
-	batch = r.node.store.Begin()
+	batch = r.node.store.NewBatch()
 	if best != own {
 		if best.Snapshot != nil && best.Snapshot.Index > r.commitIndex {
 			if err := r.installSnapshot(batch, best.Snapshot); err != nil {
@@ -226,7 +226,7 @@
 			if errcode.Is(err, errcode.Internal) {
 				r.reportCorruption(err.Error(), "from", string(best.From.Name))
 			}
-			r.node.store.Hand(batch)
+			r.node.store.Submit(batch)
 			return
 		}
 	}
@@ -355,7 +355,7 @@
 // checkQuorum gives up a part whose term no majority confirms any more.
 func (r *Replica) checkQuorum() {
 	r.mu.Lock()
-	if r.isLeader && r.node.env.Since(r.confirmedAt()) > 2*r.node.env.Props.PactSilence {
+	if r.isLeader && r.node.env.Since(r.confirmedAt()) > 2*r.node.env.Config.PactSilence {
 		r.stepDown("no majority in reach")
 	}
 	r.mu.Unlock()
@@ -372,7 +372,7 @@
 	term := r.currentTerm
 	var target *rpc.Member
 	for _, peer := range ElectionOrder(r.shard, r.voters.All()) {
-		m, ok := r.node.members.Of(peer.Name)
+		m, ok := r.node.members.Lookup(peer.Name)
 		if peer != r.node.self && ok && m.ID == peer.ID && r.matchIndex[peer] == last {
 			target = &m
 			break
--- a/internal/consensus/heartbeat.go
+++ b/internal/consensus/heartbeat.go
@@ -91,7 +91,7 @@
 	wakeup := time.NewTimer(1)
 	defer wakeup.Stop()
 	for {
-		pause := n.env.Props.PactRound
+		pause := n.env.Config.PactRound
 		select {
 		case <-ctx.Done():
 			return
@@ -102,7 +102,7 @@
 		case <-wakeup.C:
 		}
 		if !n.isVoterOfLedShard(peer) {
-			pause = n.env.Props.PactRound * idleHeartbeatFactor
+			pause = n.env.Config.PactRound * idleHeartbeatFactor
 		}
 		wakeup.Reset(pause)
 		claims := n.claims()
@@ -226,7 +226,7 @@
 		return voters.All()
 	}
 	var nearest []rpc.Peer
-	for _, m := range n.members.Cores() {
+	for _, m := range n.members.CoreMembers() {
 		peer := rpc.Peer{Name: m.Name, ID: m.ID}
 		if peer != n.self && containsPeer(current, peer) && len(nearest) < len(current)/2 {
 			nearest = append(nearest, peer)
--- a/internal/consensus/membership_change.go
+++ b/internal/consensus/membership_change.go
@@ -54,12 +54,12 @@
 // lostVoters is the members that came back under another birth, or are gone for
 // long.
 func (r *Replica) lostVoters(group []rpc.Peer) (lost []rpc.Peer) {
-	view, goneAfter := r.node.members.View(), r.node.env.Props.PactGone
+	view, goneAfter := r.node.members.View(), r.node.env.Config.PactGone
 	for _, peer := range group {
 		m, isKnown := view[peer.Name]
 		isReborn := isKnown && m.ID != peer.ID
 		isNeverSeen := !isKnown && r.node.env.Since(r.servingStart()) > goneAfter
-		isGone := isKnown && !r.node.members.IsLive(peer) && time.Since(m.Since) > goneAfter
+		isGone := isKnown && !r.node.members.IsLive(peer) && time.Since(m.StateChange) > goneAfter
 		if peer != r.node.self && (isReborn || isNeverSeen || isGone) {
 			lost = append(lost, peer)
 		}
@@ -106,11 +106,11 @@
 	}
 	for _, out := range lost {
 		isBack := assign(out, func(m rpc.Member) bool { return m.Name == out.Name })
-		if !isBack && isLongDead(view, out, r.node.env.Props.PactGone) {
+		if !isBack && isLongDead(view, out, r.node.env.Config.PactGone) {
 			assign(out, func(m rpc.Member) bool { return !isLost[m.Name] })
 		}
 	}
-	if size := ReplicationFactor(r.shard, len(cores), r.node.env.Props.PactLosses); len(lost) == 0 && len(group) < size {
+	if size := ReplicationFactor(r.shard, len(cores), r.node.env.Config.PactLosses); len(lost) == 0 && len(group) < size {
 		assign(rpc.Peer{}, func(rpc.Member) bool { return true })
 	}
 	return replacements
@@ -118,7 +118,7 @@
 
 // clusterCores is the core nodes of this fleet that seem live.
 func (r *Replica) clusterCores() (cores []rpc.Member) {
-	for _, m := range r.node.members.Cores() {
+	for _, m := range r.node.members.CoreMembers() {
 		if m.Fleet == r.node.clusterID() {
 			cores = append(cores, m)
 		}
@@ -157,7 +157,7 @@
 // again and has shown that its disk works, so that owners stay spread.
 func (r *Replica) returnToPreferredLeader(voters []rpc.Peer) {
 	preferred := ElectionOrder(r.shard, voters)[0]
-	if preferred == r.node.self || !r.node.members.IsLive(preferred) || time.Since(r.node.members.View()[preferred.Name].Since) < stableAfter || r.node.env.Since(r.servingStart()) < stableAfter {
+	if preferred == r.node.self || !r.node.members.IsLive(preferred) || time.Since(r.node.members.View()[preferred.Name].StateChange) < stableAfter || r.node.env.Since(r.servingStart()) < stableAfter {
 		return
 	}
 	ctx, end := context.WithTimeout(r.node.env, time.Second)
@@ -174,16 +174,16 @@
 			r.transferLeadership(ctx)
 			return
 		}
-		if !r.node.env.Pause(50 * time.Millisecond) {
+		if !r.node.env.Sleep(50 * time.Millisecond) {
 			return
 		}
 	}
 }
 
 // isLongDead tells whether a name has not been live, under any birth, for long.
-func isLongDead(view map[ids.NodeName]membership.Standing, peer rpc.Peer, goneAfter time.Duration) bool {
+func isLongDead(view map[ids.NodeName]membership.NodeState, peer rpc.Peer, goneAfter time.Duration) bool {
 	m, ok := view[peer.Name]
-	return !ok || m.State != membership.Alive && m.State != membership.Suspect && time.Since(m.Since) > goneAfter
+	return !ok || m.State != membership.StateAlive && m.State != membership.StateSuspect && time.Since(m.StateChange) > goneAfter
 }
 
 func (r *Replica) servingStart() time.Time {
@@ -232,7 +232,7 @@
 		case reached > 0 && reached+maxLearnerLag >= last:
 			return true
 		}
-		if !r.node.env.Pause(learnerPollInterval) {
+		if !r.node.env.Sleep(learnerPollInterval) {
 			return false
 		}
 	}
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -33,9 +33,9 @@
 
 // Node is all the parts of one core node.
 type Node struct {
-	env       *environment.Realm
+	env       *environment.Environment
 	transport *rpc.Wire
-	members   *membership.Kin
+	members   *membership.Memberlist
 	store     *storage.Store
 	self      rpc.Peer
 	replicas  []*Replica
@@ -70,14 +70,14 @@
 		return ids.MemberID(raw), nil
 	}
 	id := ids.NewMemberID()
-	batch := store.Begin()
+	batch := store.NewBatch()
 	batch.Put("birth", []byte(id))
-	store.Hand(batch)
+	store.Submit(batch)
 	return id, batch.Wait()
 }
 
-func New(env *environment.Realm, transport *rpc.Wire, members *membership.Kin, store *storage.Store, machines []StateMachine) (*Node, error) {
-	self := members.Me()
+func New(env *environment.Environment, transport *rpc.Wire, members *membership.Memberlist, store *storage.Store, machines []StateMachine) (*Node, error) {
+	self := members.Self()
 	n := &Node{env: env, transport: transport, members: members, store: store, self: rpc.Peer{Name: self.Name, ID: self.ID},
 		leaders: map[ids.Shard]leaderRecord{}, heartbeaters: map[rpc.Peer]*heartbeater{}, receivedClaims: map[rpc.Peer]claimSet{}, busy: map[ids.Shard]bool{}, snapshotSlots: map[rpc.Peer]chan struct{}{}, started: env.Now(), Bootstrapped: make(chan struct{})}
 	for shard, machine := range machines {
@@ -160,7 +160,7 @@
 	if err == nil && n.Charter() == nil {
 		err = errcode.New(errcode.NotOwner, "part %d: no charter is open here", shard)
 	}
-	if err == nil && n.store.Stalled() > diskStallTimeout {
+	if err == nil && n.store.StallTime() > diskStallTimeout {
 		err = errcode.New(errcode.StorageBroken, "part %d: the disk takes nothing", shard)
 	}
 	return r, err
@@ -228,7 +228,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	c, ok := n.leaders[shard]
-	return c.name, ok && n.env.Since(c.at) < n.env.Props.PactContact
+	return c.name, ok && n.env.Since(c.at) < n.env.Config.PactContact
 }
 
 // HasQuorumContact tells whether this node knows of late that a majority follows a part's
@@ -237,7 +237,7 @@
 // old state and not know it, so it gives nothing out.
 func (n *Node) HasQuorumContact(shard ids.Shard) bool {
 	if age, isServing := n.replicas[shard].ConfirmationAge(); isServing {
-		return age < n.env.Props.PactContact
+		return age < n.env.Config.PactContact
 	}
 	name, isKnown := n.Leader(shard)
 	return isKnown && name != n.env.Name
@@ -255,20 +255,20 @@
 	if last.Before(n.started) {
 		last = n.started
 	}
-	return n.env.Since(last) > n.env.Props.PactContact
+	return n.env.Since(last) > n.env.Config.PactContact
 }
 
 // supervise is the slow hand: founding, rounds to new peers, standing, membership.
 func (n *Node) supervise() {
 	tick := 0
-	for n.env.Pause(environment.Jitter(100 * time.Millisecond)) {
+	for n.env.Sleep(environment.Jitter(100 * time.Millisecond)) {
 		if n.Charter() == nil {
 			n.bootstrap()
 			continue
 		}
 		n.keepHeartbeats()
 		n.advertiseConfigVoter()
-		isStalled := n.store.Stalled() > diskStallTimeout
+		isStalled := n.store.StallTime() > diskStallTimeout
 		var due []*Replica
 		for _, r := range n.replicas {
 			if isStalled {
@@ -298,8 +298,8 @@
 	r.mu.Lock()
 	isVoter := r.voters.Contains(n.self)
 	r.mu.Unlock()
-	if n.members.Me().HoldsConfiguration != isVoter {
-		n.members.Amend(func(m *rpc.Member) { m.HoldsConfiguration = isVoter })
+	if n.members.Self().HoldsConfiguration != isVoter {
+		n.members.UpdateSelf(func(m *rpc.Member) { m.HoldsConfiguration = isVoter })
 	}
 }
 
@@ -351,9 +351,9 @@
 // awaitQuorumWithoutSelf waits until the other live members decide in every part without this
 // one, or until the time for it is over.
 func (n *Node) awaitQuorumWithoutSelf(ctx context.Context) {
-	began, longest := n.env.Now(), time.Duration(stopShare*float64(n.env.Props.StopGrace))
+	began, longest := n.env.Now(), time.Duration(stopShare*float64(n.env.Config.StopGrace))
 	for ctx.Err() == nil && n.env.Since(began) < longest && n.isNeededForQuorum() {
-		if !n.env.Pause(50 * time.Millisecond) {
+		if !n.env.Sleep(50 * time.Millisecond) {
 			return
 		}
 	}
@@ -370,7 +370,7 @@
 		var remaining []rpc.Peer
 		for _, peer := range voters.All() {
 			m := view[peer.Name]
-			if peer != n.self && m.ID == peer.ID && m.State == membership.Alive {
+			if peer != n.self && m.ID == peer.ID && m.State == membership.StateAlive {
 				remaining = append(remaining, peer)
 			}
 		}
@@ -381,4 +381,4 @@
 	return false
 }
 
-func (n *Node) log(event eventlog.Event, fields ...any) { n.env.Sign.Say(event, fields...) }
+func (n *Node) log(event eventlog.Event, fields ...any) { n.env.Events.Say(event, fields...) }
--- a/internal/consensus/prevote.go
+++ b/internal/consensus/prevote.go
@@ -37,7 +37,7 @@
 func (r *Replica) hasLiveLeader() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	timeout := r.node.env.Props.PactSilence
+	timeout := r.node.env.Config.PactSilence
 	hasContact := !r.lastLeaderContact.IsZero() && r.node.env.Since(r.lastLeaderContact) < timeout*3/4
 	hasVoted := r.leaderMatchTerm != ids.Term{} && r.node.env.Since(r.electionTimerStart) < timeout/2
 	return r.isLeader || hasContact || hasVoted
@@ -62,7 +62,7 @@
 	case <-n.env.Done():
 		return
 	}
-	for n.env.Pause(environment.Jitter(prevoteInterval)) && !n.IsStopping() {
+	for n.env.Sleep(environment.Jitter(prevoteInterval)) && !n.IsStopping() {
 		var shards []ids.Shard
 		for _, r := range n.replicas {
 			if r.hasNoLeaderContact() {
@@ -121,7 +121,7 @@
 	ctx, end := context.WithTimeout(n.env, prevoteTimeout)
 	defer end()
 	var cores []rpc.Member
-	for _, m := range n.members.Cores() {
+	for _, m := range n.members.CoreMembers() {
 		if m.Name != n.env.Name {
 			cores = append(cores, m)
 		}
--- a/internal/consensus/replica.go
+++ b/internal/consensus/replica.go
@@ -99,7 +99,7 @@
 		}
 	}
 	next := r.snapshot.Index + 1
-	err := r.node.store.Walk(r.key("e/"), func(key string, value []byte) error {
+	err := r.node.store.Scan(r.key("e/"), func(key string, value []byte) error {
 		var e rpc.Entry
 		if err := json.Unmarshal(value, &e); err != nil {
 			return errcode.New(errcode.StorageBroken, "part %d: %s: %v", r.shard, key, err)
--- a/internal/consensus/replica_test.go
+++ b/internal/consensus/replica_test.go
@@ -50,9 +50,9 @@
 			t.Fatal(err)
 		}
 		disk := leveldbstorage.NewMemStorage()
-		r := environment.New(context.Background(), p, eventlog.New(io.Discard, "debug", "core-A"), environment.Net{Store: func(string) (leveldbstorage.Storage, error) { return disk, nil }})
+		r := environment.New(context.Background(), p, eventlog.New(io.Discard, "debug", "core-A"), environment.Host{OpenStorage: func(string) (leveldbstorage.Storage, error) { return disk, nil }})
 		defer time.Sleep(time.Minute) // of virtual time: the store closes behind its last task
-		defer r.End()
+		defer r.Shutdown()
 		store, err := storage.Open(r)
 		if err != nil {
 			t.Fatal(err)
@@ -91,11 +91,11 @@
 func requireRejected(t *testing.T, part *Replica, machine *recordingMachine, what string, send func() error) {
 	t.Helper()
 	before, had := part.Status(), len(machine.commands)
-	counted := part.node.env.Sign.Counts()["MessageRefused"]
+	counted := part.node.env.Events.Counts()["MessageRefused"]
 	if err := send(); err == nil {
 		t.Errorf("%s: taken", what)
 	}
-	if part.node.env.Sign.Counts()["MessageRefused"] != counted+1 {
+	if part.node.env.Events.Counts()["MessageRefused"] != counted+1 {
 		t.Errorf("%s: no event tells of it", what)
 	}
 	if after := part.Status(); !cmp.Equal(before, after) || len(machine.commands) != had {
@@ -275,7 +275,7 @@
 			t.Errorf("one that may have been put back since is shut out: %+v, %v", response, err)
 		}
 		part.noteRemoved(true)
-		if !part.isRemoved || part.node.env.Sign.Counts()["MemberRemoved"] != 1 {
+		if !part.isRemoved || part.node.env.Events.Counts()["MemberRemoved"] != 1 {
 			t.Error("a member that was told does not rest")
 		}
 	})
--- a/internal/consensus/replication.go
+++ b/internal/consensus/replication.go
@@ -32,7 +32,7 @@
 	if e.Kind == entryMembershipChange {
 		r.updateVoters()
 	}
-	r.node.store.Hand(batch)
+	r.node.store.Submit(batch)
 	term := r.currentTerm
 	r.node.env.Go(func() {
 		if batch.Wait() != nil {
@@ -75,7 +75,7 @@
 		r.mu.Unlock()
 		return 0, nil, errcode.New(errcode.NotOwner, "part %d: the members have changed meanwhile", r.shard)
 	}
-	batch := r.node.store.Begin()
+	batch := r.node.store.NewBatch()
 	waiting := proposal{term: r.currentTerm, done: make(chan any, 1)}
 	last, _ := r.lastEntry()
 	r.proposals[last+1] = waiting
@@ -233,20 +233,20 @@
 		r.mu.Unlock()
 		return response, nil
 	}
-	batch := r.node.store.Begin()
+	batch := r.node.store.NewBatch()
 	r.becomeFollower(batch, request.Term)
 	response.CurrentTerm = request.Term
 	last, _ := r.lastEntry()
 	prevTerm, ok := r.termAt(request.PrevIndex)
 	isBelow := request.PrevIndex < r.snapshot.Index
 	if !isBelow && (!ok || prevTerm != request.PrevTerm) {
-		r.node.store.Hand(batch)
+		r.node.store.Submit(batch)
 		response.MatchIndex = min(r.commitIndex, last)
 		r.mu.Unlock()
 		return response, batch.Wait()
 	}
 	if err := r.mergeEntries(batch, request.Entries); err != nil {
-		r.node.store.Hand(batch)
+		r.node.store.Submit(batch)
 		if errcode.Is(err, errcode.Internal) {
 			r.reportCorruption(err.Error(), "from", string(request.From.Name))
 		} else {
@@ -255,7 +255,7 @@
 		r.mu.Unlock()
 		return nil, err
 	}
-	r.node.store.Hand(batch)
+	r.node.store.Submit(batch)
 	response.Success, response.MatchIndex = true, max(request.PrevIndex+ids.Index(len(request.Entries)), r.snapshot.Index)
 	r.leaderMatchIndex = max(r.leaderMatchIndex, response.MatchIndex)
 	r.advanceCommit(min(request.Commit, r.leaderMatchIndex))
--- a/internal/consensus/snapshot.go
+++ b/internal/consensus/snapshot.go
@@ -51,7 +51,7 @@
 // maybeCompact makes a snapshot when the log has grown long; the state is written out while
 // the part goes on.
 func (r *Replica) maybeCompact() {
-	threshold := r.node.env.Props.PactSnapshot
+	threshold := r.node.env.Config.PactSnapshot
 	if r.snapshotsInFlight > 0 {
 		threshold *= logGrowthWhileSending
 	}
@@ -65,7 +65,7 @@
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		r.isCompacting = false
-		if err == nil && index > r.snapshot.Index && !r.node.env.IsOver() {
+		if err == nil && index > r.snapshot.Index && !r.node.env.IsStopping() {
 			r.compact(index, state)
 		}
 	})
@@ -82,7 +82,7 @@
 func (r *Replica) compact(index ids.Index, state json.RawMessage) {
 	term, _ := r.termAt(index)
 	voters, _ := r.votersAsOf(index)
-	batch := r.node.store.Begin()
+	batch := r.node.store.NewBatch()
 	compacted := r.entries[:index-r.snapshot.Index]
 	for _, e := range compacted {
 		batch.Delete(r.entryKey(e.Index))
@@ -93,15 +93,15 @@
 	raw, _ := json.Marshal(r.snapshot)
 	batch.Put(r.key("base"), raw)
 	r.votersIndex = max(r.votersIndex, index)
-	r.node.store.Hand(batch)
+	r.node.store.Submit(batch)
 }
 
 // retainTail keeps the newest of the entries that a snapshot holds, by number and bytes.
 func (r *Replica) retainTail(compacted []rpc.Entry) {
 	candidates := append(append([]rpc.Entry(nil), r.retained...), compacted...)
 	start, size := len(candidates), 0
-	for start > 0 && len(candidates)-start < r.node.env.Props.PactTail {
-		if size += len(candidates[start-1].Body); size > r.node.env.Props.PactTailBytes {
+	for start > 0 && len(candidates)-start < r.node.env.Config.PactTail {
+		if size += len(candidates[start-1].Body); size > r.node.env.Config.PactTailBytes {
 			break
 		}
 		start--
@@ -175,7 +175,7 @@
 		}
 		size := int64(len(snapshot.data))
 		request := &rpc.SnapshotChunkRequest{Shard: r.shard, Term: term, From: r.node.self, Index: snapshot.index, SnapshotTerm: snapshot.term, Digest: snapshot.digest, Size: size, Offset: offset}
-		request.Data = snapshot.data[offset:min(size, offset+int64(r.node.env.Props.PactChunk))]
+		request.Data = snapshot.data[offset:min(size, offset+int64(r.node.env.Config.PactChunk))]
 		limited, end := context.WithTimeout(ctx, appendTimeout)
 		var response rpc.SnapshotChunkResponse
 		err := r.node.transport.Ask(limited, m.RPCAddress, "pact.chunk", request, &response)
@@ -240,12 +240,12 @@
 		r.mu.Unlock()
 		return response, nil
 	}
-	batch := r.node.store.Begin()
+	batch := r.node.store.NewBatch()
 	r.becomeFollower(batch, request.Term)
 	response.CurrentTerm = request.Term
 	err := r.addChunk(batch, request, response)
 	// The promise that the batch may bear is in memory already.
-	r.node.store.Hand(batch)
+	r.node.store.Submit(batch)
 	if err != nil {
 		r.incomingSnapshot = nil
 		r.node.log(eventlog.MessageRefused, "kind", "pact.chunk", "part", int(r.shard), "from", string(request.From.Name), "cause", err.Error())
--- a/internal/controlplane/news.go
+++ b/internal/controlplane/news.go
@@ -25,8 +25,8 @@
 	for shard := range r.stores {
 		replica := r.consensus.Replica(ids.Shard(shard))
 		term, since, isServing := replica.LeadershipSince()
-		warmingUp := r.env.Since(since) < r.env.Props.PlanSettle
-		if !isServing || warmingUp && !r.env.Props.PlanKeep || replica.ConfirmLeadership(ctx, began) != nil {
+		warmingUp := r.env.Since(since) < r.env.Config.PlanSettle
+		if !isServing || warmingUp && !r.env.Config.PlanKeep || replica.ConfirmLeadership(ctx, began) != nil {
 			continue
 		}
 		lists := r.targetLists(ids.Shard(shard), term, warmingUp)
@@ -63,7 +63,7 @@
 				out = m.Holder
 			case target.heartbeat.State != StateServing:
 				out = target.heartbeat.State
-			case sinceLastSeen >= r.env.Props.PlanSilence:
+			case sinceLastSeen >= r.env.Config.PlanSilence:
 				out = StateTimedOut
 			}
 			if isIn := out == ""; isIn != target.inRotation {
@@ -72,7 +72,7 @@
 				if isIn {
 					event = eventlog.TargetIn
 				}
-				r.env.Sign.Say(event, "service", service, "instance", instance, "address", target.heartbeat.Address, "why", out)
+				r.env.Events.Say(event, "service", service, "instance", instance, "address", target.heartbeat.Address, "why", out)
 			}
 			if sinceLastSeen > departedRetention {
 				if isMarked {
--- a/internal/controlplane/planner.go
+++ b/internal/controlplane/planner.go
@@ -29,14 +29,14 @@
 
 // Planner is one core node's.
 type Planner struct {
-	env       *environment.Realm
+	env       *environment.Environment
 	transport *rpc.Wire
-	members   *membership.Kin
+	members   *membership.Memberlist
 	replica   *consensus.Replica
 	config    *ConfigState
 	trigger   chan struct{}
 
-	planning          environment.Turn
+	planning          environment.ChanMutex
 	mu                sync.Mutex
 	term              ids.Term
 	reports           map[ids.Shard]*shardReport
@@ -49,8 +49,8 @@
 	awaitsAddressRelease bool // a target waits for the epoch after the one planned last
 }
 
-func NewPlanner(env *environment.Realm, transport *rpc.Wire, members *membership.Kin, node *consensus.Node, config *ConfigState) *Planner {
-	p := &Planner{env: env, transport: transport, members: members, replica: node.Replica(ids.ConfigShard), config: config, trigger: make(chan struct{}, 1), reportedConflicts: map[addressConflict]bool{}, startedAt: env.Now(), planning: environment.NewTurn()}
+func NewPlanner(env *environment.Environment, transport *rpc.Wire, members *membership.Memberlist, node *consensus.Node, config *ConfigState) *Planner {
+	p := &Planner{env: env, transport: transport, members: members, replica: node.Replica(ids.ConfigShard), config: config, trigger: make(chan struct{}, 1), reportedConflicts: map[addressConflict]bool{}, startedAt: env.Now(), planning: environment.NewChanMutex()}
 	p.reset(ids.Term{})
 	return p
 }
@@ -74,14 +74,14 @@
 			case <-wakeup.C:
 			}
 			// What is stirred up together is planned together.
-			if !p.env.Pause(p.env.Props.PlanGather) {
+			if !p.env.Sleep(p.env.Config.PlanGather) {
 				return
 			}
 			select {
 			case <-p.trigger:
 			default:
 			}
-			wakeup.Reset(p.env.Props.PlanPoll)
+			wakeup.Reset(p.env.Config.PlanPoll)
 			if term, _, isServing := p.replica.LeadershipSince(); isServing {
 				p.collectReports(term)
 				p.planEpoch(p.env, nil, nil)
@@ -112,7 +112,7 @@
 	ctx, end := context.WithTimeout(p.env, 400*time.Millisecond)
 	defer end()
 	var all sync.WaitGroup
-	for _, m := range p.members.Cores() {
+	for _, m := range p.members.CoreMembers() {
 		all.Add(1)
 		p.env.Go(func() {
 			defer all.Done()
@@ -191,7 +191,7 @@
 	}
 	p.mu.Unlock()
 	if change != nil {
-		change.Epoch, planned.ResultsKept = planned.Epoch, p.env.Props.PlanMemory
+		change.Epoch, planned.ResultsKept = planned.Epoch, p.env.Config.PlanMemory
 	}
 	if len(planned.Put)+len(planned.Remove) > 0 || change != nil {
 		_, applied, err := p.replica.Propose(ctx, planned)
@@ -238,11 +238,11 @@
 	for name, m := range p.members.View() {
 		// One that went is kept for a while: most come back at once, and a share that
 		// is too small does no harm, where an epoch for each coming and going does.
-		if m.ProxyAddress != "" && (m.State == membership.Alive || m.State == membership.Suspect || time.Since(m.Since) < p.env.Props.PlanLinger) {
+		if m.ProxyAddress != "" && (m.State == membership.StateAlive || m.State == membership.StateSuspect || time.Since(m.StateChange) < p.env.Config.PlanLinger) {
 			shares[name] = m.Strength
 		}
 	}
-	if p.env.Since(p.startedAt) < p.env.Props.PlanLinger {
+	if p.env.Since(p.startedAt) < p.env.Config.PlanLinger {
 		// Whoever has just started does not know yet who is there.
 		var before map[ids.NodeName]int
 		json.Unmarshal(p.config.Current().Groups[SharesGroup].Data, &before)
@@ -278,7 +278,7 @@
 	for _, c := range clashes {
 		if !p.reportedConflicts[c] {
 			p.reportedConflicts[c] = true
-			p.env.Sign.Say(eventlog.AddressClash, "address", c.address, "one", c.first, "two", c.second)
+			p.env.Events.Say(eventlog.AddressClash, "address", c.address, "one", c.first, "two", c.second)
 		}
 	}
 	for _, s := range services {
--- a/internal/controlplane/roll.go
+++ b/internal/controlplane/roll.go
@@ -39,7 +39,7 @@
 
 // TargetRegistry is one core node's, over all parts.
 type TargetRegistry struct {
-	env       *environment.Realm
+	env       *environment.Environment
 	consensus *consensus.Node
 	stores    []*coordination.Book
 	config    *ConfigState
@@ -60,7 +60,7 @@
 	digest string
 }
 
-func NewTargetRegistry(env *environment.Realm, node *consensus.Node, stores []*coordination.Book, config *ConfigState) *TargetRegistry {
+func NewTargetRegistry(env *environment.Environment, node *consensus.Node, stores []*coordination.Book, config *ConfigState) *TargetRegistry {
 	return &TargetRegistry{env: env, consensus: node, stores: stores, config: config, targets: map[ids.Shard]map[string]map[string]*targetRecord{}, terms: map[ids.Shard]ids.Term{}, lastReports: map[ids.Shard]reportedLists{}}
 }
 
@@ -97,7 +97,7 @@
 // HandleHeartbeat folds one beat into the part owned here.
 func (r *TargetRegistry) HandleHeartbeat(ctx context.Context, heartbeat *rpc.TargetHeartbeat) error {
 	if err := ValidateHeartbeat(heartbeat); err != nil {
-		r.env.Sign.Say(eventlog.BeatRefused, "service", heartbeat.Service, "instance", heartbeat.Instance, "cause", err.Error())
+		r.env.Events.Say(eventlog.BeatRefused, "service", heartbeat.Service, "instance", heartbeat.Instance, "cause", err.Error())
 		return err
 	}
 	shard := ids.ShardOf(heartbeat.Service)
@@ -106,8 +106,8 @@
 	if !isServing {
 		return errcode.New(errcode.NotOwner, "part %d", shard)
 	}
-	if epoch := r.config.Current(); !r.env.Props.PlanStrangers && epoch.Epoch > 0 && !epoch.HasService(heartbeat.Service) {
-		r.env.Sign.Say(eventlog.BeatRefused, "service", heartbeat.Service, "instance", heartbeat.Instance, "cause", "no such service")
+	if epoch := r.config.Current(); !r.env.Config.PlanStrangers && epoch.Epoch > 0 && !epoch.HasService(heartbeat.Service) {
+		r.env.Events.Say(eventlog.BeatRefused, "service", heartbeat.Service, "instance", heartbeat.Instance, "cause", "no such service")
 		return errcode.New(errcode.UnknownService, "%q", heartbeat.Service)
 	}
 	name := heartbeat.Service + "/" + heartbeat.Instance
@@ -128,7 +128,7 @@
 		r.mu.Unlock()
 		return nil
 	}
-	isNew := target == nil || r.env.Since(target.lastSeen) >= r.env.Props.PlanSilence || !isOld && changesTarget(&target.heartbeat, heartbeat)
+	isNew := target == nil || r.env.Since(target.lastSeen) >= r.env.Config.PlanSilence || !isOld && changesTarget(&target.heartbeat, heartbeat)
 	if target == nil {
 		target = &targetRecord{firstSeen: r.env.Now(), warmUp: heartbeat.SlowStartMillis}
 		instances[heartbeat.Instance] = target
@@ -181,11 +181,11 @@
 }
 
 // waitForPropagation lets a moment pass between what is in force and the word that it is.
-func waitForPropagation(ctx context.Context, env *environment.Realm) {
-	if env.Props.PlanHold == 0 {
+func waitForPropagation(ctx context.Context, env *environment.Environment) {
+	if env.Config.PlanHold == 0 {
 		return
 	}
-	wakeup := time.NewTimer(env.Props.PlanHold)
+	wakeup := time.NewTimer(env.Config.PlanHold)
 	defer wakeup.Stop()
 	select {
 	case <-wakeup.C:
--- a/internal/controlplane/settle_test.go
+++ b/internal/controlplane/settle_test.go
@@ -102,7 +102,7 @@
 // newRoll is a roll without a fleet.
 func newRoll(t *testing.T) *TargetRegistry {
 	p := &config.Props{Name: "n", PlanSilence: time.Hour}
-	r := environment.New(t.Context(), p, eventlog.New(io.Discard, "info", "n"), environment.Net{})
+	r := environment.New(t.Context(), p, eventlog.New(io.Discard, "info", "n"), environment.Host{})
 	var books []*coordination.Book
 	for range ids.ShardCount {
 		books = append(books, coordination.NewBook())
--- a/internal/controlplane/submit.go
+++ b/internal/controlplane/submit.go
@@ -43,7 +43,7 @@
 	}
 	if err != nil {
 		if !errcode.Is(err, errcode.ChangeReused) {
-			p.env.Sign.Say(eventlog.ChangeRefused, "id", change.ID, "code", errcode.Of(err).Code.No)
+			p.env.Events.Say(eventlog.ChangeRefused, "id", change.ID, "code", errcode.Of(err).Code.No)
 		}
 		return nil, false, err
 	}
@@ -54,7 +54,7 @@
 		}
 		return nil, false, errcode.New(errcode.ChangeUnknown, "%v", err)
 	}
-	p.env.Sign.Say(eventlog.ChangeAccepted, "id", change.ID, "epoch", uint64(receipt.Epoch))
+	p.env.Events.Say(eventlog.ChangeAccepted, "id", change.ID, "epoch", uint64(receipt.Epoch))
 	return receipt, true, nil
 }
 
--- a/internal/coordination/claim.go
+++ b/internal/coordination/claim.go
@@ -99,7 +99,7 @@
 
 func (d *Desk) write(no ids.Shard, now *gathering) {
 	defer close(now.done)
-	isOn := d.r.Pause(gatherPause)
+	isOn := d.r.Sleep(gatherPause)
 	d.mu.Lock()
 	delete(d.gathered, no)
 	d.mu.Unlock()
--- a/internal/coordination/desk.go
+++ b/internal/coordination/desk.go
@@ -27,7 +27,7 @@
 // Desk is one core node's.
 type Desk struct {
 	past  [ids.ShardCount][]moment
-	r     *environment.Realm
+	r     *environment.Environment
 	p     *consensus.Node
 	books []*Book
 
@@ -38,14 +38,14 @@
 	gathered map[ids.Shard]*gathering
 }
 
-func NewDesk(r *environment.Realm, p *consensus.Node, books []*Book) *Desk {
+func NewDesk(r *environment.Environment, p *consensus.Node, books []*Book) *Desk {
 	return &Desk{r: r, p: p, books: books, terms: map[ids.Shard]ids.Term{}, grants: map[ids.Shard]map[string]*grant{}, gathered: map[ids.Shard]*gathering{}}
 }
 
 // Open starts to watch over the grants.
 func (d *Desk) Open() {
 	d.r.Go(func() {
-		for i := 0; d.r.Pause(100 * time.Millisecond); i++ {
+		for i := 0; d.r.Sleep(100 * time.Millisecond); i++ {
 			for no := range d.books {
 				d.expire(ids.Shard(no))
 				if i%100 == 0 {
@@ -215,7 +215,7 @@
 		case <-going:
 		case <-ctx.Done():
 		}
-		if ctx.Err() != nil || d.r.IsOver() {
+		if ctx.Err() != nil || d.r.IsStopping() {
 			return nil, errcode.New(errcode.NoOwner, "part %d: the old grant can't be taken back", no)
 		}
 	}
--- a/internal/distribution/age.go
+++ b/internal/distribution/age.go
@@ -13,7 +13,7 @@
 func (c *Client) swap(epoch ids.Epoch, manifest map[string]rpc.GroupVersion, made time.Time) (bool, error) {
 	ok, err := c.Cache.Swap(epoch, manifest)
 	if ok && err == nil {
-		c.r.Times.Epoch.Take(time.Since(made))
+		c.r.Latencies.Epoch.Take(time.Since(made))
 	}
 	return ok, err
 }
--- a/internal/distribution/client.go
+++ b/internal/distribution/client.go
@@ -37,9 +37,9 @@
 
 // Client is one proxy's.
 type Client struct {
-	r     *environment.Realm
+	r     *environment.Environment
 	w     *rpc.Wire
-	k     *membership.Kin
+	k     *membership.Memberlist
 	Cache *Cache
 	ages  atomic.Pointer[Vouched]
 	word  atomic.Pointer[time.Time] // when anything last came from a control node
@@ -54,12 +54,12 @@
 
 	mu        sync.Mutex
 	listening map[ids.NodeName]string
-	fetching  environment.Turn
+	fetching  environment.ChanMutex
 	isFresh   bool
 }
 
-func NewClient(r *environment.Realm, w *rpc.Wire, k *membership.Kin) *Client {
-	c := &Client{r: r, w: w, k: k, born: r.Now(), Cache: NewCache(r.Sign), listening: map[ids.NodeName]string{}, fetching: environment.NewTurn()}
+func NewClient(r *environment.Environment, w *rpc.Wire, k *membership.Memberlist) *Client {
+	c := &Client{r: r, w: w, k: k, born: r.Now(), Cache: NewCache(r.Events), listening: map[ids.NodeName]string{}, fetching: environment.NewChanMutex()}
 	c.ages.Store(&Vouched{})
 	return c
 }
@@ -78,7 +78,7 @@
 				c.r.Go(func() { c.listen(m.Name, m.RPCAddress) })
 			}
 		}
-		if !c.r.Pause(500 * time.Millisecond) {
+		if !c.r.Sleep(500 * time.Millisecond) {
 			return
 		}
 	}
@@ -87,14 +87,14 @@
 // servers is the control nodes listened to: all, or the nearest few, of which one
 // at least stands in another zone if there is one.
 func (c *Client) servers() []rpc.Member {
-	cores, most := c.k.Keepers(), c.r.Props.FlowServers
+	cores, most := c.k.ConfigReplicas(), c.r.Config.FlowServers
 	if most == 0 || len(cores) <= most {
 		return cores
 	}
 	some := cores[:most:most]
-	if most > 1 && some[most-1].Zone == c.r.Props.Zone {
+	if most > 1 && some[most-1].Zone == c.r.Config.Zone {
 		for _, m := range cores[most:] {
-			if m.Zone != c.r.Props.Zone {
+			if m.Zone != c.r.Config.Zone {
 				some[most-1] = m
 				break
 			}
@@ -114,7 +114,7 @@
 		c.mu.Unlock()
 	}()
 	tries := 0
-	for !c.r.IsOver() {
+	for !c.r.IsStopping() {
 		if !slices.ContainsFunc(c.servers(), func(m rpc.Member) bool { return m.Name == name && m.RPCAddress == address }) {
 			return
 		}
@@ -123,17 +123,17 @@
 		switch {
 		case err != nil:
 			tries++
-			c.r.Sign.Say(eventlog.ListenFailed, "node", string(name), "tries", tries, "cause", err.Error())
-			pause = c.r.Props.FlowRetry
-			if tries >= c.r.Props.FlowTries {
-				tries, pause = 0, c.r.Props.FlowCool
+			c.r.Events.Say(eventlog.ListenFailed, "node", string(name), "tries", tries, "cause", err.Error())
+			pause = c.r.Config.FlowRetry
+			if tries >= c.r.Config.FlowTries {
+				tries, pause = 0, c.r.Config.FlowCool
 			}
 		case !isNewer:
-			tries, pause = 0, c.r.Props.FlowPause
+			tries, pause = 0, c.r.Config.FlowPause
 		default:
 			tries = 0
 		}
-		if pause > 0 && !c.r.Pause(environment.Jitter(pause)) {
+		if pause > 0 && !c.r.Sleep(environment.Jitter(pause)) {
 			return
 		}
 	}
@@ -142,14 +142,14 @@
 // poll is one held listener request and, if it names groups, their fetch.
 func (c *Client) poll(life context.Context, address string) (isNewer bool, err error) {
 	epoch, have := c.Cache.Have()
-	ctx, end := context.WithTimeout(life, c.r.Props.FlowHold+2*time.Second)
+	ctx, end := context.WithTimeout(life, c.r.Config.FlowHold+2*time.Second)
 	defer end()
 	var receipt rpc.ListenResponse
 	ask := &rpc.ListenRequest{Epoch: epoch, Versions: have}
 	if chart := c.Cache.Chart(); chart != nil && chart.Epoch == epoch {
 		ask.CombinedDigest, ask.Versions = chart.sum, nil
 		near := c.servers()
-		ask.AcceptsDeltas = c.r.Props.FlowServers > 0 && len(near) > 0 && near[0].RPCAddress == address
+		ask.AcceptsDeltas = c.r.Config.FlowServers > 0 && len(near) > 0 && near[0].RPCAddress == address
 	}
 	if err := c.w.Ask(ctx, address, "flow.listen", ask, &receipt); err != nil {
 		return false, err
@@ -174,7 +174,7 @@
 	c.leaveToNear(address)
 	// Groups are fetched once, but nobody waits long for another's fetch: its control
 	// node may have gone.
-	if c.fetching.LockWithin(fetchTurn) {
+	if c.fetching.TryLockFor(fetchTurn) {
 		defer c.fetching.Unlock()
 	}
 	if now, _ := c.Cache.Have(); receipt.Epoch <= now {
@@ -205,7 +205,7 @@
 // leaveToNear gives the listener of a control node in the own zone a moment to
 // fetch first, if there is one, so that groups seldom come from another zone.
 func (c *Client) leaveToNear(address string) {
-	if cores := c.k.Keepers(); !c.k.IsNear(address) && len(cores) > 0 && c.k.IsNear(cores[0].RPCAddress) {
-		c.r.Pause(nearPause)
+	if cores := c.k.ConfigReplicas(); !c.k.InOwnZone(address) && len(cores) > 0 && c.k.InOwnZone(cores[0].RPCAddress) {
+		c.r.Sleep(nearPause)
 	}
 }
--- a/internal/distribution/fresh.go
+++ b/internal/distribution/fresh.go
@@ -64,16 +64,16 @@
 	if chart == nil {
 		return false
 	}
-	if stay := c.r.Props.FlowStay; stay > 0 {
+	if stay := c.r.Config.FlowStay; stay > 0 {
 		word := c.word.Load()
 		if word == nil || c.r.Since(*word) >= stay {
 			return false
 		}
-		behind := c.r.Props.FlowBehind
+		behind := c.r.Config.FlowBehind
 		return behind == 0 || c.isNewest(chart, behind)
 	}
 	held := c.ages.Load()
-	no, bound := ids.ShardOf(service), c.r.Props.FlowFresh
+	no, bound := ids.ShardOf(service), c.r.Config.FlowFresh
 	for _, a := range []*Ages{&held.Newest, &held.Before} {
 		if a.Epoch <= chart.Epoch && c.r.Since(a.Config) < bound && a.Config.After(c.born) && (service == "" || c.r.Since(a.Parts[no]) < bound) {
 			return true
@@ -102,13 +102,13 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	chart, ages := c.Cache.Chart(), c.Ages()
-	isFresh := chart != nil && chart.Epoch >= ages.Epoch && c.r.Since(ages.Config) < max(c.r.Props.FlowFresh, 3*c.r.Props.FlowPulse)
+	isFresh := chart != nil && chart.Epoch >= ages.Epoch && c.r.Since(ages.Config) < max(c.r.Config.FlowFresh, 3*c.r.Config.FlowPulse)
 	if isFresh != c.isFresh {
 		c.isFresh = isFresh
 		if isFresh {
-			c.r.Sign.Say(eventlog.FreshAgain, "epoch", uint64(ages.Epoch))
+			c.r.Events.Say(eventlog.FreshAgain, "epoch", uint64(ages.Epoch))
 		} else {
-			c.r.Sign.Say(eventlog.FreshLost, "epoch", uint64(ages.Epoch))
+			c.r.Events.Say(eventlog.FreshLost, "epoch", uint64(ages.Epoch))
 		}
 	}
 }
--- a/internal/distribution/fresh_test.go
+++ b/internal/distribution/fresh_test.go
@@ -15,7 +15,7 @@
 // A proxy that is one epoch behind serves on unless that epoch binds.
 func TestOnlyAnEpochThatBindsMakesAChartOld(t *testing.T) {
 	const bound = time.Hour
-	r := environment.New(t.Context(), &config.Props{FlowStay: 24 * time.Hour, FlowBehind: bound}, eventlog.New(io.Discard, "info", "n"), environment.Net{Slept: func() time.Duration { return 0 }})
+	r := environment.New(t.Context(), &config.Props{FlowStay: 24 * time.Hour, FlowBehind: bound}, eventlog.New(io.Discard, "info", "n"), environment.Host{SuspendedTime: func() time.Duration { return 0 }})
 	for _, one := range []struct {
 		epoch, binding ids.Epoch
 		age            time.Duration
@@ -26,7 +26,7 @@
 		{7, 9, 0, true},  // nonsense: what is told of no epoch binds as the epoch does
 		{8, 3, bound, false}, {7, 3, bound, false},
 	} {
-		c := &Client{r: r, Cache: NewCache(r.Sign)}
+		c := &Client{r: r, Cache: NewCache(r.Events)}
 		c.ages.Store(&Vouched{})
 		c.renew(r.Now(), &rpc.FreshnessResponse{Epoch: one.epoch, BindingEpoch: one.binding, AgeMicros: one.age.Microseconds(), ShardAgeMicros: make([]int64, ids.ShardCount)})
 		if got := c.IsFresh(&Chart{Epoch: 7}, "rates"); got != one.isFresh {
--- a/internal/distribution/pack.go
+++ b/internal/distribution/pack.go
@@ -32,7 +32,7 @@
 	if len(receipt.Packed) == 0 {
 		return receipt, nil
 	}
-	groups, err := unpack(receipt.Packed, int64(c.r.Props.WireLine))
+	groups, err := unpack(receipt.Packed, int64(c.r.Config.WireLine))
 	if err != nil {
 		return nil, errcode.New(errcode.BadMessage, "flow.fetch from %s: %v", address, err)
 	}
--- a/internal/distribution/pulse.go
+++ b/internal/distribution/pulse.go
@@ -27,20 +27,20 @@
 // while none answers, so that word comes soon after the way to one is back.
 func (c *Client) pulse() {
 	c.isAnswered.Store(true)
-	for c.r.Pause(environment.Jitter(c.pulsePause())) {
-		cores := c.k.Keepers()
+	for c.r.Sleep(environment.Jitter(c.pulsePause())) {
+		cores := c.k.ConfigReplicas()
 		if !c.isAnswered.Load() || len(cores) == 0 {
 			// Those held for down here may be back: nothing hangs on that opinion.
 			cores = append(cores[:len(cores):len(cores)], c.lostKeepers()...)
 		}
 		c.goHome()
-		if behind := c.r.Props.FlowBehind; behind > 0 {
+		if behind := c.r.Config.FlowBehind; behind > 0 {
 			c.pulseBeside(cores, behind)
 			continue
 		}
 		isAnswered := false
 		for range min(pulseTries, len(cores)) {
-			if isAnswered = c.pulseTo(cores, min(c.r.Props.FlowPulse, 400*time.Millisecond)+100*time.Millisecond); isAnswered {
+			if isAnswered = c.pulseTo(cores, min(c.r.Config.FlowPulse, 400*time.Millisecond)+100*time.Millisecond); isAnswered {
 				break
 			}
 		}
@@ -101,7 +101,7 @@
 // goHome has the nearest asked again some time after it was passed by, where no request
 // hangs on each pulse: what goes to another zone costs more.
 func (c *Client) goHome() {
-	if at := c.picked.Load(); c.r.Props.FlowStay > 0 && at != nil && c.r.Since(*at) > homeTime {
+	if at := c.picked.Load(); c.r.Config.FlowStay > 0 && at != nil && c.r.Since(*at) > homeTime {
 		c.pick.Store(0)
 		c.picked.Store(nil)
 	}
@@ -110,7 +110,7 @@
 // lostKeepers is who of those held for down, without a word that they go, held the
 // configuration; all core nodes of them if none is known to.
 func (c *Client) lostKeepers() []rpc.Member {
-	cores := slices.DeleteFunc(c.k.Lost(), func(m rpc.Member) bool { return !m.Core })
+	cores := slices.DeleteFunc(c.k.RecentlyDead(), func(m rpc.Member) bool { return !m.Core })
 	if keepers := slices.DeleteFunc(slices.Clone(cores), func(m rpc.Member) bool { return !m.HoldsConfiguration }); len(keepers) > 0 {
 		return keepers
 	}
@@ -120,8 +120,8 @@
 // meet lets one that was held for down and has answered be known to be there, and
 // through its list all that it knows.
 func (c *Client) meet(m rpc.Member) {
-	if _, isKnown := c.k.Of(m.Name); !isKnown {
-		c.r.Go(func() { c.k.Sync(m.RPCAddress) })
+	if _, isKnown := c.k.Lookup(m.Name); !isKnown {
+		c.r.Go(func() { c.k.PushPull(m.RPCAddress) })
 	}
 }
 
@@ -138,7 +138,7 @@
 	}
 	c.r.Go(func() {
 		defer c.catching.Delete(address)
-		if !c.r.Pause(catchUpPause) || !isBehind() {
+		if !c.r.Sleep(catchUpPause) || !isBehind() {
 			return
 		}
 		limited, end := context.WithTimeout(c.r, catchUpTime)
@@ -154,9 +154,9 @@
 func (c *Client) pulsePause() time.Duration {
 	switch {
 	case c.Ages().Epoch == 0:
-		return min(c.r.Props.FlowPulse, 150*time.Millisecond)
+		return min(c.r.Config.FlowPulse, 150*time.Millisecond)
 	case !c.isAnswered.Load():
-		return min(c.r.Props.FlowPulse, 250*time.Millisecond)
+		return min(c.r.Config.FlowPulse, 250*time.Millisecond)
 	}
-	return c.r.Props.FlowPulse
+	return c.r.Config.FlowPulse
 }
--- a/internal/distribution/relay.go
+++ b/internal/distribution/relay.go
@@ -23,7 +23,7 @@
 
 // relays are a control node's, one after another.
 type relays struct {
-	r   *environment.Realm
+	r   *environment.Environment
 	ask func() (*rpc.FreshnessResponse, error)
 
 	mu        sync.Mutex
@@ -86,9 +86,9 @@
 			s.mu.Unlock()
 			return
 		}
-		left := s.r.Props.FlowPulse/relayShare - s.r.Since(s.last)
+		left := s.r.Config.FlowPulse/relayShare - s.r.Since(s.last)
 		s.mu.Unlock()
-		isOver := left > 0 && !s.r.Pause(left)
+		isOver := left > 0 && !s.r.Sleep(left)
 		s.mu.Lock()
 		now := s.waiting
 		s.waiting, s.last = nil, s.r.Now()
--- a/internal/distribution/relay_test.go
+++ b/internal/distribution/relay_test.go
@@ -29,7 +29,7 @@
 			}
 			return &rpc.FreshnessResponse{Epoch: 3, AgeMicros: 1000, ShardAgeMicros: []int64{-1, 2000}}, nil
 		}}
-		least := r.Props.FlowPulse / relayShare
+		least := r.Config.FlowPulse / relayShare
 		one := func() {
 			asked := time.Now()
 			receipt, err := s.get(ctx)
@@ -53,7 +53,7 @@
 			all.Go(func() {
 				for range 4 {
 					one()
-					time.Sleep(r.Props.FlowPulse - way)
+					time.Sleep(r.Config.FlowPulse - way)
 				}
 			})
 			time.Sleep(time.Millisecond)
@@ -68,7 +68,7 @@
 			t.Error("a relay that failed is told as done")
 		}
 		// The end of life keeps nobody waiting.
-		go r.End()
+		go r.Shutdown()
 		synctest.Wait()
 		if _, err := s.get(ctx); err == nil {
 			t.Error("relayed after the end")
--- a/internal/distribution/serve.go
+++ b/internal/distribution/serve.go
@@ -22,9 +22,9 @@
 
 // Server is one control node's.
 type Server struct {
-	r       *environment.Realm
+	r       *environment.Environment
 	w       *rpc.Wire
-	k       *membership.Kin
+	k       *membership.Memberlist
 	p       *consensus.Node
 	ledger  *controlplane.ConfigState
 	planner *controlplane.Planner
@@ -38,7 +38,7 @@
 	relays relays
 }
 
-func NewServer(r *environment.Realm, w *rpc.Wire, k *membership.Kin, p *consensus.Node, ledger *controlplane.ConfigState, planner *controlplane.Planner) *Server {
+func NewServer(r *environment.Environment, w *rpc.Wire, k *membership.Memberlist, p *consensus.Node, ledger *controlplane.ConfigState, planner *controlplane.Planner) *Server {
 	s := &Server{r: r, w: w, k: k, p: p, ledger: ledger, planner: planner}
 	s.relays.r, s.relays.ask = r, s.ask
 	w.Handle("flow.listen", func(c *rpc.Call) (any, error) {
@@ -62,7 +62,7 @@
 // listen holds the request until a group differs from what the asker has, in
 // an epoch newer than the asker's, or the hold time is over.
 func (s *Server) listen(ctx context.Context, ask *rpc.ListenRequest) (*rpc.ListenResponse, error) {
-	hold := time.NewTimer(s.r.Props.FlowHold)
+	hold := time.NewTimer(s.r.Config.FlowHold)
 	defer hold.Stop()
 	have := ask.Versions
 	if ask.CombinedDigest != "" {
@@ -198,7 +198,7 @@
 	if !ok || name == s.r.Name {
 		return nil, errcode.New(errcode.NoOwner, "configuration part")
 	}
-	m, ok := s.k.Of(name)
+	m, ok := s.k.Lookup(name)
 	if !ok {
 		return nil, errcode.New(errcode.NoOwner, "configuration part: %s is down", name)
 	}
--- a/internal/distribution/start.go
+++ b/internal/distribution/start.go
@@ -20,7 +20,7 @@
 		return
 	}
 	c.r.Go(func() {
-		first := min(c.r.Props.FlowRetry, firstPause)
+		first := min(c.r.Config.FlowRetry, firstPause)
 		pause := first
 		for {
 			isDone, isLoaded, later := c.fetchAll()
@@ -28,11 +28,11 @@
 				break
 			}
 			if isLoaded {
-				pause = min(2*max(pause, c.r.Props.FlowRetry), max(c.r.Props.FlowCool, c.r.Props.FlowRetry))
+				pause = min(2*max(pause, c.r.Config.FlowRetry), max(c.r.Config.FlowCool, c.r.Config.FlowRetry))
 			} else {
 				pause = first
 			}
-			if !c.r.Pause(environment.Jitter(max(pause, later))) {
+			if !c.r.Sleep(environment.Jitter(max(pause, later))) {
 				return
 			}
 		}
@@ -45,13 +45,13 @@
 // whether some were loaded, by their word or as an answer did not come in time, and
 // the least time after which one of them asked to be tried again.
 func (c *Client) fetchAll() (isDone, isLoaded bool, later time.Duration) {
-	for _, m := range c.k.Keepers() {
+	for _, m := range c.k.ConfigReplicas() {
 		ctx, end := context.WithTimeout(c.r, 5*time.Second)
 		receipt, err := c.fetch(ctx, m.RPCAddress, &rpc.FetchRequest{})
 		end()
 		if err != nil {
 			isLoaded = isLoaded || errcode.Is(err, errcode.ReplyLost)
-			c.r.Sign.Say(eventlog.FetchFailed, "node", string(m.Name), "cause", err.Error())
+			c.r.Events.Say(eventlog.FetchFailed, "node", string(m.Name), "cause", err.Error())
 			continue
 		}
 		if receipt.RetryAfterMillis > 0 {
--- a/internal/distribution/whole.go
+++ b/internal/distribution/whole.go
@@ -228,7 +228,7 @@
 // hand gives the whole of an epoch if there is a place.
 func (s *Server) hand(c *rpc.Call, sheet *controlplane.EpochState, isPacked bool) (any, error) {
 	began := time.Now()
-	later, isTaken := s.turns.take(began, s.r.Props.FlowFetches, s.r.Props.FlowCool)
+	later, isTaken := s.turns.take(began, s.r.Config.FlowFetches, s.r.Config.FlowCool)
 	if !isTaken {
 		return &rpc.FetchResponse{RetryAfterMillis: max(later.Milliseconds(), 1)}, nil
 	}
--- a/internal/distribution/whole_test.go
+++ b/internal/distribution/whole_test.go
@@ -46,8 +46,8 @@
 func (b *board) Close() error   { b.once.Do(func() { close(b.over) }); return nil }
 func (b *board) Addr() net.Addr { return &net.TCPAddr{} }
 
-func (s *switchboard) net() environment.Net {
-	return environment.Net{
+func (s *switchboard) net() environment.Host {
+	return environment.Host{
 		Listen: func(address string) (net.Listener, error) {
 			b := &board{address: address, conns: make(chan net.Conn), over: make(chan struct{})}
 			s.mu.Lock()
@@ -74,7 +74,7 @@
 	}
 }
 
-func (s *switchboard) realm(t *testing.T, ctx context.Context, name, address string) *environment.Realm {
+func (s *switchboard) realm(t *testing.T, ctx context.Context, name, address string) *environment.Environment {
 	t.Helper()
 	settings, err := config.Load("", map[string]string{"name": name, "zone": "a", "wire.address": address, "api.address": "10.0.0.9:1", "gate.address": "10.0.0.9:2", "flow.fetches": "2"})
 	if err != nil {
@@ -177,7 +177,7 @@
 			}
 		}
 		for range 1000 {
-			if _, later := ask(ctx); later > s.r.Props.FlowCool.Milliseconds() {
+			if _, later := ask(ctx); later > s.r.Config.FlowCool.Milliseconds() {
 				t.Fatal("told to wait", later)
 			}
 		}
@@ -218,7 +218,7 @@
 			ctx, end := context.WithCancel(t.Context())
 			var members []rpc.Member
 			for i := range 3 {
-				members = append(members, rpc.Member{Name: ids.NodeName(fmt.Sprint("core", i)), ID: "b", RPCAddress: fmt.Sprintf("10.0.0.%d:1", i+1), Zone: "a", Core: true, HoldsConfiguration: true, Incarnation: 1, State: membership.Alive})
+				members = append(members, rpc.Member{Name: ids.NodeName(fmt.Sprint("core", i)), ID: "b", RPCAddress: fmt.Sprintf("10.0.0.%d:1", i+1), Zone: "a", Core: true, HoldsConfiguration: true, Incarnation: 1, State: membership.StateAlive})
 			}
 			var asked [3]*[]time.Time
 			r := board.realm(t, ctx, "proxy", "10.0.0.9:7")
@@ -234,10 +234,10 @@
 					return &rpc.FetchResponse{RetryAfterMillis: 70}
 				})
 			}
-			if !k.Sync(members[0].RPCAddress) {
+			if !k.PushPull(members[0].RPCAddress) {
 				t.Fatal("no members")
 			}
-			for i, m := range k.Keepers() {
+			for i, m := range k.ConfigReplicas() {
 				order[m.Name] = i
 			}
 			c := NewClient(r, w, k)
@@ -261,7 +261,7 @@
 				}
 			}
 			end()
-			r.End()
+			r.Shutdown()
 			synctest.Wait()
 		}
 	})
--- a/internal/environment/pause_test.go
+++ b/internal/environment/pause_test.go
@@ -16,17 +16,17 @@
 func TestAPauseOfNothingNeedsNoTimer(t *testing.T) {
 	for range 20 {
 		synctest.Test(t, func(t *testing.T) {
-			r := New(t.Context(), &config.Props{}, eventlog.New(io.Discard, "info", "n"), Net{})
+			r := New(t.Context(), &config.Props{}, eventlog.New(io.Discard, "info", "n"), Host{})
 			var all sync.WaitGroup
 			for range 50 {
 				all.Go(func() {
 					for range 200 {
-						r.Pause(0)
+						r.Sleep(0)
 					}
 				})
 			}
 			all.Wait()
-			r.End()
+			r.Shutdown()
 		})
 	}
 }
--- a/internal/environment/realm.go
+++ b/internal/environment/realm.go
@@ -22,83 +22,83 @@
 	"github.com/sumactrestle/sumactrestle/internal/metrics"
 )
 
-// Net is the verbs by which a node reaches others and its disk.
-type Net struct {
-	Dial   func(ctx context.Context, address string) (net.Conn, error)
-	Listen func(address string) (net.Listener, error)
-	Packet func(address string) (net.PacketConn, error)
-	Store  func(folder string) (storage.Storage, error)
-	Aside  func(folder, aside string) error
-	// Slept is how long the machine was suspended so far; nil is for never.
-	Slept func() time.Duration
+// Host is the verbs by which a node reaches others and its disk.
+type Host struct {
+	Dial         func(ctx context.Context, address string) (net.Conn, error)
+	Listen       func(address string) (net.Listener, error)
+	ListenPacket func(address string) (net.PacketConn, error)
+	OpenStorage  func(folder string) (storage.Storage, error)
+	Rename       func(folder, aside string) error
+	// SuspendedTime is how long the machine was suspended so far; nil is for never.
+	SuspendedTime func() time.Duration
 }
 
-// Realm is one life of one node.
-type Realm struct {
+// Environment is one life of one node.
+type Environment struct {
 	context.Context
-	Props *config.Props
-	Sign  *eventlog.Sign
-	Net   Net
-	Name  ids.NodeName
-	Times *metrics.Times
+	Config    *config.Props
+	Events    *eventlog.Sign
+	Host      Host
+	Name      ids.NodeName
+	Latencies *metrics.Times
 	// Trace is called with the steps of the replicated parts, if it is set; the
 	// simulator holds them against the model.
 	Trace func(step any)
 
-	end context.CancelFunc
+	cancel context.CancelFunc
 
 	mu    sync.Mutex
 	tasks int
 	idle  *sync.Cond
 }
 
-func New(parent context.Context, p *config.Props, s *eventlog.Sign, n Net) *Realm {
-	ctx, end := context.WithCancel(parent)
-	r := &Realm{Context: ctx, Props: p, Sign: s, Net: n, Name: ids.NodeName(p.Name), Times: &metrics.Times{Services: p.MetricsServices}, end: end}
-	r.idle = sync.NewCond(&r.mu)
-	return r
+func New(parent context.Context, settings *config.Props, events *eventlog.Sign, host Host) *Environment {
+	ctx, cancel := context.WithCancel(parent)
+	e := &Environment{Context: ctx, Config: settings, Events: events, Host: host, Name: ids.NodeName(settings.Name), Latencies: &metrics.Times{Services: settings.MetricsServices}, cancel: cancel}
+	e.idle = sync.NewCond(&e.mu)
+	return e
 }
 
 // Go runs a task that End waits for. It may be called while End waits, also from
 // where no task is, such as a request's handler.
-func (r *Realm) Go(task func()) {
-	r.mu.Lock()
-	r.tasks++
-	r.mu.Unlock()
+func (e *Environment) Go(task func()) {
+	e.mu.Lock()
+	e.tasks++
+	e.mu.Unlock()
 	go func() {
 		defer func() {
-			r.mu.Lock()
-			r.tasks--
-			if r.tasks == 0 {
-				r.idle.Broadcast()
+			e.mu.Lock()
+			e.tasks--
+			if e.tasks == 0 {
+				e.idle.Broadcast()
 			}
-			r.mu.Unlock()
+			e.mu.Unlock()
 		}()
 		task()
 	}()
 }
 
-// End tells all tasks to finish and waits for them.
-func (r *Realm) End() {
-	r.end()
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for r.tasks > 0 {
-		r.idle.Wait()
+// Shutdown tells all tasks to finish and waits for them.
+func (e *Environment) Shutdown() {
+	e.cancel()
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	for e.tasks > 0 {
+		e.idle.Wait()
 	}
 }
 
-func (r *Realm) IsOver() bool { return r.Err() != nil }
+func (e *Environment) IsStopping() bool { return e.Err() != nil }
 
-// Pause waits, and tells whether life goes on.
-func (r *Realm) Pause(d time.Duration) bool {
+// Sleep waits, and tells whether life goes on.
+func (e *Environment) Sleep(d time.Duration) bool {
 	if d <= 0 {
-		return !r.IsOver()
+		return !e.IsStopping()
 	}
 	wakeup := time.NewTimer(d)
 	defer wakeup.Stop()
 	select {
-	case <-r.Done():
+	case <-e.Done():
 		return false
 	case <-wakeup.C:
 		return true
@@ -107,18 +107,18 @@
 
 // Now is the time by which ages and grants count: the monotonic clock, which
 // stands still while a machine is suspended, and what it stood still.
-func (r *Realm) Now() time.Time {
-	if r.Net.Slept == nil {
+func (e *Environment) Now() time.Time {
+	if e.Host.SuspendedTime == nil {
 		return time.Now()
 	}
-	return time.Now().Add(r.Net.Slept())
+	return time.Now().Add(e.Host.SuspendedTime())
 }
 
 // Since is the age of a time that Now gave.
-func (r *Realm) Since(t time.Time) time.Duration { return r.Now().Sub(t) }
+func (e *Environment) Since(t time.Time) time.Duration { return e.Now().Sub(t) }
 
-// slept is what the boot clock is ahead of the monotonic one.
-func slept() time.Duration {
+// suspendedTime is what the boot clock is ahead of the monotonic one.
+func suspendedTime() time.Duration {
 	var boot, running unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot) != nil || unix.ClockGettime(unix.CLOCK_MONOTONIC, &running) != nil {
 		return 0
@@ -131,47 +131,47 @@
 	return d*3/4 + time.Duration(rand.Int64N(int64(d)/2+1))
 }
 
-// Host is the real network and disk; connections go out from the IP number of
+// NewHost is the real network and disk; connections go out from the IP number of
 // the address given, if there is one.
-func Host(from string) Net {
+func NewHost(sourceAddress string) Host {
 	// A peer that went silent is known within seconds, also on an idle connection.
-	alive := net.KeepAliveConfig{Enable: true, Idle: 5 * time.Second, Interval: 2 * time.Second, Count: 3}
-	dialer := net.Dialer{KeepAliveConfig: alive}
-	listener := net.ListenConfig{KeepAliveConfig: alive}
-	if ap, err := netip.ParseAddrPort(from); err == nil && !ap.Addr().IsUnspecified() {
-		dialer.LocalAddr = net.TCPAddrFromAddrPort(netip.AddrPortFrom(ap.Addr(), 0))
+	keepAlive := net.KeepAliveConfig{Enable: true, Idle: 5 * time.Second, Interval: 2 * time.Second, Count: 3}
+	dialer := net.Dialer{KeepAliveConfig: keepAlive}
+	listener := net.ListenConfig{KeepAliveConfig: keepAlive}
+	if source, err := netip.ParseAddrPort(sourceAddress); err == nil && !source.Addr().IsUnspecified() {
+		dialer.LocalAddr = net.TCPAddrFromAddrPort(netip.AddrPortFrom(source.Addr(), 0))
 	}
-	return Net{
+	return Host{
 		Dial: func(ctx context.Context, address string) (net.Conn, error) {
 			return dialer.DialContext(ctx, "tcp", address)
 		},
 		Listen: func(address string) (net.Listener, error) {
 			return listener.Listen(context.Background(), "tcp", address)
 		},
-		Packet: func(address string) (net.PacketConn, error) { return net.ListenPacket("udp", address) },
-		Store: func(folder string) (storage.Storage, error) {
+		ListenPacket: func(address string) (net.PacketConn, error) { return net.ListenPacket("udp", address) },
+		OpenStorage: func(folder string) (storage.Storage, error) {
 			return storage.OpenFile(folder, false)
 		},
-		Aside: os.Rename,
-		Slept: slept,
+		Rename:        os.Rename,
+		SuspendedTime: suspendedTime,
 	}
 }
 
-// Turn is a lock that may be held while waiting for others, and that a bubble
+// ChanMutex is a lock that may be held while waiting for others, and that a bubble
 // of virtual time sees through.
-type Turn chan struct{}
+type ChanMutex chan struct{}
 
-func NewTurn() Turn { return make(Turn, 1) }
+func NewChanMutex() ChanMutex { return make(ChanMutex, 1) }
 
-func (t Turn) Lock()   { t <- struct{}{} }
-func (t Turn) Unlock() { <-t }
+func (m ChanMutex) Lock()   { m <- struct{}{} }
+func (m ChanMutex) Unlock() { <-m }
 
-// LockWithin gives up after a time; it tells whether the lock is held.
-func (t Turn) LockWithin(d time.Duration) bool {
+// TryLockFor gives up after a time; it tells whether the lock is held.
+func (m ChanMutex) TryLockFor(d time.Duration) bool {
 	wakeup := time.NewTimer(d)
 	defer wakeup.Stop()
 	select {
-	case t <- struct{}{}:
+	case m <- struct{}{}:
 		return true
 	case <-wakeup.C:
 		return false
--- a/internal/harness/run.go
+++ b/internal/harness/run.go
@@ -78,7 +78,7 @@
 	for _, m := range r.f.ProxyMachines() {
 		nodes = append(nodes, m.Api())
 	}
-	s := &standin.Server{Net: environment.Host(""), H: r.h, Service: service, Zone: zone, Address: address, Key: "key-" + service, Nodes: nodes, Work: r.Work}
+	s := &standin.Server{Net: environment.NewHost(""), H: r.h, Service: service, Zone: zone, Address: address, Key: "key-" + service, Nodes: nodes, Work: r.Work}
 	if err := s.Start(r.ctx); err != nil {
 		r.say("%s at %s: %v", service, address, err)
 		return
@@ -145,7 +145,7 @@
 			s.Close()
 		}
 	}()
-	operator := standin.NewOperator(environment.Host(""), r.h, r.f.ProxyMachines()[0].Api())
+	operator := standin.NewOperator(environment.NewHost(""), r.h, r.f.ProxyMachines()[0].Api())
 	first := FirstChange("first", services)
 	for i, m := range first.Put.Value.Mappings {
 		first.Put.Value.Mappings[i].Once = api.NewOptBool(!r.IsTwice && !m.Repeatable.Value)
@@ -221,7 +221,7 @@
 			loads.Add(1)
 			go func() {
 				defer loads.Done()
-				caller := standin.NewCaller(environment.Host(""), r.h)
+				caller := standin.NewCaller(environment.NewHost(""), r.h)
 				caller.Once = !r.IsTwice
 				defer caller.Close()
 				var mine sync.WaitGroup
@@ -259,7 +259,7 @@
 			defer tick.Stop()
 			var clients []*api.Client
 			for _, m := range r.f.Machines {
-				clients = append(clients, standin.Client(environment.Host(""), m.Api()))
+				clients = append(clients, standin.Client(environment.NewHost(""), m.Api()))
 			}
 			for n := 0; ; n++ {
 				select {
@@ -330,7 +330,7 @@
 		}
 	}
 	back := r.h.Now()
-	caller := standin.NewCaller(environment.Host(""), r.h)
+	caller := standin.NewCaller(environment.NewHost(""), r.h)
 	defer caller.Close()
 	rec := checker.Record{Kind: checker.Rescue, Start: back, Outcome: "usable"}
 	for _, m := range r.f.ProxyMachines() {
--- a/internal/harness/shape.go
+++ b/internal/harness/shape.go
@@ -82,7 +82,7 @@
 // changeOne adds one mapping, for what a small change to a large configuration
 // costs.
 func changeOne(r *Run, rnd *rand.Rand) {
-	operator := standin.NewOperator(environment.Host(""), r.h, r.f.ProxyMachines()[0].Api())
+	operator := standin.NewOperator(environment.NewHost(""), r.h, r.f.ProxyMachines()[0].Api())
 	if view, err := operator.Epoch(r.ctx); err == nil {
 		id := fmt.Sprint("small", r.changes.Add(1))
 		config := api.Config{Mappings: []api.Mapping{{Name: id, Path: "/" + id, To: []api.Split{{Service: r.shape.Loads[0].Service, Weight: 1}}}}}
@@ -107,7 +107,7 @@
 
 // growSome adds a hundred mappings in one change set.
 func growSome(r *Run, rnd *rand.Rand) {
-	operator := standin.NewOperator(environment.Host(""), r.h, r.f.ProxyMachines()[0].Api())
+	operator := standin.NewOperator(environment.NewHost(""), r.h, r.f.ProxyMachines()[0].Api())
 	if view, err := operator.Epoch(r.ctx); err == nil {
 		id, config := fmt.Sprint("grown", r.changes.Add(1)), api.Config{}
 		for i := range 100 {
--- a/internal/harness/smoke.go
+++ b/internal/harness/smoke.go
@@ -47,7 +47,7 @@
 		return err
 	}
 	h.Add(checker.Record{Kind: checker.Began, Note: "smoke"})
-	host := environment.Host("")
+	host := environment.NewHost("")
 	services := map[string]bool{"rates": true, "bookings": false}
 	for name := range services {
 		for i := range 3 {
--- a/internal/harness/up.go
+++ b/internal/harness/up.go
@@ -33,7 +33,7 @@
 			r.serve(l.Service, fmt.Sprintf("127.8.%d.%d:%d", len(services), i+1, port), fmt.Sprintf("zone%d", i%shape.Zones+1))
 		}
 	}
-	operator := standin.NewOperator(environment.Host(""), r.h, f.ProxyMachines()[0].Api())
+	operator := standin.NewOperator(environment.NewHost(""), r.h, f.ProxyMachines()[0].Api())
 	if err := Until(ctx, 30*time.Second, func() bool { _, err := operator.Submit(ctx, FirstChange("first", services)); return err == nil }); err != nil {
 		return errcode.New(errcode.Internal, "the first change set was not accepted")
 	}
--- a/internal/hollow/part.go
+++ b/internal/hollow/part.go
@@ -143,10 +143,10 @@
 	if err != nil {
 		return nil, err
 	}
-	r := environment.New(ctx, settings, eventlog.New(io.Discard, settings.LogLevel, settings.Name), environment.Host(settings.WireAddress))
+	r := environment.New(ctx, settings, eventlog.New(io.Discard, settings.LogLevel, settings.Name), environment.NewHost(settings.WireAddress))
 	g := &gate{}
 	if g.node, err = node.Start(r); err != nil {
-		r.End()
+		r.Shutdown()
 		return nil, err
 	}
 	g.node.Flow.Cache.Subscribe(g.note)
@@ -176,7 +176,7 @@
 func (g *gate) isWhole(members int) bool {
 	live := 0
 	for _, m := range g.node.Kin.View() {
-		if m.State == membership.Alive {
+		if m.State == membership.StateAlive {
 			live++
 		}
 	}
@@ -193,7 +193,7 @@
 			old := reading.Traffic[kind]
 			reading.Traffic[kind] = [2]int64{old[0] + sent[0], old[1] + sent[1]}
 		}
-		for name, n := range g.node.R.Sign.Counts() {
+		for name, n := range g.node.R.Events.Counts() {
 			reading.Events[name] += n
 		}
 		if g.isWhole(ask.Members) {
@@ -219,7 +219,7 @@
 
 // weigh fetches all groups as a gate does at its start and tells their bytes by kind.
 func weigh(parent context.Context, node *node.Node) (map[string]int64, error) {
-	cores := node.Kin.Cores()
+	cores := node.Kin.CoreMembers()
 	if len(cores) == 0 {
 		return nil, errcode.New(errcode.Unreached, "no core node is known")
 	}
--- a/internal/membership/kin.go
+++ b/internal/membership/kin.go
@@ -19,10 +19,10 @@
 )
 
 const (
-	Alive   = "alive"
-	Suspect = "suspect"
-	Down    = "down"
-	Left    = "left"
+	StateAlive   = "alive"
+	StateSuspect = "suspect"
+	StateDead    = "down"
+	StateLeft    = "left"
 
 	lostKept = 10 * time.Minute
 
@@ -38,9 +38,9 @@
 	heard  int // how often others told of it that knew it already
 }
 
-// Kin is one node's view of the fleet. View is copy-on-write.
-type Kin struct {
-	r    *environment.Realm
+// Memberlist is one node's view of the fleet. View is copy-on-write.
+type Memberlist struct {
+	r    *environment.Environment
 	w    *rpc.Wire
 	conn net.PacketConn
 
@@ -51,7 +51,7 @@
 	acks    map[uint64]chan struct{}
 	order   []ids.NodeName
 	turn    uint64
-	view    atomic.Pointer[map[ids.NodeName]Standing]
+	view    atomic.Pointer[map[ids.NodeName]NodeState]
 	zones   atomic.Pointer[map[string]string]
 
 	sum     uint64 // of all members but this one
@@ -69,17 +69,17 @@
 	shown   int
 }
 
-// Standing is a member and since when it stands as it does.
-type Standing struct {
+// NodeState is a member and since when it stands as it does.
+type NodeState struct {
 	rpc.Member
-	Since time.Time
+	StateChange time.Time
 }
 
-func New(r *environment.Realm, w *rpc.Wire, me rpc.Member) *Kin {
-	me.Incarnation, me.State = 1, Alive
-	k := &Kin{r: r, w: w, me: me, members: map[ids.NodeName]*known{}, acks: map[uint64]chan struct{}{}}
+func New(r *environment.Environment, w *rpc.Wire, me rpc.Member) *Memberlist {
+	me.Incarnation, me.State = 1, StateAlive
+	k := &Memberlist{r: r, w: w, me: me, members: map[ids.NodeName]*known{}, acks: map[uint64]chan struct{}{}}
 	k.publish()
-	k.Reseed(r.Props.Seeds)
+	k.SetSeeds(r.Config.Seeds)
 	w.Handle("kin.sync", func(c *rpc.Call) (any, error) {
 		var ask rpc.MembershipSync
 		if err := c.Read(&ask); err != nil {
@@ -87,13 +87,13 @@
 		}
 		return k.compare(&ask)
 	})
-	w.Handle("kin.here", func(c *rpc.Call) (any, error) { return k.Me(), nil })
+	w.Handle("kin.here", func(c *rpc.Call) (any, error) { return k.Self(), nil })
 	return k
 }
 
-// Open starts probing.
-func (k *Kin) Open() error {
-	conn, err := k.r.Net.Packet(k.r.Props.WireAddress)
+// Start starts probing.
+func (k *Memberlist) Start() error {
+	conn, err := k.r.Host.ListenPacket(k.r.Config.WireAddress)
 	if err != nil {
 		return err
 	}
@@ -106,8 +106,8 @@
 	return nil
 }
 
-// Reseed takes other seeds into use, as the settings may change while a node runs.
-func (k *Kin) Reseed(seeds []string) { k.seeds.Store(&seeds) }
+// SetSeeds takes other seeds into use, as the settings may change while a node runs.
+func (k *Memberlist) SetSeeds(seeds []string) { k.seeds.Store(&seeds) }
 
 func hostOf(address string) string {
 	if host, _, err := net.SplitHostPort(address); err == nil {
@@ -116,22 +116,22 @@
 	return address
 }
 
-// IsNear tells whether an address belongs to a machine of the own zone; one
+// InOwnZone tells whether an address belongs to a machine of the own zone; one
 // that belongs to no member does.
-func (k *Kin) IsNear(address string) bool {
+func (k *Memberlist) InOwnZone(address string) bool {
 	zone, ok := (*k.zones.Load())[hostOf(address)]
-	return !ok || zone == k.r.Props.Zone
+	return !ok || zone == k.r.Config.Zone
 }
 
-// Me is how this node shows itself.
-func (k *Kin) Me() rpc.Member {
+// Self is how this node shows itself.
+func (k *Memberlist) Self() rpc.Member {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.me
 }
 
-// Amend changes what this node shows of itself.
-func (k *Kin) Amend(change func(*rpc.Member)) {
+// UpdateSelf changes what this node shows of itself.
+func (k *Memberlist) UpdateSelf(change func(*rpc.Member)) {
 	k.mu.Lock()
 	change(&k.me)
 	k.me.Incarnation++
@@ -140,29 +140,29 @@
 }
 
 // View is all members by name, this one included; not to be written to.
-func (k *Kin) View() map[ids.NodeName]Standing { return *k.view.Load() }
+func (k *Memberlist) View() map[ids.NodeName]NodeState { return *k.view.Load() }
 
-// Of finds a member that is not down.
-func (k *Kin) Of(name ids.NodeName) (rpc.Member, bool) {
+// Lookup finds a member that is not down.
+func (k *Memberlist) Lookup(name ids.NodeName) (rpc.Member, bool) {
 	s, ok := k.View()[name]
-	return s.Member, ok && (s.State == Alive || s.State == Suspect)
+	return s.Member, ok && (s.State == StateAlive || s.State == StateSuspect)
 }
 
 // IsLive tells whether exactly this life of a node seems live.
-func (k *Kin) IsLive(peer rpc.Peer) bool {
-	m, ok := k.Of(peer.Name)
+func (k *Memberlist) IsLive(peer rpc.Peer) bool {
+	m, ok := k.Lookup(peer.Name)
 	return ok && m.ID == peer.ID
 }
 
-// Cores is the live core members, own zone first, then by a fixed order.
-func (k *Kin) Cores() []rpc.Member {
+// CoreMembers is the live core members, own zone first, then by a fixed order.
+func (k *Memberlist) CoreMembers() []rpc.Member {
 	var cores []rpc.Member
 	for _, s := range k.View() {
-		if s.Core && (s.State == Alive || s.State == Suspect) {
+		if s.Core && (s.State == StateAlive || s.State == StateSuspect) {
 			cores = append(cores, s.Member)
 		}
 	}
-	zone := k.r.Props.Zone
+	zone := k.r.Config.Zone
 	sort.Slice(cores, func(i, j int) bool {
 		a, b := cores[i], cores[j]
 		if (a.Zone == zone) != (b.Zone == zone) {
@@ -177,10 +177,10 @@
 	return cores
 }
 
-// Keepers is the live core members that hold the configuration part, in the order
+// ConfigReplicas is the live core members that hold the configuration part, in the order
 // of Cores; all of them while none is known to.
-func (k *Kin) Keepers() []rpc.Member {
-	cores := k.Cores()
+func (k *Memberlist) ConfigReplicas() []rpc.Member {
+	cores := k.CoreMembers()
 	var keepers []rpc.Member
 	for _, m := range cores {
 		if m.HoldsConfiguration {
@@ -193,12 +193,12 @@
 	return keepers
 }
 
-func (k *Kin) publish() {
-	view := make(map[ids.NodeName]Standing, len(k.members)+1)
+func (k *Memberlist) publish() {
+	view := make(map[ids.NodeName]NodeState, len(k.members)+1)
 	for name, m := range k.members {
-		view[name] = Standing{m.member, m.since}
+		view[name] = NodeState{m.member, m.since}
 	}
-	view[k.me.Name] = Standing{k.me, time.Time{}}
+	view[k.me.Name] = NodeState{k.me, time.Time{}}
 	k.view.Store(&view)
 	if old := k.zones.Load(); old != nil && !k.isMoved {
 		return
@@ -213,9 +213,9 @@
 
 func rank(state string) int {
 	switch state {
-	case Alive:
+	case StateAlive:
 		return 0
-	case Suspect:
+	case StateSuspect:
 		return 1
 	}
 	return 2
@@ -224,10 +224,10 @@
 // learn folds others' news into the view. Within one birth the higher
 // incarnation wins, and at the same one the worse state; another birth wins
 // over one that is known to be down, or by coming from the node itself.
-func (k *Kin) learn(news []rpc.Member) { k.take(news, false) }
+func (k *Memberlist) learn(news []rpc.Member) { k.take(news, false) }
 
 // take is learn, also of whole lists: those in a list are known to others already.
-func (k *Kin) take(news []rpc.Member, isList bool) {
+func (k *Memberlist) take(news []rpc.Member, isList bool) {
 	if isList && !k.isNews(news) {
 		return
 	}
@@ -248,19 +248,19 @@
 			before = old.member
 		}
 		if !isNewer(before, ok, m) {
-			if ok && m.ID == before.ID && m.State == Alive && m.Incarnation == before.Incarnation && !isList {
+			if ok && m.ID == before.ID && m.State == StateAlive && m.Incarnation == before.Incarnation && !isList {
 				old.heard++
 			}
 			continue
 		}
 		switch {
 		case !ok:
-			k.r.Sign.Say(eventlog.MemberUp, "member", string(m.Name), "wire", m.RPCAddress, "zone", m.Zone)
+			k.r.Events.Say(eventlog.MemberUp, "member", string(m.Name), "wire", m.RPCAddress, "zone", m.Zone)
 		case before.ID != m.ID:
-			k.r.Sign.Say(eventlog.MemberReborn, "member", string(m.Name), "birth", string(m.ID), "wire", m.RPCAddress)
+			k.r.Events.Say(eventlog.MemberReborn, "member", string(m.Name), "birth", string(m.ID), "wire", m.RPCAddress)
 		default:
 			k.tell(before.State, m)
-			if before.State == Down && m.State == Alive {
+			if before.State == StateDead && m.State == StateAlive {
 				k.stirred = time.Now()
 			}
 		}
@@ -293,14 +293,14 @@
 	case !isKnown:
 		return rank(m.State) < 2
 	case old.ID != m.ID:
-		return m.State == Alive && m.Incarnation > old.Incarnation
+		return m.State == StateAlive && m.Incarnation > old.Incarnation
 	}
 	return m.Incarnation > old.Incarnation || m.Incarnation == old.Incarnation && rank(m.State) > rank(old.State)
 }
 
 // refutes is the incarnation by which this node answers word of itself; 0 for none.
 func refutes(me, m rpc.Member) uint64 {
-	isDoubted := m.ID == me.ID && m.State != Alive && me.State == Alive
+	isDoubted := m.ID == me.ID && m.State != StateAlive && me.State == StateAlive
 	if m.Incarnation >= me.Incarnation && (isDoubted || m.ID != me.ID) {
 		return m.Incarnation + 1
 	}
@@ -309,7 +309,7 @@
 
 // isNews tells, without the lock, whether a list says anything that is not known: so
 // that lists of what is known already don't wait for one another.
-func (k *Kin) isNews(list []rpc.Member) bool {
+func (k *Memberlist) isNews(list []rpc.Member) bool {
 	view := k.View()
 	for _, m := range list {
 		old, ok := view[m.Name]
@@ -320,17 +320,17 @@
 	return false
 }
 
-func (k *Kin) tell(before string, m rpc.Member) {
+func (k *Memberlist) tell(before string, m rpc.Member) {
 	if before == m.State {
 		return
 	}
 	switch m.State {
-	case Alive:
-		k.r.Sign.Say(eventlog.MemberUp, "member", string(m.Name), "wire", m.RPCAddress, "zone", m.Zone)
-	case Suspect:
-		k.r.Sign.Say(eventlog.MemberSuspect, "member", string(m.Name))
+	case StateAlive:
+		k.r.Events.Say(eventlog.MemberUp, "member", string(m.Name), "wire", m.RPCAddress, "zone", m.Zone)
+	case StateSuspect:
+		k.r.Events.Say(eventlog.MemberSuspect, "member", string(m.Name))
 	default:
-		k.r.Sign.Say(eventlog.MemberDown, "member", string(m.Name), "state", m.State)
+		k.r.Events.Say(eventlog.MemberDown, "member", string(m.Name), "state", m.State)
 	}
 }
 
@@ -340,7 +340,7 @@
 
 // gossip picks the news that was passed on least often, so that what is new goes
 // round before what most know already.
-func (k *Kin) gossip() []rpc.Member {
+func (k *Memberlist) gossip() []rpc.Member {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	limit := k.tellings()
@@ -367,7 +367,7 @@
 }
 
 // tellings is how often a piece of news is passed on; the lock is held.
-func (k *Kin) tellings() int {
+func (k *Memberlist) tellings() int {
 	limit := 6
 	for n := len(k.members) + 1; n > 1; n /= 2 {
 		limit++
@@ -376,12 +376,12 @@
 }
 
 // Leave tells a few others that this node goes on purpose.
-func (k *Kin) Leave() {
-	k.Amend(func(m *rpc.Member) { m.State = Left })
-	me := k.Me()
+func (k *Memberlist) Leave() {
+	k.UpdateSelf(func(m *rpc.Member) { m.State = StateLeft })
+	me := k.Self()
 	told := 0
 	for name, s := range k.View() {
-		if name != k.r.Name && s.State == Alive && told < 4 {
+		if name != k.r.Name && s.State == StateAlive && told < 4 {
 			k.send(s.RPCAddress, rpc.Probe{Kind: "news", Updates: []rpc.Member{me}})
 			told++
 		}
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -21,8 +21,8 @@
 // probeAll is the size of a fleet from which on far members are asked less often.
 const probeAll = 24
 
-func (k *Kin) send(address string, probe rpc.Probe) {
-	me := k.Me()
+func (k *Memberlist) send(address string, probe rpc.Probe) {
+	me := k.Self()
 	probe.From, probe.FromID = me.Name, me.ID
 	if probe.Updates == nil {
 		probe.Updates = k.gossip()
@@ -39,19 +39,19 @@
 	k.conn.WriteTo(append(raw, '\n'), net.UDPAddrFromAddrPort(to))
 }
 
-func (k *Kin) receive() {
+func (k *Memberlist) receive() {
 	buffer := make([]byte, 64<<10)
 	for {
 		n, from, err := k.conn.ReadFrom(buffer)
 		if err != nil {
-			if k.r.IsOver() || !k.r.Pause(10*time.Millisecond) {
+			if k.r.IsStopping() || !k.r.Sleep(10*time.Millisecond) {
 				return
 			}
 			continue
 		}
 		var probe rpc.Probe
 		if err := json.Unmarshal(buffer[:n], &probe); err != nil {
-			k.r.Sign.Say(eventlog.MessageRefused, "kind", "kin.probe", "from", from.String())
+			k.r.Events.Say(eventlog.MessageRefused, "kind", "kin.probe", "from", from.String())
 			continue
 		}
 		k.learn(probe.Updates)
@@ -66,7 +66,7 @@
 			news := k.gossip()
 			isDoubted := slices.ContainsFunc(probe.Updates, func(m rpc.Member) bool { return m.Name == k.r.Name })
 			if isDoubted || k.presents() {
-				news = append(news, k.Me())
+				news = append(news, k.Self())
 			}
 			k.send(from.String(), rpc.Probe{Kind: "ack", Sequence: probe.Sequence, Updates: news})
 		case "ack":
@@ -79,7 +79,7 @@
 		case "who":
 			k.present(probe.From)
 		case "relay":
-			to, ok := k.Of(probe.To)
+			to, ok := k.Lookup(probe.To)
 			if !ok {
 				continue
 			}
@@ -95,8 +95,8 @@
 
 // present makes this node, and all it knows, known to one that asked who it is:
 // machines that come back together find one another first, and nobody else.
-func (k *Kin) present(name ids.NodeName) {
-	m, ok := k.Of(name)
+func (k *Memberlist) present(name ids.NodeName) {
+	m, ok := k.Lookup(name)
 	if !ok || !k.isPresenting.CompareAndSwap(false, true) {
 		return
 	}
@@ -107,7 +107,7 @@
 }
 
 // ping waits for the ack of one member; meanwhile verbs run after half time.
-func (k *Kin) ping(address string, name ids.NodeName, relay func(seq uint64)) bool {
+func (k *Memberlist) ping(address string, name ids.NodeName, relay func(seq uint64)) bool {
 	k.mu.Lock()
 	k.seq++
 	seq := k.seq
@@ -120,7 +120,7 @@
 		k.mu.Unlock()
 	}()
 	await := func() bool {
-		wakeup := time.NewTimer(k.r.Props.KinReply)
+		wakeup := time.NewTimer(k.r.Config.KinReply)
 		defer wakeup.Stop()
 		select {
 		case <-waiter:
@@ -131,7 +131,7 @@
 		return false
 	}
 	ping := rpc.Probe{Kind: "ping", Sequence: seq, To: name}
-	if s, ok := k.View()[name]; ok && s.State == Suspect {
+	if s, ok := k.View()[name]; ok && s.State == StateSuspect {
 		// Whoever is suspected must hear of it to refute it.
 		ping.Updates = append(k.gossip(), s.Member)
 	}
@@ -139,7 +139,7 @@
 	if await() {
 		return true
 	}
-	if relay == nil || k.r.IsOver() {
+	if relay == nil || k.r.IsStopping() {
 		return false
 	}
 	relay(seq)
@@ -153,7 +153,7 @@
 }
 
 // next picks the members in turn, in an order shuffled anew every time round.
-func (k *Kin) next() (rpc.Member, bool) {
+func (k *Memberlist) next() (rpc.Member, bool) {
 	view := k.View()
 	for range 2 {
 		for len(k.order) > 0 {
@@ -167,7 +167,7 @@
 		// zone's members ask them too.
 		k.turn++
 		for name, s := range view {
-			isNear := s.Zone == k.r.Props.Zone || len(view) < probeAll || ids.Hash(string(name))%4 == k.turn%4
+			isNear := s.Zone == k.r.Config.Zone || len(view) < probeAll || ids.Hash(string(name))%4 == k.turn%4
 			if name != k.r.Name && rank(s.State) < 2 && isNear {
 				k.order = append(k.order, name)
 			}
@@ -177,8 +177,8 @@
 	return rpc.Member{}, false
 }
 
-func (k *Kin) probe() {
-	for k.r.Pause(k.r.Props.KinProbe) {
+func (k *Memberlist) probe() {
+	for k.r.Sleep(k.r.Config.KinProbe) {
 		k.bury()
 		target, ok := k.next()
 		if !ok {
@@ -187,22 +187,22 @@
 		relay := func(seq uint64) {
 			asked := 0
 			for name, s := range k.View() {
-				if name != k.r.Name && name != target.Name && s.State == Alive && asked < 2 {
+				if name != k.r.Name && name != target.Name && s.State == StateAlive && asked < 2 {
 					k.send(s.RPCAddress, rpc.Probe{Kind: "relay", Sequence: seq, To: target.Name})
 					asked++
 				}
 			}
 		}
-		if !k.ping(target.RPCAddress, target.Name, relay) && !k.isHere(target) && !k.r.IsOver() {
-			target.State = Suspect
+		if !k.ping(target.RPCAddress, target.Name, relay) && !k.isHere(target) && !k.r.IsStopping() {
+			target.State = StateSuspect
 			k.learn([]rpc.Member{target})
 		}
 	}
 }
 
 // isHere asks once more, over the pipe: on a full link datagrams are lost first.
-func (k *Kin) isHere(target rpc.Member) bool {
-	ctx, end := context.WithTimeout(k.r, max(2*k.r.Props.KinReply, 500*time.Millisecond))
+func (k *Memberlist) isHere(target rpc.Member) bool {
+	ctx, end := context.WithTimeout(k.r, max(2*k.r.Config.KinReply, 500*time.Millisecond))
 	defer end()
 	var m rpc.Member
 	if k.w.Ask(ctx, target.RPCAddress, "kin.here", struct{}{}, &m) != nil || m.Name != target.Name {
@@ -214,19 +214,19 @@
 
 // patience is how long a suspect may refute: news takes longer to go round in a
 // larger fleet, by the logarithm of its size.
-func (k *Kin) patience(members int) time.Duration {
-	return time.Duration(float64(k.r.Props.KinSuspect) * max(1, math.Log2(float64(members))/3))
+func (k *Memberlist) patience(members int) time.Duration {
+	return time.Duration(float64(k.r.Config.KinSuspect) * max(1, math.Log2(float64(members))/3))
 }
 
 // bury takes out those whose suspicion was not refuted.
-func (k *Kin) bury() {
+func (k *Memberlist) bury() {
 	var dead []rpc.Member
 	view := k.View()
 	patience := k.patience(len(view))
 	for _, s := range view {
-		if s.State == Suspect && time.Since(s.Since) > patience {
+		if s.State == StateSuspect && time.Since(s.StateChange) > patience {
 			m := s.Member
-			m.State = Down
+			m.State = StateDead
 			dead = append(dead, m)
 		}
 	}
--- a/internal/membership/search.go
+++ b/internal/membership/search.go
@@ -29,21 +29,21 @@
 	pause time.Duration
 }
 
-func (k *Kin) search() {
+func (k *Memberlist) search() {
 	hunts := map[ids.NodeName]*hunt{}
-	for k.r.Pause(environment.Jitter(searchTurn)) {
+	for k.r.Sleep(environment.Jitter(searchTurn)) {
 		for _, m := range k.due(hunts, time.Now()) {
-			k.r.Go(func() { k.Sync(m.RPCAddress) })
+			k.r.Go(func() { k.PushPull(m.RPCAddress) })
 		}
 	}
 }
 
-// Lost is the members that went down of late without a word, by name.
-func (k *Kin) Lost() (members []rpc.Member) { return lostOf(k.View(), time.Now()) }
+// RecentlyDead is the members that went down of late without a word, by name.
+func (k *Memberlist) RecentlyDead() (members []rpc.Member) { return lostOf(k.View(), time.Now()) }
 
-func lostOf(view map[ids.NodeName]Standing, now time.Time) (members []rpc.Member) {
+func lostOf(view map[ids.NodeName]NodeState, now time.Time) (members []rpc.Member) {
 	for _, s := range view {
-		if s.State == Down && now.Sub(s.Since) < lostKept {
+		if s.State == StateDead && now.Sub(s.StateChange) < lostKept {
 			members = append(members, s.Member)
 		}
 	}
@@ -53,7 +53,7 @@
 
 // due picks the lost members that are to be asked now, those that waited longest, and
 // sets when they are to be asked again.
-func (k *Kin) due(hunts map[ids.NodeName]*hunt, now time.Time) (some []rpc.Member) {
+func (k *Memberlist) due(hunts map[ids.NodeName]*hunt, now time.Time) (some []rpc.Member) {
 	view := k.View()
 	lost := slices.DeleteFunc(lostOf(view, now), func(m rpc.Member) bool { return !k.searches(view, m) })
 	for name := range hunts {
@@ -85,7 +85,7 @@
 }
 
 // searches tells whether this node is one of those that look for a lost member.
-func (k *Kin) searches(view map[ids.NodeName]Standing, lost rpc.Member) bool {
+func (k *Memberlist) searches(view map[ids.NodeName]NodeState, lost rpc.Member) bool {
 	if lost.Core && len(view) < probeAll {
 		return true
 	}
--- a/internal/membership/sync.go
+++ b/internal/membership/sync.go
@@ -32,7 +32,7 @@
 // sync compares lists: with the seeds until one answers, and with a random member
 // from time to time; sooner for a while after some came back that were held for down,
 // as whoever was on the other side of a cut must learn who was on this one.
-func (k *Kin) sync() {
+func (k *Memberlist) sync() {
 	isIn, join := false, joinPause
 	for {
 		var addresses []string
@@ -70,7 +70,7 @@
 		if isIn || isRefused {
 			pause = environment.Jitter(pause)
 		}
-		if !k.r.Pause(pause) {
+		if !k.r.Sleep(pause) {
 			return
 		}
 	}
@@ -78,15 +78,15 @@
 
 // syncAny compares with all of them at once, for one that is down says nothing for
 // as long as a dial may take, and is true as soon as one has answered.
-func (k *Kin) syncAny(addresses []string) bool {
+func (k *Memberlist) syncAny(addresses []string) bool {
 	answers := make(chan bool, len(addresses))
 	asked := 0
 	for _, address := range addresses {
-		if address == k.r.Props.WireAddress || address == k.r.Props.WireAdvertise {
+		if address == k.r.Config.WireAddress || address == k.r.Config.WireAdvertise {
 			continue
 		}
 		asked++
-		k.r.Go(func() { answers <- k.Sync(address) })
+		k.r.Go(func() { answers <- k.PushPull(address) })
 	}
 	for range asked {
 		if <-answers {
@@ -96,32 +96,32 @@
 	return false
 }
 
-func (k *Kin) isStirred() bool {
+func (k *Memberlist) isStirred() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return !k.stirred.IsZero() && time.Since(k.stirred) < stirTime
 }
 
-// Sync compares lists with one address, and once more if that showed this node that
+// PushPull compares lists with one address, and once more if that showed this node that
 // it was held for down.
-func (k *Kin) Sync(address string) bool {
-	before := k.Me().Incarnation
+func (k *Memberlist) PushPull(address string) bool {
+	before := k.Self().Incarnation
 	if !k.exchange(address, false) {
 		return false
 	}
-	if k.Me().Incarnation != before {
+	if k.Self().Incarnation != before {
 		k.exchange(address, true)
 	}
 	return true
 }
 
 // exchange makes two lists the same; with isShown this node tells of itself first.
-func (k *Kin) exchange(address string, isShown bool) bool {
+func (k *Memberlist) exchange(address string, isShown bool) bool {
 	ctx, end := context.WithTimeout(k.r, time.Second)
 	defer end()
 	ask := &rpc.MembershipSync{RangeCount: k.ranges()}
 	if isShown || ask.RangeCount == 1 {
-		ask.Members = []rpc.Member{k.Me()}
+		ask.Members = []rpc.Member{k.Self()}
 	}
 	ask.Digest = k.digest()
 	var receipt rpc.MembershipSync
@@ -172,7 +172,7 @@
 }
 
 // compare answers an exchange.
-func (k *Kin) compare(ask *rpc.MembershipSync) (any, error) {
+func (k *Memberlist) compare(ask *rpc.MembershipSync) (any, error) {
 	k.take(ask.Members, len(ask.Members) > 1)
 	switch {
 	case ask.Digest != 0 && ask.Digest == k.digest():
@@ -199,11 +199,11 @@
 
 // listed is a view's whole list as it goes out.
 type listed struct {
-	view *map[ids.NodeName]Standing
+	view *map[ids.NodeName]NodeState
 	raw  json.RawMessage
 }
 
-func (k *Kin) encoded() (json.RawMessage, error) {
+func (k *Memberlist) encoded() (json.RawMessage, error) {
 	view := k.view.Load()
 	if kept := k.listed.Load(); kept != nil && kept.view == view {
 		return kept.raw, nil
@@ -216,7 +216,7 @@
 	return raw, nil
 }
 
-func listOf(view map[ids.NodeName]Standing) []rpc.Member {
+func listOf(view map[ids.NodeName]NodeState) []rpc.Member {
 	list := make([]rpc.Member, 0, len(view))
 	for _, s := range view {
 		list = append(list, s.Member)
@@ -224,11 +224,11 @@
 	return list
 }
 
-func (k *Kin) whole() []rpc.Member { return listOf(k.View()) }
+func (k *Memberlist) whole() []rpc.Member { return listOf(k.View()) }
 
 // ranges is into how many ranges of names the list is cut, some members in each; one
 // for who knows next to nobody.
-func (k *Kin) ranges() int {
+func (k *Memberlist) ranges() int {
 	n := 1
 	for n*rangeSize < len(k.View()) && n < rangesMost {
 		n *= 2
@@ -250,14 +250,14 @@
 }
 
 // digest is one number for all that is known here.
-func (k *Kin) digest() uint64 {
+func (k *Memberlist) digest() uint64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return max(k.sum^sumOf(k.me), 1)
 }
 
 // sums is one number for each range.
-func (k *Kin) sums(ranges int) []uint32 {
+func (k *Memberlist) sums(ranges int) []uint32 {
 	sums := make([]uint32, ranges)
 	for name, s := range k.View() {
 		sums[rangeOf(name, ranges)] ^= uint32(sumOf(s.Member))
@@ -266,7 +266,7 @@
 }
 
 // within is the members of some ranges.
-func (k *Kin) within(ranges int, some []int) (list []rpc.Member) {
+func (k *Memberlist) within(ranges int, some []int) (list []rpc.Member) {
 	isMeant := make([]bool, ranges)
 	for _, no := range some {
 		if no >= 0 && no < ranges {
@@ -298,7 +298,7 @@
 
 // presents tells whether this node's own record goes with an acknowledgement:
 // often while it is new, then seldom.
-func (k *Kin) presents() bool {
+func (k *Memberlist) presents() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.shownAt != k.me.Incarnation {
--- a/internal/membership/sync_test.go
+++ b/internal/membership/sync_test.go
@@ -41,8 +41,8 @@
 func (e *end) Close() error   { e.once.Do(func() { close(e.over) }); return nil }
 func (e *end) Addr() net.Addr { return &net.TCPAddr{} }
 
-func (l *lines) net() environment.Net {
-	return environment.Net{
+func (l *lines) net() environment.Host {
+	return environment.Host{
 		Listen: func(address string) (net.Listener, error) {
 			e := &end{conns: make(chan net.Conn), over: make(chan struct{})}
 			l.mu.Lock()
@@ -69,7 +69,7 @@
 }
 
 func member(no int) rpc.Member {
-	return rpc.Member{Name: ids.NodeName(fmt.Sprint("node", no)), ID: ids.MemberID(fmt.Sprint("birth", no)), RPCAddress: fmt.Sprintf("10.1.%d.%d:7000", no/200, no%200), Zone: fmt.Sprint("z", no%7), Strength: 100, Incarnation: 1, State: Alive}
+	return rpc.Member{Name: ids.NodeName(fmt.Sprint("node", no)), ID: ids.MemberID(fmt.Sprint("birth", no)), RPCAddress: fmt.Sprintf("10.1.%d.%d:7000", no/200, no%200), Zone: fmt.Sprint("z", no%7), Strength: 100, Incarnation: 1, State: StateAlive}
 }
 
 func members(n int) (list []rpc.Member) {
@@ -80,7 +80,7 @@
 }
 
 // start is a node's view; it neither probes nor compares by itself.
-func (l *lines) start(t *testing.T, ctx context.Context, m rpc.Member) *Kin {
+func (l *lines) start(t *testing.T, ctx context.Context, m rpc.Member) *Memberlist {
 	t.Helper()
 	settings, err := config.Load("", map[string]string{"name": string(m.Name), "zone": m.Zone, "wire.address": m.RPCAddress, "api.address": "10.0.0.9:1", "gate.address": "10.0.0.9:2"})
 	if err != nil {
@@ -95,7 +95,7 @@
 	return k
 }
 
-func sent(k *Kin) (bytes int64) {
+func sent(k *Memberlist) (bytes int64) {
 	for _, count := range k.w.Traffic() {
 		bytes += count[1]
 	}
@@ -103,8 +103,8 @@
 }
 
 // isSame tells whether both hold the same of all that are not gone.
-func isSame(a, b *Kin) bool {
-	live := func(k *Kin) map[ids.NodeName]rpc.Member {
+func isSame(a, b *Memberlist) bool {
+	live := func(k *Memberlist) map[ids.NodeName]rpc.Member {
 		some := map[ids.NodeName]rpc.Member{}
 		for name, s := range k.View() {
 			if rank(s.State) < 2 {
@@ -124,18 +124,18 @@
 		a, b := l.start(t, ctx, member(0)), l.start(t, ctx, member(1))
 		a.take(members(460), true)
 		b.take(members(460), true)
-		if !a.Sync(b.Me().RPCAddress) {
+		if !a.PushPull(b.Self().RPCAddress) {
 			t.Fatal("not in touch")
 		}
 		if cost := sent(a) + sent(b); cost > 400 {
 			t.Errorf("lists that are the same cost %d bytes", cost)
 		}
 		restarted, down := member(77), member(300)
-		restarted.ID, restarted.Incarnation, down.State = "another", 5, Down
+		restarted.ID, restarted.Incarnation, down.State = "another", 5, StateDead
 		a.take([]rpc.Member{restarted}, false)
 		b.take([]rpc.Member{down}, false)
 		before := sent(a) + sent(b)
-		if !a.Sync(b.Me().RPCAddress) || !isSame(a, b) {
+		if !a.PushPull(b.Self().RPCAddress) || !isSame(a, b) {
 			t.Fatal("the lists still differ")
 		}
 		if cost := sent(a) + sent(b) - before; cost > 8000 {
@@ -143,12 +143,12 @@
 		}
 		// One who knows nobody gets it all, and is known.
 		c := l.start(t, ctx, member(460))
-		if !c.Sync(b.Me().RPCAddress) || !isSame(b, c) {
+		if !c.PushPull(b.Self().RPCAddress) || !isSame(b, c) {
 			t.Error("who joins does not know all, or is not known")
 		}
 		// That it never heard of the one that is down does not make lists differ.
 		before = sent(b) + sent(c)
-		if !c.Sync(b.Me().RPCAddress) {
+		if !c.PushPull(b.Self().RPCAddress) {
 			t.Fatal("not in touch")
 		}
 		if cost := sent(b) + sent(c) - before; cost > 400 {
@@ -165,13 +165,13 @@
 		a, b := l.start(t, ctx, member(0)), l.start(t, ctx, member(1))
 		for i := range 300 {
 			m := member(i * 7 % 50)
-			m.Incarnation, m.State = uint64(1+i%5), []string{Alive, Suspect, Down, Alive, Left}[i%5]
+			m.Incarnation, m.State = uint64(1+i%5), []string{StateAlive, StateSuspect, StateDead, StateAlive, StateLeft}[i%5]
 			if i%11 == 0 {
 				m.ID = ids.MemberID(fmt.Sprint("again", i))
 			}
 			a.take([]rpc.Member{m}, i%2 == 0)
 		}
-		a.Amend(func(m *rpc.Member) { m.HoldsConfiguration = true })
+		a.UpdateSelf(func(m *rpc.Member) { m.HoldsConfiguration = true })
 		b.take(a.whole(), true)
 		a.take(b.whole(), true)
 		b.take(a.whole(), true)
@@ -222,11 +222,11 @@
 			t.Error("no sums")
 		}
 		b := l.start(t, ctx, member(1))
-		if b.Sync(a.Me().RPCAddress) || !b.isRefused.Load() {
+		if b.PushPull(a.Self().RPCAddress) || !b.isRefused.Load() {
 			t.Error("the refusal is not noted")
 		}
 		given[0].Sent()
-		if !b.Sync(a.Me().RPCAddress) || len(b.View()) != 460 {
+		if !b.PushPull(a.Self().RPCAddress) || len(b.View()) != 460 {
 			t.Error("a place was lost")
 		}
 	})
@@ -238,7 +238,7 @@
 		defer stop()
 		l := &lines{ends: map[string]chan net.Conn{}}
 		looking := 0
-		var one *Kin
+		var one *Memberlist
 		lost := member(33)
 		for no := range 60 {
 			if no == 33 {
@@ -247,7 +247,7 @@
 			k := l.start(t, ctx, member(no))
 			k.take(members(60), true)
 			down := lost
-			down.State = Down
+			down.State = StateDead
 			k.take([]rpc.Member{down}, false)
 			if some := k.due(map[ids.NodeName]*hunt{}, time.Now()); len(some) == 1 && some[0].Name == lost.Name {
 				looking++
@@ -316,7 +316,7 @@
 		for len(k.gossip()) > 0 {
 		}
 		doubted := member(9)
-		doubted.State = Suspect
+		doubted.State = StateSuspect
 		for range 50 {
 			k.take([]rpc.Member{doubted}, false)
 		}
@@ -336,14 +336,14 @@
 		defer stop()
 		l := &lines{ends: map[string]chan net.Conn{}}
 		for _, size := range []int{10, 60} {
-			var lookers []*Kin
+			var lookers []*Memberlist
 			for no := 1; no < size; no++ {
 				all := members(size)
 				all[0].Core = true
 				k := l.start(t, ctx, all[no])
 				k.take(all, true)
 				down := all[0]
-				down.State = Down
+				down.State = StateDead
 				k.take([]rpc.Member{down}, false)
 				if k.searches(k.View(), down) {
 					lookers = append(lookers, k)
--- a/internal/node/calls.go
+++ b/internal/node/calls.go
@@ -22,11 +22,11 @@
 	limited, end := context.WithTimeout(ctx, beatTime)
 	defer end()
 	if err := controlplane.ValidateHeartbeat(beat); err != nil {
-		n.R.Sign.Say(eventlog.BeatRefused, "service", beat.Service, "instance", beat.Instance, "cause", err.Error())
+		n.R.Events.Say(eventlog.BeatRefused, "service", beat.Service, "instance", beat.Instance, "cause", err.Error())
 		return "", err
 	}
 	if beat.State != controlplane.StateServing {
-		n.R.Sign.Say(eventlog.TargetGoing, "service", beat.Service, "instance", beat.Instance, "state", beat.State)
+		n.R.Events.Say(eventlog.TargetGoing, "service", beat.Service, "instance", beat.Instance, "state", beat.State)
 	}
 	no := ids.ShardOf(beat.Service)
 	var done struct{}
@@ -44,7 +44,7 @@
 	known := n.owners[no].Load()
 	if n.Consensus != nil {
 		if name, ok := n.Consensus.Leader(no); ok {
-			if m, ok := n.Kin.Of(name); ok {
+			if m, ok := n.Kin.Lookup(name); ok {
 				return m.APIAddress
 			}
 		}
@@ -52,7 +52,7 @@
 	if known == nil {
 		return ""
 	}
-	for _, m := range n.Kin.Cores() {
+	for _, m := range n.Kin.CoreMembers() {
 		if m.RPCAddress == *known {
 			return m.APIAddress
 		}
@@ -68,7 +68,7 @@
 	if service == "" {
 		return errcode.New(errcode.UnknownService, "of instance %q", instance)
 	}
-	n.R.Sign.Say(eventlog.TargetGoing, "service", service, "instance", instance, "state", controlplane.StateLeaving)
+	n.R.Events.Say(eventlog.TargetGoing, "service", service, "instance", instance, "state", controlplane.StateLeaving)
 	beat := &rpc.TargetHeartbeat{Service: service, Instance: instance, Sequence: lastSeq, Address: "0.0.0.0:0", State: controlplane.StateLeaving}
 	var done struct{}
 	return n.pass(limited, op{ids.ShardOf(service), "beat", beat}, 0, &done)
@@ -84,7 +84,7 @@
 			return service
 		}
 	}
-	cores := n.Kin.Cores()
+	cores := n.Kin.CoreMembers()
 	found := make(chan string, len(cores))
 	var all sync.WaitGroup
 	limited, end := context.WithTimeout(ctx, 500*time.Millisecond)
--- a/internal/node/desk.go
+++ b/internal/node/desk.go
@@ -36,7 +36,7 @@
 	if _, err := d.n.Take(ctx, beat); err != nil {
 		return nil, err
 	}
-	return &api.Taken{Again: int(d.n.R.Props.PlanBeat.Milliseconds())}, nil
+	return &api.Taken{Again: int(d.n.R.Config.PlanBeat.Milliseconds())}, nil
 }
 
 func (d *desk) Submit(ctx context.Context, req *api.Change) (*api.ChangeReceipt, error) {
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -20,11 +20,11 @@
 )
 
 // called notes how long a coordination call took.
-func (n *Node) called(began time.Time) { n.R.Times.Call.Take(time.Since(began)) }
+func (n *Node) called(began time.Time) { n.R.Latencies.Call.Take(time.Since(began)) }
 
 // withMetrics puts /metrics before the API, if the settings say so.
 func (n *Node) withMetrics(api http.Handler) http.Handler {
-	if !n.R.Props.MetricsServe {
+	if !n.R.Config.MetricsServe {
 		return api
 	}
 	registry := prometheus.NewRegistry()
@@ -91,10 +91,10 @@
 
 func (c *Collector) Collect(out chan<- prometheus.Metric) {
 	s, n := sheet{c, out}, c.n
-	s.add(metrics.Node, 1, string(n.R.Name), n.R.Props.Zone, strconv.FormatBool(n.Consensus != nil), strconv.FormatBool(n.Gate != nil))
+	s.add(metrics.Node, 1, string(n.R.Name), n.R.Config.Zone, strconv.FormatBool(n.Consensus != nil), strconv.FormatBool(n.Gate != nil))
 	s.add(metrics.Ready, truth(n.Ready() == nil))
 	s.add(metrics.Beats, float64(n.beats.Load()))
-	counts := n.R.Sign.Counts()
+	counts := n.R.Events.Counts()
 	for _, e := range eventlog.Events {
 		if counts[e.Name] > 0 {
 			s.add(metrics.Events, float64(counts[e.Name]), strconv.Itoa(e.No), e.Name)
@@ -114,7 +114,7 @@
 	if n.Consensus != nil {
 		s.core()
 	}
-	n.R.Times.Each(func(m metrics.Metric, labels []string, sum metrics.Sum) {
+	n.R.Latencies.Each(func(m metrics.Metric, labels []string, sum metrics.Sum) {
 		one, err := prometheus.NewConstHistogram(c.descs[m.Name], sum.Count, sum.Seconds, sum.Under, labels...)
 		s.pass(m, one, err)
 	})
@@ -154,7 +154,7 @@
 	g := s.n.Gate
 	s.add(metrics.GateInflight, float64(g.InFlight()))
 	s.add(metrics.GatePipes, float64(g.IdleConnections()))
-	s.add(metrics.GateFailed, float64(s.n.R.Sign.Counts()[eventlog.TryFailed.Name]))
+	s.add(metrics.GateFailed, float64(s.n.R.Events.Counts()[eventlog.TryFailed.Name]))
 	answers := map[metrics.Outcome]int64{metrics.Ran: 0, metrics.NotRun: 0, metrics.Unknown: 0}
 	g.VisitOutcomes(func(name string, count int64) {
 		code, isCode := s.codes[name]
@@ -206,8 +206,8 @@
 	}
 	s.add(metrics.PartsOwned, float64(owned))
 	s.add(metrics.EpochFolded, float64(n.Ledger.Current().Epoch))
-	s.add(metrics.StoreSyncs, float64(n.Store.Syncs()))
-	s.add(metrics.StoreStalled, n.Store.Stalled().Seconds())
+	s.add(metrics.StoreSyncs, float64(n.Store.SyncCount()))
+	s.add(metrics.StoreStalled, n.Store.StallTime().Seconds())
 	for at, count := range n.Roll.TargetCounts() {
 		s.add(metrics.Targets, float64(count), at.Service, at.State, at.Reported)
 	}
--- a/internal/node/pass.go
+++ b/internal/node/pass.go
@@ -135,7 +135,7 @@
 	if name == n.R.Name {
 		return n.Consensus.Replica(no).IsServing()
 	}
-	m, ok := n.Kin.Of(name)
+	m, ok := n.Kin.Lookup(name)
 	return ok && m.RPCAddress != address
 }
 
@@ -153,7 +153,7 @@
 func (n *Node) ownerOf(no ids.Shard, try int) string {
 	if n.Consensus != nil {
 		if name, ok := n.Consensus.Leader(no); ok && name != n.R.Name {
-			if m, ok := n.Kin.Of(name); ok {
+			if m, ok := n.Kin.Lookup(name); ok {
 				return m.RPCAddress
 			}
 		}
@@ -162,7 +162,7 @@
 		return *known
 	}
 	var cores []rpc.Member
-	for _, m := range n.Kin.Cores() {
+	for _, m := range n.Kin.CoreMembers() {
 		if m.Name != n.R.Name {
 			cores = append(cores, m)
 		}
--- a/internal/node/seat.go
+++ b/internal/node/seat.go
@@ -33,9 +33,9 @@
 
 // Node is one running node.
 type Node struct {
-	R         *environment.Realm
+	R         *environment.Environment
 	Wire      *rpc.Wire
-	Kin       *membership.Kin
+	Kin       *membership.Memberlist
 	Store     *storage.Store
 	Consensus *consensus.Node
 	Books     []*coordination.Book
@@ -62,9 +62,9 @@
 }
 
 // Start brings a node up, with faces beside its own API.
-func Start(r *environment.Realm, faces ...Face) (*Node, error) {
+func Start(r *environment.Environment, faces ...Face) (*Node, error) {
 	n := &Node{R: r, Wire: rpc.New(r)}
-	p := r.Props
+	p := r.Config
 	me := rpc.Member{Name: r.Name, ID: ids.NewMemberID(), RPCAddress: p.WireAddress, APIAddress: p.APIAddress, ProxyAddress: p.GateAddress, Zone: p.Zone, Strength: p.Strength}
 	if p.WireAdvertise != "" {
 		me.RPCAddress = p.WireAdvertise
@@ -81,12 +81,12 @@
 			return nil, err
 		}
 		me.Core, me.Founders = true, p.FoundCores
-		if n.Store.IsAfterDamage() {
+		if n.Store.ReplacesCorrupt() {
 			me.Founders = 0
 		}
 	}
 	n.Kin = membership.New(r, n.Wire, me)
-	n.Wire.IsNear = n.Kin.IsNear
+	n.Wire.IsNear = n.Kin.InOwnZone
 	if me.Core {
 		if err := n.openCore(); err != nil {
 			return nil, err
@@ -104,7 +104,7 @@
 	if err := n.Wire.Open(); err != nil {
 		return nil, err
 	}
-	if err := n.Kin.Open(); err != nil {
+	if err := n.Kin.Start(); err != nil {
 		return nil, errcode.New(errcode.BadProps, "wire.address: %v", err)
 	}
 	if me.Core {
@@ -137,13 +137,13 @@
 			return nil, err
 		}
 	}
-	r.Sign.Say(eventlog.NodeStarted, "birth", string(me.ID), "core", me.Core, "gate", p.GateAddress)
+	r.Events.Say(eventlog.NodeStarted, "birth", string(me.ID), "core", me.Core, "gate", p.GateAddress)
 	return n, nil
 }
 
 // openGate takes callers' connections: at once, or when there is a first plan.
 func (n *Node) openGate(address string, planned <-chan struct{}) error {
-	wait := n.R.Props.GateWait
+	wait := n.R.Config.GateWait
 	if wait == 0 {
 		return n.serve(address, "gate.address", n.Gate)
 	}
@@ -160,7 +160,7 @@
 			return
 		}
 		if err := n.serve(address, "gate.address", n.Gate); err != nil {
-			n.R.Sign.Say(eventlog.GateFailed, "cause", err.Error())
+			n.R.Events.Say(eventlog.GateFailed, "cause", err.Error())
 		}
 	})
 	return nil
@@ -179,7 +179,7 @@
 		if planned.Change != nil {
 			change = planned.Change.ID
 		}
-		n.R.Sign.Say(eventlog.EpochCommitted, "epoch", uint64(sheet.Epoch), "change", change, "groups", len(planned.Put)+len(planned.Remove))
+		n.R.Events.Say(eventlog.EpochCommitted, "epoch", uint64(sheet.Epoch), "change", change, "groups", len(planned.Put)+len(planned.Remove))
 	}
 	machines = append(machines, n.Ledger)
 	var err error
@@ -213,15 +213,15 @@
 }
 
 func (n *Node) serve(address, key string, handler http.Handler) error {
-	listener, err := n.R.Net.Listen(address)
+	listener, err := n.R.Host.Listen(address)
 	if err != nil {
 		return errcode.New(errcode.BadProps, "%s: %v", key, err)
 	}
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: 10 * time.Second, IdleTimeout: 60 * time.Second, BaseContext: func(net.Listener) context.Context { return n.R }}
-	if key == "gate.address" && n.R.Props.GateWindow > 0 {
+	if key == "gate.address" && n.R.Config.GateWindow > 0 {
 		server.ConnContext = func(ctx context.Context, conn net.Conn) context.Context {
 			if c, ok := conn.(interface{ SetReadBuffer(int) error }); ok {
-				c.SetReadBuffer(n.R.Props.GateWindow)
+				c.SetReadBuffer(n.R.Config.GateWindow)
 			}
 			return ctx
 		}
@@ -230,8 +230,8 @@
 	n.servers = append(n.servers, server)
 	n.mu.Unlock()
 	n.R.Go(func() {
-		if err := server.Serve(listener); err != nil && !errors.Is(err, http.ErrServerClosed) && !n.R.IsOver() {
-			n.R.Sign.Say(eventlog.MessageRefused, "cause", err.Error())
+		if err := server.Serve(listener); err != nil && !errors.Is(err, http.ErrServerClosed) && !n.R.IsStopping() {
+			n.R.Events.Say(eventlog.MessageRefused, "cause", err.Error())
 		}
 	})
 	n.R.Go(func() {
@@ -246,7 +246,7 @@
 	if err != nil {
 		return errcode.New(errcode.Internal, "%v", err)
 	}
-	return n.serve(n.R.Props.APIAddress, "api.address", http.MaxBytesHandler(n.withMetrics(server), apiMost))
+	return n.serve(n.R.Config.APIAddress, "api.address", http.MaxBytesHandler(n.withMetrics(server), apiMost))
 }
 
 // Stop is the planned stop: this node says that it is not ready, and, if it is a
@@ -254,16 +254,16 @@
 // what was handed over is finished, owned parts are passed on, and the others are
 // told.
 func (n *Node) Stop() {
-	n.R.Sign.Say(eventlog.NodeStopping)
+	n.R.Events.Say(eventlog.NodeStopping)
 	n.isGoing.Store(true)
-	ctx, end := context.WithTimeout(n.R, n.R.Props.StopGrace)
+	ctx, end := context.WithTimeout(n.R, n.R.Config.StopGrace)
 	defer end()
 	if n.Consensus != nil {
 		n.Consensus.TransferLeadership(ctx)
 	}
 	if n.Gate != nil {
 		n.Gate.Drain()
-		n.R.Pause(n.R.Props.GateLinger)
+		n.R.Sleep(n.R.Config.GateLinger)
 		n.Gate.Stop()
 	}
 	n.Kin.Leave()
@@ -279,8 +279,8 @@
 	if n.Gate != nil {
 		n.Gate.Close()
 	}
-	n.R.Sign.Say(eventlog.NodeStopped)
-	n.R.End()
+	n.R.Events.Say(eventlog.NodeStopped)
+	n.R.Shutdown()
 }
 
 // stir tells the owner of the configuration part that there is news of targets.
--- a/internal/node/show.go
+++ b/internal/node/show.go
@@ -69,7 +69,7 @@
 		}
 	case api.ShowWhatCounts:
 		columns("what", "count")
-		for name, count := range n.R.Sign.Counts() {
+		for name, count := range n.R.Events.Counts() {
 			add("event "+name, count)
 		}
 		if n.Gate != nil {
@@ -80,7 +80,7 @@
 			add("requests under way", n.Gate.InFlight())
 		}
 		if n.Store != nil {
-			add("syncs", n.Store.Syncs())
+			add("syncs", n.Store.SyncCount())
 		}
 	case api.ShowWhatTraffic:
 		columns("kind", "messages", "bytes")
@@ -89,13 +89,13 @@
 		}
 	case api.ShowWhatLatency:
 		columns("what", "service", "outcome", "count", "median", "99", "99.9", "most")
-		n.R.Times.Each(func(m metrics.Metric, labels []string, sum metrics.Sum) {
+		n.R.Latencies.Each(func(m metrics.Metric, labels []string, sum metrics.Sum) {
 			labels = append(labels, "", "")
 			add(strings.TrimSuffix(strings.TrimPrefix(m.Name, "sumac_"), "_seconds"), labels[0], labels[1], sum.Count, sum.Median, sum.P99, sum.P999, sum.Most)
 		})
 	case api.ShowWhatEvents:
 		columns("time", "event", "name", "what")
-		for _, e := range n.R.Sign.Recent(200) {
+		for _, e := range n.R.Events.Recent(200) {
 			what := ""
 			for i := 0; i+1 < len(e.Pairs); i += 2 {
 				what += fmt.Sprintf("%v=%v ", e.Pairs[i], e.Pairs[i+1])
@@ -106,7 +106,7 @@
 	case api.ShowWhatNode:
 		columns("name", "zone", "core", "gate", "ready")
 		_, err := d.Ready(ctx)
-		add(n.R.Name, n.R.Props.Zone, n.Consensus != nil, n.R.Props.GateAddress, err == nil)
+		add(n.R.Name, n.R.Config.Zone, n.Consensus != nil, n.R.Config.GateAddress, err == nil)
 	}
 	sort.SliceStable(rows.Rows, func(i, j int) bool {
 		a, b := rows.Rows[i][0], rows.Rows[j][0]
--- a/internal/node/start.go
+++ b/internal/node/start.go
@@ -9,7 +9,7 @@
 
 // StartUnless brings a node up as Start does, unless a signal tells it to stop before it
 // is up, for a start may wait for room on the disk: then the node is nil.
-func StartUnless(signals <-chan os.Signal, r *environment.Realm, faces ...Face) (*Node, error) {
+func StartUnless(signals <-chan os.Signal, r *environment.Environment, faces ...Face) (*Node, error) {
 	type result struct {
 		node *Node
 		err  error
@@ -23,12 +23,12 @@
 		select {
 		case got := <-started:
 			if got.err != nil {
-				r.End()
+				r.Shutdown()
 			}
 			return got.node, got.err
 		case signal := <-signals:
 			if signal != syscall.SIGHUP {
-				r.End()
+				r.Shutdown()
 				return nil, nil
 			}
 		}
--- a/internal/proxy/admission.go
+++ b/internal/proxy/admission.go
@@ -121,7 +121,7 @@
 		return true
 	}
 	p.environment.Go(func() {
-		p.environment.Pause(halfCloseTime)
+		p.environment.Sleep(halfCloseTime)
 		conn.Close()
 	})
 	return true
--- a/internal/proxy/admission_test.go
+++ b/internal/proxy/admission_test.go
@@ -92,7 +92,7 @@
 // A refused upload must cost the link next to nothing: its answer comes before its
 // body, and its body is left unread.
 func TestARefusedUploadIsLeftUnread(t *testing.T) {
-	r := environment.New(t.Context(), &config.Props{GateReturn: time.Second}, eventlog.New(io.Discard, "info", "n"), environment.Net{})
+	r := environment.New(t.Context(), &config.Props{GateReturn: time.Second}, eventlog.New(io.Discard, "info", "n"), environment.Host{})
 	g := &Proxy{environment: r, uploads: NewUploads(100, 1)}
 	n := &atomic.Int64{}
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
@@ -120,7 +120,7 @@
 		t.Error("the answer is not whole", err)
 	}
 	conn.Close()
-	r.End()
+	r.Shutdown()
 	server.Close()
 	if read := n.Load(); read > 8192 {
 		t.Error("of the refused body", read, "bytes were read")
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -24,7 +24,7 @@
 // requestBody reads small bodies, so that they can be sent again; others stream. Where
 // targets can't be asked whether they want a body, it is read whole in any case.
 func (p *Proxy) requestBody(ctx context.Context, plan *requestPlan, r *http.Request) (func() io.Reader, bool, error) {
-	maxBytes := int64(p.environment.Props.GateRequest)
+	maxBytes := int64(p.environment.Config.GateRequest)
 	if limits := plan.snapshot.Manners; limits != nil && limits.BodyBytes > 0 {
 		maxBytes = min(maxBytes, limits.BodyBytes)
 	}
@@ -103,13 +103,13 @@
 		}
 	}()
 	target := endpoint.Target
-	connection, err := p.connections.Get(ctx, endpoint.Key, target.Address, plan.connectTimeout(p.environment.Props.GateConnect))
+	connection, err := p.connections.Get(ctx, endpoint.Key, target.Address, plan.connectTimeout(p.environment.Config.GateConnect))
 	if err != nil {
 		endpoint.RecordFailure(time.Now(), true)
 		return nil, false, err
 	}
 	request := p.upstreamRequest(plan, r, target, body(), index)
-	responses, ok := connection.Begin(request, p.environment.Props.GateBody)
+	responses, ok := connection.Begin(request, p.environment.Config.GateBody)
 	if !ok {
 		return nil, false, errcode.New(errcode.NotWritten, "%s: the pipe died", target.Address)
 	}
@@ -197,11 +197,11 @@
 func (p *Proxy) classify(plan *requestPlan, endpoint *Endpoint, response *Response, sentAt time.Time) (*Response, bool, error) {
 	now, header := time.Now(), response.HTTP.Header
 	status := response.HTTP.StatusCode
-	notRun := header.Get(p.environment.Props.HeaderUnrun) != "" && status >= 400
+	notRun := header.Get(p.environment.Config.HeaderUnrun) != "" && status >= 400
 	misdirected := status == http.StatusMisdirectedRequest && p.opaqueSeals
 	took := now.Sub(sentAt)
 	serverError := !notRun && status >= 500
-	endpoint.RecordResponse(now, took, !notRun && !misdirected && !serverError, !serverError, header.Get(p.environment.Props.HeaderWeight))
+	endpoint.RecordResponse(now, took, !notRun && !misdirected && !serverError, !serverError, header.Get(p.environment.Config.HeaderWeight))
 	if serverError && status != http.StatusGatewayTimeout {
 		p.reportFailure(endpoint)
 	}
@@ -245,7 +245,7 @@
 // countTraffic notes the bytes of a try, without the answer's head.
 func (p *Proxy) countTraffic(target rpc.Target, bytes int) {
 	kind := "gate.try"
-	if target.Zone != p.environment.Props.Zone {
+	if target.Zone != p.environment.Config.Zone {
 		kind += " between"
 	}
 	p.rpc.Count(kind, "", bytes)
@@ -317,13 +317,13 @@
 		out.Header.Set(HeaderEpoch, strconv.FormatUint(uint64(plan.snapshot.Epoch), 10))
 		out.Header.Set(HeaderProxy, string(p.environment.Name))
 	}
-	if remaining := time.Until(plan.deadline).Milliseconds(); p.opaqueSeals || r.Header.Get(p.environment.Props.HeaderDeadline) != "" {
-		out.Header.Set(p.environment.Props.HeaderDeadline, strconv.FormatInt(max(remaining, 0), 10))
+	if remaining := time.Until(plan.deadline).Milliseconds(); p.opaqueSeals || r.Header.Get(p.environment.Config.HeaderDeadline) != "" {
+		out.Header.Set(p.environment.Config.HeaderDeadline, strconv.FormatInt(max(remaining, 0), 10))
 	}
 	if plan.requestID != "" {
-		out.Header.Set(p.environment.Props.HeaderRequest, plan.requestID)
+		out.Header.Set(p.environment.Config.HeaderRequest, plan.requestID)
 	}
-	out.Header.Set(p.environment.Props.HeaderExpect, target.Instance)
+	out.Header.Set(p.environment.Config.HeaderExpect, target.Instance)
 	if body != nil {
 		out.Body = uncloseableBody{body}
 	}
@@ -334,16 +334,16 @@
 // seen to be there; then the answer must name its request, and its length.
 func (p *Proxy) verifySeal(plan *requestPlan, target rpc.Target, response *Response) error {
 	header := response.HTTP.Header
-	seal := header.Get(p.environment.Props.HeaderSeal)
+	seal := header.Get(p.environment.Config.HeaderSeal)
 	sealed := false
 	if p.opaqueSeals {
 		success := response.HTTP.StatusCode < 300
-		sealed = header.Get(p.environment.Props.HeaderRequest) == plan.requestID && (!success || seal != "") && (response.HTTP.ContentLength >= 0 || len(response.HTTP.TransferEncoding) > 0)
+		sealed = header.Get(p.environment.Config.HeaderRequest) == plan.requestID && (!success || seal != "") && (response.HTTP.ContentLength >= 0 || len(response.HTTP.TransferEncoding) > 0)
 	} else {
 		sealed = VerifySeal(seal, plan.service.Key, plan.requestID, plan.service.Name, target.Instance, response.HTTP.StatusCode, response.Body)
 	}
 	if !sealed {
-		p.environment.Sign.Say(eventlog.SealRefused, "request", plan.requestID, "service", plan.service.Name, "instance", target.Instance, "address", target.Address, "status", response.HTTP.StatusCode)
+		p.environment.Events.Say(eventlog.SealRefused, "request", plan.requestID, "service", plan.service.Name, "instance", target.Instance, "address", target.Address, "status", response.HTTP.StatusCode)
 		return errcode.New(errcode.SealBroken, "%s", target.Instance)
 	}
 	return nil
--- a/internal/proxy/connection.go
+++ b/internal/proxy/connection.go
@@ -216,7 +216,7 @@
 
 // ConnectionPool keeps the idle pipes by target.
 type ConnectionPool struct {
-	environment *environment.Realm
+	environment *environment.Environment
 	mu          sync.Mutex
 	idle        map[string][]*Connection
 
@@ -225,7 +225,7 @@
 	idleLimitUntil time.Time
 }
 
-func NewConnectionPool(env *environment.Realm) *ConnectionPool {
+func NewConnectionPool(env *environment.Environment) *ConnectionPool {
 	return &ConnectionPool{environment: env, idle: map[string][]*Connection{}}
 }
 
@@ -254,13 +254,13 @@
 	}
 	limited, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	conn, err := p.environment.Net.Dial(limited, address)
+	conn, err := p.environment.Host.Dial(limited, address)
 	if err != nil {
 		return nil, errcode.New(errcode.NotWritten, "%s: %v", address, err)
 	}
-	connection := &Connection{Conn: conn, idleTimeout: p.environment.Props.GateIdle}
-	if p.environment.Props.GateSeal == "opaque" {
-		connection.correlationHeader = p.environment.Props.HeaderRequest
+	connection := &Connection{Conn: conn, idleTimeout: p.environment.Config.GateIdle}
+	if p.environment.Config.GateSeal == "opaque" {
+		connection.correlationHeader = p.environment.Config.HeaderRequest
 	}
 	p.environment.Go(connection.readLoop)
 	return connection, nil
@@ -282,7 +282,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if now.After(p.idleLimitUntil) {
-		p.idleLimit = p.environment.Props.GateIdle
+		p.idleLimit = p.environment.Config.GateIdle
 	}
 	p.idleLimit = max(min(p.idleLimit, idledFor)/staleIdleDivisor, MinIdleLimit)
 	p.idleLimitUntil = now.Add(idleLimitDuration)
@@ -296,7 +296,7 @@
 	connection.idleSince = time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.idle[endpoint]) >= maxIdlePerEndpoint || p.environment.IsOver() {
+	if len(p.idle[endpoint]) >= maxIdlePerEndpoint || p.environment.IsStopping() {
 		connection.Abort()
 		return
 	}
--- a/internal/proxy/endpoint.go
+++ b/internal/proxy/endpoint.go
@@ -73,7 +73,7 @@
 }
 
 func (p *Proxy) newPool(service string, targets []rpc.Target, previous *Pool, now time.Time) *Pool {
-	pool := &Pool{hedgeRatio: float64(p.environment.Props.GateDoubles) / 100}
+	pool := &Pool{hedgeRatio: float64(p.environment.Config.GateDoubles) / 100}
 	known := map[string]*Endpoint{}
 	if previous != nil {
 		pool.latency, pool.baseline, pool.hedgeAllowance = previous.inherited()
@@ -88,7 +88,7 @@
 		key := EndpointKey(service, target.Instance, target.Address)
 		candidate := known[key]
 		if candidate == nil {
-			candidate = &Endpoint{Key: key, ReportID: reportID(key), Target: target, SameZone: target.Zone == p.environment.Props.Zone}
+			candidate = &Endpoint{Key: key, ReportID: reportID(key), Target: target, SameZone: target.Zone == p.environment.Config.Zone}
 			if target.SlowStartMillis > 0 && previous != nil {
 				candidate.warmUpUntil = now.Add(time.Duration(target.SlowStartMillis) * time.Millisecond)
 			}
@@ -140,7 +140,7 @@
 func (p *Proxy) zoneProxies(snapshot *distribution.Chart) int {
 	count := 0
 	for name, member := range p.membership.View() {
-		if _, named := snapshot.Shares[name]; named && member.Zone == p.environment.Props.Zone && (member.State == membership.Alive || member.State == membership.Suspect) {
+		if _, named := snapshot.Shares[name]; named && member.Zone == p.environment.Config.Zone && (member.State == membership.StateAlive || member.State == membership.StateSuspect) {
 			count++
 		}
 	}
@@ -195,7 +195,7 @@
 	if typical == 0 {
 		typical = max(plan.latencyTarget/4, time.Millisecond)
 	}
-	crossZoneCost := time.Duration(float64(plan.latencyTarget) * float64(p.environment.Props.GateSpill) / 100 * (1 + float64(bodySize)/crossZoneBodyUnit))
+	crossZoneCost := time.Duration(float64(plan.latencyTarget) * float64(p.environment.Config.GateSpill) / 100 * (1 + float64(bodySize)/crossZoneBodyUnit))
 	totalScore := plan.endpoints.totalFailureScore(now)
 	var best, fallback *Endpoint
 	var bestCost, fallbackCost time.Duration
--- a/internal/proxy/hedge.go
+++ b/internal/proxy/hedge.go
@@ -59,7 +59,7 @@
 func (p *Proxy) awaitResponse(ctx context.Context, plan *requestPlan, r *http.Request, sent *sentAttempt, body func() io.Reader, index int) (*Response, bool, error) {
 	var late <-chan time.Time
 	typical := plan.endpoints.TypicalLatency()
-	hedged := p.environment.Props.GateDoubles > 0 && index == 0 && plan.maxAttempts > 1 && plan.idempotent && r.ContentLength == 0
+	hedged := p.environment.Config.GateDoubles > 0 && index == 0 && plan.maxAttempts > 1 && plan.idempotent && r.ContentLength == 0
 	if typical > 0 {
 		delay := silenceFactor * typical
 		if hedged {
--- a/internal/proxy/idempotency.go
+++ b/internal/proxy/idempotency.go
@@ -79,7 +79,7 @@
 
 // holder names the request, and the life of the proxy that it came to.
 func (p *Proxy) holder(plan *requestPlan) string {
-	self := p.membership.Me()
+	self := p.membership.Self()
 	return string(self.Name) + " " + string(self.ID) + " " + plan.requestID
 }
 
@@ -98,7 +98,7 @@
 		if _, err := p.coordinate(ctx, &rpc.CoordinationRequest{Operation: "unclaim", Name: plan.recordName, Holder: p.holder(plan)}); err == nil {
 			return
 		}
-		p.environment.Pause(100 * time.Millisecond)
+		p.environment.Sleep(100 * time.Millisecond)
 	}
 }
 
@@ -132,7 +132,7 @@
 		case outcome := <-p.unwritten:
 			batch = append(batch, outcome)
 		}
-		if !p.environment.Pause(outcomeInterval) {
+		if !p.environment.Sleep(outcomeInterval) {
 			return
 		}
 		for more := true; more && len(batch) < maxOutcomeBatch; {
@@ -160,7 +160,7 @@
 					if _, err := p.coordinate(ctx, operation); err == nil {
 						return
 					}
-					p.environment.Pause(100 * time.Millisecond)
+					p.environment.Sleep(100 * time.Millisecond)
 				}
 			})
 		}
--- a/internal/proxy/order_report.go
+++ b/internal/proxy/order_report.go
@@ -29,15 +29,15 @@
 }
 
 type orderReporter struct {
-	environment *environment.Realm
+	environment *environment.Environment
 	rpc         *rpc.Wire
-	membership  *membership.Kin
+	membership  *membership.Memberlist
 	budget      *Budget
 	snapshot    func() *distribution.Chart
 	queue       chan lostOrder
 }
 
-func newOrderReporter(env *environment.Realm, rpcClient *rpc.Wire, membership *membership.Kin, budget *Budget, orders *Tracker, snapshot func() *distribution.Chart) *orderReporter {
+func newOrderReporter(env *environment.Environment, rpcClient *rpc.Wire, membership *membership.Memberlist, budget *Budget, orders *Tracker, snapshot func() *distribution.Chart) *orderReporter {
 	reporter := &orderReporter{environment: env, rpc: rpcClient, membership: membership, budget: budget, snapshot: snapshot, queue: make(chan lostOrder, maxReportBatch)}
 	rpcClient.Handle("gate.seen", func(call *rpc.Call) (any, error) {
 		var request rpc.UnansweredRequests
@@ -80,7 +80,7 @@
 			}
 		}
 		o.environment.Go(func() { o.send(batch) })
-		if !o.environment.Pause(reportInterval) {
+		if !o.environment.Sleep(reportInterval) {
 			return
 		}
 	}
@@ -103,7 +103,7 @@
 	}
 	for name, member := range o.membership.View() {
 		_, named := snapshot.Shares[name]
-		if name == o.environment.Name || member.ProxyAddress == "" || member.State == membership.Left {
+		if name == o.environment.Name || member.ProxyAddress == "" || member.State == membership.StateLeft {
 			continue
 		}
 		pending.Add(1)
--- a/internal/proxy/outlier.go
+++ b/internal/proxy/outlier.go
@@ -149,7 +149,7 @@
 		r.failures = map[string]int{}
 		r.mu.Unlock()
 		r.send(failures)
-		if !r.proxy.environment.Pause(outlierReportInterval) {
+		if !r.proxy.environment.Sleep(outlierReportInterval) {
 			return
 		}
 	}
@@ -161,7 +161,7 @@
 		return
 	}
 	for name, member := range r.proxy.membership.View() {
-		if name == r.proxy.environment.Name || member.ProxyAddress == "" || member.Zone != r.proxy.environment.Props.Zone || member.State != membership.Alive {
+		if name == r.proxy.environment.Name || member.ProxyAddress == "" || member.Zone != r.proxy.environment.Config.Zone || member.State != membership.StateAlive {
 			continue
 		}
 		r.proxy.environment.Go(func() {
--- a/internal/proxy/outlier_test.go
+++ b/internal/proxy/outlier_test.go
@@ -14,7 +14,7 @@
 )
 
 func crewOf(n int) (*Proxy, *Pool) {
-	g := &Proxy{environment: &environment.Realm{Props: &config.Props{Zone: "a", GateSpill: 30}}}
+	g := &Proxy{environment: &environment.Environment{Config: &config.Props{Zone: "a", GateSpill: 30}}}
 	var list []rpc.Target
 	for i := range n {
 		list = append(list, rpc.Target{Instance: fmt.Sprint("t", i), Address: fmt.Sprint("10.0.0.", i), Zone: "a", Weight: 100, Slots: 2})
--- a/internal/proxy/plan.go
+++ b/internal/proxy/plan.go
@@ -76,7 +76,7 @@
 			inherited = previous.pools[service]
 		}
 		view.pools[service] = p.newPool(service, targets, inherited, now)
-		view.pools[service].Durations = p.environment.Times.Service(service)
+		view.pools[service].Durations = p.environment.Latencies.Service(service)
 		for _, target := range targets {
 			view.addresses[EndpointKey(service, target.Instance, target.Address)] = true
 		}
@@ -193,11 +193,11 @@
 		plan.recordName = recordName(r)
 	}
 	now := time.Now()
-	plan.deadline = now.Add(p.environment.Props.GateDeadline)
+	plan.deadline = now.Add(p.environment.Config.GateDeadline)
 	if plan.route.DeadlineMillis > 0 {
 		plan.deadline = now.Add(time.Duration(plan.route.DeadlineMillis) * time.Millisecond)
 	}
-	if milliseconds, err := strconv.ParseInt(r.Header.Get(p.environment.Props.HeaderDeadline), 10, 64); err == nil && milliseconds >= 0 && milliseconds < 3600_000 {
+	if milliseconds, err := strconv.ParseInt(r.Header.Get(p.environment.Config.HeaderDeadline), 10, 64); err == nil && milliseconds >= 0 && milliseconds < 3600_000 {
 		if requested := now.Add(time.Duration(milliseconds) * time.Millisecond); requested.Before(plan.deadline) {
 			plan.deadline = requested
 		}
--- a/internal/proxy/pool_test.go
+++ b/internal/proxy/pool_test.go
@@ -15,12 +15,12 @@
 func TestAfterOneForgottenPipeNoneThatIdledLongIsUsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		dials := 0
-		r := environment.New(t.Context(), &config.Props{GateIdle: 20 * time.Second, GateConnect: time.Second}, nil, environment.Net{Dial: func(context.Context, string) (net.Conn, error) {
+		r := environment.New(t.Context(), &config.Props{GateIdle: 20 * time.Second, GateConnect: time.Second}, nil, environment.Host{Dial: func(context.Context, string) (net.Conn, error) {
 			dials++
 			near, _ := net.Pipe()
 			return near, nil
 		}})
-		defer r.End()
+		defer r.Shutdown()
 		o := NewConnectionPool(r)
 		defer o.Prune(func(string) bool { return false })
 		// use takes a pipe, and leaves it idle for a while.
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -37,7 +37,7 @@
 
 // Proxy is one proxy's.
 type Proxy struct {
-	environment       *environment.Realm
+	environment       *environment.Environment
 	configuration     *distribution.Client
 	current           atomic.Pointer[epochView]
 	connections       *ConnectionPool
@@ -52,15 +52,15 @@
 	draining      atomic.Bool
 	orderReports  *orderReporter
 	outliers      *outlierReporter
-	membership    *membership.Kin
+	membership    *membership.Memberlist
 	rpc           *rpc.Wire
 	unwritten     chan orderOutcome
 	coordinate    func(context.Context, *rpc.CoordinationRequest) (*rpc.CoordinationResponse, error)
 	OutcomeCounts sync.Map
 }
 
-func New(env *environment.Realm, configuration *distribution.Client, rpcClient *rpc.Wire, membership *membership.Kin, coordinate func(context.Context, *rpc.CoordinationRequest) (*rpc.CoordinationResponse, error)) *Proxy {
-	p := &Proxy{environment: env, configuration: configuration, connections: NewConnectionPool(env), retryBudget: NewBudget(env.Props.ExtraWindow), uploads: NewUploads(env.Props.GateRate, env.Props.GateBodies), opaqueSeals: env.Props.GateSeal == "opaque", orders: NewTracker(), membership: membership, rpc: rpcClient, coordinate: coordinate, unwritten: make(chan orderOutcome, 4096)}
+func New(env *environment.Environment, configuration *distribution.Client, rpcClient *rpc.Wire, membership *membership.Memberlist, coordinate func(context.Context, *rpc.CoordinationRequest) (*rpc.CoordinationResponse, error)) *Proxy {
+	p := &Proxy{environment: env, configuration: configuration, connections: NewConnectionPool(env), retryBudget: NewBudget(env.Config.ExtraWindow), uploads: NewUploads(env.Config.GateRate, env.Config.GateBodies), opaqueSeals: env.Config.GateSeal == "opaque", orders: NewTracker(), membership: membership, rpc: rpcClient, coordinate: coordinate, unwritten: make(chan orderOutcome, 4096)}
 	env.Go(p.writeOutcomes)
 	p.orderReports = newOrderReporter(env, rpcClient, membership, p.retryBudget, p.orders, configuration.Cache.Chart)
 	p.outliers = newOutlierReporter(p)
@@ -89,13 +89,13 @@
 	started, inFlight := time.Now(), p.inFlight.Add(1)
 	defer p.inFlight.Add(-1)
 	requestID := ""
-	if p.environment.Props.GateIds == "caller" {
-		requestID = r.Header.Get(p.environment.Props.HeaderRequest)
+	if p.environment.Config.GateIds == "caller" {
+		requestID = r.Header.Get(p.environment.Config.HeaderRequest)
 	} else {
 		requestID = ids.NewID()
 	}
 	if requestID != "" {
-		w.Header().Set(p.environment.Props.HeaderRequest, requestID)
+		w.Header().Set(p.environment.Config.HeaderRequest, requestID)
 	}
 	if p.draining.Load() {
 		w.Header().Set("Connection", "close")
@@ -115,10 +115,10 @@
 		w.Header().Set("Connection", "close")
 		return nil, nil, errcode.New(errcode.Stopping, "")
 	}
-	if inFlight > int64(p.environment.Props.GateInflight) {
+	if inFlight > int64(p.environment.Config.GateInflight) {
 		return nil, nil, errcode.New(errcode.Overload, "%d requests are under way", inFlight-1)
 	}
-	if r.ContentLength > int64(p.environment.Props.GateRequest) {
+	if r.ContentLength > int64(p.environment.Config.GateRequest) {
 		return nil, nil, errcode.New(errcode.RequestTooLarge, "%d bytes", r.ContentLength)
 	}
 	plan, err := p.plan(r, requestID)
@@ -223,7 +223,7 @@
 }
 
 func (p *Proxy) retryLimits(plan *requestPlan) Limits {
-	limits := Limits{Percent: p.environment.Props.ExtraPercent, Base: p.environment.Props.ExtraBase}
+	limits := Limits{Percent: p.environment.Config.ExtraPercent, Base: p.environment.Config.ExtraBase}
 	quota := plan.snapshot.Limits[plan.service.Name]
 	if quota.RetryPercent != nil {
 		limits.Percent = min(limits.Percent, *quota.RetryPercent)
@@ -291,7 +291,7 @@
 		} else {
 			misses++
 		}
-		p.environment.Sign.Say(eventlog.TryFailed, "request", plan.requestID, "service", plan.service.Name, "instance", candidate.Target.Instance, "wrote", wrote, "cause", err.Error())
+		p.environment.Events.Say(eventlog.TryFailed, "request", plan.requestID, "service", plan.service.Name, "instance", candidate.Target.Instance, "wrote", wrote, "cause", err.Error())
 		if !written || mayHaveRun {
 			lastErr = err
 		}
@@ -323,7 +323,7 @@
 		header.Set("Connection", "close")
 	}
 	if !p.opaqueSeals {
-		header.Set(p.environment.Props.HeaderRequest, plan.requestID)
+		header.Set(p.environment.Config.HeaderRequest, plan.requestID)
 		header.Set(HeaderOutcome, "ran")
 		header.Set(HeaderEpoch, strconv.FormatUint(uint64(plan.snapshot.Epoch), 10))
 	}
@@ -358,7 +358,7 @@
 		header.Set(HeaderOutcome, problem.Code.Outcome)
 	}
 	if problem.Code.Status >= 500 || problem.Code.Status == http.StatusTooManyRequests || problem.Code.Status == http.StatusConflict {
-		delay := p.environment.Props.GateReturn
+		delay := p.environment.Config.GateReturn
 		if problem.Code.No == errcode.NotFresh.No && delay < time.Second {
 			// A plan comes later than room does.
 			delay *= staleRetryAfterFactor
--- a/internal/proxy/stats.go
+++ b/internal/proxy/stats.go
@@ -22,14 +22,14 @@
 	}
 	switch {
 	case plan == nil:
-		p.environment.Times.Service("").Take(outcome, elapsed)
+		p.environment.Latencies.Service("").Take(outcome, elapsed)
 	case plan.endpoints == nil:
-		p.environment.Times.Service(plan.service.Name).Take(outcome, elapsed)
+		p.environment.Latencies.Service(plan.service.Name).Take(outcome, elapsed)
 	default:
 		plan.endpoints.Durations.Take(outcome, elapsed)
 	}
 	if err == nil {
-		p.environment.Times.Added.Take(elapsed - plan.upstreamTime)
+		p.environment.Latencies.Added.Take(elapsed - plan.upstreamTime)
 	}
 }
 
--- a/internal/rpc/idle.go
+++ b/internal/rpc/idle.go
@@ -14,7 +14,7 @@
 // for signs of life, and a node that talks to a random other now and then would in
 // time keep one to each.
 func (w *Wire) sweep() {
-	for w.r.Pause(w.r.Props.WireIdle / 4) {
+	for w.r.Sleep(w.r.Config.WireIdle / 4) {
 		w.mu.Lock()
 		pipes := make([]*pipe, 0, len(w.pipes))
 		for _, p := range w.pipes {
@@ -33,7 +33,7 @@
 func (p *pipe) rest() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.isOver || len(p.waiting) > 0 || p.lastUse.IsZero() || time.Since(p.lastUse) < p.w.r.Props.WireIdle {
+	if p.isOver || len(p.waiting) > 0 || p.lastUse.IsZero() || time.Since(p.lastUse) < p.w.r.Config.WireIdle {
 		return false
 	}
 	p.isOver, p.isIdle = true, true
--- a/internal/rpc/idle_test.go
+++ b/internal/rpc/idle_test.go
@@ -44,7 +44,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			w := New(environment.New(ctx, settings, eventlog.New(t.Output(), "error", "n"), environment.Net{
+			w := New(environment.New(ctx, settings, eventlog.New(t.Output(), "error", "n"), environment.Host{
 				Listen: func(string) (net.Listener, error) { return listen, nil },
 				Dial: func(context.Context, string) (net.Conn, error) {
 					dialled++
@@ -63,7 +63,7 @@
 		const its = "10.0.0.2:1"
 		node(its, far)
 		w := node("10.0.0.1:1", &socket{conns: make(chan net.Conn), over: make(chan struct{})})
-		idle := w.r.Props.WireIdle
+		idle := w.r.Config.WireIdle
 		open := func() int { w.mu.Lock(); defer w.mu.Unlock(); return len(w.pipes) }
 		ask := func(kind string) {
 			t.Helper()
--- a/internal/rpc/pack_test.go
+++ b/internal/rpc/pack_test.go
@@ -50,7 +50,7 @@
 		}
 		ctx, end := context.WithCancel(t.Context())
 		defer end()
-		w := New(environment.New(ctx, settings, eventlog.New(t.Output(), "error", "n"), environment.Net{}))
+		w := New(environment.New(ctx, settings, eventlog.New(t.Output(), "error", "n"), environment.Host{}))
 		begun, sent := 0, 0
 		w.Handle("slow", func(c *Call) (any, error) {
 			begun++
--- a/internal/rpc/pipe.go
+++ b/internal/rpc/pipe.go
@@ -23,7 +23,7 @@
 	conn    net.Conn
 
 	mu      sync.Mutex
-	writing environment.Turn
+	writing environment.ChanMutex
 	next    uint64
 	waiting map[uint64]chan *Frame
 	isOver  bool
@@ -52,11 +52,11 @@
 	w.mu.Lock()
 	p, ok := w.pipes[address]
 	if !ok {
-		if w.r.IsOver() {
+		if w.r.IsStopping() {
 			w.mu.Unlock()
 			return nil, errcode.New(errcode.Unreached, "%s: stopping", address)
 		}
-		p = &pipe{w: w, address: address, ready: make(chan struct{}), waiting: map[uint64]chan *Frame{}, writing: environment.NewTurn()}
+		p = &pipe{w: w, address: address, ready: make(chan struct{}), waiting: map[uint64]chan *Frame{}, writing: environment.NewChanMutex()}
 		w.pipes[address] = p
 		w.r.Go(p.run)
 	}
@@ -90,7 +90,7 @@
 	close(p.ready)
 	reader := bufio.NewReaderSize(heard{p}, 16<<10)
 	for {
-		line, err := readLine(reader, p.w.r.Props.WireLine)
+		line, err := readLine(reader, p.w.r.Config.WireLine)
 		if err != nil {
 			break
 		}
@@ -117,7 +117,7 @@
 // dial opens a connection. While none is there and none was refused, another is tried
 // beside it after a part of the time; the first that opens is the pipe's.
 func (p *pipe) dial() (net.Conn, error) {
-	ctx, end := context.WithTimeout(p.w.r, p.w.r.Props.WireDial)
+	ctx, end := context.WithTimeout(p.w.r, p.w.r.Config.WireDial)
 	defer end()
 	type opened struct {
 		conn net.Conn
@@ -126,11 +126,11 @@
 	results := make(chan opened, dials)
 	begin := func() {
 		p.w.r.Go(func() {
-			conn, err := p.w.r.Net.Dial(ctx, p.address)
+			conn, err := p.w.r.Host.Dial(ctx, p.address)
 			results <- opened{conn, err}
 		})
 	}
-	again := time.NewTicker(p.w.r.Props.WireDial / dials)
+	again := time.NewTicker(p.w.r.Config.WireDial / dials)
 	defer again.Stop()
 	begin()
 	begun := 1
@@ -215,7 +215,7 @@
 	case <-ctx.Done():
 		p.mu.Lock()
 		delete(p.waiting, frame.ID)
-		isDeaf := p.lastGot.Before(sent) && time.Since(sent) > p.w.r.Props.WireDeaf
+		isDeaf := p.lastGot.Before(sent) && time.Since(sent) > p.w.r.Config.WireDeaf
 		p.mu.Unlock()
 		if isDeaf {
 			p.close()
--- a/internal/rpc/pipe_test.go
+++ b/internal/rpc/pipe_test.go
@@ -16,14 +16,14 @@
 )
 
 // dialled is a wire whose n-th dial does what the n-th verb does.
-func dialled(t *testing.T, verbs ...func(context.Context) (net.Conn, error)) (*Wire, *environment.Realm, *atomic.Int64) {
+func dialled(t *testing.T, verbs ...func(context.Context) (net.Conn, error)) (*Wire, *environment.Environment, *atomic.Int64) {
 	t.Helper()
 	p, err := config.Load("", map[string]string{"name": "one", "wire.address": "127.0.0.1:1", "api.address": "127.0.0.1:2", "gate.address": "127.0.0.1:3", "wire.dial": "600ms"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	count := &atomic.Int64{}
-	r := environment.New(context.Background(), p, eventlog.New(io.Discard, "error", "one"), environment.Net{Dial: func(ctx context.Context, _ string) (net.Conn, error) {
+	r := environment.New(context.Background(), p, eventlog.New(io.Discard, "error", "one"), environment.Host{Dial: func(ctx context.Context, _ string) (net.Conn, error) {
 		return verbs[int(count.Add(1)-1)%len(verbs)](ctx)
 	}})
 	return New(r), r, count
@@ -38,7 +38,7 @@
 		here, there := net.Pipe()
 		opens := func(context.Context) (net.Conn, error) { return here, nil }
 		w, r, _ := dialled(t, hangs, opens)
-		defer func() { there.Close(); r.End() }()
+		defer func() { there.Close(); r.Shutdown() }()
 		began := time.Now()
 		if _, err := w.pipe(r, "10.0.0.1:1"); err != nil || time.Since(began) > 250*time.Millisecond {
 			t.Error("after", time.Since(began), err)
@@ -49,7 +49,7 @@
 func TestADialThatIsRefusedIsNotTriedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w, r, count := dialled(t, refuses)
-		defer r.End()
+		defer r.Shutdown()
 		if _, err := w.pipe(r, "10.0.0.1:1"); err == nil || count.Load() != 1 {
 			t.Error(count.Load(), "dials,", err)
 		}
@@ -59,7 +59,7 @@
 func TestADialThatHangsEndsInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w, r, count := dialled(t, hangs)
-		defer r.End()
+		defer r.Shutdown()
 		began := time.Now()
 		if _, err := w.pipe(r, "10.0.0.1:1"); err == nil || time.Since(began) != 600*time.Millisecond || count.Load() != dials {
 			t.Error(count.Load(), "dials, after", time.Since(began), err)
--- a/internal/rpc/wire.go
+++ b/internal/rpc/wire.go
@@ -55,7 +55,7 @@
 
 // Wire is a node's end of all its pipes.
 type Wire struct {
-	r        *environment.Realm
+	r        *environment.Environment
 	mu       sync.Mutex
 	pipes    map[string]*pipe
 	handlers map[string]Handler
@@ -66,7 +66,7 @@
 	IsNear func(address string) bool
 }
 
-func New(r *environment.Realm) *Wire {
+func New(r *environment.Environment) *Wire {
 	return &Wire{r: r, pipes: map[string]*pipe{}, handlers: map[string]Handler{}, conns: map[net.Conn]bool{}}
 }
 
@@ -75,7 +75,7 @@
 
 // Open starts to listen.
 func (w *Wire) Open() error {
-	listener, err := w.r.Net.Listen(w.r.Props.WireAddress)
+	listener, err := w.r.Host.Listen(w.r.Config.WireAddress)
 	if err != nil {
 		return errcode.New(errcode.BadProps, "wire.address: %v", err)
 	}
@@ -84,7 +84,7 @@
 		for {
 			conn, err := listener.Accept()
 			if err != nil {
-				if w.r.IsOver() || !w.r.Pause(10*time.Millisecond) {
+				if w.r.IsStopping() || !w.r.Sleep(10*time.Millisecond) {
 					return
 				}
 				continue
@@ -110,7 +110,7 @@
 func (w *Wire) keep(conn net.Conn) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.r.IsOver() {
+	if w.r.IsStopping() {
 		conn.Close()
 		return false
 	}
@@ -156,19 +156,19 @@
 	defer w.drop(conn)
 	ctx, end := context.WithCancel(w.r)
 	defer end()
-	writing := environment.NewTurn()
+	writing := environment.NewChanMutex()
 	reader := bufio.NewReaderSize(conn, 16<<10)
 	for {
-		line, err := readLine(reader, w.r.Props.WireLine)
+		line, err := readLine(reader, w.r.Config.WireLine)
 		if err != nil {
 			if errcode.Is(err, errcode.LineTooLong) {
-				w.r.Sign.Say(eventlog.MessageRefused, "code", errcode.LineTooLong.No, "from", conn.RemoteAddr().String())
+				w.r.Events.Say(eventlog.MessageRefused, "code", errcode.LineTooLong.No, "from", conn.RemoteAddr().String())
 			}
 			return
 		}
 		var ask Frame
 		if err := json.Unmarshal(line, &ask); err != nil {
-			w.r.Sign.Say(eventlog.MessageRefused, "code", errcode.BadMessage.No, "from", conn.RemoteAddr().String())
+			w.r.Events.Say(eventlog.MessageRefused, "code", errcode.BadMessage.No, "from", conn.RemoteAddr().String())
 			return
 		}
 		got := time.Now()
@@ -206,12 +206,12 @@
 		return receipt, sent
 	}
 	if ask.Version != Version {
-		w.r.Sign.Say(eventlog.MessageRefused, "code", errcode.WrongVersion.No, "kind", ask.Kind, "version", ask.Version)
+		w.r.Events.Say(eventlog.MessageRefused, "code", errcode.WrongVersion.No, "kind", ask.Kind, "version", ask.Version)
 		return fail(errcode.New(errcode.WrongVersion, "%d, not %d", ask.Version, Version))
 	}
 	handle, ok := w.handlers[ask.Kind]
 	if !ok {
-		w.r.Sign.Say(eventlog.MessageRefused, "code", errcode.UnknownKind.No, "kind", ask.Kind)
+		w.r.Events.Say(eventlog.MessageRefused, "code", errcode.UnknownKind.No, "kind", ask.Kind)
 		return fail(errcode.New(errcode.UnknownKind, "%q", ask.Kind))
 	}
 	if ask.Deadline > 0 {
@@ -229,7 +229,7 @@
 	}
 	if err != nil {
 		if p := errcode.Of(err); p.Code.No == errcode.BadMessage.No {
-			w.r.Sign.Say(eventlog.MessageRefused, "code", p.Code.No, "kind", ask.Kind, "note", p.Note)
+			w.r.Events.Say(eventlog.MessageRefused, "code", p.Code.No, "kind", ask.Kind, "note", p.Note)
 		}
 		return fail(err)
 	}
--- a/internal/simulator/faults.go
+++ b/internal/simulator/faults.go
@@ -117,7 +117,7 @@
 	}
 	births := map[rpc.Peer]bool{}
 	for _, m := range f.Cores() {
-		me := m.Node().Kin.Me()
+		me := m.Node().Kin.Self()
 		births[rpc.Peer{Name: me.Name, ID: me.ID}] = true
 	}
 	for no := range ids.ShardCount + 1 {
--- a/internal/simulator/fleet.go
+++ b/internal/simulator/fleet.go
@@ -169,7 +169,7 @@
 	node, err := node.Start(r)
 	if err != nil {
 		m.f.W.Kill(m.IP, false)
-		r.End()
+		r.Shutdown()
 		return err
 	}
 	here.Store(node)
@@ -179,7 +179,7 @@
 	if node.Store != nil {
 		go func() {
 			select {
-			case <-node.Store.Failed:
+			case <-node.Store.Corrupted:
 				m.Kill(false)
 			case <-r.Done():
 			}
@@ -211,7 +211,7 @@
 		return
 	}
 	m.f.W.Kill(m.IP, isPowerLost)
-	node.R.End()
+	node.R.Shutdown()
 }
 
 // Stop is the planned stop.
--- a/internal/simulator/found_test.go
+++ b/internal/simulator/found_test.go
@@ -83,7 +83,7 @@
 			}
 		}
 		for _, m := range f.Cores() {
-			if m.Node() == nil || m.Node().R.Sign.Counts()["StoreDamaged"] != 1 {
+			if m.Node() == nil || m.Node().R.Events.Counts()["StoreDamaged"] != 1 {
 				t.Errorf("%s does not report its damage", m.Name)
 			}
 		}
--- a/internal/simulator/full_test.go
+++ b/internal/simulator/full_test.go
@@ -42,7 +42,7 @@
 		if full.Node() != node {
 			t.Fatal("the process has ended")
 		}
-		if n := node.R.Sign.Counts()["StoreFailed"]; n != 1 {
+		if n := node.R.Events.Counts()["StoreFailed"]; n != 1 {
 			t.Errorf("%d events tell of it", n)
 		}
 		if !node.Store.IsFailing() {
@@ -55,11 +55,11 @@
 			}
 			time.Sleep(500 * time.Millisecond)
 			now := full.status(no)
-			return node.Store.Stalled() == 0 && now.CommitIndex > before.CommitIndex && now.LastIndex == f.owner(no).status(no).LastIndex
+			return node.Store.StallTime() == 0 && now.CommitIndex > before.CommitIndex && now.LastIndex == f.owner(no).status(no).LastIndex
 		}) {
 			t.Error("it does not come back by itself")
 		}
-		if n := node.R.Sign.Counts()["StoreBack"]; n != 1 {
+		if n := node.R.Events.Counts()["StoreBack"]; n != 1 {
 			t.Errorf("%d events tell of its return", n)
 		}
 	})
@@ -70,7 +70,7 @@
 	inFleet(t, one(), func(t *testing.T, f *Fleet) {
 		time.Sleep(3 * time.Second)
 		m := f.Of("core2")
-		birth := m.Node().Kin.Me().ID
+		birth := m.Node().Kin.Self().ID
 		f.W.Disk(m.IP).Fill()
 		m.Kill(true)
 		isUp := make(chan struct{})
@@ -89,7 +89,7 @@
 		if m.Node() == nil {
 			t.Fatal("it is not up when there is room")
 		}
-		if now := m.Node().Kin.Me().ID; now != birth {
+		if now := m.Node().Kin.Self().ID; now != birth {
 			t.Errorf("its data was set aside: it was born as %s and is %s", birth, now)
 		}
 		if !f.Until(10*time.Second, f.isMended) {
--- a/internal/simulator/kin_test.go
+++ b/internal/simulator/kin_test.go
@@ -24,7 +24,7 @@
 			isKnown := func() bool {
 				for _, core := range f.Cores() {
 					for _, proxyNode := range f.Proxies() {
-						if _, ok := core.Node().Kin.Of(proxyNode.Node().R.Name); !ok {
+						if _, ok := core.Node().Kin.Lookup(proxyNode.Node().R.Name); !ok {
 							return false
 						}
 					}
@@ -49,7 +49,7 @@
 		f.W.Cut(late.IP, silent.IP)
 		f.up(late)
 		began := time.Now()
-		for len(late.Node().Kin.Cores()) < 3 && time.Since(began) < 5*time.Second {
+		for len(late.Node().Kin.CoreMembers()) < 3 && time.Since(began) < 5*time.Second {
 			time.Sleep(10 * time.Millisecond)
 		}
 		if took := time.Since(began); took > 200*time.Millisecond {
--- a/internal/simulator/late_test.go
+++ b/internal/simulator/late_test.go
@@ -89,7 +89,7 @@
 		}
 		for i := range 12 {
 			f.isolate([]*Machine{proxyNode})
-			if !f.Until(30*time.Second, func() bool { return len(proxyNode.Node().Kin.Cores()) == 0 }) {
+			if !f.Until(30*time.Second, func() bool { return len(proxyNode.Node().Kin.CoreMembers()) == 0 }) {
 				t.Fatal("the proxy still holds a core node for live")
 			}
 			epoch := submitted(t, f, fmt.Sprint("down", i))
@@ -98,8 +98,8 @@
 			if !hasBy(proxyNode, epoch, healed.Add(lateBound)) {
 				t.Errorf("round %d: the proxy does not have epoch %d %s after its ways are whole", i, epoch, lateBound)
 			}
-			if !f.Until(time.Until(healed.Add(touchTime)), func() bool { return len(proxyNode.Node().Kin.Cores()) == 3 }) {
-				t.Errorf("round %d: %s after its ways are whole the proxy knows %d of 3 core nodes", i, touchTime, len(proxyNode.Node().Kin.Cores()))
+			if !f.Until(time.Until(healed.Add(touchTime)), func() bool { return len(proxyNode.Node().Kin.CoreMembers()) == 3 }) {
+				t.Errorf("round %d: %s after its ways are whole the proxy knows %d of 3 core nodes", i, touchTime, len(proxyNode.Node().Kin.CoreMembers()))
 			}
 		}
 	})
@@ -116,7 +116,7 @@
 	hangs   atomic.Bool  // whether its fetches hang
 }
 
-func stagedNode(t *testing.T, w *World, name, zone, address string, seeds string, isCore bool, settings map[string]string) (*environment.Realm, *rpc.Wire, *membership.Kin) {
+func stagedNode(t *testing.T, w *World, name, zone, address string, seeds string, isCore bool, settings map[string]string) (*environment.Environment, *rpc.Wire, *membership.Memberlist) {
 	set := map[string]string{"name": name, "zone": zone, "wire.address": address, "seeds": seeds, "flow.pulse": "1s", "flow.stay": "1h"}
 	set["api.address"], set["gate.address"] = host(address)+":7001", host(address)+":7002"
 	for key, value := range settings {
@@ -139,7 +139,7 @@
 }
 
 // handle answers a proxy by what the test says.
-func (s *stagedCore) handle(r *environment.Realm) {
+func (s *stagedCore) handle(r *environment.Environment) {
 	s.epoch.Store(1)
 	s.gives.Store(1)
 	s.Handle("flow.pulse", func(*rpc.Call) (any, error) {
@@ -152,7 +152,7 @@
 		}
 		no := s.listens.Add(1)
 		for ids.Epoch(s.gives.Load()) <= ask.Epoch || no <= s.stuck.Load() {
-			if c.Err() != nil || !r.Pause(5*time.Millisecond) {
+			if c.Err() != nil || !r.Sleep(5*time.Millisecond) {
 				return &rpc.ListenResponse{Epoch: ask.Epoch}, nil
 			}
 		}
@@ -176,14 +176,14 @@
 func staged(t *testing.T, n int, settings map[string]string, play func(t *testing.T, client *distribution.Client, cores []*stagedCore)) {
 	synctest.Test(t, func(t *testing.T) {
 		w := NewWorld(1)
-		var realms []*environment.Realm
+		var realms []*environment.Environment
 		var cores []*stagedCore
-		open := func(r *environment.Realm, line *rpc.Wire, who *membership.Kin) {
+		open := func(r *environment.Environment, line *rpc.Wire, who *membership.Memberlist) {
 			realms = append(realms, r)
 			if err := line.Open(); err != nil {
 				t.Fatal(err)
 			}
-			if err := who.Open(); err != nil {
+			if err := who.Start(); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -207,12 +207,12 @@
 		time.Sleep(2 * time.Second)
 		client.Open()
 		time.Sleep(3 * time.Second)
-		if chart := client.Cache.Chart(); chart == nil || chart.Epoch != 1 || len(who.Cores()) != n {
-			t.Fatalf("the proxy has %+v and knows %d core nodes", chart, len(who.Cores()))
+		if chart := client.Cache.Chart(); chart == nil || chart.Epoch != 1 || len(who.CoreMembers()) != n {
+			t.Fatalf("the proxy has %+v and knows %d core nodes", chart, len(who.CoreMembers()))
 		}
 		play(t, client, cores)
 		for _, r := range realms {
-			r.End()
+			r.Shutdown()
 		}
 		time.Sleep(time.Minute)
 	})
--- a/internal/simulator/manner.go
+++ b/internal/simulator/manner.go
@@ -69,7 +69,7 @@
 }
 
 // network is a machine's; a proxy that stays tells what it acts on.
-func (m *Machine) network(node *atomic.Pointer[node.Node]) environment.Net {
+func (m *Machine) network(node *atomic.Pointer[node.Node]) environment.Host {
 	n := m.f.W.Net(m.IP)
 	if !m.f.Shape.IsStay || !m.IsProxy {
 		return n
--- a/internal/simulator/metrics_test.go
+++ b/internal/simulator/metrics_test.go
@@ -227,7 +227,7 @@
 		time.Sleep(5 * time.Second)
 		proxyNode := f.Of("proxy1")
 		count := func() (named, nameless uint64) {
-			proxyNode.Node().R.Times.Each(func(m metrics.Metric, labels []string, s metrics.Sum) {
+			proxyNode.Node().R.Latencies.Each(func(m metrics.Metric, labels []string, s metrics.Sum) {
 				switch {
 				case m.Name == metrics.GateRequest.Name && slices.Equal(labels, []string{"rates", "not run"}):
 					named = s.Count
@@ -271,7 +271,7 @@
 		defer s.http.CloseIdleConnections()
 		proxyNode := f.Of("proxy1")
 		count := func(m metrics.Metric, words ...string) (sum metrics.Sum) {
-			proxyNode.Node().R.Times.Each(func(one metrics.Metric, labels []string, s metrics.Sum) {
+			proxyNode.Node().R.Latencies.Each(func(one metrics.Metric, labels []string, s metrics.Sum) {
 				if one.Name == m.Name && slices.Equal(labels, words) {
 					sum = s
 				}
--- a/internal/simulator/repair_test.go
+++ b/internal/simulator/repair_test.go
@@ -75,7 +75,7 @@
 		if !f.Until(30*time.Second, isMended) {
 			t.Fatal("the copies are not mended")
 		}
-		if m.Node().R.Sign.Counts()["PartMended"] == 0 {
+		if m.Node().R.Events.Counts()["PartMended"] == 0 {
 			t.Fatal("nobody was told")
 		}
 		m.Kill(true)
--- a/internal/simulator/wire_test.go
+++ b/internal/simulator/wire_test.go
@@ -28,7 +28,7 @@
 			answer, _ := bufio.NewReader(conn).ReadString('\n')
 			return answer
 		}
-		before := m.Node().R.Sign.Counts()["MessageRefused"]
+		before := m.Node().R.Events.Counts()["MessageRefused"]
 		for line, says := range map[string]string{
 			"what is this":                         "",
 			`{"v":3,"id":1,"kind":"pact.nothing"}`: fmt.Sprint(errcode.UnknownKind.No),
@@ -46,14 +46,14 @@
 				t.Errorf("%.60q was answered %q", line, got)
 			}
 		}
-		packet, err := f.W.Net(f.outside(6)).Packet(f.outside(6) + ":7000")
+		packet, err := f.W.Net(f.outside(6)).ListenPacket(f.outside(6) + ":7000")
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer packet.Close()
 		packet.WriteTo([]byte("what"), addr(m.Wire()))
 		time.Sleep(100 * time.Millisecond)
-		if n := m.Node().R.Sign.Counts()["MessageRefused"] - before; n < 9 {
+		if n := m.Node().R.Events.Counts()["MessageRefused"] - before; n < 9 {
 			t.Errorf("%d refusals are counted", n)
 		}
 		if !f.IsUsable() {
--- a/internal/simulator/world.go
+++ b/internal/simulator/world.go
@@ -178,12 +178,12 @@
 }
 
 // Net is the network as one machine has it, for one life of its process.
-func (w *World) Net(ip string) environment.Net {
+func (w *World) Net(ip string) environment.Host {
 	w.mu.Lock()
 	life := w.life[ip]
 	w.mu.Unlock()
 	isAlive := func() bool { return w.life[ip] == life }
-	return environment.Net{
+	return environment.Host{
 		Dial: func(ctx context.Context, address string) (net.Conn, error) {
 			return w.dial(ctx, ip, address, isAlive)
 		},
@@ -197,7 +197,7 @@
 			w.listeners[address] = l
 			return l, nil
 		},
-		Packet: func(address string) (net.PacketConn, error) {
+		ListenPacket: func(address string) (net.PacketConn, error) {
 			w.mu.Lock()
 			defer w.mu.Unlock()
 			if !isAlive() || w.packets[address] != nil {
@@ -207,13 +207,13 @@
 			w.packets[address] = p
 			return p, nil
 		},
-		Store: func(string) (storage.Storage, error) { return w.Disk(ip).attach() },
-		Slept: func() time.Duration {
+		OpenStorage: func(string) (storage.Storage, error) { return w.Disk(ip).attach() },
+		SuspendedTime: func() time.Duration {
 			w.mu.Lock()
 			defer w.mu.Unlock()
 			return w.slept[ip]
 		},
-		Aside: func(string, string) error { w.Disk(ip).Wipe(); return nil },
+		Rename: func(string, string) error { w.Disk(ip).Wipe(); return nil },
 	}
 }
 
--- a/internal/standin/caller.go
+++ b/internal/standin/caller.go
@@ -35,7 +35,7 @@
 	client  *http.Client
 }
 
-func NewCaller(n environment.Net, h *checker.History) *Caller {
+func NewCaller(n environment.Host, h *checker.History) *Caller {
 	transport := &http.Transport{DialContext: func(ctx context.Context, _, at string) (net.Conn, error) { return n.Dial(ctx, at) }, MaxIdleConnsPerHost: 16, IdleConnTimeout: 5 * time.Second}
 	return &Caller{H: h, client: &http.Client{Transport: transport, Timeout: 15 * time.Second}}
 }
--- a/internal/standin/operator.go
+++ b/internal/standin/operator.go
@@ -24,7 +24,7 @@
 	paths  sync.Map // of the mappings last seen in force, by name
 }
 
-func NewOperator(n environment.Net, h *checker.History, address string) *Operator {
+func NewOperator(n environment.Host, h *checker.History, address string) *Operator {
 	return &Operator{H: h, Client: Client(n, address)}
 }
 
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -44,7 +44,7 @@
 
 // Server is one stand-in back end.
 type Server struct {
-	Net      environment.Net
+	Net      environment.Host
 	H        *checker.History
 	Service  string
 	Instance string
@@ -71,7 +71,7 @@
 }
 
 // Client makes an API client over a network.
-func Client(n environment.Net, address string) *api.Client {
+func Client(n environment.Host, address string) *api.Client {
 	transport := &http.Transport{DialContext: func(ctx context.Context, _, at string) (net.Conn, error) { return n.Dial(ctx, at) }, MaxIdleConnsPerHost: 4, IdleConnTimeout: 5 * time.Second}
 	client, _ := api.NewClient("http://"+address, api.WithClient(&http.Client{Transport: transport}))
 	return client
--- a/internal/storage/storage.go
+++ b/internal/storage/storage.go
@@ -28,254 +28,254 @@
 
 // Store is one data folder.
 type Store struct {
-	r     *environment.Realm
-	db    *leveldb.DB
-	stor  leveldbstorage.Storage
-	mu    sync.Mutex
-	queue []*Batch
-	wake  chan struct{}
-	seq   uint64
-	syncs atomic.Int64
-	since atomic.Int64
-	start time.Time
+	env          *environment.Environment
+	db           *leveldb.DB
+	files        leveldbstorage.Storage
+	mu           sync.Mutex
+	pending      []*Batch
+	wakeup       chan struct{}
+	lastSequence uint64
+	syncCount    atomic.Int64
+	writeStarted atomic.Int64
+	opened       time.Time
 	// access is held for writing while the folder is opened anew.
-	access    sync.RWMutex
-	isFailing atomic.Bool
-	// Failed is closed when the data is damaged; nothing is written after it.
-	Failed chan struct{}
+	access  sync.RWMutex
+	failing atomic.Bool
+	// Corrupted is closed when the data is damaged; nothing is written after it.
+	Corrupted chan struct{}
 }
 
 // Batch is a batch on its way to the disk.
 type Batch struct {
-	batch leveldb.Batch
-	done  chan struct{}
-	over  <-chan struct{}
-	err   error
+	operations leveldb.Batch
+	done       chan struct{}
+	stopping   <-chan struct{}
+	err        error
 }
 
-func (w *Batch) Put(key string, value []byte) { w.batch.Put([]byte(key), value) }
-func (w *Batch) Delete(key string)            { w.batch.Delete([]byte(key)) }
+func (b *Batch) Put(key string, value []byte) { b.operations.Put([]byte(key), value) }
+func (b *Batch) Delete(key string)            { b.operations.Delete([]byte(key)) }
 
 // Wait returns when the batch is synced or has failed.
-func (w *Batch) Wait() error {
+func (b *Batch) Wait() error {
 	select {
-	case <-w.done:
-		return w.err
-	case <-w.over:
+	case <-b.done:
+		return b.err
+	case <-b.stopping:
 		return errcode.New(errcode.StorageBroken, "stopping")
 	}
 }
 
 const (
-	seqPrefix = "~seq/"
-	seqKept   = 512
+	sequencePrefix  = "~seq/"
+	sequenceHistory = 512
 
-	afterDamage = "after-damage"
+	replacesCorruptKey = "after-damage"
 
-	// folderName is older than the package's name; disks have it.
-	folderName = "lore"
+	// databaseFolder is older than the package's name; disks have it.
+	databaseFolder = "lore"
 
-	// retryPause is between two tries at a disk that takes nothing.
-	retryPause = 250 * time.Millisecond
+	// retryInterval is between two tries at a disk that takes nothing.
+	retryInterval = 250 * time.Millisecond
 )
 
 // Open opens the folder, or sets a damaged one aside and opens an empty one. Where the
 // disk has no room even to open it, it waits until there is some.
-func Open(r *environment.Realm) (*Store, error) {
-	l := &Store{r: r, wake: make(chan struct{}, 1), start: time.Now(), Failed: make(chan struct{})}
+func Open(env *environment.Environment) (*Store, error) {
+	s := &Store{env: env, wakeup: make(chan struct{}, 1), opened: time.Now(), Corrupted: make(chan struct{})}
 	for {
-		err := l.open()
+		err := s.openOrQuarantine()
 		if err == nil {
-			r.Go(l.write)
-			return l, nil
+			env.Go(s.writeLoop)
+			return s, nil
 		}
-		l.close()
-		if !isFull(err) {
-			return nil, errcode.New(errcode.StorageBroken, "%s: %v", r.Props.DataFolder, err)
+		s.close()
+		if !isDiskFull(err) {
+			return nil, errcode.New(errcode.StorageBroken, "%s: %v", env.Config.DataFolder, err)
 		}
-		if !l.isFailing.Swap(true) {
-			r.Sign.Say(eventlog.StoreFailed, "cause", err.Error())
+		if !s.failing.Swap(true) {
+			env.Events.Say(eventlog.StoreFailed, "cause", err.Error())
 		}
-		if !r.Pause(retryPause) {
+		if !env.Sleep(retryInterval) {
 			return nil, errcode.New(errcode.StorageBroken, "stopping")
 		}
 	}
 }
 
-// open is one try at the folder.
-func (l *Store) open() error {
-	problem := l.load()
+// openOrQuarantine is one try at the folder.
+func (s *Store) openOrQuarantine() error {
+	problem := s.openDatabase()
 	if problem == nil {
-		if l.isFailing.Swap(false) {
-			l.r.Sign.Say(eventlog.StoreBack, "after", time.Since(l.start).String())
+		if s.failing.Swap(false) {
+			s.env.Events.Say(eventlog.StoreBack, "after", time.Since(s.opened).String())
 		}
 		return nil
 	}
-	l.close()
-	if !isDamage(problem) {
+	s.close()
+	if !isCorruption(problem) {
 		return problem
 	}
-	folder := l.r.Props.DataFolder
-	aside := folder + ".damaged-" + time.Now().Format("20060102-150405")
-	l.r.Sign.Say(eventlog.StoreDamaged, "folder", folder, "aside", aside, "cause", problem.Error())
-	if err := l.r.Net.Aside(folder, aside); err != nil {
+	folder := s.env.Config.DataFolder
+	quarantine := folder + ".damaged-" + time.Now().Format("20060102-150405")
+	s.env.Events.Say(eventlog.StoreDamaged, "folder", folder, "aside", quarantine, "cause", problem.Error())
+	if err := s.env.Host.Rename(folder, quarantine); err != nil {
 		return errcode.New(errcode.StorageBroken, "%s is damaged (%v) and can't be set aside: %v", folder, problem, err)
 	}
-	if err := l.load(); err != nil {
+	if err := s.openDatabase(); err != nil {
 		return err
 	}
-	return l.db.Put([]byte(afterDamage), []byte("1"), &opt.WriteOptions{Sync: true})
+	return s.db.Put([]byte(replacesCorruptKey), []byte("1"), &opt.WriteOptions{Sync: true})
 }
 
-// isFull tells whether a disk takes no more bytes.
-func isFull(err error) bool {
+// isDiskFull tells whether a disk takes no more bytes.
+func isDiskFull(err error) bool {
 	return errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT)
 }
 
-// isDamage tells damaged data from a folder that can't be had now, such as one
+// isCorruption tells damaged data from a folder that can't be had now, such as one
 // that another process holds: only the former is ever set aside.
-func isDamage(err error) bool {
+func isCorruption(err error) bool {
 	return leveldberrors.IsCorrupted(err) || errcode.Is(err, errcode.StorageBroken)
 }
 
-func (l *Store) close() {
-	if l.db != nil {
-		l.db.Close()
-		l.db = nil
+func (s *Store) close() {
+	if s.db != nil {
+		s.db.Close()
+		s.db = nil
 	}
-	if l.stor != nil {
-		l.stor.Close()
-		l.stor = nil
+	if s.files != nil {
+		s.files.Close()
+		s.files = nil
 	}
 }
 
-func (l *Store) load() error {
-	stor, err := l.r.Net.Store(filepath.Join(l.r.Props.DataFolder, folderName))
+func (s *Store) openDatabase() error {
+	files, err := s.env.Host.OpenStorage(filepath.Join(s.env.Config.DataFolder, databaseFolder))
 	if err != nil {
 		return err
 	}
-	l.stor = stor
+	s.files = files
 	options := &opt.Options{Strict: opt.StrictManifest | opt.StrictBlockChecksum | opt.StrictReader | opt.StrictCompaction, WriteBuffer: 2 << 20, BlockCacheCapacity: 1 << 20}
-	l.db, err = leveldb.Open(stor, options)
+	s.db, err = leveldb.Open(files, options)
 	if err != nil {
 		return err
 	}
 	var first, last, count uint64
-	walk := l.db.NewIterator(util.BytesPrefix([]byte(seqPrefix)), nil)
-	defer walk.Release()
-	for walk.Next() {
-		n := binary.BigEndian.Uint64(walk.Key()[len(seqPrefix):])
+	iterator := s.db.NewIterator(util.BytesPrefix([]byte(sequencePrefix)), nil)
+	defer iterator.Release()
+	for iterator.Next() {
+		n := binary.BigEndian.Uint64(iterator.Key()[len(sequencePrefix):])
 		if count == 0 {
 			first = n
 		}
 		last = n
 		count++
 	}
-	if err := walk.Error(); err != nil {
+	if err := iterator.Error(); err != nil {
 		return err
 	}
 	if count > 0 && last-first+1 != count {
 		return errcode.New(errcode.StorageBroken, "batches are missing between %d and %d", first, last)
 	}
-	l.seq = last
+	s.lastSequence = last
 	return nil
 }
 
-// IsAfterDamage tells whether this store took the place of a damaged one. Such
+// ReplacesCorrupt tells whether this store took the place of a damaged one. Such
 // a node may join a fleet, but must not found one: its fleet exists, even if
 // all its members should be damaged at once.
-func (l *Store) IsAfterDamage() bool {
-	value, _ := l.Get(afterDamage)
+func (s *Store) ReplacesCorrupt() bool {
+	value, _ := s.Get(replacesCorruptKey)
 	return value != nil
 }
 
-// Begin starts a batch.
-func (l *Store) Begin() *Batch { return &Batch{done: make(chan struct{}), over: l.r.Done()} }
+// NewBatch starts a batch.
+func (s *Store) NewBatch() *Batch { return &Batch{done: make(chan struct{}), stopping: s.env.Done()} }
 
-// Hand puts a batch into the queue; the order of handing is the order on disk.
-func (l *Store) Hand(w *Batch) {
-	l.mu.Lock()
-	l.queue = append(l.queue, w)
-	l.mu.Unlock()
+// Submit puts a batch into the queue; the order of handing is the order on disk.
+func (s *Store) Submit(batch *Batch) {
+	s.mu.Lock()
+	s.pending = append(s.pending, batch)
+	s.mu.Unlock()
 	select {
-	case l.wake <- struct{}{}:
+	case s.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// write is the one task that writes: what waits goes to the disk as one batch.
-func (l *Store) write() {
-	defer l.close()
+// writeLoop is the one task that writes: what waits goes to the disk as one batch.
+func (s *Store) writeLoop() {
+	defer s.close()
 	for {
 		select {
-		case <-l.r.Done():
-			l.drain(errcode.New(errcode.StorageBroken, "stopping"))
+		case <-s.env.Done():
+			s.failPending(errcode.New(errcode.StorageBroken, "stopping"))
 			return
-		case <-l.wake:
+		case <-s.wakeup:
 		}
-		l.mu.Lock()
-		queue := l.queue
-		l.queue = nil
-		l.mu.Unlock()
+		s.mu.Lock()
+		queue := s.pending
+		s.pending = nil
+		s.mu.Unlock()
 		if len(queue) == 0 {
 			continue
 		}
-		began := time.Now()
-		l.since.Store(int64(began.Sub(l.start)) + 1)
-		err := l.persist(l.gather(queue))
-		l.since.Store(0)
-		l.r.Times.Sync.Take(time.Since(began))
-		l.syncs.Add(1)
-		for _, w := range queue {
-			w.err = err
-			close(w.done)
+		started := time.Now()
+		s.writeStarted.Store(int64(started.Sub(s.opened)) + 1)
+		err := s.persist(s.coalesce(queue))
+		s.writeStarted.Store(0)
+		s.env.Latencies.Sync.Take(time.Since(started))
+		s.syncCount.Add(1)
+		for _, batch := range queue {
+			batch.err = err
+			close(batch.done)
 		}
 		if err != nil {
-			l.drain(err)
+			s.failPending(err)
 			return
 		}
 	}
 }
 
-// gather joins batches into one, under the next number.
-func (l *Store) gather(queue []*Batch) *leveldb.Batch {
-	whole := &leveldb.Batch{}
-	for _, w := range queue {
-		w.batch.Replay(whole)
+// coalesce joins batches into one, under the next number.
+func (s *Store) coalesce(queue []*Batch) *leveldb.Batch {
+	merged := &leveldb.Batch{}
+	for _, batch := range queue {
+		batch.operations.Replay(merged)
 	}
-	l.seq++
-	whole.Put(seqKey(l.seq), nil)
-	if l.seq > seqKept {
-		whole.Delete(seqKey(l.seq - seqKept))
+	s.lastSequence++
+	merged.Put(sequenceKey(s.lastSequence), nil)
+	if s.lastSequence > sequenceHistory {
+		merged.Delete(sequenceKey(s.lastSequence - sequenceHistory))
 	}
-	return whole
+	return merged
 }
 
 // persist writes a batch and syncs it. A disk that takes nothing is tried again until
 // it does: whoever waits for the batch goes on waiting, as with a stall, and nothing
 // that comes after it overtakes it. Only damage ends the writing.
-func (l *Store) persist(whole *leveldb.Batch) error {
-	err := l.db.Write(whole, &opt.WriteOptions{Sync: true})
+func (s *Store) persist(batch *leveldb.Batch) error {
+	err := s.db.Write(batch, &opt.WriteOptions{Sync: true})
 	if err == nil {
 		return nil
 	}
-	l.r.Sign.Say(eventlog.StoreFailed, "cause", err.Error())
-	l.isFailing.Store(true)
-	began := time.Now()
-	for l.r.Pause(retryPause) {
+	s.env.Events.Say(eventlog.StoreFailed, "cause", err.Error())
+	s.failing.Store(true)
+	started := time.Now()
+	for s.env.Sleep(retryInterval) {
 		// The journal takes nothing after a failed write; the folder is opened anew.
-		if err = l.reopen(); err == nil {
-			err = l.db.Write(whole, &opt.WriteOptions{Sync: true})
+		if err = s.reopen(); err == nil {
+			err = s.db.Write(batch, &opt.WriteOptions{Sync: true})
 		}
 		if err == nil {
-			l.isFailing.Store(false)
-			l.r.Sign.Say(eventlog.StoreBack, "after", time.Since(began).String())
+			s.failing.Store(false)
+			s.env.Events.Say(eventlog.StoreBack, "after", time.Since(started).String())
 			return nil
 		}
-		if isDamage(err) {
-			l.r.Sign.Say(eventlog.StoreFailed, "cause", err.Error())
-			close(l.Failed)
-			<-l.r.Done()
+		if isCorruption(err) {
+			s.env.Events.Say(eventlog.StoreFailed, "cause", err.Error())
+			close(s.Corrupted)
+			<-s.env.Done()
 			return errcode.New(errcode.StorageBroken, "%v", err)
 		}
 	}
@@ -283,73 +283,73 @@
 }
 
 // reopen closes the folder and opens it again, to the same state.
-func (l *Store) reopen() error {
-	l.access.Lock()
-	defer l.access.Unlock()
-	l.close()
-	seq := l.seq
-	err := l.load()
-	l.seq = seq
+func (s *Store) reopen() error {
+	s.access.Lock()
+	defer s.access.Unlock()
+	s.close()
+	seq := s.lastSequence
+	err := s.openDatabase()
+	s.lastSequence = seq
 	return err
 }
 
-func (l *Store) drain(err error) {
-	l.mu.Lock()
-	queue := l.queue
-	l.queue = nil
-	l.mu.Unlock()
-	for _, w := range queue {
-		w.err = err
-		close(w.done)
+func (s *Store) failPending(err error) {
+	s.mu.Lock()
+	queue := s.pending
+	s.pending = nil
+	s.mu.Unlock()
+	for _, batch := range queue {
+		batch.err = err
+		close(batch.done)
 	}
 }
 
-func seqKey(n uint64) []byte {
-	return binary.BigEndian.AppendUint64([]byte(seqPrefix), n)
+func sequenceKey(n uint64) []byte {
+	return binary.BigEndian.AppendUint64([]byte(sequencePrefix), n)
 }
 
-// Stalled is for how long the write under way has been waiting on the disk.
-func (l *Store) Stalled() time.Duration {
-	since := l.since.Load()
+// StallTime is for how long the write under way has been waiting on the disk.
+func (s *Store) StallTime() time.Duration {
+	since := s.writeStarted.Load()
 	if since == 0 {
 		return 0
 	}
-	return time.Since(l.start) - time.Duration(since)
+	return time.Since(s.opened) - time.Duration(since)
 }
 
 // IsFailing tells whether the disk takes nothing just now.
-func (l *Store) IsFailing() bool { return l.isFailing.Load() }
+func (s *Store) IsFailing() bool { return s.failing.Load() }
 
-// Syncs is how many batches were synced.
-func (l *Store) Syncs() int64 { return l.syncs.Load() }
+// SyncCount is how many batches were synced.
+func (s *Store) SyncCount() int64 { return s.syncCount.Load() }
 
 // Get reads one value; none is nil.
-func (l *Store) Get(key string) ([]byte, error) {
-	l.access.RLock()
-	defer l.access.RUnlock()
-	if l.db == nil {
+func (s *Store) Get(key string) ([]byte, error) {
+	s.access.RLock()
+	defer s.access.RUnlock()
+	if s.db == nil {
 		return nil, errcode.New(errcode.StorageBroken, "the folder is not open")
 	}
-	value, err := l.db.Get([]byte(key), nil)
+	value, err := s.db.Get([]byte(key), nil)
 	if err == leveldb.ErrNotFound {
 		return nil, nil
 	}
 	return value, err
 }
 
-// Walk visits all keys under a prefix in order.
-func (l *Store) Walk(prefix string, visit func(key string, value []byte) error) error {
-	l.access.RLock()
-	defer l.access.RUnlock()
-	if l.db == nil {
+// Scan visits all keys under a prefix in order.
+func (s *Store) Scan(prefix string, visit func(key string, value []byte) error) error {
+	s.access.RLock()
+	defer s.access.RUnlock()
+	if s.db == nil {
 		return errcode.New(errcode.StorageBroken, "the folder is not open")
 	}
-	walk := l.db.NewIterator(util.BytesPrefix([]byte(prefix)), nil)
-	defer walk.Release()
-	for walk.Next() {
-		if err := visit(string(walk.Key()), append([]byte(nil), walk.Value()...)); err != nil {
+	iterator := s.db.NewIterator(util.BytesPrefix([]byte(prefix)), nil)
+	defer iterator.Release()
+	for iterator.Next() {
+		if err := visit(string(iterator.Key()), append([]byte(nil), iterator.Value()...)); err != nil {
 			return err
 		}
 	}
-	return walk.Error()
+	return iterator.Error()
 }
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -16,11 +16,11 @@
 	"github.com/sumactrestle/sumactrestle/internal/eventlog"
 )
 
-func open(t *testing.T, folder string) (*Store, *environment.Realm, *bytes.Buffer) {
+func open(t *testing.T, folder string) (*Store, *environment.Environment, *bytes.Buffer) {
 	t.Helper()
 	var log bytes.Buffer
 	p := &config.Props{Name: "n", DataFolder: folder, LogLevel: "info"}
-	r := environment.New(context.Background(), p, eventlog.New(&log, "info", "n"), environment.Host(""))
+	r := environment.New(context.Background(), p, eventlog.New(&log, "info", "n"), environment.NewHost(""))
 	l, err := Open(r)
 	if err != nil {
 		t.Fatal(err)
@@ -30,9 +30,9 @@
 
 func put(t *testing.T, l *Store, n int) {
 	t.Helper()
-	w := l.Begin()
+	w := l.NewBatch()
 	w.Put(fmt.Sprintf("k/%04d", n), bytes.Repeat([]byte{byte(n)}, 100))
-	l.Hand(w)
+	l.Submit(w)
 	if err := w.Wait(); err != nil {
 		t.Fatal(err)
 	}
@@ -40,7 +40,7 @@
 
 func count(t *testing.T, l *Store) (n int) {
 	t.Helper()
-	if err := l.Walk("k/", func(string, []byte) error { n++; return nil }); err != nil {
+	if err := l.Scan("k/", func(string, []byte) error { n++; return nil }); err != nil {
 		t.Fatal(err)
 	}
 	return n
@@ -62,10 +62,10 @@
 	for i := range 50 {
 		put(t, l, i)
 	}
-	r.End()
+	r.Shutdown()
 	l, r, log := open(t, folder)
-	defer r.End()
-	if n := count(t, l); n != 50 || l.IsAfterDamage() {
+	defer r.Shutdown()
+	if n := count(t, l); n != 50 || l.ReplacesCorrupt() {
 		t.Fatalf("%d of 50 are there, %s", n, log)
 	}
 }
@@ -76,13 +76,13 @@
 	for i := range 50 {
 		put(t, l, i)
 	}
-	r.End()
+	r.Shutdown()
 	name := journal(t, folder)
 	raw, _ := os.ReadFile(name)
 	os.WriteFile(name, raw[:len(raw)-60], 0o644)
 	l, r, log := open(t, folder)
-	defer r.End()
-	if n := count(t, l); n != 49 || l.IsAfterDamage() {
+	defer r.Shutdown()
+	if n := count(t, l); n != 49 || l.ReplacesCorrupt() {
 		t.Fatalf("%d of 49 are there, %s", n, log)
 	}
 }
@@ -94,17 +94,17 @@
 	for i := range 2000 {
 		put(t, l, i)
 	}
-	r.End()
+	r.Shutdown()
 	name := journal(t, folder)
 	raw, _ := os.ReadFile(name)
 	raw[len(raw)/2] ^= 0xff
 	os.WriteFile(name, raw, 0o644)
 	l, r, log := open(t, folder)
-	defer r.End()
+	defer r.Shutdown()
 	if n := count(t, l); n != 0 {
 		t.Fatalf("%d keys are served from a damaged folder", n)
 	}
-	if !strings.Contains(log.String(), `"event":306`) || !l.IsAfterDamage() {
+	if !strings.Contains(log.String(), `"event":306`) || !l.ReplacesCorrupt() {
 		t.Fatalf("the damage is not reported: %s", log)
 	}
 	if aside, _ := filepath.Glob(folder + ".damaged-*"); len(aside) != 1 {
@@ -117,11 +117,11 @@
 	folder := filepath.Join(t.TempDir(), "data")
 	os.MkdirAll(folder, 0o755)
 	l, r, _ := open(t, folder)
-	defer r.End()
+	defer r.Shutdown()
 	put(t, l, 1)
 	var log bytes.Buffer
-	second := environment.New(context.Background(), r.Props, eventlog.New(&log, "info", "n"), environment.Host(""))
-	defer second.End()
+	second := environment.New(context.Background(), r.Config, eventlog.New(&log, "info", "n"), environment.NewHost(""))
+	defer second.Shutdown()
 	if _, err := Open(second); err == nil {
 		t.Fatal("two processes have one folder")
 	}
