--- a/internal/membership/kin.go
+++ b/internal/membership/kin.go
@@ -24,49 +24,49 @@
 	StateDead    = "down"
 	StateLeft    = "left"
 
-	lostKept = 10 * time.Minute
+	reconnectTimeout = 10 * time.Minute
 
-	presentOften, presentSeldom = 32, 16
+	initialAnnouncements, announceEvery = 32, 16
 )
 
-// known is a member with what this node alone knows of it.
-type known struct {
-	member rpc.Member
-	since  time.Time
-	sum    uint64
-	sent   int // how often it was passed on
-	heard  int // how often others told of it that knew it already
+// memberRecord is a member with what this node alone knows of it.
+type memberRecord struct {
+	member      rpc.Member
+	stateChange time.Time
+	digest      uint64
+	transmits   int // how often it was passed on
+	duplicates  int // how often others told of it that knew it already
 }
 
 // Memberlist is one node's view of the fleet. View is copy-on-write.
 type Memberlist struct {
-	r    *environment.Environment
-	w    *rpc.Wire
-	conn net.PacketConn
-
-	mu      sync.Mutex
-	me      rpc.Member
-	members map[ids.NodeName]*known
-	seq     uint64
-	acks    map[uint64]chan struct{}
-	order   []ids.NodeName
-	turn    uint64
-	view    atomic.Pointer[map[ids.NodeName]NodeState]
-	zones   atomic.Pointer[map[string]string]
-
-	sum     uint64 // of all members but this one
-	stirred time.Time
-	listed  atomic.Pointer[listed]
-	lists   atomic.Int64 // whole lists under way
-
-	isPresenting atomic.Bool
-	isRefused    atomic.Bool // the last exchange was, as the other was loaded
-	seeds        atomic.Pointer[[]string]
-
-	isMoved bool // some member has a new address or zone
-
-	shownAt uint64
-	shown   int
+	env        *environment.Environment
+	transport  *rpc.Wire
+	packetConn net.PacketConn
+
+	mu          sync.Mutex
+	self        rpc.Member
+	members     map[ids.NodeName]*memberRecord
+	sequence    uint64
+	ackHandlers map[uint64]chan struct{}
+	probeOrder  []ids.NodeName
+	probeRound  uint64
+	view        atomic.Pointer[map[ids.NodeName]NodeState]
+	zoneByHost  atomic.Pointer[map[string]string]
+
+	digestOfOthers uint64 // of all members but this one
+	lastRecovery   time.Time
+	encoded        atomic.Pointer[encodedView]
+	fullSyncs      atomic.Int64 // whole lists under way
+
+	introducing atomic.Bool
+	refused     atomic.Bool // the last exchange was, as the other was loaded
+	seeds       atomic.Pointer[[]string]
+
+	zonesChanged bool // some member has a new address or zone
+
+	announcedIncarnation uint64
+	announcements        int
 }
 
 // NodeState is a member and since when it stands as it does.
@@ -75,39 +75,39 @@
 	StateChange time.Time
 }
 
-func New(r *environment.Environment, w *rpc.Wire, me rpc.Member) *Memberlist {
-	me.Incarnation, me.State = 1, StateAlive
-	k := &Memberlist{r: r, w: w, me: me, members: map[ids.NodeName]*known{}, acks: map[uint64]chan struct{}{}}
-	k.publish()
-	k.SetSeeds(r.Config.Seeds)
-	w.Handle("kin.sync", func(c *rpc.Call) (any, error) {
+func New(env *environment.Environment, transport *rpc.Wire, self rpc.Member) *Memberlist {
+	self.Incarnation, self.State = 1, StateAlive
+	m := &Memberlist{env: env, transport: transport, self: self, members: map[ids.NodeName]*memberRecord{}, ackHandlers: map[uint64]chan struct{}{}}
+	m.publishView()
+	m.SetSeeds(env.Config.Seeds)
+	transport.Handle("kin.sync", func(c *rpc.Call) (any, error) {
 		var ask rpc.MembershipSync
 		if err := c.Read(&ask); err != nil {
 			return nil, err
 		}
-		return k.compare(&ask)
+		return m.handlePushPull(&ask)
 	})
-	w.Handle("kin.here", func(c *rpc.Call) (any, error) { return k.Self(), nil })
-	return k
+	transport.Handle("kin.here", func(c *rpc.Call) (any, error) { return m.Self(), nil })
+	return m
 }
 
 // Start starts probing.
-func (k *Memberlist) Start() error {
-	conn, err := k.r.Host.ListenPacket(k.r.Config.WireAddress)
+func (m *Memberlist) Start() error {
+	conn, err := m.env.Host.ListenPacket(m.env.Config.WireAddress)
 	if err != nil {
 		return err
 	}
-	k.conn = conn
-	k.r.Go(k.receive)
-	k.r.Go(k.probe)
-	k.r.Go(k.sync)
-	k.r.Go(k.search)
-	k.r.Go(func() { <-k.r.Done(); conn.Close() })
+	m.packetConn = conn
+	m.env.Go(m.receiveLoop)
+	m.env.Go(m.probeLoop)
+	m.env.Go(m.pushPullLoop)
+	m.env.Go(m.reconnectLoop)
+	m.env.Go(func() { <-m.env.Done(); conn.Close() })
 	return nil
 }
 
 // SetSeeds takes other seeds into use, as the settings may change while a node runs.
-func (k *Memberlist) SetSeeds(seeds []string) { k.seeds.Store(&seeds) }
+func (m *Memberlist) SetSeeds(seeds []string) { m.seeds.Store(&seeds) }
 
 func hostOf(address string) string {
 	if host, _, err := net.SplitHostPort(address); err == nil {
@@ -118,57 +118,57 @@
 
 // InOwnZone tells whether an address belongs to a machine of the own zone; one
 // that belongs to no member does.
-func (k *Memberlist) InOwnZone(address string) bool {
-	zone, ok := (*k.zones.Load())[hostOf(address)]
-	return !ok || zone == k.r.Config.Zone
+func (m *Memberlist) InOwnZone(address string) bool {
+	zone, ok := (*m.zoneByHost.Load())[hostOf(address)]
+	return !ok || zone == m.env.Config.Zone
 }
 
 // Self is how this node shows itself.
-func (k *Memberlist) Self() rpc.Member {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.me
+func (m *Memberlist) Self() rpc.Member {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.self
 }
 
 // UpdateSelf changes what this node shows of itself.
-func (k *Memberlist) UpdateSelf(change func(*rpc.Member)) {
-	k.mu.Lock()
-	change(&k.me)
-	k.me.Incarnation++
-	k.publish()
-	k.mu.Unlock()
+func (m *Memberlist) UpdateSelf(change func(*rpc.Member)) {
+	m.mu.Lock()
+	change(&m.self)
+	m.self.Incarnation++
+	m.publishView()
+	m.mu.Unlock()
 }
 
 // View is all members by name, this one included; not to be written to.
-func (k *Memberlist) View() map[ids.NodeName]NodeState { return *k.view.Load() }
+func (m *Memberlist) View() map[ids.NodeName]NodeState { return *m.view.Load() }
 
 // Lookup finds a member that is not down.
-func (k *Memberlist) Lookup(name ids.NodeName) (rpc.Member, bool) {
-	s, ok := k.View()[name]
+func (m *Memberlist) Lookup(name ids.NodeName) (rpc.Member, bool) {
+	s, ok := m.View()[name]
 	return s.Member, ok && (s.State == StateAlive || s.State == StateSuspect)
 }
 
 // IsLive tells whether exactly this life of a node seems live.
-func (k *Memberlist) IsLive(peer rpc.Peer) bool {
-	m, ok := k.Lookup(peer.Name)
-	return ok && m.ID == peer.ID
+func (m *Memberlist) IsLive(peer rpc.Peer) bool {
+	member, ok := m.Lookup(peer.Name)
+	return ok && member.ID == peer.ID
 }
 
 // CoreMembers is the live core members, own zone first, then by a fixed order.
-func (k *Memberlist) CoreMembers() []rpc.Member {
+func (m *Memberlist) CoreMembers() []rpc.Member {
 	var cores []rpc.Member
-	for _, s := range k.View() {
+	for _, s := range m.View() {
 		if s.Core && (s.State == StateAlive || s.State == StateSuspect) {
 			cores = append(cores, s.Member)
 		}
 	}
-	zone := k.r.Config.Zone
+	zone := m.env.Config.Zone
 	sort.Slice(cores, func(i, j int) bool {
 		a, b := cores[i], cores[j]
 		if (a.Zone == zone) != (b.Zone == zone) {
 			return a.Zone == zone
 		}
-		x, y := ids.Hash(string(k.r.Name), string(a.Name)), ids.Hash(string(k.r.Name), string(b.Name))
+		x, y := ids.Hash(string(m.env.Name), string(a.Name)), ids.Hash(string(m.env.Name), string(b.Name))
 		if x != y {
 			return x < y
 		}
@@ -179,12 +179,12 @@
 
 // ConfigReplicas is the live core members that hold the configuration part, in the order
 // of Cores; all of them while none is known to.
-func (k *Memberlist) ConfigReplicas() []rpc.Member {
-	cores := k.CoreMembers()
+func (m *Memberlist) ConfigReplicas() []rpc.Member {
+	cores := m.CoreMembers()
 	var keepers []rpc.Member
-	for _, m := range cores {
-		if m.HoldsConfiguration {
-			keepers = append(keepers, m)
+	for _, member := range cores {
+		if member.HoldsConfiguration {
+			keepers = append(keepers, member)
 		}
 	}
 	if len(keepers) == 0 {
@@ -193,25 +193,25 @@
 	return keepers
 }
 
-func (k *Memberlist) publish() {
-	view := make(map[ids.NodeName]NodeState, len(k.members)+1)
-	for name, m := range k.members {
-		view[name] = NodeState{m.member, m.since}
+func (m *Memberlist) publishView() {
+	view := make(map[ids.NodeName]NodeState, len(m.members)+1)
+	for name, member := range m.members {
+		view[name] = NodeState{member.member, member.stateChange}
 	}
-	view[k.me.Name] = NodeState{k.me, time.Time{}}
-	k.view.Store(&view)
-	if old := k.zones.Load(); old != nil && !k.isMoved {
+	view[m.self.Name] = NodeState{m.self, time.Time{}}
+	m.view.Store(&view)
+	if old := m.zoneByHost.Load(); old != nil && !m.zonesChanged {
 		return
 	}
-	k.isMoved = false
+	m.zonesChanged = false
 	zones := make(map[string]string, len(view))
-	for _, m := range view {
-		zones[hostOf(m.RPCAddress)] = m.Zone
+	for _, member := range view {
+		zones[hostOf(member.RPCAddress)] = member.Zone
 	}
-	k.zones.Store(&zones)
+	m.zoneByHost.Store(&zones)
 }
 
-func rank(state string) int {
+func statePrecedence(state string) int {
 	switch state {
 	case StateAlive:
 		return 0
@@ -221,85 +221,85 @@
 	return 2
 }
 
-// learn folds others' news into the view. Within one birth the higher
+// applyUpdates folds others' news into the view. Within one birth the higher
 // incarnation wins, and at the same one the worse state; another birth wins
 // over one that is known to be down, or by coming from the node itself.
-func (k *Memberlist) learn(news []rpc.Member) { k.take(news, false) }
+func (m *Memberlist) applyUpdates(updates []rpc.Member) { m.merge(updates, false) }
 
-// take is learn, also of whole lists: those in a list are known to others already.
-func (k *Memberlist) take(news []rpc.Member, isList bool) {
-	if isList && !k.isNews(news) {
+// merge is learn, also of whole lists: those in a list are known to others already.
+func (m *Memberlist) merge(updates []rpc.Member, isList bool) {
+	if isList && !m.hasUpdates(updates) {
 		return
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	didChange := false
-	for _, m := range news {
-		if m.Name == k.me.Name {
-			if refuted := refutes(k.me, m); refuted > 0 {
-				k.me.Incarnation = refuted
+	for _, member := range updates {
+		if member.Name == m.self.Name {
+			if refuted := refutingIncarnation(m.self, member); refuted > 0 {
+				m.self.Incarnation = refuted
 				didChange = true
 			}
 			continue
 		}
-		old, ok := k.members[m.Name]
+		old, ok := m.members[member.Name]
 		before := rpc.Member{}
 		if ok {
 			before = old.member
 		}
-		if !isNewer(before, ok, m) {
-			if ok && m.ID == before.ID && m.State == StateAlive && m.Incarnation == before.Incarnation && !isList {
-				old.heard++
+		if !supersedes(before, ok, member) {
+			if ok && member.ID == before.ID && member.State == StateAlive && member.Incarnation == before.Incarnation && !isList {
+				old.duplicates++
 			}
 			continue
 		}
 		switch {
 		case !ok:
-			k.r.Events.Say(eventlog.MemberUp, "member", string(m.Name), "wire", m.RPCAddress, "zone", m.Zone)
-		case before.ID != m.ID:
-			k.r.Events.Say(eventlog.MemberReborn, "member", string(m.Name), "birth", string(m.ID), "wire", m.RPCAddress)
+			m.env.Events.Say(eventlog.MemberUp, "member", string(member.Name), "wire", member.RPCAddress, "zone", member.Zone)
+		case before.ID != member.ID:
+			m.env.Events.Say(eventlog.MemberReborn, "member", string(member.Name), "birth", string(member.ID), "wire", member.RPCAddress)
 		default:
-			k.tell(before.State, m)
-			if before.State == StateDead && m.State == StateAlive {
-				k.stirred = time.Now()
+			m.logStateChange(before.State, member)
+			if before.State == StateDead && member.State == StateAlive {
+				m.lastRecovery = time.Now()
 			}
 		}
-		fresh := &known{member: m, since: time.Now(), sum: sumOf(m)}
-		if ok && before.ID == m.ID && rank(before.State) == rank(m.State) {
-			fresh.since = old.since
+		fresh := &memberRecord{member: member, stateChange: time.Now(), digest: memberDigest(member)}
+		if ok && before.ID == member.ID && statePrecedence(before.State) == statePrecedence(member.State) {
+			fresh.stateChange = old.stateChange
 		}
 		if isList && !ok {
-			fresh.sent = k.tellings() - 1
+			fresh.transmits = m.transmitLimit() - 1
 		}
 		if ok {
-			k.sum ^= old.sum
+			m.digestOfOthers ^= old.digest
 		}
-		k.sum ^= fresh.sum
-		k.isMoved = k.isMoved || !ok || before.RPCAddress != m.RPCAddress || before.Zone != m.Zone
-		k.members[m.Name] = fresh
+		m.digestOfOthers ^= fresh.digest
+		m.zonesChanged = m.zonesChanged || !ok || before.RPCAddress != member.RPCAddress || before.Zone != member.Zone
+		m.members[member.Name] = fresh
 		didChange = true
 	}
 	if didChange {
-		k.publish()
+		m.publishView()
 	}
 }
 
-// isNewer tells whether word of a member says more than what is known of it, if
+// supersedes tells whether word of a member says more than what is known of it, if
 // anything is.
-func isNewer(old rpc.Member, isKnown bool, m rpc.Member) bool {
+func supersedes(old rpc.Member, isKnown bool, m rpc.Member) bool {
 	switch {
 	case m.Name == "" || m.ID == "" || m.RPCAddress == "":
 		return false
 	case !isKnown:
-		return rank(m.State) < 2
+		return statePrecedence(m.State) < 2
 	case old.ID != m.ID:
 		return m.State == StateAlive && m.Incarnation > old.Incarnation
 	}
-	return m.Incarnation > old.Incarnation || m.Incarnation == old.Incarnation && rank(m.State) > rank(old.State)
+	return m.Incarnation > old.Incarnation || m.Incarnation == old.Incarnation && statePrecedence(m.State) > statePrecedence(old.State)
 }
 
-// refutes is the incarnation by which this node answers word of itself; 0 for none.
-func refutes(me, m rpc.Member) uint64 {
+// refutingIncarnation is the incarnation by which this node answers word of itself; 0 for none.
+func refutingIncarnation(me, m rpc.Member) uint64 {
 	isDoubted := m.ID == me.ID && m.State != StateAlive && me.State == StateAlive
 	if m.Incarnation >= me.Incarnation && (isDoubted || m.ID != me.ID) {
 		return m.Incarnation + 1
@@ -307,82 +307,82 @@
 	return 0
 }
 
-// isNews tells, without the lock, whether a list says anything that is not known: so
+// hasUpdates tells, without the lock, whether a list says anything that is not known: so
 // that lists of what is known already don't wait for one another.
-func (k *Memberlist) isNews(list []rpc.Member) bool {
-	view := k.View()
-	for _, m := range list {
-		old, ok := view[m.Name]
-		if m.Name == k.r.Name && refutes(old.Member, m) > 0 || m.Name != k.r.Name && isNewer(old.Member, ok, m) {
+func (m *Memberlist) hasUpdates(list []rpc.Member) bool {
+	view := m.View()
+	for _, member := range list {
+		old, ok := view[member.Name]
+		if member.Name == m.env.Name && refutingIncarnation(old.Member, member) > 0 || member.Name != m.env.Name && supersedes(old.Member, ok, member) {
 			return true
 		}
 	}
 	return false
 }
 
-func (k *Memberlist) tell(before string, m rpc.Member) {
-	if before == m.State {
+func (m *Memberlist) logStateChange(before string, member rpc.Member) {
+	if before == member.State {
 		return
 	}
-	switch m.State {
+	switch member.State {
 	case StateAlive:
-		k.r.Events.Say(eventlog.MemberUp, "member", string(m.Name), "wire", m.RPCAddress, "zone", m.Zone)
+		m.env.Events.Say(eventlog.MemberUp, "member", string(member.Name), "wire", member.RPCAddress, "zone", member.Zone)
 	case StateSuspect:
-		k.r.Events.Say(eventlog.MemberSuspect, "member", string(m.Name))
+		m.env.Events.Say(eventlog.MemberSuspect, "member", string(member.Name))
 	default:
-		k.r.Events.Say(eventlog.MemberDown, "member", string(m.Name), "state", m.State)
+		m.env.Events.Say(eventlog.MemberDown, "member", string(member.Name), "state", member.State)
 	}
 }
 
-// gossipMost is how many members one datagram tells of. Whatever others keep telling
-// this node has gone round, and is told toldLeast times only.
-const gossipMost, toldLeast = 6, 4
+// maxUpdatesPerPacket is how many members one datagram tells of. Whatever others keep telling
+// this node has gone round, and is told minTransmits times only.
+const maxUpdatesPerPacket, minTransmits = 6, 4
 
-// gossip picks the news that was passed on least often, so that what is new goes
+// nextBroadcasts picks the news that was passed on least often, so that what is new goes
 // round before what most know already.
-func (k *Memberlist) gossip() []rpc.Member {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	limit := k.tellings()
-	var picked []*known
-	for _, m := range k.members {
-		if m.sent >= limit || m.sent >= toldLeast && m.sent+2*m.heard >= limit {
+func (m *Memberlist) nextBroadcasts() []rpc.Member {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	limit := m.transmitLimit()
+	var picked []*memberRecord
+	for _, member := range m.members {
+		if member.transmits >= limit || member.transmits >= minTransmits && member.transmits+2*member.duplicates >= limit {
 			continue
 		}
 		at := len(picked)
-		for at > 0 && m.sent < picked[at-1].sent {
+		for at > 0 && member.transmits < picked[at-1].transmits {
 			at--
 		}
-		if at < gossipMost {
-			picked = slices.Insert(picked, at, m)
-			picked = picked[:min(len(picked), gossipMost)]
+		if at < maxUpdatesPerPacket {
+			picked = slices.Insert(picked, at, member)
+			picked = picked[:min(len(picked), maxUpdatesPerPacket)]
 		}
 	}
-	news := make([]rpc.Member, 0, len(picked))
-	for _, m := range picked {
-		m.sent++
-		news = append(news, m.member)
+	updates := make([]rpc.Member, 0, len(picked))
+	for _, member := range picked {
+		member.transmits++
+		updates = append(updates, member.member)
 	}
-	return news
+	return updates
 }
 
-// tellings is how often a piece of news is passed on; the lock is held.
-func (k *Memberlist) tellings() int {
+// transmitLimit is how often a piece of news is passed on; the lock is held.
+func (m *Memberlist) transmitLimit() int {
 	limit := 6
-	for n := len(k.members) + 1; n > 1; n /= 2 {
+	for n := len(m.members) + 1; n > 1; n /= 2 {
 		limit++
 	}
 	return limit
 }
 
 // Leave tells a few others that this node goes on purpose.
-func (k *Memberlist) Leave() {
-	k.UpdateSelf(func(m *rpc.Member) { m.State = StateLeft })
-	me := k.Self()
+func (m *Memberlist) Leave() {
+	m.UpdateSelf(func(member *rpc.Member) { member.State = StateLeft })
+	me := m.Self()
 	told := 0
-	for name, s := range k.View() {
-		if name != k.r.Name && s.State == StateAlive && told < 4 {
-			k.send(s.RPCAddress, rpc.Probe{Kind: "news", Updates: []rpc.Member{me}})
+	for name, s := range m.View() {
+		if name != m.env.Name && s.State == StateAlive && told < 4 {
+			m.sendPacket(s.RPCAddress, rpc.Probe{Kind: "news", Updates: []rpc.Member{me}})
 			told++
 		}
 	}
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -18,14 +18,14 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// probeAll is the size of a fleet from which on far members are asked less often.
-const probeAll = 24
+// fullProbeLimit is the size of a fleet from which on far members are asked less often.
+const fullProbeLimit = 24
 
-func (k *Memberlist) send(address string, probe rpc.Probe) {
-	me := k.Self()
+func (m *Memberlist) sendPacket(address string, probe rpc.Probe) {
+	me := m.Self()
 	probe.From, probe.FromID = me.Name, me.ID
 	if probe.Updates == nil {
-		probe.Updates = k.gossip()
+		probe.Updates = m.nextBroadcasts()
 	}
 	raw, err := json.Marshal(probe)
 	if err != nil {
@@ -35,111 +35,111 @@
 	if err != nil {
 		return
 	}
-	k.w.Count("kin.probe", address, len(raw)+1)
-	k.conn.WriteTo(append(raw, '\n'), net.UDPAddrFromAddrPort(to))
+	m.transport.Count("kin.probe", address, len(raw)+1)
+	m.packetConn.WriteTo(append(raw, '\n'), net.UDPAddrFromAddrPort(to))
 }
 
-func (k *Memberlist) receive() {
+func (m *Memberlist) receiveLoop() {
 	buffer := make([]byte, 64<<10)
 	for {
-		n, from, err := k.conn.ReadFrom(buffer)
+		n, from, err := m.packetConn.ReadFrom(buffer)
 		if err != nil {
-			if k.r.IsStopping() || !k.r.Sleep(10*time.Millisecond) {
+			if m.env.IsStopping() || !m.env.Sleep(10*time.Millisecond) {
 				return
 			}
 			continue
 		}
 		var probe rpc.Probe
 		if err := json.Unmarshal(buffer[:n], &probe); err != nil {
-			k.r.Events.Say(eventlog.MessageRefused, "kind", "kin.probe", "from", from.String())
+			m.env.Events.Say(eventlog.MessageRefused, "kind", "kin.probe", "from", from.String())
 			continue
 		}
-		k.learn(probe.Updates)
+		m.applyUpdates(probe.Updates)
 		switch probe.Kind {
 		case "ping":
-			if probe.To != "" && probe.To != k.r.Name {
+			if probe.To != "" && probe.To != m.env.Name {
 				continue
 			}
-			if !k.IsLive(rpc.Peer{Name: probe.From, ID: probe.FromID}) {
-				k.send(from.String(), rpc.Probe{Kind: "who"})
+			if !m.IsLive(rpc.Peer{Name: probe.From, ID: probe.FromID}) {
+				m.sendPacket(from.String(), rpc.Probe{Kind: "who"})
 			}
-			news := k.gossip()
-			isDoubted := slices.ContainsFunc(probe.Updates, func(m rpc.Member) bool { return m.Name == k.r.Name })
-			if isDoubted || k.presents() {
-				news = append(news, k.Self())
+			updates := m.nextBroadcasts()
+			isDoubted := slices.ContainsFunc(probe.Updates, func(member rpc.Member) bool { return member.Name == m.env.Name })
+			if isDoubted || m.announcesSelf() {
+				updates = append(updates, m.Self())
 			}
-			k.send(from.String(), rpc.Probe{Kind: "ack", Sequence: probe.Sequence, Updates: news})
+			m.sendPacket(from.String(), rpc.Probe{Kind: "ack", Sequence: probe.Sequence, Updates: updates})
 		case "ack":
-			k.mu.Lock()
-			if waiter, ok := k.acks[probe.Sequence]; ok {
-				delete(k.acks, probe.Sequence)
+			m.mu.Lock()
+			if waiter, ok := m.ackHandlers[probe.Sequence]; ok {
+				delete(m.ackHandlers, probe.Sequence)
 				close(waiter)
 			}
-			k.mu.Unlock()
+			m.mu.Unlock()
 		case "who":
-			k.present(probe.From)
+			m.introduceTo(probe.From)
 		case "relay":
-			to, ok := k.Lookup(probe.To)
+			to, ok := m.Lookup(probe.To)
 			if !ok {
 				continue
 			}
 			seq := probe.Sequence
-			k.r.Go(func() {
-				if k.ping(to.RPCAddress, to.Name, nil) {
-					k.send(from.String(), rpc.Probe{Kind: "ack", Sequence: seq})
+			m.env.Go(func() {
+				if m.ping(to.RPCAddress, to.Name, nil) {
+					m.sendPacket(from.String(), rpc.Probe{Kind: "ack", Sequence: seq})
 				}
 			})
 		}
 	}
 }
 
-// present makes this node, and all it knows, known to one that asked who it is:
+// introduceTo makes this node, and all it knows, known to one that asked who it is:
 // machines that come back together find one another first, and nobody else.
-func (k *Memberlist) present(name ids.NodeName) {
-	m, ok := k.Lookup(name)
-	if !ok || !k.isPresenting.CompareAndSwap(false, true) {
+func (m *Memberlist) introduceTo(name ids.NodeName) {
+	member, ok := m.Lookup(name)
+	if !ok || !m.introducing.CompareAndSwap(false, true) {
 		return
 	}
-	k.r.Go(func() {
-		defer k.isPresenting.Store(false)
-		k.exchange(m.RPCAddress, true)
+	m.env.Go(func() {
+		defer m.introducing.Store(false)
+		m.pushPullNode(member.RPCAddress, true)
 	})
 }
 
 // ping waits for the ack of one member; meanwhile verbs run after half time.
-func (k *Memberlist) ping(address string, name ids.NodeName, relay func(seq uint64)) bool {
-	k.mu.Lock()
-	k.seq++
-	seq := k.seq
+func (m *Memberlist) ping(address string, name ids.NodeName, relay func(seq uint64)) bool {
+	m.mu.Lock()
+	m.sequence++
+	seq := m.sequence
 	waiter := make(chan struct{})
-	k.acks[seq] = waiter
-	k.mu.Unlock()
+	m.ackHandlers[seq] = waiter
+	m.mu.Unlock()
 	defer func() {
-		k.mu.Lock()
-		delete(k.acks, seq)
-		k.mu.Unlock()
+		m.mu.Lock()
+		delete(m.ackHandlers, seq)
+		m.mu.Unlock()
 	}()
 	await := func() bool {
-		wakeup := time.NewTimer(k.r.Config.KinReply)
+		wakeup := time.NewTimer(m.env.Config.KinReply)
 		defer wakeup.Stop()
 		select {
 		case <-waiter:
 			return true
 		case <-wakeup.C:
-		case <-k.r.Done():
+		case <-m.env.Done():
 		}
 		return false
 	}
 	ping := rpc.Probe{Kind: "ping", Sequence: seq, To: name}
-	if s, ok := k.View()[name]; ok && s.State == StateSuspect {
+	if s, ok := m.View()[name]; ok && s.State == StateSuspect {
 		// Whoever is suspected must hear of it to refute it.
-		ping.Updates = append(k.gossip(), s.Member)
+		ping.Updates = append(m.nextBroadcasts(), s.Member)
 	}
-	k.send(address, ping)
+	m.sendPacket(address, ping)
 	if await() {
 		return true
 	}
-	if relay == nil || k.r.IsStopping() {
+	if relay == nil || m.env.IsStopping() {
 		return false
 	}
 	relay(seq)
@@ -152,85 +152,85 @@
 	return false
 }
 
-// next picks the members in turn, in an order shuffled anew every time round.
-func (k *Memberlist) next() (rpc.Member, bool) {
-	view := k.View()
+// nextProbeTarget picks the members in turn, in an order shuffled anew every time round.
+func (m *Memberlist) nextProbeTarget() (rpc.Member, bool) {
+	view := m.View()
 	for range 2 {
-		for len(k.order) > 0 {
-			name := k.order[0]
-			k.order = k.order[1:]
-			if s, ok := view[name]; ok && name != k.r.Name && rank(s.State) < 2 {
+		for len(m.probeOrder) > 0 {
+			name := m.probeOrder[0]
+			m.probeOrder = m.probeOrder[1:]
+			if s, ok := view[name]; ok && name != m.env.Name && statePrecedence(s.State) < 2 {
 				return s.Member, true
 			}
 		}
 		// Near members are asked every time round, far ones in every fourth: their own
 		// zone's members ask them too.
-		k.turn++
+		m.probeRound++
 		for name, s := range view {
-			isNear := s.Zone == k.r.Config.Zone || len(view) < probeAll || ids.Hash(string(name))%4 == k.turn%4
-			if name != k.r.Name && rank(s.State) < 2 && isNear {
-				k.order = append(k.order, name)
+			isNear := s.Zone == m.env.Config.Zone || len(view) < fullProbeLimit || ids.Hash(string(name))%4 == m.probeRound%4
+			if name != m.env.Name && statePrecedence(s.State) < 2 && isNear {
+				m.probeOrder = append(m.probeOrder, name)
 			}
 		}
-		rand.Shuffle(len(k.order), func(i, j int) { k.order[i], k.order[j] = k.order[j], k.order[i] })
+		rand.Shuffle(len(m.probeOrder), func(i, j int) { m.probeOrder[i], m.probeOrder[j] = m.probeOrder[j], m.probeOrder[i] })
 	}
 	return rpc.Member{}, false
 }
 
-func (k *Memberlist) probe() {
-	for k.r.Sleep(k.r.Config.KinProbe) {
-		k.bury()
-		target, ok := k.next()
+func (m *Memberlist) probeLoop() {
+	for m.env.Sleep(m.env.Config.KinProbe) {
+		m.expireSuspicions()
+		target, ok := m.nextProbeTarget()
 		if !ok {
 			continue
 		}
 		relay := func(seq uint64) {
 			asked := 0
-			for name, s := range k.View() {
-				if name != k.r.Name && name != target.Name && s.State == StateAlive && asked < 2 {
-					k.send(s.RPCAddress, rpc.Probe{Kind: "relay", Sequence: seq, To: target.Name})
+			for name, s := range m.View() {
+				if name != m.env.Name && name != target.Name && s.State == StateAlive && asked < 2 {
+					m.sendPacket(s.RPCAddress, rpc.Probe{Kind: "relay", Sequence: seq, To: target.Name})
 					asked++
 				}
 			}
 		}
-		if !k.ping(target.RPCAddress, target.Name, relay) && !k.isHere(target) && !k.r.IsStopping() {
+		if !m.ping(target.RPCAddress, target.Name, relay) && !m.answersOverTCP(target) && !m.env.IsStopping() {
 			target.State = StateSuspect
-			k.learn([]rpc.Member{target})
+			m.applyUpdates([]rpc.Member{target})
 		}
 	}
 }
 
-// isHere asks once more, over the pipe: on a full link datagrams are lost first.
-func (k *Memberlist) isHere(target rpc.Member) bool {
-	ctx, end := context.WithTimeout(k.r, max(2*k.r.Config.KinReply, 500*time.Millisecond))
-	defer end()
-	var m rpc.Member
-	if k.w.Ask(ctx, target.RPCAddress, "kin.here", struct{}{}, &m) != nil || m.Name != target.Name {
+// answersOverTCP asks once more, over the pipe: on a full link datagrams are lost first.
+func (m *Memberlist) answersOverTCP(target rpc.Member) bool {
+	ctx, cancel := context.WithTimeout(m.env, max(2*m.env.Config.KinReply, 500*time.Millisecond))
+	defer cancel()
+	var member rpc.Member
+	if m.transport.Ask(ctx, target.RPCAddress, "kin.here", struct{}{}, &member) != nil || member.Name != target.Name {
 		return false
 	}
-	k.learn([]rpc.Member{m})
-	return m.ID == target.ID
+	m.applyUpdates([]rpc.Member{member})
+	return member.ID == target.ID
 }
 
-// patience is how long a suspect may refute: news takes longer to go round in a
+// suspicionTimeout is how long a suspect may refute: news takes longer to go round in a
 // larger fleet, by the logarithm of its size.
-func (k *Memberlist) patience(members int) time.Duration {
-	return time.Duration(float64(k.r.Config.KinSuspect) * max(1, math.Log2(float64(members))/3))
+func (m *Memberlist) suspicionTimeout(members int) time.Duration {
+	return time.Duration(float64(m.env.Config.KinSuspect) * max(1, math.Log2(float64(members))/3))
 }
 
-// bury takes out those whose suspicion was not refuted.
-func (k *Memberlist) bury() {
+// expireSuspicions takes out those whose suspicion was not refuted.
+func (m *Memberlist) expireSuspicions() {
 	var dead []rpc.Member
-	view := k.View()
-	patience := k.patience(len(view))
+	view := m.View()
+	patience := m.suspicionTimeout(len(view))
 	for _, s := range view {
 		if s.State == StateSuspect && time.Since(s.StateChange) > patience {
-			m := s.Member
-			m.State = StateDead
-			dead = append(dead, m)
+			member := s.Member
+			member.State = StateDead
+			dead = append(dead, member)
 		}
 	}
 	if len(dead) > 0 {
-		k.learn(dead)
+		m.applyUpdates(dead)
 	}
 }
--- a/internal/membership/search.go
+++ b/internal/membership/search.go
@@ -16,34 +16,34 @@
 )
 
 const (
-	searchers   = 3
-	searchTurn  = 300 * time.Millisecond
-	searchFirst = time.Second
-	searchMost  = 5 * time.Second
-	lostCores   = 3 // how many lost core nodes are asked in one turn, with one other
+	reconnectors        = 3
+	reconnectInterval   = 300 * time.Millisecond
+	minReconnectBackoff = time.Second
+	maxReconnectBackoff = 5 * time.Second
+	maxCoreReconnects   = 3 // how many lost core nodes are asked in one turn, with one other
 )
 
-// hunt is the search for one lost member.
-type hunt struct {
-	next  time.Time
-	pause time.Duration
+// reconnectState is the search for one lost member.
+type reconnectState struct {
+	nextAttempt time.Time
+	backoff     time.Duration
 }
 
-func (k *Memberlist) search() {
-	hunts := map[ids.NodeName]*hunt{}
-	for k.r.Sleep(environment.Jitter(searchTurn)) {
-		for _, m := range k.due(hunts, time.Now()) {
-			k.r.Go(func() { k.PushPull(m.RPCAddress) })
+func (m *Memberlist) reconnectLoop() {
+	hunts := map[ids.NodeName]*reconnectState{}
+	for m.env.Sleep(environment.Jitter(reconnectInterval)) {
+		for _, member := range m.dueReconnects(hunts, time.Now()) {
+			m.env.Go(func() { m.PushPull(member.RPCAddress) })
 		}
 	}
 }
 
 // RecentlyDead is the members that went down of late without a word, by name.
-func (k *Memberlist) RecentlyDead() (members []rpc.Member) { return lostOf(k.View(), time.Now()) }
+func (m *Memberlist) RecentlyDead() (members []rpc.Member) { return recentlyDead(m.View(), time.Now()) }
 
-func lostOf(view map[ids.NodeName]NodeState, now time.Time) (members []rpc.Member) {
+func recentlyDead(view map[ids.NodeName]NodeState, now time.Time) (members []rpc.Member) {
 	for _, s := range view {
-		if s.State == StateDead && now.Sub(s.StateChange) < lostKept {
+		if s.State == StateDead && now.Sub(s.StateChange) < reconnectTimeout {
 			members = append(members, s.Member)
 		}
 	}
@@ -51,48 +51,48 @@
 	return members
 }
 
-// due picks the lost members that are to be asked now, those that waited longest, and
+// dueReconnects picks the lost members that are to be asked now, those that waited longest, and
 // sets when they are to be asked again.
-func (k *Memberlist) due(hunts map[ids.NodeName]*hunt, now time.Time) (some []rpc.Member) {
-	view := k.View()
-	lost := slices.DeleteFunc(lostOf(view, now), func(m rpc.Member) bool { return !k.searches(view, m) })
+func (m *Memberlist) dueReconnects(hunts map[ids.NodeName]*reconnectState, now time.Time) (selected []rpc.Member) {
+	view := m.View()
+	lost := slices.DeleteFunc(recentlyDead(view, now), func(member rpc.Member) bool { return !m.reconnectsTo(view, member) })
 	for name := range hunts {
-		if !slices.ContainsFunc(lost, func(m rpc.Member) bool { return m.Name == name }) {
+		if !slices.ContainsFunc(lost, func(member rpc.Member) bool { return member.Name == name }) {
 			delete(hunts, name)
 		}
 	}
-	for _, m := range lost {
-		if hunts[m.Name] == nil {
-			hunts[m.Name] = &hunt{next: now, pause: searchFirst / 2}
+	for _, member := range lost {
+		if hunts[member.Name] == nil {
+			hunts[member.Name] = &reconnectState{nextAttempt: now, backoff: minReconnectBackoff / 2}
 		}
 	}
-	slices.SortStableFunc(lost, func(a, b rpc.Member) int { return hunts[a.Name].next.Compare(hunts[b.Name].next) })
-	cores, others := lostCores, 1
-	for _, m := range lost {
-		h, left, most := hunts[m.Name], &others, searchMost
-		if m.Core {
-			left, most = &cores, searchFirst
+	slices.SortStableFunc(lost, func(a, b rpc.Member) int { return hunts[a.Name].nextAttempt.Compare(hunts[b.Name].nextAttempt) })
+	cores, others := maxCoreReconnects, 1
+	for _, member := range lost {
+		h, left, most := hunts[member.Name], &others, maxReconnectBackoff
+		if member.Core {
+			left, most = &cores, minReconnectBackoff
 		}
-		if *left == 0 || h.next.After(now) {
+		if *left == 0 || h.nextAttempt.After(now) {
 			continue
 		}
 		*left--
-		h.pause = min(2*h.pause, most)
-		h.next = now.Add(environment.Jitter(h.pause))
-		some = append(some, m)
+		h.backoff = min(2*h.backoff, most)
+		h.nextAttempt = now.Add(environment.Jitter(h.backoff))
+		selected = append(selected, member)
 	}
-	return some
+	return selected
 }
 
-// searches tells whether this node is one of those that look for a lost member.
-func (k *Memberlist) searches(view map[ids.NodeName]NodeState, lost rpc.Member) bool {
-	if lost.Core && len(view) < probeAll {
+// reconnectsTo tells whether this node is one of those that look for a lost member.
+func (m *Memberlist) reconnectsTo(view map[ids.NodeName]NodeState, lost rpc.Member) bool {
+	if lost.Core && len(view) < fullProbeLimit {
 		return true
 	}
-	mine, before := ids.Hash(string(lost.Name), string(k.r.Name)), 0
+	mine, before := ids.Hash(string(lost.Name), string(m.env.Name)), 0
 	for name, s := range view {
-		if name != k.r.Name && rank(s.State) < 2 && ids.Hash(string(lost.Name), string(name)) < mine {
-			if before++; before >= searchers {
+		if name != m.env.Name && statePrecedence(s.State) < 2 && ids.Hash(string(lost.Name), string(name)) < mine {
+			if before++; before >= reconnectors {
 				return false
 			}
 		}
--- a/internal/membership/sync.go
+++ b/internal/membership/sync.go
@@ -18,30 +18,30 @@
 )
 
 const (
-	syncPause  = 10 * time.Second
-	syncSoon   = time.Second
-	joinPause  = 100 * time.Millisecond // until a seed has answered
-	joinSeldom = 2 * time.Second
-	stirTime   = 10 * time.Second
+	pushPullInterval     = 10 * time.Second
+	fastPushPullInterval = time.Second
+	minJoinRetry         = 100 * time.Millisecond // until a seed has answered
+	maxJoinRetry         = 2 * time.Second
+	recoveryPeriod       = 10 * time.Second
 
-	rangeSize  = 8
-	rangesMost = 64
-	listsMost  = 4
+	membersPerRange = 8
+	maxRanges       = 64
+	maxFullSyncs    = 4
 )
 
-// sync compares lists: with the seeds until one answers, and with a random member
+// pushPullLoop compares lists: with the seeds until one answers, and with a random member
 // from time to time; sooner for a while after some came back that were held for down,
 // as whoever was on the other side of a cut must learn who was on this one.
-func (k *Memberlist) sync() {
-	isIn, join := false, joinPause
+func (m *Memberlist) pushPullLoop() {
+	isIn, join := false, minJoinRetry
 	for {
 		var addresses []string
-		seeds := *k.seeds.Load()
+		seeds := *m.seeds.Load()
 		if !isIn {
 			addresses = seeds
 		} else {
-			for name, s := range k.View() {
-				if name != k.r.Name && rank(s.State) < 2 {
+			for name, s := range m.View() {
+				if name != m.env.Name && statePrecedence(s.State) < 2 {
 					addresses = append(addresses, s.RPCAddress)
 				}
 			}
@@ -53,40 +53,40 @@
 				addresses = append(addresses, seeds[rand.IntN(len(seeds))])
 			}
 		}
-		k.isRefused.Store(false)
-		if k.syncAny(addresses) {
+		m.refused.Store(false)
+		if m.pushPullAny(addresses) {
 			isIn = true
 		}
-		isRefused := k.isRefused.Load()
+		isRefused := m.refused.Load()
 		pause := join
 		switch {
-		case isIn && (len(k.View()) < 3 || k.isStirred()):
-			pause = syncSoon
+		case isIn && (len(m.View()) < 3 || m.recentlyRecovered()):
+			pause = fastPushPullInterval
 		case isIn:
-			pause = syncPause
+			pause = pushPullInterval
 		case isRefused:
-			join = min(2*join, joinSeldom)
+			join = min(2*join, maxJoinRetry)
 		}
 		if isIn || isRefused {
 			pause = environment.Jitter(pause)
 		}
-		if !k.r.Sleep(pause) {
+		if !m.env.Sleep(pause) {
 			return
 		}
 	}
 }
 
-// syncAny compares with all of them at once, for one that is down says nothing for
+// pushPullAny compares with all of them at once, for one that is down says nothing for
 // as long as a dial may take, and is true as soon as one has answered.
-func (k *Memberlist) syncAny(addresses []string) bool {
+func (m *Memberlist) pushPullAny(addresses []string) bool {
 	answers := make(chan bool, len(addresses))
 	asked := 0
 	for _, address := range addresses {
-		if address == k.r.Config.WireAddress || address == k.r.Config.WireAdvertise {
+		if address == m.env.Config.WireAddress || address == m.env.Config.WireAdvertise {
 			continue
 		}
 		asked++
-		k.r.Go(func() { answers <- k.PushPull(address) })
+		m.env.Go(func() { answers <- m.PushPull(address) })
 	}
 	for range asked {
 		if <-answers {
@@ -96,100 +96,100 @@
 	return false
 }
 
-func (k *Memberlist) isStirred() bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return !k.stirred.IsZero() && time.Since(k.stirred) < stirTime
+func (m *Memberlist) recentlyRecovered() bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return !m.lastRecovery.IsZero() && time.Since(m.lastRecovery) < recoveryPeriod
 }
 
 // PushPull compares lists with one address, and once more if that showed this node that
 // it was held for down.
-func (k *Memberlist) PushPull(address string) bool {
-	before := k.Self().Incarnation
-	if !k.exchange(address, false) {
+func (m *Memberlist) PushPull(address string) bool {
+	before := m.Self().Incarnation
+	if !m.pushPullNode(address, false) {
 		return false
 	}
-	if k.Self().Incarnation != before {
-		k.exchange(address, true)
+	if m.Self().Incarnation != before {
+		m.pushPullNode(address, true)
 	}
 	return true
 }
 
-// exchange makes two lists the same; with isShown this node tells of itself first.
-func (k *Memberlist) exchange(address string, isShown bool) bool {
-	ctx, end := context.WithTimeout(k.r, time.Second)
-	defer end()
-	ask := &rpc.MembershipSync{RangeCount: k.ranges()}
-	if isShown || ask.RangeCount == 1 {
-		ask.Members = []rpc.Member{k.Self()}
+// pushPullNode makes two lists the same; with isShown this node tells of itself first.
+func (m *Memberlist) pushPullNode(address string, isShown bool) bool {
+	ctx, cancel := context.WithTimeout(m.env, time.Second)
+	defer cancel()
+	request := &rpc.MembershipSync{RangeCount: m.rangeCount()}
+	if isShown || request.RangeCount == 1 {
+		request.Members = []rpc.Member{m.Self()}
 	}
-	ask.Digest = k.digest()
-	var receipt rpc.MembershipSync
-	if err := k.w.Ask(ctx, address, "kin.sync", ask, &receipt); err != nil {
+	request.Digest = m.listDigest()
+	var response rpc.MembershipSync
+	if err := m.transport.Ask(ctx, address, "kin.sync", request, &response); err != nil {
 		return false
 	}
 	switch {
-	case receipt.RetryAfterMillis > 0:
-		k.isRefused.Store(true)
+	case response.RetryAfterMillis > 0:
+		m.refused.Store(true)
 		return false
-	case receipt.Same:
+	case response.Same:
 		return true
-	case ask.RangeCount > 1 && len(receipt.RangeDigests) == ask.RangeCount:
-		mine := k.sums(ask.RangeCount)
-		ask = &rpc.MembershipSync{RangeCount: ask.RangeCount}
-		for no, sum := range receipt.RangeDigests {
-			if sum != mine[no] {
-				ask.DifferingRanges = append(ask.DifferingRanges, no)
+	case request.RangeCount > 1 && len(response.RangeDigests) == request.RangeCount:
+		mine := m.rangeDigests(request.RangeCount)
+		request = &rpc.MembershipSync{RangeCount: request.RangeCount}
+		for index, sum := range response.RangeDigests {
+			if sum != mine[index] {
+				request.DifferingRanges = append(request.DifferingRanges, index)
 			}
 		}
-		if len(ask.DifferingRanges) == 0 {
+		if len(request.DifferingRanges) == 0 {
 			return true
 		}
-		ask.Members = k.within(ask.RangeCount, ask.DifferingRanges)
-		receipt = rpc.MembershipSync{}
-		if err := k.w.Ask(ctx, address, "kin.sync", ask, &receipt); err != nil {
+		request.Members = m.membersInRanges(request.RangeCount, request.DifferingRanges)
+		response = rpc.MembershipSync{}
+		if err := m.transport.Ask(ctx, address, "kin.sync", request, &response); err != nil {
 			return false
 		}
-		k.take(receipt.Members, true)
+		m.merge(response.Members, true)
 		return true
 	}
-	k.take(receipt.Members, true)
-	if mine := newer(k.whole(), receipt.Members); len(mine) > 0 {
-		ask = &rpc.MembershipSync{Members: mine, Digest: k.digest(), RangeCount: rangesMost}
-		for _, m := range mine {
-			if no := rangeOf(m.Name, rangesMost); !slices.Contains(ask.DifferingRanges, no) {
-				ask.DifferingRanges = append(ask.DifferingRanges, no)
+	m.merge(response.Members, true)
+	if mine := supersedingMembers(m.allMembers(), response.Members); len(mine) > 0 {
+		request = &rpc.MembershipSync{Members: mine, Digest: m.listDigest(), RangeCount: maxRanges}
+		for _, member := range mine {
+			if index := rangeOf(member.Name, maxRanges); !slices.Contains(request.DifferingRanges, index) {
+				request.DifferingRanges = append(request.DifferingRanges, index)
 			}
 		}
-		receipt = rpc.MembershipSync{}
-		if err := k.w.Ask(ctx, address, "kin.sync", ask, &receipt); err != nil {
+		response = rpc.MembershipSync{}
+		if err := m.transport.Ask(ctx, address, "kin.sync", request, &response); err != nil {
 			return false
 		}
 		// One that was held for down here has refuted that in its second answer.
-		k.take(receipt.Members, true)
+		m.merge(response.Members, true)
 	}
 	return true
 }
 
-// compare answers an exchange.
-func (k *Memberlist) compare(ask *rpc.MembershipSync) (any, error) {
-	k.take(ask.Members, len(ask.Members) > 1)
+// handlePushPull answers an exchange.
+func (m *Memberlist) handlePushPull(request *rpc.MembershipSync) (any, error) {
+	m.merge(request.Members, len(request.Members) > 1)
 	switch {
-	case ask.Digest != 0 && ask.Digest == k.digest():
+	case request.Digest != 0 && request.Digest == m.listDigest():
 		return &rpc.MembershipSync{Same: true}, nil
-	case ask.RangeCount > rangesMost || ask.RangeCount < 0:
-		ask.RangeCount = 0
-	case len(ask.DifferingRanges) > 0 && ask.RangeCount > 1:
-		return &rpc.MembershipSync{Members: newer(k.within(ask.RangeCount, ask.DifferingRanges), ask.Members)}, nil
-	case ask.RangeCount > 1:
-		return &rpc.MembershipSync{RangeDigests: k.sums(ask.RangeCount)}, nil
+	case request.RangeCount > maxRanges || request.RangeCount < 0:
+		request.RangeCount = 0
+	case len(request.DifferingRanges) > 0 && request.RangeCount > 1:
+		return &rpc.MembershipSync{Members: supersedingMembers(m.membersInRanges(request.RangeCount, request.DifferingRanges), request.Members)}, nil
+	case request.RangeCount > 1:
+		return &rpc.MembershipSync{RangeDigests: m.rangeDigests(request.RangeCount)}, nil
 	}
-	if k.lists.Add(1) > listsMost && ask.RangeCount == 1 {
-		k.lists.Add(-1)
-		return &rpc.MembershipSync{RetryAfterMillis: joinPause.Milliseconds()}, nil
+	if m.fullSyncs.Add(1) > maxFullSyncs && request.RangeCount == 1 {
+		m.fullSyncs.Add(-1)
+		return &rpc.MembershipSync{RetryAfterMillis: minJoinRetry.Milliseconds()}, nil
 	}
-	leave := func() { k.lists.Add(-1) }
-	raw, err := k.encoded()
+	leave := func() { m.fullSyncs.Add(-1) }
+	raw, err := m.encodedMembers()
 	if err != nil {
 		leave()
 		return nil, err
@@ -197,26 +197,26 @@
 	return &rpc.Raw{Body: raw, Sent: leave}, nil
 }
 
-// listed is a view's whole list as it goes out.
-type listed struct {
+// encodedView is a view's whole list as it goes out.
+type encodedView struct {
 	view *map[ids.NodeName]NodeState
 	raw  json.RawMessage
 }
 
-func (k *Memberlist) encoded() (json.RawMessage, error) {
-	view := k.view.Load()
-	if kept := k.listed.Load(); kept != nil && kept.view == view {
+func (m *Memberlist) encodedMembers() (json.RawMessage, error) {
+	view := m.view.Load()
+	if kept := m.encoded.Load(); kept != nil && kept.view == view {
 		return kept.raw, nil
 	}
-	raw, err := json.Marshal(&rpc.MembershipSync{Members: listOf(*view)})
+	raw, err := json.Marshal(&rpc.MembershipSync{Members: membersOf(*view)})
 	if err != nil {
 		return nil, err
 	}
-	k.listed.Store(&listed{view, raw})
+	m.encoded.Store(&encodedView{view, raw})
 	return raw, nil
 }
 
-func listOf(view map[ids.NodeName]NodeState) []rpc.Member {
+func membersOf(view map[ids.NodeName]NodeState) []rpc.Member {
 	list := make([]rpc.Member, 0, len(view))
 	for _, s := range view {
 		list = append(list, s.Member)
@@ -224,13 +224,13 @@
 	return list
 }
 
-func (k *Memberlist) whole() []rpc.Member { return listOf(k.View()) }
+func (m *Memberlist) allMembers() []rpc.Member { return membersOf(m.View()) }
 
-// ranges is into how many ranges of names the list is cut, some members in each; one
+// rangeCount is into how many ranges of names the list is cut, some members in each; one
 // for who knows next to nobody.
-func (k *Memberlist) ranges() int {
+func (m *Memberlist) rangeCount() int {
 	n := 1
-	for n*rangeSize < len(k.View()) && n < rangesMost {
+	for n*membersPerRange < len(m.View()) && n < maxRanges {
 		n *= 2
 	}
 	return n
@@ -240,40 +240,40 @@
 	return int(ids.Hash("range", string(name)) % uint64(ranges))
 }
 
-// sumOf is a member's part in a digest. Those that are gone have none: a node that
+// memberDigest is a member's part in a digest. Those that are gone have none: a node that
 // came later never learns of them, and its list would differ for good.
-func sumOf(m rpc.Member) uint64 {
-	if rank(m.State) == 2 {
+func memberDigest(m rpc.Member) uint64 {
+	if statePrecedence(m.State) == 2 {
 		return 0
 	}
 	return ids.Hash(string(m.Name), string(m.ID), strconv.FormatUint(m.Incarnation, 10), m.State)
 }
 
-// digest is one number for all that is known here.
-func (k *Memberlist) digest() uint64 {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return max(k.sum^sumOf(k.me), 1)
+// listDigest is one number for all that is known here.
+func (m *Memberlist) listDigest() uint64 {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return max(m.digestOfOthers^memberDigest(m.self), 1)
 }
 
-// sums is one number for each range.
-func (k *Memberlist) sums(ranges int) []uint32 {
+// rangeDigests is one number for each range.
+func (m *Memberlist) rangeDigests(ranges int) []uint32 {
 	sums := make([]uint32, ranges)
-	for name, s := range k.View() {
-		sums[rangeOf(name, ranges)] ^= uint32(sumOf(s.Member))
+	for name, s := range m.View() {
+		sums[rangeOf(name, ranges)] ^= uint32(memberDigest(s.Member))
 	}
 	return sums
 }
 
-// within is the members of some ranges.
-func (k *Memberlist) within(ranges int, some []int) (list []rpc.Member) {
+// membersInRanges is the members of some ranges.
+func (m *Memberlist) membersInRanges(ranges int, selected []int) (list []rpc.Member) {
 	isMeant := make([]bool, ranges)
-	for _, no := range some {
-		if no >= 0 && no < ranges {
-			isMeant[no] = true
+	for _, index := range selected {
+		if index >= 0 && index < ranges {
+			isMeant[index] = true
 		}
 	}
-	for name, s := range k.View() {
+	for name, s := range m.View() {
 		if isMeant[rangeOf(name, ranges)] {
 			list = append(list, s.Member)
 		}
@@ -281,29 +281,29 @@
 	return list
 }
 
-// newer is what one list says and another does not, or less of.
-func newer(ours, theirs []rpc.Member) (mine []rpc.Member) {
+// supersedingMembers is what one list says and another does not, or less of.
+func supersedingMembers(ours, theirs []rpc.Member) (mine []rpc.Member) {
 	known := map[ids.NodeName]rpc.Member{}
 	for _, m := range theirs {
 		known[m.Name] = m
 	}
 	for _, m := range ours {
 		old, ok := known[m.Name]
-		if !ok && rank(m.State) < 2 || ok && (old.ID != m.ID || old.Incarnation < m.Incarnation || old.Incarnation == m.Incarnation && rank(old.State) < rank(m.State)) {
+		if !ok && statePrecedence(m.State) < 2 || ok && (old.ID != m.ID || old.Incarnation < m.Incarnation || old.Incarnation == m.Incarnation && statePrecedence(old.State) < statePrecedence(m.State)) {
 			mine = append(mine, m)
 		}
 	}
 	return mine
 }
 
-// presents tells whether this node's own record goes with an acknowledgement:
+// announcesSelf tells whether this node's own record goes with an acknowledgement:
 // often while it is new, then seldom.
-func (k *Memberlist) presents() bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.shownAt != k.me.Incarnation {
-		k.shownAt, k.shown = k.me.Incarnation, 0
+func (m *Memberlist) announcesSelf() bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.announcedIncarnation != m.self.Incarnation {
+		m.announcedIncarnation, m.announcements = m.self.Incarnation, 0
 	}
-	k.shown++
-	return k.shown <= presentOften || k.shown%presentSeldom == 0
+	m.announcements++
+	return m.announcements <= initialAnnouncements || m.announcements%announceEvery == 0
 }
--- a/internal/membership/sync_test.go
+++ b/internal/membership/sync_test.go
@@ -96,7 +96,7 @@
 }
 
 func sent(k *Memberlist) (bytes int64) {
-	for _, count := range k.w.Traffic() {
+	for _, count := range k.transport.Traffic() {
 		bytes += count[1]
 	}
 	return bytes
@@ -107,7 +107,7 @@
 	live := func(k *Memberlist) map[ids.NodeName]rpc.Member {
 		some := map[ids.NodeName]rpc.Member{}
 		for name, s := range k.View() {
-			if rank(s.State) < 2 {
+			if statePrecedence(s.State) < 2 {
 				some[name] = s.Member
 			}
 		}
@@ -122,8 +122,8 @@
 		defer stop()
 		l := &lines{ends: map[string]chan net.Conn{}}
 		a, b := l.start(t, ctx, member(0)), l.start(t, ctx, member(1))
-		a.take(members(460), true)
-		b.take(members(460), true)
+		a.merge(members(460), true)
+		b.merge(members(460), true)
 		if !a.PushPull(b.Self().RPCAddress) {
 			t.Fatal("not in touch")
 		}
@@ -132,8 +132,8 @@
 		}
 		restarted, down := member(77), member(300)
 		restarted.ID, restarted.Incarnation, down.State = "another", 5, StateDead
-		a.take([]rpc.Member{restarted}, false)
-		b.take([]rpc.Member{down}, false)
+		a.merge([]rpc.Member{restarted}, false)
+		b.merge([]rpc.Member{down}, false)
 		before := sent(a) + sent(b)
 		if !a.PushPull(b.Self().RPCAddress) || !isSame(a, b) {
 			t.Fatal("the lists still differ")
@@ -169,23 +169,23 @@
 			if i%11 == 0 {
 				m.ID = ids.MemberID(fmt.Sprint("again", i))
 			}
-			a.take([]rpc.Member{m}, i%2 == 0)
+			a.merge([]rpc.Member{m}, i%2 == 0)
 		}
 		a.UpdateSelf(func(m *rpc.Member) { m.HoldsConfiguration = true })
-		b.take(a.whole(), true)
-		a.take(b.whole(), true)
-		b.take(a.whole(), true)
+		b.merge(a.allMembers(), true)
+		a.merge(b.allMembers(), true)
+		b.merge(a.allMembers(), true)
 		sum := uint64(0)
-		for _, m := range a.whole() {
-			sum ^= sumOf(m)
+		for _, m := range a.allMembers() {
+			sum ^= memberDigest(m)
 		}
-		if a.digest() != sum {
-			t.Errorf("%x is kept, %x is right", a.digest(), sum)
+		if a.listDigest() != sum {
+			t.Errorf("%x is kept, %x is right", a.listDigest(), sum)
 		}
-		for i, of := range a.sums(8) {
+		for i, of := range a.rangeDigests(8) {
 			sum := uint32(0)
-			for _, m := range a.within(8, []int{i}) {
-				sum ^= uint32(sumOf(m))
+			for _, m := range a.membersInRanges(8, []int{i}) {
+				sum ^= uint32(memberDigest(m))
 			}
 			if sum != of {
 				t.Error("range", i)
@@ -200,10 +200,10 @@
 		defer stop()
 		l := &lines{ends: map[string]chan net.Conn{}}
 		a := l.start(t, ctx, member(0))
-		a.take(members(460), true)
+		a.merge(members(460), true)
 		var given []*rpc.Raw
-		for range listsMost {
-			got, err := a.compare(&rpc.MembershipSync{Digest: 1, RangeCount: 1})
+		for range maxFullSyncs {
+			got, err := a.handlePushPull(&rpc.MembershipSync{Digest: 1, RangeCount: 1})
 			raw, ok := got.(*rpc.Raw)
 			if !ok || err != nil {
 				t.Fatal(got, err)
@@ -213,16 +213,16 @@
 		if &given[0].Body[0] != &given[1].Body[0] {
 			t.Error("the list is encoded anew for each")
 		}
-		got, _ := a.compare(&rpc.MembershipSync{Digest: 1, RangeCount: 1})
+		got, _ := a.handlePushPull(&rpc.MembershipSync{Digest: 1, RangeCount: 1})
 		if receipt, ok := got.(*rpc.MembershipSync); !ok || receipt.RetryAfterMillis == 0 {
 			t.Errorf("one more is given: %T", got)
 		}
 		// What differs in little is compared all the same.
-		if got, _ := a.compare(&rpc.MembershipSync{Digest: 1, RangeCount: 16}); len(got.(*rpc.MembershipSync).RangeDigests) != 16 {
+		if got, _ := a.handlePushPull(&rpc.MembershipSync{Digest: 1, RangeCount: 16}); len(got.(*rpc.MembershipSync).RangeDigests) != 16 {
 			t.Error("no sums")
 		}
 		b := l.start(t, ctx, member(1))
-		if b.PushPull(a.Self().RPCAddress) || !b.isRefused.Load() {
+		if b.PushPull(a.Self().RPCAddress) || !b.refused.Load() {
 			t.Error("the refusal is not noted")
 		}
 		given[0].Sent()
@@ -245,41 +245,41 @@
 				continue
 			}
 			k := l.start(t, ctx, member(no))
-			k.take(members(60), true)
+			k.merge(members(60), true)
 			down := lost
 			down.State = StateDead
-			k.take([]rpc.Member{down}, false)
-			if some := k.due(map[ids.NodeName]*hunt{}, time.Now()); len(some) == 1 && some[0].Name == lost.Name {
+			k.merge([]rpc.Member{down}, false)
+			if some := k.dueReconnects(map[ids.NodeName]*reconnectState{}, time.Now()); len(some) == 1 && some[0].Name == lost.Name {
 				looking++
 				one = k
 			}
 		}
-		if looking != searchers {
+		if looking != reconnectors {
 			t.Fatalf("%d nodes look for one lost member", looking)
 		}
 		// The pauses grow, up to a bound; it is given up in the end.
-		hunts := map[ids.NodeName]*hunt{}
+		hunts := map[ids.NodeName]*reconnectState{}
 		var asked []time.Time
-		for range 2 * int(lostKept/time.Second) {
-			if len(one.due(hunts, time.Now())) > 0 {
+		for range 2 * int(reconnectTimeout/time.Second) {
+			if len(one.dueReconnects(hunts, time.Now())) > 0 {
 				asked = append(asked, time.Now())
 			}
 			time.Sleep(time.Second)
 		}
-		if n := len(asked); n < int(lostKept/searchMost)*2/3 || n > int(lostKept/searchMost)*3/2 {
+		if n := len(asked); n < int(reconnectTimeout/maxReconnectBackoff)*2/3 || n > int(reconnectTimeout/maxReconnectBackoff)*3/2 {
 			t.Fatalf("asked %d times", n)
 		}
 		if first, later := asked[1].Sub(asked[0]), asked[9].Sub(asked[8]); later < 2*first {
 			t.Errorf("the first pause was %s, a later one %s", first, later)
 		}
-		if last := asked[len(asked)-1].Sub(asked[0]); last > lostKept {
+		if last := asked[len(asked)-1].Sub(asked[0]); last > reconnectTimeout {
 			t.Error("still asked after", last)
 		}
 		// Back again, it is looked for no longer.
 		back := lost
 		back.Incarnation = 9
-		one.take([]rpc.Member{back}, false)
-		if len(one.due(hunts, time.Now())) > 0 || len(hunts) != 0 {
+		one.merge([]rpc.Member{back}, false)
+		if len(one.dueReconnects(hunts, time.Now())) > 0 || len(hunts) != 0 {
 			t.Error("looked for though it is back")
 		}
 	})
@@ -292,15 +292,15 @@
 		l := &lines{ends: map[string]chan net.Conn{}}
 		tellings := func(heard int) (n int) {
 			k := l.start(t, ctx, member(0))
-			k.take(members(460), true)
-			for len(k.gossip()) > 0 {
+			k.merge(members(460), true)
+			for len(k.nextBroadcasts()) > 0 {
 			}
 			news := member(500)
-			k.take([]rpc.Member{news}, false)
+			k.merge([]rpc.Member{news}, false)
 			for range heard {
-				k.take([]rpc.Member{news}, false)
+				k.merge([]rpc.Member{news}, false)
 			}
-			for len(k.gossip()) > 0 {
+			for len(k.nextBroadcasts()) > 0 {
 				n++
 			}
 			return n
@@ -308,20 +308,20 @@
 		if n := tellings(0); n < 10 || n > 16 {
 			t.Errorf("news is told %d times in a fleet of 460", n)
 		}
-		if n := tellings(50); n != toldLeast {
+		if n := tellings(50); n != minTransmits {
 			t.Errorf("news that all tell is told %d times more", n)
 		}
 		k := l.start(t, ctx, member(0))
-		k.take(members(460), true)
-		for len(k.gossip()) > 0 {
+		k.merge(members(460), true)
+		for len(k.nextBroadcasts()) > 0 {
 		}
 		doubted := member(9)
 		doubted.State = StateSuspect
 		for range 50 {
-			k.take([]rpc.Member{doubted}, false)
+			k.merge([]rpc.Member{doubted}, false)
 		}
 		n := 0
-		for len(k.gossip()) > 0 {
+		for len(k.nextBroadcasts()) > 0 {
 			n++
 		}
 		if n < 10 {
@@ -341,25 +341,25 @@
 				all := members(size)
 				all[0].Core = true
 				k := l.start(t, ctx, all[no])
-				k.take(all, true)
+				k.merge(all, true)
 				down := all[0]
 				down.State = StateDead
-				k.take([]rpc.Member{down}, false)
-				if k.searches(k.View(), down) {
+				k.merge([]rpc.Member{down}, false)
+				if k.reconnectsTo(k.View(), down) {
 					lookers = append(lookers, k)
 				}
 			}
-			if right := map[int]int{10: 9, 60: searchers}[size]; len(lookers) != right {
+			if right := map[int]int{10: 9, 60: reconnectors}[size]; len(lookers) != right {
 				t.Fatalf("%d of %d nodes look for a lost core node", len(lookers), size)
 			}
-			hunts, last := map[ids.NodeName]*hunt{}, time.Now()
+			hunts, last := map[ids.NodeName]*reconnectState{}, time.Now()
 			for range 1200 {
-				if len(lookers[0].due(hunts, time.Now())) > 0 {
+				if len(lookers[0].dueReconnects(hunts, time.Now())) > 0 {
 					last = time.Now()
-				} else if time.Since(last) > searchFirst*5/4 {
+				} else if time.Since(last) > minReconnectBackoff*5/4 {
 					t.Fatal("a core node was not asked for", time.Since(last))
 				}
-				time.Sleep(searchTurn / 4)
+				time.Sleep(reconnectInterval / 4)
 			}
 		}
 	})
