--- a/cmd/sumac/calls.go
+++ b/cmd/sumac/calls.go
@@ -345,13 +345,13 @@
 }
 
 func runJudge(ctx context.Context, cmd *cli.Command) error {
-	records, err := checker.Read(cmd.Args().First())
+	records, err := checker.ReadHistory(cmd.Args().First())
 	if err != nil {
 		return err
 	}
-	verdict := checker.Judge(records)
+	verdict := checker.Check(records)
 	fmt.Print(verdict)
-	if !verdict.IsClean() {
+	if !verdict.IsValid() {
 		return errcode.New(errcode.BadCall, "the history breaks a rule")
 	}
 	return nil
--- a/cmd/troupe/report.go
+++ b/cmd/troupe/report.go
@@ -40,7 +40,7 @@
 			runs = append(runs, run)
 			continue
 		}
-		records, err := checker.Read(path)
+		records, err := checker.ReadHistory(path)
 		if err != nil {
 			return errcode.New(errcode.BadCall, "%s: neither the figures of a hollow run nor a history: %v", path, err)
 		}
--- a/internal/checker/history.go
+++ b/internal/checker/history.go
@@ -17,95 +17,95 @@
 
 // What a record tells of.
 const (
-	Began    = "began"    // the scenario; Note names it
-	Ended    = "ended"    // the scenario ended, all stand-ins were heard out
-	Called   = "called"   // a caller's request, from Start to At
-	Ran      = "ran"      // a server ran a request at At
-	Known    = "known"    // a target's drain or sign-off was acknowledged at At
-	Silent   = "silent"   // a target's last beat was sent at At, then it was gone
-	Changed  = "changed"  // an operator's change set, from Start to At
-	Asked    = "asked"    // an operator asked by id, from Start to At
-	Bonded   = "bonded"   // a coordination call, from Start to At
-	Watched  = "watched"  // a watch's receipt
-	Rescue   = "rescue"   // all machines are back at At; usable again by Start
-	Planned  = "planned"  // a planned stop began at At
-	InForce  = "inforce"  // the configuration at the end, mapping names in Names
-	Alive    = "alive"    // a proxy's process was started
-	Differ   = "differ"   // a node found that copies contradict one another
-	Harmless = "harmless" // the scenario holds planned stops only
-	Reached  = "reached"  // a request reached a server, which turned it away
-	Touch    = "touch"    // a proxy is in touch from At on, or out of it
-	Followed = "followed" // a follower's receipt
-	Version  = "version"  // a change set with an operators' version, from Start to At
-	ReadBack = "readback" // the configuration as read back, from Start to At
-	Hurt     = "hurt"     // a fault was done to the fleet at At; Note tells which
-	Sent     = "sent"     // the bytes that all nodes had sent by At, by kind
+	ScenarioStarted    = "began"    // the scenario; Note names it
+	ScenarioEnded      = "ended"    // the scenario ended, all stand-ins were heard out
+	RequestCompleted   = "called"   // a caller's request, from Start to At
+	RequestExecuted    = "ran"      // a server ran a request at At
+	DrainAcknowledged  = "known"    // a target's drain or sign-off was acknowledged at At
+	HeartbeatsStopped  = "silent"   // a target's last beat was sent at At, then it was gone
+	ChangeSubmitted    = "changed"  // an operator's change set, from Start to At
+	ChangeQueried      = "asked"    // an operator asked by id, from Start to At
+	CoordinationCall   = "bonded"   // a coordination call, from Start to At
+	WatchResponse      = "watched"  // a watch's receipt
+	Recovery           = "rescue"   // all machines are back at At; usable again by Start
+	PlannedStop        = "planned"  // a planned stop began at At
+	FinalConfiguration = "inforce"  // the configuration at the end, mapping names in Names
+	ProxyStarted       = "alive"    // a proxy's process was started
+	ReplicaDivergence  = "differ"   // a node found that copies contradict one another
+	PlannedStopsOnly   = "harmless" // the scenario holds planned stops only
+	RequestRejected    = "reached"  // a request reached a server, which turned it away
+	ProxyContact       = "touch"    // a proxy is in touch from At on, or out of it
+	FollowResponse     = "followed" // a follower's receipt
+	VersionedChange    = "version"  // a change set with an operators' version, from Start to At
+	ConfigurationRead  = "readback" // the configuration as read back, from Start to At
+	FaultInjected      = "hurt"     // a fault was done to the fleet at At; Note tells which
+	TrafficSent        = "sent"     // the bytes that all nodes had sent by At, by kind
 )
 
 // Record is one line of a history; times are since its beginning.
 type Record struct {
-	Kind       string        `json:"kind"`
-	At         time.Duration `json:"at"`
-	Start      time.Duration `json:"start,omitempty"`
-	Call       string        `json:"call,omitempty"`
-	Request    string        `json:"request,omitempty"`
-	Proxy      string        `json:"proxy,omitempty"`
-	Service    string        `json:"service,omitempty"`
-	Owner      string        `json:"owner,omitempty"`
-	Instance   string        `json:"instance,omitempty"`
-	Address    string        `json:"address,omitempty"`
-	Mapping    string        `json:"mapping,omitempty"`
-	Epoch      uint64        `json:"epoch,omitempty"`
-	Base       uint64        `json:"base,omitempty"`
-	Status     int           `json:"status,omitempty"`
-	Code       int           `json:"code,omitempty"`
-	Outcome    string        `json:"outcome,omitempty"`
-	RetryAfter string        `json:"retry_after,omitempty"`
-	Digest     string        `json:"digest,omitempty"`
-	Repeatable bool          `json:"repeatable,omitempty"`
-	Repeat     bool          `json:"repeat,omitempty"`
-	Invalid    bool          `json:"invalid,omitempty"`
-	Once       bool          `json:"once,omitempty"`
-	Note       string        `json:"note,omitempty"`
-	Names      []string      `json:"names,omitempty"`
-	Op         string        `json:"op,omitempty"`
-	Name       string        `json:"name,omitempty"`
-	Holder     string        `json:"holder,omitempty"`
-	Stamp      uint64        `json:"stamp,omitempty"`
-	Fence      uint64        `json:"fence,omitempty"`
-	Count      int64         `json:"count,omitempty"`
-	Delta      int64         `json:"delta,omitempty"`
-	Ttl        time.Duration `json:"ttl,omitempty"`
-	Stamps     []uint64      `json:"stamps,omitempty"`
-	From       uint64        `json:"from,omitempty"`
-	IsIf       bool          `json:"is_if,omitempty"` // From is the stamp that the key must have
-	IsWhole    bool          `json:"whole,omitempty"`
-	IsTry      bool          `json:"is_try,omitempty"` // what is said holds for the try alone
-	// Lead is where a change set leads each path: services with commas between
+	Kind          string        `json:"kind"`
+	At            time.Duration `json:"at"`
+	Start         time.Duration `json:"start,omitempty"`
+	CallID        string        `json:"call,omitempty"`
+	RequestID     string        `json:"request,omitempty"`
+	Proxy         string        `json:"proxy,omitempty"`
+	Service       string        `json:"service,omitempty"`
+	ServerService string        `json:"owner,omitempty"`
+	Instance      string        `json:"instance,omitempty"`
+	Address       string        `json:"address,omitempty"`
+	Path          string        `json:"mapping,omitempty"`
+	Epoch         uint64        `json:"epoch,omitempty"`
+	BaseEpoch     uint64        `json:"base,omitempty"`
+	Status        int           `json:"status,omitempty"`
+	Code          int           `json:"code,omitempty"`
+	Outcome       string        `json:"outcome,omitempty"`
+	RetryAfter    string        `json:"retry_after,omitempty"`
+	Digest        string        `json:"digest,omitempty"`
+	Idempotent    bool          `json:"repeatable,omitempty"`
+	IsRetry       bool          `json:"repeat,omitempty"`
+	Invalid       bool          `json:"invalid,omitempty"`
+	AtMostOnce    bool          `json:"once,omitempty"`
+	Note          string        `json:"note,omitempty"`
+	Names         []string      `json:"names,omitempty"`
+	Op            string        `json:"op,omitempty"`
+	Name          string        `json:"name,omitempty"`
+	Holder        string        `json:"holder,omitempty"`
+	Revision      uint64        `json:"stamp,omitempty"`
+	FencingToken  uint64        `json:"fence,omitempty"`
+	Count         int64         `json:"count,omitempty"`
+	Delta         int64         `json:"delta,omitempty"`
+	TTL           time.Duration `json:"ttl,omitempty"`
+	Revisions     []uint64      `json:"stamps,omitempty"`
+	From          uint64        `json:"from,omitempty"`
+	IsConditional bool          `json:"is_if,omitempty"` // From is the stamp that the key must have
+	ReplacesAll   bool          `json:"whole,omitempty"`
+	PerAttempt    bool          `json:"is_try,omitempty"` // what is said holds for the try alone
+	// Destinations is where a change set leads each path: services with commas between
 	// them, or nothing if the path is dropped.
-	Lead map[string]string `json:"lead,omitempty"`
-	Sent map[string]int64  `json:"sent,omitempty"`
+	Destinations map[string]string `json:"lead,omitempty"`
+	SentBytes    map[string]int64  `json:"sent,omitempty"`
 }
 
 // History is what was recorded so far.
 type History struct {
-	mu      sync.Mutex
-	began   time.Time
-	records []Record
-	out     io.Writer
+	mu        sync.Mutex
+	startedAt time.Time
+	records   []Record
+	out       io.Writer
 }
 
-func New(out io.Writer) *History { return &History{began: time.Now(), out: out} }
+func NewHistory(out io.Writer) *History { return &History{startedAt: time.Now(), out: out} }
 
 // Now is the history's clock.
-func (h *History) Now() time.Duration { return time.Since(h.began) }
+func (h *History) Now() time.Duration { return time.Since(h.startedAt) }
 
 // Add appends a record; At is filled in if it is zero.
 func (h *History) Add(r Record) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if r.At == 0 {
-		r.At = time.Since(h.began)
+		r.At = time.Since(h.startedAt)
 	}
 	h.records = append(h.records, r)
 	if h.out != nil {
@@ -121,8 +121,8 @@
 	return append([]Record(nil), h.records...)
 }
 
-// Read takes a recorded history from a file.
-func Read(path string) ([]Record, error) {
+// ReadHistory takes a recorded history from a file.
+func ReadHistory(path string) ([]Record, error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return nil, errcode.New(errcode.BadCall, "%v", err)
--- a/internal/checker/served.go
+++ b/internal/checker/served.go
@@ -9,69 +9,69 @@
 	"strings"
 )
 
-// Served is the calls of a run, or of several.
-type Served struct {
-	Calls, Ran, Unknown, Broken int
-	Known                       int         // repeats told that their order ran before
-	Refused                     map[int]int // "not run", by code
+// Availability is the calls of a run, or of several.
+type Availability struct {
+	Total, Succeeded, Unknown, Broken int
+	AlreadyRan                        int         // repeats told that their order ran before
+	Rejected                          map[int]int // "not run", by code
 }
 
-// ServedOf counts the callers' tries; those who went away are not counted.
-func ServedOf(records []Record) Served {
-	s := Served{Refused: map[int]int{}}
-	for _, r := range of(records, Called) {
+// MeasureAvailability counts the callers' tries; those who went away are not counted.
+func MeasureAvailability(records []Record) Availability {
+	s := Availability{Rejected: map[int]int{}}
+	for _, r := range ofKind(records, RequestCompleted) {
 		switch {
 		case r.Outcome == "gone":
 			continue
 		case r.Status == 200:
-			s.Ran++
+			s.Succeeded++
 		case r.Outcome == "not run":
-			s.Refused[r.Code]++
+			s.Rejected[r.Code]++
 		case r.Outcome == "broken":
 			s.Broken++
 		case r.Outcome == "ran":
-			s.Known++
+			s.AlreadyRan++
 		default:
 			s.Unknown++
 		}
-		s.Calls++
+		s.Total++
 	}
 	return s
 }
 
-// Plus is the two together.
-func (s Served) Plus(o Served) Served {
-	sum := Served{Calls: s.Calls + o.Calls, Ran: s.Ran + o.Ran, Unknown: s.Unknown + o.Unknown, Broken: s.Broken + o.Broken, Known: s.Known + o.Known, Refused: map[int]int{}}
-	for _, refused := range []map[int]int{s.Refused, o.Refused} {
+// Add is the two together.
+func (s Availability) Add(o Availability) Availability {
+	sum := Availability{Total: s.Total + o.Total, Succeeded: s.Succeeded + o.Succeeded, Unknown: s.Unknown + o.Unknown, Broken: s.Broken + o.Broken, AlreadyRan: s.AlreadyRan + o.AlreadyRan, Rejected: map[int]int{}}
+	for _, refused := range []map[int]int{s.Rejected, o.Rejected} {
 		for code, n := range refused {
-			sum.Refused[code] += n
+			sum.Rejected[code] += n
 		}
 	}
 	return sum
 }
 
-// Share is a number of calls in hundredths of all.
-func (s Served) Share(n int) float64 {
-	if s.Calls == 0 {
+// Percent is a number of calls in hundredths of all.
+func (s Availability) Percent(n int) float64 {
+	if s.Total == 0 {
 		return 0
 	}
-	return 100 * float64(n) / float64(s.Calls)
+	return 100 * float64(n) / float64(s.Total)
 }
 
-func (s Served) String() string {
+func (s Availability) String() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%d calls: ran %.1f%%", s.Calls, s.Share(s.Ran))
-	if s.Known > 0 {
-		fmt.Fprintf(&b, ", known %.1f%%", s.Share(s.Known))
+	fmt.Fprintf(&b, "%d calls: ran %.1f%%", s.Total, s.Percent(s.Succeeded))
+	if s.AlreadyRan > 0 {
+		fmt.Fprintf(&b, ", known %.1f%%", s.Percent(s.AlreadyRan))
 	}
-	codes := make([]int, 0, len(s.Refused))
-	for code := range s.Refused {
+	codes := make([]int, 0, len(s.Rejected))
+	for code := range s.Rejected {
 		codes = append(codes, code)
 	}
 	sort.Ints(codes)
 	for _, code := range codes {
-		fmt.Fprintf(&b, ", %d %.1f%%", code, s.Share(s.Refused[code]))
+		fmt.Fprintf(&b, ", %d %.1f%%", code, s.Percent(s.Rejected[code]))
 	}
-	fmt.Fprintf(&b, ", unknown %.1f%%, broken %.1f%%", s.Share(s.Unknown), s.Share(s.Broken))
+	fmt.Fprintf(&b, ", unknown %.1f%%, broken %.1f%%", s.Percent(s.Unknown), s.Percent(s.Broken))
 	return b.String()
 }
--- a/internal/checker/state.go
+++ b/internal/checker/state.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// racingChanges: two change sets against one base are both acknowledged, an
+// conflictingChanges: two change sets against one base are both acknowledged, an
 // epoch bears two of them, or a refused one is in force.
-func racingChanges(all []Record, fail func(time.Duration, string, ...any)) {
+func conflictingChanges(all []Record, fail func(time.Duration, string, ...any)) {
 	accepted := map[string]Record{}
 	var list []Record
-	for _, r := range of(all, Changed) {
+	for _, r := range ofKind(all, ChangeSubmitted) {
 		if r.Outcome == "accepted" {
 			if _, ok := accepted[r.Name]; !ok {
 				list = append(list, r)
@@ -27,26 +27,26 @@
 			if b.Epoch < a.Epoch {
 				first, second = b, a
 			}
-			if first.Epoch == second.Epoch || second.Base < first.Epoch {
-				fail(second.At, "%s (base %d, epoch %d) and %s (base %d, epoch %d) are both acknowledged", first.Name, first.Base, first.Epoch, second.Name, second.Base, second.Epoch)
+			if first.Epoch == second.Epoch || second.BaseEpoch < first.Epoch {
+				fail(second.At, "%s (base %d, epoch %d) and %s (base %d, epoch %d) are both acknowledged", first.Name, first.BaseEpoch, first.Epoch, second.Name, second.BaseEpoch, second.Epoch)
 			}
 		}
 	}
 	verdicts := map[string]string{}
 	for _, r := range all {
-		if r.Kind == Asked && (r.Outcome == "accepted" || r.Outcome == "absent") || r.Kind == Changed && r.Outcome != "unknown" {
+		if r.Kind == ChangeQueried && (r.Outcome == "accepted" || r.Outcome == "absent") || r.Kind == ChangeSubmitted && r.Outcome != "unknown" {
 			said := r.Outcome
 			if said == "absent" {
 				said = "refused"
 			}
-			if old, ok := verdicts[r.Name]; ok && old == "refused" && said == "accepted" && r.Kind == Asked {
+			if old, ok := verdicts[r.Name]; ok && old == "refused" && said == "accepted" && r.Kind == ChangeQueried {
 				fail(r.At, "%s was refused or absent, and is accepted", r.Name)
 			}
 			verdicts[r.Name] = said
 		}
 	}
 	refused := map[string]bool{}
-	for _, r := range of(all, Changed) {
+	for _, r := range ofKind(all, ChangeSubmitted) {
 		if r.Outcome == "refused" {
 			refused[r.Name] = true
 		}
@@ -54,12 +54,12 @@
 			delete(refused, r.Name)
 		}
 	}
-	for _, r := range of(all, Changed) {
+	for _, r := range ofKind(all, ChangeSubmitted) {
 		if r.Invalid && r.Outcome == "accepted" {
 			fail(r.At, "%s is invalid and was accepted", r.Name)
 		}
 	}
-	for _, r := range of(all, InForce) {
+	for _, r := range ofKind(all, FinalConfiguration) {
 		for _, name := range r.Names {
 			if refused[name] {
 				fail(r.At, "mapping %s of a refused change set is in force", name)
@@ -68,11 +68,11 @@
 	}
 }
 
-// wholeSets: every request runs where the change sets up to its epoch lead its
+// changeAtomicity: every request runs where the change sets up to its epoch lead its
 // path, and nowhere else, and "no mapping" is said only of a path that is in none
 // of them. So a half set, a refused one or a lost one shows at the moment at which
 // it is in force.
-func wholeSets(all []Record, fail func(time.Duration, string, ...any)) {
+func changeAtomicity(all []Record, fail func(time.Duration, string, ...any)) {
 	type step struct {
 		epoch uint64
 		to    string
@@ -81,7 +81,7 @@
 	steps, wholes := map[string][]step{}, []uint64{}
 	epochs := map[string]uint64{}
 	for _, r := range all {
-		if (r.Kind == Changed || r.Kind == Asked) && r.Outcome == "accepted" {
+		if (r.Kind == ChangeSubmitted || r.Kind == ChangeQueried) && r.Outcome == "accepted" {
 			if old, ok := epochs[r.Name]; ok && old != r.Epoch {
 				fail(r.At, "%s was accepted in epoch %d and in epoch %d", r.Name, old, r.Epoch)
 			}
@@ -89,16 +89,16 @@
 		}
 	}
 	isDone := map[string]bool{}
-	for _, r := range of(all, Changed) {
+	for _, r := range ofKind(all, ChangeSubmitted) {
 		epoch, ok := epochs[r.Name]
 		if !ok || isDone[r.Name] {
 			continue
 		}
 		isDone[r.Name] = true
-		if r.IsWhole {
+		if r.ReplacesAll {
 			wholes = append(wholes, epoch)
 		}
-		for path, to := range r.Lead {
+		for path, to := range r.Destinations {
 			steps[path] = append(steps[path], step{epoch, to, r.Name})
 		}
 	}
@@ -122,21 +122,21 @@
 		}
 		return last
 	}
-	for _, r := range of(all, Ran) {
-		if r.Mapping == "" {
+	for _, r := range ofKind(all, RequestExecuted) {
+		if r.Path == "" {
 			continue
 		}
-		is := lead(r.Mapping, r.Epoch)
+		is := lead(r.Path, r.Epoch)
 		if !strings.Contains(","+is.to+",", ","+r.Service+",") {
-			fail(r.At, "call %s to %s ran as one for %s under epoch %d; it leads to %q since %s", r.Call, r.Mapping, r.Service, r.Epoch, is.to, is.name)
+			fail(r.At, "call %s to %s ran as one for %s under epoch %d; it leads to %q since %s", r.CallID, r.Path, r.Service, r.Epoch, is.to, is.name)
 		}
 	}
-	for _, r := range of(all, Called) {
+	for _, r := range ofKind(all, RequestCompleted) {
 		if r.Code != 1001 || r.Epoch == 0 {
 			continue
 		}
-		if is := lead(r.Mapping, r.Epoch); is.to != "" {
-			fail(r.At, "call %s to %s found no mapping under epoch %d; it leads to %q since %s", r.Call, r.Mapping, r.Epoch, is.to, is.name)
+		if is := lead(r.Path, r.Epoch); is.to != "" {
+			fail(r.At, "call %s to %s found no mapping under epoch %d; it leads to %q since %s", r.CallID, r.Path, r.Epoch, is.to, is.name)
 		}
 	}
 }
@@ -144,10 +144,10 @@
 // lostChange: an acknowledged change set is gone at the end.
 func lostChange(all []Record, fail func(time.Duration, string, ...any)) {
 	last := map[string]Record{}
-	for _, r := range of(all, Asked) {
+	for _, r := range ofKind(all, ChangeQueried) {
 		last[r.Name] = r
 	}
-	for _, r := range of(all, Changed) {
+	for _, r := range ofKind(all, ChangeSubmitted) {
 		if r.Outcome != "accepted" {
 			continue
 		}
@@ -157,9 +157,9 @@
 	}
 }
 
-// extraTries: tries beyond callers' first requests exceed a fifth of the
+// retryBudget: tries beyond callers' first requests exceed a fifth of the
 // traffic plus some sixty in any ten seconds.
-func extraTries(all []Record, fail func(time.Duration, string, ...any)) {
+func retryBudget(all []Record, fail func(time.Duration, string, ...any)) {
 	type event struct {
 		at      time.Duration
 		isExtra bool
@@ -167,12 +167,12 @@
 	services := map[string][]event{}
 	seen := map[string]bool{}
 	for _, r := range all {
-		if r.Kind != Ran && r.Kind != Reached {
+		if r.Kind != RequestExecuted && r.Kind != RequestRejected {
 			continue
 		}
-		of := r.Call
-		if r.IsTry {
-			of = r.Request
+		of := r.CallID
+		if r.PerAttempt {
+			of = r.RequestID
 		}
 		services[r.Service] = append(services[r.Service], event{r.At, seen[of]})
 		seen[of] = true
@@ -181,7 +181,7 @@
 	for service, list := range services {
 		sort.SliceStable(list, func(i, j int) bool { return list[i].at < list[j].at })
 		from, extra := 0, 0
-		var worst, excess = Breach{}, 0.0
+		var worst, excess = Violation{}, 0.0
 		for i, e := range list {
 			if e.isExtra {
 				extra++
@@ -195,7 +195,7 @@
 			traffic := i + 1 - from - extra
 			if over := float64(extra) - float64(traffic)*0.2 - 66; over > excess {
 				excess = over
-				worst = Breach{At: e.at, Text: fmt.Sprintf("%s saw %d extra tries beside %d requests in ten seconds", service, extra, traffic)}
+				worst = Violation{At: e.at, Text: fmt.Sprintf("%s saw %d extra tries beside %d requests in ten seconds", service, extra, traffic)}
 			}
 		}
 		if excess > 0 {
@@ -204,44 +204,44 @@
 	}
 }
 
-// dropped: where nothing fails but planned stops, no request may be lost.
-func dropped(all []Record, fail func(time.Duration, string, ...any)) {
-	if len(of(all, Harmless)) == 0 {
+// droppedRequests: where nothing fails but planned stops, no request may be lost.
+func droppedRequests(all []Record, fail func(time.Duration, string, ...any)) {
+	if len(ofKind(all, PlannedStopsOnly)) == 0 {
 		return
 	}
 	runs := map[string]bool{}
-	for _, r := range of(all, Ran) {
-		runs[r.Call] = true
+	for _, r := range ofKind(all, RequestExecuted) {
+		runs[r.CallID] = true
 	}
-	for _, r := range of(all, Called) {
-		if r.Outcome == "unknown" || r.Outcome == "broken" && runs[r.Call] {
-			fail(r.At, "call %s was handed over and dropped: %s %s", r.Call, r.Outcome, r.Note)
+	for _, r := range ofKind(all, RequestCompleted) {
+		if r.Outcome == "unknown" || r.Outcome == "broken" && runs[r.CallID] {
+			fail(r.At, "call %s was handed over and dropped: %s %s", r.CallID, r.Outcome, r.Note)
 		}
 	}
 }
 
-// tooLong: unusable for longer than about fifteen seconds after a return.
-func tooLong(all []Record, fail func(time.Duration, string, ...any)) {
-	for _, r := range of(all, Rescue) {
-		if r.Outcome != "usable" || r.At-r.Start > rescueBound {
+// recoveryTime: unusable for longer than about fifteen seconds after a return.
+func recoveryTime(all []Record, fail func(time.Duration, string, ...any)) {
+	for _, r := range ofKind(all, Recovery) {
+		if r.Outcome != "usable" || r.At-r.Start > recoveryBound {
 			fail(r.At, "machines were back at %s, usable: %q at %s", r.Start, r.Outcome, r.At)
 		}
 	}
 }
 
-// answered: a request given up on has its numbered answer, with Retry-After
+// numberedRefusals: a request given up on has its numbered answer, with Retry-After
 // where coming back helps.
-func answered(all []Record, fail func(time.Duration, string, ...any)) {
-	for _, r := range of(all, Called) {
+func numberedRefusals(all []Record, fail func(time.Duration, string, ...any)) {
+	for _, r := range ofKind(all, RequestCompleted) {
 		if r.Outcome == "not run" && (r.Code == 0 || r.Status >= 500 && r.RetryAfter == "") {
-			fail(r.At, "call %s was refused with code %d and Retry-After %q", r.Call, r.Code, r.RetryAfter)
+			fail(r.At, "call %s was refused with code %d and Retry-After %q", r.CallID, r.Code, r.RetryAfter)
 		}
 	}
 }
 
-// replicas: a node found that copies of a part contradict one another.
-func replicas(all []Record, fail func(time.Duration, string, ...any)) {
-	for _, r := range of(all, Differ) {
+// replicaAgreement: a node found that copies of a part contradict one another.
+func replicaAgreement(all []Record, fail func(time.Duration, string, ...any)) {
+	for _, r := range ofKind(all, ReplicaDivergence) {
 		fail(r.At, "%s", r.Note)
 	}
 }
--- a/internal/checker/touch.go
+++ b/internal/checker/touch.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-func touched(all []Record) (isBound func(proxy string, at time.Duration) bool) {
+func contactTimeline(all []Record) (isBound func(proxy string, at time.Duration) bool) {
 	type turn struct {
 		at   time.Duration
 		isIn bool
 	}
 	turns := map[string][]turn{}
-	for _, r := range of(all, Touch) {
+	for _, r := range ofKind(all, ProxyContact) {
 		turns[r.Proxy] = append(turns[r.Proxy], turn{r.At, r.Outcome == "in"})
 	}
 	return func(proxy string, at time.Duration) bool {
--- a/internal/controlplane/news.go
+++ b/internal/controlplane/news.go
@@ -43,7 +43,7 @@
 // targetLists is what was heard of a part. A young owner also names those that are
 // known to be out and weren't heard from yet.
 func (r *TargetRegistry) targetLists(shard ids.Shard, term ids.Term, warmingUp bool) map[string][]rpc.ReportedTarget {
-	marks, _ := r.stores[shard].All(coordination.Mark, "")
+	marks, _ := r.stores[shard].List(coordination.KindInstanceState, "")
 	marked := map[string]rpc.CoordinationRecord{}
 	for _, m := range marks {
 		marked[m.Name] = m
--- a/internal/controlplane/roll.go
+++ b/internal/controlplane/roll.go
@@ -41,7 +41,7 @@
 type TargetRegistry struct {
 	env       *environment.Environment
 	consensus *consensus.Node
-	stores    []*coordination.Book
+	stores    []*coordination.Store
 	config    *ConfigState
 
 	// OnChange is told when a list says something else; set before the first beat.
@@ -60,7 +60,7 @@
 	digest string
 }
 
-func NewTargetRegistry(env *environment.Environment, node *consensus.Node, stores []*coordination.Book, config *ConfigState) *TargetRegistry {
+func NewTargetRegistry(env *environment.Environment, node *consensus.Node, stores []*coordination.Store, config *ConfigState) *TargetRegistry {
 	return &TargetRegistry{env: env, consensus: node, stores: stores, config: config, targets: map[ids.Shard]map[string]map[string]*targetRecord{}, terms: map[ids.Shard]ids.Term{}, lastReports: map[ids.Shard]reportedLists{}}
 }
 
@@ -111,7 +111,7 @@
 		return errcode.New(errcode.UnknownService, "%q", heartbeat.Service)
 	}
 	name := heartbeat.Service + "/" + heartbeat.Instance
-	marked, isMarked := r.stores[shard].Get(coordination.Mark, name)
+	marked, isMarked := r.stores[shard].Get(coordination.KindInstanceState, name)
 	r.mu.Lock()
 	r.resetOnNewTerm(shard, term)
 	if r.targets[shard] == nil {
@@ -210,7 +210,7 @@
 		return service
 	}
 	for _, store := range r.stores {
-		marks, _ := store.All(coordination.Mark, "")
+		marks, _ := store.List(coordination.KindInstanceState, "")
 		for _, m := range marks {
 			if service, name, _ := strings.Cut(m.Name, "/"); name == instance {
 				return service
--- a/internal/controlplane/settle_test.go
+++ b/internal/controlplane/settle_test.go
@@ -103,9 +103,9 @@
 func newRoll(t *testing.T) *TargetRegistry {
 	p := &config.Props{Name: "n", PlanSilence: time.Hour}
 	r := environment.New(t.Context(), p, eventlog.New(io.Discard, "info", "n"), environment.Host{})
-	var books []*coordination.Book
+	var books []*coordination.Store
 	for range ids.ShardCount {
-		books = append(books, coordination.NewBook())
+		books = append(books, coordination.NewStore())
 	}
 	return NewTargetRegistry(r, nil, books, NewConfigState())
 }
@@ -120,7 +120,7 @@
 	r.targets[no][b.Service][b.Instance] = &targetRecord{heartbeat: b, warmUp: cold, firstSeen: r.env.Now(), lastSeen: r.env.Now()}
 }
 
-func putMark(t *testing.T, book *coordination.Book, name, holder string) {
+func putMark(t *testing.T, book *coordination.Store, name, holder string) {
 	t.Helper()
 	raw, _ := json.Marshal(rpc.CoordinationRequest{Operation: "mark", Name: name, Holder: holder, Sequence: 1})
 	book.Apply(1, raw)
--- a/internal/coordination/book.go
+++ b/internal/coordination/book.go
@@ -20,44 +20,44 @@
 )
 
 const (
-	Key   = "key"
-	Lock  = "lock"
-	Count = "count"
-	Mark  = "mark"
-	Claim = "claim"
-	Space = "space"
+	KindKey           = "key"
+	KindLock          = "lock"
+	KindCounter       = "count"
+	KindInstanceState = "mark"
+	KindIdempotency   = "claim"
+	KindSpace         = "space"
 
-	seenKept   = 8192
-	eventsKept = 60 * time.Second
+	maxResponses   = 8192
+	eventRetention = 60 * time.Second
 )
 
-// Book is one data part's state.
-type Book struct {
-	mu      sync.RWMutex
-	records map[string]map[string]rpc.CoordinationRecord
-	seen    map[string]rpc.CoordinationResponse
-	order   []string
-	events  []rpc.WatchEvent
-	times   []time.Time
-	start   ids.Index
-	starts  map[string]ids.Index
-	applied ids.Index
+// Store is one data part's state.
+type Store struct {
+	mu                 sync.RWMutex
+	records            map[string]map[string]rpc.CoordinationRecord
+	responses          map[string]rpc.CoordinationResponse
+	responseOrder      []string
+	events             []rpc.WatchEvent
+	eventTimes         []time.Time
+	compactedIndex     ids.Index
+	compactedRevisions map[string]ids.Index
+	appliedIndex       ids.Index
 }
 
-func NewBook() *Book {
-	return &Book{records: map[string]map[string]rpc.CoordinationRecord{}, seen: map[string]rpc.CoordinationResponse{}, starts: map[string]ids.Index{}}
+func NewStore() *Store {
+	return &Store{records: map[string]map[string]rpc.CoordinationRecord{}, responses: map[string]rpc.CoordinationResponse{}, compactedRevisions: map[string]ids.Index{}}
 }
 
-// of is the records of one kind, so that looking through one kind does not cost
+// recordsOf is the records of one kind, so that looking through one kind does not cost
 // what the others weigh.
-func (b *Book) of(kind string) map[string]rpc.CoordinationRecord {
+func (b *Store) recordsOf(kind string) map[string]rpc.CoordinationRecord {
 	if b.records[kind] == nil {
 		b.records[kind] = map[string]rpc.CoordinationRecord{}
 	}
 	return b.records[kind]
 }
 
-func less(a, z rpc.CoordinationRecord) bool {
+func recordLess(a, z rpc.CoordinationRecord) bool {
 	if a.Kind != z.Kind {
 		return a.Kind < z.Kind
 	}
@@ -65,42 +65,42 @@
 }
 
 // Apply folds one entry.
-func (b *Book) Apply(index ids.Index, body json.RawMessage) any {
+func (b *Store) Apply(index ids.Index, body json.RawMessage) any {
 	var op rpc.CoordinationRequest
 	if err := json.Unmarshal(body, &op); err != nil {
 		return &rpc.CoordinationResponse{Code: errcode.BadCall.No, Note: err.Error()}
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.applied = index
+	b.appliedIndex = index
 	if op.Operation == "set" && op.ID != "" {
-		op.ID = setId(&op)
+		op.ID = setRequestID(&op)
 	}
 	if op.ID != "" {
-		if first, ok := b.seen[op.ID]; ok {
+		if first, ok := b.responses[op.ID]; ok {
 			return &first
 		}
 	}
-	receipt := b.fold(index, &op)
+	receipt := b.execute(index, &op)
 	if op.ID != "" && (op.Operation != "set" || receipt.Code == 0) {
-		b.seen[op.ID] = *receipt
-		b.order = append(b.order, op.ID)
-		if len(b.order) > seenKept {
-			delete(b.seen, b.order[0])
-			b.order = b.order[1:]
+		b.responses[op.ID] = *receipt
+		b.responseOrder = append(b.responseOrder, op.ID)
+		if len(b.responseOrder) > maxResponses {
+			delete(b.responses, b.responseOrder[0])
+			b.responseOrder = b.responseOrder[1:]
 		}
 	}
-	b.trim()
+	b.compactEvents()
 	return receipt
 }
 
-func (b *Book) fold(index ids.Index, op *rpc.CoordinationRequest) *rpc.CoordinationResponse {
+func (b *Store) execute(index ids.Index, op *rpc.CoordinationRequest) *rpc.CoordinationResponse {
 	refuse := func(code errcode.Code, old rpc.CoordinationRecord) *rpc.CoordinationResponse {
 		return &rpc.CoordinationResponse{Code: code.No, Index: old.Index, Revision: old.Revision, Holder: old.Holder, FencingToken: old.FencingToken, TTL: old.TTL}
 	}
 	switch op.Operation {
 	case "put", "drop":
-		old, ok := b.of(Key)[op.Name]
+		old, ok := b.recordsOf(KindKey)[op.Name]
 		if op.IfIndex != nil && *op.IfIndex != old.Index {
 			return refuse(errcode.StampDiffers, old)
 		}
@@ -108,139 +108,139 @@
 			if !ok {
 				return refuse(errcode.NoKey, old)
 			}
-			b.remove(index, old)
+			b.removeRecord(index, old)
 			return &rpc.CoordinationResponse{Index: index}
 		}
-		b.set(rpc.CoordinationRecord{Name: op.Name, Kind: Key, Value: op.Value, Index: index})
+		b.putRecord(rpc.CoordinationRecord{Name: op.Name, Kind: KindKey, Value: op.Value, Index: index})
 		return &rpc.CoordinationResponse{Index: index, Value: op.Value}
 	case "set":
-		old, ok := b.of(Key)[op.Name]
+		old, ok := b.recordsOf(KindKey)[op.Name]
 		if op.IfRevision != nil && (*op.IfRevision != old.Revision || ok && *op.IfRevision == 0) {
 			return refuse(errcode.StampDiffers, old)
 		}
-		rev := b.rise(index, spaceOf(op.Name))
-		b.set(rpc.CoordinationRecord{Name: op.Name, Kind: Key, Value: op.Value, Revision: rev, Index: index})
+		rev := b.nextRevision(index, spaceOf(op.Name))
+		b.putRecord(rpc.CoordinationRecord{Name: op.Name, Kind: KindKey, Value: op.Value, Revision: rev, Index: index})
 		return &rpc.CoordinationResponse{Index: index, Revision: rev}
 	case "add":
-		old := b.of(Count)[op.Name]
+		old := b.recordsOf(KindCounter)[op.Name]
 		count := old.Count + op.Delta
-		b.set(rpc.CoordinationRecord{Name: op.Name, Kind: Count, Count: count, Index: index})
+		b.putRecord(rpc.CoordinationRecord{Name: op.Name, Kind: KindCounter, Count: count, Index: index})
 		return &rpc.CoordinationResponse{Index: index, Count: count}
 	case "acquire":
-		old, ok := b.of(Lock)[op.Name]
+		old, ok := b.recordsOf(KindLock)[op.Name]
 		if ok && old.Holder != op.Holder {
 			return refuse(errcode.Held, old)
 		}
 		if ok {
-			b.stretch(old, op.TTL)
+			b.extendTTL(old, op.TTL)
 			return &rpc.CoordinationResponse{Index: old.Index, Holder: old.Holder, FencingToken: old.FencingToken, TTL: op.TTL, Value: old.Value}
 		}
-		b.set(rpc.CoordinationRecord{Name: op.Name, Kind: Lock, Holder: op.Holder, FencingToken: index, TTL: op.TTL, Value: op.Value, Index: index})
+		b.putRecord(rpc.CoordinationRecord{Name: op.Name, Kind: KindLock, Holder: op.Holder, FencingToken: index, TTL: op.TTL, Value: op.Value, Index: index})
 		return &rpc.CoordinationResponse{Index: index, Holder: op.Holder, FencingToken: index, TTL: op.TTL, Value: op.Value}
 	case "stretch":
-		old, ok := b.of(Lock)[op.Name]
+		old, ok := b.recordsOf(KindLock)[op.Name]
 		if !ok || old.FencingToken != op.FencingToken || old.Holder != op.Holder {
 			return refuse(errcode.NotHeld, old)
 		}
-		b.stretch(old, op.TTL)
+		b.extendTTL(old, op.TTL)
 		return &rpc.CoordinationResponse{Index: old.Index, Holder: old.Holder, FencingToken: old.FencingToken, TTL: op.TTL}
 	case "release", "expire":
-		old, ok := b.of(Lock)[op.Name]
+		old, ok := b.recordsOf(KindLock)[op.Name]
 		if !ok || old.FencingToken != op.FencingToken || op.Operation == "release" && old.Holder != op.Holder {
 			return refuse(errcode.NotHeld, old)
 		}
-		b.remove(index, old)
+		b.removeRecord(index, old)
 		return &rpc.CoordinationResponse{Index: index}
 	case "claims", "unclaim", "settle", "sweep":
-		return b.claim(index, op)
+		return b.executeIdempotency(index, op)
 	case "mark":
-		old, ok := b.of(Mark)[op.Name]
+		old, ok := b.recordsOf(KindInstanceState)[op.Name]
 		if ok && (old.Sequence > op.Sequence || old.Holder == "leaving") {
 			return refuse(errcode.StampDiffers, old)
 		}
-		b.of(Mark)[op.Name] = rpc.CoordinationRecord{Name: op.Name, Kind: Mark, Holder: op.Holder, Sequence: op.Sequence, Index: index}
+		b.recordsOf(KindInstanceState)[op.Name] = rpc.CoordinationRecord{Name: op.Name, Kind: KindInstanceState, Holder: op.Holder, Sequence: op.Sequence, Index: index}
 		return &rpc.CoordinationResponse{Index: index, Holder: op.Holder}
 	case "unmark":
-		old, ok := b.of(Mark)[op.Name]
+		old, ok := b.recordsOf(KindInstanceState)[op.Name]
 		if !ok || old.Sequence > op.Sequence {
 			return refuse(errcode.NoKey, old)
 		}
-		delete(b.of(Mark), op.Name)
+		delete(b.recordsOf(KindInstanceState), op.Name)
 		return &rpc.CoordinationResponse{Index: index}
 	}
 	return &rpc.CoordinationResponse{Code: errcode.BadCall.No, Note: op.Operation}
 }
 
-func (b *Book) set(record rpc.CoordinationRecord) {
-	b.of(record.Kind)[record.Name] = record
+func (b *Store) putRecord(record rpc.CoordinationRecord) {
+	b.recordsOf(record.Kind)[record.Name] = record
 	value := record.Value
-	if record.Kind == Count {
+	if record.Kind == KindCounter {
 		value, _ = json.Marshal(record.Count)
 	}
-	b.tell(rpc.WatchEvent{Index: record.Index, Revision: record.Revision, Name: record.Name, Kind: record.Kind, Value: value})
+	b.publish(rpc.WatchEvent{Index: record.Index, Revision: record.Revision, Name: record.Name, Kind: record.Kind, Value: value})
 }
 
-// stretch raises the time that a lock's grant starts with under a new owner; it
+// extendTTL raises the time that a lock's grant starts with under a new owner; it
 // never falls, for a call that asked for more may still count on it.
-func (b *Book) stretch(lock rpc.CoordinationRecord, ttl int64) {
+func (b *Store) extendTTL(lock rpc.CoordinationRecord, ttl int64) {
 	lock.TTL = max(lock.TTL, ttl)
-	b.of(Lock)[lock.Name] = lock
+	b.recordsOf(KindLock)[lock.Name] = lock
 }
 
-func (b *Book) remove(index ids.Index, record rpc.CoordinationRecord) {
-	delete(b.of(record.Kind), record.Name)
-	b.tell(rpc.WatchEvent{Index: index, Name: record.Name, Kind: record.Kind, Deleted: true})
+func (b *Store) removeRecord(index ids.Index, record rpc.CoordinationRecord) {
+	delete(b.recordsOf(record.Kind), record.Name)
+	b.publish(rpc.WatchEvent{Index: index, Name: record.Name, Kind: record.Kind, Deleted: true})
 }
 
-func (b *Book) tell(e rpc.WatchEvent) {
+func (b *Store) publish(e rpc.WatchEvent) {
 	b.events = append(b.events, e)
-	b.times = append(b.times, time.Now())
+	b.eventTimes = append(b.eventTimes, time.Now())
 }
 
-// trim drops events that every watch has had a minute to see.
-func (b *Book) trim() {
+// compactEvents drops events that every watch has had a minute to see.
+func (b *Store) compactEvents() {
 	n := 0
-	for n < len(b.times) && time.Since(b.times[n]) > eventsKept {
+	for n < len(b.eventTimes) && time.Since(b.eventTimes[n]) > eventRetention {
 		n++
 	}
 	if n > 0 {
-		b.start = b.events[n-1].Index
+		b.compactedIndex = b.events[n-1].Index
 		for _, e := range b.events[:n] {
-			if space := spaceOf(e.Name); e.Revision > b.starts[space] {
-				b.starts[space] = e.Revision
+			if space := spaceOf(e.Name); e.Revision > b.compactedRevisions[space] {
+				b.compactedRevisions[space] = e.Revision
 			}
 		}
 		b.events = append([]rpc.WatchEvent(nil), b.events[n:]...)
-		b.times = append([]time.Time(nil), b.times[n:]...)
+		b.eventTimes = append([]time.Time(nil), b.eventTimes[n:]...)
 	}
 }
 
 // Get reads one name.
-func (b *Book) Get(kind, name string) (rpc.CoordinationRecord, bool) {
+func (b *Store) Get(kind, name string) (rpc.CoordinationRecord, bool) {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
 	record, ok := b.records[kind][name]
 	return record, ok
 }
 
-// Size is how many records of a kind there are.
-func (b *Book) Size(kind string) int {
+// Len is how many records of a kind there are.
+func (b *Store) Len(kind string) int {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
 	return len(b.records[kind])
 }
 
-// Seen is the receipt kept for a request id.
-func (b *Book) Seen(id string) (rpc.CoordinationResponse, bool) {
+// ResponseTo is the receipt kept for a request id.
+func (b *Store) ResponseTo(id string) (rpc.CoordinationResponse, bool) {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
-	receipt, ok := b.seen[id]
+	receipt, ok := b.responses[id]
 	return receipt, ok
 }
 
-// All lists the records of a kind whose names have the prefix, in order, with
+// List lists the records of a kind whose names have the prefix, in order, with
 // the stamp up to which they hold.
-func (b *Book) All(kind, prefix string) ([]rpc.CoordinationRecord, ids.Index) {
+func (b *Store) List(kind, prefix string) ([]rpc.CoordinationRecord, ids.Index) {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
 	var list []rpc.CoordinationRecord
@@ -250,15 +250,15 @@
 		}
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].Name < list[j].Name })
-	return list, b.applied
+	return list, b.appliedIndex
 }
 
-// Since is the events of a prefix after a stamp, and the stamp to resume from.
-func (b *Book) Since(prefix string, from ids.Index, most int) (list []rpc.WatchEvent, next ids.Index, isKept bool) {
+// EventsSince is the events of a prefix after a stamp, and the stamp to resume from.
+func (b *Store) EventsSince(prefix string, from ids.Index, most int) (list []rpc.WatchEvent, next ids.Index, isKept bool) {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
-	if from < b.start {
-		return nil, b.applied, false
+	if from < b.compactedIndex {
+		return nil, b.appliedIndex, false
 	}
 	at := sort.Search(len(b.events), func(i int) bool { return b.events[i].Index > from })
 	for _, e := range b.events[at:] {
@@ -269,58 +269,58 @@
 			list = append(list, e)
 		}
 	}
-	return list, max(b.applied, from), true
+	return list, max(b.appliedIndex, from), true
 }
 
 // Snapshot takes a copy of the state, to be written out later; values are shared, for
 // they are never written to.
-func (b *Book) Snapshot() func() (json.RawMessage, error) {
-	state := b.copy()
+func (b *Store) Snapshot() func() (json.RawMessage, error) {
+	state := b.state()
 	return func() (json.RawMessage, error) {
-		sort.Slice(state.Records, func(i, j int) bool { return less(state.Records[i], state.Records[j]) })
+		sort.Slice(state.Records, func(i, j int) bool { return recordLess(state.Records[i], state.Records[j]) })
 		return json.Marshal(state)
 	}
 }
 
-func (b *Book) copy() *rpc.CoordinationState {
+func (b *Store) state() *rpc.CoordinationState {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
-	state := &rpc.CoordinationState{Events: slices.Clone(b.events), Start: b.start, Applied: b.applied, Starts: maps.Clone(b.starts)}
+	state := &rpc.CoordinationState{Events: slices.Clone(b.events), Start: b.compactedIndex, Applied: b.appliedIndex, Starts: maps.Clone(b.compactedRevisions)}
 	for _, kind := range b.records {
 		for _, record := range kind {
 			state.Records = append(state.Records, record)
 		}
 	}
-	for _, id := range b.order {
-		state.Completed = append(state.Completed, rpc.CompletedRequest{ID: id, Response: b.seen[id]})
+	for _, id := range b.responseOrder {
+		state.Completed = append(state.Completed, rpc.CompletedRequest{ID: id, Response: b.responses[id]})
 	}
 	return state
 }
 
 // Restore replaces the whole state.
-func (b *Book) Restore(raw json.RawMessage) error {
+func (b *Store) Restore(raw json.RawMessage) error {
 	var state rpc.CoordinationState
 	if err := json.Unmarshal(raw, &state); err != nil {
 		return err
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.records, b.seen, b.order = map[string]map[string]rpc.CoordinationRecord{}, map[string]rpc.CoordinationResponse{}, nil
+	b.records, b.responses, b.responseOrder = map[string]map[string]rpc.CoordinationRecord{}, map[string]rpc.CoordinationResponse{}, nil
 	for _, record := range state.Records {
-		b.of(record.Kind)[record.Name] = record
+		b.recordsOf(record.Kind)[record.Name] = record
 	}
 	for _, s := range state.Completed {
-		b.seen[s.ID] = s.Response
-		b.order = append(b.order, s.ID)
+		b.responses[s.ID] = s.Response
+		b.responseOrder = append(b.responseOrder, s.ID)
 	}
-	b.events, b.start, b.applied = state.Events, state.Start, state.Applied
-	b.starts = state.Starts
-	if b.starts == nil {
-		b.starts = map[string]ids.Index{}
+	b.events, b.compactedIndex, b.appliedIndex = state.Events, state.Start, state.Applied
+	b.compactedRevisions = state.Starts
+	if b.compactedRevisions == nil {
+		b.compactedRevisions = map[string]ids.Index{}
 	}
-	b.times = make([]time.Time, len(b.events))
-	for i := range b.times {
-		b.times[i] = time.Now()
+	b.eventTimes = make([]time.Time, len(b.events))
+	for i := range b.eventTimes {
+		b.eventTimes[i] = time.Now()
 	}
 	return nil
 }
--- a/internal/coordination/book_test.go
+++ b/internal/coordination/book_test.go
@@ -15,27 +15,27 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-func apply(b *Book, index ids.Index, op rpc.CoordinationRequest) *rpc.CoordinationResponse {
+func apply(b *Store, index ids.Index, op rpc.CoordinationRequest) *rpc.CoordinationResponse {
 	raw, _ := json.Marshal(op)
 	return b.Apply(index, raw).(*rpc.CoordinationResponse)
 }
 
 func BenchmarkMarksAmongManyKeys(b *testing.B) {
-	book := NewBook()
+	book := NewStore()
 	for i := range 20000 {
 		apply(book, ids.Index(i+1), rpc.CoordinationRequest{Operation: "put", Name: fmt.Sprint("k/", i), Value: json.RawMessage("1")})
 	}
 	apply(book, 20001, rpc.CoordinationRequest{Operation: "mark", Name: "rates/i1", Holder: "draining", Sequence: 1})
 	b.ResetTimer()
 	for b.Loop() {
-		if list, _ := book.All(Mark, ""); len(list) != 1 {
+		if list, _ := book.List(KindInstanceState, ""); len(list) != 1 {
 			b.Fatal(list)
 		}
 	}
 }
 
 func TestARepeatGetsTheFirstReceipt(t *testing.T) {
-	book := NewBook()
+	book := NewStore()
 	first := apply(book, 1, rpc.CoordinationRequest{Operation: "add", ID: "r", Name: "n", Delta: 2})
 	again := apply(book, 2, rpc.CoordinationRequest{Operation: "add", ID: "r", Name: "n", Delta: 2})
 	if first.Count != 2 || again.Count != 2 || again.Index != 1 {
@@ -45,7 +45,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	other := NewBook()
+	other := NewStore()
 	if err := other.Restore(raw); err != nil {
 		t.Fatal(err)
 	}
@@ -59,29 +59,29 @@
 
 func TestEventsAreKeptForAMinute(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		book := NewBook()
+		book := NewStore()
 		put := func(index ids.Index) {
 			apply(book, index, rpc.CoordinationRequest{Operation: "put", Name: "a/x", Value: json.RawMessage("1")})
 		}
 		put(1)
 		time.Sleep(40 * time.Second)
 		put(2)
-		if list, next, ok := book.Since("a/", 0, 10); !ok || len(list) != 2 || next != 2 {
+		if list, next, ok := book.EventsSince("a/", 0, 10); !ok || len(list) != 2 || next != 2 {
 			t.Fatal(list, next, ok)
 		}
 		time.Sleep(30 * time.Second)
 		put(3)
-		if _, _, ok := book.Since("a/", 0, 10); ok {
+		if _, _, ok := book.EventsSince("a/", 0, 10); ok {
 			t.Fatal("a watch from before the kept events was not told")
 		}
-		if list, _, ok := book.Since("a/", 1, 10); !ok || len(list) != 2 {
+		if list, _, ok := book.EventsSince("a/", 1, 10); !ok || len(list) != 2 {
 			t.Fatal(list, ok)
 		}
 	})
 }
 
 func TestFencesGrowAndOnlyTheHolderReleases(t *testing.T) {
-	book := NewBook()
+	book := NewStore()
 	one := apply(book, 5, rpc.CoordinationRequest{Operation: "acquire", Name: "l", Holder: "a", TTL: 1000})
 	if held := apply(book, 6, rpc.CoordinationRequest{Operation: "acquire", Name: "l", Holder: "b", TTL: 1000}); held.Code != errcode.Held.No || held.Holder != "a" {
 		t.Fatal(held)
@@ -101,9 +101,9 @@
 // A claim whose asker lost patience and gave it back may come late; it must not
 // stand in the way of the order for as long as claims are kept.
 func TestAClaimThatWasGivenBackIsNotTakenLate(t *testing.T) {
-	b := NewBook()
+	b := NewStore()
 	claim := func(index ids.Index, holder string) bool {
-		return apply(b, index, rpc.CoordinationRequest{Operation: "claims", Name: "orders", Records: []rpc.CoordinationRecord{{Name: "orders/a", Holder: holder}}}).Records[0].Kind != held
+		return apply(b, index, rpc.CoordinationRequest{Operation: "claims", Name: "orders", Records: []rpc.CoordinationRecord{{Name: "orders/a", Holder: holder}}}).Records[0].Kind != reservedByOther
 	}
 	apply(b, 1, rpc.CoordinationRequest{Operation: "unclaim", Name: "orders/a", Holder: "one"})
 	if claim(2, "one") {
--- a/internal/coordination/claim.go
+++ b/internal/coordination/claim.go
@@ -14,66 +14,66 @@
 )
 
 const (
-	gatherPause = 8 * time.Millisecond
-	gatherTime  = 3 * time.Second
+	batchDelay   = 8 * time.Millisecond
+	batchTimeout = 3 * time.Second
 
-	givenBack = `"given back"`
-	held      = "held"
+	released        = `"given back"`
+	reservedByOther = "held"
 )
 
-// gathering is claims that wait for their one entry.
-type gathering struct {
-	records []rpc.CoordinationRecord
-	done    chan struct{}
-	receipt *rpc.CoordinationResponse
-	err     error
+// idempotencyBatch is claims that wait for their one entry.
+type idempotencyBatch struct {
+	records  []rpc.CoordinationRecord
+	done     chan struct{}
+	response *rpc.CoordinationResponse
+	err      error
 }
 
-// moment is how far a part had come at a time.
-type moment struct {
+// ageSample is how far a part had come at a time.
+type ageSample struct {
 	at    time.Time
-	stamp ids.Index
+	index ids.Index
 }
 
-// ClaimsKept is how long the claim on an order's key stands, at least.
-const ClaimsKept = 10 * time.Minute
+// IdempotencyRetention is how long the claim on an order's key stands, at least.
+const IdempotencyRetention = 10 * time.Minute
 
-// sweep takes out claims that are older than that.
-func (d *Desk) sweep(no ids.Shard) {
-	if !d.p.Replica(no).IsServing() {
-		d.past[no] = nil
+// expireIdempotencyRecords takes out claims that are older than that.
+func (d *Service) expireIdempotencyRecords(no ids.Shard) {
+	if !d.replicas.Replica(no).IsServing() {
+		d.ages[no] = nil
 		return
 	}
-	claims, stamp := d.books[no].All(Claim, "")
-	d.past[no] = append(d.past[no], moment{d.r.Now(), stamp})
+	claims, stamp := d.stores[no].List(KindIdempotency, "")
+	d.ages[no] = append(d.ages[no], ageSample{d.env.Now(), stamp})
 	old := ids.Index(0)
-	for len(d.past[no]) > 0 && d.r.Since(d.past[no][0].at) > ClaimsKept {
-		old = d.past[no][0].stamp
-		d.past[no] = d.past[no][1:]
+	for len(d.ages[no]) > 0 && d.env.Since(d.ages[no][0].at) > IdempotencyRetention {
+		old = d.ages[no][0].index
+		d.ages[no] = d.ages[no][1:]
 	}
 	for _, claim := range claims {
 		if claim.Index <= old {
-			d.r.Go(func() {
-				ctx, end := context.WithTimeout(d.r, 5*time.Second)
+			d.env.Go(func() {
+				ctx, end := context.WithTimeout(d.env, 5*time.Second)
 				defer end()
-				d.p.Replica(no).Propose(ctx, &rpc.CoordinationRequest{Operation: "sweep", Name: "claims", FencingToken: old})
+				d.replicas.Replica(no).Propose(ctx, &rpc.CoordinationRequest{Operation: "sweep", Name: "claims", FencingToken: old})
 			})
 			return
 		}
 	}
 }
 
-// claim joins the gathering of the part, and picks its own receipt out of it.
-func (d *Desk) claim(ctx context.Context, no ids.Shard, op *rpc.CoordinationRequest) (*rpc.CoordinationResponse, error) {
-	if !d.p.Replica(no).IsServing() {
+// reserve joins the gathering of the part, and picks its own receipt out of it.
+func (d *Service) reserve(ctx context.Context, no ids.Shard, op *rpc.CoordinationRequest) (*rpc.CoordinationResponse, error) {
+	if !d.replicas.Replica(no).IsServing() {
 		return nil, errcode.New(errcode.NotOwner, "part %d", no)
 	}
 	d.mu.Lock()
-	now := d.gathered[no]
+	now := d.batches[no]
 	if now == nil {
-		now = &gathering{done: make(chan struct{})}
-		d.gathered[no] = now
-		d.r.Go(func() { d.write(no, now) })
+		now = &idempotencyBatch{done: make(chan struct{})}
+		d.batches[no] = now
+		d.env.Go(func() { d.writeBatch(no, now) })
 	}
 	mine := len(now.records)
 	now.records = append(now.records, rpc.CoordinationRecord{Name: op.Name, Holder: op.Holder})
@@ -86,57 +86,57 @@
 	if now.err != nil {
 		return nil, now.err
 	}
-	if mine >= len(now.receipt.Records) {
+	if mine >= len(now.response.Records) {
 		return nil, errcode.New(errcode.Unsure, "part %d", no)
 	}
-	got := now.receipt.Records[mine]
-	receipt := &rpc.CoordinationResponse{Index: now.receipt.Index, Holder: got.Holder, Value: got.Value}
-	if got.Kind == held {
+	got := now.response.Records[mine]
+	receipt := &rpc.CoordinationResponse{Index: now.response.Index, Holder: got.Holder, Value: got.Value}
+	if got.Kind == reservedByOther {
 		receipt.Code = errcode.Held.No
 	}
 	return receipt, nil
 }
 
-func (d *Desk) write(no ids.Shard, now *gathering) {
+func (d *Service) writeBatch(no ids.Shard, now *idempotencyBatch) {
 	defer close(now.done)
-	isOn := d.r.Sleep(gatherPause)
+	isOn := d.env.Sleep(batchDelay)
 	d.mu.Lock()
-	delete(d.gathered, no)
+	delete(d.batches, no)
 	d.mu.Unlock()
 	if !isOn {
 		now.err = errcode.New(errcode.Stopping, "")
 		return
 	}
-	ctx, end := context.WithTimeout(d.r, gatherTime)
+	ctx, end := context.WithTimeout(d.env, batchTimeout)
 	defer end()
-	_, receipt, err := d.p.Replica(no).Propose(ctx, &rpc.CoordinationRequest{Operation: "claims", Name: "orders", Records: now.records})
+	_, receipt, err := d.replicas.Replica(no).Propose(ctx, &rpc.CoordinationRequest{Operation: "claims", Name: "orders", Records: now.records})
 	got, ok := receipt.(*rpc.CoordinationResponse)
 	if err == nil && !ok {
 		err = errcode.New(errcode.Unsure, "part %d", no)
 	}
-	now.receipt, now.err = got, err
+	now.response, now.err = got, err
 }
 
-// claim folds the calls on claims. One that was given back before it came, for
+// executeIdempotency folds the calls on claims. One that was given back before it came, for
 // its asker had lost patience, is not taken when it comes late.
-func (b *Book) claim(index ids.Index, op *rpc.CoordinationRequest) *rpc.CoordinationResponse {
+func (b *Store) executeIdempotency(index ids.Index, op *rpc.CoordinationRequest) *rpc.CoordinationResponse {
 	receipt := &rpc.CoordinationResponse{Index: index}
-	claims := b.of(Claim)
+	claims := b.recordsOf(KindIdempotency)
 	switch op.Operation {
 	case "claims":
 		for _, r := range op.Records {
 			old, ok := claims[r.Name]
-			isBack := string(old.Value) == givenBack
+			isBack := string(old.Value) == released
 			if ok && (old.Holder != r.Holder) == isBack || !ok {
-				claims[r.Name] = rpc.CoordinationRecord{Name: r.Name, Kind: Claim, Holder: r.Holder, Index: index}
+				claims[r.Name] = rpc.CoordinationRecord{Name: r.Name, Kind: KindIdempotency, Holder: r.Holder, Index: index}
 				receipt.Records = append(receipt.Records, rpc.CoordinationRecord{Name: r.Name, Holder: r.Holder})
 				continue
 			}
-			receipt.Records = append(receipt.Records, rpc.CoordinationRecord{Name: r.Name, Kind: held, Holder: old.Holder, Value: old.Value})
+			receipt.Records = append(receipt.Records, rpc.CoordinationRecord{Name: r.Name, Kind: reservedByOther, Holder: old.Holder, Value: old.Value})
 		}
 	case "unclaim":
 		if old, ok := claims[op.Name]; !ok || old.Holder == op.Holder && old.Value == nil {
-			claims[op.Name] = rpc.CoordinationRecord{Name: op.Name, Kind: Claim, Holder: op.Holder, Value: []byte(givenBack), Index: index}
+			claims[op.Name] = rpc.CoordinationRecord{Name: op.Name, Kind: KindIdempotency, Holder: op.Holder, Value: []byte(released), Index: index}
 		}
 	case "settle":
 		for _, r := range op.Records {
--- a/internal/coordination/desk.go
+++ b/internal/coordination/desk.go
@@ -17,55 +17,55 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-type grant struct {
-	fence     ids.Index
-	until     time.Time
-	isGoingBy bool
-	going     chan struct{}
+type lease struct {
+	token     ids.Index
+	expiresAt time.Time
+	revoking  bool
+	revoked   chan struct{}
 }
 
-// Desk is one core node's.
-type Desk struct {
-	past  [ids.ShardCount][]moment
-	r     *environment.Environment
-	p     *consensus.Node
-	books []*Book
+// Service is one core node's.
+type Service struct {
+	ages     [ids.ShardCount][]ageSample
+	env      *environment.Environment
+	replicas *consensus.Node
+	stores   []*Store
 
 	mu     sync.Mutex
 	terms  map[ids.Shard]ids.Term
-	grants map[ids.Shard]map[string]*grant
+	leases map[ids.Shard]map[string]*lease
 
-	gathered map[ids.Shard]*gathering
+	batches map[ids.Shard]*idempotencyBatch
 }
 
-func NewDesk(r *environment.Environment, p *consensus.Node, books []*Book) *Desk {
-	return &Desk{r: r, p: p, books: books, terms: map[ids.Shard]ids.Term{}, grants: map[ids.Shard]map[string]*grant{}, gathered: map[ids.Shard]*gathering{}}
+func NewService(r *environment.Environment, p *consensus.Node, books []*Store) *Service {
+	return &Service{env: r, replicas: p, stores: books, terms: map[ids.Shard]ids.Term{}, leases: map[ids.Shard]map[string]*lease{}, batches: map[ids.Shard]*idempotencyBatch{}}
 }
 
-// Open starts to watch over the grants.
-func (d *Desk) Open() {
-	d.r.Go(func() {
-		for i := 0; d.r.Sleep(100 * time.Millisecond); i++ {
-			for no := range d.books {
-				d.expire(ids.Shard(no))
+// Start starts to watch over the grants.
+func (d *Service) Start() {
+	d.env.Go(func() {
+		for i := 0; d.env.Sleep(100 * time.Millisecond); i++ {
+			for no := range d.stores {
+				d.expireLeases(ids.Shard(no))
 				if i%100 == 0 {
-					d.sweep(ids.Shard(no))
+					d.expireIdempotencyRecords(ids.Shard(no))
 				}
 			}
 		}
 	})
 }
 
-// Do carries out one call on a part owned here.
-func (d *Desk) Do(ctx context.Context, op *rpc.CoordinationRequest) (*rpc.CoordinationResponse, error) {
-	if problem := check(op); problem != nil {
+// Handle carries out one call on a part owned here.
+func (d *Service) Handle(ctx context.Context, op *rpc.CoordinationRequest) (*rpc.CoordinationResponse, error) {
+	if problem := validate(op); problem != nil {
 		return nil, problem
 	}
 	no := ids.ShardOf(op.Name)
-	part, book := d.p.Replica(no), d.books[no]
+	part, book := d.replicas.Replica(no), d.stores[no]
 	switch op.Operation {
 	case "get", "list", "watch", "follow", "renew":
-		began := d.r.Now()
+		began := d.env.Now()
 		term, _, isServing := part.LeadershipSince()
 		if !isServing {
 			return nil, errcode.New(errcode.NotOwner, "part %d", no)
@@ -77,7 +77,7 @@
 		case "get":
 			return d.get(book, op)
 		case "list":
-			keys, stamp := book.All(Key, op.Name)
+			keys, stamp := book.List(KindKey, op.Name)
 			return &rpc.CoordinationResponse{Index: stamp, Records: keys}, nil
 		case "watch":
 			return d.watch(ctx, part, book, op)
@@ -86,15 +86,15 @@
 		}
 		return d.renew(ctx, no, term, op)
 	case "claim":
-		return d.claim(ctx, no, op)
+		return d.reserve(ctx, no, op)
 	case "acquire":
 		return d.acquire(ctx, no, op)
 	}
 	return d.propose(ctx, no, op)
 }
 
-func (d *Desk) propose(ctx context.Context, no ids.Shard, op *rpc.CoordinationRequest) (*rpc.CoordinationResponse, error) {
-	_, receipt, err := d.p.Replica(no).Propose(ctx, op)
+func (d *Service) propose(ctx context.Context, no ids.Shard, op *rpc.CoordinationRequest) (*rpc.CoordinationResponse, error) {
+	_, receipt, err := d.replicas.Replica(no).Propose(ctx, op)
 	if err != nil {
 		return nil, err
 	}
@@ -105,7 +105,7 @@
 	return got, nil
 }
 
-func check(op *rpc.CoordinationRequest) error {
+func validate(op *rpc.CoordinationRequest) error {
 	var paths []string
 	if op.Name == "" || len(op.Name) > 512 {
 		paths = append(paths, "name: is missing or longer than 512 bytes")
@@ -152,13 +152,13 @@
 	return nil
 }
 
-func (d *Desk) get(book *Book, op *rpc.CoordinationRequest) (*rpc.CoordinationResponse, error) {
-	kind := Key
+func (d *Service) get(book *Store, op *rpc.CoordinationRequest) (*rpc.CoordinationResponse, error) {
+	kind := KindKey
 	if op.Holder != "" {
 		kind = op.Holder
 	}
 	record, ok := book.Get(kind, op.Name)
-	if !ok && kind == Count {
+	if !ok && kind == KindCounter {
 		return &rpc.CoordinationResponse{}, nil
 	}
 	if !ok {
@@ -167,44 +167,44 @@
 	return &rpc.CoordinationResponse{Index: record.Index, Revision: record.Revision, Value: record.Value, Count: record.Count, Holder: record.Holder, FencingToken: record.FencingToken, TTL: record.TTL}, nil
 }
 
-// under returns the grants of the part for this term, emptied at a new one; nil
+// leasesOf returns the grants of the part for this term, emptied at a new one; nil
 // if a newer one has begun.
-func (d *Desk) under(no ids.Shard, term ids.Term) map[string]*grant {
+func (d *Service) leasesOf(no ids.Shard, term ids.Term) map[string]*lease {
 	if term.Less(d.terms[no]) {
 		return nil
 	}
-	if d.terms[no] != term || d.grants[no] == nil {
-		d.terms[no], d.grants[no] = term, map[string]*grant{}
+	if d.terms[no] != term || d.leases[no] == nil {
+		d.terms[no], d.leases[no] = term, map[string]*lease{}
 	}
-	return d.grants[no]
+	return d.leases[no]
 }
 
-// see is the grant of a lock as the book has it while d.mu is held; one that this
+// lease is the grant of a lock as the book has it while d.mu is held; one that this
 // owner sees for the first time starts at full length.
-func (d *Desk) see(grants map[string]*grant, lock rpc.CoordinationRecord) *grant {
-	if g := grants[lock.Name]; g == nil || g.fence != lock.FencingToken {
-		grants[lock.Name] = &grant{fence: lock.FencingToken, until: d.r.Now().Add(time.Duration(lock.TTL) * time.Millisecond)}
+func (d *Service) lease(grants map[string]*lease, lock rpc.CoordinationRecord) *lease {
+	if g := grants[lock.Name]; g == nil || g.token != lock.FencingToken {
+		grants[lock.Name] = &lease{token: lock.FencingToken, expiresAt: d.env.Now().Add(time.Duration(lock.TTL) * time.Millisecond)}
 	}
 	return grants[lock.Name]
 }
 
 // acquire writes nothing while another's grant lasts, and has one whose time is
 // over taken back first.
-func (d *Desk) acquire(ctx context.Context, no ids.Shard, op *rpc.CoordinationRequest) (*rpc.CoordinationResponse, error) {
-	began, part, book := d.r.Now(), d.p.Replica(no), d.books[no]
-	_, isRepeat := book.Seen(op.ID)
+func (d *Service) acquire(ctx context.Context, no ids.Shard, op *rpc.CoordinationRequest) (*rpc.CoordinationResponse, error) {
+	began, part, book := d.env.Now(), d.replicas.Replica(no), d.stores[no]
+	_, isRepeat := book.ResponseTo(op.ID)
 	for !isRepeat {
 		term, _, isServing := part.LeadershipSince()
 		if !isServing {
 			return nil, errcode.New(errcode.NotOwner, "part %d", no)
 		}
-		if lock, ok := book.Get(Lock, op.Name); !ok || lock.Holder == op.Holder {
+		if lock, ok := book.Get(KindLock, op.Name); !ok || lock.Holder == op.Holder {
 			break
 		}
 		if err := part.ConfirmLeadership(ctx, began); err != nil {
 			return nil, err
 		}
-		held, going := d.holding(no, term, op)
+		held, going := d.conflict(no, term, op)
 		if held != nil {
 			return held, nil
 		}
@@ -215,7 +215,7 @@
 		case <-going:
 		case <-ctx.Done():
 		}
-		if ctx.Err() != nil || d.r.IsStopping() {
+		if ctx.Err() != nil || d.env.IsStopping() {
 			return nil, errcode.New(errcode.NoOwner, "part %d: the old grant can't be taken back", no)
 		}
 	}
@@ -230,30 +230,30 @@
 	return got, nil
 }
 
-// holding is the refusal while another holds the lock, or else what ends when
+// conflict is the refusal while another holds the lock, or else what ends when
 // its grant has been taken back.
-func (d *Desk) holding(no ids.Shard, term ids.Term, op *rpc.CoordinationRequest) (*rpc.CoordinationResponse, <-chan struct{}) {
+func (d *Service) conflict(no ids.Shard, term ids.Term, op *rpc.CoordinationRequest) (*rpc.CoordinationResponse, <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	grants := d.under(no, term)
-	lock, ok := d.books[no].Get(Lock, op.Name)
+	grants := d.leasesOf(no, term)
+	lock, ok := d.stores[no].Get(KindLock, op.Name)
 	if grants == nil || !ok || lock.Holder == op.Holder {
 		return nil, nil
 	}
-	if g := d.see(grants, lock); g.isGoingBy || !d.r.Now().Before(g.until) {
-		return nil, d.goBy(no, term, lock, g)
+	if g := d.lease(grants, lock); g.revoking || !d.env.Now().Before(g.expiresAt) {
+		return nil, d.revoke(no, term, lock, g)
 	}
 	return &rpc.CoordinationResponse{Code: errcode.Held.No, Index: lock.Index, Holder: lock.Holder, FencingToken: lock.FencingToken, TTL: lock.TTL}, nil
 }
 
 // renew extends the grant; a time above the lock's own is written first, so that
 // a new owner does not end the grant early.
-func (d *Desk) renew(ctx context.Context, no ids.Shard, term ids.Term, op *rpc.CoordinationRequest) (*rpc.CoordinationResponse, error) {
-	record, ok := d.books[no].Get(Lock, op.Name)
+func (d *Service) renew(ctx context.Context, no ids.Shard, term ids.Term, op *rpc.CoordinationRequest) (*rpc.CoordinationResponse, error) {
+	record, ok := d.stores[no].Get(KindLock, op.Name)
 	if !ok || record.Holder != op.Holder || record.FencingToken != op.FencingToken {
 		return &rpc.CoordinationResponse{Code: errcode.NotHeld.No, FencingToken: record.FencingToken}, nil
 	}
-	if now, _, isServing := d.p.Replica(no).LeadershipSince(); !isServing || now != term {
+	if now, _, isServing := d.replicas.Replica(no).LeadershipSince(); !isServing || now != term {
 		return nil, errcode.New(errcode.NotOwner, "part %d", no)
 	}
 	ttl := op.TTL
@@ -274,82 +274,82 @@
 
 // extend makes the grant last, unless it has passed meanwhile; it is never cut
 // shorter than an earlier call made it.
-func (d *Desk) extend(no ids.Shard, name string, fence ids.Index, ttl int64) (*rpc.CoordinationResponse, error) {
-	term, _, isServing := d.p.Replica(no).LeadershipSince()
+func (d *Service) extend(no ids.Shard, name string, fence ids.Index, ttl int64) (*rpc.CoordinationResponse, error) {
+	term, _, isServing := d.replicas.Replica(no).LeadershipSince()
 	if !isServing {
 		return nil, errcode.New(errcode.Unsure, "part %d", no)
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	grants := d.under(no, term)
+	grants := d.leasesOf(no, term)
 	if grants == nil {
 		return nil, errcode.New(errcode.Unsure, "part %d", no)
 	}
-	lock, ok := d.books[no].Get(Lock, name)
+	lock, ok := d.stores[no].Get(KindLock, name)
 	if !ok || lock.FencingToken != fence {
 		return &rpc.CoordinationResponse{Code: errcode.NotHeld.No, FencingToken: fence}, nil
 	}
-	g := d.see(grants, lock)
-	if g.isGoingBy {
+	g := d.lease(grants, lock)
+	if g.revoking {
 		return &rpc.CoordinationResponse{Code: errcode.NotHeld.No, FencingToken: fence}, nil
 	}
-	if until := d.r.Now().Add(time.Duration(ttl) * time.Millisecond); until.After(g.until) {
-		g.until = until
+	if until := d.env.Now().Add(time.Duration(ttl) * time.Millisecond); until.After(g.expiresAt) {
+		g.expiresAt = until
 	}
 	return &rpc.CoordinationResponse{FencingToken: fence, TTL: ttl, Index: fence}, nil
 }
 
-// goBy has a grant taken back, by one entry at a time; the grant can't be renewed
+// revoke has a grant taken back, by one entry at a time; the grant can't be renewed
 // from then on, also if the entry has to be tried again.
-func (d *Desk) goBy(no ids.Shard, term ids.Term, lock rpc.CoordinationRecord, g *grant) <-chan struct{} {
-	g.isGoingBy = true
-	if g.going != nil {
-		return g.going
+func (d *Service) revoke(no ids.Shard, term ids.Term, lock rpc.CoordinationRecord, g *lease) <-chan struct{} {
+	g.revoking = true
+	if g.revoked != nil {
+		return g.revoked
 	}
 	done := make(chan struct{})
-	g.going = done
-	d.r.Go(func() {
-		ctx, end := context.WithTimeout(d.r, 5*time.Second)
+	g.revoked = done
+	d.env.Go(func() {
+		ctx, end := context.WithTimeout(d.env, 5*time.Second)
 		defer end()
-		if now, _, isServing := d.p.Replica(no).LeadershipSince(); isServing && now == term {
-			d.p.Replica(no).Propose(ctx, &rpc.CoordinationRequest{Operation: "expire", Name: lock.Name, FencingToken: lock.FencingToken})
+		if now, _, isServing := d.replicas.Replica(no).LeadershipSince(); isServing && now == term {
+			d.replicas.Replica(no).Propose(ctx, &rpc.CoordinationRequest{Operation: "expire", Name: lock.Name, FencingToken: lock.FencingToken})
 		}
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		g.going = nil
+		g.revoked = nil
 		close(done)
 	})
 	return done
 }
 
-// expire takes back the grants of a part whose time is over, and forgets those
+// expireLeases takes back the grants of a part whose time is over, and forgets those
 // whose locks are gone.
-func (d *Desk) expire(no ids.Shard) {
-	term, _, isServing := d.p.Replica(no).LeadershipSince()
+func (d *Service) expireLeases(no ids.Shard) {
+	term, _, isServing := d.replicas.Replica(no).LeadershipSince()
 	if !isServing {
 		return
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.books[no].Size(Lock) == 0 {
-		clear(d.grants[no])
+	if d.stores[no].Len(KindLock) == 0 {
+		clear(d.leases[no])
 		return
 	}
-	grants := d.under(no, term)
+	grants := d.leasesOf(no, term)
 	if grants == nil {
 		return
 	}
-	locks, _ := d.books[no].All(Lock, "")
+	locks, _ := d.stores[no].List(KindLock, "")
 	for _, lock := range locks {
-		if g := d.see(grants, lock); g.isGoingBy || !d.r.Now().Before(g.until) {
-			d.goBy(no, term, lock, g)
+		if g := d.lease(grants, lock); g.revoking || !d.env.Now().Before(g.expiresAt) {
+			d.revoke(no, term, lock, g)
 		}
 	}
 	if len(grants) == len(locks) {
 		return
 	}
 	for name := range grants {
-		if _, ok := d.books[no].Get(Lock, name); !ok {
+		if _, ok := d.stores[no].Get(KindLock, name); !ok {
 			delete(grants, name)
 		}
 	}
--- a/internal/coordination/desk_test.go
+++ b/internal/coordination/desk_test.go
@@ -44,7 +44,7 @@
 	d.Helper()
 	ctx, end := context.WithTimeout(context.Background(), 5*time.Second)
 	defer end()
-	receipt, err := d.owner(op.Name).Node().Desk.Do(ctx, &op)
+	receipt, err := d.owner(op.Name).Node().Coordination.Handle(ctx, &op)
 	if err != nil {
 		d.Fatal(op.Operation, err)
 	}
@@ -139,7 +139,7 @@
 				for n := range 60 {
 					sent := time.Now()
 					ctx, end := context.WithTimeout(context.Background(), 5*time.Second)
-					receipt, err := d.owner("l").Node().Desk.Do(ctx, &rpc.CoordinationRequest{Operation: "acquire", Name: "l", Holder: fmt.Sprint(i, "/", n), TTL: ttl.Milliseconds()})
+					receipt, err := d.owner("l").Node().Coordination.Handle(ctx, &rpc.CoordinationRequest{Operation: "acquire", Name: "l", Holder: fmt.Sprint(i, "/", n), TTL: ttl.Milliseconds()})
 					end()
 					if got := time.Now(); err == nil && receipt.Code == 0 && got.Before(sent.Add(ttl)) {
 						holdings <- holding{got, sent.Add(ttl), receipt.FencingToken}
@@ -245,7 +245,7 @@
 			{Operation: "renew", Name: "l", Holder: "a", FencingToken: 1, TTL: 9},
 			{Operation: "stretch", Name: "l", Holder: "a", FencingToken: 1, TTL: 100},
 		} {
-			if _, err := d.owner(op.Name).Node().Desk.Do(context.Background(), &op); !errcode.Is(err, errcode.BadCall) {
+			if _, err := d.owner(op.Name).Node().Coordination.Handle(context.Background(), &op); !errcode.Is(err, errcode.BadCall) {
 				d.Error(op, err)
 			}
 		}
--- a/internal/coordination/ranges.go
+++ b/internal/coordination/ranges.go
@@ -14,75 +14,75 @@
 )
 
 const (
-	ranges   = 16
-	receipts = "receipts"
+	rangeCount     = 16
+	responsesRange = "receipts"
 )
 
-func rangeOf(name string) string { return fmt.Sprint("names/", ids.Hash("range", name)%ranges) }
+func rangeName(name string) string { return fmt.Sprint("names/", ids.Hash("range", name)%rangeCount) }
 
-// cut is the records of each range, in order.
-func (b *Book) cut() map[string][]rpc.CoordinationRecord {
+// recordsByRange is the records of each range, in order.
+func (b *Store) recordsByRange() map[string][]rpc.CoordinationRecord {
 	cut := map[string][]rpc.CoordinationRecord{}
 	for _, kind := range b.records {
 		for _, record := range kind {
-			name := rangeOf(record.Name)
+			name := rangeName(record.Name)
 			cut[name] = append(cut[name], record)
 		}
 	}
 	for _, list := range cut {
-		sort.Slice(list, func(i, j int) bool { return less(list[i], list[j]) })
+		sort.Slice(list, func(i, j int) bool { return recordLess(list[i], list[j]) })
 	}
 	return cut
 }
 
-func (b *Book) receipts() []rpc.CompletedRequest {
-	list := make([]rpc.CompletedRequest, 0, len(b.order))
-	for _, id := range b.order {
-		list = append(list, rpc.CompletedRequest{ID: id, Response: b.seen[id]})
+func (b *Store) responseList() []rpc.CompletedRequest {
+	list := make([]rpc.CompletedRequest, 0, len(b.responseOrder))
+	for _, id := range b.responseOrder {
+		list = append(list, rpc.CompletedRequest{ID: id, Response: b.responses[id]})
 	}
 	return list
 }
 
-func digest(value any) string {
+func digestOf(value any) string {
 	raw, _ := json.Marshal(value)
 	sum := md5.Sum(raw)
 	return hex.EncodeToString(sum[:])
 }
 
 // RangeDigests is one digest for each range that holds anything.
-func (b *Book) RangeDigests() map[string]string {
+func (b *Store) RangeDigests() map[string]string {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
-	digests := map[string]string{receipts: digest(b.receipts())}
-	for name, list := range b.cut() {
-		digests[name] = digest(list)
+	digests := map[string]string{responsesRange: digestOf(b.responseList())}
+	for name, list := range b.recordsByRange() {
+		digests[name] = digestOf(list)
 	}
 	return digests
 }
 
 // ExportRange is one range as it is.
-func (b *Book) ExportRange(name string) (json.RawMessage, error) {
+func (b *Store) ExportRange(name string) (json.RawMessage, error) {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
-	if name == receipts {
-		return json.Marshal(b.receipts())
+	if name == responsesRange {
+		return json.Marshal(b.responseList())
 	}
-	return json.Marshal(b.cut()[name])
+	return json.Marshal(b.recordsByRange()[name])
 }
 
 // Repair replaces one range.
-func (b *Book) Repair(name string, data json.RawMessage) error {
+func (b *Store) Repair(name string, data json.RawMessage) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if name == receipts {
+	if name == responsesRange {
 		var list []rpc.CompletedRequest
 		if err := json.Unmarshal(data, &list); err != nil {
 			return err
 		}
-		b.seen, b.order = map[string]rpc.CoordinationResponse{}, nil
+		b.responses, b.responseOrder = map[string]rpc.CoordinationResponse{}, nil
 		for _, s := range list {
-			b.seen[s.ID] = s.Response
-			b.order = append(b.order, s.ID)
+			b.responses[s.ID] = s.Response
+			b.responseOrder = append(b.responseOrder, s.ID)
 		}
 		return nil
 	}
@@ -92,13 +92,13 @@
 	}
 	for _, kind := range b.records {
 		for key, record := range kind {
-			if rangeOf(record.Name) == name {
+			if rangeName(record.Name) == name {
 				delete(kind, key)
 			}
 		}
 	}
 	for _, record := range list {
-		b.of(record.Kind)[record.Name] = record
+		b.recordsOf(record.Kind)[record.Name] = record
 	}
 	return nil
 }
--- a/internal/coordination/space.go
+++ b/internal/coordination/space.go
@@ -17,31 +17,31 @@
 	return space
 }
 
-// setId is what a set under an id is known by: its name and that id, so that a
+// setRequestID is what a set under an id is known by: its name and that id, so that a
 // repeat is known for one whatever revision it names. Without an id a set is never
 // a repeat: a value may be set again.
-func setId(op *rpc.CoordinationRequest) string {
+func setRequestID(op *rpc.CoordinationRequest) string {
 	sum := sha256.Sum256([]byte(op.Name + "\x00" + op.ID))
 	return "set/" + hex.EncodeToString(sum[:16])
 }
 
-// rise counts one more set in a space.
-func (b *Book) rise(index ids.Index, space string) ids.Index {
-	count := b.of(Space)[space].Count + 1
-	b.of(Space)[space] = rpc.CoordinationRecord{Name: space, Kind: Space, Count: count, Index: index}
+// nextRevision counts one more set in a space.
+func (b *Store) nextRevision(index ids.Index, space string) ids.Index {
+	count := b.recordsOf(KindSpace)[space].Count + 1
+	b.recordsOf(KindSpace)[space] = rpc.CoordinationRecord{Name: space, Kind: KindSpace, Count: count, Index: index}
 	return ids.Index(count)
 }
 
-// Follow is the sets of a space after a revision, and the revision to go on from.
+// RevisionsSince is the sets of a space after a revision, and the revision to go on from.
 // They must follow it without a gap, also on a copy whose count was mended.
-func (b *Book) Follow(space string, from ids.Index, most int) (list []rpc.WatchEvent, rev ids.Index, isKept bool) {
+func (b *Store) RevisionsSince(space string, from ids.Index, most int) (list []rpc.WatchEvent, rev ids.Index, isKept bool) {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
-	rev = ids.Index(b.records[Space][space].Count)
+	rev = ids.Index(b.records[KindSpace][space].Count)
 	if from == 0 || rev <= from {
 		return nil, max(rev, from), true
 	}
-	if from < b.starts[space] {
+	if from < b.compactedRevisions[space] {
 		return nil, rev, false
 	}
 	at := len(b.events)
--- a/internal/coordination/space_test.go
+++ b/internal/coordination/space_test.go
@@ -15,7 +15,7 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-func set(b *Book, index ids.Index, name, value string, rev ...ids.Index) *rpc.CoordinationResponse {
+func set(b *Store, index ids.Index, name, value string, rev ...ids.Index) *rpc.CoordinationResponse {
 	op := rpc.CoordinationRequest{Operation: "set", ID: value, Name: name, Value: json.RawMessage(value)}
 	if len(rev) > 0 {
 		op.IfRevision = &rev[0]
@@ -24,7 +24,7 @@
 }
 
 func TestASpaceCountsItsSets(t *testing.T) {
-	b := NewBook()
+	b := NewStore()
 	expect := func(got *rpc.CoordinationResponse, code int, rev ids.Index) {
 		t.Helper()
 		if got.Code != code || got.Revision != rev {
@@ -41,29 +41,29 @@
 	apply(b, 17, rpc.CoordinationRequest{Operation: "put", Name: "s/put", Value: json.RawMessage("1")})
 	expect(set(b, 18, "s/put", "2", 0), errcode.StampDiffers.No, 0)
 	expect(set(b, 19, "s/c", "1", 0), 0, 4)
-	if record, ok := b.Get(Key, "s/a"); !ok || record.Revision != 3 || record.Index != 15 || string(record.Value) != "2" {
+	if record, ok := b.Get(KindKey, "s/a"); !ok || record.Revision != 3 || record.Index != 15 || string(record.Value) != "2" {
 		t.Fatal(record)
 	}
-	if keys, _ := b.All(Key, "s"); len(keys) != 4 {
+	if keys, _ := b.List(KindKey, "s"); len(keys) != 4 {
 		t.Fatal("a listing of keys shows", keys)
 	}
 }
 
 func TestAValueIsSetAgainWithoutAnId(t *testing.T) {
-	b := NewBook()
+	b := NewStore()
 	for i, value := range []string{"1", "2", "1"} {
 		got := apply(b, ids.Index(i+1), rpc.CoordinationRequest{Operation: "set", Name: "s/a", Value: json.RawMessage(value)})
 		if got.Code != 0 || got.Revision != ids.Index(i+1) {
 			t.Fatal(i, got)
 		}
 	}
-	if record, _ := b.Get(Key, "s/a"); record.Revision != 3 || string(record.Value) != "1" {
+	if record, _ := b.Get(KindKey, "s/a"); record.Revision != 3 || string(record.Value) != "1" {
 		t.Fatal("a value that was set back is not there", record)
 	}
 }
 
 func TestARepeatedSetGetsItsFirstRevision(t *testing.T) {
-	b := NewBook()
+	b := NewStore()
 	set(b, 1, "s/a", `"x"`, 0)
 	set(b, 2, "s/a", `"y"`, 1)
 	for i, again := range []*rpc.CoordinationResponse{set(b, 3, "s/a", `"x"`, 0), set(b, 4, "s/a", `"x"`), set(b, 5, "s/a", `"x"`, 7)} {
@@ -71,7 +71,7 @@
 			t.Fatal(i, again)
 		}
 	}
-	if record, _ := b.Get(Key, "s/a"); string(record.Value) != `"y"` || record.Revision != 2 {
+	if record, _ := b.Get(KindKey, "s/a"); string(record.Value) != `"y"` || record.Revision != 2 {
 		t.Fatal("a repeat wrote", record)
 	}
 	if no := set(b, 6, "s/a", `"z"`, 1); no.Code != errcode.StampDiffers.No || no.Revision != 2 {
@@ -80,14 +80,14 @@
 	if yes := set(b, 7, "s/a", `"z"`, 2); yes.Code != 0 || yes.Revision != 3 {
 		t.Fatal("a failure was remembered", yes)
 	}
-	if b.Size(Space) != 1 {
-		t.Fatal(b.Size(Space))
+	if b.Len(KindSpace) != 1 {
+		t.Fatal(b.Len(KindSpace))
 	}
 }
 
 func TestAFollowerSeesEverySetInOrder(t *testing.T) {
-	b := NewBook()
-	if list, rev, ok := b.Follow("s", 0, 10); !ok || len(list) != 0 || rev != 0 {
+	b := NewStore()
+	if list, rev, ok := b.RevisionsSince("s", 0, 10); !ok || len(list) != 0 || rev != 0 {
 		t.Fatal(list, rev, ok)
 	}
 	for i := range 9 {
@@ -96,16 +96,16 @@
 		set(b, index+2, fmt.Sprint("t/", i), "1")
 		apply(b, index+3, rpc.CoordinationRequest{Operation: "add", Name: "s/n", Delta: 1})
 	}
-	if list, rev, ok := b.Follow("s", 0, 10); !ok || len(list) != 0 || rev != 9 {
+	if list, rev, ok := b.RevisionsSince("s", 0, 10); !ok || len(list) != 0 || rev != 9 {
 		t.Fatal(list, rev, ok)
 	}
 	for from := ids.Index(1); from <= 12; from++ {
-		list, rev, ok := b.Follow("s", from, 4)
+		list, rev, ok := b.RevisionsSince("s", from, 4)
 		if wanted := min(4, 9-min(int(from), 9)); !ok || len(list) != wanted {
 			t.Fatal(from, list, ok)
 		}
 		for i, e := range list {
-			if e.Revision != from+ids.Index(i)+1 || e.Name != fmt.Sprint("s/", e.Revision-1) || e.Kind != Key || string(e.Value) != "1" {
+			if e.Revision != from+ids.Index(i)+1 || e.Name != fmt.Sprint("s/", e.Revision-1) || e.Kind != KindKey || string(e.Value) != "1" {
 				t.Fatal(from, i, e)
 			}
 		}
@@ -117,7 +117,7 @@
 
 func TestAFollowerFromBeforeTheKeptSetsIsTold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := NewBook()
+		b := NewStore()
 		set(b, 1, "s/a", "1")
 		set(b, 2, "s/b", "1")
 		set(b, 3, "t/a", "1")
@@ -125,15 +125,15 @@
 		set(b, 4, "s/a", "2")
 		time.Sleep(30 * time.Second)
 		set(b, 5, "s/a", "3")
-		check := func(b *Book) {
+		check := func(b *Store) {
 			t.Helper()
-			if _, rev, ok := b.Follow("s", 1, 10); ok || rev != 4 {
+			if _, rev, ok := b.RevisionsSince("s", 1, 10); ok || rev != 4 {
 				t.Fatal("a follower that missed a set was not told", rev, ok)
 			}
-			if list, rev, ok := b.Follow("s", 2, 10); !ok || rev != 4 || len(list) != 2 || list[0].Revision != 3 {
+			if list, rev, ok := b.RevisionsSince("s", 2, 10); !ok || rev != 4 || len(list) != 2 || list[0].Revision != 3 {
 				t.Fatal(list, rev, ok)
 			}
-			if list, rev, ok := b.Follow("t", 1, 10); !ok || rev != 1 || len(list) != 0 {
+			if list, rev, ok := b.RevisionsSince("t", 1, 10); !ok || rev != 1 || len(list) != 0 {
 				t.Fatal(list, rev, ok)
 			}
 		}
@@ -142,13 +142,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		other := NewBook()
+		other := NewStore()
 		if err := other.Restore(raw); err != nil {
 			t.Fatal(err)
 		}
 		check(other)
-		if other.starts["s"] != 2 || other.starts["t"] != 1 {
-			t.Fatal(other.starts)
+		if other.compactedRevisions["s"] != 2 || other.compactedRevisions["t"] != 1 {
+			t.Fatal(other.compactedRevisions)
 		}
 		if next := set(other, 6, "s/a", "4", 4); next.Code != 0 || next.Revision != 5 {
 			t.Fatal(next)
@@ -161,19 +161,19 @@
 		}
 		set(other, 8, "s/a", "1")
 		time.Sleep(61 * time.Second)
-		if next := set(other, 9, "s/a", "2"); next.Revision != 2 || other.starts["s"] != 1 {
-			t.Fatal(next, other.starts)
+		if next := set(other, 9, "s/a", "2"); next.Revision != 2 || other.compactedRevisions["s"] != 1 {
+			t.Fatal(next, other.compactedRevisions)
 		}
 	})
 }
 
 func TestRepairBringsBackASpacesCount(t *testing.T) {
-	right, wrong := NewBook(), NewBook()
+	right, wrong := NewStore(), NewStore()
 	for i := range 5 {
 		set(right, ids.Index(i+1), "s/a", fmt.Sprint(i))
 		set(wrong, ids.Index(i+1), "s/a", fmt.Sprint(i))
 	}
-	wrong.of(Space)["s"] = rpc.CoordinationRecord{Name: "s", Kind: Space, Count: 1, Index: 5}
+	wrong.recordsOf(KindSpace)["s"] = rpc.CoordinationRecord{Name: "s", Kind: KindSpace, Count: 1, Index: 5}
 	set(right, 6, "s/b", "1")
 	set(wrong, 6, "s/b", "1")
 	differing, digests := 0, wrong.RangeDigests()
@@ -193,23 +193,23 @@
 	if differing == 0 {
 		t.Fatal("the digests do not show a count that differs")
 	}
-	if _, _, ok := wrong.Follow("s", 5, 10); ok {
+	if _, _, ok := wrong.RevisionsSince("s", 5, 10); ok {
 		t.Fatal("a set that the copy told under another revision was passed over in silence")
 	}
 	if a, b := set(right, 7, "s/c", "1"), set(wrong, 7, "s/c", "1"); a.Revision != 7 || b.Revision != 7 {
 		t.Fatal(a, b)
 	}
-	if list, _, ok := wrong.Follow("s", 6, 10); !ok || len(list) != 1 {
+	if list, _, ok := wrong.RevisionsSince("s", 6, 10); !ok || len(list) != 1 {
 		t.Fatal(list, ok)
 	}
 }
 
 func TestALocksTimeOnlyGrows(t *testing.T) {
-	b := NewBook()
+	b := NewStore()
 	first := apply(b, 5, rpc.CoordinationRequest{Operation: "acquire", Name: "l", Holder: "a", TTL: 1000})
 	expect := func(ttl int64) {
 		t.Helper()
-		if lock, ok := b.Get(Lock, "l"); !ok || lock.TTL != ttl || lock.FencingToken != first.FencingToken || lock.Holder != "a" {
+		if lock, ok := b.Get(KindLock, "l"); !ok || lock.TTL != ttl || lock.FencingToken != first.FencingToken || lock.Holder != "a" {
 			t.Fatal(lock, ok)
 		}
 	}
--- a/internal/coordination/watch.go
+++ b/internal/coordination/watch.go
@@ -13,16 +13,16 @@
 )
 
 // watch holds the call until something under the name happens.
-func (d *Desk) watch(ctx context.Context, part *consensus.Replica, book *Book, op *rpc.CoordinationRequest) (*rpc.CoordinationResponse, error) {
+func (d *Service) watch(ctx context.Context, part *consensus.Replica, book *Store, op *rpc.CoordinationRequest) (*rpc.CoordinationResponse, error) {
 	if op.FromIndex == 0 {
-		keys, stamp := book.All(Key, op.Name)
+		keys, stamp := book.List(KindKey, op.Name)
 		return &rpc.CoordinationResponse{Index: stamp, Records: keys}, nil
 	}
 	hold := time.NewTimer(time.Duration(op.Wait) * time.Millisecond)
 	defer hold.Stop()
 	for {
 		change := part.Changed()
-		events, next, isKept := book.Since(op.Name, op.FromIndex, 256)
+		events, next, isKept := book.EventsSince(op.Name, op.FromIndex, 256)
 		if !isKept {
 			return &rpc.CoordinationResponse{Code: errcode.StampTooOld.No, Index: next}, nil
 		}
@@ -43,12 +43,12 @@
 }
 
 // follow holds the call until something is set in the space.
-func (d *Desk) follow(ctx context.Context, part *consensus.Replica, book *Book, op *rpc.CoordinationRequest) (*rpc.CoordinationResponse, error) {
+func (d *Service) follow(ctx context.Context, part *consensus.Replica, book *Store, op *rpc.CoordinationRequest) (*rpc.CoordinationResponse, error) {
 	hold := time.NewTimer(time.Duration(op.Wait) * time.Millisecond)
 	defer hold.Stop()
 	for {
 		change := part.Changed()
-		events, rev, isKept := book.Follow(spaceOf(op.Name), op.FromIndex, 256)
+		events, rev, isKept := book.RevisionsSince(spaceOf(op.Name), op.FromIndex, 256)
 		if !isKept {
 			return &rpc.CoordinationResponse{Code: errcode.StampTooOld.No, Revision: rev}, nil
 		}
--- a/internal/harness/costs.go
+++ b/internal/harness/costs.go
@@ -138,7 +138,7 @@
 			for _, m := range r.f.Machines {
 				sum.add(m.Name, r.trafficOf(m))
 			}
-			r.h.Add(checker.Record{Kind: checker.Sent, Sent: maps.Clone(sum.whole)})
+			r.h.Add(checker.Record{Kind: checker.TrafficSent, SentBytes: maps.Clone(sum.whole)})
 			select {
 			case <-ctx.Done():
 			case <-tick.C:
--- a/internal/harness/duty.go
+++ b/internal/harness/duty.go
@@ -47,7 +47,7 @@
 func (r *Run) goodput(seconds float64) {
 	took := map[string][]time.Duration{}
 	for _, rec := range r.h.Records() {
-		if rec.Kind == checker.Called {
+		if rec.Kind == checker.RequestCompleted {
 			what := rec.Outcome
 			if rec.Code != 0 {
 				what = fmt.Sprint(rec.Outcome, ", code ", rec.Code)
--- a/internal/harness/fleet.go
+++ b/internal/harness/fleet.go
@@ -121,7 +121,7 @@
 		args = append(args, "--set", key+"="+value)
 	}
 	if m.IsProxy && m.fleet.H != nil {
-		m.fleet.H.Add(checker.Record{Kind: checker.Alive, Proxy: m.Gate()})
+		m.fleet.H.Add(checker.Record{Kind: checker.ProxyStarted, Proxy: m.Gate()})
 	}
 	binary := m.fleet.Binary
 	if m.isOther {
--- a/internal/harness/run.go
+++ b/internal/harness/run.go
@@ -60,7 +60,7 @@
 // mark says what is done to the fleet, and notes it in the history.
 func (r *Run) mark(format string, args ...any) {
 	r.say(format, args...)
-	r.h.Add(checker.Record{Kind: checker.Hurt, Note: fmt.Sprintf(format, args...)})
+	r.h.Add(checker.Record{Kind: checker.FaultInjected, Note: fmt.Sprintf(format, args...)})
 }
 
 func (r *Run) nap(rnd *rand.Rand, least, most int) {
@@ -78,7 +78,7 @@
 	for _, m := range r.f.ProxyMachines() {
 		nodes = append(nodes, m.Api())
 	}
-	s := &standin.Server{Net: environment.NewHost(""), H: r.h, Service: service, Zone: zone, Address: address, Key: "key-" + service, Nodes: nodes, Work: r.Work}
+	s := &standin.Server{Network: environment.NewHost(""), History: r.h, Service: service, Zone: zone, Address: address, SealKey: "key-" + service, Nodes: nodes, ServiceTime: r.Work}
 	if err := s.Start(r.ctx); err != nil {
 		r.say("%s at %s: %v", service, address, err)
 		return
@@ -117,11 +117,11 @@
 	if r.Eager >= 0 {
 		r.shape.Impatient = r.Eager
 	}
-	r.h = checker.New(r.History)
+	r.h = checker.NewHistory(r.History)
 	r.f.H = r.h
 	r.spent = map[string]time.Duration{}
 	r.say("shape %s, rates times %.2f, %d s, seed %d, faults %s", shape.Name, r.Factor, r.Seconds, r.Seed, r.Fault)
-	r.h.Add(checker.Record{Kind: checker.Began, Note: shape.Name})
+	r.h.Add(checker.Record{Kind: checker.ScenarioStarted, Note: shape.Name})
 	defer r.f.KillAll()
 	if strings.HasPrefix(r.Fault, "cut") || r.Fault == "all" {
 		if r.f.Relay, err = NewRelay(ctx, r.f); err != nil {
@@ -193,13 +193,13 @@
 		r.rescue()
 	}
 	r.ask(operator)
-	r.h.Add(checker.Record{Kind: checker.Ended})
-	verdict := checker.Judge(r.h.Records())
+	r.h.Add(checker.Record{Kind: checker.ScenarioEnded})
+	verdict := checker.Check(r.h.Records())
 	fmt.Fprint(out, verdict)
 	if r.isCalm() {
 		r.costs(took, before, after, traffic, later)
 	}
-	if !verdict.IsClean() {
+	if !verdict.IsValid() {
 		return errcode.New(errcode.Internal, "the history breaks a rule")
 	}
 	return nil
@@ -221,8 +221,8 @@
 			loads.Add(1)
 			go func() {
 				defer loads.Done()
-				caller := standin.NewCaller(environment.NewHost(""), r.h)
-				caller.Once = !r.IsTwice
+				caller := standin.NewClient(environment.NewHost(""), r.h)
+				caller.AtMostOnce = !r.IsTwice
 				defer caller.Close()
 				var mine sync.WaitGroup
 				defer mine.Wait()
@@ -259,7 +259,7 @@
 			defer tick.Stop()
 			var clients []*api.Client
 			for _, m := range r.f.Machines {
-				clients = append(clients, standin.Client(environment.NewHost(""), m.Api()))
+				clients = append(clients, standin.NewAPIClient(environment.NewHost(""), m.Api()))
 			}
 			for n := 0; ; n++ {
 				select {
@@ -275,7 +275,7 @@
 }
 
 // callOnce is one request of a service, and its repeats if the caller is eager.
-func (r *Run) callOnce(caller *standin.Caller, l Load, body []byte) {
+func (r *Run) callOnce(caller *standin.Client, l Load, body []byte) {
 	proxies := r.f.ProxyMachines()
 	gate := func() string { return proxies[rand.IntN(len(proxies))].Gate() }
 	if l.IsRepeatable {
@@ -283,9 +283,9 @@
 		return
 	}
 	call := ids.NewID()
-	got := caller.Repeat(context.Background(), gate(), "POST", "/"+l.Service, l.Service, body, call, false)
+	got := caller.CallWithID(context.Background(), gate(), "POST", "/"+l.Service, l.Service, body, call, false)
 	for try := 0; try < 5 && got.Outcome != "ran" && rand.Float64() < r.shape.Impatient; try++ {
-		got = caller.Repeat(context.Background(), gate(), "POST", "/"+l.Service, l.Service, body, call, true)
+		got = caller.CallWithID(context.Background(), gate(), "POST", "/"+l.Service, l.Service, body, call, true)
 	}
 }
 
@@ -293,7 +293,7 @@
 func (r *Run) bondOnce(client *api.Client, app string, n int) {
 	ctx, end := context.WithTimeout(context.Background(), 4*time.Second)
 	defer end()
-	rec := checker.Record{Kind: checker.Bonded, Start: r.h.Now(), Outcome: "done"}
+	rec := checker.Record{Kind: checker.CoordinationCall, Start: r.h.Now(), Outcome: "done"}
 	var receipt *api.Receipt
 	var err error
 	switch n % 3 {
@@ -310,7 +310,7 @@
 	rec.Code = standin.CodeOf(err)
 	switch {
 	case err == nil:
-		rec.Stamp, rec.Count = receipt.Stamp, receipt.Count.Or(0)
+		rec.Revision, rec.Count = receipt.Stamp, receipt.Count.Or(0)
 	case rec.Op == "get" && rec.Code == errcode.NoKey.No:
 	default:
 		rec.Outcome = "unknown"
@@ -330,9 +330,9 @@
 		}
 	}
 	back := r.h.Now()
-	caller := standin.NewCaller(environment.NewHost(""), r.h)
+	caller := standin.NewClient(environment.NewHost(""), r.h)
 	defer caller.Close()
-	rec := checker.Record{Kind: checker.Rescue, Start: back, Outcome: "usable"}
+	rec := checker.Record{Kind: checker.Recovery, Start: back, Outcome: "usable"}
 	for _, m := range r.f.ProxyMachines() {
 		for _, l := range r.shape.Loads {
 			if Until(r.ctx, 30*time.Second, func() bool {
@@ -354,13 +354,13 @@
 func (r *Run) ask(operator *standin.Operator) {
 	asked := map[string]bool{}
 	for _, rec := range r.h.Records() {
-		if rec.Kind == checker.Changed && !asked[rec.Name] {
+		if rec.Kind == checker.ChangeSubmitted && !asked[rec.Name] {
 			asked[rec.Name] = true
-			Until(r.ctx, 10*time.Second, func() bool { _, err := operator.Ask(r.ctx, rec.Name); return err == nil })
+			Until(r.ctx, 10*time.Second, func() bool { _, err := operator.QueryChange(r.ctx, rec.Name); return err == nil })
 		}
 	}
 	if view, err := operator.Epoch(r.ctx); err == nil {
-		rec := checker.Record{Kind: checker.InForce, Epoch: view.Epoch}
+		rec := checker.Record{Kind: checker.FinalConfiguration, Epoch: view.Epoch}
 		for _, m := range view.Config.Mappings {
 			rec.Names = append(rec.Names, m.Name)
 		}
--- a/internal/harness/shape.go
+++ b/internal/harness/shape.go
@@ -209,9 +209,9 @@
 	s := r.takeServer(rnd)
 	if rnd.IntN(2) == 0 {
 		r.mark("%s %s drains", s.Service, s.Instance)
-		if s.Say(r.ctx, "draining") {
+		if s.Announce(r.ctx, "draining") {
 			r.nap(rnd, 2500, 2501)
-			s.Say(r.ctx, "leaving")
+			s.Announce(r.ctx, "leaving")
 		}
 		s.Close()
 		r.serve(s.Service, s.Address, s.Zone)
@@ -219,7 +219,7 @@
 	}
 	other := r.shape.Loads[rnd.IntN(len(r.shape.Loads))].Service
 	r.mark("%s %s crashes; %s takes %s after two seconds", s.Service, s.Instance, other, s.Address)
-	s.Vanish()
+	s.Crash()
 	r.nap(rnd, 2000, 2001)
 	r.serve(other, s.Address, s.Zone)
 	r.serve(s.Service, fmt.Sprintf("127.9.%d.%d:%d", rnd.IntN(200), 1+rnd.IntN(200), r.f.Port), s.Zone)
--- a/internal/harness/smoke.go
+++ b/internal/harness/smoke.go
@@ -41,17 +41,17 @@
 	say := func(format string, args ...any) {
 		fmt.Fprintf(out, "%6.2fs %s\n", time.Since(began).Seconds(), fmt.Sprintf(format, args...))
 	}
-	h := checker.New(nil)
+	h := checker.NewHistory(nil)
 	f.H = h
 	if err := f.StartAll(); err != nil {
 		return err
 	}
-	h.Add(checker.Record{Kind: checker.Began, Note: "smoke"})
+	h.Add(checker.Record{Kind: checker.ScenarioStarted, Note: "smoke"})
 	host := environment.NewHost("")
 	services := map[string]bool{"rates": true, "bookings": false}
 	for name := range services {
 		for i := range 3 {
-			s := &standin.Server{Net: host, H: h, Service: name, Zone: fmt.Sprintf("zone%d", i+1), Address: fmt.Sprintf("127.1.%d.%d:%d", i+1, 50+len(name), port), Key: "key-" + name, Nodes: f.Apis()}
+			s := &standin.Server{Network: host, History: h, Service: name, Zone: fmt.Sprintf("zone%d", i+1), Address: fmt.Sprintf("127.1.%d.%d:%d", i+1, 50+len(name), port), SealKey: "key-" + name, Nodes: f.Apis()}
 			if err := s.Start(ctx); err != nil {
 				return err
 			}
@@ -74,7 +74,7 @@
 		return err
 	}
 	say("every node is ready")
-	caller := standin.NewCaller(host, h)
+	caller := standin.NewClient(host, h)
 	defer caller.Close()
 	served := func(proxy *Machine) func() bool {
 		return func() bool {
@@ -118,10 +118,10 @@
 		}
 		say("%s stopped by itself", name)
 	}
-	h.Add(checker.Record{Kind: checker.Ended})
-	verdict := checker.Judge(h.Records())
+	h.Add(checker.Record{Kind: checker.ScenarioEnded})
+	verdict := checker.Check(h.Records())
 	fmt.Fprint(out, verdict)
-	if !verdict.IsClean() {
+	if !verdict.IsValid() {
 		return errcode.New(errcode.Internal, "the history breaks a rule")
 	}
 	return nil
--- a/internal/harness/up.go
+++ b/internal/harness/up.go
@@ -25,7 +25,7 @@
 	if err := f.StartAll(); err != nil {
 		return err
 	}
-	r := &Run{f: f, shape: shape, ctx: ctx, h: checker.New(io.Discard), out: out, began: time.Now()}
+	r := &Run{f: f, shape: shape, ctx: ctx, h: checker.NewHistory(io.Discard), out: out, began: time.Now()}
 	services := map[string]bool{}
 	for _, l := range shape.Loads {
 		services[l.Service] = l.IsRepeatable
--- a/internal/hollow/run.go
+++ b/internal/hollow/run.go
@@ -101,7 +101,7 @@
 	if err := r.f.StartAll(); err != nil {
 		return nil, err
 	}
-	r.client = standin.Client(environment.NewHost(""), r.f.CoreMachines()[0].Api())
+	r.client = standin.NewAPIClient(environment.NewHost(""), r.f.CoreMachines()[0].Api())
 	if err := harness.Until(ctx, r.limit, func() bool { _, err := r.submit(ctx, r.whole()); return err == nil }); err != nil {
 		return nil, errcode.New(errcode.Internal, "the first change set was not accepted")
 	}
--- a/internal/node/desk.go
+++ b/internal/node/desk.go
@@ -122,15 +122,15 @@
 }
 
 func (d *desk) GetCounter(ctx context.Context, params api.GetCounterParams) (*api.Receipt, error) {
-	return d.bond(ctx, &rpc.CoordinationRequest{Operation: "get", Name: params.Name, Holder: coordination.Count})
+	return d.bond(ctx, &rpc.CoordinationRequest{Operation: "get", Name: params.Name, Holder: coordination.KindCounter})
 }
 
 func (d *desk) GetLock(ctx context.Context, params api.GetLockParams) (*api.Receipt, error) {
-	return d.bond(ctx, &rpc.CoordinationRequest{Operation: "get", Name: params.Name, Holder: coordination.Lock})
+	return d.bond(ctx, &rpc.CoordinationRequest{Operation: "get", Name: params.Name, Holder: coordination.KindLock})
 }
 
 func (d *desk) GetLeader(ctx context.Context, params api.GetLeaderParams) (*api.Receipt, error) {
-	return d.bond(ctx, &rpc.CoordinationRequest{Operation: "get", Name: params.Name, Holder: coordination.Lock})
+	return d.bond(ctx, &rpc.CoordinationRequest{Operation: "get", Name: params.Name, Holder: coordination.KindLock})
 }
 
 func (d *desk) Lock(ctx context.Context, req *api.Call, params api.LockParams) (*api.Receipt, error) {
--- a/internal/node/pass.go
+++ b/internal/node/pass.go
@@ -211,7 +211,7 @@
 		if err := read(&call); err != nil {
 			return nil, err
 		}
-		return n.Desk.Do(ctx, &call)
+		return n.Coordination.Handle(ctx, &call)
 	case "submit":
 		var change rpc.ChangeSet
 		if err := read(&change); err != nil {
--- a/internal/node/seat.go
+++ b/internal/node/seat.go
@@ -33,18 +33,18 @@
 
 // Node is one running node.
 type Node struct {
-	R         *environment.Environment
-	Wire      *rpc.Wire
-	Kin       *membership.Memberlist
-	Store     *storage.Store
-	Consensus *consensus.Node
-	Books     []*coordination.Book
-	Desk      *coordination.Desk
-	Ledger    *controlplane.ConfigState
-	Roll      *controlplane.TargetRegistry
-	Planner   *controlplane.Planner
-	Flow      *distribution.Client
-	Gate      *proxy.Proxy
+	R            *environment.Environment
+	Wire         *rpc.Wire
+	Kin          *membership.Memberlist
+	Store        *storage.Store
+	Consensus    *consensus.Node
+	Stores       []*coordination.Store
+	Coordination *coordination.Service
+	Ledger       *controlplane.ConfigState
+	Roll         *controlplane.TargetRegistry
+	Planner      *controlplane.Planner
+	Flow         *distribution.Client
+	Gate         *proxy.Proxy
 
 	mu      sync.Mutex
 	servers []*http.Server
@@ -109,7 +109,7 @@
 	}
 	if me.Core {
 		n.Consensus.Start()
-		n.Desk.Open()
+		n.Coordination.Start()
 		n.Planner.Start()
 	}
 	if err := n.serveApi(); err != nil {
@@ -169,8 +169,8 @@
 func (n *Node) openCore() error {
 	var machines []consensus.StateMachine
 	for range ids.ShardCount {
-		book := coordination.NewBook()
-		n.Books = append(n.Books, book)
+		book := coordination.NewStore()
+		n.Stores = append(n.Stores, book)
 		machines = append(machines, book)
 	}
 	n.Ledger = controlplane.NewConfigState()
@@ -186,8 +186,8 @@
 	if n.Consensus, err = consensus.New(n.R, n.Wire, n.Kin, n.Store, machines); err != nil {
 		return err
 	}
-	n.Desk = coordination.NewDesk(n.R, n.Consensus, n.Books)
-	n.Roll = controlplane.NewTargetRegistry(n.R, n.Consensus, n.Books, n.Ledger)
+	n.Coordination = coordination.NewService(n.R, n.Consensus, n.Stores)
+	n.Roll = controlplane.NewTargetRegistry(n.R, n.Consensus, n.Stores, n.Ledger)
 	n.Planner = controlplane.NewPlanner(n.R, n.Wire, n.Kin, n.Consensus, n.Ledger)
 	distribution.NewServer(n.R, n.Wire, n.Kin, n.Consensus, n.Ledger, n.Planner).HandleOwner()
 	n.Wire.Handle("plan.whose", func(c *rpc.Call) (any, error) {
--- a/internal/report/history.go
+++ b/internal/report/history.go
@@ -34,14 +34,14 @@
 func cut(records []checker.Record) (intervals []interval, length time.Duration) {
 	var last time.Duration
 	for _, r := range records {
-		if r.Kind == checker.Called {
+		if r.Kind == checker.RequestCompleted {
 			last = max(last, r.Start)
 		}
 	}
 	length = max(time.Second, (last/intervalsMost + time.Second - 1).Truncate(time.Second))
 	intervals = make([]interval, last/length+1)
 	for _, r := range records {
-		if r.Kind != checker.Called || r.Outcome == "gone" {
+		if r.Kind != checker.RequestCompleted || r.Outcome == "gone" {
 			continue
 		}
 		p := &intervals[r.Start/length]
@@ -76,13 +76,13 @@
 	var faults []float64
 	var told []string
 	for _, r := range records {
-		if r.Kind == checker.Hurt {
+		if r.Kind == checker.FaultInjected {
 			faults = append(faults, r.At.Seconds())
 			told = append(told, fmt.Sprintf("%8.1f s  %s", r.At.Seconds(), r.Note))
 		}
 	}
-	verdict := checker.Judge(records)
-	s.Text = fmt.Sprintf("%s\n\nrules broken: %d\n\n%s", checker.ServedOf(records), len(verdict.Breaches), verdict)
+	verdict := checker.Check(records)
+	s.Text = fmt.Sprintf("%s\n\nrules broken: %d\n\n%s", checker.MeasureAvailability(records), len(verdict.Violations), verdict)
 	if len(told) > 0 {
 		s.Text += "\nfaults, by the history's clock:\n" + strings.Join(told, "\n") + "\n"
 	}
@@ -143,7 +143,7 @@
 func bytesByKind(records []checker.Record, faults []float64) (*Plot, error) {
 	var samples []checker.Record
 	for _, r := range records {
-		if r.Kind == checker.Sent {
+		if r.Kind == checker.TrafficSent {
 			samples = append(samples, r)
 		}
 	}
@@ -153,7 +153,7 @@
 	rates, whole := map[string]plotter.XYs{}, map[string]float64{}
 	kinds := map[string]bool{}
 	for _, r := range samples {
-		for kind := range r.Sent {
+		for kind := range r.SentBytes {
 			kinds[kind] = true
 		}
 	}
@@ -164,7 +164,7 @@
 			continue
 		}
 		for kind := range kinds {
-			rate := float64(now.Sent[kind]-was.Sent[kind]) / took / 1000
+			rate := float64(now.SentBytes[kind]-was.SentBytes[kind]) / took / 1000
 			whole[kind] += rate
 			rates[kind] = append(rates[kind], plotter.XY{X: (now.At + was.At).Seconds() / 2, Y: rate})
 		}
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -38,27 +38,27 @@
 
 // recorded is four seconds of calls, a fault, and three samples of what was sent.
 func recorded() []checker.Record {
-	records := []checker.Record{{Kind: checker.Began, Note: "a test"}}
+	records := []checker.Record{{Kind: checker.ScenarioStarted, Note: "a test"}}
 	call := func(id string, start, took time.Duration, outcome string, status, code int) {
-		records = append(records, checker.Record{Kind: checker.Called, Call: id, Request: "r" + id, Start: start, At: start + took, Outcome: outcome, Status: status, Code: code, RetryAfter: "1"})
+		records = append(records, checker.Record{Kind: checker.RequestCompleted, CallID: id, RequestID: "r" + id, Start: start, At: start + took, Outcome: outcome, Status: status, Code: code, RetryAfter: "1"})
 	}
 	ran := func(id string, at time.Duration) {
-		records = append(records, checker.Record{Kind: checker.Ran, Call: id, Request: "r" + id, At: at})
+		records = append(records, checker.Record{Kind: checker.RequestExecuted, CallID: id, RequestID: "r" + id, At: at})
 	}
 	call("a", 100*ms, 5*ms, "ran", 200, 0)
 	ran("a", 102*ms)
 	call("b", 900*ms, 7*ms, "ran", 200, 0)
 	ran("b", 903*ms)
-	records = append(records, checker.Record{Kind: checker.Hurt, At: 1200 * ms, Note: "kill core1"})
+	records = append(records, checker.Record{Kind: checker.FaultInjected, At: 1200 * ms, Note: "kill core1"})
 	call("c", 1300*ms, 9*ms, "not run", 503, 1002)
 	call("d", 1400*ms, 200*ms, "unknown", 502, 1007)
 	call("e", 3200*ms, 40*ms, "ran", 200, 0)
 	ran("e", 3210*ms)
 	call("f", 3300*ms, 4*ms, "gone", 0, 0)
 	for i, sent := range []int64{1000, 3000, 9000} {
-		records = append(records, checker.Record{Kind: checker.Sent, At: time.Duration(i+1) * time.Second, Sent: map[string]int64{"gate.try": sent, "kin.probe": 10 * sent}})
+		records = append(records, checker.Record{Kind: checker.TrafficSent, At: time.Duration(i+1) * time.Second, SentBytes: map[string]int64{"gate.try": sent, "kin.probe": 10 * sent}})
 	}
-	return append(records, checker.Record{Kind: checker.Ended, At: 4 * time.Second})
+	return append(records, checker.Record{Kind: checker.ScenarioEnded, At: 4 * time.Second})
 }
 
 func runsOf(gates ...int) (runs []hollow.Report) {
@@ -105,7 +105,7 @@
 	if diff := cmp.Diff([][3]int{{2, 2, 0}, {2, 0, 1}, {}, {1, 1, 0}}, got); diff != "" {
 		t.Error(diff)
 	}
-	long := append(recorded(), checker.Record{Kind: checker.Called, Start: time.Hour, At: time.Hour, Outcome: "ran", Status: 200})
+	long := append(recorded(), checker.Record{Kind: checker.RequestCompleted, Start: time.Hour, At: time.Hour, Outcome: "ran", Status: 200})
 	if intervals, length := cut(long); len(intervals) > intervalsMost+1 || length%time.Second != 0 {
 		t.Errorf("%d intervals of %v for an hour", len(intervals), length)
 	}
@@ -124,7 +124,7 @@
 }
 
 func TestWhatCanNotBeDrawnIsSaid(t *testing.T) {
-	if _, err := History("x", []checker.Record{{Kind: checker.Began}}); err == nil {
+	if _, err := History("x", []checker.Record{{Kind: checker.ScenarioStarted}}); err == nil {
 		t.Error("a history without a call was drawn")
 	}
 	if _, err := Slopes(runsOf(1), "luck", 1); err == nil {
--- a/internal/simulator/bonds.go
+++ b/internal/simulator/bonds.go
@@ -24,11 +24,11 @@
 // again makes a call under an id, and up to three times more while it is left
 // unknown; each try is recorded under the id.
 func (f *Fleet) again(r *rand.Rand, clients []*api.Client, rec checker.Record, call func(ctx context.Context, client *api.Client, id string, rec *checker.Record) error) (done bool) {
-	rec.Request = ids.NewID()
+	rec.RequestID = ids.NewID()
 	for range 4 {
 		client, outcome := clients[r.IntN(len(clients))], ""
 		f.bonded(rec, func(ctx context.Context, now *checker.Record) error {
-			err := call(ctx, client, rec.Request, now)
+			err := call(ctx, client, rec.RequestID, now)
 			outcome = outcomeOf(err)
 			return err
 		})
@@ -42,7 +42,7 @@
 
 func take(rec *checker.Record, receipt *api.Receipt, err error) error {
 	if err == nil {
-		rec.Stamp, rec.Count = receipt.Stamp, receipt.Count.Or(0)
+		rec.Revision, rec.Count = receipt.Stamp, receipt.Count.Or(0)
 	}
 	return err
 }
@@ -51,7 +51,7 @@
 func (f *Fleet) Bonders(n int, mean time.Duration) {
 	var clients []*api.Client
 	for _, m := range f.Machines {
-		clients = append(clients, standin.Client(f.W.Net(f.outside(61)), m.Api()))
+		clients = append(clients, standin.NewAPIClient(f.W.Net(f.outside(61)), m.Api()))
 	}
 	for i := range n {
 		f.task(func(r *rand.Rand) {
@@ -75,9 +75,9 @@
 				f.bonded(checker.Record{Op: "list", Name: space}, func(ctx context.Context, rec *checker.Record) error {
 					receipt, err := client.ListKeys(ctx, api.ListKeysParams{Prefix: space})
 					if err == nil {
-						rec.Stamp = receipt.Stamp
+						rec.Revision = receipt.Stamp
 						for _, k := range receipt.Keys {
-							rec.Names, rec.Stamps = append(rec.Names, k.Name), append(rec.Stamps, k.Stamp)
+							rec.Names, rec.Revisions = append(rec.Names, k.Name), append(rec.Revisions, k.Stamp)
 						}
 					}
 					return err
@@ -102,7 +102,7 @@
 		}
 		if err == nil {
 			stamp, isRead = receipt.Stamp, true
-			rec.Stamp, rec.Digest = receipt.Stamp, string(receipt.Value)
+			rec.Revision, rec.Digest = receipt.Stamp, string(receipt.Value)
 		}
 		return err
 	})
@@ -110,7 +110,7 @@
 		return
 	}
 	value, _ := json.Marshal(r.Uint32())
-	f.again(r, clients, checker.Record{Op: "put", Name: key, IsIf: true, From: stamp, Digest: string(value)}, func(ctx context.Context, client *api.Client, id string, rec *checker.Record) error {
+	f.again(r, clients, checker.Record{Op: "put", Name: key, IsConditional: true, From: stamp, Digest: string(value)}, func(ctx context.Context, client *api.Client, id string, rec *checker.Record) error {
 		receipt, err := client.PutKey(ctx, &api.Call{Name: key, Value: jx.Raw(value), If: api.NewOptUint64(stamp), ID: api.NewOptString(id)})
 		return take(rec, receipt, err)
 	})
@@ -128,15 +128,15 @@
 			return nil
 		}
 		if err == nil {
-			rec.Fence, rec.Holder = receipt.Fence.Or(0), receipt.Holder.Or("")
+			rec.FencingToken, rec.Holder = receipt.Fence.Or(0), receipt.Holder.Or("")
 		}
 		return err
 	})
-	err := f.bonded(checker.Record{Op: "acquire", Name: "head", Holder: session, Ttl: ttl}, func(ctx context.Context, rec *checker.Record) error {
+	err := f.bonded(checker.Record{Op: "acquire", Name: "head", Holder: session, TTL: ttl}, func(ctx context.Context, rec *checker.Record) error {
 		receipt, err := client.Elect(ctx, &api.Call{Name: "head", Holder: api.NewOptString(session), TTL: api.NewOptInt64(ttl.Milliseconds()), Value: jx.Raw(`"here"`), ID: api.NewOptString(ids.NewID())}, api.ElectParams{Verb: api.ElectVerbCampaign})
 		if err == nil {
 			fence = receipt.Fence.Or(0)
-			rec.Fence = fence
+			rec.FencingToken = fence
 		}
 		return err
 	})
@@ -145,7 +145,7 @@
 	}
 	time.Sleep(time.Duration(r.Int64N(int64(ttl))))
 	if r.IntN(2) == 0 {
-		f.bonded(checker.Record{Op: "release", Name: "head", Holder: session, Fence: fence}, func(ctx context.Context, rec *checker.Record) error {
+		f.bonded(checker.Record{Op: "release", Name: "head", Holder: session, FencingToken: fence}, func(ctx context.Context, rec *checker.Record) error {
 			_, err := client.Elect(ctx, &api.Call{Name: "head", Holder: api.NewOptString(session), Fence: api.NewOptUint64(fence), ID: api.NewOptString(ids.NewID())}, api.ElectParams{Verb: api.ElectVerbResign})
 			return err
 		})
@@ -154,7 +154,7 @@
 
 // countUp reads the counters at the end, when nothing else goes on.
 func (f *Fleet) countUp() {
-	client := standin.Client(f.W.Net(f.outside(92)), f.Cores()[0].Api())
+	client := standin.NewAPIClient(f.W.Net(f.outside(92)), f.Cores()[0].Api())
 	for i := range 2 {
 		f.Until(10*time.Second, func() bool {
 			return f.bonded(checker.Record{Op: "total", Name: fmt.Sprint("total/", i)}, func(ctx context.Context, rec *checker.Record) error {
--- a/internal/simulator/contact_test.go
+++ b/internal/simulator/contact_test.go
@@ -120,7 +120,7 @@
 	if got := f.givesOut(t, m); len(got) > 0 {
 		t.Errorf("without contact it gives out %v", got)
 	}
-	client := standin.Client(f.W.Net(f.outside(1)), m.Api())
+	client := standin.NewAPIClient(f.W.Net(f.outside(1)), m.Api())
 	server := f.Servers("rates")[0]
 	beat := &api.Beat{Service: server.Service, Instance: server.Instance, Seq: 1 << 40, Address: server.Address, Zone: api.NewOptString(server.Zone), Weight: api.NewOptInt(1), State: "serving"}
 	for name, call := range f.calls(client, beat, f.setChange(f.Rand, "cut off", view)) {
--- a/internal/simulator/double_test.go
+++ b/internal/simulator/double_test.go
@@ -18,10 +18,10 @@
 	inFleet(t, shape, func(t *testing.T, f *Fleet) {
 		for _, name := range []string{"rates", "bookings"} {
 			for _, s := range f.Servers(name) {
-				s.Work = 50 * time.Millisecond
+				s.ServiceTime = 50 * time.Millisecond
 			}
 		}
-		caller := standin.NewCaller(f.W.Net(f.outside(5)), f.H)
+		caller := standin.NewClient(f.W.Net(f.outside(5)), f.H)
 		defer caller.Close()
 		call := func(method, path string) (int, time.Duration) {
 			began := time.Now()
@@ -69,7 +69,7 @@
 		runs := map[string]int{}
 		for _, r := range f.H.Records()[before:] {
 			if r.Kind == "ran" && r.Service == "bookings" {
-				runs[r.Call]++
+				runs[r.CallID]++
 			}
 		}
 		for id, n := range runs {
--- a/internal/simulator/dream_test.go
+++ b/internal/simulator/dream_test.go
@@ -46,7 +46,7 @@
 			t.Parallel()
 			var mu sync.Mutex
 			var recoveries []time.Duration
-			var served checker.Served
+			var served checker.Availability
 			var ran, inTouch int
 			t.Cleanup(func() {
 				sort.Slice(recoveries, func(i, j int) bool { return recoveries[i] < recoveries[j] })
@@ -61,8 +61,8 @@
 					if recovery, some, counts, ok := dreamOf(t, s, seed); ok {
 						mu.Lock()
 						recoveries = append(recoveries, recovery)
-						served = served.Plus(some)
-						ran, inTouch = ran+counts[checker.Ran], inTouch+counts["ran in touch"]
+						served = served.Add(some)
+						ran, inTouch = ran+counts[checker.RequestExecuted], inTouch+counts["ran in touch"]
 						mu.Unlock()
 					}
 				})
@@ -90,7 +90,7 @@
 	return list
 }
 
-func dreamOf(t *testing.T, s Scenario, seed uint64) (recovery time.Duration, served checker.Served, counts map[string]int, ok bool) {
+func dreamOf(t *testing.T, s Scenario, seed uint64) (recovery time.Duration, served checker.Availability, counts map[string]int, ok bool) {
 	var log io.Writer = io.Discard
 	var kept bytes.Buffer
 	if *keep != "" {
@@ -111,7 +111,7 @@
 				fmt.Fprintf(&report, "scenario %s seed %d: there is no %q; a history that lacks it proves nothing\n", s.Name, seed, what)
 			}
 		}
-		if !result.Verdict.IsClean() {
+		if !result.Verdict.IsValid() {
 			for _, r := range result.Fleet.H.Records() {
 				line, _ := json.Marshal(r)
 				history = append(append(history, line...), '\n')
--- a/internal/simulator/fleet.go
+++ b/internal/simulator/fleet.go
@@ -76,12 +76,12 @@
 
 func NewFleet(seed uint64, shape Shape, log io.Writer) *Fleet {
 	ctx, end := context.WithCancel(context.Background())
-	f := &Fleet{W: NewWorld(seed), H: checker.New(nil), Shape: shape, Log: log, Rand: rand.New(&chance{pcg: rand.NewPCG(seed, 7)}), ctx: ctx, end: end}
+	f := &Fleet{W: NewWorld(seed), H: checker.NewHistory(nil), Shape: shape, Log: log, Rand: rand.New(&chance{pcg: rand.NewPCG(seed, 7)}), ctx: ctx, end: end}
 	f.isLoad.Store(true)
 	f.conformance.Breached = func(invariant, detail string) {
-		f.H.Add(checker.Record{Kind: checker.Differ, Note: invariant + ": " + detail})
+		f.H.Add(checker.Record{Kind: checker.ReplicaDivergence, Note: invariant + ": " + detail})
 	}
-	f.H.Add(checker.Record{Kind: checker.Began, Note: fmt.Sprint("seed ", seed)})
+	f.H.Add(checker.Record{Kind: checker.ScenarioStarted, Note: fmt.Sprint("seed ", seed)})
 	for i := range shape.Cores {
 		f.Add(fmt.Sprintf("core%d", i+1), i%shape.Zones, true, false)
 	}
@@ -154,7 +154,7 @@
 		return err
 	}
 	if m.IsProxy {
-		m.f.H.Add(checker.Record{Kind: checker.Alive, Proxy: m.Gate()})
+		m.f.H.Add(checker.Record{Kind: checker.ProxyStarted, Proxy: m.Gate()})
 	}
 	journal := eventlog.New(m.f.Log, "debug", m.Name)
 	journal.Told = m.f.hear
@@ -195,9 +195,9 @@
 func (f *Fleet) hear(e eventlog.Entry) {
 	switch e.Event.No {
 	case eventlog.TargetGoing.No:
-		f.H.Add(checker.Record{Kind: checker.Known, Service: e.Pairs[1].(string), Instance: e.Pairs[3].(string), Note: "taken in"})
+		f.H.Add(checker.Record{Kind: checker.DrainAcknowledged, Service: e.Pairs[1].(string), Instance: e.Pairs[3].(string), Note: "taken in"})
 	case eventlog.PartBroken.No, eventlog.PartMended.No:
-		f.H.Add(checker.Record{Kind: checker.Differ, Note: fmt.Sprint(e.Event.Text, " ", e.Pairs)})
+		f.H.Add(checker.Record{Kind: checker.ReplicaDivergence, Note: fmt.Sprint(e.Event.Text, " ", e.Pairs)})
 	}
 }
 
@@ -270,9 +270,9 @@
 	if ip == "" {
 		ip = f.host(zone)
 	}
-	s := f.fit(&standin.Server{Net: f.W.Net(ip), H: f.H, Service: service, Zone: fmt.Sprint("zone", zone+1), Address: ip + ":8000", Key: "key-" + service, Nodes: f.apis(), Work: 2 * time.Millisecond})
+	s := f.fit(&standin.Server{Network: f.W.Net(ip), History: f.H, Service: service, Zone: fmt.Sprint("zone", zone+1), Address: ip + ":8000", SealKey: "key-" + service, Nodes: f.apis(), ServiceTime: 2 * time.Millisecond})
 	if f.Shape.Work > 0 {
-		s.Work = time.Duration(f.Rand.Int64N(int64(f.Shape.Work)))
+		s.ServiceTime = time.Duration(f.Rand.Int64N(int64(f.Shape.Work)))
 	}
 	if err := s.Start(f.ctx); err != nil {
 		panic(err)
--- a/internal/simulator/found_test.go
+++ b/internal/simulator/found_test.go
@@ -145,7 +145,7 @@
 			stopped <- time.Now()
 		}()
 		time.Sleep(time.Second)
-		client := standin.Client(f.W.Net(f.outside(1)), f.Of("core3").Api())
+		client := standin.NewAPIClient(f.W.Net(f.outside(1)), f.Of("core3").Api())
 		if !f.Until(1500*time.Millisecond, func() bool {
 			_, err := client.PutKey(f.ctx, &api.Call{Name: "app/a", Value: jx.Raw(`"x"`)})
 			return err == nil
--- a/internal/simulator/full_test.go
+++ b/internal/simulator/full_test.go
@@ -19,7 +19,7 @@
 		no := ids.ShardOf("app/a")
 		full := f.owner(no)
 		node := full.Node()
-		client := standin.Client(f.W.Net(f.outside(1)), full.Api())
+		client := standin.NewAPIClient(f.W.Net(f.outside(1)), full.Api())
 		put := func() bool {
 			_, err := client.PutKey(f.ctx, &api.Call{Name: "app/a", Value: jx.Raw(`"x"`)})
 			return err == nil
--- a/internal/simulator/gate_test.go
+++ b/internal/simulator/gate_test.go
@@ -34,7 +34,7 @@
 
 func ranOf(f *Fleet, call string) (n int) {
 	for _, r := range f.H.Records() {
-		if r.Kind == checker.Ran && r.Call == call {
+		if r.Kind == checker.RequestExecuted && r.CallID == call {
 			n++
 		}
 	}
@@ -53,7 +53,7 @@
 			if i == 1 {
 				body = fmt.Sprintf("%x\r\n%s\r\n", len(body), body)
 			}
-			fmt.Fprintf(conn, "POST /bookings HTTP/1.1\r\nHost: x\r\n%s: %s\r\n%s\r\n\r\n%s", standin.CallHeader, call, head, body)
+			fmt.Fprintf(conn, "POST /bookings HTTP/1.1\r\nHost: x\r\n%s: %s\r\n%s\r\n\r\n%s", standin.HeaderCall, call, head, body)
 			time.Sleep(100 * time.Millisecond)
 			conn.Close()
 			time.Sleep(4 * time.Second)
@@ -61,9 +61,9 @@
 				t.Errorf("%s: a cut upload ran %d times", head, n)
 			}
 		}
-		caller := standin.NewCaller(f.W.Net(f.outside(3)), f.H)
+		caller := standin.NewClient(f.W.Net(f.outside(3)), f.H)
 		defer caller.Close()
-		got := caller.Repeat(f.ctx, f.Of("proxy1").Gate(), "POST", "/bookings", "bookings", []byte(strings.Repeat("y", 500000)), "whole", false)
+		got := caller.CallWithID(f.ctx, f.Of("proxy1").Gate(), "POST", "/bookings", "bookings", []byte(strings.Repeat("y", 500000)), "whole", false)
 		if got.Outcome != "ran" || got.Note != "" || ranOf(f, "whole") != 1 {
 			t.Errorf("a whole upload: %+v", got)
 		}
@@ -74,7 +74,7 @@
 	shape := Small()
 	shape.Servers = map[string]int{"bookings": 2, "rates": 1}
 	inFleet(t, shape, func(t *testing.T, f *Fleet) {
-		client := standin.Client(f.W.Net(f.outside(4)), f.Cores()[0].Api())
+		client := standin.NewAPIClient(f.W.Net(f.outside(4)), f.Cores()[0].Api())
 		view, err := client.Epoch(f.ctx)
 		if err != nil {
 			t.Fatal(err)
@@ -86,7 +86,7 @@
 		f.Shape.Settings["strength"] = "300"
 		f.up(f.Of("proxy2"))
 		for _, s := range f.Servers("bookings") {
-			s.Work = time.Second
+			s.ServiceTime = time.Second
 		}
 		time.Sleep(3 * time.Second)
 		for name, share := range map[string]int{"proxy1": 2, "proxy2": 6} {
@@ -97,7 +97,7 @@
 				all.Add(1)
 				go func() {
 					defer all.Done()
-					caller := standin.NewCaller(f.W.Net(f.outside(5)), f.H)
+					caller := standin.NewClient(f.W.Net(f.outside(5)), f.H)
 					defer caller.Close()
 					began := time.Now()
 					got := caller.Call(context.Background(), f.Of(name).Gate(), "POST", "/bookings", "bookings", []byte("{}"))
@@ -124,7 +124,7 @@
 // A part in which no server was ever heard is known to be empty, not unknown.
 func TestAServiceWithoutServersHasNoTarget(t *testing.T) {
 	inFleet(t, one(), func(t *testing.T, f *Fleet) {
-		client := standin.Client(f.W.Net(f.outside(4)), f.Cores()[0].Api())
+		client := standin.NewAPIClient(f.W.Net(f.outside(4)), f.Cores()[0].Api())
 		view, err := client.Epoch(f.ctx)
 		if err != nil {
 			t.Fatal(err)
@@ -139,7 +139,7 @@
 			t.Fatal(err)
 		}
 		time.Sleep(2 * time.Second)
-		caller := standin.NewCaller(f.W.Net(f.outside(5)), f.H)
+		caller := standin.NewClient(f.W.Net(f.outside(5)), f.H)
 		defer caller.Close()
 		for i := range 8 {
 			if got := caller.Call(f.ctx, f.Of("proxy1").Gate(), "POST", fmt.Sprint("/lonely", i), "", nil); got.Code != errcode.NoTarget.No {
@@ -153,11 +153,11 @@
 	shape := one()
 	shape.Settings["gate.body"] = "4096"
 	inFleet(t, shape, func(t *testing.T, f *Fleet) {
-		f.replace(f.Servers("bookings")[0], func(int64) string { return standin.Huge })
+		f.replace(f.Servers("bookings")[0], func(int64) string { return standin.OversizedResponse })
 		time.Sleep(2 * time.Second)
-		caller := standin.NewCaller(f.W.Net(f.outside(5)), f.H)
+		caller := standin.NewClient(f.W.Net(f.outside(5)), f.H)
 		defer caller.Close()
-		got := caller.Repeat(f.ctx, f.Of("proxy1").Gate(), "POST", "/bookings", "bookings", []byte("{}"), "huge", false)
+		got := caller.CallWithID(f.ctx, f.Of("proxy1").Gate(), "POST", "/bookings", "bookings", []byte("{}"), "huge", false)
 		if got.Code != errcode.AnswerTooLarge.No || got.Outcome != "unknown" || ranOf(f, "huge") != 1 {
 			t.Errorf("%+v, ran %d times", got, ranOf(f, "huge"))
 		}
@@ -169,11 +169,11 @@
 func TestWhatACutHeldBackDoesNotArriveLater(t *testing.T) {
 	inFleet(t, one(), func(t *testing.T, f *Fleet) {
 		proxyNode, server := f.Of("proxy1"), f.Servers("bookings")[0]
-		caller := standin.NewCaller(f.W.Net(f.outside(5)), f.H)
+		caller := standin.NewClient(f.W.Net(f.outside(5)), f.H)
 		defer caller.Close()
-		warm := caller.Repeat(f.ctx, proxyNode.Gate(), "POST", "/bookings", "bookings", []byte("{}"), "warm", false)
+		warm := caller.CallWithID(f.ctx, proxyNode.Gate(), "POST", "/bookings", "bookings", []byte("{}"), "warm", false)
 		f.W.Cut(proxyNode.IP, host(server.Address))
-		held := caller.Repeat(f.ctx, proxyNode.Gate(), "POST", "/bookings", "bookings", []byte("{}"), "held", false)
+		held := caller.CallWithID(f.ctx, proxyNode.Gate(), "POST", "/bookings", "bookings", []byte("{}"), "held", false)
 		f.W.Heal()
 		time.Sleep(5 * time.Second)
 		if warm.Outcome != "ran" || held.Outcome != "unknown" || ranOf(f, "held") != 0 {
@@ -187,13 +187,13 @@
 func TestAnUploadThatACutHeldBackDoesNotArriveLater(t *testing.T) {
 	inFleet(t, one(), func(t *testing.T, f *Fleet) {
 		proxyNode, server := f.Of("proxy1"), f.Servers("bookings")[0]
-		caller := standin.NewCaller(f.W.Net(f.outside(5)), f.H)
+		caller := standin.NewClient(f.W.Net(f.outside(5)), f.H)
 		defer caller.Close()
 		body := []byte(strings.Repeat("x", 300000))
-		warm := caller.Repeat(f.ctx, proxyNode.Gate(), "POST", "/bookings", "bookings", body, "warm", false)
+		warm := caller.CallWithID(f.ctx, proxyNode.Gate(), "POST", "/bookings", "bookings", body, "warm", false)
 		f.W.Cut(proxyNode.IP, host(server.Address))
 		time.AfterFunc(2600*time.Millisecond, f.W.Heal)
-		held := caller.Repeat(f.ctx, proxyNode.Gate(), "POST", "/bookings", "bookings", body, "held", false)
+		held := caller.CallWithID(f.ctx, proxyNode.Gate(), "POST", "/bookings", "bookings", body, "held", false)
 		time.Sleep(5 * time.Second)
 		if warm.Outcome != "ran" || held.Outcome != "unknown" || ranOf(f, "held") != 0 {
 			t.Errorf("%+v\n%+v, ran %d times", warm, held, ranOf(f, "held"))
--- a/internal/simulator/gone_test.go
+++ b/internal/simulator/gone_test.go
@@ -18,11 +18,11 @@
 		}
 		inFleet(t, shape, func(t *testing.T, f *Fleet) {
 			for _, s := range f.Servers("rates") {
-				s.Drops, s.Work = true, 3*time.Second
+				s.CancelsOnDisconnect, s.ServiceTime = true, 3*time.Second
 			}
 			dropped := func() (n int64) {
 				for _, s := range f.Servers("rates") {
-					n += s.Dropped.Load()
+					n += s.Cancelled.Load()
 				}
 				return n
 			}
--- a/internal/simulator/hold_test.go
+++ b/internal/simulator/hold_test.go
@@ -26,7 +26,7 @@
 		if list := proxyNode.Flow.Cache.Chart().Targets["rates"]; len(list) != 0 {
 			t.Error("the proxy still has", list)
 		}
-		client := standin.Client(f.W.Net(f.outside(1)), f.Of("proxy1").Api())
+		client := standin.NewAPIClient(f.W.Net(f.outside(1)), f.Of("proxy1").Api())
 		view, err := client.Epoch(f.ctx)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/simulator/hurts.go
+++ b/internal/simulator/hurts.go
@@ -74,7 +74,7 @@
 			operator.Submit(f.ctx, f.change(fmt.Sprint("a-", f.changes.Add(1)), view.Epoch))
 		}
 	} else {
-		client := standin.Client(f.W.Net(f.outside(70)), proxyNode.Api())
+		client := standin.NewAPIClient(f.W.Net(f.outside(70)), proxyNode.Api())
 		f.bonded(checker.Record{Op: "put", Name: name}, func(ctx context.Context, rec *checker.Record) error {
 			receipt, err := client.PutKey(ctx, &api.Call{Name: name, Value: jx.Raw("1")})
 			return take(rec, receipt, err)
@@ -96,7 +96,7 @@
 }
 
 func (f *Fleet) readBack(name string) {
-	client := standin.Client(f.W.Net(f.outside(70)), f.pick(f.Proxies()).Api())
+	client := standin.NewAPIClient(f.W.Net(f.outside(70)), f.pick(f.Proxies()).Api())
 	f.bonded(checker.Record{Op: "get", Name: name}, func(ctx context.Context, rec *checker.Record) error {
 		receipt, err := client.GetKey(ctx, api.GetKeyParams{Name: name})
 		if standin.CodeOf(err) == 3008 {
@@ -147,7 +147,7 @@
 	f.Say("a herd of %d servers vanishes (zone %v)", len(gone), isZone)
 	for _, s := range gone {
 		f.Forget(s)
-		s.Vanish()
+		s.Crash()
 	}
 	f.nap(0, 3*time.Second)
 	for _, s := range gone {
@@ -244,11 +244,11 @@
 			}
 			defer conn.Close()
 			call, isWhole := ids.NewID(), r.IntN(2) == 0
-			rec := checker.Record{Kind: checker.Called, Start: f.H.Now(), Call: call, Proxy: proxyNode, Service: "bookings", Mapping: "/bookings", Digest: standin.Digest([]byte(body)), Outcome: "gone"}
+			rec := checker.Record{Kind: checker.RequestCompleted, Start: f.H.Now(), CallID: call, Proxy: proxyNode, Service: "bookings", Path: "/bookings", Digest: standin.Digest([]byte(body)), Outcome: "gone"}
 			if f.Shape.IsStay {
-				rec.IsTry, rec.Request = true, ids.NewID()
+				rec.PerAttempt, rec.RequestID = true, ids.NewID()
 			}
-			fmt.Fprintf(conn, "POST /bookings HTTP/1.1\r\nHost: x\r\n%s: %s\r\n%s: %s\r\nContent-Length: %d\r\n\r\n", standin.CallHeader, call, proxy.HeaderRequestID, rec.Request, len(body))
+			fmt.Fprintf(conn, "POST /bookings HTTP/1.1\r\nHost: x\r\n%s: %s\r\n%s: %s\r\nContent-Length: %d\r\n\r\n", standin.HeaderCall, call, proxy.HeaderRequestID, rec.RequestID, len(body))
 			for at := 0; at < len(body) && (isWhole || at < len(body)/2); at += 16000 {
 				io.WriteString(conn, body[at:min(at+16000, len(body))])
 				pause(r, 40*time.Millisecond)
--- a/internal/simulator/keepers_test.go
+++ b/internal/simulator/keepers_test.go
@@ -38,7 +38,7 @@
 		if !f.Until(5*time.Second, func() bool { return chart() > 0 }) {
 			t.Fatal("a proxy got no plan")
 		}
-		client := standin.Client(f.W.Net(f.outside(1)), f.Of("proxy1").Api())
+		client := standin.NewAPIClient(f.W.Net(f.outside(1)), f.Of("proxy1").Api())
 		for i := range 4 {
 			view, err := client.Epoch(f.ctx)
 			if err != nil {
--- a/internal/simulator/load.go
+++ b/internal/simulator/load.go
@@ -61,12 +61,12 @@
 func (f *Fleet) Stormers(n int) {
 	for range n {
 		caller := f.caller(30)
-		caller.Once = !f.Shape.IsTwice && !f.Shape.IsStay
+		caller.AtMostOnce = !f.Shape.IsTwice && !f.Shape.IsStay
 		proxies := f.Proxies()
 		f.task(func(r *rand.Rand) {
 			call, body := ids.NewID(), []byte(`{"storm":1}`)
 			for try := range 30 {
-				got := caller.Repeat(f.ctx, proxies[r.IntN(len(proxies))].Gate(), "POST", "/bookings", "bookings", body, call, try > 0)
+				got := caller.CallWithID(f.ctx, proxies[r.IntN(len(proxies))].Gate(), "POST", "/bookings", "bookings", body, call, try > 0)
 				if got.Outcome == "ran" || got.Code == 1017 || !f.isLoad.Load() {
 					break
 				}
@@ -122,12 +122,12 @@
 			id := fmt.Sprintf("c%d-%d", i, f.changes.Add(1))
 			change := f.change(id, view.Epoch)
 			if r.IntN(6) == 0 {
-				change.Put.Value.Mappings[0].To[0].Service = standin.Nowhere
+				change.Put.Value.Mappings[0].To[0].Service = standin.MissingService
 			}
 			_, err = o.Submit(f.ctx, change)
 			if err != nil && r.IntN(2) == 0 {
 				pause(r, time.Second)
-				o.Ask(f.ctx, id)
+				o.QueryChange(f.ctx, id)
 			}
 		})
 	}
@@ -137,7 +137,7 @@
 func (f *Fleet) Apps(n int, mean time.Duration) {
 	clients := []*api.Client{}
 	for _, m := range f.Machines {
-		clients = append(clients, standin.Client(f.W.Net(f.outside(60)), m.Api()))
+		clients = append(clients, standin.NewAPIClient(f.W.Net(f.outside(60)), m.Api()))
 	}
 	for i := range n {
 		holder := fmt.Sprint("app", i)
@@ -151,7 +151,7 @@
 				f.bonded(checker.Record{Op: "add", Name: fmt.Sprint("count/", r.IntN(3))}, func(ctx context.Context, rec *checker.Record) error {
 					receipt, err := client.AddCounter(ctx, &api.Call{Name: rec.Name, ID: api.NewOptString(ids.NewID())})
 					if err == nil {
-						rec.Count, rec.Stamp = receipt.Count.Or(0), receipt.Stamp
+						rec.Count, rec.Revision = receipt.Count.Or(0), receipt.Stamp
 					}
 					return err
 				})
@@ -160,7 +160,7 @@
 					value, _ := json.Marshal(r.Uint32())
 					receipt, err := client.PutKey(ctx, &api.Call{Name: rec.Name, Value: jx.Raw(value), ID: api.NewOptString(ids.NewID())})
 					if err == nil {
-						rec.Stamp = receipt.Stamp
+						rec.Revision = receipt.Stamp
 					}
 					return err
 				})
@@ -171,7 +171,7 @@
 						return nil
 					}
 					if err == nil {
-						rec.Stamp = receipt.Stamp
+						rec.Revision = receipt.Stamp
 					}
 					return err
 				})
@@ -191,7 +191,7 @@
 
 // bonded records one coordination call.
 func (f *Fleet) bonded(r checker.Record, call func(ctx context.Context, r *checker.Record) error) error {
-	r.Kind, r.Start = checker.Bonded, f.H.Now()
+	r.Kind, r.Start = checker.CoordinationCall, f.H.Now()
 	ctx, end := context.WithTimeout(f.ctx, 4*time.Second)
 	defer end()
 	err := call(ctx, &r)
@@ -214,11 +214,11 @@
 	const ttl = 2 * time.Second
 	var fence uint64
 	session := holder + "-" + ids.NewID()
-	err := f.bonded(checker.Record{Op: "acquire", Name: name, Holder: session, Ttl: ttl}, func(ctx context.Context, rec *checker.Record) error {
+	err := f.bonded(checker.Record{Op: "acquire", Name: name, Holder: session, TTL: ttl}, func(ctx context.Context, rec *checker.Record) error {
 		receipt, err := client.Lock(ctx, &api.Call{Name: name, Holder: api.NewOptString(session), TTL: api.NewOptInt64(ttl.Milliseconds()), ID: api.NewOptString(ids.NewID())}, api.LockParams{Verb: api.LockVerbAcquire})
 		if err == nil {
 			fence = receipt.Fence.Or(0)
-			rec.Fence = fence
+			rec.FencingToken = fence
 		}
 		return err
 	})
@@ -227,7 +227,7 @@
 	}
 	for range r.IntN(4) {
 		time.Sleep(time.Duration(r.Int64N(int64(ttl))))
-		err := f.bonded(checker.Record{Op: "renew", Name: name, Holder: session, Fence: fence, Ttl: ttl}, func(ctx context.Context, rec *checker.Record) error {
+		err := f.bonded(checker.Record{Op: "renew", Name: name, Holder: session, FencingToken: fence, TTL: ttl}, func(ctx context.Context, rec *checker.Record) error {
 			_, err := client.Lock(ctx, &api.Call{Name: name, Holder: api.NewOptString(session), Fence: api.NewOptUint64(fence)}, api.LockParams{Verb: api.LockVerbRenew})
 			return err
 		})
@@ -236,7 +236,7 @@
 		}
 	}
 	if r.IntN(3) > 0 {
-		f.bonded(checker.Record{Op: "release", Name: name, Holder: session, Fence: fence}, func(ctx context.Context, rec *checker.Record) error {
+		f.bonded(checker.Record{Op: "release", Name: name, Holder: session, FencingToken: fence}, func(ctx context.Context, rec *checker.Record) error {
 			_, err := client.Lock(ctx, &api.Call{Name: name, Holder: api.NewOptString(session), Fence: api.NewOptUint64(fence), ID: api.NewOptString(ids.NewID())}, api.LockParams{Verb: api.LockVerbRelease})
 			return err
 		})
@@ -247,13 +247,13 @@
 func (f *Fleet) watchOnce(r *rand.Rand, client *api.Client, name string, from *uint64) {
 	ctx, end := context.WithTimeout(f.ctx, 6*time.Second)
 	defer end()
-	rec := checker.Record{Kind: checker.Watched, Start: f.H.Now(), Name: name, From: *from}
+	rec := checker.Record{Kind: checker.WatchResponse, Start: f.H.Now(), Name: name, From: *from}
 	receipt, err := client.Watch(ctx, api.WatchParams{Name: name, From: *from, Hold: api.NewOptInt64(2000)})
 	switch {
 	case err == nil:
-		rec.Outcome, rec.Stamp = "done", receipt.Stamp
+		rec.Outcome, rec.Revision = "done", receipt.Stamp
 		for _, e := range receipt.Events {
-			rec.Stamps = append(rec.Stamps, e.Stamp)
+			rec.Revisions = append(rec.Revisions, e.Stamp)
 		}
 		if *from > 0 {
 			f.H.Add(rec)
--- a/internal/simulator/manner.go
+++ b/internal/simulator/manner.go
@@ -45,25 +45,25 @@
 }
 
 // caller is a stand-in caller at a machine outside, in the fleet's manner.
-func (f *Fleet) caller(at int) *standin.Caller {
-	caller := standin.NewCaller(f.W.Net(f.outside(at)), f.H)
-	caller.IsPlain = f.Shape.IsStay
+func (f *Fleet) caller(at int) *standin.Client {
+	caller := standin.NewClient(f.W.Net(f.outside(at)), f.H)
+	caller.Opaque = f.Shape.IsStay
 	return caller
 }
 
 // fit gives a server the fleet's manner.
 func (f *Fleet) fit(s *standin.Server) *standin.Server {
 	if f.Shape.IsStay {
-		s.IsPlain, s.Every, s.Silence = true, stayBeat, staySilence
+		s.Opaque, s.HeartbeatInterval, s.FailureTimeout = true, stayBeat, staySilence
 	}
 	return s
 }
 
 // ways are how a server may misbehave.
 func (f *Fleet) ways() []string {
-	ways := []string{standin.LoseIt, standin.Garbage, standin.Cut, standin.Unsealed, standin.Swapped, standin.Slow, standin.Unframed, standin.Twice, standin.HalfHead}
+	ways := []string{standin.CloseUnanswered, standin.Garbage, standin.TruncatedBody, standin.Unsealed, standin.SwappedResponse, standin.Slow, standin.UnframedResponse, standin.DuplicateResponse, standin.TruncatedHeader}
 	if f.Shape.IsStay {
-		ways = append(ways, standin.Surplus, standin.Denied, standin.Full, standin.Early)
+		ways = append(ways, standin.SurplusResponse, standin.ContradictoryNotRun, standin.Overloaded, standin.RejectedEarly)
 	}
 	return ways
 }
@@ -100,7 +100,7 @@
 	for c.node.Load() == nil {
 		time.Sleep(time.Millisecond)
 	}
-	mark := fmt.Sprintf("\r\n%s: %d\r\n%s: %s\r\n", standin.ActsOnHeader, c.node.Load().Flow.Cache.Chart().Epoch, standin.ActsAsHeader, c.as)
+	mark := fmt.Sprintf("\r\n%s: %d\r\n%s: %s\r\n", standin.HeaderActingEpoch, c.node.Load().Flow.Cache.Chart().Epoch, standin.HeaderActingProxy, c.as)
 	n, err := c.conn.Write([]byte(string(head) + mark + string(rest)))
 	return max(min(n-len(mark)+2, len(p)), 0), err
 }
@@ -166,7 +166,7 @@
 				continue
 			}
 			isIn[proxyNode] = is
-			rec := checker.Record{Kind: checker.Touch, Proxy: proxyNode.Gate(), Outcome: "out"}
+			rec := checker.Record{Kind: checker.ProxyContact, Proxy: proxyNode.Gate(), Outcome: "out"}
 			if is {
 				rec.Outcome = "in"
 			}
--- a/internal/simulator/metrics_test.go
+++ b/internal/simulator/metrics_test.go
@@ -222,7 +222,7 @@
 		s := newScript(f)
 		defer s.http.CloseIdleConnections()
 		for _, server := range f.Servers("rates") {
-			server.Vanish()
+			server.Crash()
 		}
 		time.Sleep(5 * time.Second)
 		proxyNode := f.Of("proxy1")
--- a/internal/simulator/order_test.go
+++ b/internal/simulator/order_test.go
@@ -17,9 +17,9 @@
 	shape := Small()
 	shape.Servers = map[string]int{"bookings": 1, "rates": 1, "desk": 1}
 	inFleet(t, shape, func(t *testing.T, f *Fleet) {
-		caller := standin.NewCaller(f.W.Net(f.outside(3)), f.H)
+		caller := standin.NewClient(f.W.Net(f.outside(3)), f.H)
 		defer caller.Close()
-		first := caller.Repeat(f.ctx, f.Of("proxy1").Gate(), "POST", "/bookings", "bookings", []byte("{}"), "moved", false)
+		first := caller.CallWithID(f.ctx, f.Of("proxy1").Gate(), "POST", "/bookings", "bookings", []byte("{}"), "moved", false)
 		if first.Outcome != "ran" {
 			t.Fatalf("%+v", first)
 		}
@@ -33,7 +33,7 @@
 			t.Fatal(err)
 		}
 		time.Sleep(3 * time.Second)
-		again := caller.Repeat(f.ctx, f.Of("proxy2").Gate(), "POST", "/bookings", "desk", []byte("{}"), "moved", true)
+		again := caller.CallWithID(f.ctx, f.Of("proxy2").Gate(), "POST", "/bookings", "desk", []byte("{}"), "moved", true)
 		if again.Code != errcode.OrderRan.No || again.Outcome != "ran" || ranOf(f, "moved") != 1 {
 			t.Errorf("the order ran %d times, its repeat was answered %+v", ranOf(f, "moved"), again)
 		}
@@ -45,7 +45,7 @@
 func TestARepeatedCallWithoutAnOwnerIsUnknown(t *testing.T) {
 	inFleet(t, Small(), func(t *testing.T, f *Fleet) {
 		proxyNode := f.Of("proxy1")
-		client := standin.Client(f.W.Net(f.outside(4)), proxyNode.Api())
+		client := standin.NewAPIClient(f.W.Net(f.outside(4)), proxyNode.Api())
 		operator := standin.NewOperator(f.W.Net(f.outside(4)), f.H, proxyNode.Api())
 		view, err := operator.Epoch(f.ctx)
 		if err != nil {
--- a/internal/simulator/repair_test.go
+++ b/internal/simulator/repair_test.go
@@ -36,7 +36,7 @@
 		if err := f.Boot(); err != nil {
 			t.Fatal(err)
 		}
-		client := standin.Client(f.W.Net(f.outside(1)), f.Cores()[0].Api())
+		client := standin.NewAPIClient(f.W.Net(f.outside(1)), f.Cores()[0].Api())
 		put := func(value string) {
 			if _, err := client.PutKey(context.Background(), &api.Call{Name: "app/a", Value: jx.Raw(value)}); err != nil {
 				t.Fatal(err)
@@ -46,7 +46,7 @@
 		no := ids.ShardOf("app/a")
 		time.Sleep(time.Second)
 		m := follower(f, no)
-		book := m.Node().Books[no]
+		book := m.Node().Stores[no]
 		for name := range book.RangeDigests() {
 			if name != "receipts" {
 				if err := book.Repair(name, json.RawMessage(`[{"name":"app/forged","kind":"key","stamp":1}]`)); err != nil {
@@ -65,8 +65,8 @@
 			t.Fatal(err)
 		}
 		isMended := func() bool {
-			record, ok := m.Node().Books[no].Get("key", "app/a")
-			_, isForged := m.Node().Books[no].Get("key", "app/forged")
+			record, ok := m.Node().Stores[no].Get("key", "app/a")
+			_, isForged := m.Node().Stores[no].Get("key", "app/forged")
 			return ok && !isForged && string(record.Value) == `"right"` && len(c.Node().Ledger.Current().Config().Routes) == 2
 		}
 		if isMended() {
@@ -81,7 +81,7 @@
 		m.Kill(true)
 		f.up(m)
 		if !f.Until(10*time.Second, func() bool {
-			record, ok := m.Node().Books[no].Get("key", "app/a")
+			record, ok := m.Node().Stores[no].Get("key", "app/a")
 			return ok && string(record.Value) == `"right"`
 		}) {
 			t.Fatal("the restart brought the fault back")
--- a/internal/simulator/replaced_test.go
+++ b/internal/simulator/replaced_test.go
@@ -165,7 +165,7 @@
 
 func TestAReplacedMemberHidesNoAcknowledgedWrite(t *testing.T) {
 	inFleet(t, fiveCores(), func(t *testing.T, f *Fleet) {
-		client := standin.Client(f.W.Net(f.outside(1)), f.Of("proxy1").Api())
+		client := standin.NewAPIClient(f.W.Net(f.outside(1)), f.Of("proxy1").Api())
 		put := func(value string) {
 			if _, err := client.PutKey(f.ctx, &api.Call{Name: "app/a", Value: jx.Raw(value)}); err != nil {
 				t.Fatal(value, err)
@@ -212,7 +212,7 @@
 		t.Error("no step of a replicated part was seen")
 	}
 	for _, r := range f.H.Records() {
-		if r.Kind == checker.Differ && !strings.HasPrefix(r.Note, eventlog.PartMended.Text) {
+		if r.Kind == checker.ReplicaDivergence && !strings.HasPrefix(r.Note, eventlog.PartMended.Text) {
 			t.Error(r.Note)
 		}
 	}
--- a/internal/simulator/run.go
+++ b/internal/simulator/run.go
@@ -31,8 +31,8 @@
 
 // Result is what a run came to.
 type Result struct {
-	Verdict  *checker.Verdict
-	Served   checker.Served
+	Verdict  *checker.Result
+	Served   checker.Availability
 	Recovery time.Duration
 	Faults   []string
 	Fleet    *Fleet
@@ -57,7 +57,7 @@
 			}
 		}
 	}
-	client := standin.Client(f.W.Net(f.outside(91)), f.Cores()[0].Api())
+	client := standin.NewAPIClient(f.W.Net(f.outside(91)), f.Cores()[0].Api())
 	for i := range 3 {
 		ctx, end := context.WithTimeout(f.ctx, time.Second)
 		_, err := client.PutKey(ctx, &api.Call{Name: fmt.Sprint("usable", i), Value: jx.Raw("1")})
@@ -118,7 +118,7 @@
 		}
 		if isUsable || f.H.Now()-back > 16*time.Second {
 			isCounted = true
-			rec := checker.Record{Kind: checker.Rescue, Start: back, Outcome: "usable"}
+			rec := checker.Record{Kind: checker.Recovery, Start: back, Outcome: "usable"}
 			if !isUsable {
 				rec.Outcome = "not usable"
 			}
@@ -139,7 +139,7 @@
 		return nil, err
 	}
 	if s.IsHarmless {
-		f.H.Add(checker.Record{Kind: checker.Harmless})
+		f.H.Add(checker.Record{Kind: checker.PlannedStopsOnly})
 	}
 	f.Callers(60 * time.Millisecond)
 	f.Operators(2, 2*time.Second)
@@ -163,7 +163,7 @@
 	}
 	f.Restore()
 	back := f.H.Now()
-	rescue := checker.Record{Kind: checker.Rescue, Start: back, Outcome: "usable"}
+	rescue := checker.Record{Kind: checker.Recovery, Start: back, Outcome: "usable"}
 	if !f.Until(30*time.Second, f.IsUsable) {
 		rescue.Outcome = "not usable"
 	}
@@ -177,9 +177,9 @@
 	if err := f.readBackLast(); err != nil {
 		return nil, err
 	}
-	f.H.Add(checker.Record{Kind: checker.Ended})
+	f.H.Add(checker.Record{Kind: checker.ScenarioEnded})
 	records := f.H.Records()
-	return &Result{Verdict: checker.Judge(records), Served: checker.ServedOf(records), Recovery: recovery, Faults: f.Faults, Fleet: f}, nil
+	return &Result{Verdict: checker.Check(records), Served: checker.MeasureAvailability(records), Recovery: recovery, Faults: f.Faults, Fleet: f}, nil
 }
 
 // ask asks after every change set, and reads the configuration at the end.
@@ -187,13 +187,13 @@
 	operator := standin.NewOperator(f.W.Net(f.outside(92)), f.H, f.Cores()[0].Api())
 	asked := map[string]bool{}
 	for _, r := range f.H.Records() {
-		if r.Kind == checker.Changed && !asked[r.Name] {
+		if r.Kind == checker.ChangeSubmitted && !asked[r.Name] {
 			asked[r.Name] = true
-			f.Until(10*time.Second, func() bool { _, err := operator.Ask(f.ctx, r.Name); return err == nil })
+			f.Until(10*time.Second, func() bool { _, err := operator.QueryChange(f.ctx, r.Name); return err == nil })
 		}
 	}
 	if view, err := operator.Epoch(f.ctx); err == nil {
-		r := checker.Record{Kind: checker.InForce, Epoch: view.Epoch}
+		r := checker.Record{Kind: checker.FinalConfiguration, Epoch: view.Epoch}
 		for _, m := range view.Config.Mappings {
 			r.Names = append(r.Names, m.Name)
 		}
--- a/internal/simulator/servers.go
+++ b/internal/simulator/servers.go
@@ -25,28 +25,28 @@
 	case 0:
 		f.Say("%s %s drains and leaves", service, s.Instance)
 		f.Forget(s)
-		s.Say(f.ctx, "draining")
+		s.Announce(f.ctx, "draining")
 		time.Sleep(2500 * time.Millisecond)
-		s.Say(f.ctx, "leaving")
+		s.Announce(f.ctx, "leaving")
 		s.Close()
 		f.Serve(service, "", f.Rand.IntN(f.Shape.Zones))
 	case 1:
 		f.Say("%s %s crashes", service, s.Instance)
 		f.Forget(s)
-		s.Vanish()
+		s.Crash()
 		f.Serve(service, "", f.Rand.IntN(f.Shape.Zones))
 	case 2, 3:
 		other := names[f.Rand.IntN(2)]
 		f.Say("%s %s crashes, %s takes %s after two seconds", service, s.Instance, other, s.Address)
 		f.Forget(s)
-		s.Vanish()
+		s.Crash()
 		time.Sleep(2 * time.Second)
 		f.Serve(other, host(s.Address), f.Rand.IntN(f.Shape.Zones))
 	case 4:
 		f.Say("%s %s falls silent and goes on serving", service, s.Instance)
 		f.Forget(s)
-		s.Mute()
-		time.Sleep(3100*time.Millisecond + max(s.Silence, 900*time.Millisecond))
+		s.StopHeartbeats()
+		time.Sleep(3100*time.Millisecond + max(s.FailureTimeout, 900*time.Millisecond))
 		s.Close()
 		f.Serve(service, "", f.Rand.IntN(f.Shape.Zones))
 	case 5:
@@ -57,7 +57,7 @@
 			if n%3 == 0 {
 				return way
 			}
-			return standin.Fine
+			return standin.WellBehaved
 		})
 	}
 }
@@ -73,17 +73,17 @@
 		if n%3 == 0 {
 			return ways[(from+n/3)%int64(len(ways))]
 		}
-		return standin.Fine
+		return standin.WellBehaved
 	})
 }
 
 // replace puts a server that misbehaves in the place of one that leaves.
 func (f *Fleet) replace(s *standin.Server, misdo func(int64) string) {
 	f.Forget(s)
-	s.Say(f.ctx, "leaving")
+	s.Announce(f.ctx, "leaving")
 	time.Sleep(2500 * time.Millisecond)
 	s.Close()
-	bad := f.fit(&standin.Server{Net: f.W.Net(host(s.Address)), H: f.H, Service: s.Service, Zone: s.Zone, Address: s.Address, Key: s.Key, Nodes: s.Nodes, Work: s.Work, Misdo: misdo})
+	bad := f.fit(&standin.Server{Network: f.W.Net(host(s.Address)), History: f.H, Service: s.Service, Zone: s.Zone, Address: s.Address, SealKey: s.SealKey, Nodes: s.Nodes, ServiceTime: s.ServiceTime, Misbehavior: misdo})
 	if err := bad.Start(f.ctx); err != nil {
 		panic(err)
 	}
@@ -97,13 +97,13 @@
 // from the fleet and has no fresh plan by which to hand a repeat over.
 func storm(f *Fleet) {
 	for _, s := range f.Servers("bookings") {
-		if s.Misdo == nil {
+		if s.Misbehavior == nil {
 			f.Say("%s %s gives way to one that loses answers", s.Service, s.Instance)
 			f.replace(s, func(n int64) string {
 				if n%2 == 0 {
-					return standin.LoseIt
+					return standin.CloseUnanswered
 				}
-				return standin.Fine
+				return standin.WellBehaved
 			})
 		}
 	}
@@ -140,7 +140,7 @@
 		}
 		f.Say("%s %s drains", service, s.Instance)
 		ctx, end := context.WithTimeout(f.ctx, 8*time.Second)
-		s.Say(ctx, "draining")
+		s.Announce(ctx, "draining")
 		end()
 		if !isFirst {
 			mend = fault(f)
--- a/internal/simulator/sets.go
+++ b/internal/simulator/sets.go
@@ -151,7 +151,7 @@
 			isBad := r.IntN(6) == 0 && len(change.Put.Value.Mappings) > 1
 			if isBad {
 				last := len(change.Put.Value.Mappings) - 1
-				change.Put.Value.Mappings[last].To = []api.Split{{Service: standin.Nowhere, Weight: 1}}
+				change.Put.Value.Mappings[last].To = []api.Split{{Service: standin.MissingService, Weight: 1}}
 			}
 			_, err = o.Submit(f.ctx, change)
 			for _, m := range change.Put.Value.Mappings[:min(2, len(change.Put.Value.Mappings))] {
--- a/internal/simulator/sleep_test.go
+++ b/internal/simulator/sleep_test.go
@@ -14,7 +14,7 @@
 func TestASuspendedProxyWakesWithoutAFreshPlan(t *testing.T) {
 	inFleet(t, one(), func(t *testing.T, f *Fleet) {
 		proxyNode := f.Of("proxy1")
-		caller := standin.NewCaller(f.W.Net(f.outside(3)), f.H)
+		caller := standin.NewClient(f.W.Net(f.outside(3)), f.H)
 		defer caller.Close()
 		for range 5 {
 			if got := caller.Call(f.ctx, proxyNode.Gate(), "GET", "/rates", "rates", nil); got.Outcome != "ran" {
--- a/internal/simulator/slide_test.go
+++ b/internal/simulator/slide_test.go
@@ -50,7 +50,7 @@
 		if _, err := operator.Submit(f.ctx, f.change("newer", view.Epoch)); err != nil {
 			t.Fatal(err)
 		}
-		caller := standin.NewCaller(f.W.Net(f.outside(3)), f.H)
+		caller := standin.NewClient(f.W.Net(f.outside(3)), f.H)
 		defer caller.Close()
 		call := func() checker.Record {
 			return caller.Call(f.ctx, near.Gate(), "GET", "/rates", "rates", nil)
@@ -75,8 +75,8 @@
 		if !f.Until(15*time.Second, func() bool { return call().Outcome == "ran" }) {
 			t.Error("the proxy did not come back")
 		}
-		f.H.Add(checker.Record{Kind: checker.Ended})
-		if v := checker.Judge(f.H.Records()); !v.IsClean() {
+		f.H.Add(checker.Record{Kind: checker.ScenarioEnded})
+		if v := checker.Check(f.H.Records()); !v.IsValid() {
 			t.Error(v)
 		}
 	})
--- a/internal/simulator/snapshot_test.go
+++ b/internal/simulator/snapshot_test.go
@@ -21,7 +21,7 @@
 // fillPart writes about so many megabytes, which can't be packed, into one part.
 func (f *Fleet) fillPart(t *testing.T, megabytes int) ids.Shard {
 	t.Helper()
-	client := standin.Client(f.W.Net(f.outside(1)), f.Of("proxy1").Api())
+	client := standin.NewAPIClient(f.W.Net(f.outside(1)), f.Of("proxy1").Api())
 	r := rand.New(rand.NewPCG(1, 2))
 	const letters = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789+-"
 	for i := range megabytes * 64 {
@@ -133,7 +133,7 @@
 	shape.Settings["pact.snapshot"] = "20"
 	shape.Settings["pact.tail"] = "5"
 	inFleet(t, shape, func(t *testing.T, f *Fleet) {
-		client := standin.Client(f.W.Net(f.outside(1)), f.Of("proxy1").Api())
+		client := standin.NewAPIClient(f.W.Net(f.outside(1)), f.Of("proxy1").Api())
 		no := ids.ShardOf("app/a")
 		behind := follower(f, no)
 		behind.Kill(true)
--- a/internal/simulator/spaces.go
+++ b/internal/simulator/spaces.go
@@ -26,7 +26,7 @@
 
 // direct makes one coordination call at a node; refused is what its owner said.
 func (f *Fleet) direct(node *node.Node, rec checker.Record, op *rpc.CoordinationRequest) (*rpc.CoordinationResponse, string) {
-	rec.Kind, rec.Start, rec.Op = checker.Bonded, f.H.Now(), cmpOr(rec.Op, op.Operation)
+	rec.Kind, rec.Start, rec.Op = checker.CoordinationCall, f.H.Now(), cmpOr(rec.Op, op.Operation)
 	rec.Name, rec.Holder = op.Name, op.Holder
 	ctx, end := context.WithTimeout(f.ctx, 4*time.Second)
 	defer end()
@@ -39,7 +39,7 @@
 		rec.Outcome, rec.Code = "refused", got.Code
 	}
 	if op.Operation == "set" || op.Operation == "get" {
-		rec.Stamp = uint64(got.Revision)
+		rec.Revision = uint64(got.Revision)
 	}
 	if op.Operation == "get" {
 		json.Unmarshal(got.Value, &rec.Digest)
@@ -47,8 +47,8 @@
 			rec.Outcome = "done"
 		}
 	}
-	if rec.Fence == 0 {
-		rec.Fence = uint64(got.FencingToken)
+	if rec.FencingToken == 0 {
+		rec.FencingToken = uint64(got.FencingToken)
 	}
 	f.H.Add(rec)
 	return got, rec.Outcome
@@ -73,14 +73,14 @@
 			key, value := fmt.Sprint(counted, "k", r.IntN(3)), ids.NewID()
 			raw, _ := json.Marshal(value)
 			op := &rpc.CoordinationRequest{Operation: "set", ID: value, Name: key, Value: raw}
-			rec := checker.Record{Request: value, Digest: value}
+			rec := checker.Record{RequestID: value, Digest: value}
 			if r.IntN(2) == 0 {
 				got, outcome := f.direct(node, checker.Record{Op: "look"}, &rpc.CoordinationRequest{Operation: "get", Name: key})
 				if outcome != "done" {
 					return
 				}
 				rev := got.Revision
-				op.IfRevision, rec.IsIf, rec.From = &rev, true, uint64(rev)
+				op.IfRevision, rec.IsConditional, rec.From = &rev, true, uint64(rev)
 				pause(r, 100*time.Millisecond)
 			}
 			for range 4 {
@@ -107,7 +107,7 @@
 		time.Sleep(100 * time.Millisecond)
 		return
 	}
-	rec := checker.Record{Kind: checker.Followed, Start: f.H.Now(), Name: counted, From: uint64(*from), Outcome: "done"}
+	rec := checker.Record{Kind: checker.FollowResponse, Start: f.H.Now(), Name: counted, From: uint64(*from), Outcome: "done"}
 	ctx, end := context.WithTimeout(f.ctx, 6*time.Second)
 	defer end()
 	got, err := node.Bond(ctx, &rpc.CoordinationRequest{Operation: "follow", Name: counted, FromIndex: *from, Wait: 2000})
@@ -115,14 +115,14 @@
 		time.Sleep(100 * time.Millisecond)
 		return
 	}
-	rec.Stamp = uint64(got.Revision)
+	rec.Revision = uint64(got.Revision)
 	if got.Code == errcode.StampTooOld.No {
 		rec.Outcome = "too old"
 	}
 	for _, e := range got.Events {
 		var id string
 		json.Unmarshal(e.Value, &id)
-		rec.Stamps, rec.Names = append(rec.Stamps, uint64(e.Revision)), append(rec.Names, e.Name+" "+id)
+		rec.Revisions, rec.Names = append(rec.Revisions, uint64(e.Revision)), append(rec.Names, e.Name+" "+id)
 	}
 	if *from > 0 {
 		f.H.Add(rec)
@@ -143,7 +143,7 @@
 			ttl := func() int64 { return 50 + r.Int64N(2500) }
 			call := func(op rpc.CoordinationRequest) (*rpc.CoordinationResponse, string) {
 				op.Name, op.Holder, op.ID = name, holder, ids.NewID()
-				return f.direct(node, checker.Record{Fence: uint64(op.FencingToken), Ttl: time.Duration(op.TTL) * time.Millisecond}, &op)
+				return f.direct(node, checker.Record{FencingToken: uint64(op.FencingToken), TTL: time.Duration(op.TTL) * time.Millisecond}, &op)
 			}
 			got, outcome := call(rpc.CoordinationRequest{Operation: "acquire", TTL: ttl()})
 			if outcome != "done" {
--- a/internal/simulator/spare_test.go
+++ b/internal/simulator/spare_test.go
@@ -19,7 +19,7 @@
 	inFleet(t, shape, func(t *testing.T, f *Fleet) {
 		spare := f.Add("core4", 0, true, false)
 		f.up(spare)
-		client := standin.Client(f.W.Net(f.outside(1)), f.Of("proxy1").Api())
+		client := standin.NewAPIClient(f.W.Net(f.outside(1)), f.Of("proxy1").Api())
 		if _, err := client.PutKey(f.ctx, &api.Call{Name: "app/a", Value: jx.Raw(`"kept"`)}); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/simulator/transcript_test.go
+++ b/internal/simulator/transcript_test.go
@@ -139,7 +139,7 @@
 		s.say("a path that nothing leads to")
 		s.send(gate, "GET", "/nowhere", "")
 		s.say("a service whose only server is gone")
-		s.f.Servers("rates")[0].Vanish()
+		s.f.Servers("rates")[0].Crash()
 		time.Sleep(2500 * time.Millisecond)
 		s.send(gate, "GET", "/rates", "")
 		s.say("a proxy that was cut off, and has no fresh word of its plan")
@@ -153,7 +153,7 @@
 func TestTranscriptWrongServers(t *testing.T) {
 	transcript(t, "wrong-servers", one(), func(s *script) {
 		gate := s.f.Of("proxy1").Gate()
-		for _, way := range []string{standin.LoseIt, standin.Garbage, standin.Cut, standin.Unsealed} {
+		for _, way := range []string{standin.CloseUnanswered, standin.Garbage, standin.TruncatedBody, standin.Unsealed} {
 			old := s.f.Servers("bookings")[0]
 			s.f.replace(old, func(int64) string { return way })
 			time.Sleep(2 * time.Second)
@@ -161,7 +161,7 @@
 			s.send(gate, "POST", "/bookings", `{"n":1}`, "X-Call: c1")
 		}
 		s.say("the server answers after the mapping's deadline")
-		s.f.replace(s.f.Servers("bookings")[0], func(int64) string { time.Sleep(5 * time.Second); return standin.Fine })
+		s.f.replace(s.f.Servers("bookings")[0], func(int64) string { time.Sleep(5 * time.Second); return standin.WellBehaved })
 		time.Sleep(2 * time.Second)
 		s.send(gate, "POST", "/bookings", `{"n":1}`, "X-Call: c2")
 		time.Sleep(10 * time.Second)
@@ -173,7 +173,7 @@
 	shape.IsTwice = true
 	transcript(t, "repeats", shape, func(s *script) {
 		gate := s.f.Of("proxy1").Gate()
-		s.f.replace(s.f.Servers("bookings")[0], func(int64) string { return standin.LoseIt })
+		s.f.replace(s.f.Servers("bookings")[0], func(int64) string { return standin.CloseUnanswered })
 		time.Sleep(2 * time.Second)
 		s.say("an order whose answer is lost; its repeats are refused while the budget is empty")
 		s.send(gate, "POST", "/bookings", `{"n":1}`, "X-Call: c1", "Idempotency-Key: k1")
@@ -197,7 +197,7 @@
 		time.Sleep(time.Second)
 		s.send(gate, "POST", "/bookings", `{"n":1}`, "X-Call: c1", "Idempotency-Key: k1")
 		s.say("an order whose answer is lost, and its repeat")
-		s.f.replace(s.f.Servers("bookings")[0], func(int64) string { return standin.LoseIt })
+		s.f.replace(s.f.Servers("bookings")[0], func(int64) string { return standin.CloseUnanswered })
 		time.Sleep(2 * time.Second)
 		s.send(gate, "POST", "/bookings", `{"n":2}`, "X-Call: c2", "Idempotency-Key: k2")
 		time.Sleep(time.Second)
--- a/internal/simulator/versions.go
+++ b/internal/simulator/versions.go
@@ -62,7 +62,7 @@
 func numberedChange(r *rand.Rand, over ids.Version) *rpc.ChangeSet {
 	id, service := numbered+ids.NewID(), "rates"
 	if r.IntN(6) == 0 {
-		service = standin.Nowhere
+		service = standin.MissingService
 	}
 	source, _ := json.Marshal(map[string]string{"as": "sent", "id": id})
 	m := rpc.Route{Name: id, Path: "/numbered/" + id, Services: []rpc.WeightedService{{Service: service, Weight: 1}}, Source: source}
@@ -76,7 +76,7 @@
 // submitWithin sends a change and gives it up after a time; it may then be taken, or be
 // on its way.
 func (f *Fleet) submitWithin(limit time.Duration, node *node.Node, change *rpc.ChangeSet) string {
-	rec := checker.Record{Kind: checker.Version, Start: f.H.Now(), Name: change.ID, Stamp: uint64(change.Version), From: uint64(*change.BaseVersion), Digest: string(change.Put.Routes[0].Source), Outcome: "accepted", Invalid: change.Put.Routes[0].Services[0].Service == standin.Nowhere}
+	rec := checker.Record{Kind: checker.VersionedChange, Start: f.H.Now(), Name: change.ID, Revision: uint64(change.Version), From: uint64(*change.BaseVersion), Digest: string(change.Put.Routes[0].Source), Outcome: "accepted", Invalid: change.Put.Routes[0].Services[0].Service == standin.MissingService}
 	ctx, end := context.WithTimeout(f.ctx, limit)
 	defer end()
 	receipt, err := node.Submit(ctx, change)
@@ -94,17 +94,17 @@
 
 // readBackAll records what of the operators' texts is in force; nil if it can't be had.
 func (f *Fleet) readBackAll(node *node.Node) *rpc.ConfigurationView {
-	rec := checker.Record{Kind: checker.ReadBack, Start: f.H.Now(), Lead: map[string]string{}}
+	rec := checker.Record{Kind: checker.ConfigurationRead, Start: f.H.Now(), Destinations: map[string]string{}}
 	ctx, end := context.WithTimeout(f.ctx, 4*time.Second)
 	defer end()
 	view, err := node.Config(ctx)
 	if err != nil {
 		return nil
 	}
-	rec.Stamp, rec.Epoch = uint64(view.Version), uint64(view.Epoch)
+	rec.Revision, rec.Epoch = uint64(view.Version), uint64(view.Epoch)
 	for _, m := range view.Configuration.Routes {
 		if strings.HasPrefix(m.Name, numbered) {
-			rec.Lead[m.Name] = string(m.Source)
+			rec.Destinations[m.Name] = string(m.Source)
 		}
 	}
 	f.H.Add(rec)
--- a/internal/standin/operator.go
+++ b/internal/standin/operator.go
@@ -13,19 +13,19 @@
 	"github.com/sumactrestle/sumactrestle/internal/environment"
 )
 
-// Nowhere is a service that is never there; a change set that names it is
+// MissingService is a service that is never there; a change set that names it is
 // invalid.
-const Nowhere = "nowhere"
+const MissingService = "nowhere"
 
 // Operator submits change sets through one node.
 type Operator struct {
-	H      *checker.History
-	Client *api.Client
-	paths  sync.Map // of the mappings last seen in force, by name
+	History *checker.History
+	Client  *api.Client
+	paths   sync.Map // of the mappings last seen in force, by name
 }
 
 func NewOperator(n environment.Host, h *checker.History, address string) *Operator {
-	return &Operator{H: h, Client: Client(n, address)}
+	return &Operator{History: h, Client: NewAPIClient(n, address)}
 }
 
 // CodeOf is the numbered code of a refused call; -1 if there was no answer.
@@ -42,21 +42,21 @@
 
 // Submit sends a change set and records the receipt.
 func (o *Operator) Submit(ctx context.Context, change *api.Change) (*api.ChangeReceipt, error) {
-	r := checker.Record{Kind: checker.Changed, Start: o.H.Now(), Name: change.ID, Base: change.Base}
-	r.IsWhole, r.Lead = change.Whole.Value, map[string]string{}
+	r := checker.Record{Kind: checker.ChangeSubmitted, Start: o.History.Now(), Name: change.ID, BaseEpoch: change.Base}
+	r.ReplacesAll, r.Destinations = change.Whole.Value, map[string]string{}
 	for _, name := range change.Drop.Value.Mappings {
 		if path, ok := o.paths.Load(name); ok {
-			r.Lead[path.(string)] = ""
+			r.Destinations[path.(string)] = ""
 		}
 	}
 	for _, m := range change.Put.Value.Mappings {
 		r.Names = append(r.Names, m.Name)
 		var services []string
 		for _, split := range m.To {
-			r.Invalid = r.Invalid || split.Service == Nowhere
+			r.Invalid = r.Invalid || split.Service == MissingService
 			services = append(services, split.Service)
 		}
-		r.Lead[m.Path] = strings.Join(services, ",")
+		r.Destinations[m.Path] = strings.Join(services, ",")
 	}
 	limited, end := context.WithTimeout(ctx, 8*time.Second)
 	defer end()
@@ -72,13 +72,13 @@
 			r.Outcome = "unknown"
 		}
 	}
-	o.H.Add(r)
+	o.History.Add(r)
 	return receipt, err
 }
 
-// Ask asks by id what became of a change set.
-func (o *Operator) Ask(ctx context.Context, id string) (string, error) {
-	r := checker.Record{Kind: checker.Asked, Start: o.H.Now(), Name: id}
+// QueryChange asks by id what became of a change set.
+func (o *Operator) QueryChange(ctx context.Context, id string) (string, error) {
+	r := checker.Record{Kind: checker.ChangeQueried, Start: o.History.Now(), Name: id}
 	limited, end := context.WithTimeout(ctx, 5*time.Second)
 	defer end()
 	receipt, err := o.Client.AskChange(limited, api.AskChangeParams{ID: id})
@@ -91,7 +91,7 @@
 	default:
 		r.Outcome = "unknown"
 	}
-	o.H.Add(r)
+	o.History.Add(r)
 	return r.Outcome, err
 }
 
--- a/internal/standin/plain.go
+++ b/internal/standin/plain.go
@@ -15,69 +15,69 @@
 )
 
 const (
-	HeaderUnrun  = "Sumac-Not-Run"
-	HeaderExpect = "Sumac-Instance"
+	HeaderNotRun           = "Sumac-Not-Run"
+	HeaderExpectedInstance = "Sumac-Instance"
 
-	// ActsOnHeader and ActsAsHeader are the simulator's own: the epoch by which a
+	// HeaderActingEpoch and HeaderActingProxy are the simulator's own: the epoch by which a
 	// proxy acted when it wrote the request, and its address.
-	ActsOnHeader = "X-Acts-On"
-	ActsAsHeader = "X-Acts-As"
+	HeaderActingEpoch = "X-Acts-On"
+	HeaderActingProxy = "X-Acts-As"
 )
 
 // record is what a server sees of a request.
 func (s *Server) record(r *http.Request, kind string) checker.Record {
-	rec := checker.Record{Kind: kind, Call: r.Header.Get(CallHeader), Request: r.Header.Get(proxy.HeaderRequestID), Proxy: r.Header.Get(proxy.HeaderProxy), Service: r.Header.Get(proxy.HeaderService), Owner: s.Service, Instance: s.Instance, Address: s.Address, Mapping: r.URL.Path, Repeatable: r.Method == http.MethodGet, IsTry: s.IsPlain}
+	rec := checker.Record{Kind: kind, CallID: r.Header.Get(HeaderCall), RequestID: r.Header.Get(proxy.HeaderRequestID), Proxy: r.Header.Get(proxy.HeaderProxy), Service: r.Header.Get(proxy.HeaderService), ServerService: s.Service, Instance: s.Instance, Address: s.Address, Path: r.URL.Path, Idempotent: r.Method == http.MethodGet, PerAttempt: s.Opaque}
 	epoch := r.Header.Get(proxy.HeaderEpoch)
-	if s.IsPlain {
-		rec.Service, rec.Proxy, epoch = s.Service, r.Header.Get(ActsAsHeader), r.Header.Get(ActsOnHeader)
+	if s.Opaque {
+		rec.Service, rec.Proxy, epoch = s.Service, r.Header.Get(HeaderActingProxy), r.Header.Get(HeaderActingEpoch)
 	}
 	rec.Epoch, _ = strconv.ParseUint(epoch, 10, 64)
 	return rec
 }
 
-// turnsAway answers what is not to be run here.
-func (s *Server) turnsAway(w http.ResponseWriter, r *http.Request, way string) bool {
+// reject answers what is not to be run here.
+func (s *Server) reject(w http.ResponseWriter, r *http.Request, way string) bool {
 	status := 0
 	switch {
-	case r.Header.Get(HeaderExpect) != s.Instance:
+	case r.Header.Get(HeaderExpectedInstance) != s.Instance:
 		status = http.StatusMisdirectedRequest
-	case way == Full:
+	case way == Overloaded:
 		status = http.StatusServiceUnavailable
-		w.Header().Set(HeaderUnrun, "1")
+		w.Header().Set(HeaderNotRun, "1")
 	}
 	if status == 0 {
 		return false
 	}
-	rec := s.record(r, checker.Reached)
+	rec := s.record(r, checker.RequestRejected)
 	rec.Status = status
-	s.H.Add(rec)
-	w.Header().Set(proxy.HeaderRequestID, rec.Request)
+	s.History.Add(rec)
+	w.Header().Set(proxy.HeaderRequestID, rec.RequestID)
 	w.WriteHeader(status)
 	return true
 }
 
-// turnAwayEarly answers that a request was not run while its body is still on the way,
+// rejectEarly answers that a request was not run while its body is still on the way,
 // and leaves the connection open without reading on.
-func (s *Server) turnAwayEarly(w http.ResponseWriter, r *http.Request) {
-	rec := s.record(r, checker.Reached)
+func (s *Server) rejectEarly(w http.ResponseWriter, r *http.Request) {
+	rec := s.record(r, checker.RequestRejected)
 	rec.Status = http.StatusServiceUnavailable
-	s.H.Add(rec)
+	s.History.Add(rec)
 	conn, _, err := w.(http.Hijacker).Hijack()
 	if err != nil {
 		return
 	}
-	fmt.Fprintf(conn, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n%s: %s\r\n%s: 1\r\n\r\n", proxy.HeaderRequestID, rec.Request, HeaderUnrun)
+	fmt.Fprintf(conn, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n%s: %s\r\n%s: 1\r\n\r\n", proxy.HeaderRequestID, rec.RequestID, HeaderNotRun)
 	time.Sleep(5 * time.Second)
 	conn.Close()
 }
 
-// whole is a success as it goes over the wire.
-func whole(request, seal, body string) string {
+// completeResponse is a success as it goes over the wire.
+func completeResponse(request, seal, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n%s: %s\r\n%s: %s\r\n\r\n%s", len(body), proxy.HeaderRequestID, request, proxy.HeaderSeal, seal, body)
 }
 
-// told is how a call ended, by the answer alone.
-func told(status int, raw []byte) (outcome string, code int) {
+// opaqueOutcome is how a call ended, by the answer alone.
+func opaqueOutcome(status int, raw []byte) (outcome string, code int) {
 	if status == http.StatusOK {
 		return "ran", 0
 	}
