--- a/cmd/troupe/main.go
+++ b/cmd/troupe/main.go
@@ -37,7 +37,7 @@
 		Name:        "troupe",
 		Usage:       "run fleets of sumac on this machine",
 		Description: "All runs on loopback addresses. A run that broke a rule or did not come to its end ends with 1 and keeps its logs, a call that can't be read with 2.",
-		Commands: append([]*cli.Command{
+		Commands: []*cli.Command{
 			{Name: "smoke", Usage: "the bounded run of the whole path", Description: "Starts three core nodes, two proxies and stand-in servers, carries a change set to every proxy, kills and wipes nodes, and judges the history.", Flags: []cli.Flag{binary, folder}, Action: func(ctx context.Context, cmd *cli.Command) error {
 				return inFolder(cmd, func(folder string) error {
 					return harness.Smoke(ctx, cmd.String("sumac"), folder, os.Stdout)
@@ -70,7 +70,7 @@
 				&cli.StringFlag{Name: "history", Usage: "`FILE` to record the history in, for sumac judge and troupe report"},
 			}, Action: deployment},
 			reportCommand(),
-		}, hollowCommands(binary, folder)...),
+		},
 	})
 }
 
--- a/internal/report/report.go
+++ b/internal/report/report.go
@@ -1,7 +1,6 @@
 // Package report makes a page of what was recorded: of a run's history, what was
 // served over time with the faults marked, how long it took, and the bytes sent by
-// kind; of hollow runs, their figures over one axis with the lines through them. The
-// page is one HTML file with its plots within; nothing of it is fetched.
+// kind. The page is one HTML file with its plots within; nothing of it is fetched.
 package report
 
 import (
