--- a/internal/consensus/bootstrap.go
+++ b/internal/consensus/bootstrap.go
@@ -55,10 +55,10 @@
 // proposeCharter runs one round of founding with all founders.
 func (n *Node) proposeCharter(founders []rpc.Member) {
 	n.mu.Lock()
-	round := ids.Term{Number: n.bootstrapTerm.Number + 1, Node: n.self.Name}
+	term := ids.Term{Number: n.bootstrapTerm.Number + 1, Node: n.self.Name}
 	n.mu.Unlock()
 	charter := &rpc.Charter{Fleet: ids.NewID(), Members: founders, ShardCount: ids.ShardCount}
-	responses, ok := n.requestAll(founders, &rpc.BootstrapRequest{Step: "promise", Term: round, From: n.self})
+	responses, ok := n.requestAll(founders, &rpc.BootstrapRequest{Step: "promise", Term: term, From: n.self})
 	var newest ids.Term
 	for _, response := range responses {
 		if response.Charter != nil && newest.Less(response.Charter.Term) {
@@ -79,13 +79,13 @@
 		// nothing can have been written under it.
 		charter = &rpc.Charter{Fleet: ids.NewID(), Members: founders, ShardCount: ids.ShardCount}
 	}
-	charter.Term = round
-	if _, ok := n.requestAll(charter.Members, &rpc.BootstrapRequest{Step: "accept", Term: round, Charter: charter, From: n.self}); !ok {
+	charter.Term = term
+	if _, ok := n.requestAll(charter.Members, &rpc.BootstrapRequest{Step: "accept", Term: term, Charter: charter, From: n.self}); !ok {
 		return
 	}
 	opened := *charter
 	opened.Open = true
-	n.requestAll(charter.Members, &rpc.BootstrapRequest{Step: "open", Term: round, Charter: &opened, From: n.self})
+	n.requestAll(charter.Members, &rpc.BootstrapRequest{Step: "open", Term: term, Charter: &opened, From: n.self})
 }
 
 // hasNewMemberID tells whether two lists name the same nodes, of which one at least has
@@ -182,17 +182,17 @@
 }
 
 // putCharter syncs a charter and, if it is open, enters the fleet.
-func (n *Node) putCharter(charter *rpc.Charter, round ids.Term) error {
+func (n *Node) putCharter(charter *rpc.Charter, term ids.Term) error {
 	n.mu.Lock()
 	if n.charter != nil && n.charter.Open {
 		n.mu.Unlock()
 		return nil
 	}
-	if round.Less(n.bootstrapTerm) && !charter.Open {
+	if term.Less(n.bootstrapTerm) && !charter.Open {
 		n.mu.Unlock()
 		return errcode.New(errcode.NotOwner, "a higher round of founding was promised")
 	}
-	n.charter, n.bootstrapTerm = charter, round
+	n.charter, n.bootstrapTerm = charter, term
 	raw, _ := json.Marshal(charter)
 	batch := n.store.NewBatch()
 	batch.Put("charter", raw)
@@ -215,7 +215,7 @@
 	for _, r := range n.replicas {
 		r.mu.Lock()
 		if r.snapshot.Index == 0 && len(r.snapshot.Voters) == 0 {
-			r.snapshot.Voters = PlaceVoters(r.shard, charter.Members, r.node.env.Config.PactLosses)
+			r.snapshot.Voters = SelectVoters(r.shard, charter.Members, r.node.env.Config.PactLosses)
 			r.updateVoters()
 		}
 		r.electionTimerStart = r.node.env.Now()
--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -67,7 +67,7 @@
 	}
 	if r.isFarAheadOf(request) {
 		// The candidate has promised its own term already; only a higher one passes there.
-		r.highestRound = max(r.highestRound, request.Term.Number)
+		r.highestTermNumber = max(r.highestTermNumber, request.Term.Number)
 		r.mu.Unlock()
 		r.node.runOnce(r.shard, func() { r.campaign(false) })
 		return response, nil
@@ -147,21 +147,21 @@
 
 // noteRemoved has this member rest until an owner sends it entries again: it was
 // told that it is no member any more. Its copy stays as it is.
-func (r *Replica) noteRemoved(isOutside bool) {
-	if isOutside && !r.isRemoved {
+func (r *Replica) noteRemoved(isNotMember bool) {
+	if isNotMember && !r.isRemoved {
 		r.isRemoved = true
 		r.node.log(eventlog.MemberRemoved, "part", int(r.shard), "last_members", r.voters.String())
 	}
 }
 
-// maxRoundJump is how far a term may be above the one known here. Rounds rise by one
+// maxTermJump is how far a term may be above the one known here. Rounds rise by one
 // with each election, so a term beyond that is damaged; taken over, it would leave
 // no room for later ones.
-const maxRoundJump = 1 << 32
+const maxTermJump = 1 << 32
 
 // checkTerm refuses a term that no election can have come to.
 func (r *Replica) checkTerm(term ids.Term, from rpc.Peer) error {
-	if term.Number > r.currentTerm.Number && term.Number-r.currentTerm.Number > maxRoundJump {
+	if term.Number > r.currentTerm.Number && term.Number-r.currentTerm.Number > maxTermJump {
 		err := errcode.New(errcode.BadMessage, "part %d: term %s is out of all order after %s", r.shard, term, r.currentTerm)
 		r.node.log(eventlog.MessageRefused, "code", errcode.BadMessage.No, "part", int(r.shard), "from", string(from.Name), "cause", err.Error())
 		return err
@@ -184,8 +184,8 @@
 		r.mu.Unlock()
 		return
 	}
-	round := max(r.currentTerm.Number, r.highestRound) + 1
-	term := ids.Term{Number: round, Node: r.node.self.Name}
+	number := max(r.currentTerm.Number, r.highestTermNumber) + 1
+	term := ids.Term{Number: number, Node: r.node.self.Name}
 	r.currentTerm, r.leaderMatchTerm, r.leaderMatchIndex = term, term, 0
 	r.trace(TraceEvent{Kind: TraceTermRaised, Term: term})
 	r.electionTimerStart = r.node.env.Now()
@@ -303,7 +303,7 @@
 	if !response.Granted {
 		r.mu.Lock()
 		r.noteRemoved(response.NotMember)
-		r.highestRound = max(r.highestRound, response.CurrentTerm.Number)
+		r.highestTermNumber = max(r.highestTermNumber, response.CurrentTerm.Number)
 		r.mu.Unlock()
 		return nil
 	}
@@ -321,7 +321,7 @@
 	}
 	last, _ := r.lastEntry()
 	r.firstOwnIndex = last + 1
-	r.appendOwn(batch, rpc.Entry{Kind: entryNoOp})
+	r.appendOwn(batch, rpc.Entry{Kind: entryEmpty})
 	r.replicateToAll()
 	r.node.kickAllHeartbeats()
 }
--- a/internal/consensus/heartbeat.go
+++ b/internal/consensus/heartbeat.go
@@ -17,7 +17,7 @@
 	kick     chan struct{}
 	cancel   context.CancelFunc
 	sequence uint64
-	acked    claimSet
+	acked    claimState
 }
 
 // Members of no part owned here have no word to give; they are told who owns what
@@ -153,7 +153,7 @@
 		r.mu.Lock()
 		if r.isLeader && r.currentTerm == claim.Term {
 			if higher, ok := shard[claim.Shard]; ok {
-				r.highestRound = max(r.highestRound, higher.Number)
+				r.highestTermNumber = max(r.highestTermNumber, higher.Number)
 				r.stepDown("a member promised " + higher.String())
 			} else if r.lastAck[peer].Before(sent) {
 				r.lastAck[peer] = sent
--- a/internal/consensus/heartbeat_delta.go
+++ b/internal/consensus/heartbeat_delta.go
@@ -11,8 +11,8 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// claimSet is all that one message claims, by its number.
-type claimSet struct {
+// claimState is all that one message claims, by its number.
+type claimState struct {
 	sequence uint64
 	claims   map[ids.Shard]rpc.LeaderClaim
 }
@@ -49,9 +49,9 @@
 
 // acknowledge notes that a message was heard, or that its base was lost.
 func (h *heartbeater) acknowledge(request *rpc.HeartbeatRequest, claims []rpc.LeaderClaim, isLost bool) {
-	h.acked = claimSet{}
+	h.acked = claimState{}
 	if !isLost {
-		h.acked = claimSet{sequence: request.Sequence, claims: claimsByShard(claims)}
+		h.acked = claimState{sequence: request.Sequence, claims: claimsByShard(claims)}
 	}
 }
 
@@ -75,6 +75,6 @@
 	for _, c := range request.Claims {
 		claims[c.Shard] = c
 	}
-	n.receivedClaims[request.From] = claimSet{sequence: request.Sequence, claims: claims}
+	n.receivedClaims[request.From] = claimState{sequence: request.Sequence, claims: claims}
 	return claims, true
 }
--- a/internal/consensus/membership_change.go
+++ b/internal/consensus/membership_change.go
@@ -54,13 +54,13 @@
 // lostVoters is the members that came back under another birth, or are gone for
 // long.
 func (r *Replica) lostVoters(group []rpc.Peer) (lost []rpc.Peer) {
-	view, goneAfter := r.node.members.View(), r.node.env.Config.PactGone
+	view, deadAfter := r.node.members.View(), r.node.env.Config.PactGone
 	for _, peer := range group {
 		m, isKnown := view[peer.Name]
-		isReborn := isKnown && m.ID != peer.ID
-		isNeverSeen := !isKnown && r.node.env.Since(r.servingStart()) > goneAfter
-		isGone := isKnown && !r.node.members.IsLive(peer) && time.Since(m.StateChange) > goneAfter
-		if peer != r.node.self && (isReborn || isNeverSeen || isGone) {
+		hasNewID := isKnown && m.ID != peer.ID
+		isNeverSeen := !isKnown && r.node.env.Since(r.servingStart()) > deadAfter
+		isDead := isKnown && !r.node.members.IsLive(peer) && time.Since(m.StateChange) > deadAfter
+		if peer != r.node.self && (hasNewID || isNeverSeen || isDead) {
 			lost = append(lost, peer)
 		}
 	}
@@ -106,7 +106,7 @@
 	}
 	for _, out := range lost {
 		isBack := assign(out, func(m rpc.Member) bool { return m.Name == out.Name })
-		if !isBack && isLongDead(view, out, r.node.env.Config.PactGone) {
+		if !isBack && isDeadFor(view, out, r.node.env.Config.PactGone) {
 			assign(out, func(m rpc.Member) bool { return !isLost[m.Name] })
 		}
 	}
@@ -162,7 +162,7 @@
 	}
 	ctx, end := context.WithTimeout(r.node.env, time.Second)
 	defer end()
-	index, _, err := r.propose(ctx, rpc.Entry{Kind: entryNoOp})
+	index, _, err := r.propose(ctx, rpc.Entry{Kind: entryEmpty})
 	if err != nil {
 		return
 	}
@@ -180,10 +180,10 @@
 	}
 }
 
-// isLongDead tells whether a name has not been live, under any birth, for long.
-func isLongDead(view map[ids.NodeName]membership.NodeState, peer rpc.Peer, goneAfter time.Duration) bool {
+// isDeadFor tells whether a name has not been live, under any birth, for long.
+func isDeadFor(view map[ids.NodeName]membership.NodeState, peer rpc.Peer, deadAfter time.Duration) bool {
 	m, ok := view[peer.Name]
-	return !ok || m.State != membership.StateAlive && m.State != membership.StateSuspect && time.Since(m.StateChange) > goneAfter
+	return !ok || m.State != membership.StateAlive && m.State != membership.StateSuspect && time.Since(m.StateChange) > deadAfter
 }
 
 func (r *Replica) servingStart() time.Time {
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -45,7 +45,7 @@
 	bootstrapTerm  ids.Term
 	leaders        map[ids.Shard]leaderRecord
 	heartbeaters   map[rpc.Peer]*heartbeater
-	receivedClaims map[rpc.Peer]claimSet
+	receivedClaims map[rpc.Peer]claimState
 	busy           map[ids.Shard]bool
 	isStopping     bool
 	started        time.Time
@@ -79,7 +79,7 @@
 func New(env *environment.Environment, transport *rpc.Wire, members *membership.Memberlist, store *storage.Store, machines []StateMachine) (*Node, error) {
 	self := members.Self()
 	n := &Node{env: env, transport: transport, members: members, store: store, self: rpc.Peer{Name: self.Name, ID: self.ID},
-		leaders: map[ids.Shard]leaderRecord{}, heartbeaters: map[rpc.Peer]*heartbeater{}, receivedClaims: map[rpc.Peer]claimSet{}, busy: map[ids.Shard]bool{}, snapshotSlots: map[rpc.Peer]chan struct{}{}, started: env.Now(), Bootstrapped: make(chan struct{})}
+		leaders: map[ids.Shard]leaderRecord{}, heartbeaters: map[rpc.Peer]*heartbeater{}, receivedClaims: map[rpc.Peer]claimState{}, busy: map[ids.Shard]bool{}, snapshotSlots: map[rpc.Peer]chan struct{}{}, started: env.Now(), Bootstrapped: make(chan struct{})}
 	for shard, machine := range machines {
 		n.replicas = append(n.replicas, newReplica(n, ids.Shard(shard), machine))
 	}
--- a/internal/consensus/placement.go
+++ b/internal/consensus/placement.go
@@ -24,8 +24,8 @@
 	return order
 }
 
-// PlaceVoters picks the group of a part: spread over zones first, then by order.
-func PlaceVoters(shard ids.Shard, members []rpc.Member, tolerated int) []rpc.Peer {
+// SelectVoters picks the group of a part: spread over zones first, then by order.
+func SelectVoters(shard ids.Shard, members []rpc.Member, tolerated int) []rpc.Peer {
 	var peers []rpc.Peer
 	zones := map[ids.NodeName]string{}
 	for _, m := range members {
--- a/internal/consensus/prevote.go
+++ b/internal/consensus/prevote.go
@@ -24,9 +24,9 @@
 	prevoteInterval = 30 * time.Millisecond
 )
 
-// hasNoLeaderContact tells whether this member knows of no owner and of nobody who stands,
+// isUnaware tells whether this member knows of no owner and of nobody who stands,
 // and has not waited long enough to stand without having asked.
-func (r *Replica) hasNoLeaderContact() bool {
+func (r *Replica) isUnaware() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return !r.isLeader && !r.isRemoved && r.voters.Contains(r.node.self) && r.lastLeaderContact.IsZero() && r.leaderMatchTerm == ids.Term{}
@@ -65,7 +65,7 @@
 	for n.env.Sleep(environment.Jitter(prevoteInterval)) && !n.IsStopping() {
 		var shards []ids.Shard
 		for _, r := range n.replicas {
-			if r.hasNoLeaderContact() {
+			if r.isUnaware() {
 				shards = append(shards, r.shard)
 			}
 		}
@@ -74,7 +74,7 @@
 		}
 		responses := n.requestPrevotes(shards)
 		for _, shard := range shards {
-			if r := n.replicas[shard]; r.hasNoLeaderContact() && r.mayCampaignAfterStart(responses) {
+			if r := n.replicas[shard]; r.isUnaware() && r.mayCampaignAfterStart(responses) {
 				n.runOnce(shard, func() { r.campaign(false) })
 			}
 		}
@@ -170,8 +170,8 @@
 			continue
 		}
 		if response != nil {
-			for _, no := range response.LedShards {
-				if no == r.shard {
+			for _, shard := range response.LedShards {
+				if shard == r.shard {
 					return false
 				}
 			}
--- a/internal/consensus/replica.go
+++ b/internal/consensus/replica.go
@@ -20,7 +20,7 @@
 
 // Kinds of entries that are the part's own; all others are the machine's.
 const (
-	entryNoOp             = "own"   // the first entry of an owner, and barriers
+	entryEmpty            = "own"   // the first entry of an owner, and barriers
 	entryMembershipChange = "group" // the voters from here on
 )
 
@@ -38,7 +38,7 @@
 	mu                 sync.Mutex
 	changed            chan struct{}
 	currentTerm        ids.Term
-	highestRound       uint64
+	highestTermNumber  uint64
 	snapshot           rpc.Snapshot
 	entries            []rpc.Entry
 	commitIndex        ids.Index
@@ -235,8 +235,8 @@
 		if e.Index <= r.snapshot.Index {
 			continue
 		}
-		term, isThere := r.termAt(e.Index)
-		if isThere && term == e.Term {
+		term, found := r.termAt(e.Index)
+		if found && term == e.Term {
 			continue
 		}
 		if last, _ := r.lastEntry(); e.Index > last+1 {
@@ -245,7 +245,7 @@
 		if err := r.checkMembershipSteps(e.Index-1, entries[i:]); err != nil {
 			return err
 		}
-		if isThere {
+		if found {
 			if e.Index <= r.commitIndex {
 				return errcode.New(errcode.Internal, "part %d: entry %d is committed and differs", r.shard, e.Index)
 			}
--- a/internal/consensus/replica_test.go
+++ b/internal/consensus/replica_test.go
@@ -67,15 +67,15 @@
 	})
 }
 
-func testTerm(round uint64) ids.Term { return ids.Term{Number: round, Node: "core-B"} }
+func testTerm(number uint64) ids.Term { return ids.Term{Number: number, Node: "core-B"} }
 
-func appendRequest(round uint64, prev ids.Index, entries ...rpc.Entry) *rpc.AppendRequest {
-	request := &rpc.AppendRequest{Term: testTerm(round), From: peers("B")[0], PrevIndex: prev}
+func appendRequest(number uint64, prev ids.Index, entries ...rpc.Entry) *rpc.AppendRequest {
+	request := &rpc.AppendRequest{Term: testTerm(number), From: peers("B")[0], PrevIndex: prev}
 	if prev > 0 {
-		request.PrevTerm = testTerm(round)
+		request.PrevTerm = testTerm(number)
 	}
 	for i := range entries {
-		entries[i].Index, entries[i].Term = prev+1+ids.Index(i), testTerm(round)
+		entries[i].Index, entries[i].Term = prev+1+ids.Index(i), testTerm(number)
 	}
 	request.Entries = entries
 	return request
@@ -105,7 +105,7 @@
 
 func TestReplica_RejectsInvalidEntries(t *testing.T) {
 	runReplica(t, func(t *testing.T, part *Replica, machine *recordingMachine) {
-		if _, err := part.handleAppend(appendRequest(3, 0, rpc.Entry{Kind: entryNoOp}, command(`1`))); err != nil {
+		if _, err := part.handleAppend(appendRequest(3, 0, rpc.Entry{Kind: entryEmpty}, command(`1`))); err != nil {
 			t.Fatal(err)
 		}
 		late := command(`2`)
@@ -129,7 +129,7 @@
 
 func TestReplica_RejectsDamagedSnapshots(t *testing.T) {
 	runReplica(t, func(t *testing.T, part *Replica, machine *recordingMachine) {
-		if _, err := part.handleAppend(appendRequest(3, 0, rpc.Entry{Kind: entryNoOp}, command(`1`))); err != nil {
+		if _, err := part.handleAppend(appendRequest(3, 0, rpc.Entry{Kind: entryEmpty}, command(`1`))); err != nil {
 			t.Fatal(err)
 		}
 		good := rpc.Snapshot{Index: 9, Term: testTerm(3), Voters: peers("ABC"), State: json.RawMessage(`["1","2"]`)}
@@ -208,7 +208,7 @@
 
 func TestReplica_IgnoresStaleAndImpossibleTerms(t *testing.T) {
 	runReplica(t, func(t *testing.T, part *Replica, machine *recordingMachine) {
-		if _, err := part.handleAppend(appendRequest(3, 0, rpc.Entry{Kind: entryNoOp})); err != nil {
+		if _, err := part.handleAppend(appendRequest(3, 0, rpc.Entry{Kind: entryEmpty})); err != nil {
 			t.Fatal(err)
 		}
 		future := appendRequest(1<<60, 1, command(`1`))
@@ -235,7 +235,7 @@
 		if _, err := part.handleSnapshotChunk(request); err == nil {
 			t.Fatal("a foreign snapshot is taken")
 		}
-		if _, err := part.handleAppend(appendRequest(4, 0, rpc.Entry{Kind: entryNoOp})); err != nil {
+		if _, err := part.handleAppend(appendRequest(4, 0, rpc.Entry{Kind: entryEmpty})); err != nil {
 			t.Fatal(err)
 		}
 		again := newReplica(part.node, 0, &recordingMachine{})
@@ -247,7 +247,7 @@
 
 func TestReplica_RemovedMemberDoesNotCampaign(t *testing.T) {
 	runReplica(t, func(t *testing.T, part *Replica, machine *recordingMachine) {
-		request := appendRequest(3, 0, rpc.Entry{Kind: entryNoOp}, membershipChange("ABD", "ABC"), membershipChange("ABD", ""))
+		request := appendRequest(3, 0, rpc.Entry{Kind: entryEmpty}, membershipChange("ABD", "ABC"), membershipChange("ABD", ""))
 		if _, err := part.handleAppend(request); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/consensus/replication.go
+++ b/internal/consensus/replication.go
@@ -61,7 +61,7 @@
 
 // Barrier returns once everything that is in the log now is committed.
 func (r *Replica) Barrier(ctx context.Context) error {
-	_, _, err := r.propose(ctx, rpc.Entry{Kind: entryNoOp})
+	_, _, err := r.propose(ctx, rpc.Entry{Kind: entryEmpty})
 	return err
 }
 
@@ -133,10 +133,10 @@
 		last, _ := r.lastEntry()
 		isCommitSent := r.shard != ids.ConfigShard || sentCommit >= r.commitIndex
 		if isMatched && next > last && isCommitSent {
-			change := r.changed
+			changed := r.changed
 			r.mu.Unlock()
 			select {
-			case <-change:
+			case <-changed:
 			case <-ctx.Done():
 			}
 			continue
@@ -189,7 +189,7 @@
 				r.notifyChanged()
 			}
 		case term.Less(response.CurrentTerm):
-			r.highestRound = max(r.highestRound, response.CurrentTerm.Number)
+			r.highestTermNumber = max(r.highestTermNumber, response.CurrentTerm.Number)
 			if r.currentTerm == term {
 				r.stepDown("a member promised a higher term")
 			}
--- a/internal/consensus/snapshot.go
+++ b/internal/consensus/snapshot.go
@@ -222,7 +222,7 @@
 func (r *Replica) stepDownForTerm(term, higher ids.Term) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.highestRound = max(r.highestRound, higher.Number)
+	r.highestTermNumber = max(r.highestTermNumber, higher.Number)
 	if r.currentTerm == term {
 		r.stepDown("a member promised a higher term")
 	}
--- a/internal/consensus/voters_test.go
+++ b/internal/consensus/voters_test.go
@@ -32,23 +32,23 @@
 }
 
 func TestVoters_CanBecome(t *testing.T) {
-	plain := func(names string) Voters { return Voters{Current: peers(names)} }
+	simple := func(names string) Voters { return Voters{Current: peers(names)} }
 	joint := func(names, former string) Voters { return Voters{Current: peers(names), Outgoing: peers(former)} }
 	for _, step := range []struct {
 		from, to Voters
 		want     bool
 	}{
-		{plain("ABC"), joint("ABD", "ABC"), true},
-		{plain("ABC"), joint("DEF", "ABC"), true},
-		{joint("ABD", "ABC"), plain("ABD"), true},
-		{plain("ABC"), plain("AB"), true},
-		{plain("AB"), plain("ABD"), true},
-		{plain("ABC"), plain("ABD"), false},
-		{plain("ABC"), joint("ABD", "ABE"), false},
-		{joint("ABD", "ABC"), plain("ABE"), false},
-		{joint("ABD", "ABC"), plain("ABC"), false},
+		{simple("ABC"), joint("ABD", "ABC"), true},
+		{simple("ABC"), joint("DEF", "ABC"), true},
+		{joint("ABD", "ABC"), simple("ABD"), true},
+		{simple("ABC"), simple("AB"), true},
+		{simple("AB"), simple("ABD"), true},
+		{simple("ABC"), simple("ABD"), false},
+		{simple("ABC"), joint("ABD", "ABE"), false},
+		{joint("ABD", "ABC"), simple("ABE"), false},
+		{joint("ABD", "ABC"), simple("ABC"), false},
 		{joint("ABD", "ABC"), joint("ABE", "ABD"), false},
-		{plain("ABC"), plain(""), false},
+		{simple("ABC"), simple(""), false},
 	} {
 		if got := step.from.canBecome(step.to); got != step.want {
 			t.Errorf("%s to %s: %v", step.from, step.to, got)
--- a/internal/simulator/contact_test.go
+++ b/internal/simulator/contact_test.go
@@ -85,7 +85,7 @@
 	}
 }
 
-func TestANodeWithoutContactHandsOutNothing(t *testing.T) {
+func TestNode_WithoutQuorumContactServesNothing(t *testing.T) {
 	for _, manner := range []string{"both ways", "inward", "outward", "with a third of the callers"} {
 		for _, isOwner := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%s, owner %v", manner, isOwner), func(t *testing.T) {
@@ -166,7 +166,7 @@
 	}
 }
 
-func TestAProxyThatReachesOnlyANodeWithoutContactIsNotReady(t *testing.T) {
+func TestProxy_NotReadyWithoutQuorumContact(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		shape := stays(Small())
 		shape.Cores = 5
--- a/internal/simulator/found_test.go
+++ b/internal/simulator/found_test.go
@@ -33,7 +33,7 @@
 	return ids, n
 }
 
-func TestFoundingUnderKillsMakesOneFleet(t *testing.T) {
+func TestBootstrap_KillsFormOneCluster(t *testing.T) {
 	for seed := range uint64(24) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
@@ -66,7 +66,7 @@
 	}
 }
 
-func TestACoreDamagedAsAWholeFoundsNoSecondFleet(t *testing.T) {
+func TestBootstrap_DamagedCoreFormsNoSecondCluster(t *testing.T) {
 	inFleet(t, one(), func(t *testing.T, f *Fleet) {
 		before, _ := fleets(f)
 		for _, m := range f.Cores() {
@@ -93,9 +93,9 @@
 	})
 }
 
-// TestAFounderThatLosesItsDiskBeforeTheOpening: the others have accepted a charter
+// TestBootstrap_FounderLosesDiskBeforeOpening: the others have accepted a charter
 // that names a birth which is gone; the fleet is founded all the same, once.
-func TestAFounderThatLosesItsDiskBeforeTheOpening(t *testing.T) {
+func TestBootstrap_FounderLosesDiskBeforeOpening(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := NewFleet(1, Small(), io.Discard)
 		defer f.Close()
@@ -132,9 +132,9 @@
 	})
 }
 
-// TestAMemberThatIsNeededStaysForAWhile: while another member is down, one that is
+// TestNode_NeededVoterDelaysShutdown: while another member is down, one that is
 // told to go keeps its vote until that one is back.
-func TestAMemberThatIsNeededStaysForAWhile(t *testing.T) {
+func TestNode_NeededVoterDelaysShutdown(t *testing.T) {
 	inFleet(t, one(), func(t *testing.T, f *Fleet) {
 		time.Sleep(3 * time.Second)
 		f.Of("core1").Kill(true)
--- a/internal/simulator/prevote_test.go
+++ b/internal/simulator/prevote_test.go
@@ -21,7 +21,7 @@
 	return n
 }
 
-func TestACoreThatReturnsAsAWholeSoonOwnsItsParts(t *testing.T) {
+func TestPrevote_RestartedCoreElectsLeadersAtOnce(t *testing.T) {
 	for _, shape := range []Shape{Small(), five()} {
 		inFleet(t, shape, func(t *testing.T, f *Fleet) {
 			for i := range 8 {
@@ -55,7 +55,7 @@
 	return len(line), nil
 }
 
-func TestAMemberThatComesBackAloneTakesNothing(t *testing.T) {
+func TestPrevote_RestartedMemberDisruptsNoLeader(t *testing.T) {
 	inFleet(t, five(), func(t *testing.T, f *Fleet) {
 		var taken seized
 		f.Log = &taken // heard from whoever starts from now on
@@ -81,7 +81,7 @@
 
 // A planner that has just started knows nobody yet; the proxies that it has not met keep
 // their shares for as long as those that went, so that no epoch is made of its ignorance.
-func TestACoreThatReturnsAsAWholeMakesNoEpochOfIt(t *testing.T) {
+func TestPrevote_RestartedCoreKeepsEpoch(t *testing.T) {
 	shape := Small()
 	shape.Proxies = 6
 	shape.Settings["plan.keep"], shape.Settings["plan.settle"], shape.Settings["plan.linger"] = "true", "3s", "30s"
@@ -108,9 +108,9 @@
 	})
 }
 
-// TestAMemberThatHearsNothingEndsNoOwnership: it would stand under ever higher terms,
+// TestPrevote_IsolatedMemberDisruptsNoLeader: it would stand under ever higher terms,
 // and once it is heard again the owner's would be below them.
-func TestAMemberThatHearsNothingEndsNoOwnership(t *testing.T) {
+func TestPrevote_IsolatedMemberDisruptsNoLeader(t *testing.T) {
 	inFleet(t, one(), func(t *testing.T, f *Fleet) {
 		time.Sleep(3 * time.Second)
 		owner := f.owner(ids.ConfigShard)
--- a/internal/simulator/repair_test.go
+++ b/internal/simulator/repair_test.go
@@ -29,7 +29,7 @@
 	return nil
 }
 
-func TestACopyThatDiffersIsMended(t *testing.T) {
+func TestAntiEntropy_DivergedReplicaIsRepaired(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := NewFleet(1, Small(), io.Discard)
 		defer f.Close()
--- a/internal/simulator/replaced_test.go
+++ b/internal/simulator/replaced_test.go
@@ -115,7 +115,7 @@
 	return killed
 }
 
-func TestAnOwnersDeathLeavesNoReplacementHalfDone(t *testing.T) {
+func TestMembershipChange_NextLeaderFinishesJointStep(t *testing.T) {
 	inFleet(t, fiveCores(), func(t *testing.T, f *Fleet) {
 		no := ids.ShardOf("app/a")
 		time.Sleep(3 * time.Second)
@@ -148,7 +148,7 @@
 	})
 }
 
-func TestTheCopiesOfALostDiskAreMendedSideBySide(t *testing.T) {
+func TestMembershipChange_LostDiskRecoversInParallel(t *testing.T) {
 	inFleet(t, five(), func(t *testing.T, f *Fleet) {
 		time.Sleep(3 * time.Second)
 		m := f.Of("core2")
@@ -163,7 +163,7 @@
 	})
 }
 
-func TestAReplacedMemberHidesNoAcknowledgedWrite(t *testing.T) {
+func TestReplica_ReplacedMemberHidesNoAcknowledgedWrite(t *testing.T) {
 	inFleet(t, fiveCores(), func(t *testing.T, f *Fleet) {
 		client := standin.NewAPIClient(f.W.Net(f.outside(1)), f.Of("proxy1").Api())
 		put := func(value string) {
--- a/internal/simulator/snapshot_test.go
+++ b/internal/simulator/snapshot_test.go
@@ -36,7 +36,7 @@
 	return ids.ShardOf("app/0")
 }
 
-func TestALargeStateReachesAMemberOverASlowLink(t *testing.T) {
+func TestSnapshot_LargeStateOverSlowLink(t *testing.T) {
 	shape := one()
 	shape.Settings["pact.snapshot"] = "50"
 	inFleet(t, shape, func(t *testing.T, f *Fleet) {
@@ -59,12 +59,12 @@
 	changes = flag.Int("changes", 90, "changes made meanwhile")
 )
 
-// TestCatchingUpDoesNotGrowWithTheChanges makes changes over a large configuration
+// TestSnapshot_CatchingUpDoesNotGrowWithChanges makes changes over a large configuration
 // while members are restarted, wiped and moved, and measures how large the state is and
 // how long a member takes that lost its disk. The whole size by command:
 //
 //	go test ./internal/simulator -run CatchingUp -routes 5200 -changes 600 -v
-func TestCatchingUpDoesNotGrowWithTheChanges(t *testing.T) {
+func TestSnapshot_CatchingUpDoesNotGrowWithChanges(t *testing.T) {
 	shape := one()
 	shape.Settings["pact.snapshot"] = "40"
 	inFleet(t, shape, func(t *testing.T, f *Fleet) {
@@ -126,9 +126,9 @@
 	})
 }
 
-// TestAMemberBehindLeadsWithNothingOld: a member that was away while the others folded
+// TestReplica_LaggingMemberServesNothingStale: a member that was away while the others folded
 // their logs stands when they are alone with it; who has the rest must lead.
-func TestAMemberBehindLeadsWithNothingOld(t *testing.T) {
+func TestReplica_LaggingMemberServesNothingStale(t *testing.T) {
 	shape := one()
 	shape.Settings["pact.snapshot"] = "20"
 	shape.Settings["pact.tail"] = "5"
--- a/internal/simulator/spare_test.go
+++ b/internal/simulator/spare_test.go
@@ -13,7 +13,7 @@
 	"github.com/sumactrestle/sumactrestle/internal/standin"
 )
 
-func TestASpareTakesThePlaceOfACoreNodeLostForGood(t *testing.T) {
+func TestMembershipChange_SpareReplacesLostNode(t *testing.T) {
 	shape := one()
 	shape.Settings["pact.gone"] = "3s"
 	inFleet(t, shape, func(t *testing.T, f *Fleet) {
