--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -18,6 +18,7 @@
 
 	"github.com/sumactrestle/sumactrestle/internal/errcode"
 	"github.com/sumactrestle/sumactrestle/internal/eventlog"
+	"github.com/sumactrestle/sumactrestle/internal/proxy/upstream"
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
@@ -94,7 +95,7 @@
 
 // attempt is one write of the request to one target, at most. An answer beside a
 // problem is a target's word that it did not run the request.
-func (p *Proxy) attempt(ctx context.Context, plan *requestPlan, r *http.Request, endpoint *Endpoint, body func() io.Reader, index int) (*Response, bool, error) {
+func (p *Proxy) attempt(ctx context.Context, plan *requestPlan, r *http.Request, endpoint *Endpoint, body func() io.Reader, index int) (*upstream.Response, bool, error) {
 	endpoint.BeginAttempt(time.Now())
 	awaiting := false
 	defer func() {
@@ -123,10 +124,10 @@
 			return nil, false, errcode.New(errcode.NotFresh, "the mapping changed in epoch %d", view.snapshot.Epoch)
 		}
 	}
-	connection.Conn.SetDeadline(plan.deadline)
-	connection.SetUserTimeout(unackedTimeout)
+	connection.SetDeadline(plan.deadline)
+	connection.SetUserTimeout(upstream.UnackedTimeout)
 	p.retryBudget.RecordRequest(plan.service.Name, p.retryLimits(plan), plan.orderKey, plan.clientRetry || index > 0)
-	writer := &countingWriter{writer: connection.Conn}
+	writer := &countingWriter{writer: connection}
 	sent := time.Now()
 	defer plan.addUpstreamTime(sent)
 	if err := p.writeRequest(ctx, connection, request, writer); err != nil {
@@ -151,8 +152,8 @@
 // sentAttempt is a try that was written, and whose answer is awaited.
 type sentAttempt struct {
 	endpoint   *Endpoint
-	connection *Connection
-	responses  chan Response
+	connection *upstream.Connection
+	responses  <-chan upstream.Response
 	sentAt     time.Time
 	writer     *countingWriter
 	// overdue is set once the answer is overdue.
@@ -164,16 +165,16 @@
 // same; it says nothing on how well the target is.
 func (sent *sentAttempt) onStaleConnection(now time.Time, typical time.Duration, err error) bool {
 	timeout, ok := err.(interface{ Timeout() bool })
-	return sent.connection.IdledFor >= MinIdleLimit && !(ok && timeout.Timeout()) && now.Sub(sent.sentAt) < typical/2
+	return sent.connection.IdledFor() >= upstream.MinIdleLimit && !(ok && timeout.Timeout()) && now.Sub(sent.sentAt) < typical/2
 }
 
 // finishAttempt takes what a written try came to: an answer with a right seal, or a problem.
-func (p *Proxy) finishAttempt(plan *requestPlan, sent *sentAttempt, response *Response) (*Response, bool, error) {
+func (p *Proxy) finishAttempt(plan *requestPlan, sent *sentAttempt, response *upstream.Response) (*upstream.Response, bool, error) {
 	target := sent.endpoint.Target
 	if response.Err != nil {
 		sent.connection.Abort()
 		if now := time.Now(); sent.onStaleConnection(now, plan.endpoints.TypicalLatency(), response.Err) {
-			p.connections.RecordStale(sent.connection.IdledFor, now)
+			p.connections.RecordStale(sent.connection.IdledFor(), now)
 		} else {
 			sent.endpoint.RecordFailure(now, false)
 			p.reportFailure(sent.endpoint)
@@ -187,14 +188,14 @@
 		return nil, true, err
 	}
 	p.countTraffic(target, sent.writer.written+len(response.Body))
-	sent.connection.Conn.SetDeadline(time.Time{})
+	sent.connection.SetDeadline(time.Time{})
 	sent.connection.ApplyKeepAlive(response.HTTP.Header.Get("Keep-Alive"))
 	p.connections.Put(sent.endpoint.Key, sent.connection)
 	return p.classify(plan, sent.endpoint, response, sent.sentAt)
 }
 
 // classify tells an answer that ran from a target's word that nothing did.
-func (p *Proxy) classify(plan *requestPlan, endpoint *Endpoint, response *Response, sentAt time.Time) (*Response, bool, error) {
+func (p *Proxy) classify(plan *requestPlan, endpoint *Endpoint, response *upstream.Response, sentAt time.Time) (*upstream.Response, bool, error) {
 	now, header := time.Now(), response.HTTP.Header
 	status := response.HTTP.StatusCode
 	notRun := header.Get(p.environment.Config.HeaderUnrun) != "" && status >= 400
@@ -222,7 +223,7 @@
 // writeRequest writes the request, once. A body that streams follows its head only when
 // the server has said that it wants it (100 Continue): a head that a cut holds back
 // is given up within the short patience, and without its body nothing runs.
-func (p *Proxy) writeRequest(ctx context.Context, connection *Connection, request *http.Request, writer io.Writer) error {
+func (p *Proxy) writeRequest(ctx context.Context, connection *upstream.Connection, request *http.Request, writer io.Writer) error {
 	if body, ok := request.Body.(uncloseableBody); ok {
 		if stream, ok := body.Reader.(*streamedBody); ok {
 			buffer := bufio.NewWriter(writer)
@@ -281,8 +282,8 @@
 
 func (uncloseableBody) Close() error { return nil }
 
-func readFailure(response *Response, instance string) error {
-	if errors.Is(response.Err, ErrTooLarge) {
+func readFailure(response *upstream.Response, instance string) error {
+	if errors.Is(response.Err, upstream.ErrTooLarge) {
 		return errcode.New(errcode.AnswerTooLarge, "")
 	}
 	if timeout, ok := response.Err.(interface{ Timeout() bool }); ok && timeout.Timeout() {
@@ -291,16 +292,9 @@
 	return errcode.New(errcode.AnswerLost, "%v", response.Err)
 }
 
-var hopByHop = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect", "Proxy-Authorization", "Proxy-Authenticate"}
-
 func (p *Proxy) upstreamRequest(plan *requestPlan, r *http.Request, target rpc.Target, body io.Reader, index int) *http.Request {
 	out := &http.Request{Method: r.Method, URL: r.URL, Host: r.Host, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1, Header: r.Header.Clone(), ContentLength: r.ContentLength}
-	for _, option := range strings.Split(r.Header.Get("Connection"), ",") {
-		out.Header.Del(strings.TrimSpace(option))
-	}
-	for _, name := range hopByHop {
-		out.Header.Del(name)
-	}
+	removeHopByHop(out.Header, r.Header.Get("Connection"))
 	for name := range out.Header {
 		if strings.HasPrefix(name, "Sumac-") {
 			out.Header.Del(name)
@@ -332,7 +326,7 @@
 
 // verifySeal holds an answer against the server's seal. An opaque one can only be
 // seen to be there; then the answer must name its request, and its length.
-func (p *Proxy) verifySeal(plan *requestPlan, target rpc.Target, response *Response) error {
+func (p *Proxy) verifySeal(plan *requestPlan, target rpc.Target, response *upstream.Response) error {
 	header := response.HTTP.Header
 	seal := header.Get(p.environment.Config.HeaderSeal)
 	sealed := false
--- a/internal/proxy/endpoint.go
+++ b/internal/proxy/endpoint.go
@@ -72,6 +72,11 @@
 	Durations      *metrics.Service
 }
 
+// EndpointKey names an endpoint within this proxy.
+func EndpointKey(service, instance, address string) string {
+	return service + "\n" + instance + "\n" + address
+}
+
 func (p *Proxy) newPool(service string, targets []rpc.Target, previous *Pool, now time.Time) *Pool {
 	pool := &Pool{hedgeRatio: float64(p.environment.Config.GateDoubles) / 100}
 	known := map[string]*Endpoint{}
--- a/internal/proxy/hedge.go
+++ b/internal/proxy/hedge.go
@@ -13,6 +13,7 @@
 	"time"
 
 	"github.com/sumactrestle/sumactrestle/internal/errcode"
+	"github.com/sumactrestle/sumactrestle/internal/proxy/upstream"
 )
 
 // silenceFactor is after how many times the usual a target that has not answered counts
@@ -24,7 +25,7 @@
 
 // attemptResult is what a try came to.
 type attemptResult struct {
-	response *Response
+	response *upstream.Response
 	wrote    bool
 	err      error
 }
@@ -56,7 +57,7 @@
 }
 
 // awaitResponse waits for the answer of a try, and for that of its double once it is overdue.
-func (p *Proxy) awaitResponse(ctx context.Context, plan *requestPlan, r *http.Request, sent *sentAttempt, body func() io.Reader, index int) (*Response, bool, error) {
+func (p *Proxy) awaitResponse(ctx context.Context, plan *requestPlan, r *http.Request, sent *sentAttempt, body func() io.Reader, index int) (*upstream.Response, bool, error) {
 	var late <-chan time.Time
 	typical := plan.endpoints.TypicalLatency()
 	hedged := p.environment.Config.GateDoubles > 0 && index == 0 && plan.maxAttempts > 1 && plan.idempotent && r.ContentLength == 0
--- a/internal/proxy/order_report.go
+++ b/internal/proxy/order_report.go
@@ -14,6 +14,7 @@
 	"github.com/sumactrestle/sumactrestle/internal/distribution"
 	"github.com/sumactrestle/sumactrestle/internal/environment"
 	"github.com/sumactrestle/sumactrestle/internal/membership"
+	"github.com/sumactrestle/sumactrestle/internal/proxy/retry"
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
@@ -32,12 +33,12 @@
 	environment *environment.Environment
 	rpc         *rpc.Wire
 	membership  *membership.Memberlist
-	budget      *Budget
+	budget      *retry.Budget
 	snapshot    func() *distribution.Chart
 	queue       chan lostOrder
 }
 
-func newOrderReporter(env *environment.Environment, rpcClient *rpc.Wire, membership *membership.Memberlist, budget *Budget, orders *Tracker, snapshot func() *distribution.Chart) *orderReporter {
+func newOrderReporter(env *environment.Environment, rpcClient *rpc.Wire, membership *membership.Memberlist, budget *retry.Budget, orders *Tracker, snapshot func() *distribution.Chart) *orderReporter {
 	reporter := &orderReporter{environment: env, rpc: rpcClient, membership: membership, budget: budget, snapshot: snapshot, queue: make(chan lostOrder, maxReportBatch)}
 	rpcClient.Handle("gate.seen", func(call *rpc.Call) (any, error) {
 		var request rpc.UnansweredRequests
--- a/internal/proxy/plan.go
+++ b/internal/proxy/plan.go
@@ -46,6 +46,16 @@
 	return min(configured, max(rp.latencyTarget, minConnectTimeout))
 }
 
+// uploadDeadline is until when the turn of the request's body may come: one that would start
+// later than it should have ended is rejected.
+func (rp *requestPlan) uploadDeadline(now time.Time) time.Time {
+	limit := now.Add(rp.latencyTarget)
+	if rp.deadline.Before(limit) {
+		return rp.deadline
+	}
+	return limit
+}
+
 // epochView finds mappings by path, and knows the targets of the epoch.
 type epochView struct {
 	snapshot     *distribution.Chart
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -5,11 +5,8 @@
 
 import (
 	"context"
-	"encoding/json"
-	"math/rand/v2"
 	"net/http"
 	"strconv"
-	"strings"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -20,16 +17,15 @@
 	"github.com/sumactrestle/sumactrestle/internal/eventlog"
 	"github.com/sumactrestle/sumactrestle/internal/ids"
 	"github.com/sumactrestle/sumactrestle/internal/membership"
+	"github.com/sumactrestle/sumactrestle/internal/proxy/admission"
+	"github.com/sumactrestle/sumactrestle/internal/proxy/retry"
+	"github.com/sumactrestle/sumactrestle/internal/proxy/upstream"
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
 const (
 	maxReplayableBody = 64 << 10
 
-	// staleRetryAfterFactor is how much later than for room a caller is asked to come back for
-	// a plan.
-	staleRetryAfterFactor = 5
-
 	// defaultMaxAttempts is how many targets one request is sent to, if its mapping names
 	// no number.
 	defaultMaxAttempts = 4
@@ -40,11 +36,11 @@
 	environment       *environment.Environment
 	configuration     *distribution.Client
 	current           atomic.Pointer[epochView]
-	connections       *ConnectionPool
-	retryBudget       *Budget
+	connections       *upstream.Pool
+	retryBudget       *retry.Budget
 	orders            *Tracker
 	inFlightByService sync.Map
-	uploads           *Uploads
+	uploads           *admission.Uploads
 	opaqueSeals       bool // answers bear an opaque seal, and nothing of ours is added
 	inFlight          atomic.Int64
 	stopping          atomic.Bool
@@ -60,7 +56,11 @@
 }
 
 func New(env *environment.Environment, configuration *distribution.Client, rpcClient *rpc.Wire, membership *membership.Memberlist, coordinate func(context.Context, *rpc.CoordinationRequest) (*rpc.CoordinationResponse, error)) *Proxy {
-	p := &Proxy{environment: env, configuration: configuration, connections: NewConnectionPool(env), retryBudget: NewBudget(env.Config.ExtraWindow), uploads: NewUploads(env.Config.GateRate, env.Config.GateBodies), opaqueSeals: env.Config.GateSeal == "opaque", orders: NewTracker(), membership: membership, rpc: rpcClient, coordinate: coordinate, unwritten: make(chan orderOutcome, 4096)}
+	correlationHeader := ""
+	if env.Config.GateSeal == "opaque" {
+		correlationHeader = env.Config.HeaderRequest
+	}
+	p := &Proxy{environment: env, configuration: configuration, connections: upstream.NewPool(upstream.Config{Environment: env, IdleTimeout: env.Config.GateIdle, CorrelationHeader: correlationHeader}), retryBudget: retry.NewBudget(env.Config.ExtraWindow), uploads: admission.New(admission.Config{KilobytesPerSecond: env.Config.GateRate, ConcurrentReads: env.Config.GateBodies}), opaqueSeals: env.Config.GateSeal == "opaque", orders: NewTracker(), membership: membership, rpc: rpcClient, coordinate: coordinate, unwritten: make(chan orderOutcome, 4096)}
 	env.Go(p.writeOutcomes)
 	p.orderReports = newOrderReporter(env, rpcClient, membership, p.retryBudget, p.orders, configuration.Cache.Chart)
 	p.outliers = newOutlierReporter(p)
@@ -80,7 +80,7 @@
 func (p *Proxy) Stop() { p.stopping.Store(true) }
 
 // Close ends the idle pipes.
-func (p *Proxy) Close() { p.connections.Prune(func(string) bool { return false }) }
+func (p *Proxy) Close() { p.connections.Close() }
 
 // InFlight is how many requests are under way.
 func (p *Proxy) InFlight() int64 { return p.inFlight.Load() }
@@ -110,7 +110,7 @@
 }
 
 // handle plans a request, asks for what it needs, and carries it out.
-func (p *Proxy) handle(w http.ResponseWriter, r *http.Request, requestID string, inFlight int64) (*requestPlan, *Response, error) {
+func (p *Proxy) handle(w http.ResponseWriter, r *http.Request, requestID string, inFlight int64) (*requestPlan, *upstream.Response, error) {
 	if p.stopping.Load() {
 		w.Header().Set("Connection", "close")
 		return nil, nil, errcode.New(errcode.Stopping, "")
@@ -222,8 +222,8 @@
 	return found.(*atomic.Int64)
 }
 
-func (p *Proxy) retryLimits(plan *requestPlan) Limits {
-	limits := Limits{Percent: p.environment.Config.ExtraPercent, Base: p.environment.Config.ExtraBase}
+func (p *Proxy) retryLimits(plan *requestPlan) retry.Limits {
+	limits := retry.Limits{Percent: p.environment.Config.ExtraPercent, Base: p.environment.Config.ExtraBase}
 	quota := plan.snapshot.Limits[plan.service.Name]
 	if quota.RetryPercent != nil {
 		limits.Percent = min(limits.Percent, *quota.RetryPercent)
@@ -243,7 +243,7 @@
 // only if the request may be repeated. Each target that a request was sent to,
 // beyond the first, is paid from the budget of extra tries. A target's own failure at a
 // request that may be repeated is passed on only if no other target does better.
-func (p *Proxy) forward(plan *requestPlan, r *http.Request) (*Response, error) {
+func (p *Proxy) forward(plan *requestPlan, r *http.Request) (*upstream.Response, error) {
 	ctx, cancel := context.WithDeadline(p.environment, plan.deadline)
 	defer cancel()
 	if plan.idempotent {
@@ -256,7 +256,7 @@
 		return nil, err
 	}
 	var lastErr error
-	var failed *Response
+	var failed *upstream.Response
 	sent, misses := 0, 0
 	written := false
 	for sent < plan.maxAttempts && misses < defaultMaxAttempts {
@@ -307,84 +307,3 @@
 	}
 	return nil, lastErr
 }
-
-func (p *Proxy) writeResponse(w http.ResponseWriter, plan *requestPlan, response *Response) {
-	header := w.Header()
-	for name, values := range response.HTTP.Header {
-		header[name] = values
-	}
-	for _, option := range strings.Split(response.HTTP.Header.Get("Connection"), ",") {
-		header.Del(strings.TrimSpace(option))
-	}
-	for _, name := range hopByHop {
-		header.Del(name)
-	}
-	if p.draining.Load() {
-		header.Set("Connection", "close")
-	}
-	if !p.opaqueSeals {
-		header.Set(p.environment.Config.HeaderRequest, plan.requestID)
-		header.Set(HeaderOutcome, "ran")
-		header.Set(HeaderEpoch, strconv.FormatUint(uint64(plan.snapshot.Epoch), 10))
-	}
-	if response.HTTP.StatusCode != http.StatusNoContent && response.HTTP.StatusCode != http.StatusNotModified && response.HTTP.Request.Method != http.MethodHead {
-		header.Set("Content-Length", strconv.Itoa(len(response.Body)))
-	}
-	p.countOutcome("ran")
-	w.WriteHeader(response.HTTP.StatusCode)
-	w.Write(response.Body)
-}
-
-func (p *Proxy) countOutcome(outcome string) {
-	found, ok := p.OutcomeCounts.Load(outcome)
-	if !ok {
-		found, _ = p.OutcomeCounts.LoadOrStore(outcome, new(atomic.Int64))
-	}
-	found.(*atomic.Int64).Add(1)
-}
-
-// reject answers at once, and spreads the time to come back. What is said is
-// true of the order, if the request bore a key and the order is known here.
-func (p *Proxy) reject(w http.ResponseWriter, r *http.Request, plan *requestPlan, err error) {
-	problem := errcode.Of(err)
-	if key := KeyOf(r); key != 0 {
-		problem = Refusal(p.orders.State(key), problem)
-	}
-	p.countOutcome(problem.Code.Name)
-	header := w.Header()
-	header.Set("Content-Type", "application/json")
-	if !p.opaqueSeals {
-		header.Set(HeaderCode, strconv.Itoa(problem.Code.No))
-		header.Set(HeaderOutcome, problem.Code.Outcome)
-	}
-	if problem.Code.Status >= 500 || problem.Code.Status == http.StatusTooManyRequests || problem.Code.Status == http.StatusConflict {
-		delay := p.environment.Config.GateReturn
-		if problem.Code.No == errcode.NotFresh.No && delay < time.Second {
-			// A plan comes later than room does.
-			delay *= staleRetryAfterFactor
-		}
-		header.Set("Retry-After", retryAfter(delay))
-	}
-	status := problem.Code.Status
-	if status == 499 {
-		status = http.StatusBadGateway
-	}
-	body, _ := json.Marshal(map[string]any{"code": problem.Code.No, "name": problem.Code.Name, "outcome": problem.Code.Outcome, "text": problem.Code.Text, "note": problem.Note})
-	body = append(body, '\n')
-	unread := r.ContentLength != 0 && IsLarge(r.ContentLength) && (plan == nil || !plan.bodyRead)
-	if unread && p.uploads.rate > 0 && p.rejectUnread(w, status, body) {
-		return
-	}
-	w.WriteHeader(status)
-	w.Write(body)
-}
-
-// retryAfter spreads the time to come back over one to three times the least, in
-// seconds; below a second it is told in fractions.
-func retryAfter(minimum time.Duration) string {
-	if minimum >= time.Second {
-		return strconv.Itoa(int(minimum/time.Second) * (1 + rand.IntN(3)))
-	}
-	spread := minimum + time.Duration(rand.Int64N(int64(2*minimum)+1))
-	return strconv.FormatFloat(spread.Seconds(), 'f', 3, 64)
-}
--- /dev/null
+++ b/internal/proxy/respond.go
@@ -0,0 +1,164 @@
+package proxy
+
+import (
+	"bytes"
+	"encoding/json"
+	"io"
+	"math/rand/v2"
+	"net/http"
+	"strconv"
+	"strings"
+	"sync/atomic"
+	"time"
+
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
+	"github.com/sumactrestle/sumactrestle/internal/proxy/admission"
+	"github.com/sumactrestle/sumactrestle/internal/proxy/upstream"
+)
+
+const (
+	// staleRetryAfterFactor is how much longer a client is asked to wait where the proxy has
+	// no fresh configuration than where it lacks capacity: the former takes longer to come.
+	staleRetryAfterFactor = 5
+
+	// halfCloseTime is how long a connection whose body was left unread stays half closed, so
+	// that the client reads the response before the reset.
+	halfCloseTime = 500 * time.Millisecond
+
+	// statusClientClosedRequest marks requests whose client has gone; it is no status of
+	// RFC 9110 and never sent.
+	statusClientClosedRequest = 499
+)
+
+// hopByHop are the header fields that concern one connection only and are not forwarded,
+// beside those that the Connection field names (RFC 9110, section 7.6.1), and those that the
+// proxy answers itself.
+var hopByHop = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect", "Proxy-Authorization", "Proxy-Authenticate"}
+
+// removeHopByHop removes the hop-by-hop fields from a header. connection is the value of the
+// message's Connection field.
+func removeHopByHop(header http.Header, connection string) {
+	for _, option := range strings.Split(connection, ",") {
+		header.Del(strings.TrimSpace(option))
+	}
+	for _, name := range hopByHop {
+		header.Del(name)
+	}
+}
+
+// writeResponse hands a target's response to the client. It has been read whole, so it goes
+// out with a Content-Length, except where RFC 9110, section 8.6, wants none.
+func (p *Proxy) writeResponse(w http.ResponseWriter, plan *requestPlan, response *upstream.Response) {
+	header := w.Header()
+	for name, values := range response.HTTP.Header {
+		header[name] = values
+	}
+	removeHopByHop(header, response.HTTP.Header.Get("Connection"))
+	if p.draining.Load() {
+		header.Set("Connection", "close")
+	}
+	if !p.opaqueSeals {
+		header.Set(p.environment.Config.HeaderRequest, plan.requestID)
+		header.Set(HeaderOutcome, "ran")
+		header.Set(HeaderEpoch, strconv.FormatUint(uint64(plan.snapshot.Epoch), 10))
+	}
+	if response.HTTP.StatusCode != http.StatusNoContent && response.HTTP.StatusCode != http.StatusNotModified && response.HTTP.Request.Method != http.MethodHead {
+		header.Set("Content-Length", strconv.Itoa(len(response.Body)))
+	}
+	p.countOutcome("ran")
+	w.WriteHeader(response.HTTP.StatusCode)
+	w.Write(response.Body)
+}
+
+// countOutcome counts how a request ended: "ran", or the name of an error code.
+func (p *Proxy) countOutcome(outcome string) {
+	found, ok := p.OutcomeCounts.Load(outcome)
+	if !ok {
+		found, _ = p.OutcomeCounts.LoadOrStore(outcome, new(atomic.Int64))
+	}
+	found.(*atomic.Int64).Add(1)
+}
+
+// rejection is the body of a response that the proxy makes itself.
+type rejection struct {
+	Code    int    `json:"code"`
+	Name    string `json:"name"`
+	Note    string `json:"note"`
+	Outcome string `json:"outcome"`
+	Text    string `json:"text"`
+}
+
+// reject answers a request that got no response from a target. If the request bears an
+// idempotency key that is known here, the answer says what is true of all attempts under
+// that key, not only of this one.
+func (p *Proxy) reject(w http.ResponseWriter, r *http.Request, plan *requestPlan, err error) {
+	problem := errcode.Of(err)
+	if key := KeyOf(r); key != 0 {
+		problem = Refusal(p.orders.State(key), problem)
+	}
+	p.countOutcome(problem.Code.Name)
+	header := w.Header()
+	header.Set("Content-Type", "application/json")
+	if !p.opaqueSeals {
+		header.Set(HeaderCode, strconv.Itoa(problem.Code.No))
+		header.Set(HeaderOutcome, problem.Code.Outcome)
+	}
+	if problem.Code.Status >= 500 || problem.Code.Status == http.StatusTooManyRequests || problem.Code.Status == http.StatusConflict {
+		delay := p.environment.Config.GateReturn
+		if problem.Code.No == errcode.NotFresh.No && delay < time.Second {
+			delay *= staleRetryAfterFactor
+		}
+		header.Set("Retry-After", retryAfter(delay))
+	}
+	status := problem.Code.Status
+	if status == statusClientClosedRequest {
+		status = http.StatusBadGateway
+	}
+	body, _ := json.Marshal(rejection{Code: problem.Code.No, Name: problem.Code.Name, Note: problem.Note, Outcome: problem.Code.Outcome, Text: problem.Code.Text})
+	body = append(body, '\n')
+	unread := r.ContentLength != 0 && admission.IsLarge(r.ContentLength) && (plan == nil || !plan.bodyRead)
+	if unread && p.uploads.IsBounded() && p.rejectUnread(w, status, body) {
+		return
+	}
+	w.WriteHeader(status)
+	w.Write(body)
+}
+
+// retryAfter is the value of a Retry-After field (RFC 9110, section 10.2.3), spread over one
+// to three times the minimum so that clients don't come back all at once. Below a second it
+// is a fraction, which goes beyond the RFC and is asked for by a setting.
+func retryAfter(minimum time.Duration) string {
+	if minimum >= time.Second {
+		return strconv.Itoa(int(minimum/time.Second) * (1 + rand.IntN(3)))
+	}
+	spread := minimum + time.Duration(rand.Int64N(int64(2*minimum)+1))
+	return strconv.FormatFloat(spread.Seconds(), 'f', 3, 64)
+}
+
+// rejectUnread answers and closes the connection with the request's body unread (RFC 9112,
+// section 9.6, describes the half-close that lets the client read the response). net/http
+// would read the body before it answers and after, so the connection is taken from it; false
+// if that can't be done, and then nothing has been written.
+func (p *Proxy) rejectUnread(w http.ResponseWriter, status int, body []byte) bool {
+	conn, _, err := http.NewResponseController(w).Hijack()
+	if err != nil {
+		return false
+	}
+	header := w.Header()
+	header.Set("Connection", "close")
+	response := &http.Response{StatusCode: status, ProtoMajor: 1, ProtoMinor: 1, Header: header, ContentLength: int64(len(body)), Body: io.NopCloser(bytes.NewReader(body))}
+	buffer := &bytes.Buffer{}
+	response.Write(buffer)
+	conn.SetWriteDeadline(time.Now().Add(halfCloseTime))
+	_, err = conn.Write(buffer.Bytes())
+	half, canHalf := conn.(interface{ CloseWrite() error })
+	if err != nil || !canHalf || half.CloseWrite() != nil {
+		conn.Close()
+		return true
+	}
+	p.environment.Go(func() {
+		p.environment.Sleep(halfCloseTime)
+		conn.Close()
+	})
+	return true
+}
--- a/internal/proxy/stats.go
+++ b/internal/proxy/stats.go
@@ -74,20 +74,10 @@
 }
 
 // IdleConnections is how many idle connections to targets there are.
-func (p *Proxy) IdleConnections() (count int) {
-	p.connections.mu.Lock()
-	defer p.connections.mu.Unlock()
-	for _, idle := range p.connections.idle {
-		count += len(idle)
-	}
-	return count
-}
+func (p *Proxy) IdleConnections() int { return p.connections.Idle() }
 
-// VisitRetryBudgets visits what each service's budget held when it was last looked at.
+// VisitRetryBudgets calls visit for each service with what its retry budget held when it was
+// last used.
 func (p *Proxy) VisitRetryBudgets(visit func(service string, tokens, debt float64)) {
-	p.retryBudget.mu.Lock()
-	defer p.retryBudget.mu.Unlock()
-	for service, bucket := range p.retryBudget.services {
-		visit(service, bucket.tokens, bucket.debt)
-	}
+	p.retryBudget.Visit(visit)
 }
--- a/internal/proxy/connection_test.go
+++ b/internal/proxy/upstream/connection_test.go
@@ -1,7 +1,7 @@
 // Every way in which a connection to a target can end, against the pipe's framing: an
 // answer goes to the request that it names or to nobody, one that is not whole is none,
 // and behind a request whose body was not read nothing else is written.
-package proxy
+package upstream
 
 import (
 	"bufio"
@@ -113,8 +113,8 @@
 	if !ok {
 		return "", errors.New("the pipe is dead")
 	}
-	p.Conn.SetDeadline(time.Now().Add(5 * time.Second))
-	err := request.Write(p.Conn)
+	p.conn.SetDeadline(time.Now().Add(5 * time.Second))
+	err := request.Write(p.conn)
 	if err == nil {
 		p.RequestWritten()
 	}
@@ -132,12 +132,12 @@
 	}
 }
 
-func TestEveryEndingOfAConnection(t *testing.T) {
+func TestConnection_EveryEnding(t *testing.T) {
 	for _, e := range endings {
 		t.Run(e.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				near, far := net.Pipe()
-				p := &Connection{Conn: near, idleTimeout: time.Minute, correlationHeader: namedBy}
+				p := &Connection{conn: near, idleTimeout: time.Minute, correlationHeader: namedBy}
 				go p.readLoop()
 				runs := make(chan string, 9)
 				go func() {
@@ -164,8 +164,8 @@
 					t.Errorf("the answer was held back for %s", took)
 				}
 				synctest.Wait()
-				if p.IsIdle() != e.isKept {
-					t.Errorf("the connection is kept: %v", p.IsIdle())
+				if p.isIdle() != e.isKept {
+					t.Errorf("the connection is kept: %v", p.isIdle())
 				}
 				next, err := exchange(p, "two")
 				if (err == nil) != e.isKept || e.isKept && next != "next" {
--- a/internal/proxy/pool_test.go
+++ b/internal/proxy/upstream/pool_test.go
@@ -1,5 +1,5 @@
 // Connections that targets forget without a word.
-package proxy
+package upstream
 
 import (
 	"context"
@@ -12,16 +12,16 @@
 	"github.com/sumactrestle/sumactrestle/internal/environment"
 )
 
-func TestAfterOneForgottenPipeNoneThatIdledLongIsUsed(t *testing.T) {
+func TestPool_AfterStaleConnectionNoneThatIdledLongIsUsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		dials := 0
-		r := environment.New(t.Context(), &config.Props{GateIdle: 20 * time.Second, GateConnect: time.Second}, nil, environment.Host{Dial: func(context.Context, string) (net.Conn, error) {
+		r := environment.New(t.Context(), &config.Props{}, nil, environment.Host{Dial: func(context.Context, string) (net.Conn, error) {
 			dials++
 			near, _ := net.Pipe()
 			return near, nil
 		}})
 		defer r.Shutdown()
-		o := NewConnectionPool(r)
+		o := NewPool(Config{Environment: r, IdleTimeout: 20 * time.Second})
 		defer o.Prune(func(string) bool { return false })
 		// use takes a pipe, and leaves it idle for a while.
 		use := func(rest time.Duration) *Connection {
@@ -34,8 +34,8 @@
 			return p
 		}
 		use(time.Second)
-		if p := use(time.Second); dials != 1 || p.IdledFor != time.Second {
-			t.Fatalf("%d dials; idled for %s", dials, p.IdledFor)
+		if p := use(time.Second); dials != 1 || p.IdledFor() != time.Second {
+			t.Fatalf("%d dials; idled for %s", dials, p.IdledFor())
 		}
 		o.RecordStale(time.Second, time.Now())
 		use(200 * time.Millisecond)
--- a/internal/proxy/response_test.go
+++ b/internal/proxy/upstream/response_test.go
@@ -1,7 +1,7 @@
 // Whatever a target sends, reading its answer ends: with a problem, or with a
 // whole body that is no longer than the limit and belongs to the request, unless
 // nothing that belongs to it follows.
-package proxy
+package upstream
 
 import (
 	"bufio"
@@ -30,7 +30,7 @@
 	return "HTTP/1.1 200 OK\r\n" + namer + ": " + id + "\r\nContent-Length: " + strconv.Itoa(length) + "\r\n\r\n" + body
 }
 
-func FuzzAnswer(f *testing.F) {
+func FuzzReadResponse(f *testing.F) {
 	for _, text := range []string{
 		reply(asked, 2, "ok"), reply(asked, 9, "short"), reply("r0", 4, "late") + reply(asked, 2, "ok"), reply(asked, 99, strings.Repeat("x", 99)),
 		"HTTP/1.1 100 Continue\r\n\r\n" + reply(asked, 2, "ok"),
@@ -106,9 +106,9 @@
 	}
 }
 
-// TestSurplusAnswers holds what is read past, and that each answer is told by the
+// TestReadResponse_StrayResponses holds what is read past, and that each answer is told by the
 // request it names.
-func TestSurplusAnswers(t *testing.T) {
+func TestReadResponse_StrayResponses(t *testing.T) {
 	for name, c := range map[string]struct {
 		raw, names, body string
 		isFailed         bool
