--- a/internal/controlplane/binding.go
+++ b/internal/controlplane/binding.go
@@ -1,33 +1,41 @@
-// Which epochs bind. Somebody was, or will be, given word that a change set holds or
-// that a target takes nothing more: whoever goes on with an epoch from before that does
-// harm. One that only brings targets or shares binds nobody, and a proxy that has not
-// taken it yet serves as rightly as one that has.
 package controlplane
 
-import "strings"
+// An epoch binds if somebody was, or will be, told that a change set is in force or that a
+// target gets nothing more: whoever goes on with an epoch from before it does harm. One
+// that only brings targets or shares binds nobody, and a proxy that has not taken it yet
+// serves as rightly as one that has.
 
 // removesTarget tells whether a target that could be sent to in one epoch can't be in the
-// next, or a group is gone.
-func removesTarget(old, next *EpochState) bool {
-	for name, group := range old.Groups {
-		now, ok := next.Groups[name]
-		if !ok {
-			return true
+// next, or whether a group is gone. The error is a *DamagedGroupError.
+func removesTarget(previous, next *EpochState) (bool, error) {
+	for name := range previous.Groups {
+		if _, ok := next.Groups[name]; !ok {
+			return true, nil
 		}
-		service, isTargets := strings.CutPrefix(name, TargetsPrefix)
-		if !isTargets || now.Digest == group.Digest {
+	}
+	for service := range previous.targetServices() {
+		name := TargetsPrefix + service
+		if next.Groups[name].Digest == previous.Groups[name].Digest {
 			continue
 		}
-		type living struct{ instance, address string }
-		kept := map[living]bool{}
-		for _, t := range next.Targets(service) {
-			kept[living{string(t.Instance), t.Address}] = t.Weight > 0
+		before, err := previous.Targets(service)
+		if err != nil {
+			return false, err
+		}
+		after, err := next.Targets(service)
+		if err != nil {
+			return false, err
+		}
+		type endpoint struct{ instance, address string }
+		usable := map[endpoint]bool{}
+		for _, target := range after {
+			usable[endpoint{target.Instance, target.Address}] = target.Weight > 0
 		}
-		for _, t := range old.Targets(service) {
-			if t.Weight > 0 && !kept[living{string(t.Instance), t.Address}] {
-				return true
+		for _, target := range before {
+			if target.Weight > 0 && !usable[endpoint{target.Instance, target.Address}] {
+				return true, nil
 			}
 		}
 	}
-	return false
+	return false, nil
 }
--- a/internal/controlplane/binding_test.go
+++ b/internal/controlplane/binding_test.go
@@ -8,19 +8,15 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-func TestOnlyWhatTakesAwayOrWasSubmittedBinds(t *testing.T) {
-	l := NewConfigState()
+func TestConfigState_OnlyChangeSetsAndRemovedTargetsBind(t *testing.T) {
+	c := NewConfigState()
 	step := func(change *rpc.ChangeResult, put map[string]any, drop ...string) ids.Epoch {
 		t.Helper()
-		planned := &rpc.EpochEntry{Epoch: l.Current().Epoch + 1, Change: change, Put: map[string]json.RawMessage{}, Remove: drop}
-		for name, v := range put {
-			planned.Put[name], _ = json.Marshal(v)
+		planned := &rpc.EpochEntry{Epoch: c.Current().Epoch + 1, Change: change, Put: map[string]json.RawMessage{}, Remove: drop}
+		for name, value := range put {
+			planned.Put[name] = mustMarshal(value)
 		}
-		raw, _ := json.Marshal(planned)
-		if l.Apply(ids.Index(planned.Epoch), raw) != true {
-			t.Fatal("not applied")
-		}
-		return l.Current().LastBinding
+		return apply(t, c, planned).LastBinding
 	}
 	list := func(targets ...rpc.Target) map[string]any { return map[string]any{TargetsPrefix + "rates": targets} }
 	a, b := rpc.Target{Instance: "a", Address: "10.0.0.1:80", Weight: 100}, rpc.Target{Instance: "b", Address: "10.0.0.2:80", Weight: 100}
@@ -49,9 +45,7 @@
 			t.Errorf("step %d: the last epoch that binds is %d, not %d", i+1, got, one.want)
 		}
 	}
-	raw, _ := l.Snapshot()()
-	other := NewConfigState()
-	if other.Restore(raw); other.Current().LastBinding != other.Current().Epoch {
-		t.Error("a member that was loaded takes an epoch for one that does not bind, though it can't know")
+	if other := restored(t, snapshot(t, c)); other.Current().LastBinding != other.Current().Epoch {
+		t.Error("a member that was sent a snapshot takes an epoch for one that does not bind, though it can't know")
 	}
 }
--- a/internal/controlplane/check_test.go
+++ b/internal/controlplane/change_test.go
@@ -1,8 +1,6 @@
-// What a change set may say, and when it has its place.
 package controlplane
 
 import (
-	"strings"
 	"testing"
 
 	"github.com/sumactrestle/sumactrestle/internal/errcode"
@@ -12,8 +10,8 @@
 
 func version(v ids.Version) *ids.Version { return &v }
 
-func TestAChangeSetIsJudgedByWhatIsInForce(t *testing.T) {
-	sheet := &EpochState{Epoch: 9, LastChange: 7, Version: 5, Changes: []rpc.ChangeResult{{ID: "old", Digest: "d", Epoch: 7, Version: 5}}}
+func TestEpochState_CheckPrecondition(t *testing.T) {
+	epoch := &EpochState{Epoch: 9, LastChange: 7, Version: 5, Changes: []rpc.ChangeResult{{ID: "old", Digest: "d", Epoch: 7, Version: 5}}}
 	for name, c := range map[string]struct {
 		change rpc.ChangeSet
 		digest string
@@ -39,7 +37,7 @@
 		"version below, base too old":   {rpc.ChangeSet{ID: "a", BaseEpoch: 6, Version: 5}, "x", errcode.BadChange, false},
 		"over, and base isn't asked of": {rpc.ChangeSet{ID: "a", BaseEpoch: 99, BaseVersion: version(5)}, "x", errcode.Code{}, false},
 	} {
-		first, err := sheet.CheckPrecondition(&c.change, c.digest)
+		first, err := epoch.CheckPrecondition(&c.change, c.digest)
 		if (c.code.No == 0) != (err == nil) || err != nil && !errcode.Is(err, c.code) {
 			t.Errorf("%s: %v, want code %d", name, err, c.code.No)
 		}
@@ -47,58 +45,13 @@
 			t.Errorf("%s: receipt %+v", name, first)
 		}
 	}
-	_, err := sheet.CheckPrecondition(&rpc.ChangeSet{ID: "a", Version: 5, BaseVersion: version(5)}, "x")
+	_, err := epoch.CheckPrecondition(&rpc.ChangeSet{ID: "a", Version: 5, BaseVersion: version(5)}, "x")
 	if paths := errcode.Of(err).Paths; len(paths) != 1 || paths[0] != "version: is not above 5, which is in force" {
 		t.Errorf("%v", err)
 	}
 }
 
-func TestEachFaultIsNamedByItsPath(t *testing.T) {
-	mapping := func(m rpc.Route) rpc.Configuration {
-		m.Name, m.Path, m.Services = "m", "/", []rpc.WeightedService{{Service: "s", Weight: 1}}
-		return rpc.Configuration{Routes: []rpc.Route{m}, Services: []rpc.Service{{Name: "s"}}}
-	}
-	service := func(s rpc.Service) rpc.Configuration {
-		s.Name = "s"
-		return rpc.Configuration{Services: []rpc.Service{s}}
-	}
-	manners := func(m rpc.ClientLimits) rpc.Configuration { return rpc.Configuration{ClientLimits: &m} }
-	for i, c := range []struct {
-		put  rpc.Configuration
-		path string
-	}{
-		{mapping(rpc.Route{}), ""},
-		{mapping(rpc.Route{MaxAttempts: 16, Priority: 100, LatencyTargetMillis: 600_000}), ""},
-		{mapping(rpc.Route{MaxAttempts: 17}), "mappings.m.tries"},
-		{mapping(rpc.Route{MaxAttempts: -1}), "mappings.m.tries"},
-		{mapping(rpc.Route{Priority: 101}), "mappings.m.priority"},
-		{mapping(rpc.Route{Priority: -1}), "mappings.m.priority"},
-		{mapping(rpc.Route{LatencyTargetMillis: 600_001}), "mappings.m.aim"},
-		{mapping(rpc.Route{LatencyTargetMillis: -1}), "mappings.m.aim"},
-		{mapping(rpc.Route{LatencyTargetMillis: 60_999, DeadlineMillis: 1000}), ""},
-		{mapping(rpc.Route{LatencyTargetMillis: 61_000, DeadlineMillis: 1000}), "mappings.m.aim"},
-		{service(rpc.Service{MaxConnections: 0}), ""},
-		{service(rpc.Service{MaxConnections: -1}), "services.s.pipes"},
-		{manners(rpc.ClientLimits{}), ""},
-		{manners(rpc.ClientLimits{HeaderBytes: 1 << 10, BodyBytes: 1 << 40, HeaderTimeoutMillis: 600_000, IdleTimeoutMillis: 600_000}), ""},
-		{manners(rpc.ClientLimits{HeaderBytes: 1 << 20}), ""},
-		{manners(rpc.ClientLimits{HeaderBytes: 1<<10 - 1}), "manners.header"},
-		{manners(rpc.ClientLimits{HeaderBytes: 1<<20 + 1}), "manners.header"},
-		{manners(rpc.ClientLimits{HeaderBytes: -1}), "manners.header"},
-		{manners(rpc.ClientLimits{BodyBytes: -1}), "manners.body"},
-		{manners(rpc.ClientLimits{HeaderTimeoutMillis: -1}), "manners.header_time"},
-		{manners(rpc.ClientLimits{HeaderTimeoutMillis: 600_001}), "manners.header_time"},
-		{manners(rpc.ClientLimits{IdleTimeoutMillis: -1}), "manners.idle_time"},
-		{manners(rpc.ClientLimits{IdleTimeoutMillis: 600_001}), "manners.idle_time"},
-	} {
-		_, paths := MergeChange(rpc.Configuration{}, &rpc.ChangeSet{ID: "c", Put: c.put})
-		if c.path == "" && len(paths) != 0 || c.path != "" && (len(paths) != 1 || !strings.HasPrefix(paths[0], c.path+": ")) {
-			t.Errorf("%d: %q, want %q", i, paths, c.path)
-		}
-	}
-}
-
-func TestMannersAndDropsAreLaid(t *testing.T) {
+func TestMergeChange_ClientLimitsAndDrops(t *testing.T) {
 	old := rpc.Configuration{Services: []rpc.Service{{Name: "a"}, {Name: "b"}}, ClientLimits: &rpc.ClientLimits{BodyBytes: 1}}
 	for name, c := range map[string]struct {
 		change   rpc.ChangeSet
--- /dev/null
+++ b/internal/controlplane/heartbeat.go
@@ -0,0 +1,50 @@
+package controlplane
+
+import (
+	"net/netip"
+
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
+)
+
+// States of a target. The first three are what a server says of itself in its heartbeats.
+const (
+	StateServing  = "serving"
+	StateDraining = "draining"
+	StateLeaving  = "leaving"
+	// StateTimedOut is that of a target without a heartbeat for as long as the setting
+	// plan.silence says.
+	StateTimedOut = "silent"
+)
+
+// ValidateHeartbeat checks a heartbeat; the error is an errcode.BadBeat that names the
+// path of each fault.
+func ValidateHeartbeat(heartbeat *rpc.TargetHeartbeat) error {
+	var v validator
+	for _, field := range []struct{ path, name string }{{"service", heartbeat.Service}, {"instance", heartbeat.Instance}} {
+		if !isName(field.name, "/ ") {
+			v.fail("%s: is empty, too long, or holds a slash or a space", field.path)
+		}
+	}
+	if _, err := netip.ParseAddrPort(heartbeat.Address); err != nil {
+		v.fail("address: is not an IP number with a port")
+	}
+	v.within("weight", heartbeat.Weight, 0, maxWeight, "")
+	v.notNegative("slots", int64(heartbeat.Slots))
+	v.notNegative("cold", heartbeat.SlowStartMillis)
+	switch heartbeat.State {
+	case StateServing, StateDraining, StateLeaving:
+	default:
+		v.fail("state: is none of serving, draining, leaving")
+	}
+	if len(v.faults) > 0 {
+		return errcode.At(errcode.BadBeat, v.faults)
+	}
+	return nil
+}
+
+// changesTarget tells whether a heartbeat says of its server what the last one did not.
+func changesTarget(last, heartbeat *rpc.TargetHeartbeat) bool {
+	return last.State != heartbeat.State || last.Address != heartbeat.Address || last.Zone != heartbeat.Zone ||
+		last.Weight != heartbeat.Weight || last.Slots != heartbeat.Slots
+}
--- a/internal/controlplane/delta_test.go
+++ b/internal/controlplane/target_diff_test.go
@@ -9,7 +9,7 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-func TestADifferenceLeadsFromOneListToTheOther(t *testing.T) {
+func TestDiffTargets_PatchesOneListIntoTheOther(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
 	draw := func() json.RawMessage {
 		list := []rpc.Target{}
@@ -23,11 +23,11 @@
 	}
 	for range 200 {
 		from, to := draw(), draw()
-		put, gone, ok := DiffTargets(from, to)
+		put, removed, ok := DiffTargets(from, to)
 		if !ok {
 			continue
 		}
-		got, err := PatchTargets(from, put, gone)
+		got, err := PatchTargets(from, put, removed)
 		if err != nil || string(got) != string(to) {
 			t.Fatalf("%v\n%s\n%s", err, got, to)
 		}
--- a/internal/distribution/serve_test.go
+++ b/internal/distribution/serve_test.go
@@ -28,8 +28,8 @@
 		const name = controlplane.TargetsPrefix + "s"
 		for epoch := ids.Epoch(1); epoch <= 8; epoch++ {
 			body, _ := json.Marshal(rpc.EpochEntry{Epoch: epoch, Put: map[string]json.RawMessage{name: list(sizes[epoch%2])}})
-			if ledger.Apply(ids.Index(epoch), body) != true {
-				t.Fatal("not taken", epoch)
+			if err := ledger.Apply(ids.Index(epoch), body); err != nil {
+				t.Fatal("not taken", epoch, err)
 			}
 			sheet := ledger.Current()
 			group, _ := sheet.PublishedGroup(name)
--- a/internal/distribution/whole_test.go
+++ b/internal/distribution/whole_test.go
@@ -89,8 +89,8 @@
 	for epoch := ids.Epoch(1); epoch <= ids.Epoch(n); epoch++ {
 		body, _ := json.Marshal(rpc.EpochEntry{Epoch: epoch, Put: map[string]json.RawMessage{
 			fmt.Sprint(controlplane.RoutesPrefix, epoch): json.RawMessage(`[]`), controlplane.LimitsGroup: json.RawMessage(fmt.Sprintf(`[{"service":"s<%d>"}]`, epoch))}})
-		if ledger.Apply(ids.Index(epoch), body) != true {
-			t.Fatal("not taken", epoch)
+		if err := ledger.Apply(ids.Index(epoch), body); err != nil {
+			t.Fatal("not taken", epoch, err)
 		}
 		list = append(list, ledger.Current())
 	}
--- a/internal/eventlog/events_gen.go
+++ b/internal/eventlog/events_gen.go
@@ -29,6 +29,7 @@
 	TargetOut      = Event{No: 405, Name: "TargetOut", Level: "info", Text: "target out"}
 	AddressClash   = Event{No: 406, Name: "AddressClash", Level: "warn", Text: "two instances claim one address"}
 	TargetGoing    = Event{No: 407, Name: "TargetGoing", Level: "info", Text: "a server says that it drains or leaves"}
+	GroupDamaged   = Event{No: 408, Name: "GroupDamaged", Level: "error", Text: "a group or an entry of the configuration can't be decoded; nothing is planned from it"}
 	EpochServed    = Event{No: 501, Name: "EpochServed", Level: "info", Text: "epoch swapped in"}
 	FetchFailed    = Event{No: 502, Name: "FetchFailed", Level: "warn", Text: "fetch failed, trying the next control node"}
 	ListenFailed   = Event{No: 503, Name: "ListenFailed", Level: "warn", Text: "listener request failed"}
@@ -71,6 +72,7 @@
 	TargetOut,
 	AddressClash,
 	TargetGoing,
+	GroupDamaged,
 	EpochServed,
 	FetchFailed,
 	ListenFailed,
--- a/internal/node/seat.go
+++ b/internal/node/seat.go
@@ -181,14 +181,15 @@
 		}
 		n.R.Events.Say(eventlog.EpochCommitted, "epoch", uint64(sheet.Epoch), "change", change, "groups", len(planned.Put)+len(planned.Remove))
 	}
+	n.Ledger.OnDamage = func(err error) { n.R.Events.Say(eventlog.GroupDamaged, "cause", err.Error()) }
 	machines = append(machines, n.Ledger)
 	var err error
 	if n.Consensus, err = consensus.New(n.R, n.Wire, n.Kin, n.Store, machines); err != nil {
 		return err
 	}
 	n.Coordination = coordination.NewService(n.R, n.Consensus, n.Stores)
-	n.Roll = controlplane.NewTargetRegistry(n.R, n.Consensus, n.Stores, n.Ledger)
-	n.Planner = controlplane.NewPlanner(n.R, n.Wire, n.Kin, n.Consensus, n.Ledger)
+	n.Roll = controlplane.NewTargetRegistry(controlplane.RegistryConfig{Env: n.R, Consensus: n.Consensus, Stores: n.Stores, State: n.Ledger, OnChange: n.stir})
+	n.Planner = controlplane.NewPlanner(controlplane.PlannerConfig{Env: n.R, Transport: n.Wire, Members: n.Kin, Consensus: n.Consensus, State: n.Ledger})
 	distribution.NewServer(n.R, n.Wire, n.Kin, n.Consensus, n.Ledger, n.Planner).HandleOwner()
 	n.Wire.Handle("plan.whose", func(c *rpc.Call) (any, error) {
 		var ask rpc.InstanceLookupRequest
@@ -201,7 +202,6 @@
 		n.Planner.Trigger()
 		return struct{}{}, nil
 	})
-	n.Roll.OnChange = n.stir
 	n.Wire.Handle("plan.news", func(c *rpc.Call) (any, error) {
 		var ask rpc.TargetReportRequest
 		if err := c.Read(&ask); err != nil {
--- a/internal/simulator/address_test.go
+++ b/internal/simulator/address_test.go
@@ -21,7 +21,11 @@
 			if owner == nil {
 				return false
 			}
-			for _, target := range owner.Node().Ledger.Current().Targets(service) {
+			targets, err := owner.Node().Ledger.Current().Targets(service)
+			if err != nil {
+				t.Error(err)
+			}
+			for _, target := range targets {
 				if target.Instance == instance {
 					return true
 				}
--- a/internal/simulator/repair_test.go
+++ b/internal/simulator/repair_test.go
@@ -67,7 +67,8 @@
 		isMended := func() bool {
 			record, ok := m.Node().Stores[no].Get("key", "app/a")
 			_, isForged := m.Node().Stores[no].Get("key", "app/forged")
-			return ok && !isForged && string(record.Value) == `"right"` && len(c.Node().Ledger.Current().Config().Routes) == 2
+			config, err := c.Node().Ledger.Current().Config()
+			return ok && !isForged && string(record.Value) == `"right"` && err == nil && len(config.Routes) == 2
 		}
 		if isMended() {
 			t.Fatal("nothing was spoilt")
