--- /dev/null
+++ b/internal/membership/broadcast_test.go
@@ -0,0 +1,39 @@
+package membership
+
+import (
+	"testing"
+
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
+)
+
+func TestNextBroadcasts_TransmitCount(t *testing.T) {
+	for _, test := range []struct {
+		name       string
+		update     rpc.Member
+		duplicates int
+		min, max   int
+	}{
+		{"an update that nobody else tells goes round", testMember(500), 0, 10, 16},
+		{"an update that all tell dies down", testMember(500), 50, minTransmits, minTransmits},
+		{"a suspicion goes round though all tell it", inState(testMember(9), StateSuspect), 49, 10, 16},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			inCluster(t, func(c *cluster) {
+				m := c.node(testMember(0))
+				m.mergeList(testMembers(460))
+				for len(m.nextBroadcasts()) > 0 {
+				}
+				for range 1 + test.duplicates {
+					m.applyUpdates([]rpc.Member{test.update})
+				}
+				transmits := 0
+				for len(m.nextBroadcasts()) > 0 {
+					transmits++
+				}
+				if transmits < test.min || transmits > test.max {
+					c.Errorf("sent on %d times in a fleet of 460, want %d to %d", transmits, test.min, test.max)
+				}
+			})
+		})
+	}
+}
--- /dev/null
+++ b/internal/membership/memberlist_test.go
@@ -0,0 +1,150 @@
+package membership
+
+import (
+	"context"
+	"fmt"
+	"maps"
+	"net"
+	"sync"
+	"testing"
+	"testing/synctest"
+
+	"github.com/sumactrestle/sumactrestle/internal/config"
+	"github.com/sumactrestle/sumactrestle/internal/environment"
+	"github.com/sumactrestle/sumactrestle/internal/eventlog"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
+)
+
+// memoryNetwork connects nodes by pipes; each address has a listener.
+type memoryNetwork struct {
+	mu        sync.Mutex
+	listeners map[string]*memoryListener
+}
+
+type memoryListener struct {
+	conns  chan net.Conn
+	closed chan struct{}
+	once   sync.Once
+}
+
+func (l *memoryListener) Accept() (net.Conn, error) {
+	select {
+	case conn := <-l.conns:
+		return conn, nil
+	case <-l.closed:
+		return nil, net.ErrClosed
+	}
+}
+func (l *memoryListener) Close() error   { l.once.Do(func() { close(l.closed) }); return nil }
+func (l *memoryListener) Addr() net.Addr { return &net.TCPAddr{} }
+
+func (n *memoryNetwork) host() environment.Host {
+	return environment.Host{
+		Listen: func(address string) (net.Listener, error) {
+			listener := &memoryListener{conns: make(chan net.Conn), closed: make(chan struct{})}
+			n.mu.Lock()
+			n.listeners[address] = listener
+			n.mu.Unlock()
+			return listener, nil
+		},
+		Dial: func(ctx context.Context, address string) (net.Conn, error) {
+			n.mu.Lock()
+			listener := n.listeners[address]
+			n.mu.Unlock()
+			if listener == nil {
+				return nil, net.ErrClosed
+			}
+			near, far := net.Pipe()
+			select {
+			case listener.conns <- far:
+				return near, nil
+			case <-ctx.Done():
+				return nil, ctx.Err()
+			}
+		},
+	}
+}
+
+// cluster makes nodes on one network in a bubble of virtual time.
+type cluster struct {
+	*testing.T
+	ctx     context.Context
+	network *memoryNetwork
+}
+
+// inCluster runs a test in a bubble of virtual time; its nodes end with it.
+func inCluster(t *testing.T, test func(c *cluster)) {
+	t.Helper()
+	synctest.Test(t, func(t *testing.T) {
+		ctx, stop := context.WithCancel(t.Context())
+		defer stop()
+		test(&cluster{t, ctx, &memoryNetwork{listeners: map[string]*memoryListener{}}})
+	})
+}
+
+// node returns a node's view that answers others; it neither probes nor exchanges lists
+// by itself.
+func (c *cluster) node(self rpc.Member) *Memberlist {
+	c.Helper()
+	settings, err := config.Load("", map[string]string{"name": string(self.Name), "zone": self.Zone, "wire.address": self.RPCAddress, "api.address": "10.0.0.9:1", "gate.address": "10.0.0.9:2"})
+	if err != nil {
+		c.Fatal(err)
+	}
+	env := environment.New(c.ctx, settings, eventlog.New(c.Output(), "error", string(self.Name)), c.network.host())
+	transport := rpc.New(env)
+	m := New(env, transport, self)
+	if err := transport.Open(); err != nil {
+		c.Fatal(err)
+	}
+	return m
+}
+
+// testMember returns the member with that index, alive at incarnation 1.
+func testMember(index int) rpc.Member {
+	return rpc.Member{
+		Name:        ids.NodeName(fmt.Sprint("node", index)),
+		ID:          ids.MemberID(fmt.Sprint("birth", index)),
+		RPCAddress:  fmt.Sprintf("10.1.%d.%d:7000", index/200, index%200),
+		Zone:        fmt.Sprint("z", index%7),
+		Strength:    100,
+		Incarnation: 1,
+		State:       StateAlive,
+	}
+}
+
+func testMembers(count int) (list []rpc.Member) {
+	for index := range count {
+		list = append(list, testMember(index))
+	}
+	return list
+}
+
+// inState returns the member in another state.
+func inState(member rpc.Member, state string) rpc.Member {
+	member.State = state
+	return member
+}
+
+func bytesSent(nodes ...*Memberlist) (bytes int64) {
+	for _, m := range nodes {
+		for _, count := range m.transport.Traffic() {
+			bytes += count[1]
+		}
+	}
+	return bytes
+}
+
+// sameLive reports whether both hold the same of all members that are live.
+func sameLive(a, b *Memberlist) bool {
+	live := func(m *Memberlist) map[ids.NodeName]rpc.Member {
+		members := map[ids.NodeName]rpc.Member{}
+		for name, member := range m.View() {
+			if member.IsLive() {
+				members[name] = member.Member
+			}
+		}
+		return members
+	}
+	return maps.Equal(live(a), live(b))
+}
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -1,236 +1,154 @@
-// The probing half of kin: datagrams of one JSON line each. A ping that is not
-// answered in time is repeated through two third parties; if that fails too the
-// member is suspected, and it is down when the suspicion is not refuted.
 package membership
 
 import (
 	"context"
-	"encoding/json"
-	"math"
 	"math/rand/v2"
-	"net"
-	"net/netip"
-	"slices"
 	"time"
 
-	"github.com/sumactrestle/sumactrestle/internal/eventlog"
 	"github.com/sumactrestle/sumactrestle/internal/ids"
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// fullProbeLimit is the size of a fleet from which on far members are asked less often.
-const fullProbeLimit = 24
-
-func (m *Memberlist) sendPacket(address string, probe rpc.Probe) {
-	me := m.Self()
-	probe.From, probe.FromID = me.Name, me.ID
-	if probe.Updates == nil {
-		probe.Updates = m.nextBroadcasts()
-	}
-	raw, err := json.Marshal(probe)
-	if err != nil {
-		return
-	}
-	to, err := netip.ParseAddrPort(address)
-	if err != nil {
-		return
-	}
-	m.transport.Count("kin.probe", address, len(raw)+1)
-	m.packetConn.WriteTo(append(raw, '\n'), net.UDPAddrFromAddrPort(to))
-}
-
-func (m *Memberlist) receiveLoop() {
-	buffer := make([]byte, 64<<10)
-	for {
-		n, from, err := m.packetConn.ReadFrom(buffer)
-		if err != nil {
-			if m.env.IsStopping() || !m.env.Sleep(10*time.Millisecond) {
-				return
-			}
-			continue
-		}
-		var probe rpc.Probe
-		if err := json.Unmarshal(buffer[:n], &probe); err != nil {
-			m.env.Events.Say(eventlog.MessageRefused, "kind", "kin.probe", "from", from.String())
+// probeLoop is SWIM's failure detector (section 3.1): it probes one member in each
+// interval and suspects it if it answers in no way.
+func (m *Memberlist) probeLoop() {
+	schedule := &probeSchedule{self: m.env.Name, zone: m.config.zone}
+	for m.env.Sleep(m.config.probeInterval) {
+		m.expireSuspicions()
+		target, ok := schedule.next(m.View())
+		if !ok {
 			continue
 		}
-		m.applyUpdates(probe.Updates)
-		switch probe.Kind {
-		case "ping":
-			if probe.To != "" && probe.To != m.env.Name {
-				continue
-			}
-			if !m.IsLive(rpc.Peer{Name: probe.From, ID: probe.FromID}) {
-				m.sendPacket(from.String(), rpc.Probe{Kind: "who"})
-			}
-			updates := m.nextBroadcasts()
-			isDoubted := slices.ContainsFunc(probe.Updates, func(member rpc.Member) bool { return member.Name == m.env.Name })
-			if isDoubted || m.announcesSelf() {
-				updates = append(updates, m.Self())
-			}
-			m.sendPacket(from.String(), rpc.Probe{Kind: "ack", Sequence: probe.Sequence, Updates: updates})
-		case "ack":
-			m.mu.Lock()
-			if waiter, ok := m.ackHandlers[probe.Sequence]; ok {
-				delete(m.ackHandlers, probe.Sequence)
-				close(waiter)
-			}
-			m.mu.Unlock()
-		case "who":
-			m.introduceTo(probe.From)
-		case "relay":
-			to, ok := m.Lookup(probe.To)
-			if !ok {
-				continue
-			}
-			seq := probe.Sequence
-			m.env.Go(func() {
-				if m.ping(to.RPCAddress, to.Name, nil) {
-					m.sendPacket(from.String(), rpc.Probe{Kind: "ack", Sequence: seq})
-				}
-			})
+		if !m.probe(target) && !m.pingOverConnection(target) && !m.env.IsStopping() {
+			target.State = StateSuspect
+			m.applyUpdates([]rpc.Member{target})
 		}
 	}
 }
 
-// introduceTo makes this node, and all it knows, known to one that asked who it is:
-// machines that come back together find one another first, and nobody else.
-func (m *Memberlist) introduceTo(name ids.NodeName) {
-	member, ok := m.Lookup(name)
-	if !ok || !m.introducing.CompareAndSwap(false, true) {
-		return
+// probe pings a member, and through others if it does not answer; an acknowledgement of
+// the direct ping that comes late counts too.
+func (m *Memberlist) probe(target rpc.Member) bool {
+	sequence, acknowledged, forget := m.expectAck()
+	defer forget()
+	m.sendPing(target, sequence)
+	if m.awaitAck(acknowledged, m.config.probeTimeout) {
+		return true
 	}
-	m.env.Go(func() {
-		defer m.introducing.Store(false)
-		m.pushPullNode(member.RPCAddress, true)
-	})
-}
-
-// ping waits for the ack of one member; meanwhile verbs run after half time.
-func (m *Memberlist) ping(address string, name ids.NodeName, relay func(seq uint64)) bool {
-	m.mu.Lock()
-	m.sequence++
-	seq := m.sequence
-	waiter := make(chan struct{})
-	m.ackHandlers[seq] = waiter
-	m.mu.Unlock()
-	defer func() {
-		m.mu.Lock()
-		delete(m.ackHandlers, seq)
-		m.mu.Unlock()
-	}()
-	await := func() bool {
-		wakeup := time.NewTimer(m.env.Config.KinReply)
-		defer wakeup.Stop()
-		select {
-		case <-waiter:
-			return true
-		case <-wakeup.C:
-		case <-m.env.Done():
-		}
+	if m.env.IsStopping() {
 		return false
 	}
-	ping := rpc.Probe{Kind: "ping", Sequence: seq, To: name}
-	if s, ok := m.View()[name]; ok && s.State == StateSuspect {
-		// Whoever is suspected must hear of it to refute it.
-		ping.Updates = append(m.nextBroadcasts(), s.Member)
-	}
-	m.sendPacket(address, ping)
-	if await() {
-		return true
-	}
-	if relay == nil || m.env.IsStopping() {
+	m.sendIndirectPings(target, sequence)
+	return m.awaitAck(acknowledged, indirectTimeoutFactor*m.config.probeTimeout)
+}
+
+// ping pings a member directly only.
+func (m *Memberlist) ping(target rpc.Member) bool {
+	sequence, acknowledged, forget := m.expectAck()
+	defer forget()
+	m.sendPing(target, sequence)
+	return m.awaitAck(acknowledged, m.config.probeTimeout)
+}
+
+// pingOverConnection asks a member once more, over a connection: on a full link datagrams
+// are lost first. It must be the same life of the node that answers.
+func (m *Memberlist) pingOverConnection(target rpc.Member) bool {
+	ctx, cancel := context.WithTimeout(m.env, max(2*m.config.probeTimeout, minReliableTimeout))
+	defer cancel()
+	var answer rpc.Member
+	if m.transport.Ask(ctx, target.RPCAddress, kindHere, struct{}{}, &answer) != nil || answer.Name != target.Name {
 		return false
 	}
-	relay(seq)
-	const waits = 2 // the way through a third party is twice as long
-	for range waits {
-		if await() {
-			return true
-		}
+	m.applyUpdates([]rpc.Member{answer})
+	return answer.ID == target.ID
+}
+
+// sendPing sends the ping itself. A suspect is told so, that it may refute.
+func (m *Memberlist) sendPing(target rpc.Member, sequence uint64) {
+	ping := rpc.Probe{Kind: packetPing, Sequence: sequence, To: target.Name}
+	if member, ok := m.View()[target.Name]; ok && member.State == StateSuspect {
+		ping.Updates = append(m.nextBroadcasts(), member.Member)
 	}
-	return false
+	m.sendPacket(target.RPCAddress, ping)
 }
 
-// nextProbeTarget picks the members in turn, in an order shuffled anew every time round.
-func (m *Memberlist) nextProbeTarget() (rpc.Member, bool) {
-	view := m.View()
-	for range 2 {
-		for len(m.probeOrder) > 0 {
-			name := m.probeOrder[0]
-			m.probeOrder = m.probeOrder[1:]
-			if s, ok := view[name]; ok && name != m.env.Name && statePrecedence(s.State) < 2 {
-				return s.Member, true
-			}
+// sendIndirectPings asks others, at random, to ping a member.
+func (m *Memberlist) sendIndirectPings(target rpc.Member, sequence uint64) {
+	asked := 0
+	for name, member := range m.View() {
+		if asked == indirectProbes {
+			return
 		}
-		// Near members are asked every time round, far ones in every fourth: their own
-		// zone's members ask them too.
-		m.probeRound++
-		for name, s := range view {
-			isNear := s.Zone == m.env.Config.Zone || len(view) < fullProbeLimit || ids.Hash(string(name))%4 == m.probeRound%4
-			if name != m.env.Name && statePrecedence(s.State) < 2 && isNear {
-				m.probeOrder = append(m.probeOrder, name)
-			}
+		if name != m.env.Name && name != target.Name && member.State == StateAlive {
+			m.sendPacket(member.RPCAddress, rpc.Probe{Kind: packetIndirectPing, Sequence: sequence, To: target.Name})
+			asked++
 		}
-		rand.Shuffle(len(m.probeOrder), func(i, j int) { m.probeOrder[i], m.probeOrder[j] = m.probeOrder[j], m.probeOrder[i] })
 	}
-	return rpc.Member{}, false
 }
 
-func (m *Memberlist) probeLoop() {
-	for m.env.Sleep(m.env.Config.KinProbe) {
-		m.expireSuspicions()
-		target, ok := m.nextProbeTarget()
-		if !ok {
-			continue
-		}
-		relay := func(seq uint64) {
-			asked := 0
-			for name, s := range m.View() {
-				if name != m.env.Name && name != target.Name && s.State == StateAlive && asked < 2 {
-					m.sendPacket(s.RPCAddress, rpc.Probe{Kind: "relay", Sequence: seq, To: target.Name})
-					asked++
-				}
-			}
-		}
-		if !m.ping(target.RPCAddress, target.Name, relay) && !m.answersOverTCP(target) && !m.env.IsStopping() {
-			target.State = StateSuspect
-			m.applyUpdates([]rpc.Member{target})
-		}
+// expectAck returns a fresh sequence number and the channel that its acknowledgement
+// closes; forget must be called in the end.
+func (m *Memberlist) expectAck() (sequence uint64, acknowledged <-chan struct{}, forget func()) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.sequence++
+	sequence = m.sequence
+	handler := make(chan struct{})
+	m.ackHandlers[sequence] = handler
+	return sequence, handler, func() {
+		m.mu.Lock()
+		defer m.mu.Unlock()
+		delete(m.ackHandlers, sequence)
 	}
 }
 
-// answersOverTCP asks once more, over the pipe: on a full link datagrams are lost first.
-func (m *Memberlist) answersOverTCP(target rpc.Member) bool {
-	ctx, cancel := context.WithTimeout(m.env, max(2*m.env.Config.KinReply, 500*time.Millisecond))
-	defer cancel()
-	var member rpc.Member
-	if m.transport.Ask(ctx, target.RPCAddress, "kin.here", struct{}{}, &member) != nil || member.Name != target.Name {
-		return false
+func (m *Memberlist) awaitAck(acknowledged <-chan struct{}, timeout time.Duration) bool {
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
+	select {
+	case <-acknowledged:
+		return true
+	case <-timer.C:
+	case <-m.env.Done():
 	}
-	m.applyUpdates([]rpc.Member{member})
-	return member.ID == target.ID
+	return false
 }
 
-// suspicionTimeout is how long a suspect may refute: news takes longer to go round in a
-// larger fleet, by the logarithm of its size.
-func (m *Memberlist) suspicionTimeout(members int) time.Duration {
-	return time.Duration(float64(m.env.Config.KinSuspect) * max(1, math.Log2(float64(members))/3))
+// probeSchedule picks the members in turn, in an order that is shuffled in each round, so
+// that the time until a failure is found is bounded (SWIM, section 4.3). The probe loop
+// alone uses it.
+type probeSchedule struct {
+	self      ids.NodeName
+	zone      string
+	remaining []ids.NodeName // of this round
+	round     uint64
 }
 
-// expireSuspicions takes out those whose suspicion was not refuted.
-func (m *Memberlist) expireSuspicions() {
-	var dead []rpc.Member
-	view := m.View()
-	patience := m.suspicionTimeout(len(view))
-	for _, s := range view {
-		if s.State == StateSuspect && time.Since(s.StateChange) > patience {
-			member := s.Member
-			member.State = StateDead
-			dead = append(dead, member)
+// next returns the member to probe, if there is any.
+func (s *probeSchedule) next(view map[ids.NodeName]NodeState) (rpc.Member, bool) {
+	// What remains of a round may be gone by now; then the next round is tried once.
+	for range 2 {
+		for len(s.remaining) > 0 {
+			name := s.remaining[0]
+			s.remaining = s.remaining[1:]
+			if member, ok := view[name]; ok && name != s.self && member.IsLive() {
+				return member.Member, true
+			}
 		}
+		s.startRound(view)
 	}
-	if len(dead) > 0 {
-		m.applyUpdates(dead)
+	return rpc.Member{}, false
+}
+
+// startRound lines up the members of a round. In a large fleet those of other zones are
+// probed in every fourth round only: members of their own zone probe them too.
+func (s *probeSchedule) startRound(view map[ids.NodeName]NodeState) {
+	s.round++
+	for name, member := range view {
+		isDue := member.Zone == s.zone || len(view) < fullProbeLimit || ids.Hash(string(name))%farProbeRounds == s.round%farProbeRounds
+		if name != s.self && member.IsLive() && isDue {
+			s.remaining = append(s.remaining, name)
+		}
 	}
+	rand.Shuffle(len(s.remaining), func(i, j int) { s.remaining[i], s.remaining[j] = s.remaining[j], s.remaining[i] })
 }
