--- a/internal/config/props_gen.go
+++ b/internal/config/props_gen.go
@@ -6,85 +6,85 @@
 
 // Props are the checked settings of one node.
 type Props struct {
-	Name            string        // the node's name, lasting and unique in the fleet
-	Zone            string        // the zone or room the machine stands in
-	Seeds           []string      // wire addresses of other processes, three at best
-	WireAddress     string        // address for the other processes, TCP and UDP
-	WireAdvertise   string        // address that the others are told for this node, if it is not wire.address
-	APIAddress      string        // address for back ends, applications and operators (HTTP)
-	APIAdvertise    string        // address that the others are told for calls to this node, if it is not api.address
-	GateAddress     string        // address for callers (HTTP); a node that has one is a proxy
-	DataFolder      string        // folder for the state; a node that has one is a core node
-	FoundCores      int           // how many empty core nodes found a fleet; 0 is for one that only joins
-	Strength        int           // the machine's strength; shares follow it
-	LogLevel        string        // debug, info, warn or error
-	LogFile         string        // file for the log; standard error if empty
-	KinProbe        time.Duration // pause between two probes
-	KinReply        time.Duration // how long a probe waits before third parties are asked
-	KinSuspect      time.Duration // how long a suspected member may refute
-	PactRound       time.Duration // pause between two confirmations of a term
-	PactSilence     time.Duration // silence of an owner after which the next in order stands
-	PactLosses      int           // how many core nodes may be lost at once; a data part has twice as many members and one
-	PactGone        time.Duration // how long a core node may be gone before a spare replaces it
-	PactChunk       int           // bytes of a snapshot, packed, in one message to a member that lacks it; each has three seconds to arrive
-	PactTail        int           // entries before a snapshot that are kept in memory for members a little behind
-	PactTailBytes   int           // how many bytes these entries may take, for each part
-	PactContact     time.Duration // how long a core node that has no word of a part's owner, or an owner that has none of a majority, still takes calls for it and gives out what it holds
-	PactSnapshot    int           // entries between two snapshots of a part
-	PlanSilence     time.Duration // silence after which a target is taken out; about three beats
-	PlanSettle      time.Duration // how long a new owner of a part listens to beats before its word counts
-	PlanKeep        bool          // while a new owner listens, the targets of the epoch in force stay in, but for those known to drain, to leave or to have lost their address
-	PlanStrangers   bool          // keep the beats of services that no configuration names yet
-	PlanBeat        time.Duration // pause between two beats of a server, as servers are told
-	PlanGather      time.Duration // how long news of targets is gathered before an epoch is made of it
-	PlanHold        time.Duration // how long the word of a drain, a sign-off or a change set waits after it is in force, so that proxies on full links have heard
-	PlanLinger      time.Duration // how long a proxy that went keeps its share
-	PlanMemory      int           // how many change sets are remembered with what became of them; one that is sent again within them is answered as the first time. Each takes some 150 bytes of the configuration's state
-	PlanPoll        time.Duration // pause between two collections of the parts' news
-	FlowHold        time.Duration // how long a listener request is held
-	FlowBehind      time.Duration // with flow.stay: how long a proxy goes on once it can't tell that its epoch is still the newest; 0 is as long as it stays
-	FlowServers     int           // how many control nodes a proxy listens to, the nearest first and one of another zone at least; 0 is for all
-	FlowFetches     int           // how many full fetches a control node answers at once; who comes beside them is told when to ask again
-	FlowPause       time.Duration // pause after a fetch that brought nothing newer
-	FlowRetry       time.Duration // pause between tries after an error
-	FlowTries       int           // tries before the long pause
-	FlowCool        time.Duration // the long pause
-	FlowPulse       time.Duration // pause between two renewals of freshness
-	FlowFresh       time.Duration // age above which a proxy hands nothing over
-	FlowStay        time.Duration // how long a proxy that is out of touch goes on with its last epoch all the same; above 0 what is promised of older plans holds only for proxies in touch, and targets must tell instances apart
-	GateDeadline    time.Duration // deadline of a request whose mapping names none
-	GateBody        int           // largest answer that is buffered, in bytes
-	GateRequest     int           // largest request body, in bytes
-	GateInflight    int           // requests under way at once in this proxy
-	GateConnect     time.Duration // time for a connection to a target
-	WireLine        int           // longest message between processes, in bytes
-	StopGrace       time.Duration // time for a planned stop
-	DebugAddress    string        // address for profiles (pprof); none if empty; keep it inside
-	GateSeal        string        // keyed: an answer bears the server's seal under the service's key; opaque: a success bears a mark that only the caller can judge, and every answer names its request
-	GateIds         string        // own: a request gets an id here; caller: it bears one, and the answer names it
-	GateLinger      time.Duration // how long a stopping proxy still takes new requests, while those who ask are told that it is not ready
-	GateIdle        time.Duration // how long a pipe to a target is kept idle, unless the target names less
-	GateSpill       int           // by how many hundredths of its aim a request may be slower before it goes to another zone
-	ExtraPercent    int           // extra tries that a hundred first requests of a service pay for
-	ExtraBase       int           // extra tries of a service beside these, in any extra.window, of all proxies together
-	ExtraWindow     time.Duration // the window of the budget of extra tries
-	HeaderRequest   string        // header that names the request, both ways
-	HeaderDeadline  string        // header with the milliseconds that the caller will wait, and that are left for the target
-	HeaderExpect    string        // header to the target that names the instance meant
-	HeaderSeal      string        // header with the server's seal
-	HeaderUnrun     string        // header by which a target says that it did not run the request
-	HeaderWeight    string        // header by which a target tells what it has to do: requests running, waiting, and its slots
-	GateReturn      time.Duration // the least that Retry-After asks for, spread over three times that; below a second it is told in fractions
-	GateRate        int           // kilobytes a second of the link, in each direction, that large request bodies may take together; 0 is no bound
-	GateBodies      int           // how many large request bodies are read at once; 0 is no bound
-	GateWait        time.Duration // how long a starting proxy waits for its first plan before it takes connections of callers; on a narrow link what is sent to be refused would keep the plan out
-	WireDial        time.Duration // time for a connection to another process
-	WireIdle        time.Duration // how long a connection to another process is kept on which nothing is asked
-	WireDeaf        time.Duration // for how long nothing may come over a connection to another process while an ask waits, before it is given up
-	GateWindow      int           // receive buffer of each connection of a caller, in bytes, so that bodies that wait to be read stay out of a narrow link; 0 is the system's own
-	MetricsServe    bool          // show metrics for scraping under /metrics on api.address
-	MetricsServices int           // services whose request times a proxy keeps apart since it started, at up to 8 kB each; the others share one without a name
-	GateDoubles     int           // how many of a hundred repeatable requests of a service may be sent to a second target once their answer is overdue, paid from the budget of extra tries
+	Name            string        `json:"Name"`            // the node's name, lasting and unique in the fleet
+	Zone            string        `json:"Zone"`            // the zone or room the machine stands in
+	Seeds           []string      `json:"Seeds"`           // wire addresses of other processes, three at best
+	WireAddress     string        `json:"WireAddress"`     // address for the other processes, TCP and UDP
+	WireAdvertise   string        `json:"WireAdvertise"`   // address that the others are told for this node, if it is not wire.address
+	APIAddress      string        `json:"ApiAddress"`      // address for back ends, applications and operators (HTTP)
+	APIAdvertise    string        `json:"ApiAdvertise"`    // address that the others are told for calls to this node, if it is not api.address
+	GateAddress     string        `json:"GateAddress"`     // address for callers (HTTP); a node that has one is a proxy
+	DataFolder      string        `json:"DataFolder"`      // folder for the state; a node that has one is a core node
+	FoundCores      int           `json:"FoundCores"`      // how many empty core nodes found a fleet; 0 is for one that only joins
+	Strength        int           `json:"Strength"`        // the machine's strength; shares follow it
+	LogLevel        string        `json:"LogLevel"`        // debug, info, warn or error
+	LogFile         string        `json:"LogFile"`         // file for the log; standard error if empty
+	KinProbe        time.Duration `json:"KinProbe"`        // pause between two probes
+	KinReply        time.Duration `json:"KinReply"`        // how long a probe waits before third parties are asked
+	KinSuspect      time.Duration `json:"KinSuspect"`      // how long a suspected member may refute
+	PactRound       time.Duration `json:"PactRound"`       // pause between two confirmations of a term
+	PactSilence     time.Duration `json:"PactSilence"`     // silence of an owner after which the next in order stands
+	PactLosses      int           `json:"PactLosses"`      // how many core nodes may be lost at once; a data part has twice as many members and one
+	PactGone        time.Duration `json:"PactGone"`        // how long a core node may be gone before a spare replaces it
+	PactChunk       int           `json:"PactChunk"`       // bytes of a snapshot, packed, in one message to a member that lacks it; each has three seconds to arrive
+	PactTail        int           `json:"PactTail"`        // entries before a snapshot that are kept in memory for members a little behind
+	PactTailBytes   int           `json:"PactTailBytes"`   // how many bytes these entries may take, for each part
+	PactContact     time.Duration `json:"PactContact"`     // how long a core node that has no word of a part's owner, or an owner that has none of a majority, still takes calls for it and gives out what it holds
+	PactSnapshot    int           `json:"PactSnapshot"`    // entries between two snapshots of a part
+	PlanSilence     time.Duration `json:"PlanSilence"`     // silence after which a target is taken out; about three beats
+	PlanSettle      time.Duration `json:"PlanSettle"`      // how long a new owner of a part listens to beats before its word counts
+	PlanKeep        bool          `json:"PlanKeep"`        // while a new owner listens, the targets of the epoch in force stay in, but for those known to drain, to leave or to have lost their address
+	PlanStrangers   bool          `json:"PlanStrangers"`   // keep the beats of services that no configuration names yet
+	PlanBeat        time.Duration `json:"PlanBeat"`        // pause between two beats of a server, as servers are told
+	PlanGather      time.Duration `json:"PlanGather"`      // how long news of targets is gathered before an epoch is made of it
+	PlanHold        time.Duration `json:"PlanHold"`        // how long the word of a drain, a sign-off or a change set waits after it is in force, so that proxies on full links have heard
+	PlanLinger      time.Duration `json:"PlanLinger"`      // how long a proxy that went keeps its share
+	PlanMemory      int           `json:"PlanMemory"`      // how many change sets are remembered with what became of them; one that is sent again within them is answered as the first time. Each takes some 150 bytes of the configuration's state
+	PlanPoll        time.Duration `json:"PlanPoll"`        // pause between two collections of the parts' news
+	FlowHold        time.Duration `json:"FlowHold"`        // how long a listener request is held
+	FlowBehind      time.Duration `json:"FlowBehind"`      // with flow.stay: how long a proxy goes on once it can't tell that its epoch is still the newest; 0 is as long as it stays
+	FlowServers     int           `json:"FlowServers"`     // how many control nodes a proxy listens to, the nearest first and one of another zone at least; 0 is for all
+	FlowFetches     int           `json:"FlowFetches"`     // how many full fetches a control node answers at once; who comes beside them is told when to ask again
+	FlowPause       time.Duration `json:"FlowPause"`       // pause after a fetch that brought nothing newer
+	FlowRetry       time.Duration `json:"FlowRetry"`       // pause between tries after an error
+	FlowTries       int           `json:"FlowTries"`       // tries before the long pause
+	FlowCool        time.Duration `json:"FlowCool"`        // the long pause
+	FlowPulse       time.Duration `json:"FlowPulse"`       // pause between two renewals of freshness
+	FlowFresh       time.Duration `json:"FlowFresh"`       // age above which a proxy hands nothing over
+	FlowStay        time.Duration `json:"FlowStay"`        // how long a proxy that is out of touch goes on with its last epoch all the same; above 0 what is promised of older plans holds only for proxies in touch, and targets must tell instances apart
+	GateDeadline    time.Duration `json:"GateDeadline"`    // deadline of a request whose mapping names none
+	GateBody        int           `json:"GateBody"`        // largest answer that is buffered, in bytes
+	GateRequest     int           `json:"GateRequest"`     // largest request body, in bytes
+	GateInflight    int           `json:"GateInflight"`    // requests under way at once in this proxy
+	GateConnect     time.Duration `json:"GateConnect"`     // time for a connection to a target
+	WireLine        int           `json:"WireLine"`        // longest message between processes, in bytes
+	StopGrace       time.Duration `json:"StopGrace"`       // time for a planned stop
+	DebugAddress    string        `json:"DebugAddress"`    // address for profiles (pprof); none if empty; keep it inside
+	GateSeal        string        `json:"GateSeal"`        // keyed: an answer bears the server's seal under the service's key; opaque: a success bears a mark that only the caller can judge, and every answer names its request
+	GateIds         string        `json:"GateIds"`         // own: a request gets an id here; caller: it bears one, and the answer names it
+	GateLinger      time.Duration `json:"GateLinger"`      // how long a stopping proxy still takes new requests, while those who ask are told that it is not ready
+	GateIdle        time.Duration `json:"GateIdle"`        // how long a pipe to a target is kept idle, unless the target names less
+	GateSpill       int           `json:"GateSpill"`       // by how many hundredths of its aim a request may be slower before it goes to another zone
+	ExtraPercent    int           `json:"ExtraPercent"`    // extra tries that a hundred first requests of a service pay for
+	ExtraBase       int           `json:"ExtraBase"`       // extra tries of a service beside these, in any extra.window, of all proxies together
+	ExtraWindow     time.Duration `json:"ExtraWindow"`     // the window of the budget of extra tries
+	HeaderRequest   string        `json:"HeaderRequest"`   // header that names the request, both ways
+	HeaderDeadline  string        `json:"HeaderDeadline"`  // header with the milliseconds that the caller will wait, and that are left for the target
+	HeaderExpect    string        `json:"HeaderExpect"`    // header to the target that names the instance meant
+	HeaderSeal      string        `json:"HeaderSeal"`      // header with the server's seal
+	HeaderUnrun     string        `json:"HeaderUnrun"`     // header by which a target says that it did not run the request
+	HeaderWeight    string        `json:"HeaderWeight"`    // header by which a target tells what it has to do: requests running, waiting, and its slots
+	GateReturn      time.Duration `json:"GateReturn"`      // the least that Retry-After asks for, spread over three times that; below a second it is told in fractions
+	GateRate        int           `json:"GateRate"`        // kilobytes a second of the link, in each direction, that large request bodies may take together; 0 is no bound
+	GateBodies      int           `json:"GateBodies"`      // how many large request bodies are read at once; 0 is no bound
+	GateWait        time.Duration `json:"GateWait"`        // how long a starting proxy waits for its first plan before it takes connections of callers; on a narrow link what is sent to be refused would keep the plan out
+	WireDial        time.Duration `json:"WireDial"`        // time for a connection to another process
+	WireIdle        time.Duration `json:"WireIdle"`        // how long a connection to another process is kept on which nothing is asked
+	WireDeaf        time.Duration `json:"WireDeaf"`        // for how long nothing may come over a connection to another process while an ask waits, before it is given up
+	GateWindow      int           `json:"GateWindow"`      // receive buffer of each connection of a caller, in bytes, so that bodies that wait to be read stay out of a narrow link; 0 is the system's own
+	MetricsServe    bool          `json:"MetricsServe"`    // show metrics for scraping under /metrics on api.address
+	MetricsServices int           `json:"MetricsServices"` // services whose request times a proxy keeps apart since it started, at up to 8 kB each; the others share one without a name
+	GateDoubles     int           `json:"GateDoubles"`     // how many of a hundred repeatable requests of a service may be sent to a second target once their answer is overdue, paid from the budget of extra tries
 }
 
 var table = []entry{
