--- /dev/null
+++ b/internal/environment/environment_test.go
@@ -0,0 +1,111 @@
+package environment
+
+import (
+	"io"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/sumactrestle/sumactrestle/internal/config"
+	"github.com/sumactrestle/sumactrestle/internal/eventlog"
+)
+
+func newEnvironment(t *testing.T, host Host) *Environment {
+	t.Helper()
+	return New(t.Context(), &config.Props{}, eventlog.New(io.Discard, "info", "n"), host)
+}
+
+// Under the race detector a timer for a pause of nothing ends the process; see Sleep.
+func TestSleep_OfNothingNeedsNoTimer(t *testing.T) {
+	for range 20 {
+		synctest.Test(t, func(t *testing.T) {
+			env := newEnvironment(t, Host{})
+			var sleepers sync.WaitGroup
+			for range 50 {
+				sleepers.Go(func() {
+					for range 200 {
+						env.Sleep(0)
+					}
+				})
+			}
+			sleepers.Wait()
+			env.Shutdown()
+		})
+	}
+}
+
+func TestSleep_EndsWithTheEnvironment(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		env := newEnvironment(t, Host{})
+		began := time.Now()
+		if !env.Sleep(time.Second) || time.Since(began) != time.Second {
+			t.Error("did not sleep for a second")
+		}
+		time.AfterFunc(time.Second, env.Shutdown)
+		if env.Sleep(time.Hour) || time.Since(began) != 2*time.Second {
+			t.Error("slept on after the end")
+		}
+		if env.Sleep(0) {
+			t.Error("a pause of nothing does not tell of the end")
+		}
+	})
+}
+
+func TestShutdown_WaitsForTasksStartedMeanwhile(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		env := newEnvironment(t, Host{})
+		var finished atomic.Int32
+		env.Go(func() {
+			<-env.Done()
+			time.Sleep(time.Second)
+			env.Go(func() {
+				time.Sleep(time.Second)
+				finished.Add(1)
+			})
+			finished.Add(1)
+		})
+		began := time.Now()
+		env.Shutdown()
+		if finished.Load() != 2 || time.Since(began) != 2*time.Second {
+			t.Errorf("%d of 2 tasks have finished after %s", finished.Load(), time.Since(began))
+		}
+	})
+}
+
+func TestNow_CountsSuspendedTime(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		suspended := time.Duration(0)
+		env := newEnvironment(t, Host{SuspendedTime: func() time.Duration { return suspended }})
+		began := env.Now()
+		time.Sleep(time.Second)
+		suspended = time.Minute
+		if age := env.Since(began); age != time.Minute+time.Second {
+			t.Errorf("the age is %s", age)
+		}
+	})
+}
+
+func TestJitter_StaysWithinAQuarter(t *testing.T) {
+	for range 1000 {
+		if pause := Jitter(time.Second); pause < 750*time.Millisecond || pause > 1250*time.Millisecond {
+			t.Fatalf("a second became %s", pause)
+		}
+	}
+}
+
+func TestChanMutex_TryLockFor(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		mutex := NewChanMutex()
+		mutex.Lock()
+		began := time.Now()
+		if mutex.TryLockFor(time.Second) || time.Since(began) != time.Second {
+			t.Error("took a lock that is held, or did not wait for it")
+		}
+		time.AfterFunc(time.Second, mutex.Unlock)
+		if !mutex.TryLockFor(time.Minute) || time.Since(began) != 2*time.Second {
+			t.Error("did not take a lock that was released")
+		}
+	})
+}
