--- /dev/null
+++ b/internal/coordination/instance_state.go
@@ -0,0 +1,33 @@
+package coordination
+
+import (
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
+)
+
+// stateLeaving is the announced state that is final: an instance that leaves does not
+// come back under the same id.
+const stateLeaving = "leaving"
+
+// setInstanceState records the state that an instance announced, by the sequence of the
+// heartbeat that bore it; an older heartbeat changes nothing. Watches do not see it.
+func (s *Store) setInstanceState(index ids.Index, request *rpc.CoordinationRequest) *rpc.CoordinationResponse {
+	current, ok := s.records[KindInstanceState][request.Name]
+	if ok && (current.Sequence > request.Sequence || current.Holder == stateLeaving) {
+		return reject(errcode.StampDiffers, current)
+	}
+	s.records.put(rpc.CoordinationRecord{Name: request.Name, Kind: KindInstanceState, Holder: request.Holder, Sequence: request.Sequence, Index: index})
+	return &rpc.CoordinationResponse{Index: index, Holder: request.Holder}
+}
+
+// clearInstanceState removes the announced state of an instance that serves again or is
+// long gone.
+func (s *Store) clearInstanceState(index ids.Index, request *rpc.CoordinationRequest) *rpc.CoordinationResponse {
+	current, ok := s.records[KindInstanceState][request.Name]
+	if !ok || current.Sequence > request.Sequence {
+		return reject(errcode.NoKey, current)
+	}
+	delete(s.records[KindInstanceState], request.Name)
+	return &rpc.CoordinationResponse{Index: index}
+}
--- /dev/null
+++ b/internal/coordination/reservation.go
@@ -0,0 +1,81 @@
+package coordination
+
+import (
+	"context"
+	"time"
+
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
+)
+
+const (
+	// batchDelay is how long reservations are collected for one entry.
+	batchDelay = 8 * time.Millisecond
+	// batchTimeout bounds the writing of that entry.
+	batchTimeout = 3 * time.Second
+)
+
+// reservationBatch is reservations of idempotency keys that came within a moment. They
+// share one log entry, and so its messages and its syncs of the disk.
+type reservationBatch struct {
+	records []rpc.CoordinationRecord // guarded by the shard's mu until the batch is closed
+	done    chan struct{}            // closed once response and err are set
+	// response has one record for each of records, in their order.
+	response *rpc.CoordinationResponse
+	err      error
+}
+
+// reserve joins the shard's batch and picks its own response out of the batch's.
+func (s *shard) reserve(ctx context.Context, request *rpc.CoordinationRequest) (*rpc.CoordinationResponse, error) {
+	if !s.replica.IsServing() {
+		return nil, s.notLeader()
+	}
+	batch, position := s.joinBatch(rpc.CoordinationRecord{Name: request.Name, Holder: request.Holder})
+	select {
+	case <-batch.done:
+	case <-ctx.Done():
+		return nil, errcode.New(errcode.Unsure, "shard %d: %v", s.id, ctx.Err())
+	}
+	if batch.err != nil {
+		return nil, batch.err
+	}
+	if position >= len(batch.response.Records) {
+		return nil, s.unsure()
+	}
+	record := batch.response.Records[position]
+	response := &rpc.CoordinationResponse{Index: batch.response.Index, Holder: record.Holder, Value: record.Value}
+	if record.Kind == kindReserved {
+		response.Code = errcode.Held.No
+	}
+	return response, nil
+}
+
+// joinBatch adds a reservation to the open batch, or to a new one, and returns the batch
+// and the reservation's position in it.
+func (s *shard) joinBatch(record rpc.CoordinationRecord) (batch *reservationBatch, position int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.batch == nil {
+		batch := &reservationBatch{done: make(chan struct{})}
+		s.batch = batch
+		s.env.Go(func() { s.writeBatch(batch) })
+	}
+	s.batch.records = append(s.batch.records, record)
+	return s.batch, len(s.batch.records) - 1
+}
+
+// writeBatch waits for more reservations, closes the batch and writes it.
+func (s *shard) writeBatch(batch *reservationBatch) {
+	defer close(batch.done)
+	isRunning := s.env.Sleep(batchDelay)
+	s.mu.Lock()
+	s.batch = nil
+	s.mu.Unlock()
+	if !isRunning {
+		batch.err = errcode.New(errcode.Stopping, "")
+		return
+	}
+	ctx, cancel := context.WithTimeout(s.env, batchTimeout)
+	defer cancel()
+	batch.response, batch.err = s.propose(ctx, &rpc.CoordinationRequest{Operation: opReserveBatch, Name: "orders", Records: batch.records})
+}
--- a/internal/coordination/space.go
+++ b/internal/coordination/space.go
@@ -1,6 +1,3 @@
-// Spaces: what stands before the first slash of a name has a count of its own,
-// which rises by one with each set, so that a key's revision says how the sets of
-// its space follow one another and a follower sees that it missed none.
 package coordination
 
 import (
@@ -8,61 +5,79 @@
 	"encoding/hex"
 	"strings"
 
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
 	"github.com/sumactrestle/sumactrestle/internal/ids"
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
+// spaceOf returns what stands before the first slash of a name. A space counts its own
+// revisions: they rise by one with each set, so a follower sees that it missed none. The
+// indexes of the shard's log rise with every entry and say nothing on gaps.
 func spaceOf(name string) string {
 	space, _, _ := strings.Cut(name, "/")
 	return space
 }
 
-// setRequestID is what a set under an id is known by: its name and that id, so that a
-// repeat is known for one whatever revision it names. Without an id a set is never
-// a repeat: a value may be set again.
-func setRequestID(op *rpc.CoordinationRequest) string {
-	sum := sha256.Sum256([]byte(op.Name + "\x00" + op.ID))
+// setRequestID is what a set under an ID is remembered by: its name and that ID, whatever
+// revision it names as its condition. A set without an ID is never a repeat.
+func setRequestID(request *rpc.CoordinationRequest) string {
+	sum := sha256.Sum256([]byte(request.Name + "\x00" + request.ID))
 	return "set/" + hex.EncodeToString(sum[:16])
 }
 
+// set writes a key under the next revision of its space. On a condition it is done only if
+// the key's revision is the one named; zero demands that there is no such key.
+func (s *Store) set(index ids.Index, request *rpc.CoordinationRequest) *rpc.CoordinationResponse {
+	current, ok := s.records[KindKey][request.Name]
+	if request.IfRevision != nil && (*request.IfRevision != current.Revision || ok && *request.IfRevision == 0) {
+		return reject(errcode.StampDiffers, current)
+	}
+	revision := s.nextRevision(index, spaceOf(request.Name))
+	s.putRecord(rpc.CoordinationRecord{Name: request.Name, Kind: KindKey, Value: request.Value, Revision: revision, Index: index}, request.Value)
+	return &rpc.CoordinationResponse{Index: index, Revision: revision}
+}
+
 // nextRevision counts one more set in a space.
-func (b *Store) nextRevision(index ids.Index, space string) ids.Index {
-	count := b.recordsOf(KindSpace)[space].Count + 1
-	b.recordsOf(KindSpace)[space] = rpc.CoordinationRecord{Name: space, Kind: KindSpace, Count: count, Index: index}
+func (s *Store) nextRevision(index ids.Index, space string) ids.Index {
+	count := s.records[KindSpace][space].Count + 1
+	s.records.put(rpc.CoordinationRecord{Name: space, Kind: KindSpace, Count: count, Index: index})
 	return ids.Index(count)
 }
 
-// RevisionsSince is the sets of a space after a revision, and the revision to go on from.
-// They must follow it without a gap, also on a copy whose count was mended.
-func (b *Store) RevisionsSince(space string, from ids.Index, most int) (list []rpc.WatchEvent, rev ids.Index, isKept bool) {
-	b.mu.RLock()
-	defer b.mu.RUnlock()
-	rev = ids.Index(b.records[KindSpace][space].Count)
-	if from == 0 || rev <= from {
-		return nil, max(rev, from), true
+// RevisionsSince returns at most limit sets of a space after a revision, and the revision
+// to resume from. It is not complete if the sets do not follow that revision without a
+// gap: they were dropped, or this replica's count was repaired.
+func (s *Store) RevisionsSince(space string, after ids.Index, limit int) (events []rpc.WatchEvent, next ids.Index, complete bool) {
+	s.mu.RLock()
+	defer s.mu.RUnlock()
+	last := ids.Index(s.records[KindSpace][space].Count)
+	if after == 0 || last <= after {
+		return nil, max(last, after), true
 	}
-	if from < b.compactedRevisions[space] {
-		return nil, rev, false
+	log := &s.events
+	if after < log.compactedRevisions[space] {
+		return nil, last, false
 	}
-	at := len(b.events)
-	for i := at - 1; i >= 0; i-- {
-		if e := &b.events[i]; e.Revision > 0 && spaceOf(e.Name) == space {
-			if e.Revision <= from {
+	isSet := func(event *rpc.WatchEvent) bool { return event.Revision > 0 && spaceOf(event.Name) == space }
+	first := len(log.events)
+	for i := first - 1; i >= 0; i-- {
+		if event := &log.events[i]; isSet(event) {
+			if event.Revision <= after {
 				break
 			}
-			at = i
+			first = i
 		}
 	}
-	for _, e := range b.events[at:] {
-		if e.Revision == 0 || spaceOf(e.Name) != space {
+	for _, event := range log.events[first:] {
+		if !isSet(&event) {
 			continue
 		}
-		if e.Revision != from+ids.Index(len(list))+1 {
-			return nil, rev, false
+		if event.Revision != after+ids.Index(len(events))+1 {
+			return nil, last, false
 		}
-		if list = append(list, e); len(list) == most {
-			return list, e.Revision, true
+		if events = append(events, event); len(events) == limit {
+			return events, event.Revision, true
 		}
 	}
-	return list, rev, from+ids.Index(len(list)) == rev
+	return events, last, after+ids.Index(len(events)) == last
 }
--- /dev/null
+++ b/internal/coordination/store_test.go
@@ -0,0 +1,52 @@
+package coordination
+
+import (
+	"encoding/json"
+	"fmt"
+	"testing"
+
+	"github.com/sumactrestle/sumactrestle/internal/ids"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
+)
+
+func apply(store *Store, index ids.Index, request rpc.CoordinationRequest) *rpc.CoordinationResponse {
+	raw, _ := json.Marshal(request)
+	return store.Apply(index, raw).(*rpc.CoordinationResponse)
+}
+
+func BenchmarkStore_ListInstanceStatesAmongManyKeys(b *testing.B) {
+	store := NewStore()
+	for i := range 20000 {
+		apply(store, ids.Index(i+1), rpc.CoordinationRequest{Operation: "put", Name: fmt.Sprint("k/", i), Value: json.RawMessage("1")})
+	}
+	apply(store, 20001, rpc.CoordinationRequest{Operation: "mark", Name: "rates/i1", Holder: "draining", Sequence: 1})
+	b.ResetTimer()
+	for b.Loop() {
+		if list, _ := store.List(KindInstanceState, ""); len(list) != 1 {
+			b.Fatal(list)
+		}
+	}
+}
+
+func TestStore_RepeatedRequestGetsFirstResponse(t *testing.T) {
+	store := NewStore()
+	first := apply(store, 1, rpc.CoordinationRequest{Operation: "add", ID: "r", Name: "n", Delta: 2})
+	again := apply(store, 2, rpc.CoordinationRequest{Operation: "add", ID: "r", Name: "n", Delta: 2})
+	if first.Count != 2 || again.Count != 2 || again.Index != 1 {
+		t.Fatal(first, again)
+	}
+	raw, err := store.Snapshot()()
+	if err != nil {
+		t.Fatal(err)
+	}
+	other := NewStore()
+	if err := other.Restore(raw); err != nil {
+		t.Fatal(err)
+	}
+	if again := apply(other, 3, rpc.CoordinationRequest{Operation: "add", ID: "r", Name: "n", Delta: 2}); again.Count != 2 {
+		t.Fatal("a loaded state forgot the receipt", again)
+	}
+	if next := apply(other, 4, rpc.CoordinationRequest{Operation: "add", Name: "n", Delta: 2}); next.Count != 4 {
+		t.Fatal(next)
+	}
+}
--- a/internal/coordination/watch.go
+++ b/internal/coordination/watch.go
@@ -1,69 +1,65 @@
-// Calls that are held until something happens: a watch goes by the part's own
-// stamps and sees every kind under a prefix; a follow goes by a space's count and
-// sees what was set there.
 package coordination
 
 import (
 	"context"
 	"time"
 
-	"github.com/sumactrestle/sumactrestle/internal/consensus"
 	"github.com/sumactrestle/sumactrestle/internal/errcode"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// watch holds the call until something under the name happens.
-func (d *Service) watch(ctx context.Context, part *consensus.Replica, book *Store, op *rpc.CoordinationRequest) (*rpc.CoordinationResponse, error) {
-	if op.FromIndex == 0 {
-		keys, stamp := book.List(KindKey, op.Name)
-		return &rpc.CoordinationResponse{Index: stamp, Records: keys}, nil
+// maxEventsPerResponse bounds the events of one response; the next call gets the rest.
+const maxEventsPerResponse = 256
+
+// watch is a long poll for the events of every kind under a prefix, by the indexes of the
+// shard's log. A watch from index zero gets the keys as they are, and the index to watch from.
+func (s *shard) watch(ctx context.Context, term ids.Term, request *rpc.CoordinationRequest) (*rpc.CoordinationResponse, error) {
+	if request.FromIndex == 0 {
+		return s.list(ctx, term, request)
 	}
-	hold := time.NewTimer(time.Duration(op.Wait) * time.Millisecond)
-	defer hold.Stop()
-	for {
-		change := part.Changed()
-		events, next, isKept := book.EventsSince(op.Name, op.FromIndex, 256)
-		if !isKept {
-			return &rpc.CoordinationResponse{Code: errcode.StampTooOld.No, Index: next}, nil
-		}
-		if len(events) > 0 {
-			return &rpc.CoordinationResponse{Index: next, Events: events}, nil
+	return s.longPoll(ctx, request.Wait, func() (*rpc.CoordinationResponse, bool) {
+		events, next, complete := s.store.EventsSince(request.Name, request.FromIndex, maxEventsPerResponse)
+		if !complete {
+			return &rpc.CoordinationResponse{Code: errcode.StampTooOld.No, Index: next}, true
 		}
-		if !part.IsServing() {
-			return nil, errcode.New(errcode.NotOwner, "part changed its owner")
-		}
-		select {
-		case <-change:
-		case <-hold.C:
-			return &rpc.CoordinationResponse{Index: next}, nil
-		case <-ctx.Done():
-			return &rpc.CoordinationResponse{Index: next}, nil
+		return &rpc.CoordinationResponse{Index: next, Events: events}, len(events) > 0
+	})
+}
+
+// follow is a long poll for the sets in a space, by the space's revisions. A follower from
+// revision zero gets the revision to follow from.
+func (s *shard) follow(ctx context.Context, _ ids.Term, request *rpc.CoordinationRequest) (*rpc.CoordinationResponse, error) {
+	return s.longPoll(ctx, request.Wait, func() (*rpc.CoordinationResponse, bool) {
+		events, revision, complete := s.store.RevisionsSince(spaceOf(request.Name), request.FromIndex, maxEventsPerResponse)
+		if !complete {
+			return &rpc.CoordinationResponse{Code: errcode.StampTooOld.No, Revision: revision}, true
 		}
-	}
+		return &rpc.CoordinationResponse{Revision: revision, Events: events}, len(events) > 0 || request.FromIndex == 0
+	})
 }
 
-// follow holds the call until something is set in the space.
-func (d *Service) follow(ctx context.Context, part *consensus.Replica, book *Store, op *rpc.CoordinationRequest) (*rpc.CoordinationResponse, error) {
-	hold := time.NewTimer(time.Duration(op.Wait) * time.Millisecond)
-	defer hold.Stop()
+// longPoll returns the first response that poll calls ready, or the last one once the wait
+// of so many milliseconds is over or the caller has gone. It polls at each change of the
+// shard, and ends when this node does not lead the shard any more.
+func (s *shard) longPoll(ctx context.Context, wait int64, poll func() (response *rpc.CoordinationResponse, ready bool)) (*rpc.CoordinationResponse, error) {
+	timeout := time.NewTimer(time.Duration(wait) * time.Millisecond)
+	defer timeout.Stop()
 	for {
-		change := part.Changed()
-		events, rev, isKept := book.RevisionsSince(spaceOf(op.Name), op.FromIndex, 256)
-		if !isKept {
-			return &rpc.CoordinationResponse{Code: errcode.StampTooOld.No, Revision: rev}, nil
-		}
-		if len(events) > 0 || op.FromIndex == 0 {
-			return &rpc.CoordinationResponse{Revision: rev, Events: events}, nil
+		changed := s.replica.Changed() // before poll, so that no change falls in between
+		response, ready := poll()
+		if ready {
+			return response, nil
 		}
-		if !part.IsServing() {
-			return nil, errcode.New(errcode.NotOwner, "part changed its owner")
+		if !s.replica.IsServing() {
+			return nil, errcode.New(errcode.NotOwner, "shard %d changed its leader", s.id)
 		}
 		select {
-		case <-change:
-		case <-hold.C:
-			return &rpc.CoordinationResponse{Revision: rev}, nil
+		case <-changed:
+		case <-timeout.C:
+			return response, nil
 		case <-ctx.Done():
-			return &rpc.CoordinationResponse{Revision: rev}, nil
+			return response, nil
 		}
 	}
 }
