--- a/internal/controlplane/address_conflicts.go
+++ b/internal/controlplane/address_conflicts.go
@@ -11,16 +11,16 @@
 // addressConflict is two instances, as "service/instance", that claim one address.
 type addressConflict struct{ address, first, second string }
 
-// claim is an instance's claim to an address.
-type claim struct {
+// addressClaim is an instance's claim to an address.
+type addressClaim struct {
 	service  string
-	instance string // as "service/instance"
+	instance string // as "service/instance"; empty if nobody may have the address yet
 	since    int64  // when the instance was first seen; the newest claim wins
 }
 
-// beats tells whether a claim wins over another one to the same address. Of two equally
+// winsOver tells whether a claim wins over another one to the same address. Of two equally
 // new ones the greater name does, so that every planner decides the same.
-func (c claim) beats(other claim) bool {
+func (c addressClaim) winsOver(other addressClaim) bool {
 	return c.since > other.since || c.since == other.since && c.instance >= other.instance
 }
 
@@ -39,9 +39,25 @@
 // epoch in force comes in only once that epoch is past, for a proxy may still send that
 // service's requests to it. The error is a *DamagedGroupError.
 func resolveTargets(epoch *EpochState, services []rpc.Service, reports map[ids.Shard]*shardReport) (resolution, error) {
+	lists, err := reportedTargets(epoch, services, reports)
+	if err != nil {
+		return resolution{}, err
+	}
+	claims, conflicts := claimAddresses(services, lists)
+	awaitsRelease, err := withholdHeldAddresses(epoch, claims)
+	if err != nil {
+		return resolution{}, err
+	}
+	targets := make(map[string][]rpc.Target, len(lists))
+	for service, list := range lists {
+		targets[service] = inRotation(service, list, claims)
+	}
+	return resolution{targets: targets, conflicts: conflicts, awaitsRelease: awaitsRelease}, nil
+}
+
+// reportedTargets is the list of each service of which there is a report.
+func reportedTargets(epoch *EpochState, services []rpc.Service, reports map[ids.Shard]*shardReport) (targetLists, error) {
 	lists := targetLists{}
-	winners := map[string]claim{} // by address
-	var resolved resolution
 	for _, service := range services {
 		report := reports[ids.ShardOf(service.Name)]
 		if report == nil {
@@ -51,47 +67,63 @@
 		if report.Provisional {
 			previous, err := epoch.Targets(service.Name)
 			if err != nil {
-				return resolution{}, err
+				return nil, err
 			}
 			list = mergePreviousTargets(previous, list)
 		}
 		lists[service.Name] = list
-		for _, target := range list {
+	}
+	return lists, nil
+}
+
+// claimAddresses finds the winning claim to each address. A target that drains still claims
+// its own; one that left or timed out does not.
+func claimAddresses(services []rpc.Service, lists targetLists) (claims map[string]addressClaim, conflicts []addressConflict) {
+	claims = map[string]addressClaim{}
+	for _, service := range services {
+		for _, target := range lists[service.Name] {
 			if target.Address == "" || target.OutReason == StateTimedOut || target.OutReason == StateLeaving {
 				continue
 			}
-			claimant := claim{service.Name, service.Name + "/" + target.Instance, target.Since}
-			if holder, ok := winners[target.Address]; ok {
-				resolved.conflicts = append(resolved.conflicts, addressConflict{target.Address, min(holder.instance, claimant.instance), max(holder.instance, claimant.instance)})
-				if !claimant.beats(holder) {
+			claim := addressClaim{service.Name, service.Name + "/" + target.Instance, target.Since}
+			if holder, ok := claims[target.Address]; ok {
+				conflicts = append(conflicts, addressConflict{target.Address, min(holder.instance, claim.instance), max(holder.instance, claim.instance)})
+				if !claim.winsOver(holder) {
 					continue
 				}
 			}
-			winners[target.Address] = claimant
+			claims[target.Address] = claim
 		}
 	}
+	return claims, conflicts
+}
+
+// withholdHeldAddresses takes from the claims those to addresses that another service holds
+// in the epoch in force. It tells whether there are any.
+func withholdHeldAddresses(epoch *EpochState, claims map[string]addressClaim) (withheld bool, err error) {
 	for service := range epoch.targetServices() {
 		targets, err := epoch.Targets(service)
 		if err != nil {
-			return resolution{}, err
+			return false, err
 		}
 		for _, target := range targets {
-			if winner, ok := winners[target.Address]; ok && winner.service != service {
-				winner.instance, resolved.awaitsRelease = "", true
-				winners[target.Address] = winner
+			if claim, ok := claims[target.Address]; ok && claim.service != service {
+				claim.instance, withheld = "", true
+				claims[target.Address] = claim
 			}
 		}
 	}
-	resolved.targets = make(map[string][]rpc.Target, len(lists))
-	for service, list := range lists {
-		targets := []rpc.Target{}
-		for _, target := range list {
-			if target.OutReason == "" && target.Address != "" && winners[target.Address].instance == service+"/"+target.Instance {
-				targets = append(targets, rpc.Target{Instance: target.Instance, Address: target.Address, Zone: target.Zone, Weight: target.Weight, Slots: target.Slots, SlowStartMillis: target.SlowStartMillis})
-			}
+	return withheld, nil
+}
+
+// inRotation is the targets of a service that may be sent to, in order.
+func inRotation(service string, list []rpc.ReportedTarget, claims map[string]addressClaim) []rpc.Target {
+	targets := []rpc.Target{}
+	for _, target := range list {
+		if target.OutReason == "" && target.Address != "" && claims[target.Address].instance == service+"/"+target.Instance {
+			targets = append(targets, rpc.Target{Instance: target.Instance, Address: target.Address, Zone: target.Zone, Weight: target.Weight, Slots: target.Slots, SlowStartMillis: target.SlowStartMillis})
 		}
-		slices.SortFunc(targets, func(a, b rpc.Target) int { return strings.Compare(a.Instance, b.Instance) })
-		resolved.targets[service] = targets
 	}
-	return resolved, nil
+	slices.SortFunc(targets, func(a, b rpc.Target) int { return strings.Compare(a.Instance, b.Instance) })
+	return targets
 }
--- a/internal/controlplane/change_test.go
+++ b/internal/controlplane/change_test.go
@@ -37,13 +37,15 @@
 		"version below, base too old":   {rpc.ChangeSet{ID: "a", BaseEpoch: 6, Version: 5}, "x", errcode.BadChange, false},
 		"over, and base isn't asked of": {rpc.ChangeSet{ID: "a", BaseEpoch: 99, BaseVersion: version(5)}, "x", errcode.Code{}, false},
 	} {
-		first, err := epoch.CheckPrecondition(&c.change, c.digest)
-		if (c.code.No == 0) != (err == nil) || err != nil && !errcode.Is(err, c.code) {
-			t.Errorf("%s: %v, want code %d", name, err, c.code.No)
-		}
-		if (first != nil) != c.repeat || c.repeat && (first.Epoch != 7 || first.Version != 5) {
-			t.Errorf("%s: receipt %+v", name, first)
-		}
+		t.Run(name, func(t *testing.T) {
+			first, err := epoch.CheckPrecondition(&c.change, c.digest)
+			if (c.code.No == 0) != (err == nil) || err != nil && !errcode.Is(err, c.code) {
+				t.Errorf("%v, want code %d", err, c.code.No)
+			}
+			if (first != nil) != c.repeat || c.repeat && (first.Epoch != 7 || first.Version != 5) {
+				t.Errorf("first result %+v", first)
+			}
+		})
 	}
 	_, err := epoch.CheckPrecondition(&rpc.ChangeSet{ID: "a", Version: 5, BaseVersion: version(5)}, "x")
 	if paths := errcode.Of(err).Paths; len(paths) != 1 || paths[0] != "version: is not above 5, which is in force" {
@@ -68,14 +70,16 @@
 		"dropped and put":  {rpc.ChangeSet{Remove: rpc.Removals{Services: []string{"a"}}, Put: rpc.Configuration{Services: []rpc.Service{{Name: "a"}}}}, 1, 2, 1},
 		"two put the same": {rpc.ChangeSet{Put: rpc.Configuration{Services: []rpc.Service{{Name: "c"}, {Name: "c"}}}}, 1, 4, 1},
 	} {
-		c.change.ID = "c"
-		next, paths := MergeChange(old, &c.change)
-		body := int64(0)
-		if next.ClientLimits != nil {
-			body = next.ClientLimits.BodyBytes
-		}
-		if body != c.body || len(next.Services) != c.services || len(paths) != c.faults {
-			t.Errorf("%s: %+v %q", name, next, paths)
-		}
+		t.Run(name, func(t *testing.T) {
+			c.change.ID = "c"
+			merged, faults := MergeChange(old, &c.change)
+			body := int64(0)
+			if merged.ClientLimits != nil {
+				body = merged.ClientLimits.BodyBytes
+			}
+			if body != c.body || len(merged.Services) != c.services || len(faults) != c.faults {
+				t.Errorf("%+v %q", merged, faults)
+			}
+		})
 	}
 }
--- a/internal/controlplane/collect.go
+++ b/internal/controlplane/collect.go
@@ -9,6 +9,9 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
+// messageReport is the kind of message by which reports are asked for.
+const messageReport = "plan.news"
+
 // collectTimeout bounds one round of collecting reports.
 const collectTimeout = 400 * time.Millisecond
 
@@ -37,7 +40,7 @@
 			defer all.Done()
 			sent := p.env.Now()
 			var response rpc.TargetReportResponse
-			if p.transport.Ask(ctx, member.RPCAddress, "plan.news", &rpc.TargetReportRequest{Known: known}, &response) == nil {
+			if p.transport.Ask(ctx, member.RPCAddress, messageReport, &rpc.TargetReportRequest{Known: known}, &response) == nil {
 				p.mergeReports(term, sent, &response)
 			}
 		})
@@ -62,8 +65,8 @@
 	}
 }
 
-// merge takes over one report, unless an equally new or newer one of its shard is there, or
-// it has no lists and refers to others than are known. The error is a *DamagedGroupError of
+// merge takes over one report, unless a newer one of its shard is there, or it has no lists
+// and refers to others than are known. The error is a *DamagedGroupError of
 // the epoch in force; the report is not taken over then.
 func (v *plannerView) merge(update *rpc.ShardTargets, asOf time.Time, received int64, epoch *EpochState) error {
 	last := v.reports[update.Shard]
--- a/internal/controlplane/errors_test.go
+++ b/internal/controlplane/errors_test.go
@@ -17,7 +17,7 @@
 
 func TestEpochState_DamagedGroupIsAnError(t *testing.T) {
 	services := []rpc.Service{{Name: "s"}}
-	young := map[ids.Shard]*shardReport{ids.ShardOf("s"): {ShardTargets: rpc.ShardTargets{Provisional: true, Targets: targetLists{}}}}
+	provisional := map[ids.Shard]*shardReport{ids.ShardOf("s"): {ShardTargets: rpc.ShardTargets{Provisional: true, Targets: targetLists{}}}}
 	config := func(e *EpochState) error { _, err := e.Config(); return err }
 	view := func(e *EpochState) error { _, err := e.View(); return err }
 	for name, c := range map[string]struct {
@@ -33,7 +33,7 @@
 		"config: limits":   {LimitsGroup, config},
 		"config: clients":  {ClientLimitsGroup, config},
 		"config: sources":  {SourcesPrefix + "03", config},
-		"resolved targets": {TargetsPrefix + "s", func(e *EpochState) error { _, err := resolveTargets(e, services, young); return err }},
+		"resolved targets": {TargetsPrefix + "s", func(e *EpochState) error { _, err := resolveTargets(e, services, provisional); return err }},
 		"other targets":    {TargetsPrefix + "t", func(e *EpochState) error { _, err := resolveTargets(e, services, nil); return err }},
 		"previous targets": {TargetsPrefix + "s", func(e *EpochState) error { _, err := previousTargets(e, ids.ShardOf("s")); return err }},
 		"services":         {ServicesGroup, func(e *EpochState) error { _, _, err := operatorGroups(e, nil); return err }},
--- a/internal/controlplane/fixture_test.go
+++ b/internal/controlplane/fixture_test.go
@@ -85,8 +85,8 @@
 // newEnvironment is that of a node without network and disk.
 func newEnvironment(t *testing.T) *environment.Environment {
 	t.Helper()
-	props := &config.Props{Name: "n", PlanSilence: time.Hour}
-	return environment.New(t.Context(), props, eventlog.New(io.Discard, "info", "n"), environment.Host{})
+	settings := &config.Props{Name: "n", PlanSilence: time.Hour}
+	return environment.New(t.Context(), settings, eventlog.New(io.Discard, "info", "n"), environment.Host{})
 }
 
 // newRegistry is a registry of a node that leads nothing.
--- a/internal/controlplane/leader_change.go
+++ b/internal/controlplane/leader_change.go
@@ -8,16 +8,17 @@
 )
 
 // When a shard's leader changes, the new one hears every target for the first time, and for
-// a while it has not heard all of them. While it is young, the targets of the epoch in
-// force stay in, but for those that it names as out and those whose address was passed on.
+// a while it has not heard all of them. Its lists are provisional until then: the targets of
+// the epoch in force stay in, but for those that it names as out and those whose address
+// was passed on.
 
 // seenInPreviousTerm is the time at which a target was first seen that was in the epoch in
 // force when its shard's leader changed: before all that the new leader heard for the first
 // time.
 const seenInPreviousTerm = math.MinInt64
 
-// mergePreviousTargets adds to a young leader's list the targets in force that it does not
-// name at all.
+// mergePreviousTargets adds to a provisional list the targets in force that it does not name
+// at all.
 func mergePreviousTargets(previous []rpc.Target, list []rpc.ReportedTarget) []rpc.ReportedTarget {
 	named := map[string]bool{}
 	for _, target := range list {
@@ -57,7 +58,7 @@
 // normalizeAges turns the ages of targets in a report, in microseconds, into times at which
 // they were first seen, in microseconds since the planner was made; received is when the
 // report was asked for. Targets of the previous term get the earliest time of all. Once the
-// leader is no longer young, those that it does not name are taken out of previous.
+// lists are no longer provisional, those that they do not name are taken out of previous.
 func normalizeAges(report *rpc.ShardTargets, received int64, previous map[targetKey]bool) {
 	named := map[targetKey]bool{}
 	for service, list := range report.Targets {
--- a/internal/controlplane/leader_change_test.go
+++ b/internal/controlplane/leader_change_test.go
@@ -14,10 +14,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	young := &rpc.ShardTargets{Provisional: true, Targets: targetLists{"s": {{Instance: "a", Address: "A", Since: 3}, {Instance: "b", Address: "N", Since: 3}, {Instance: "c", Address: "A", Since: 4}}}}
-	normalizeAges(young, 10, previous)
-	if list := young.Targets["s"]; list[0].Since != seenInPreviousTerm || list[1].Since != 7 || list[2].Since != 6 || len(previous) != 2 {
-		t.Fatalf("%+v %v", young, previous)
+	provisional := &rpc.ShardTargets{Provisional: true, Targets: targetLists{"s": {{Instance: "a", Address: "A", Since: 3}, {Instance: "b", Address: "N", Since: 3}, {Instance: "c", Address: "A", Since: 4}}}}
+	normalizeAges(provisional, 10, previous)
+	if list := provisional.Targets["s"]; list[0].Since != seenInPreviousTerm || list[1].Since != 7 || list[2].Since != 6 || len(previous) != 2 {
+		t.Fatalf("%+v %v", provisional, previous)
 	}
 	normalizeAges(&rpc.ShardTargets{Targets: targetLists{"s": {{Instance: "a", Address: "A"}}}}, 10, previous)
 	if len(previous) != 1 || !previous[targetKey{"s", "a", "A"}] {
--- a/internal/controlplane/plan.go
+++ b/internal/controlplane/plan.go
@@ -34,7 +34,7 @@
 func (p *Planner) commitEpoch(ctx context.Context, change *acceptedChange) error {
 	term, _, isServing := p.replica.LeadershipSince()
 	if !isServing {
-		return errcode.New(errcode.NotOwner, "configuration part")
+		return errcode.New(errcode.NotOwner, "configuration shard")
 	}
 	planned, asOf, err := p.nextEpoch(term, change)
 	if err != nil {
--- a/internal/controlplane/planner.go
+++ b/internal/controlplane/planner.go
@@ -52,7 +52,7 @@
 type plannerView struct {
 	term    ids.Term
 	reports map[ids.Shard]*shardReport
-	// previousTargets is, for each shard with a young leader, the targets that were in the
+	// previousTargets is, for each shard whose leader changed, the targets that were in the
 	// epoch in force when the leader changed, without those that departed since.
 	previousTargets map[ids.Shard]map[targetKey]bool
 	// reflectedUpTo is the time up to which the epoch in force reflects each shard.
--- a/internal/controlplane/registry.go
+++ b/internal/controlplane/registry.go
@@ -81,7 +81,7 @@
 	replica := r.consensus.Replica(shard)
 	term, _, isServing := replica.LeadershipSince()
 	if !isServing {
-		return errcode.New(errcode.NotOwner, "part %d", shard)
+		return errcode.New(errcode.NotOwner, "shard %d", shard)
 	}
 	if epoch := r.state.Current(); !r.env.Config.PlanStrangers && epoch.Epoch > 0 && !epoch.HasService(heartbeat.Service) {
 		r.logRefusal(heartbeat, "no such service")
@@ -92,36 +92,42 @@
 	if outdated && heartbeat.State == StateServing {
 		return nil
 	}
-	var op *rpc.CoordinationRequest
+	var entry *rpc.CoordinationRequest
 	switch {
 	case heartbeat.State == StateServing && hasDeparture && departure.Holder == StateDraining && heartbeat.Sequence > departure.Sequence:
-		op = clearDeparture(heartbeat.Service, heartbeat.Instance, heartbeat.Sequence)
+		entry = clearDeparture(heartbeat.Service, heartbeat.Instance, heartbeat.Sequence)
 	case heartbeat.State != StateServing && (!hasDeparture || departure.Holder != heartbeat.State && departure.Holder != StateLeaving):
-		op = recordDeparture(heartbeat)
+		entry = recordDeparture(heartbeat)
 	}
-	if op != nil {
-		if _, _, err := replica.Propose(ctx, op); err != nil {
+	if entry != nil {
+		if _, _, err := replica.Propose(ctx, entry); err != nil {
 			return err
 		}
 	}
-	if op != nil || changed {
+	if entry != nil || changed {
 		r.notifyChange()
 	}
-	if op != nil && heartbeat.State != StateServing {
+	if entry != nil && heartbeat.State != StateServing {
 		// The proxies hear of it before whoever goes may count on it.
 		waitForPropagation(ctx, r.env)
 	}
 	return nil
 }
 
+// Operations of a data shard's log by which it keeps departures.
+const (
+	operationRecord = "mark"
+	operationClear  = "unmark"
+)
+
 // recordDeparture is the entry by which a shard remembers that a target drains or left.
 func recordDeparture(heartbeat *rpc.TargetHeartbeat) *rpc.CoordinationRequest {
-	return &rpc.CoordinationRequest{Operation: "mark", Name: heartbeat.Service + "/" + heartbeat.Instance, Holder: heartbeat.State, Sequence: heartbeat.Sequence}
+	return &rpc.CoordinationRequest{Operation: operationRecord, Name: heartbeat.Service + "/" + heartbeat.Instance, Holder: heartbeat.State, Sequence: heartbeat.Sequence}
 }
 
 // clearDeparture is the entry by which a shard forgets it.
-func clearDeparture(service, instance string, seq uint64) *rpc.CoordinationRequest {
-	return &rpc.CoordinationRequest{Operation: "unmark", Name: service + "/" + instance, Sequence: seq}
+func clearDeparture(service, instance string, sequence uint64) *rpc.CoordinationRequest {
+	return &rpc.CoordinationRequest{Operation: operationClear, Name: service + "/" + instance, Sequence: sequence}
 }
 
 // record notes a heartbeat, unless it is outdated: sent before one that was already taken,
--- a/internal/controlplane/registry_report.go
+++ b/internal/controlplane/registry_report.go
@@ -27,7 +27,7 @@
 // planner already knows are left out.
 //
 // A new leader has to listen for heartbeats for a while before its list is complete. Until
-// then it reports nothing, or, with the setting plan.keep, says that it is young.
+// then it reports nothing, or, with the setting plan.keep, says that its lists are provisional.
 func (r *TargetRegistry) Report(ctx context.Context, request *rpc.TargetReportRequest) *rpc.TargetReportResponse {
 	began := r.env.Now()
 	response := &rpc.TargetReportResponse{}
@@ -35,12 +35,12 @@
 		shard := ids.Shard(i)
 		replica := r.consensus.Replica(shard)
 		term, since, isServing := replica.LeadershipSince()
-		isYoung := r.env.Since(since) < r.env.Config.PlanSettle
-		if !isServing || isYoung && !r.env.Config.PlanKeep || replica.ConfirmLeadership(ctx, began) != nil {
+		provisional := r.env.Since(since) < r.env.Config.PlanSettle
+		if !isServing || provisional && !r.env.Config.PlanKeep || replica.ConfirmLeadership(ctx, began) != nil {
 			continue
 		}
-		lists := r.listTargets(shard, term, isYoung)
-		report := rpc.ShardTargets{Shard: shard, Term: term, Digest: r.reportDigest(shard, lists), Provisional: isYoung, Age: r.env.Since(began).Microseconds() + 1}
+		lists := r.listTargets(shard, term, provisional)
+		report := rpc.ShardTargets{Shard: shard, Term: term, Digest: r.reportDigest(shard, lists), Provisional: provisional, Age: r.env.Since(began).Microseconds() + 1}
 		if request.Known[shard] != report.Digest {
 			report.Targets = lists
 		}
@@ -50,9 +50,9 @@
 }
 
 // listTargets lists the targets of a shard, forgets those that departed, and writes the
-// events of targets that came into or went out of rotation. A young leader also names those
-// that are known to have departed and were not heard from yet.
-func (r *TargetRegistry) listTargets(shard ids.Shard, term ids.Term, isYoung bool) targetLists {
+// events of targets that came into or went out of rotation. A provisional list also names
+// those that are known to have departed and were not heard from yet.
+func (r *TargetRegistry) listTargets(shard ids.Shard, term ids.Term, provisional bool) targetLists {
 	unheard := r.departures(shard)
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -87,7 +87,7 @@
 			delete(services, service)
 		}
 	}
-	if isYoung {
+	if provisional {
 		for name, departure := range unheard {
 			service, instance, _ := strings.Cut(name, "/")
 			lists[service] = append(lists[service], rpc.ReportedTarget{Instance: instance, OutReason: departure.Holder})
@@ -111,11 +111,11 @@
 
 // forgetDeparture commits, beside the caller, that a departure is of no use any more. If that
 // fails the record stays, which does no harm, until the target is heard from anew.
-func (r *TargetRegistry) forgetDeparture(shard ids.Shard, service, instance string, seq uint64) {
+func (r *TargetRegistry) forgetDeparture(shard ids.Shard, service, instance string, sequence uint64) {
 	r.env.Go(func() {
 		limited, end := context.WithTimeout(r.env, time.Second)
 		defer end()
-		r.consensus.Replica(shard).Propose(limited, clearDeparture(service, instance, seq))
+		r.consensus.Replica(shard).Propose(limited, clearDeparture(service, instance, sequence))
 	})
 }
 
@@ -130,7 +130,7 @@
 	if inRotation {
 		event = eventlog.TargetIn
 	}
-	r.env.Events.Say(event, "service", service, "instance", instance, "address", target.heartbeat.Address, "why", outState)
+	r.env.Events.Say(event, "service", service, "instance", instance, "address", target.heartbeat.Address, "reason", outState)
 }
 
 // listed is a target as it is reported.
--- a/internal/controlplane/registry_test.go
+++ b/internal/controlplane/registry_test.go
@@ -13,9 +13,9 @@
 	r.listTargets(shard, term, true)
 	target := r.addTarget(rpc.TargetHeartbeat{Service: "s", Instance: "a", Address: "A", State: StateServing, Slots: 3, SlowStartMillis: 900})
 	addDeparture(t, r, "s", "gone", StateLeaving)
-	young := r.listTargets(shard, term, true)["s"]
-	if len(young) != 2 || young[0].Slots != 3 || young[0].SlowStartMillis != 900 || young[1].Instance != "gone" || young[1].OutReason != StateLeaving || young[1].Address != "" {
-		t.Fatalf("%+v", young)
+	provisional := r.listTargets(shard, term, true)["s"]
+	if len(provisional) != 2 || provisional[0].Slots != 3 || provisional[0].SlowStartMillis != 900 || provisional[1].Instance != "gone" || provisional[1].OutReason != StateLeaving || provisional[1].Address != "" {
+		t.Fatalf("%+v", provisional)
 	}
 	first := r.reportDigest(shard, r.listTargets(shard, term, false))
 	target.heartbeat.SlowStartMillis, target.firstSeen = 100, target.firstSeen.Add(-time.Minute)
--- a/internal/controlplane/state.go
+++ b/internal/controlplane/state.go
@@ -38,7 +38,7 @@
 	return &ConfigState{current: &EpochState{Groups: map[string]rpc.Group{}}, damaged: map[string]bool{}}
 }
 
-// Apply applies the entry at an index: one epoch, an encoded rpc.Planned. The result is
+// Apply applies the entry at an index: one epoch, an encoded rpc.EpochEntry. The result is
 // nil, or the error for which the entry was skipped: ErrEpochOutOfOrder or a
 // *DamagedEntryError.
 func (c *ConfigState) Apply(index ids.Index, body json.RawMessage) any {
--- a/internal/controlplane/validate_test.go
+++ b/internal/controlplane/validate_test.go
@@ -45,9 +45,9 @@
 		{clientLimits(rpc.ClientLimits{IdleTimeoutMillis: -1}), "manners.idle_time"},
 		{clientLimits(rpc.ClientLimits{IdleTimeoutMillis: 600_001}), "manners.idle_time"},
 	} {
-		_, paths := MergeChange(rpc.Configuration{}, &rpc.ChangeSet{ID: "c", Put: c.put})
-		if c.path == "" && len(paths) != 0 || c.path != "" && (len(paths) != 1 || !strings.HasPrefix(paths[0], c.path+": ")) {
-			t.Errorf("%d: %q, want %q", i, paths, c.path)
+		_, faults := MergeChange(rpc.Configuration{}, &rpc.ChangeSet{ID: "c", Put: c.put})
+		if c.path == "" && len(faults) != 0 || c.path != "" && (len(faults) != 1 || !strings.HasPrefix(faults[0], c.path+": ")) {
+			t.Errorf("%d: %q, want %q", i, faults, c.path)
 		}
 	}
 }
