--- a/internal/report/history.go
+++ b/internal/report/history.go
@@ -1,5 +1,3 @@
-// A history as plots. Time is cut into intervals of a second or more; each tells of
-// the calls that began in it.
 package report
 
 import (
@@ -10,6 +8,7 @@
 	"strings"
 	"time"
 
+	"gonum.org/v1/plot"
 	"gonum.org/v1/plot/plotter"
 
 	"github.com/sumactrestle/sumactrestle/internal/checker"
@@ -17,41 +16,47 @@
 )
 
 const (
-	intervalsMost = 90
-	kindsMost     = 7 // told apart by colour; the rest is one more
+	// maxIntervals bounds the points of a line: longer histories get longer intervals.
+	maxIntervals = 90
+	// maxKinds is how many kinds of message get a line of their own; the rest is summed.
+	maxKinds = 7
 )
 
-// lost is the calls whose outcome the caller does not know, broken ones too.
-const lost = "unknown"
+// Outcomes of a request as its client knows them. A broken response is unknown, too.
+const (
+	outcomeRan     = "ran"
+	outcomeNotRun  = "not run"
+	outcomeUnknown = "unknown"
+)
 
 // interval is the calls that began in one stretch of time.
 type interval struct {
-	calls, ran, refused int
-	took                []time.Duration
+	requests, ran, rejected int
+	latencies               []time.Duration
 }
 
-// cut puts the calls into intervals of one length.
-func cut(records []checker.Record) (intervals []interval, length time.Duration) {
+// splitIntoIntervals puts the calls into intervals of one length.
+func splitIntoIntervals(records []checker.Record) (intervals []interval, length time.Duration) {
 	var last time.Duration
 	for _, r := range records {
 		if r.Kind == checker.RequestCompleted {
 			last = max(last, r.Start)
 		}
 	}
-	length = max(time.Second, (last/intervalsMost + time.Second - 1).Truncate(time.Second))
+	length = max(time.Second, (last/maxIntervals + time.Second - 1).Truncate(time.Second))
 	intervals = make([]interval, last/length+1)
 	for _, r := range records {
 		if r.Kind != checker.RequestCompleted || r.Outcome == "gone" {
 			continue
 		}
-		p := &intervals[r.Start/length]
-		p.calls++
+		current := &intervals[r.Start/length]
+		current.requests++
 		switch {
-		case r.Status == 200 || r.Outcome == "ran":
-			p.ran++
-			p.took = append(p.took, r.At-r.Start)
-		case r.Outcome == "not run":
-			p.refused++
+		case r.Status == 200 || r.Outcome == outcomeRan:
+			current.ran++
+			current.latencies = append(current.latencies, r.At-r.Start)
+		case r.Outcome == outcomeNotRun:
+			current.rejected++
 		}
 	}
 	return intervals, length
@@ -62,82 +67,120 @@
 	return list[min(len(list)-1, int(math.Ceil(share*float64(len(list))))-1)]
 }
 
-// History makes a section of a recorded history.
+// History returns the section of one recorded history, name being its title. A history
+// without any request is an error.
 func History(name string, records []checker.Record) (Section, error) {
-	s := Section{Title: name}
-	intervals, length := cut(records)
-	calls := 0
-	for _, p := range intervals {
-		calls += p.calls
+	intervals, length := splitIntoIntervals(records)
+	requests := 0
+	for _, interval := range intervals {
+		requests += interval.requests
 	}
-	if calls == 0 {
-		return s, errcode.New(errcode.BadCall, "%s: there is no call in it", name)
+	if requests == 0 {
+		return Section{}, errcode.New(errcode.BadCall, "%s: there is no call in it", name)
 	}
-	var faults []float64
-	var told []string
-	for _, r := range records {
-		if r.Kind == checker.FaultInjected {
-			faults = append(faults, r.At.Seconds())
-			told = append(told, fmt.Sprintf("%8.1f s  %s", r.At.Seconds(), r.Note))
+	faults, faultLines := faultsOf(records)
+	section := Section{Title: name, Text: summary(records, faultLines)}
+	span := fmt.Sprintf("each point is %s, by when the call began", length)
+
+	outcomes, err := plotOutcomes(intervals, length, faults)
+	if err != nil {
+		return section, err
+	}
+	latency, err := plotLatency(intervals, length, faults)
+	if err != nil {
+		return section, err
+	}
+	section.Plots = append(section.Plots,
+		Plot{"Share of the callers' tries that ran, were refused (not run), or got no sure answer; " + span, outcomes},
+		Plot{"Quantiles as the callers saw them; " + span, latency})
+
+	sent, err := bytesByKind(records, faults)
+	if err != nil || sent == nil {
+		return section, err
+	}
+	section.Plots = append(section.Plots, *sent)
+	return section, nil
+}
+
+// faultsOf returns when faults were injected, in seconds, and a line of text for each.
+func faultsOf(records []checker.Record) (seconds []float64, lines []string) {
+	for _, record := range records {
+		if record.Kind == checker.FaultInjected {
+			seconds = append(seconds, record.At.Seconds())
+			lines = append(lines, fmt.Sprintf("%8.1f s  %s", record.At.Seconds(), record.Note))
 		}
 	}
+	return seconds, lines
+}
+
+// summary is what the checkers found, with the faults by the history's clock.
+func summary(records []checker.Record, faultLines []string) string {
 	verdict := checker.Check(records)
-	s.Text = fmt.Sprintf("%s\n\nrules broken: %d\n\n%s", checker.MeasureAvailability(records), len(verdict.Violations), verdict)
-	if len(told) > 0 {
-		s.Text += "\nfaults, by the history's clock:\n" + strings.Join(told, "\n") + "\n"
+	text := fmt.Sprintf("%s\n\nrules broken: %d\n\n%s", checker.MeasureAvailability(records), len(verdict.Violations), verdict)
+	if len(faultLines) > 0 {
+		text += "\nfaults, by the history's clock:\n" + strings.Join(faultLines, "\n") + "\n"
 	}
-	at := func(i int) float64 { return (time.Duration(i)*length + length/2).Seconds() }
+	return text
+}
+
+// middleOf is the middle of the interval with that index, in seconds.
+func middleOf(index int, length time.Duration) float64 {
+	return (time.Duration(index)*length + length/2).Seconds()
+}
+
+// plotOutcomes draws the shares of the requests that ran, did not run, or ended unknown.
+func plotOutcomes(intervals []interval, length time.Duration, faults []float64) (*plot.Plot, error) {
 	shares := map[string]plotter.XYs{}
-	times := map[string]plotter.XYs{}
-	for i, p := range intervals {
-		add := func(into map[string]plotter.XYs, name string, value float64) {
-			into[name] = append(into[name], plotter.XY{X: at(i), Y: value})
-		}
-		percent := func(n int) float64 {
-			if p.calls == 0 {
-				return math.NaN()
+	for i, interval := range intervals {
+		for outcome, count := range map[string]int{
+			outcomeRan:     interval.ran,
+			outcomeNotRun:  interval.rejected,
+			outcomeUnknown: interval.requests - interval.ran - interval.rejected,
+		} {
+			percent := math.NaN()
+			if interval.requests > 0 {
+				percent = 100 * float64(count) / float64(interval.requests)
 			}
-			return 100 * float64(n) / float64(p.calls)
-		}
-		add(shares, "ran", percent(p.ran))
-		add(shares, "not run", percent(p.refused))
-		add(shares, lost, percent(p.calls-p.ran-p.refused))
-		slices.Sort(p.took)
-		for name, share := range quantiles {
-			value := math.NaN()
-			if len(p.took) > 0 {
-				value = float64(quantile(p.took, share).Microseconds()) / 1000
-			}
-			add(times, name, value)
+			shares[outcome] = append(shares[outcome], plotter.XY{X: middleOf(i, length), Y: percent})
 		}
 	}
-	served := newPlot("Outcomes of calls", "seconds", "percent of calls")
-	served.Y.Max = 105
-	for i, name := range []string{"ran", "not run", lost} {
-		if err := addLine(served, i, name, shares[name]); err != nil {
-			return s, err
+	p := newPlot("Outcomes of calls", "seconds", "percent of calls")
+	p.Y.Max = 105
+	for i, outcome := range []string{outcomeRan, outcomeNotRun, outcomeUnknown} {
+		if err := addLine(p, i, outcome, shares[outcome]); err != nil {
+			return nil, err
 		}
 	}
-	addMarks(served, "faults", faults)
-	latency := newPlot("Latency of calls that ran", "seconds", "milliseconds")
-	for i, name := range []string{"p50", "p99", "p99.9"} {
-		if err := addLine(latency, i, name, times[name]); err != nil {
-			return s, err
+	addVerticalLines(p, "faults", faults)
+	return p, nil
+}
+
+// plotLatency draws quantiles of the latency of requests that ran.
+func plotLatency(intervals []interval, length time.Duration, faults []float64) (*plot.Plot, error) {
+	p := newPlot("Latency of calls that ran", "seconds", "milliseconds")
+	for line, q := range quantiles {
+		var points plotter.XYs
+		for i, interval := range intervals {
+			slices.Sort(interval.latencies)
+			value := math.NaN()
+			if len(interval.latencies) > 0 {
+				value = float64(quantile(interval.latencies, q.share).Microseconds()) / 1000
+			}
+			points = append(points, plotter.XY{X: middleOf(i, length), Y: value})
+		}
+		if err := addLine(p, line, q.name, points); err != nil {
+			return nil, err
 		}
 	}
-	addMarks(latency, "faults", faults)
-	span := fmt.Sprintf("each point is %s, by when the call began", length)
-	s.Plots = append(s.Plots, Plot{"Share of the callers' tries that ran, were refused (not run), or got no sure answer; " + span, served},
-		Plot{"Quantiles as the callers saw them; " + span, latency})
-	sent, err := bytesByKind(records, faults)
-	if err != nil || sent == nil {
-		return s, err
-	}
-	s.Plots = append(s.Plots, *sent)
-	return s, nil
+	addVerticalLines(p, "faults", faults)
+	return p, nil
 }
 
-var quantiles = map[string]float64{"p50": 0.5, "p99": 0.99, "p99.9": 0.999}
+// quantiles are the lines of the plot of latency.
+var quantiles = []struct {
+	name  string
+	share float64
+}{{"p50", 0.5}, {"p99", 0.99}, {"p99.9", 0.999}}
 
 // bytesByKind is the rates between two samples of what all nodes had sent.
 func bytesByKind(records []checker.Record, faults []float64) (*Plot, error) {
@@ -150,7 +193,7 @@
 	if len(samples) < 2 {
 		return nil, nil
 	}
-	rates, whole := map[string]plotter.XYs{}, map[string]float64{}
+	rates, totals := map[string]plotter.XYs{}, map[string]float64{}
 	kinds := map[string]bool{}
 	for _, r := range samples {
 		for kind := range r.SentBytes {
@@ -158,15 +201,15 @@
 		}
 	}
 	for i := 1; i < len(samples); i++ {
-		was, now := samples[i-1], samples[i]
-		took := (now.At - was.At).Seconds()
-		if took <= 0 {
+		previous, current := samples[i-1], samples[i]
+		elapsed := (current.At - previous.At).Seconds()
+		if elapsed <= 0 {
 			continue
 		}
 		for kind := range kinds {
-			rate := float64(now.SentBytes[kind]-was.SentBytes[kind]) / took / 1000
-			whole[kind] += rate
-			rates[kind] = append(rates[kind], plotter.XY{X: (now.At + was.At).Seconds() / 2, Y: rate})
+			rate := float64(current.SentBytes[kind]-previous.SentBytes[kind]) / elapsed / 1000
+			totals[kind] += rate
+			rates[kind] = append(rates[kind], plotter.XY{X: (current.At + previous.At).Seconds() / 2, Y: rate})
 		}
 	}
 	names := make([]string, 0, len(rates))
@@ -174,12 +217,12 @@
 		names = append(names, kind)
 	}
 	sort.Slice(names, func(i, j int) bool {
-		return whole[names[i]] > whole[names[j]] || whole[names[i]] == whole[names[j]] && names[i] < names[j]
+		return totals[names[i]] > totals[names[j]] || totals[names[i]] == totals[names[j]] && names[i] < names[j]
 	})
 	p := newPlot("Bytes sent by kind of message", "seconds", "kilobytes a second")
 	for i, kind := range names {
-		if i == kindsMost {
-			if err := addLine(p, i, fmt.Sprintf("%d more kinds", len(names)-i), add(rates, names[i:])); err != nil {
+		if i == maxKinds {
+			if err := addLine(p, i, fmt.Sprintf("%d more kinds", len(names)-i), sumOf(rates, names[i:])); err != nil {
 				return nil, err
 			}
 			break
@@ -188,12 +231,12 @@
 			return nil, err
 		}
 	}
-	addMarks(p, "faults", faults)
+	addVerticalLines(p, "faults", faults)
 	return &Plot{"What the nodes sent to other processes, summed over all; \"between\" went to another zone", p}, nil
 }
 
-// add sums lines of the same places.
-func add(rates map[string]plotter.XYs, names []string) plotter.XYs {
+// sumOf sums lines of the same places.
+func sumOf(rates map[string]plotter.XYs, names []string) plotter.XYs {
 	sum := append(plotter.XYs(nil), rates[names[0]]...)
 	for i := range sum {
 		sum[i].Y = 0
--- a/internal/report/report.go
+++ b/internal/report/report.go
@@ -1,6 +1,6 @@
-// Package report makes a page of what was recorded: of a run's history, what was
-// served over time with the faults marked, how long it took, and the bytes sent by
-// kind. The page is one HTML file with its plots within; nothing of it is fetched.
+// Package report makes an HTML page with plots of a recorded history: outcomes and latency of
+// requests over time with the faults marked, and bytes sent by kind of message. The page is
+// one file; it fetches nothing.
 package report
 
 import (
@@ -18,16 +18,16 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// Section is one part of a page: words, and plots.
+// Section is one part of a page: a text and plots.
 type Section struct {
 	Title, Text string
 	Plots       []Plot
 }
 
-// Plot is one picture, and what it shows in a sentence.
+// Plot is one picture and its caption.
 type Plot struct {
-	Note  string
-	Whole *plot.Plot
+	Caption string
+	Picture *plot.Plot
 }
 
 const (
@@ -48,47 +48,47 @@
 </head><body><h1>{{.Title}}</h1>
 {{range .Sections}}<h2>{{.Title}}</h2>
 {{if .Text}}<pre>{{.Text}}</pre>
-{{end}}{{range .Figures}}<figure>{{.Picture}}<figcaption>{{.Note}}</figcaption></figure>
+{{end}}{{range .Figures}}<figure>{{.Picture}}<figcaption>{{.Caption}}</figcaption></figure>
 {{end}}{{end}}</body></html>
 `))
 
 type figure struct {
 	Picture template.HTML
-	Note    string
+	Caption string
 }
 
-type drawn struct {
+type renderedSection struct {
 	Title, Text string
 	Figures     []figure
 }
 
-// Write draws a page.
+// Write draws the sections and writes them to out as one HTML page.
 func Write(out io.Writer, title string, sections []Section) error {
-	var all []drawn
+	var all []renderedSection
 	for _, s := range sections {
-		d := drawn{Title: s.Title, Text: s.Text}
+		d := renderedSection{Title: s.Title, Text: s.Text}
 		for _, p := range s.Plots {
-			picture, err := svg(p.Whole)
+			picture, err := svg(p.Picture)
 			if err != nil {
 				return err
 			}
-			d.Figures = append(d.Figures, figure{template.HTML(picture), p.Note})
+			d.Figures = append(d.Figures, figure{template.HTML(picture), p.Caption})
 		}
 		all = append(all, d)
 	}
 	return page.Execute(out, struct {
 		Title    string
-		Sections []drawn
+		Sections []renderedSection
 	}{title, all})
 }
 
 // svg is a plot with its legend beside it, without the head that stands before a file of its own.
 func svg(p *plot.Plot) (string, error) {
 	canvas := vgsvg.New(width, height)
-	whole, legend := draw.New(canvas), p.Legend
+	area, legend := draw.New(canvas), p.Legend
 	p.Legend = plot.NewLegend()
-	p.Draw(draw.Crop(whole, 0, -legendWidth, 0, 0))
-	legend.Draw(draw.Crop(whole, width-legendWidth+vg.Points(6), 0, 0, -vg.Points(24)))
+	p.Draw(draw.Crop(area, 0, -legendWidth, 0, 0))
+	legend.Draw(draw.Crop(area, width-legendWidth+vg.Points(6), 0, 0, -vg.Points(24)))
 	var out bytes.Buffer
 	if _, err := canvas.WriteTo(&out); err != nil {
 		return "", err
@@ -116,7 +116,7 @@
 }
 
 // addLine adds points as one line; a point that is no number is a gap.
-func addLine(p *plot.Plot, no int, name string, points plotter.XYs) error {
+func addLine(p *plot.Plot, colourIndex int, name string, points plotter.XYs) error {
 	var run plotter.XYs
 	isNamed := false
 	flush := func() error {
@@ -127,7 +127,7 @@
 		if err != nil {
 			return err
 		}
-		line.Color, line.Width = colours[no%len(colours)], vg.Points(1.4)
+		line.Color, line.Width = colours[colourIndex%len(colours)], vg.Points(1.4)
 		dots.Color, dots.Radius, dots.Shape = line.Color, vg.Points(1.6), draw.CircleGlyph{}
 		p.Add(line, dots)
 		if !isNamed {
@@ -149,32 +149,32 @@
 	return flush()
 }
 
-// addMarks adds a dashed upright at each place; it goes over the whole height.
-func addMarks(p *plot.Plot, name string, places []float64) {
-	if len(places) == 0 {
+// addVerticalLines adds a dashed vertical line over the full height at each position.
+func addVerticalLines(p *plot.Plot, name string, positions []float64) {
+	if len(positions) == 0 {
 		return
 	}
-	m := &marks{places: places}
-	m.Color, m.Width, m.Dashes = color.RGBA{0xb0, 0x20, 0x20, 0xc0}, vg.Points(0.8), []vg.Length{vg.Points(3), vg.Points(3)}
-	p.Add(m)
-	p.Legend.Add(fmt.Sprintf("%s (%d)", name, len(places)), m)
+	lines := &verticalLines{positions: positions}
+	lines.Color, lines.Width, lines.Dashes = color.RGBA{0xb0, 0x20, 0x20, 0xc0}, vg.Points(0.8), []vg.Length{vg.Points(3), vg.Points(3)}
+	p.Add(lines)
+	p.Legend.Add(fmt.Sprintf("%s (%d)", name, len(positions)), lines)
 }
 
-type marks struct {
+type verticalLines struct {
 	draw.LineStyle
-	places []float64
+	positions []float64
 }
 
-func (m *marks) Plot(c draw.Canvas, p *plot.Plot) {
+func (v *verticalLines) Plot(c draw.Canvas, p *plot.Plot) {
 	across, _ := p.Transforms(&c)
-	for _, at := range m.places {
+	for _, at := range v.positions {
 		if x := across(at); x >= c.Min.X && x <= c.Max.X {
-			c.StrokeLine2(m.LineStyle, x, c.Min.Y, x, c.Max.Y)
+			c.StrokeLine2(v.LineStyle, x, c.Min.Y, x, c.Max.Y)
 		}
 	}
 }
 
-func (m *marks) Thumbnail(c *draw.Canvas) {
+func (v *verticalLines) Thumbnail(c *draw.Canvas) {
 	y := c.Center().Y
-	c.StrokeLine2(m.LineStyle, c.Min.X, y, c.Max.X, y)
+	c.StrokeLine2(v.LineStyle, c.Min.X, y, c.Max.X, y)
 }
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -81,19 +81,19 @@
 }
 
 func TestIntervalsHoldTheCallsThatBeganInThem(t *testing.T) {
-	intervals, length := cut(recorded())
+	intervals, length := splitIntoIntervals(recorded())
 	if length != time.Second || len(intervals) != 4 {
 		t.Fatalf("%d intervals of %v", len(intervals), length)
 	}
 	var got [][3]int
 	for _, in := range intervals {
-		got = append(got, [3]int{in.calls, in.ran, in.refused})
+		got = append(got, [3]int{in.requests, in.ran, in.rejected})
 	}
 	if diff := cmp.Diff([][3]int{{2, 2, 0}, {2, 0, 1}, {}, {1, 1, 0}}, got); diff != "" {
 		t.Error(diff)
 	}
 	long := append(recorded(), checker.Record{Kind: checker.RequestCompleted, Start: time.Hour, At: time.Hour, Outcome: "ran", Status: 200})
-	if intervals, length := cut(long); len(intervals) > intervalsMost+1 || length%time.Second != 0 {
+	if intervals, length := splitIntoIntervals(long); len(intervals) > maxIntervals+1 || length%time.Second != 0 {
 		t.Errorf("%d intervals of %v for an hour", len(intervals), length)
 	}
 }
