--- a/internal/consensus/antientropy.go
+++ b/internal/consensus/antientropy.go
@@ -27,14 +27,14 @@
 }
 
 func (n *Node) registerRepair() {
-	registerHandler(n.transport, "pact.compare", func(c *rpc.Call, request *rpc.RangeDigestRequest) (any, error) {
+	registerHandler(n.transport, "pact.compare", func(c *rpc.Request, request *rpc.RangeDigestRequest) (any, error) {
 		r, err := n.lookupReplica(request.Shard)
 		if err != nil {
 			return nil, err
 		}
 		return r.handleCompare(request), nil
 	})
-	registerHandler(n.transport, "pact.mend", func(c *rpc.Call, request *rpc.RepairRequest) (any, error) {
+	registerHandler(n.transport, "pact.mend", func(c *rpc.Request, request *rpc.RepairRequest) (any, error) {
 		r, err := n.lookupReplica(request.Shard)
 		if err != nil {
 			return nil, err
@@ -86,7 +86,7 @@
 		var response rpc.RangeDigestResponse
 		for range 3 {
 			ctx, end := context.WithTimeout(r.node.env, compareTimeout)
-			err := r.node.transport.Ask(ctx, m.RPCAddress, "pact.compare", request, &response)
+			err := r.node.transport.Call(ctx, m.RPCAddress, "pact.compare", request, &response)
 			end()
 			if err != nil || response.AtIndex || !r.node.env.Sleep(r.node.env.Config.PactRound) {
 				break
@@ -127,7 +127,7 @@
 	})
 	ctx, end := context.WithTimeout(r.node.env, compareTimeout)
 	defer end()
-	r.node.transport.Ask(ctx, m.RPCAddress, "pact.mend", request, nil)
+	r.node.transport.Call(ctx, m.RPCAddress, "pact.mend", request, nil)
 }
 
 func (r *Replica) handleCompare(request *rpc.RangeDigestRequest) *rpc.RangeDigestResponse {
--- a/internal/consensus/bootstrap.go
+++ b/internal/consensus/bootstrap.go
@@ -28,7 +28,7 @@
 		}
 		ctx, end := context.WithTimeout(n.env, bootstrapTimeout)
 		var charter rpc.Charter
-		err := n.transport.Ask(ctx, m.RPCAddress, "pact.charter", struct{}{}, &charter)
+		err := n.transport.Call(ctx, m.RPCAddress, "pact.charter", struct{}{}, &charter)
 		end()
 		if err == nil && charter.Open && n.putCharter(&charter, charter.Term) == nil {
 			n.log(eventlog.FleetJoined, "fleet", charter.Fleet)
@@ -122,7 +122,7 @@
 			if m.Name == n.self.Name {
 				response, err = n.handleBootstrap(request)
 			} else {
-				err = n.transport.Ask(ctx, m.RPCAddress, "pact.found", request, response)
+				err = n.transport.Call(ctx, m.RPCAddress, "pact.found", request, response)
 			}
 			if err != nil {
 				results <- result{}
--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -297,7 +297,7 @@
 		return nil
 	}
 	response := &rpc.VoteResponse{}
-	if err := r.node.transport.Ask(ctx, m.RPCAddress, "pact.promise", request, response); err != nil || response.From != peer {
+	if err := r.node.transport.Call(ctx, m.RPCAddress, "pact.promise", request, response); err != nil || response.From != peer {
 		return nil
 	}
 	if !response.Granted {
@@ -383,6 +383,6 @@
 	if target != nil {
 		limited, end := context.WithTimeout(ctx, time.Second)
 		defer end()
-		r.node.transport.Ask(limited, target.RPCAddress, "pact.invite", &rpc.CampaignRequest{Shard: r.shard, Term: term}, nil)
+		r.node.transport.Call(limited, target.RPCAddress, "pact.invite", &rpc.CampaignRequest{Shard: r.shard, Term: term}, nil)
 	}
 }
--- a/internal/consensus/heartbeat.go
+++ b/internal/consensus/heartbeat.go
@@ -114,7 +114,7 @@
 		limited, end := context.WithTimeout(ctx, 500*time.Millisecond)
 		var response rpc.HeartbeatResponse
 		request := h.nextRequest(n.self, claims)
-		err := n.transport.Ask(limited, m.RPCAddress, "pact.round", request, &response)
+		err := n.transport.Call(limited, m.RPCAddress, "pact.round", request, &response)
 		end()
 		if err != nil || response.From != peer || response.Sequence != request.Sequence {
 			continue
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -34,7 +34,7 @@
 // Node is all the parts of one core node.
 type Node struct {
 	env       *environment.Environment
-	transport *rpc.Wire
+	transport *rpc.Transport
 	members   *membership.Memberlist
 	store     *storage.Store
 	self      rpc.Peer
@@ -76,7 +76,7 @@
 	return id, batch.Wait()
 }
 
-func New(env *environment.Environment, transport *rpc.Wire, members *membership.Memberlist, store *storage.Store, machines []StateMachine) (*Node, error) {
+func New(env *environment.Environment, transport *rpc.Transport, members *membership.Memberlist, store *storage.Store, machines []StateMachine) (*Node, error) {
 	self := members.Self()
 	n := &Node{env: env, transport: transport, members: members, store: store, self: rpc.Peer{Name: self.Name, ID: self.ID},
 		leaders: map[ids.Shard]leaderRecord{}, heartbeaters: map[rpc.Peer]*heartbeater{}, receivedClaims: map[rpc.Peer]claimState{}, busy: map[ids.Shard]bool{}, snapshotSlots: map[rpc.Peer]chan struct{}{}, started: env.Now(), Bootstrapped: make(chan struct{})}
@@ -86,30 +86,32 @@
 	if err := n.load(); err != nil {
 		return nil, err
 	}
-	registerHandler(transport, "pact.promise", func(c *rpc.Call, request *rpc.VoteRequest) (any, error) {
+	registerHandler(transport, "pact.promise", func(c *rpc.Request, request *rpc.VoteRequest) (any, error) {
 		r, err := n.votingReplica(request.Shard)
 		if err != nil {
 			return nil, err
 		}
 		return r.handleVote(request)
 	})
-	registerHandler(transport, "pact.prevote", func(c *rpc.Call, request *rpc.PreVoteRequest) (any, error) { return n.handlePrevote(request), nil })
-	registerHandler(transport, "pact.append", func(c *rpc.Call, request *rpc.AppendRequest) (any, error) {
+	registerHandler(transport, "pact.prevote", func(c *rpc.Request, request *rpc.PreVoteRequest) (any, error) { return n.handlePrevote(request), nil })
+	registerHandler(transport, "pact.append", func(c *rpc.Request, request *rpc.AppendRequest) (any, error) {
 		r, err := n.votingReplica(request.Shard)
 		if err != nil {
 			return nil, err
 		}
 		return r.handleAppend(request)
 	})
-	registerHandler(transport, "pact.chunk", func(c *rpc.Call, request *rpc.SnapshotChunkRequest) (any, error) {
+	registerHandler(transport, "pact.chunk", func(c *rpc.Request, request *rpc.SnapshotChunkRequest) (any, error) {
 		r, err := n.votingReplica(request.Shard)
 		if err != nil {
 			return nil, err
 		}
 		return r.handleSnapshotChunk(request)
 	})
-	registerHandler(transport, "pact.round", func(c *rpc.Call, request *rpc.HeartbeatRequest) (any, error) { return n.handleHeartbeat(request), nil })
-	registerHandler(transport, "pact.invite", func(c *rpc.Call, request *rpc.CampaignRequest) (any, error) {
+	registerHandler(transport, "pact.round", func(c *rpc.Request, request *rpc.HeartbeatRequest) (any, error) {
+		return n.handleHeartbeat(request), nil
+	})
+	registerHandler(transport, "pact.invite", func(c *rpc.Request, request *rpc.CampaignRequest) (any, error) {
 		r, err := n.lookupReplica(request.Shard)
 		if err != nil {
 			return nil, err
@@ -121,8 +123,8 @@
 		return struct{}{}, nil
 	})
 	n.registerRepair()
-	registerHandler(transport, "pact.found", func(c *rpc.Call, request *rpc.BootstrapRequest) (any, error) { return n.handleBootstrap(request) })
-	registerHandler(transport, "pact.charter", func(c *rpc.Call, request *struct{}) (any, error) {
+	registerHandler(transport, "pact.found", func(c *rpc.Request, request *rpc.BootstrapRequest) (any, error) { return n.handleBootstrap(request) })
+	registerHandler(transport, "pact.charter", func(c *rpc.Request, request *struct{}) (any, error) {
 		if charter := n.Charter(); charter != nil {
 			return charter, nil
 		}
@@ -132,10 +134,10 @@
 }
 
 // registerHandler reads the ask before the verb sees it.
-func registerHandler[T any](transport *rpc.Wire, kind string, handler func(*rpc.Call, *T) (any, error)) {
-	transport.Handle(kind, func(c *rpc.Call) (any, error) {
+func registerHandler[T any](transport *rpc.Transport, kind string, handler func(*rpc.Request, *T) (any, error)) {
+	transport.Handle(kind, func(c *rpc.Request) (any, error) {
 		var request T
-		if err := c.Read(&request); err != nil {
+		if err := c.Decode(&request); err != nil {
 			return nil, err
 		}
 		return handler(c, &request)
--- a/internal/consensus/prevote.go
+++ b/internal/consensus/prevote.go
@@ -130,7 +130,7 @@
 	for _, m := range cores {
 		n.env.Go(func() {
 			response := &rpc.PreVoteResponse{}
-			if n.transport.Ask(ctx, m.RPCAddress, "pact.prevote", &rpc.PreVoteRequest{Shards: shards}, response) != nil {
+			if n.transport.Call(ctx, m.RPCAddress, "pact.prevote", &rpc.PreVoteRequest{Shards: shards}, response) != nil {
 				response = nil
 			}
 			results <- response
--- a/internal/consensus/replication.go
+++ b/internal/consensus/replication.go
@@ -170,7 +170,7 @@
 		}
 		limited, end := context.WithTimeout(ctx, appendTimeout+time.Duration(size)*time.Second/minLinkBytesPerSecond)
 		var response rpc.AppendResponse
-		err := r.node.transport.Ask(limited, m.RPCAddress, "pact.append", request, &response)
+		err := r.node.transport.Call(limited, m.RPCAddress, "pact.append", request, &response)
 		end()
 		if err != nil || response.From != peer {
 			pause(100 * time.Millisecond)
--- a/internal/consensus/snapshot.go
+++ b/internal/consensus/snapshot.go
@@ -178,7 +178,7 @@
 		request.Data = snapshot.data[offset:min(size, offset+int64(r.node.env.Config.PactChunk))]
 		limited, end := context.WithTimeout(ctx, appendTimeout)
 		var response rpc.SnapshotChunkResponse
-		err := r.node.transport.Ask(limited, m.RPCAddress, "pact.chunk", request, &response)
+		err := r.node.transport.Call(limited, m.RPCAddress, "pact.chunk", request, &response)
 		end()
 		switch {
 		case err != nil:
--- a/internal/controlplane/collect.go
+++ b/internal/controlplane/collect.go
@@ -40,7 +40,7 @@
 			defer all.Done()
 			sent := p.env.Now()
 			var response rpc.TargetReportResponse
-			if p.transport.Ask(ctx, member.RPCAddress, messageReport, &rpc.TargetReportRequest{Known: known}, &response) == nil {
+			if p.transport.Call(ctx, member.RPCAddress, messageReport, &rpc.TargetReportRequest{Known: known}, &response) == nil {
 				p.mergeReports(term, sent, &response)
 			}
 		})
--- a/internal/controlplane/planner.go
+++ b/internal/controlplane/planner.go
@@ -14,7 +14,7 @@
 // PlannerConfig is what a Planner works with.
 type PlannerConfig struct {
 	Env       *environment.Environment
-	Transport *rpc.Wire
+	Transport *rpc.Transport
 	Members   *membership.Memberlist
 	Consensus *consensus.Node
 	State     *ConfigState
@@ -29,7 +29,7 @@
 // serving when that time is too long ago.
 type Planner struct {
 	env       *environment.Environment
-	transport *rpc.Wire
+	transport *rpc.Transport
 	members   *membership.Memberlist
 	replica   *consensus.Replica // of the configuration shard
 	state     *ConfigState
--- a/internal/distribution/age.go
+++ b/internal/distribution/age.go
@@ -9,11 +9,11 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// swap takes an epoch into use that was made then, and notes its age.
-func (c *Client) swap(epoch ids.Epoch, manifest map[string]rpc.GroupVersion, made time.Time) (bool, error) {
-	ok, err := c.Cache.Swap(epoch, manifest)
+// activate takes an epoch into use that was made then, and notes its age.
+func (c *Client) activate(epoch ids.Epoch, manifest map[string]rpc.GroupVersion, made time.Time) (bool, error) {
+	ok, err := c.Cache.Activate(epoch, manifest)
 	if ok && err == nil {
-		c.r.Latencies.Epoch.Take(time.Since(made))
+		c.env.Latencies.Epoch.Take(time.Since(made))
 	}
 	return ok, err
 }
--- a/internal/distribution/cache.go
+++ b/internal/distribution/cache.go
@@ -19,45 +19,47 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// Chart is one epoch, converted for use; it is never written to.
-type Chart struct {
-	Epoch    ids.Epoch
-	Manifest map[string]rpc.GroupVersion
-	Routes   map[string][]rpc.Route
-	Services map[string]rpc.Service
-	Limits   map[string]rpc.Limit
-	Manners  *rpc.ClientLimits
-	Targets  map[string][]rpc.Target
-	Shares   map[ids.NodeName]int
-	groups   map[string]rpc.Group
-	sum      string
+// Snapshot is one epoch, converted for use; it is never written to.
+type Snapshot struct {
+	Epoch          ids.Epoch
+	Manifest       map[string]rpc.GroupVersion
+	Routes         map[string][]rpc.Route
+	Services       map[string]rpc.Service
+	Limits         map[string]rpc.Limit
+	ClientLimits   *rpc.ClientLimits
+	Targets        map[string][]rpc.Target
+	Shares         map[ids.NodeName]int
+	groups         map[string]rpc.Group
+	manifestDigest string
 }
 
 // Cache holds the chart in use and the groups staged for the next.
 type Cache struct {
-	s     *eventlog.Sign
-	chart atomic.Pointer[Chart]
-	told  []func(*Chart)
+	log         *eventlog.Sign
+	snapshot    atomic.Pointer[Snapshot]
+	subscribers []func(*Snapshot)
 
 	mu     sync.Mutex
 	staged map[string]rpc.Group
 }
 
-func NewCache(s *eventlog.Sign) *Cache { return &Cache{s: s, staged: map[string]rpc.Group{}} }
+func NewCache(s *eventlog.Sign) *Cache { return &Cache{log: s, staged: map[string]rpc.Group{}} }
 
 // Subscribe names a verb that is told of every chart swapped in.
-func (c *Cache) Subscribe(verb func(*Chart)) { c.told = append(c.told, verb) }
+func (c *Cache) Subscribe(subscriber func(*Snapshot)) {
+	c.subscribers = append(c.subscribers, subscriber)
+}
 
-// Chart is the epoch in use; nil before the first.
-func (c *Cache) Chart() *Chart { return c.chart.Load() }
+// Snapshot is the epoch in use; nil before the first.
+func (c *Cache) Snapshot() *Snapshot { return c.snapshot.Load() }
 
-// Have is what a listener request carries: each group's digest and version.
-func (c *Cache) Have() (ids.Epoch, map[string]rpc.GroupVersion) {
-	chart := c.Chart()
-	if chart == nil {
+// Current is what a listener request carries: each group's digest and version.
+func (c *Cache) Current() (ids.Epoch, map[string]rpc.GroupVersion) {
+	snapshot := c.Snapshot()
+	if snapshot == nil {
 		return 0, nil
 	}
-	return chart.Epoch, chart.Manifest
+	return snapshot.Epoch, snapshot.Manifest
 }
 
 // Stage keeps fetched groups, each only if it is newer than the one kept.
@@ -65,11 +67,11 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for name, group := range groups {
-		if old, ok := c.held(name); ok && group.Index <= old.Index {
+		if old, ok := c.newest(name); ok && group.Index <= old.Index {
 			continue
 		}
 		if group.BaseDigest != "" {
-			old, ok := c.under(name, group.BaseDigest)
+			old, ok := c.withDigest(name, group.BaseDigest)
 			if !ok {
 				continue
 			}
@@ -88,35 +90,35 @@
 	return isNewer
 }
 
-func (c *Cache) held(name string) (rpc.Group, bool) {
+func (c *Cache) newest(name string) (rpc.Group, bool) {
 	if group, ok := c.staged[name]; ok {
 		return group, true
 	}
-	if chart := c.Chart(); chart != nil {
-		group, ok := chart.groups[name]
+	if snapshot := c.Snapshot(); snapshot != nil {
+		group, ok := snapshot.groups[name]
 		return group, ok
 	}
 	return rpc.Group{}, false
 }
 
-// under is a group held under a digest, staged or in use.
-func (c *Cache) under(name, digest string) (rpc.Group, bool) {
+// withDigest is a group held under a digest, staged or in use.
+func (c *Cache) withDigest(name, digest string) (rpc.Group, bool) {
 	if group, ok := c.staged[name]; ok && group.Digest == digest {
 		return group, true
 	}
-	if chart := c.Chart(); chart != nil && chart.groups[name].Digest == digest {
-		return chart.groups[name], true
+	if snapshot := c.Snapshot(); snapshot != nil && snapshot.groups[name].Digest == digest {
+		return snapshot.groups[name], true
 	}
 	return rpc.Group{}, false
 }
 
-// Holds is the digests of the groups named that are held in some version.
-func (c *Cache) Holds(names []string) map[string]string {
+// Digests is the digests of the groups named that are held in some version.
+func (c *Cache) Digests(names []string) map[string]string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	digests := map[string]string{}
 	for _, name := range names {
-		if group, ok := c.held(name); ok {
+		if group, ok := c.newest(name); ok {
 			digests[name] = group.Digest
 		}
 	}
@@ -128,7 +130,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for name, held := range manifest {
-		if !c.has(name, held) {
+		if !c.hasVersion(name, held) {
 			names = append(names, name)
 		}
 	}
@@ -136,28 +138,28 @@
 	return names
 }
 
-func (c *Cache) has(name string, held rpc.GroupVersion) bool {
+func (c *Cache) hasVersion(name string, held rpc.GroupVersion) bool {
 	if group, ok := c.staged[name]; ok && group.Digest == held.Digest {
 		return true
 	}
-	if chart := c.Chart(); chart != nil {
-		group, ok := chart.groups[name]
+	if snapshot := c.Snapshot(); snapshot != nil {
+		group, ok := snapshot.groups[name]
 		return ok && group.Digest == held.Digest
 	}
 	return false
 }
 
-// Swap takes a whole epoch into use if it is newer and all of it is there.
-func (c *Cache) Swap(epoch ids.Epoch, manifest map[string]rpc.GroupVersion) (bool, error) {
+// Activate takes a whole epoch into use if it is newer and all of it is there.
+func (c *Cache) Activate(epoch ids.Epoch, manifest map[string]rpc.GroupVersion) (bool, error) {
 	c.mu.Lock()
-	old := c.Chart()
+	old := c.Snapshot()
 	if old != nil && epoch <= old.Epoch {
 		c.mu.Unlock()
 		return false, nil
 	}
 	groups := make(map[string]rpc.Group, len(manifest))
 	for name, held := range manifest {
-		if !c.has(name, held) {
+		if !c.hasVersion(name, held) {
 			c.mu.Unlock()
 			return false, nil
 		}
@@ -167,7 +169,7 @@
 		}
 		groups[name] = group
 	}
-	chart, err := convert(epoch, manifest, groups, old)
+	snapshot, err := newSnapshot(epoch, manifest, groups, old)
 	if err != nil {
 		c.mu.Unlock()
 		return false, err
@@ -177,18 +179,18 @@
 			delete(c.staged, name)
 		}
 	}
-	c.chart.Store(chart)
-	for _, verb := range c.told {
-		verb(chart)
+	c.snapshot.Store(snapshot)
+	for _, subscriber := range c.subscribers {
+		subscriber(snapshot)
 	}
 	c.mu.Unlock()
-	c.s.Say(eventlog.EpochServed, "epoch", uint64(epoch), "groups", len(groups))
+	c.log.Say(eventlog.EpochServed, "epoch", uint64(epoch), "groups", len(groups))
 	return true, nil
 }
 
-// convert unpacks the groups; those that did not change are taken over.
-func convert(epoch ids.Epoch, manifest map[string]rpc.GroupVersion, groups map[string]rpc.Group, old *Chart) (*Chart, error) {
-	chart := &Chart{Epoch: epoch, Manifest: maps.Clone(manifest), groups: groups, sum: controlplane.DigestManifest(manifest),
+// newSnapshot unpacks the groups; those that did not change are taken over.
+func newSnapshot(epoch ids.Epoch, manifest map[string]rpc.GroupVersion, groups map[string]rpc.Group, old *Snapshot) (*Snapshot, error) {
+	snapshot := &Snapshot{Epoch: epoch, Manifest: maps.Clone(manifest), groups: groups, manifestDigest: controlplane.DigestManifest(manifest),
 		Services: map[string]rpc.Service{}, Limits: map[string]rpc.Limit{}, Targets: map[string][]rpc.Target{}, Shares: map[ids.NodeName]int{}}
 	read := func(name string, into any) error {
 		group, ok := groups[name]
@@ -214,7 +216,7 @@
 		}
 		routes[name] = some
 	}
-	chart.Routes = routes
+	snapshot.Routes = routes
 	var services []rpc.Service
 	var limits []rpc.Limit
 	if err := read(controlplane.ServicesGroup, &services); err != nil {
@@ -223,17 +225,17 @@
 	if err := read(controlplane.LimitsGroup, &limits); err != nil {
 		return nil, err
 	}
-	if err := read(controlplane.SharesGroup, &chart.Shares); err != nil {
+	if err := read(controlplane.SharesGroup, &snapshot.Shares); err != nil {
 		return nil, err
 	}
-	if err := read(controlplane.ClientLimitsGroup, &chart.Manners); err != nil {
+	if err := read(controlplane.ClientLimitsGroup, &snapshot.ClientLimits); err != nil {
 		return nil, err
 	}
 	for _, s := range services {
-		chart.Services[s.Name] = s
+		snapshot.Services[s.Name] = s
 	}
 	for _, l := range limits {
-		chart.Limits[l.Service] = l
+		snapshot.Limits[l.Service] = l
 	}
 	for name := range groups {
 		service, ok := strings.CutPrefix(name, controlplane.TargetsPrefix)
@@ -246,21 +248,21 @@
 		} else if err := read(name, &list); err != nil {
 			return nil, err
 		}
-		chart.Targets[service] = list
+		snapshot.Targets[service] = list
 	}
-	return chart, nil
+	return snapshot, nil
 }
 
 // Delta makes a whole manifest of the one in use and what a listener reported.
-func (c *Cache) Delta(base map[string]rpc.GroupVersion, receipt *rpc.ListenResponse) map[string]rpc.GroupVersion {
+func (c *Cache) Delta(base map[string]rpc.GroupVersion, response *rpc.ListenResponse) map[string]rpc.GroupVersion {
 	manifest := maps.Clone(base)
 	if manifest == nil {
 		manifest = map[string]rpc.GroupVersion{}
 	}
-	for _, name := range receipt.Removed {
+	for _, name := range response.Removed {
 		delete(manifest, name)
 	}
-	for name, held := range receipt.Changed {
+	for name, held := range response.Changed {
 		manifest[name] = held
 	}
 	return manifest
--- a/internal/distribution/cache_test.go
+++ b/internal/distribution/cache_test.go
@@ -26,7 +26,7 @@
 
 func swap(t *testing.T, c *Cache, epoch ids.Epoch, groups map[string]rpc.Group, want bool) {
 	t.Helper()
-	got, err := c.Swap(epoch, manifest(groups))
+	got, err := c.Activate(epoch, manifest(groups))
 	if err != nil || got != want {
 		t.Fatalf("epoch %d: swapped %v, want %v (%v)", epoch, got, want, err)
 	}
@@ -35,7 +35,7 @@
 func TestOnlyWholeAndNewerEpochsAreSwappedIn(t *testing.T) {
 	c := NewCache(eventlog.New(io.Discard, "info", "n"))
 	var told []ids.Epoch
-	c.Subscribe(func(chart *Chart) { told = append(told, chart.Epoch) })
+	c.Subscribe(func(snapshot *Snapshot) { told = append(told, snapshot.Epoch) })
 	one := map[string]rpc.Group{"services": group(`[{"name":"a"}]`, 3), "targets/a": group(`[]`, 3)}
 	swap(t, c, 3, one, false)
 	c.Stage(map[string]rpc.Group{"services": one["services"]})
@@ -50,8 +50,8 @@
 	swap(t, c, 4, one, false)
 	swap(t, c, 4, two, false)
 	swap(t, c, 5, two, false)
-	if len(c.Chart().Targets["a"]) != 1 || c.Chart().Epoch != 5 {
-		t.Fatalf("%+v", c.Chart())
+	if len(c.Snapshot().Targets["a"]) != 1 || c.Snapshot().Epoch != 5 {
+		t.Fatalf("%+v", c.Snapshot())
 	}
 	if len(told) != 2 || told[0] != 3 || told[1] != 5 {
 		t.Fatalf("subscribers were told %v", told)
--- a/internal/distribution/client.go
+++ b/internal/distribution/client.go
@@ -18,84 +18,84 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// Ages is as of when an epoch, and each part in it, was known to be in force.
-type Ages struct {
-	Epoch   ids.Epoch
-	Binding ids.Epoch // the last that bore a change set or took a target away
-	Config  time.Time
-	Parts   [ids.ShardCount]time.Time
+// Confirmation is as of when an epoch, and each part in it, was known to be in force.
+type Confirmation struct {
+	Epoch        ids.Epoch
+	BindingEpoch ids.Epoch // the last that bore a change set or took a target away
+	ConfigAsOf   time.Time
+	ShardsAsOf   [ids.ShardCount]time.Time
 }
 
-// Vouched is the newest ages, and the last that vouch for the epoch before.
-type Vouched struct{ Newest, Before Ages }
+// confirmations is the newest ages, and the last that vouch for the epoch before.
+type confirmations struct{ latest, previous Confirmation }
 
 const (
-	nearPause  = 40 * time.Millisecond
-	fetchTurn  = 500 * time.Millisecond
-	firstPause = 60 * time.Millisecond // between tries of the first fetch: without it nothing is served
+	nearestHeadStart = 40 * time.Millisecond
+	fetchLockTimeout = 500 * time.Millisecond
+	firstFetchRetry  = 60 * time.Millisecond // between tries of the first fetch: without it nothing is served
 )
 
 // Client is one proxy's.
 type Client struct {
-	r     *environment.Environment
-	w     *rpc.Wire
-	k     *membership.Memberlist
-	Cache *Cache
-	ages  atomic.Pointer[Vouched]
-	word  atomic.Pointer[time.Time] // when anything last came from a control node
-	born  time.Time
-	began atomic.Bool
+	env           *environment.Environment
+	transport     *rpc.Transport
+	members       *membership.Memberlist
+	Cache         *Cache
+	confirmations atomic.Pointer[confirmations]
+	lastContact   atomic.Pointer[time.Time] // when anything last came from a control node
+	startedAt     time.Time
+	started       atomic.Bool
 
-	pick       atomic.Uint64 // whom the pulse asks
-	picked     atomic.Pointer[time.Time]
-	pulses     atomic.Int32 // how many are under way
-	isAnswered atomic.Bool  // whether the last pulse was
-	catching   sync.Map     // addresses at which a catch-up is under way
+	pulseChoice    atomic.Uint64 // whom the pulse asks
+	chosenAt       atomic.Pointer[time.Time]
+	pulsesInFlight atomic.Int32 // how many are under way
+	pulseAnswered  atomic.Bool  // whether the last pulse was
+	catchUps       sync.Map     // addresses at which a catch-up is under way
 
 	mu        sync.Mutex
-	listening map[ids.NodeName]string
-	fetching  environment.ChanMutex
-	isFresh   bool
+	listeners map[ids.NodeName]string
+	fetchLock environment.ChanMutex
+	wasFresh  bool
 }
 
-func NewClient(r *environment.Environment, w *rpc.Wire, k *membership.Memberlist) *Client {
-	c := &Client{r: r, w: w, k: k, born: r.Now(), Cache: NewCache(r.Events), listening: map[ids.NodeName]string{}, fetching: environment.NewChanMutex()}
-	c.ages.Store(&Vouched{})
+func NewClient(r *environment.Environment, w *rpc.Transport, k *membership.Memberlist) *Client {
+	c := &Client{env: r, transport: w, members: k, startedAt: r.Now(), Cache: NewCache(r.Events), listeners: map[ids.NodeName]string{}, fetchLock: environment.NewChanMutex()}
+	c.confirmations.Store(&confirmations{})
 	return c
 }
 
-// keepListening has one task for each control node there is.
-func (c *Client) keepListening() {
+// manageListeners has one task for each control node there is.
+func (c *Client) manageListeners() {
 	for {
-		for _, m := range c.servers() {
+		for _, source := range c.sources() {
 			c.mu.Lock()
-			isNew := c.listening[m.Name] != m.RPCAddress
+			isNew := c.listeners[source.Name] != source.RPCAddress
 			if isNew {
-				c.listening[m.Name] = m.RPCAddress
+				c.listeners[source.Name] = source.RPCAddress
 			}
 			c.mu.Unlock()
 			if isNew {
-				c.r.Go(func() { c.listen(m.Name, m.RPCAddress) })
+				c.env.Go(func() { c.runListener(source.Name, source.RPCAddress) })
 			}
 		}
-		if !c.r.Sleep(500 * time.Millisecond) {
+		if !c.env.Sleep(500 * time.Millisecond) {
 			return
 		}
 	}
 }
 
-// servers is the control nodes listened to: all, or the nearest few, of which one
+// sources is the control nodes listened to: all, or the nearest few, of which one
 // at least stands in another zone if there is one.
-func (c *Client) servers() []rpc.Member {
-	cores, most := c.k.ConfigReplicas(), c.r.Config.FlowServers
-	if most == 0 || len(cores) <= most {
-		return cores
+func (c *Client) sources() []rpc.Member {
+	sources, most := c.members.ConfigReplicas(), c.env.Config.FlowServers
+	if most == 0 || len(sources) <= most {
+		return sources
 	}
-	some := cores[:most:most]
-	if most > 1 && some[most-1].Zone == c.r.Config.Zone {
-		for _, m := range cores[most:] {
-			if m.Zone != c.r.Config.Zone {
-				some[most-1] = m
+	some := sources[:most:most]
+	if most > 1 && some[most-1].Zone == c.env.Config.Zone {
+		for _, source := range sources[most:] {
+			if source.Zone != c.env.Config.Zone {
+				some[most-1] = source
 				break
 			}
 		}
@@ -103,37 +103,37 @@
 	return some
 }
 
-// listen is the task for one control node; it ends when the node is no longer one
+// runListener is the task for one control node; it ends when the node is no longer one
 // to listen to.
-func (c *Client) listen(name ids.NodeName, address string) {
+func (c *Client) runListener(name ids.NodeName, address string) {
 	defer func() {
 		c.mu.Lock()
-		if c.listening[name] == address {
-			delete(c.listening, name)
+		if c.listeners[name] == address {
+			delete(c.listeners, name)
 		}
 		c.mu.Unlock()
 	}()
-	tries := 0
-	for !c.r.IsStopping() {
-		if !slices.ContainsFunc(c.servers(), func(m rpc.Member) bool { return m.Name == name && m.RPCAddress == address }) {
+	failures := 0
+	for !c.env.IsStopping() {
+		if !slices.ContainsFunc(c.sources(), func(source rpc.Member) bool { return source.Name == name && source.RPCAddress == address }) {
 			return
 		}
-		isNewer, err := c.poll(c.r, address)
+		isNewer, err := c.poll(c.env, address)
 		pause := time.Duration(0)
 		switch {
 		case err != nil:
-			tries++
-			c.r.Events.Say(eventlog.ListenFailed, "node", string(name), "tries", tries, "cause", err.Error())
-			pause = c.r.Config.FlowRetry
-			if tries >= c.r.Config.FlowTries {
-				tries, pause = 0, c.r.Config.FlowCool
+			failures++
+			c.env.Events.Say(eventlog.ListenFailed, "node", string(name), "tries", failures, "cause", err.Error())
+			pause = c.env.Config.FlowRetry
+			if failures >= c.env.Config.FlowTries {
+				failures, pause = 0, c.env.Config.FlowCool
 			}
 		case !isNewer:
-			tries, pause = 0, c.r.Config.FlowPause
+			failures, pause = 0, c.env.Config.FlowPause
 		default:
-			tries = 0
+			failures = 0
 		}
-		if pause > 0 && !c.r.Sleep(environment.Jitter(pause)) {
+		if pause > 0 && !c.env.Sleep(environment.Jitter(pause)) {
 			return
 		}
 	}
@@ -141,49 +141,49 @@
 
 // poll is one held listener request and, if it names groups, their fetch.
 func (c *Client) poll(life context.Context, address string) (isNewer bool, err error) {
-	epoch, have := c.Cache.Have()
-	ctx, end := context.WithTimeout(life, c.r.Config.FlowHold+2*time.Second)
+	epoch, have := c.Cache.Current()
+	ctx, end := context.WithTimeout(life, c.env.Config.FlowHold+2*time.Second)
 	defer end()
-	var receipt rpc.ListenResponse
-	ask := &rpc.ListenRequest{Epoch: epoch, Versions: have}
-	if chart := c.Cache.Chart(); chart != nil && chart.Epoch == epoch {
-		ask.CombinedDigest, ask.Versions = chart.sum, nil
-		near := c.servers()
-		ask.AcceptsDeltas = c.r.Config.FlowServers > 0 && len(near) > 0 && near[0].RPCAddress == address
+	var response rpc.ListenResponse
+	request := &rpc.ListenRequest{Epoch: epoch, Versions: have}
+	if snapshot := c.Cache.Snapshot(); snapshot != nil && snapshot.Epoch == epoch {
+		request.CombinedDigest, request.Versions = snapshot.manifestDigest, nil
+		near := c.sources()
+		request.AcceptsDeltas = c.env.Config.FlowServers > 0 && len(near) > 0 && near[0].RPCAddress == address
 	}
-	if err := c.w.Ask(ctx, address, "flow.listen", ask, &receipt); err != nil {
+	if err := c.transport.Call(ctx, address, "flow.listen", request, &response); err != nil {
 		return false, err
 	}
-	if receipt.UnknownDigest {
+	if response.UnknownDigest {
 		// Where the epoch is not known any more, or not yet, each group is named.
-		receipt = rpc.ListenResponse{}
-		if err := c.w.Ask(ctx, address, "flow.listen", &rpc.ListenRequest{Epoch: epoch, Versions: have}, &receipt); err != nil {
+		response = rpc.ListenResponse{}
+		if err := c.transport.Call(ctx, address, "flow.listen", &rpc.ListenRequest{Epoch: epoch, Versions: have}, &response); err != nil {
 			return false, err
 		}
 	}
-	if receipt.Epoch <= epoch {
+	if response.Epoch <= epoch {
 		return true, nil
 	}
-	made := time.Now().Add(-time.Duration(receipt.Age) * time.Millisecond)
-	isNewer = len(receipt.Deltas) > 0 && c.Cache.Stage(receipt.Deltas)
-	manifest := c.Cache.Delta(have, &receipt)
+	made := time.Now().Add(-time.Duration(response.Age) * time.Millisecond)
+	isNewer = len(response.Deltas) > 0 && c.Cache.Stage(response.Deltas)
+	manifest := c.Cache.Delta(have, &response)
 	if len(c.Cache.Missing(manifest)) == 0 {
-		ok, err := c.swap(receipt.Epoch, manifest, made)
+		ok, err := c.activate(response.Epoch, manifest, made)
 		return ok || isNewer, err
 	}
-	c.leaveToNear(address)
+	c.yieldToNearest(address)
 	// Groups are fetched once, but nobody waits long for another's fetch: its control
 	// node may have gone.
-	if c.fetching.TryLockFor(fetchTurn) {
-		defer c.fetching.Unlock()
+	if c.fetchLock.TryLockFor(fetchLockTimeout) {
+		defer c.fetchLock.Unlock()
 	}
-	if now, _ := c.Cache.Have(); receipt.Epoch <= now {
+	if now, _ := c.Cache.Current(); response.Epoch <= now {
 		return true, nil
 	}
 	if missing := c.Cache.Missing(manifest); len(missing) > 0 {
-		limited, stop := context.WithTimeout(c.r, 3*time.Second)
+		limited, stop := context.WithTimeout(c.env, 3*time.Second)
 		defer stop()
-		fetched, err := c.fetch(limited, address, &rpc.FetchRequest{Groups: missing, HeldDigests: c.Cache.Holds(missing)})
+		fetched, err := c.fetch(limited, address, &rpc.FetchRequest{Groups: missing, HeldDigests: c.Cache.Digests(missing)})
 		if err != nil {
 			return false, err
 		}
@@ -198,14 +198,14 @@
 			isNewer = c.Cache.Stage(fetched.Groups) || isNewer
 		}
 	}
-	ok, err := c.swap(receipt.Epoch, manifest, made)
+	ok, err := c.activate(response.Epoch, manifest, made)
 	return ok || isNewer, err
 }
 
-// leaveToNear gives the listener of a control node in the own zone a moment to
+// yieldToNearest gives the listener of a control node in the own zone a moment to
 // fetch first, if there is one, so that groups seldom come from another zone.
-func (c *Client) leaveToNear(address string) {
-	if cores := c.k.ConfigReplicas(); !c.k.InOwnZone(address) && len(cores) > 0 && c.k.InOwnZone(cores[0].RPCAddress) {
-		c.r.Sleep(nearPause)
+func (c *Client) yieldToNearest(address string) {
+	if sources := c.members.ConfigReplicas(); !c.members.InOwnZone(address) && len(sources) > 0 && c.members.InOwnZone(sources[0].RPCAddress) {
+		c.env.Sleep(nearestHeadStart)
 	}
 }
--- a/internal/distribution/fresh.go
+++ b/internal/distribution/fresh.go
@@ -9,49 +9,49 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// heard notes word from a control node.
-func (c *Client) heard() {
-	now := c.r.Now()
-	c.word.Store(&now)
+// noteContact notes word from a control node.
+func (c *Client) noteContact() {
+	now := c.env.Now()
+	c.lastContact.Store(&now)
 }
 
-// renew takes over what a pulse brought. Ages that name an epoch newer than the
+// recordPulse takes over what a pulse brought. Ages that name an epoch newer than the
 // one in use can't vouch for it, but those held before still do until they are
 // too old; so both are kept.
-func (c *Client) renew(sent time.Time, receipt *rpc.FreshnessResponse) {
-	c.heard()
+func (c *Client) recordPulse(sent time.Time, response *rpc.FreshnessResponse) {
+	c.noteContact()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	held := c.ages.Load()
-	if receipt.Epoch < held.Newest.Epoch || len(receipt.ShardAgeMicros) != ids.ShardCount {
+	held := c.confirmations.Load()
+	if response.Epoch < held.latest.Epoch || len(response.ShardAgeMicros) != ids.ShardCount {
 		return
 	}
-	next := Ages{Epoch: receipt.Epoch, Binding: receipt.BindingEpoch, Config: sent.Add(-time.Duration(receipt.AgeMicros) * time.Microsecond)}
-	if next.Binding == 0 || next.Binding > next.Epoch {
-		next.Binding = next.Epoch // an older build tells none
+	next := Confirmation{Epoch: response.Epoch, BindingEpoch: response.BindingEpoch, ConfigAsOf: sent.Add(-time.Duration(response.AgeMicros) * time.Microsecond)}
+	if next.BindingEpoch == 0 || next.BindingEpoch > next.Epoch {
+		next.BindingEpoch = next.Epoch // an older build tells none
 	}
-	for i, age := range receipt.ShardAgeMicros {
+	for i, age := range response.ShardAgeMicros {
 		if age >= 0 {
-			next.Parts[i] = sent.Add(-time.Duration(age) * time.Microsecond)
+			next.ShardsAsOf[i] = sent.Add(-time.Duration(age) * time.Microsecond)
 		}
 	}
-	both := &Vouched{Newest: next, Before: held.Before}
-	if receipt.Epoch == held.Newest.Epoch {
-		both.Newest.raise(&held.Newest)
-	} else if chart := c.Cache.Chart(); chart != nil && chart.Epoch >= held.Newest.Epoch {
-		both.Before = held.Newest
+	both := &confirmations{latest: next, previous: held.previous}
+	if response.Epoch == held.latest.Epoch {
+		both.latest.mergeLater(&held.latest)
+	} else if snapshot := c.Cache.Snapshot(); snapshot != nil && snapshot.Epoch >= held.latest.Epoch {
+		both.previous = held.latest
 	}
-	c.ages.Store(both)
+	c.confirmations.Store(both)
 }
 
-// raise keeps the later of two words about one epoch.
-func (a *Ages) raise(o *Ages) {
-	if a.Config.Before(o.Config) {
-		a.Config = o.Config
+// mergeLater keeps the later of two words about one epoch.
+func (a *Confirmation) mergeLater(o *Confirmation) {
+	if a.ConfigAsOf.Before(o.ConfigAsOf) {
+		a.ConfigAsOf = o.ConfigAsOf
 	}
-	for i := range a.Parts {
-		if a.Parts[i].Before(o.Parts[i]) {
-			a.Parts[i] = o.Parts[i]
+	for i := range a.ShardsAsOf {
+		if a.ShardsAsOf[i].Before(o.ShardsAsOf[i]) {
+			a.ShardsAsOf[i] = o.ShardsAsOf[i]
 		}
 	}
 }
@@ -60,22 +60,22 @@
 // name an older epoch vouch for a newer chart too: what was known then is in it.
 // Word from before this process was started vouches for nothing: an earlier life
 // of this proxy may have used an epoch that a deposed owner does not know.
-func (c *Client) IsFresh(chart *Chart, service string) bool {
-	if chart == nil {
+func (c *Client) IsFresh(snapshot *Snapshot, service string) bool {
+	if snapshot == nil {
 		return false
 	}
-	if stay := c.r.Config.FlowStay; stay > 0 {
-		word := c.word.Load()
-		if word == nil || c.r.Since(*word) >= stay {
+	if stay := c.env.Config.FlowStay; stay > 0 {
+		word := c.lastContact.Load()
+		if word == nil || c.env.Since(*word) >= stay {
 			return false
 		}
-		behind := c.r.Config.FlowBehind
-		return behind == 0 || c.isNewest(chart, behind)
+		behind := c.env.Config.FlowBehind
+		return behind == 0 || c.isNewest(snapshot, behind)
 	}
-	held := c.ages.Load()
-	no, bound := ids.ShardOf(service), c.r.Config.FlowFresh
-	for _, a := range []*Ages{&held.Newest, &held.Before} {
-		if a.Epoch <= chart.Epoch && c.r.Since(a.Config) < bound && a.Config.After(c.born) && (service == "" || c.r.Since(a.Parts[no]) < bound) {
+	held := c.confirmations.Load()
+	no, bound := ids.ShardOf(service), c.env.Config.FlowFresh
+	for _, a := range []*Confirmation{&held.latest, &held.previous} {
+		if a.Epoch <= snapshot.Epoch && c.env.Since(a.ConfigAsOf) < bound && a.ConfigAsOf.After(c.startedAt) && (service == "" || c.env.Since(a.ShardsAsOf[no]) < bound) {
 			return true
 		}
 	}
@@ -84,31 +84,31 @@
 
 // isNewest tells whether within that time no epoch was known that binds and is newer
 // than the chart.
-func (c *Client) isNewest(chart *Chart, bound time.Duration) bool {
-	held := c.ages.Load()
-	for _, a := range []*Ages{&held.Newest, &held.Before} {
-		if a.Epoch > 0 && a.Binding <= chart.Epoch && c.r.Since(a.Config) < bound {
+func (c *Client) isNewest(snapshot *Snapshot, bound time.Duration) bool {
+	held := c.confirmations.Load()
+	for _, a := range []*Confirmation{&held.latest, &held.previous} {
+		if a.Epoch > 0 && a.BindingEpoch <= snapshot.Epoch && c.env.Since(a.ConfigAsOf) < bound {
 			return true
 		}
 	}
 	return false
 }
 
-// Ages is what the shell shows.
-func (c *Client) Ages() Ages { return c.ages.Load().Newest }
+// LatestConfirmation is what the shell shows.
+func (c *Client) LatestConfirmation() Confirmation { return c.confirmations.Load().latest }
 
-// tell writes an event when freshness of the configuration is lost or back.
-func (c *Client) tell() {
+// reportFreshness writes an event when freshness of the configuration is lost or back.
+func (c *Client) reportFreshness() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	chart, ages := c.Cache.Chart(), c.Ages()
-	isFresh := chart != nil && chart.Epoch >= ages.Epoch && c.r.Since(ages.Config) < max(c.r.Config.FlowFresh, 3*c.r.Config.FlowPulse)
-	if isFresh != c.isFresh {
-		c.isFresh = isFresh
+	snapshot, ages := c.Cache.Snapshot(), c.LatestConfirmation()
+	isFresh := snapshot != nil && snapshot.Epoch >= ages.Epoch && c.env.Since(ages.ConfigAsOf) < max(c.env.Config.FlowFresh, 3*c.env.Config.FlowPulse)
+	if isFresh != c.wasFresh {
+		c.wasFresh = isFresh
 		if isFresh {
-			c.r.Events.Say(eventlog.FreshAgain, "epoch", uint64(ages.Epoch))
+			c.env.Events.Say(eventlog.FreshAgain, "epoch", uint64(ages.Epoch))
 		} else {
-			c.r.Events.Say(eventlog.FreshLost, "epoch", uint64(ages.Epoch))
+			c.env.Events.Say(eventlog.FreshLost, "epoch", uint64(ages.Epoch))
 		}
 	}
 }
--- a/internal/distribution/fresh_test.go
+++ b/internal/distribution/fresh_test.go
@@ -26,10 +26,10 @@
 		{7, 9, 0, true},  // nonsense: what is told of no epoch binds as the epoch does
 		{8, 3, bound, false}, {7, 3, bound, false},
 	} {
-		c := &Client{r: r, Cache: NewCache(r.Events)}
-		c.ages.Store(&Vouched{})
-		c.renew(r.Now(), &rpc.FreshnessResponse{Epoch: one.epoch, BindingEpoch: one.binding, AgeMicros: one.age.Microseconds(), ShardAgeMicros: make([]int64, ids.ShardCount)})
-		if got := c.IsFresh(&Chart{Epoch: 7}, "rates"); got != one.isFresh {
+		c := &Client{env: r, Cache: NewCache(r.Events)}
+		c.confirmations.Store(&confirmations{})
+		c.recordPulse(r.Now(), &rpc.FreshnessResponse{Epoch: one.epoch, BindingEpoch: one.binding, AgeMicros: one.age.Microseconds(), ShardAgeMicros: make([]int64, ids.ShardCount)})
+		if got := c.IsFresh(&Snapshot{Epoch: 7}, "rates"); got != one.isFresh {
 			t.Errorf("%+v: fresh is %v", one, got)
 		}
 	}
--- a/internal/distribution/pack.go
+++ b/internal/distribution/pack.go
@@ -18,58 +18,58 @@
 )
 
 const (
-	packLeast = 2048 // bytes from which on groups are packed
-	packsKept = 16
+	minCompressedSize = 2048 // bytes from which on groups are packed
+	maxCompressedKept = 16
 )
 
 // fetch asks for groups and unpacks them.
-func (c *Client) fetch(ctx context.Context, address string, ask *rpc.FetchRequest) (*rpc.FetchResponse, error) {
-	ask.AcceptsPacked = true
-	receipt := &rpc.FetchResponse{}
-	if err := c.w.Ask(ctx, address, "flow.fetch", ask, receipt); err != nil {
+func (c *Client) fetch(ctx context.Context, address string, request *rpc.FetchRequest) (*rpc.FetchResponse, error) {
+	request.AcceptsPacked = true
+	response := &rpc.FetchResponse{}
+	if err := c.transport.Call(ctx, address, "flow.fetch", request, response); err != nil {
 		return nil, err
 	}
-	if len(receipt.Packed) == 0 {
-		return receipt, nil
+	if len(response.Packed) == 0 {
+		return response, nil
 	}
-	groups, err := unpack(receipt.Packed, int64(c.r.Config.WireLine))
+	groups, err := inflate(response.Packed, int64(c.env.Config.WireLine))
 	if err != nil {
 		return nil, errcode.New(errcode.BadMessage, "flow.fetch from %s: %v", address, err)
 	}
-	receipt.Groups, receipt.Packed = groups, nil
-	return receipt, nil
+	response.Groups, response.Packed = groups, nil
+	return response, nil
 }
 
-// pack replaces the groups of a receipt by their packed form, if that is shorter.
-func (s *Server) pack(receipt *rpc.FetchResponse) {
+// compress replaces the groups of a receipt by their packed form, if that is shorter.
+func (s *Server) compress(response *rpc.FetchResponse) {
 	size, key := 0, strings.Builder{}
-	for _, name := range slices.Sorted(maps.Keys(receipt.Groups)) {
-		group := receipt.Groups[name]
-		size += len(group.Data) + targetSize*len(group.PutTargets) + instanceSize*len(group.RemovedTargets)
+	for _, name := range slices.Sorted(maps.Keys(response.Groups)) {
+		group := response.Groups[name]
+		size += len(group.Data) + targetSizeEstimate*len(group.PutTargets) + instanceSizeEstimate*len(group.RemovedTargets)
 		// A version is not in the digest: the same text may come again under another.
 		stamp, _ := json.Marshal(group.Index)
 		key.WriteString(name + " " + group.Digest + " " + group.BaseDigest + " " + string(stamp) + "\n")
 	}
-	if size < packLeast {
+	if size < minCompressedSize {
 		return
 	}
 	s.mu.Lock()
-	packed, ok := s.packs[key.String()]
+	packed, ok := s.compressed[key.String()]
 	s.mu.Unlock()
 	if !ok {
-		raw, err := json.Marshal(receipt.Groups)
+		raw, err := json.Marshal(response.Groups)
 		if err != nil {
 			return
 		}
 		packed = deflate(raw)
 		s.mu.Lock()
-		if len(s.packs) >= packsKept || s.packs == nil {
-			s.packs = map[string][]byte{}
+		if len(s.compressed) >= maxCompressedKept || s.compressed == nil {
+			s.compressed = map[string][]byte{}
 		}
-		s.packs[key.String()] = packed
+		s.compressed[key.String()] = packed
 		s.mu.Unlock()
 	}
-	receipt.Groups, receipt.Packed = nil, packed
+	response.Groups, response.Packed = nil, packed
 }
 
 func deflate(raw []byte) []byte {
@@ -80,7 +80,7 @@
 	return out.Bytes()
 }
 
-func unpack(packed []byte, limit int64) (map[string]rpc.Group, error) {
+func inflate(packed []byte, limit int64) (map[string]rpc.Group, error) {
 	raw, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), limit+1))
 	if err != nil {
 		return nil, err
--- a/internal/distribution/pack_test.go
+++ b/internal/distribution/pack_test.go
@@ -21,39 +21,39 @@
 func TestLargeGroupsArePackedAndComeBackWhole(t *testing.T) {
 	s, groups := &Server{}, groupsOf(400)
 	plain, _ := json.Marshal(groups)
-	receipt := &rpc.FetchResponse{Groups: groups}
-	s.pack(receipt)
-	if receipt.Groups != nil || len(receipt.Packed) > len(plain)/5 {
-		t.Fatalf("%d bytes were packed into %d", len(plain), len(receipt.Packed))
+	response := &rpc.FetchResponse{Groups: groups}
+	s.compress(response)
+	if response.Groups != nil || len(response.Packed) > len(plain)/5 {
+		t.Fatalf("%d bytes were packed into %d", len(plain), len(response.Packed))
 	}
-	got, err := unpack(receipt.Packed, 1<<20)
+	got, err := inflate(response.Packed, 1<<20)
 	if err != nil || !reflect.DeepEqual(got, groups) {
 		t.Fatal("what was unpacked differs", err)
 	}
 	again := &rpc.FetchResponse{Groups: groups}
-	if s.pack(again); len(s.packs) != 1 || &again.Packed[0] != &receipt.Packed[0] {
+	if s.compress(again); len(s.compressed) != 1 || &again.Packed[0] != &response.Packed[0] {
 		t.Error("the same groups were packed twice")
 	}
 	newer := groupsOf(400)
 	group := newer["routes/1"]
 	group.Index++
 	newer["routes/1"] = group
-	later := &rpc.FetchResponse{Groups: newer}
-	s.pack(later)
-	if got, err := unpack(later.Packed, 1<<20); err != nil || got["routes/1"].Index != group.Index {
+	retryAfter := &rpc.FetchResponse{Groups: newer}
+	s.compress(retryAfter)
+	if got, err := inflate(retryAfter.Packed, 1<<20); err != nil || got["routes/1"].Index != group.Index {
 		t.Error("the same text under another version came with the old one", err)
 	}
-	if _, err := unpack(receipt.Packed, 1000); err == nil {
+	if _, err := inflate(response.Packed, 1000); err == nil {
 		t.Error("a pack above the longest message was unpacked")
 	}
-	if _, err := unpack(receipt.Packed[:len(receipt.Packed)/2], 1<<20); err == nil {
+	if _, err := inflate(response.Packed[:len(response.Packed)/2], 1<<20); err == nil {
 		t.Error("half a pack was unpacked")
 	}
 }
 
 func TestSmallGroupsGoAsTheyAre(t *testing.T) {
-	s, receipt := &Server{}, &rpc.FetchResponse{Groups: groupsOf(3)}
-	if s.pack(receipt); receipt.Packed != nil || len(receipt.Groups) != 1 {
+	s, response := &Server{}, &rpc.FetchResponse{Groups: groupsOf(3)}
+	if s.compress(response); response.Packed != nil || len(response.Groups) != 1 {
 		t.Error("a few routes were packed")
 	}
 }
--- a/internal/distribution/pulse.go
+++ b/internal/distribution/pulse.go
@@ -14,114 +14,114 @@
 )
 
 const (
-	catchUpPause = 100 * time.Millisecond
-	catchUpTime  = time.Second
-	pulseTries   = 4
-	pulsesMost   = 6
-	soon         = 500 * time.Millisecond
-	homeTime     = 5 * time.Second
+	catchUpDelay         = 100 * time.Millisecond
+	catchUpTimeout       = time.Second
+	pulseAttempts        = 4
+	maxPulsesInFlight    = 6
+	maxSkipDelay         = 500 * time.Millisecond
+	returnToNearestAfter = 5 * time.Second
 )
 
-// pulse renews freshness through one control node, the nearest that answers. Until
+// runPulse renews freshness through one control node, the nearest that answers. Until
 // the first plan is fresh it asks more often, for so long nothing can be served; and
 // while none answers, so that word comes soon after the way to one is back.
-func (c *Client) pulse() {
-	c.isAnswered.Store(true)
-	for c.r.Sleep(environment.Jitter(c.pulsePause())) {
-		cores := c.k.ConfigReplicas()
-		if !c.isAnswered.Load() || len(cores) == 0 {
+func (c *Client) runPulse() {
+	c.pulseAnswered.Store(true)
+	for c.env.Sleep(environment.Jitter(c.pulseInterval())) {
+		sources := c.members.ConfigReplicas()
+		if !c.pulseAnswered.Load() || len(sources) == 0 {
 			// Those held for down here may be back: nothing hangs on that opinion.
-			cores = append(cores[:len(cores):len(cores)], c.lostKeepers()...)
+			sources = append(sources[:len(sources):len(sources)], c.suspectedSources()...)
 		}
-		c.goHome()
-		if behind := c.r.Config.FlowBehind; behind > 0 {
-			c.pulseBeside(cores, behind)
+		c.returnToNearest()
+		if behind := c.env.Config.FlowBehind; behind > 0 {
+			c.pulseConcurrently(sources, behind)
 			continue
 		}
 		isAnswered := false
-		for range min(pulseTries, len(cores)) {
-			if isAnswered = c.pulseTo(cores, min(c.r.Config.FlowPulse, 400*time.Millisecond)+100*time.Millisecond); isAnswered {
+		for range min(pulseAttempts, len(sources)) {
+			if isAnswered = c.pulseOnce(sources, min(c.env.Config.FlowPulse, 400*time.Millisecond)+100*time.Millisecond); isAnswered {
 				break
 			}
 		}
-		c.isAnswered.Store(isAnswered)
-		c.tell()
+		c.pulseAnswered.Store(isAnswered)
+		c.reportFreshness()
 	}
 }
 
-// pulseBeside sends a pulse without waiting for those before it. Where a proxy goes by
+// pulseConcurrently sends a pulse without waiting for those before it. Where a proxy goes by
 // flow.behind its link may be slow, and a word that comes late is still right, as it
 // counts from when it was asked for. A control node that does not answer soon is passed
 // by in the next pulse all the same: it may be gone.
-func (c *Client) pulseBeside(cores []rpc.Member, limit time.Duration) {
-	if len(cores) == 0 {
-		c.isAnswered.Store(false)
+func (c *Client) pulseConcurrently(sources []rpc.Member, limit time.Duration) {
+	if len(sources) == 0 {
+		c.pulseAnswered.Store(false)
 		return
 	}
-	if c.pulses.Load() >= pulsesMost {
+	if c.pulsesInFlight.Load() >= maxPulsesInFlight {
 		return
 	}
-	c.pulses.Add(1)
-	c.r.Go(func() {
-		defer c.pulses.Add(-1)
-		pick := c.pick.Load()
-		late := time.AfterFunc(min(limit/2, soon), func() { c.passBy(pick) })
+	c.pulsesInFlight.Add(1)
+	c.env.Go(func() {
+		defer c.pulsesInFlight.Add(-1)
+		choice := c.pulseChoice.Load()
+		late := time.AfterFunc(min(limit/2, maxSkipDelay), func() { c.skipSource(choice) })
 		defer late.Stop()
-		c.isAnswered.Store(c.pulseTo(cores, limit))
-		c.tell()
+		c.pulseAnswered.Store(c.pulseOnce(sources, limit))
+		c.reportFreshness()
 	})
 }
 
-// pulseTo asks one control node; one that does not answer is passed by in the next.
-func (c *Client) pulseTo(cores []rpc.Member, limit time.Duration) bool {
-	pick := c.pick.Load()
-	m := cores[pick%uint64(len(cores))]
-	sent := c.r.Now()
-	ctx, end := context.WithTimeout(c.r, limit)
+// pulseOnce asks one control node; one that does not answer is passed by in the next.
+func (c *Client) pulseOnce(sources []rpc.Member, limit time.Duration) bool {
+	choice := c.pulseChoice.Load()
+	source := sources[choice%uint64(len(sources))]
+	sent := c.env.Now()
+	ctx, end := context.WithTimeout(c.env, limit)
 	defer end()
-	var receipt rpc.FreshnessResponse
-	if err := c.w.Ask(ctx, m.RPCAddress, "flow.pulse", &rpc.FreshnessRequest{}, &receipt); err != nil {
-		c.passBy(pick)
+	var response rpc.FreshnessResponse
+	if err := c.transport.Call(ctx, source.RPCAddress, "flow.pulse", &rpc.FreshnessRequest{}, &response); err != nil {
+		c.skipSource(choice)
 		return false
 	}
-	c.renew(sent, &receipt)
-	c.catchUp(m.RPCAddress, receipt.Epoch)
-	c.meet(m)
+	c.recordPulse(sent, &response)
+	c.catchUp(source.RPCAddress, response.Epoch)
+	c.rejoin(source)
 	return true
 }
 
-// passBy has the next control node asked, unless another pulse saw to that.
-func (c *Client) passBy(pick uint64) {
-	if c.pick.CompareAndSwap(pick, pick+1) {
-		now := c.r.Now()
-		c.picked.Store(&now)
+// skipSource has the next control node asked, unless another pulse saw to that.
+func (c *Client) skipSource(choice uint64) {
+	if c.pulseChoice.CompareAndSwap(choice, choice+1) {
+		now := c.env.Now()
+		c.chosenAt.Store(&now)
 	}
 }
 
-// goHome has the nearest asked again some time after it was passed by, where no request
+// returnToNearest has the nearest asked again some time after it was passed by, where no request
 // hangs on each pulse: what goes to another zone costs more.
-func (c *Client) goHome() {
-	if at := c.picked.Load(); c.r.Config.FlowStay > 0 && at != nil && c.r.Since(*at) > homeTime {
-		c.pick.Store(0)
-		c.picked.Store(nil)
+func (c *Client) returnToNearest() {
+	if at := c.chosenAt.Load(); c.env.Config.FlowStay > 0 && at != nil && c.env.Since(*at) > returnToNearestAfter {
+		c.pulseChoice.Store(0)
+		c.chosenAt.Store(nil)
 	}
 }
 
-// lostKeepers is who of those held for down, without a word that they go, held the
+// suspectedSources is who of those held for down, without a word that they go, held the
 // configuration; all core nodes of them if none is known to.
-func (c *Client) lostKeepers() []rpc.Member {
-	cores := slices.DeleteFunc(c.k.RecentlyDead(), func(m rpc.Member) bool { return !m.Core })
-	if keepers := slices.DeleteFunc(slices.Clone(cores), func(m rpc.Member) bool { return !m.HoldsConfiguration }); len(keepers) > 0 {
+func (c *Client) suspectedSources() []rpc.Member {
+	sources := slices.DeleteFunc(c.members.RecentlyDead(), func(source rpc.Member) bool { return !source.Core })
+	if keepers := slices.DeleteFunc(slices.Clone(sources), func(source rpc.Member) bool { return !source.HoldsConfiguration }); len(keepers) > 0 {
 		return keepers
 	}
-	return cores
+	return sources
 }
 
-// meet lets one that was held for down and has answered be known to be there, and
+// rejoin lets one that was held for down and has answered be known to be there, and
 // through its list all that it knows.
-func (c *Client) meet(m rpc.Member) {
-	if _, isKnown := c.k.Lookup(m.Name); !isKnown {
-		c.r.Go(func() { c.k.PushPull(m.RPCAddress) })
+func (c *Client) rejoin(source rpc.Member) {
+	if _, isKnown := c.members.Lookup(source.Name); !isKnown {
+		c.env.Go(func() { c.members.PushPull(source.RPCAddress) })
 	}
 }
 
@@ -129,34 +129,34 @@
 // tell of it: their held requests may hang at nodes that went, or wait out a pause.
 // Whoever heard of an epoch and does not give it is passed by in the next pulse.
 func (c *Client) catchUp(address string, epoch ids.Epoch) {
-	isBehind := func() bool { now, _ := c.Cache.Have(); return now > 0 && now < epoch }
+	isBehind := func() bool { now, _ := c.Cache.Current(); return now > 0 && now < epoch }
 	if !isBehind() {
 		return
 	}
-	if _, isUnderWay := c.catching.LoadOrStore(address, true); isUnderWay {
+	if _, isUnderWay := c.catchUps.LoadOrStore(address, true); isUnderWay {
 		return
 	}
-	c.r.Go(func() {
-		defer c.catching.Delete(address)
-		if !c.r.Sleep(catchUpPause) || !isBehind() {
+	c.env.Go(func() {
+		defer c.catchUps.Delete(address)
+		if !c.env.Sleep(catchUpDelay) || !isBehind() {
 			return
 		}
-		limited, end := context.WithTimeout(c.r, catchUpTime)
+		limited, end := context.WithTimeout(c.env, catchUpTimeout)
 		defer end()
-		pick := c.pick.Load()
+		choice := c.pulseChoice.Load()
 		if c.poll(limited, address); isBehind() {
-			c.passBy(pick)
+			c.skipSource(choice)
 		}
 	})
 }
 
-// pulsePause is short until the first word has come, and while none comes.
-func (c *Client) pulsePause() time.Duration {
+// pulseInterval is short until the first word has come, and while none comes.
+func (c *Client) pulseInterval() time.Duration {
 	switch {
-	case c.Ages().Epoch == 0:
-		return min(c.r.Config.FlowPulse, 150*time.Millisecond)
-	case !c.isAnswered.Load():
-		return min(c.r.Config.FlowPulse, 250*time.Millisecond)
+	case c.LatestConfirmation().Epoch == 0:
+		return min(c.env.Config.FlowPulse, 150*time.Millisecond)
+	case !c.pulseAnswered.Load():
+		return min(c.env.Config.FlowPulse, 250*time.Millisecond)
 	}
-	return c.r.Config.FlowPulse
+	return c.env.Config.FlowPulse
 }
--- a/internal/distribution/relay.go
+++ b/internal/distribution/relay.go
@@ -13,51 +13,51 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// relay is one pulse to the owner, shared by all proxies that wait for it.
-type relay struct {
+// relayedPulse is one pulse to the owner, shared by all proxies that wait for it.
+type relayedPulse struct {
 	done    chan struct{}
 	sent    time.Time
 	receipt *rpc.FreshnessResponse
 	err     error
 }
 
-// relays are a control node's, one after another.
-type relays struct {
-	r   *environment.Environment
-	ask func() (*rpc.FreshnessResponse, error)
+// pulseRelay are a control node's, one after another.
+type pulseRelay struct {
+	env       *environment.Environment
+	askLeader func() (*rpc.FreshnessResponse, error)
 
-	mu        sync.Mutex
-	isRunning bool
-	waiting   *relay
-	last      time.Time // when the last was sent
-	told      *relay    // the last that was answered
+	mu           sync.Mutex
+	running      bool
+	waiting      *relayedPulse
+	lastSent     time.Time     // when the last was sent
+	lastAnswered *relayedPulse // the last that was answered
 }
 
 // relayShare is the least pause between two relays, as a share of that between two
-// pulses of one proxy. For relayTime what the owner said is passed on, with its age,
+// pulses of one proxy. For relayReuse what the owner said is passed on, with its age,
 // without asking it again.
 const (
 	relayShare = 10
-	relayTime  = 50 * time.Millisecond
+	relayReuse = 50 * time.Millisecond
 )
 
 // get waits for a relay that is sent from now on; its ages are older by the time that
 // passed since it was sent.
-func (s *relays) get(ctx context.Context) (*rpc.FreshnessResponse, error) {
-	s.mu.Lock()
-	mine := s.waiting
-	if s.told != nil && s.r.Since(s.told.sent) < relayTime {
-		mine = s.told
+func (r *pulseRelay) get(ctx context.Context) (*rpc.FreshnessResponse, error) {
+	r.mu.Lock()
+	mine := r.waiting
+	if r.lastAnswered != nil && r.env.Since(r.lastAnswered.sent) < relayReuse {
+		mine = r.lastAnswered
 	}
 	if mine == nil {
-		mine = &relay{done: make(chan struct{})}
-		s.waiting = mine
-		if !s.isRunning {
-			s.isRunning = true
-			s.r.Go(s.run)
+		mine = &relayedPulse{done: make(chan struct{})}
+		r.waiting = mine
+		if !r.running {
+			r.running = true
+			r.env.Go(r.run)
 		}
 	}
-	s.mu.Unlock()
+	r.mu.Unlock()
 	select {
 	case <-mine.done:
 	case <-ctx.Done():
@@ -66,44 +66,44 @@
 	if mine.err != nil {
 		return nil, mine.err
 	}
-	grown := s.r.Since(mine.sent).Microseconds() + 1
-	receipt := &rpc.FreshnessResponse{Epoch: mine.receipt.Epoch, BindingEpoch: mine.receipt.BindingEpoch, AgeMicros: mine.receipt.AgeMicros + grown, ShardAgeMicros: make([]int64, len(mine.receipt.ShardAgeMicros))}
+	grown := r.env.Since(mine.sent).Microseconds() + 1
+	response := &rpc.FreshnessResponse{Epoch: mine.receipt.Epoch, BindingEpoch: mine.receipt.BindingEpoch, AgeMicros: mine.receipt.AgeMicros + grown, ShardAgeMicros: make([]int64, len(mine.receipt.ShardAgeMicros))}
 	for i, age := range mine.receipt.ShardAgeMicros {
-		receipt.ShardAgeMicros[i] = age
+		response.ShardAgeMicros[i] = age
 		if age >= 0 {
-			receipt.ShardAgeMicros[i] = age + grown
+			response.ShardAgeMicros[i] = age + grown
 		}
 	}
-	return receipt, nil
+	return response, nil
 }
 
 // run sends relays until nobody waits for one.
-func (s *relays) run() {
+func (r *pulseRelay) run() {
 	for {
-		s.mu.Lock()
-		if s.waiting == nil {
-			s.isRunning = false
-			s.mu.Unlock()
+		r.mu.Lock()
+		if r.waiting == nil {
+			r.running = false
+			r.mu.Unlock()
 			return
 		}
-		left := s.r.Config.FlowPulse/relayShare - s.r.Since(s.last)
-		s.mu.Unlock()
-		isOver := left > 0 && !s.r.Sleep(left)
-		s.mu.Lock()
-		now := s.waiting
-		s.waiting, s.last = nil, s.r.Now()
-		now.sent = s.last
-		s.mu.Unlock()
+		left := r.env.Config.FlowPulse/relayShare - r.env.Since(r.lastSent)
+		r.mu.Unlock()
+		isOver := left > 0 && !r.env.Sleep(left)
+		r.mu.Lock()
+		now := r.waiting
+		r.waiting, r.lastSent = nil, r.env.Now()
+		now.sent = r.lastSent
+		r.mu.Unlock()
 		if isOver {
 			now.err = errcode.New(errcode.Stopping, "")
 		} else {
-			now.receipt, now.err = s.ask()
+			now.receipt, now.err = r.askLeader()
 		}
 		close(now.done)
 		if now.err == nil {
-			s.mu.Lock()
-			s.told = now
-			s.mu.Unlock()
+			r.mu.Lock()
+			r.lastAnswered = now
+			r.mu.Unlock()
 		}
 	}
 }
--- a/internal/distribution/relay_test.go
+++ b/internal/distribution/relay_test.go
@@ -21,7 +21,7 @@
 		const way = 5 * time.Millisecond
 		relayed := 0
 		var isCut atomic.Bool
-		s := &relays{r: r, ask: func() (*rpc.FreshnessResponse, error) {
+		s := &pulseRelay{env: r, askLeader: func() (*rpc.FreshnessResponse, error) {
 			relayed++
 			time.Sleep(way)
 			if isCut.Load() {
@@ -32,14 +32,14 @@
 		least := r.Config.FlowPulse / relayShare
 		one := func() {
 			asked := time.Now()
-			receipt, err := s.get(ctx)
+			response, err := s.get(ctx)
 			took := time.Since(asked)
 			if err != nil || took > least+2*way {
 				t.Errorf("%v after %s", err, took)
 				return
 			}
-			if age := receipt.AgeMicros; age < 1000+way.Microseconds() || age > 1000+(took+relayTime).Microseconds()+1 || receipt.ShardAgeMicros[0] != -1 || receipt.ShardAgeMicros[1] != age+1000 {
-				t.Errorf("ages %d and %v after %s", age, receipt.ShardAgeMicros, took)
+			if age := response.AgeMicros; age < 1000+way.Microseconds() || age > 1000+(took+relayReuse).Microseconds()+1 || response.ShardAgeMicros[0] != -1 || response.ShardAgeMicros[1] != age+1000 {
+				t.Errorf("ages %d and %v after %s", age, response.ShardAgeMicros, took)
 			}
 		}
 		// A first one does not wait.
@@ -63,7 +63,7 @@
 			t.Errorf("%d relays in %s", relayed, time.Since(began))
 		}
 		isCut.Store(true)
-		time.Sleep(relayTime)
+		time.Sleep(relayReuse)
 		if _, err := s.get(ctx); err == nil {
 			t.Error("a relay that failed is told as done")
 		}
--- a/internal/distribution/serve.go
+++ b/internal/distribution/serve.go
@@ -22,136 +22,136 @@
 
 // Server is one control node's.
 type Server struct {
-	r       *environment.Environment
-	w       *rpc.Wire
-	k       *membership.Memberlist
-	p       *consensus.Node
-	ledger  *controlplane.ConfigState
-	planner *controlplane.Planner
-
-	mu     sync.Mutex
-	deltas map[string]rpc.Group
-	packs  map[string][]byte
-
-	turns  turns
-	coder  coder
-	relays relays
+	env       *environment.Environment
+	transport *rpc.Transport
+	members   *membership.Memberlist
+	consensus *consensus.Node
+	state     *controlplane.ConfigState
+	planner   *controlplane.Planner
+
+	mu         sync.Mutex
+	deltas     map[string]rpc.Group
+	compressed map[string][]byte
+
+	limiter fetchLimiter
+	encoder groupEncoder
+	relay   pulseRelay
 }
 
-func NewServer(r *environment.Environment, w *rpc.Wire, k *membership.Memberlist, p *consensus.Node, ledger *controlplane.ConfigState, planner *controlplane.Planner) *Server {
-	s := &Server{r: r, w: w, k: k, p: p, ledger: ledger, planner: planner}
-	s.relays.r, s.relays.ask = r, s.ask
-	w.Handle("flow.listen", func(c *rpc.Call) (any, error) {
-		var ask rpc.ListenRequest
-		if err := c.Read(&ask); err != nil {
+func NewServer(r *environment.Environment, w *rpc.Transport, k *membership.Memberlist, p *consensus.Node, ledger *controlplane.ConfigState, planner *controlplane.Planner) *Server {
+	s := &Server{env: r, transport: w, members: k, consensus: p, state: ledger, planner: planner}
+	s.relay.env, s.relay.askLeader = r, s.askLeader
+	w.Handle("flow.listen", func(c *rpc.Request) (any, error) {
+		var request rpc.ListenRequest
+		if err := c.Decode(&request); err != nil {
 			return nil, err
 		}
-		return s.listen(c, &ask)
+		return s.listen(c, &request)
 	})
-	w.Handle("flow.fetch", func(c *rpc.Call) (any, error) {
-		var ask rpc.FetchRequest
-		if err := c.Read(&ask); err != nil {
+	w.Handle("flow.fetch", func(c *rpc.Request) (any, error) {
+		var request rpc.FetchRequest
+		if err := c.Decode(&request); err != nil {
 			return nil, err
 		}
-		return s.fetch(c, &ask)
+		return s.fetch(c, &request)
 	})
-	w.Handle("flow.pulse", func(c *rpc.Call) (any, error) { return s.pulse(c) })
+	w.Handle("flow.pulse", func(c *rpc.Request) (any, error) { return s.pulse(c) })
 	return s
 }
 
 // listen holds the request until a group differs from what the asker has, in
 // an epoch newer than the asker's, or the hold time is over.
-func (s *Server) listen(ctx context.Context, ask *rpc.ListenRequest) (*rpc.ListenResponse, error) {
-	hold := time.NewTimer(s.r.Config.FlowHold)
+func (s *Server) listen(ctx context.Context, request *rpc.ListenRequest) (*rpc.ListenResponse, error) {
+	hold := time.NewTimer(s.env.Config.FlowHold)
 	defer hold.Stop()
-	have := ask.Versions
-	if ask.CombinedDigest != "" {
-		before := s.ledger.AtEpoch(ask.Epoch)
-		if before == nil || before.ManifestDigest() != ask.CombinedDigest {
-			return &rpc.ListenResponse{Epoch: ask.Epoch, UnknownDigest: true}, nil
+	have := request.Versions
+	if request.CombinedDigest != "" {
+		before := s.state.AtEpoch(request.Epoch)
+		if before == nil || before.ManifestDigest() != request.CombinedDigest {
+			return &rpc.ListenResponse{Epoch: request.Epoch, UnknownDigest: true}, nil
 		}
 		have = before.Manifest()
 	}
 	for {
-		change := s.p.Replica(ids.ConfigShard).Changed()
-		sheet := s.ledger.Current()
-		if sheet.Epoch > ask.Epoch {
-			if err := s.checkContact(); err != nil {
+		change := s.consensus.Replica(ids.ConfigShard).Changed()
+		state := s.state.Current()
+		if state.Epoch > request.Epoch {
+			if err := s.checkLeaderContact(); err != nil {
 				return nil, err
 			}
-			receipt := differ(sheet, have)
-			receipt.Age = sheet.Age().Milliseconds()
-			if ask.AcceptsDeltas {
-				s.along(sheet, have, receipt)
+			response := changesSince(state, have)
+			response.Age = state.Age().Milliseconds()
+			if request.AcceptsDeltas {
+				s.inlineGroups(state, have, response)
 			}
-			return receipt, nil
+			return response, nil
 		}
 		select {
 		case <-change:
 		case <-hold.C:
-			return &rpc.ListenResponse{Epoch: sheet.Epoch}, nil
+			return &rpc.ListenResponse{Epoch: state.Epoch}, nil
 		case <-ctx.Done():
-			return &rpc.ListenResponse{Epoch: sheet.Epoch}, nil
-		case <-s.r.Done():
+			return &rpc.ListenResponse{Epoch: state.Epoch}, nil
+		case <-s.env.Done():
 			return nil, errcode.New(errcode.Stopping, "")
 		}
 	}
 }
 
-// checkContact refuses to give out what may be old: the asker takes another node.
-func (s *Server) checkContact() error {
-	if s.p.HasQuorumContact(ids.ConfigShard) {
+// checkLeaderContact refuses to give out what may be old: the asker takes another node.
+func (s *Server) checkLeaderContact() error {
+	if s.consensus.HasQuorumContact(ids.ConfigShard) {
 		return nil
 	}
 	return errcode.New(errcode.NoOwner, "no word of a majority of the configuration part")
 }
 
-// along sends differences with the receipt if all of them are small.
-func (s *Server) along(sheet *controlplane.EpochState, have map[string]rpc.GroupVersion, receipt *rpc.ListenResponse) {
+// inlineGroups sends differences with the receipt if all of them are small.
+func (s *Server) inlineGroups(state *controlplane.EpochState, have map[string]rpc.GroupVersion, response *rpc.ListenResponse) {
 	groups := map[string]rpc.Group{}
 	size := 0
-	for name := range receipt.Changed {
-		group, ok := sheet.PublishedGroup(name)
+	for name := range response.Changed {
+		group, ok := state.PublishedGroup(name)
 		if !ok {
 			return
 		}
-		group = s.short(name, have[name].Digest, group)
-		size += len(group.Data) + targetSize*len(group.PutTargets) + instanceSize*len(group.RemovedTargets)
-		if size > alongMost {
+		group = s.shorten(name, have[name].Digest, group)
+		size += len(group.Data) + targetSizeEstimate*len(group.PutTargets) + instanceSizeEstimate*len(group.RemovedTargets)
+		if size > maxInlineSize {
 			return
 		}
 		groups[name] = group
 	}
-	receipt.Deltas = groups
+	response.Deltas = groups
 }
 
 // What comes along with a receipt, in bytes at most, and what a target and an
 // instance are reckoned at.
 const (
-	alongMost    = 4096
-	targetSize   = 120
-	instanceSize = 24
+	maxInlineSize        = 4096
+	targetSizeEstimate   = 120
+	instanceSizeEstimate = 24
 )
 
-func differ(sheet *controlplane.EpochState, before map[string]rpc.GroupVersion) *rpc.ListenResponse {
-	receipt := &rpc.ListenResponse{Epoch: sheet.Epoch, Changed: map[string]rpc.GroupVersion{}}
-	manifest := sheet.Manifest()
+func changesSince(state *controlplane.EpochState, before map[string]rpc.GroupVersion) *rpc.ListenResponse {
+	response := &rpc.ListenResponse{Epoch: state.Epoch, Changed: map[string]rpc.GroupVersion{}}
+	manifest := state.Manifest()
 	for name, held := range manifest {
 		if have, ok := before[name]; !ok || have != held {
-			receipt.Changed[name] = held
+			response.Changed[name] = held
 		}
 	}
 	for name := range before {
 		if _, ok := manifest[name]; !ok {
-			receipt.Removed = append(receipt.Removed, name)
+			response.Removed = append(response.Removed, name)
 		}
 	}
-	return receipt
+	return response
 }
 
-// short is a target list as what differs from the one that the asker holds, if that
+// shorten is a target list as what differs from the one that the asker holds, if that
 // is known here and the difference is right.
-func (s *Server) short(name, held string, group rpc.Group) rpc.Group {
+func (s *Server) shorten(name, held string, group rpc.Group) rpc.Group {
 	if held == "" || !strings.HasPrefix(name, controlplane.TargetsPrefix) {
 		return group
 	}
@@ -165,7 +165,7 @@
 		return delta
 	}
 	delta = group
-	if from, isKept := s.ledger.GroupData(name, held); isKept {
+	if from, isKept := s.state.GroupData(name, held); isKept {
 		if put, gone, isShorter := controlplane.DiffTargets(from, group.Data); isShorter {
 			if whole, err := controlplane.PatchTargets(from, put, gone); err == nil && controlplane.Digest(whole) == group.Digest {
 				delta = rpc.Group{Digest: group.Digest, Index: group.Index, BaseDigest: held, PutTargets: put, RemovedTargets: gone}
@@ -173,7 +173,7 @@
 		}
 	}
 	s.mu.Lock()
-	if len(s.deltas) >= deltasKept || s.deltas == nil {
+	if len(s.deltas) >= maxDeltasKept || s.deltas == nil {
 		s.deltas = map[string]rpc.Group{}
 	}
 	s.deltas[key] = delta
@@ -181,37 +181,37 @@
 	return delta
 }
 
-// deltasKept bounds the differences that are kept for the next asker.
-const deltasKept = 256
+// maxDeltasKept bounds the differences that are kept for the next asker.
+const maxDeltasKept = 256
 
 // pulse tells ages as the owner of the configuration part knows them, older by
 // the time that passed since this node asked.
 func (s *Server) pulse(ctx context.Context) (*rpc.FreshnessResponse, error) {
-	if s.p.Replica(ids.ConfigShard).IsServing() {
+	if s.consensus.Replica(ids.ConfigShard).IsServing() {
 		return s.planner.Freshness()
 	}
-	return s.relays.get(ctx)
+	return s.relay.get(ctx)
 }
 
-func (s *Server) ask() (*rpc.FreshnessResponse, error) {
-	name, ok := s.p.Leader(ids.ConfigShard)
-	if !ok || name == s.r.Name {
+func (s *Server) askLeader() (*rpc.FreshnessResponse, error) {
+	name, ok := s.consensus.Leader(ids.ConfigShard)
+	if !ok || name == s.env.Name {
 		return nil, errcode.New(errcode.NoOwner, "configuration part")
 	}
-	m, ok := s.k.Lookup(name)
+	m, ok := s.members.Lookup(name)
 	if !ok {
 		return nil, errcode.New(errcode.NoOwner, "configuration part: %s is down", name)
 	}
-	ctx, end := context.WithTimeout(s.r, 500*time.Millisecond)
+	ctx, end := context.WithTimeout(s.env, 500*time.Millisecond)
 	defer end()
-	var receipt rpc.FreshnessResponse
-	if err := s.w.AskHop(ctx, m.RPCAddress, "flow.owner", 1, &rpc.FreshnessRequest{}, &receipt); err != nil {
+	var response rpc.FreshnessResponse
+	if err := s.transport.Forward(ctx, m.RPCAddress, "flow.owner", 1, &rpc.FreshnessRequest{}, &response); err != nil {
 		return nil, err
 	}
-	return &receipt, nil
+	return &response, nil
 }
 
 // HandleOwner answers other control nodes, at the owner only.
 func (s *Server) HandleOwner() {
-	s.w.Handle("flow.owner", func(c *rpc.Call) (any, error) { return s.planner.Freshness() })
+	s.transport.Handle("flow.owner", func(c *rpc.Request) (any, error) { return s.planner.Freshness() })
 }
--- a/internal/distribution/serve_test.go
+++ b/internal/distribution/serve_test.go
@@ -23,7 +23,7 @@
 	}
 	for _, sizes := range [][2]int{{1, 0}, {9, 8}, {1, 2}} {
 		ledger := controlplane.NewConfigState()
-		s := &Server{ledger: ledger}
+		s := &Server{state: ledger}
 		cache := NewCache(eventlog.New(t.Output(), "error", "test"))
 		const name = controlplane.TargetsPrefix + "s"
 		for epoch := ids.Epoch(1); epoch <= 8; epoch++ {
@@ -31,10 +31,10 @@
 			if err := ledger.Apply(ids.Index(epoch), body); err != nil {
 				t.Fatal("not taken", epoch, err)
 			}
-			sheet := ledger.Current()
-			group, _ := sheet.PublishedGroup(name)
-			cache.Stage(map[string]rpc.Group{name: s.short(name, cache.Holds([]string{name})[name], group)})
-			if ok, err := cache.Swap(epoch, sheet.Manifest()); !ok || err != nil {
+			state := ledger.Current()
+			group, _ := state.PublishedGroup(name)
+			cache.Stage(map[string]rpc.Group{name: s.shorten(name, cache.Digests([]string{name})[name], group)})
+			if ok, err := cache.Activate(epoch, state.Manifest()); !ok || err != nil {
 				t.Fatalf("sizes %v: epoch %d is not in use: %v", sizes, epoch, err)
 			}
 		}
--- a/internal/distribution/start.go
+++ b/internal/distribution/start.go
@@ -14,62 +14,62 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// Open starts once, however often it is called.
-func (c *Client) Open() {
-	if !c.began.CompareAndSwap(false, true) {
+// Start starts once, however often it is called.
+func (c *Client) Start() {
+	if !c.started.CompareAndSwap(false, true) {
 		return
 	}
-	c.r.Go(func() {
-		first := min(c.r.Config.FlowRetry, firstPause)
+	c.env.Go(func() {
+		first := min(c.env.Config.FlowRetry, firstFetchRetry)
 		pause := first
 		for {
-			isDone, isLoaded, later := c.fetchAll()
-			if isDone {
+			done, overloaded, retryAfter := c.fetchFull()
+			if done {
 				break
 			}
-			if isLoaded {
-				pause = min(2*max(pause, c.r.Config.FlowRetry), max(c.r.Config.FlowCool, c.r.Config.FlowRetry))
+			if overloaded {
+				pause = min(2*max(pause, c.env.Config.FlowRetry), max(c.env.Config.FlowCool, c.env.Config.FlowRetry))
 			} else {
 				pause = first
 			}
-			if !c.r.Sleep(environment.Jitter(max(pause, later))) {
+			if !c.env.Sleep(environment.Jitter(max(pause, retryAfter))) {
 				return
 			}
 		}
-		c.keepListening()
+		c.manageListeners()
 	})
-	c.r.Go(c.pulse)
+	c.env.Go(c.runPulse)
 }
 
-// fetchAll tries the control nodes in order until one gives every group. It tells
+// fetchFull tries the control nodes in order until one gives every group. It tells
 // whether some were loaded, by their word or as an answer did not come in time, and
 // the least time after which one of them asked to be tried again.
-func (c *Client) fetchAll() (isDone, isLoaded bool, later time.Duration) {
-	for _, m := range c.k.ConfigReplicas() {
-		ctx, end := context.WithTimeout(c.r, 5*time.Second)
-		receipt, err := c.fetch(ctx, m.RPCAddress, &rpc.FetchRequest{})
+func (c *Client) fetchFull() (done, overloaded bool, retryAfter time.Duration) {
+	for _, source := range c.members.ConfigReplicas() {
+		ctx, end := context.WithTimeout(c.env, 5*time.Second)
+		response, err := c.fetch(ctx, source.RPCAddress, &rpc.FetchRequest{})
 		end()
 		if err != nil {
-			isLoaded = isLoaded || errcode.Is(err, errcode.ReplyLost)
-			c.r.Events.Say(eventlog.FetchFailed, "node", string(m.Name), "cause", err.Error())
+			overloaded = overloaded || errcode.Is(err, errcode.ReplyLost)
+			c.env.Events.Say(eventlog.FetchFailed, "node", string(source.Name), "cause", err.Error())
 			continue
 		}
-		if receipt.RetryAfterMillis > 0 {
-			told := time.Duration(receipt.RetryAfterMillis) * time.Millisecond
-			if later == 0 || told < later {
-				later = told
+		if response.RetryAfterMillis > 0 {
+			told := time.Duration(response.RetryAfterMillis) * time.Millisecond
+			if retryAfter == 0 || told < retryAfter {
+				retryAfter = told
 			}
-			isLoaded = true
+			overloaded = true
 			continue
 		}
-		if receipt.Epoch == 0 {
+		if response.Epoch == 0 {
 			continue
 		}
-		c.heard()
-		c.Cache.Stage(receipt.Groups)
-		if ok, err := c.Cache.Swap(receipt.Epoch, receipt.Manifest); ok && err == nil {
+		c.noteContact()
+		c.Cache.Stage(response.Groups)
+		if ok, err := c.Cache.Activate(response.Epoch, response.Manifest); ok && err == nil {
 			return true, false, 0
 		}
 	}
-	return false, isLoaded, later
+	return false, overloaded, retryAfter
 }
--- a/internal/distribution/whole.go
+++ b/internal/distribution/whole.go
@@ -19,127 +19,127 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// turns are the places for full fetches. The zero value's are set by most.
-type turns struct {
-	mu    sync.Mutex
-	under int
-	pace  time.Duration // how long a fetch took of late, smoothed
-	next  time.Time     // when the place that was told last comes free
+// fetchLimiter are the places for full fetches. The zero value's are set by most.
+type fetchLimiter struct {
+	mu              sync.Mutex
+	inFlight        int
+	averageDuration time.Duration // how long a fetch took of late, smoothed
+	nextFree        time.Time     // when the place that was told last comes free
 }
 
 // The least that an asker is told to wait, and the pace before any was measured.
 const (
-	laterLeast = 50 * time.Millisecond
-	firstPace  = 20 * time.Millisecond
+	minRetryAfter   = 50 * time.Millisecond
+	assumedDuration = 20 * time.Millisecond
 )
 
-// take gives a place, or tells in how long one should be free: no longer than longest.
-func (t *turns) take(now time.Time, most int, longest time.Duration) (later time.Duration, isTaken bool) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.under < most {
-		t.under++
+// acquire gives a place, or tells in how long one should be free: no longer than longest.
+func (l *fetchLimiter) acquire(now time.Time, most int, longest time.Duration) (retryAfter time.Duration, isTaken bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.inFlight < most {
+		l.inFlight++
 		return 0, true
 	}
-	if t.next.Before(now) {
-		t.next = now
+	if l.nextFree.Before(now) {
+		l.nextFree = now
 	}
-	t.next = t.next.Add(max(t.pace, firstPace) / time.Duration(most))
-	if t.next.After(now.Add(longest)) {
-		t.next = now.Add(longest)
+	l.nextFree = l.nextFree.Add(max(l.averageDuration, assumedDuration) / time.Duration(most))
+	if l.nextFree.After(now.Add(longest)) {
+		l.nextFree = now.Add(longest)
 	}
-	return max(t.next.Sub(now), laterLeast), false
+	return max(l.nextFree.Sub(now), minRetryAfter), false
 }
 
-func (t *turns) leave(took time.Duration) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.under--
-	t.pace = (3*t.pace + took) / 4
+func (l *fetchLimiter) release(took time.Duration) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.inFlight--
+	l.averageDuration = (3*l.averageDuration + took) / 4
 }
 
-// coded is a group as it goes out.
-type coded struct {
-	stamp  ids.Index
-	digest string
-	raw    json.RawMessage
+// encodedGroup is a group as it goes out.
+type encodedGroup struct {
+	version ids.Index
+	digest  string
+	raw     json.RawMessage
 }
 
-// coder keeps what was encoded last.
-type coder struct {
+// groupEncoder keeps what was encoded last.
+type groupEncoder struct {
 	mu     sync.Mutex
-	groups map[string]coded
-	wholes [2]struct {
+	groups map[string]encodedGroup
+	epochs [2]struct {
 		sheet *controlplane.EpochState
 		raw   json.RawMessage
 	} // plain, and packed
 }
 
-// all is the whole of an epoch with its manifest, as the receipt of a full fetch, with
+// epoch is the whole of an epoch with its manifest, as the receipt of a full fetch, with
 // its groups packed or not.
-func (c *coder) all(sheet *controlplane.EpochState, isPacked bool) (json.RawMessage, error) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	kept := &c.wholes[0]
+func (e *groupEncoder) epoch(state *controlplane.EpochState, isPacked bool) (json.RawMessage, error) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	kept := &e.epochs[0]
 	if isPacked {
-		kept = &c.wholes[1]
+		kept = &e.epochs[1]
 	}
-	if kept.sheet == sheet {
+	if kept.sheet == state {
 		return kept.raw, nil
 	}
-	manifest := sheet.Manifest()
+	manifest := state.Manifest()
 	groups := make(map[string]json.RawMessage, len(manifest))
 	for name := range manifest {
-		group, _ := sheet.PublishedGroup(name)
-		raw, err := c.one(name, group)
+		group, _ := state.PublishedGroup(name)
+		raw, err := e.groupLocked(name, group)
 		if err != nil {
 			return nil, err
 		}
 		groups[name] = raw
 	}
-	for name := range c.groups {
+	for name := range e.groups {
 		if _, ok := manifest[name]; !ok {
-			delete(c.groups, name)
+			delete(e.groups, name)
 		}
 	}
-	receipt := &rpc.FetchResponse{Epoch: sheet.Epoch, Manifest: manifest}
+	response := &rpc.FetchResponse{Epoch: state.Epoch, Manifest: manifest}
 	text, err := joinGroups(groups)
 	if err != nil {
 		return nil, err
 	}
-	if isPacked && len(text) >= packLeast {
-		receipt.Packed = deflate(text)
-		kept.raw, err = json.Marshal(receipt)
+	if isPacked && len(text) >= minCompressedSize {
+		response.Packed = deflate(text)
+		kept.raw, err = json.Marshal(response)
 	} else {
-		kept.raw, err = withGroups(receipt, text)
+		kept.raw, err = appendGroups(response, text)
 	}
 	if err != nil {
 		return nil, err
 	}
-	kept.sheet = sheet
+	kept.sheet = state
 	return kept.raw, nil
 }
 
 // group is one whole group as it goes out.
-func (c *coder) group(name string, group rpc.Group) (json.RawMessage, error) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.one(name, group)
+func (e *groupEncoder) group(name string, group rpc.Group) (json.RawMessage, error) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.groupLocked(name, group)
 }
 
-// one is group; the lock is held.
-func (c *coder) one(name string, group rpc.Group) (json.RawMessage, error) {
-	if kept, ok := c.groups[name]; ok && kept.digest == group.Digest && kept.stamp == group.Index {
+// groupLocked is group; the lock is held.
+func (e *groupEncoder) groupLocked(name string, group rpc.Group) (json.RawMessage, error) {
+	if kept, ok := e.groups[name]; ok && kept.digest == group.Digest && kept.version == group.Index {
 		return kept.raw, nil
 	}
 	raw, err := json.Marshal(&group)
 	if err != nil {
 		return nil, err
 	}
-	if c.groups == nil {
-		c.groups = map[string]coded{}
+	if e.groups == nil {
+		e.groups = map[string]encodedGroup{}
 	}
-	c.groups[name] = coded{stamp: group.Index, digest: group.Digest, raw: raw}
+	e.groups[name] = encodedGroup{version: group.Index, digest: group.Digest, raw: raw}
 	return raw, nil
 }
 
@@ -163,9 +163,9 @@
 	return text.Bytes(), nil
 }
 
-// withGroups is a receipt with the text of its groups.
-func withGroups(receipt *rpc.FetchResponse, groups json.RawMessage) (json.RawMessage, error) {
-	head, err := json.Marshal(receipt)
+// appendGroups is a receipt with the text of its groups.
+func appendGroups(response *rpc.FetchResponse, groups json.RawMessage) (json.RawMessage, error) {
+	head, err := json.Marshal(response)
 	if err != nil {
 		return nil, err
 	}
@@ -173,30 +173,30 @@
 }
 
 // fetch answers a fetch: of the groups named, or of all.
-func (s *Server) fetch(c *rpc.Call, ask *rpc.FetchRequest) (any, error) {
-	if len(ask.Groups) == 0 {
-		return s.fetchAll(c, ask.AcceptsPacked)
+func (s *Server) fetch(c *rpc.Request, request *rpc.FetchRequest) (any, error) {
+	if len(request.Groups) == 0 {
+		return s.fetchFull(c, request.AcceptsPacked)
 	}
-	if err := s.checkContact(); err != nil {
+	if err := s.checkLeaderContact(); err != nil {
 		return nil, err
 	}
-	sheet := s.ledger.Current()
-	receipt := &rpc.FetchResponse{Epoch: sheet.Epoch, Groups: map[string]rpc.Group{}}
-	for _, name := range ask.Groups {
-		if group, ok := sheet.PublishedGroup(name); ok {
-			receipt.Groups[name] = s.short(name, ask.HeldDigests[name], group)
+	state := s.state.Current()
+	response := &rpc.FetchResponse{Epoch: state.Epoch, Groups: map[string]rpc.Group{}}
+	for _, name := range request.Groups {
+		if group, ok := state.PublishedGroup(name); ok {
+			response.Groups[name] = s.shorten(name, request.HeldDigests[name], group)
 		}
 	}
-	if ask.AcceptsPacked {
-		if s.pack(receipt); receipt.Packed != nil {
-			return receipt, nil
+	if request.AcceptsPacked {
+		if s.compress(response); response.Packed != nil {
+			return response, nil
 		}
 	}
 	groups := map[string]json.RawMessage{}
-	for name, group := range receipt.Groups {
+	for name, group := range response.Groups {
 		raw, err := json.RawMessage(nil), error(nil)
 		if group.BaseDigest == "" {
-			raw, err = s.coder.group(name, group)
+			raw, err = s.encoder.group(name, group)
 		} else {
 			raw, err = json.Marshal(&group)
 		}
@@ -207,36 +207,36 @@
 	}
 	text, err := joinGroups(groups)
 	if err == nil {
-		receipt.Groups = nil
-		text, err = withGroups(receipt, text)
+		response.Groups = nil
+		text, err = appendGroups(response, text)
 	}
 	if err != nil {
 		return nil, errcode.New(errcode.Internal, "%v", err)
 	}
-	return &rpc.Raw{Body: text}, nil
+	return &rpc.EncodedResponse{Body: text}, nil
 }
 
-func (s *Server) fetchAll(c *rpc.Call, isPacked bool) (any, error) {
+func (s *Server) fetchFull(c *rpc.Request, isPacked bool) (any, error) {
 	// A member that was just started holds what its last snapshot holds, until an
 	// owner has told it how far the log is committed.
-	if s.checkContact() != nil {
+	if s.checkLeaderContact() != nil {
 		return &rpc.FetchResponse{}, nil
 	}
-	return s.hand(c, s.ledger.Current(), isPacked)
+	return s.sendFull(c, s.state.Current(), isPacked)
 }
 
-// hand gives the whole of an epoch if there is a place.
-func (s *Server) hand(c *rpc.Call, sheet *controlplane.EpochState, isPacked bool) (any, error) {
+// sendFull gives the whole of an epoch if there is a place.
+func (s *Server) sendFull(c *rpc.Request, state *controlplane.EpochState, isPacked bool) (any, error) {
 	began := time.Now()
-	later, isTaken := s.turns.take(began, s.r.Config.FlowFetches, s.r.Config.FlowCool)
+	retryAfter, isTaken := s.limiter.acquire(began, s.env.Config.FlowFetches, s.env.Config.FlowCool)
 	if !isTaken {
-		return &rpc.FetchResponse{RetryAfterMillis: max(later.Milliseconds(), 1)}, nil
+		return &rpc.FetchResponse{RetryAfterMillis: max(retryAfter.Milliseconds(), 1)}, nil
 	}
-	leave := func() { s.turns.leave(time.Since(began)) }
-	raw, err := s.coder.all(sheet, isPacked)
+	leave := func() { s.limiter.release(time.Since(began)) }
+	raw, err := s.encoder.epoch(state, isPacked)
 	if err != nil || c.Err() != nil {
 		leave()
 		return nil, errcode.New(errcode.ReplyLost, "the fetch is given up: %v", err)
 	}
-	return &rpc.Raw{Body: raw, Sent: leave}, nil
+	return &rpc.EncodedResponse{Body: raw, Release: leave}, nil
 }
--- a/internal/distribution/whole_test.go
+++ b/internal/distribution/whole_test.go
@@ -99,17 +99,17 @@
 
 func TestAWholeEpochIsEncodedOnceForAll(t *testing.T) {
 	epochs := sheets(t, 3)
-	c := &coder{}
-	first, err := c.all(epochs[1], false)
+	c := &groupEncoder{}
+	first, err := c.epoch(epochs[1], false)
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, _ := c.all(epochs[1], false)
+	again, _ := c.epoch(epochs[1], false)
 	if &first[0] != &again[0] {
 		t.Error("a second asker's text is made anew")
 	}
 	kept := c.groups[controlplane.RoutesPrefix+"1"].raw
-	whole, _ := c.all(epochs[2], false)
+	whole, _ := c.epoch(epochs[2], false)
 	if now := c.groups[controlplane.RoutesPrefix+"1"].raw; &kept[0] != &now[0] {
 		t.Error("a group that did not change is made anew")
 	}
@@ -118,8 +118,8 @@
 	if err := json.Unmarshal(whole, &got); err != nil || !reflect.DeepEqual(plain, &got) {
 		t.Errorf("%v: %s", err, whole)
 	}
-	packed, err := c.all(epochs[2], true)
-	if again, _ := c.all(epochs[2], true); err != nil || &packed[0] != &again[0] {
+	packed, err := c.epoch(epochs[2], true)
+	if again, _ := c.epoch(epochs[2], true); err != nil || &packed[0] != &again[0] {
 		t.Error("a second asker's packed text is made anew", err)
 	}
 	for name, group := range got.Groups {
@@ -134,14 +134,14 @@
 		board := &switchboard{listeners: map[string]*board{}}
 		ctx, end := context.WithCancel(t.Context())
 		defer end()
-		s := &Server{r: board.realm(t, ctx, "core", "10.0.0.1:1")}
-		sheet := sheets(t, 1)[0]
-		ask := func(ctx context.Context) (*rpc.Raw, int64) {
-			got, err := s.hand(&rpc.Call{Context: ctx}, sheet, false)
+		s := &Server{env: board.realm(t, ctx, "core", "10.0.0.1:1")}
+		state := sheets(t, 1)[0]
+		request := func(ctx context.Context) (*rpc.EncodedResponse, int64) {
+			got, err := s.sendFull(&rpc.Request{Context: ctx}, state, false)
 			if err != nil {
 				return nil, 0
 			}
-			if raw, ok := got.(*rpc.Raw); ok {
+			if raw, ok := got.(*rpc.EncodedResponse); ok {
 				return raw, 0
 			}
 			return nil, got.(*rpc.FetchResponse).RetryAfterMillis
@@ -149,42 +149,42 @@
 		gone, leave := context.WithCancel(ctx)
 		leave()
 		for range 5 {
-			if raw, later := ask(gone); raw != nil || later != 0 {
+			if raw, retryAfter := request(gone); raw != nil || retryAfter != 0 {
 				t.Fatal("worked on for an asker that is gone")
 			}
 		}
-		one, _ := ask(ctx)
-		two, _ := ask(ctx)
+		one, _ := request(ctx)
+		two, _ := request(ctx)
 		if one == nil || two == nil {
 			t.Fatal("refused while there is a place")
 		}
 		time.Sleep(400 * time.Millisecond)
-		if raw, later := ask(ctx); raw != nil || later == 0 {
+		if raw, retryAfter := request(ctx); raw != nil || retryAfter == 0 {
 			t.Fatal("a third is under way")
 		}
-		one.Sent()
-		if one, _ = ask(ctx); one == nil {
+		one.Release()
+		if one, _ = request(ctx); one == nil {
 			t.Fatal("refused though one came to its end")
 		}
 		before := int64(0)
 		for i := range 8 {
-			_, later := ask(ctx)
-			if later == 0 || later < before || i == 7 && later == before {
-				t.Fatalf("asker %d is told %d ms, the one before %d", i, later, before)
+			_, retryAfter := request(ctx)
+			if retryAfter == 0 || retryAfter < before || i == 7 && retryAfter == before {
+				t.Fatalf("asker %d is told %d ms, the one before %d", i, retryAfter, before)
 			}
 			if i != 6 {
-				before = later
+				before = retryAfter
 			}
 		}
 		for range 1000 {
-			if _, later := ask(ctx); later > s.r.Config.FlowCool.Milliseconds() {
-				t.Fatal("told to wait", later)
+			if _, retryAfter := request(ctx); retryAfter > s.env.Config.FlowCool.Milliseconds() {
+				t.Fatal("told to wait", retryAfter)
 			}
 		}
-		two.Sent()
-		one.Sent()
+		two.Release()
+		one.Release()
 		for range 2 {
-			if raw, _ := ask(ctx); raw == nil {
+			if raw, _ := request(ctx); raw == nil {
 				t.Fatal("a place was lost")
 			}
 		}
@@ -196,13 +196,13 @@
 	r := board.realm(t, ctx, string(name), address)
 	w := rpc.New(r)
 	asked := &[]time.Time{}
-	w.Handle("kin.sync", func(c *rpc.Call) (any, error) { return &rpc.MembershipSync{Members: others()}, nil })
-	w.Handle("flow.fetch", func(c *rpc.Call) (any, error) {
+	w.Handle("kin.sync", func(c *rpc.Request) (any, error) { return &rpc.MembershipSync{Members: others()}, nil })
+	w.Handle("flow.fetch", func(c *rpc.Request) (any, error) {
 		*asked = append(*asked, time.Now())
 		return fetch(len(*asked)), nil
 	})
-	w.Handle("flow.listen", func(c *rpc.Call) (any, error) { <-c.Done(); return nil, c.Err() })
-	if err := w.Open(); err != nil {
+	w.Handle("flow.listen", func(c *rpc.Request) (any, error) { <-c.Done(); return nil, c.Err() })
+	if err := w.Start(); err != nil {
 		t.Fatal(err)
 	}
 	return asked
@@ -210,9 +210,9 @@
 
 func TestAProxyThatIsRefusedTriesTheNextAndWaitsLongerEachTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		sheet := sheets(t, 1)[0]
-		whole, _ := new(coder).all(sheet, false)
-		full := &rpc.Raw{Body: whole}
+		state := sheets(t, 1)[0]
+		whole, _ := new(groupEncoder).epoch(state, false)
+		full := &rpc.EncodedResponse{Body: whole}
 		for _, last := range []bool{true, false} {
 			board := &switchboard{listeners: map[string]*board{}}
 			ctx, end := context.WithCancel(t.Context())
@@ -242,8 +242,8 @@
 			}
 			c := NewClient(r, w, k)
 			began := time.Now()
-			c.Open()
-			for c.Cache.Chart() == nil && time.Since(began) < time.Minute {
+			c.Start()
+			for c.Cache.Snapshot() == nil && time.Since(began) < time.Minute {
 				time.Sleep(10 * time.Millisecond)
 			}
 			took := time.Since(began)
--- a/internal/membership/memberlist.go
+++ b/internal/membership/memberlist.go
@@ -41,7 +41,7 @@
 // starts in the node's environment.
 type Memberlist struct {
 	env       *environment.Environment
-	transport *rpc.Wire
+	transport *rpc.Transport
 	config    protocolConfig
 
 	// packetConn sends and receives the datagrams; Start sets it.
@@ -78,7 +78,7 @@
 
 // New returns the view of the node that self describes, knowing nobody else yet, and
 // registers its messages at the transport. Start must follow once the transport is open.
-func New(env *environment.Environment, transport *rpc.Wire, self rpc.Member) *Memberlist {
+func New(env *environment.Environment, transport *rpc.Transport, self rpc.Member) *Memberlist {
 	self.Incarnation, self.State = 1, StateAlive
 	m := &Memberlist{
 		env:         env,
@@ -90,14 +90,14 @@
 	}
 	m.publishView()
 	m.SetSeeds(env.Config.Seeds)
-	transport.Handle(kindPushPull, func(c *rpc.Call) (any, error) {
+	transport.Handle(kindPushPull, func(c *rpc.Request) (any, error) {
 		var request rpc.MembershipSync
-		if err := c.Read(&request); err != nil {
+		if err := c.Decode(&request); err != nil {
 			return nil, err
 		}
 		return m.handlePushPull(&request)
 	})
-	transport.Handle(kindHere, func(*rpc.Call) (any, error) { return m.Self(), nil })
+	transport.Handle(kindHere, func(*rpc.Request) (any, error) { return m.Self(), nil })
 	return m
 }
 
--- a/internal/membership/memberlist_test.go
+++ b/internal/membership/memberlist_test.go
@@ -94,7 +94,7 @@
 	env := environment.New(c.ctx, settings, eventlog.New(c.Output(), "error", string(self.Name)), c.network.host())
 	transport := rpc.New(env)
 	m := New(env, transport, self)
-	if err := transport.Open(); err != nil {
+	if err := transport.Start(); err != nil {
 		c.Fatal(err)
 	}
 	return m
--- a/internal/membership/packet.go
+++ b/internal/membership/packet.go
@@ -42,7 +42,7 @@
 	if err != nil {
 		return
 	}
-	m.transport.Count(packetKind, address, len(raw)+1)
+	m.transport.RecordSent(packetKind, address, len(raw)+1)
 	m.packetConn.WriteTo(append(raw, '\n'), net.UDPAddrFromAddrPort(to))
 }
 
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -56,7 +56,7 @@
 	ctx, cancel := context.WithTimeout(m.env, max(2*m.config.probeTimeout, minReliableTimeout))
 	defer cancel()
 	var answer rpc.Member
-	if m.transport.Ask(ctx, target.RPCAddress, kindHere, struct{}{}, &answer) != nil || answer.Name != target.Name {
+	if m.transport.Call(ctx, target.RPCAddress, kindHere, struct{}{}, &answer) != nil || answer.Name != target.Name {
 		return false
 	}
 	m.applyUpdates([]rpc.Member{answer})
--- a/internal/membership/pushpull.go
+++ b/internal/membership/pushpull.go
@@ -203,7 +203,7 @@
 }
 
 func (m *Memberlist) requestPushPull(ctx context.Context, address string, request *rpc.MembershipSync) (response rpc.MembershipSync, ok bool) {
-	err := m.transport.Ask(ctx, address, kindPushPull, request, &response)
+	err := m.transport.Call(ctx, address, kindPushPull, request, &response)
 	return response, err == nil
 }
 
@@ -245,7 +245,7 @@
 		done()
 		return nil, err
 	}
-	return &rpc.Raw{Body: raw, Sent: done}, nil
+	return &rpc.EncodedResponse{Body: raw, Release: done}, nil
 }
 
 // encodedMembers returns the complete list encoded, once for each view.
--- a/internal/membership/pushpull_test.go
+++ b/internal/membership/pushpull_test.go
@@ -48,10 +48,10 @@
 	inCluster(t, func(c *cluster) {
 		a := c.node(testMember(0))
 		a.mergeList(testMembers(460))
-		var lists []*rpc.Raw
+		var lists []*rpc.EncodedResponse
 		for range maxFullSyncs {
 			answer, err := a.handlePushPull(&rpc.MembershipSync{Digest: 1, RangeCount: 1})
-			list, ok := answer.(*rpc.Raw)
+			list, ok := answer.(*rpc.EncodedResponse)
 			if !ok || err != nil {
 				c.Fatal(answer, err)
 			}
@@ -71,7 +71,7 @@
 		if b.PushPull(a.Self().RPCAddress) || !b.pushPull.refused.Load() {
 			c.Error("the refusal is not noted")
 		}
-		lists[0].Sent()
+		lists[0].Release()
 		if !b.PushPull(a.Self().RPCAddress) || len(b.View()) != 460 {
 			c.Error("a list that was sent still counts as under way")
 		}
--- a/internal/node/calls.go
+++ b/internal/node/calls.go
@@ -97,7 +97,7 @@
 		n.R.Go(func() {
 			defer all.Done()
 			var receipt rpc.InstanceLookupResponse
-			if n.Wire.Ask(limited, m.RPCAddress, "plan.whose", &rpc.InstanceLookupRequest{Instance: instance}, &receipt) == nil && receipt.Service != "" {
+			if n.Wire.Call(limited, m.RPCAddress, "plan.whose", &rpc.InstanceLookupRequest{Instance: instance}, &receipt) == nil && receipt.Service != "" {
 				found <- receipt.Service
 			}
 		})
@@ -151,7 +151,7 @@
 	if n.isGoing.Load() {
 		return errcode.New(errcode.Stopping, "")
 	}
-	if n.Flow != nil && !n.Flow.IsFresh(n.Flow.Cache.Chart(), "") {
+	if n.Flow != nil && !n.Flow.IsFresh(n.Flow.Cache.Snapshot(), "") {
 		return errcode.New(errcode.NotFresh, "")
 	}
 	if n.Consensus != nil && n.Consensus.Charter() == nil {
--- a/internal/node/desk.go
+++ b/internal/node/desk.go
@@ -156,7 +156,7 @@
 		return nil, err
 	}
 	if d.n.Flow != nil {
-		health.Epoch = api.NewOptUint64(uint64(d.n.Flow.Cache.Chart().Epoch))
+		health.Epoch = api.NewOptUint64(uint64(d.n.Flow.Cache.Snapshot().Epoch))
 	}
 	return health, nil
 }
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -177,11 +177,11 @@
 		s.add(metrics.BudgetTries, tries, service)
 		s.add(metrics.BudgetDebt, debt, service)
 	})
-	epoch, _ := s.n.Flow.Cache.Have()
+	epoch, _ := s.n.Flow.Cache.Current()
 	s.add(metrics.EpochUsed, float64(epoch))
-	if ages := s.n.Flow.Ages(); ages.Epoch > 0 {
+	if ages := s.n.Flow.LatestConfirmation(); ages.Epoch > 0 {
 		s.add(metrics.EpochHeard, float64(ages.Epoch))
-		s.add(metrics.EpochConfirmed, s.n.R.Since(ages.Config).Seconds())
+		s.add(metrics.EpochConfirmed, s.n.R.Since(ages.ConfigAsOf).Seconds())
 	}
 }
 
--- a/internal/node/pass.go
+++ b/internal/node/pass.go
@@ -51,7 +51,7 @@
 			if held != nil {
 				limited, end = n.whileOwnedAt(ctx, o.part, address)
 			}
-			err := n.Wire.AskHop(limited, address, "seat.pass", hops+1, &rpc.ForwardRequest{Shard: o.part, Operation: o.name, Body: raw}, &receipt)
+			err := n.Wire.Forward(limited, address, "seat.pass", hops+1, &rpc.ForwardRequest{Shard: o.part, Operation: o.name, Body: raw}, &receipt)
 			if err != nil && held != nil && (context.Cause(limited) == errMoved || errcode.Is(err, errcode.ReplyLost)) {
 				err = errcode.New(errcode.NoOwner, "part %d: %v", o.part, err)
 			}
@@ -173,15 +173,15 @@
 	return cores[try%len(cores)].RPCAddress
 }
 
-func (n *Node) passed(c *rpc.Call) (any, error) {
+func (n *Node) passed(c *rpc.Request) (any, error) {
 	var ask rpc.ForwardRequest
-	if err := c.Read(&ask); err != nil {
+	if err := c.Decode(&ask); err != nil {
 		return nil, err
 	}
 	if ask.Shard < 0 || ask.Shard > ids.ConfigShard {
 		return nil, errcode.New(errcode.BadMessage, "no part %d", ask.Shard)
 	}
-	if c.Hops > rpc.Hops {
+	if c.Hops > rpc.MaxHops {
 		return nil, errcode.New(errcode.TooManyHops, "%d", c.Hops)
 	}
 	var body json.RawMessage
--- a/internal/node/seat.go
+++ b/internal/node/seat.go
@@ -34,7 +34,7 @@
 // Node is one running node.
 type Node struct {
 	R            *environment.Environment
-	Wire         *rpc.Wire
+	Wire         *rpc.Transport
 	Kin          *membership.Memberlist
 	Store        *storage.Store
 	Consensus    *consensus.Node
@@ -86,7 +86,7 @@
 		}
 	}
 	n.Kin = membership.New(r, n.Wire, me)
-	n.Wire.IsNear = n.Kin.InOwnZone
+	n.Wire.IsSameZone = n.Kin.InOwnZone
 	if me.Core {
 		if err := n.openCore(); err != nil {
 			return nil, err
@@ -101,7 +101,7 @@
 		})
 	}
 	n.Wire.Handle("seat.pass", n.passed)
-	if err := n.Wire.Open(); err != nil {
+	if err := n.Wire.Start(); err != nil {
 		return nil, err
 	}
 	if err := n.Kin.Start(); err != nil {
@@ -126,8 +126,8 @@
 	if n.Gate != nil {
 		planned := make(chan struct{})
 		tell := sync.OnceFunc(func() { close(planned) })
-		n.Flow.Cache.Subscribe(func(*distribution.Chart) { tell() })
-		n.Flow.Open()
+		n.Flow.Cache.Subscribe(func(*distribution.Snapshot) { tell() })
+		n.Flow.Start()
 		if err := n.openGate(p.GateAddress, planned); err != nil {
 			return nil, err
 		}
@@ -191,20 +191,20 @@
 	n.Roll = controlplane.NewTargetRegistry(controlplane.RegistryConfig{Env: n.R, Consensus: n.Consensus, Stores: n.Stores, State: n.Ledger, OnChange: n.stir})
 	n.Planner = controlplane.NewPlanner(controlplane.PlannerConfig{Env: n.R, Transport: n.Wire, Members: n.Kin, Consensus: n.Consensus, State: n.Ledger})
 	distribution.NewServer(n.R, n.Wire, n.Kin, n.Consensus, n.Ledger, n.Planner).HandleOwner()
-	n.Wire.Handle("plan.whose", func(c *rpc.Call) (any, error) {
+	n.Wire.Handle("plan.whose", func(c *rpc.Request) (any, error) {
 		var ask rpc.InstanceLookupRequest
-		if err := c.Read(&ask); err != nil {
+		if err := c.Decode(&ask); err != nil {
 			return nil, err
 		}
 		return &rpc.InstanceLookupResponse{Service: n.Roll.ServiceOf(ask.Instance)}, nil
 	})
-	n.Wire.Handle("plan.stir", func(c *rpc.Call) (any, error) {
+	n.Wire.Handle("plan.stir", func(c *rpc.Request) (any, error) {
 		n.Planner.Trigger()
 		return struct{}{}, nil
 	})
-	n.Wire.Handle("plan.news", func(c *rpc.Call) (any, error) {
+	n.Wire.Handle("plan.news", func(c *rpc.Request) (any, error) {
 		var ask rpc.TargetReportRequest
-		if err := c.Read(&ask); err != nil {
+		if err := c.Decode(&ask); err != nil {
 			return nil, err
 		}
 		return n.Roll.Report(c, &ask), nil
@@ -297,7 +297,7 @@
 		if address := n.ownerOf(ids.ConfigShard, 0); address != "" {
 			ctx, end := context.WithTimeout(n.R, 500*time.Millisecond)
 			defer end()
-			n.Wire.Ask(ctx, address, "plan.stir", struct{}{}, nil)
+			n.Wire.Call(ctx, address, "plan.stir", struct{}{}, nil)
 		}
 	})
 }
--- a/internal/node/show.go
+++ b/internal/node/show.go
@@ -59,11 +59,11 @@
 	case api.ShowWhatAges:
 		columns("what", "epoch", "age")
 		if n.Flow != nil {
-			ages := n.Flow.Ages()
-			epoch, _ := n.Flow.Cache.Have()
+			ages := n.Flow.LatestConfirmation()
+			epoch, _ := n.Flow.Cache.Current()
 			add("in use", epoch, "")
-			add("config", ages.Epoch, d.n.R.Since(ages.Config).Round(time.Millisecond))
-			for no, at := range ages.Parts {
+			add("config", ages.Epoch, d.n.R.Since(ages.ConfigAsOf).Round(time.Millisecond))
+			for no, at := range ages.ShardsAsOf {
 				add(fmt.Sprint("part ", no), ages.Epoch, d.n.R.Since(at).Round(time.Millisecond))
 			}
 		}
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -26,7 +26,7 @@
 // targets can't be asked whether they want a body, it is read whole in any case.
 func (p *Proxy) requestBody(ctx context.Context, plan *requestPlan, r *http.Request) (func() io.Reader, bool, error) {
 	maxBytes := int64(p.environment.Config.GateRequest)
-	if limits := plan.snapshot.Manners; limits != nil && limits.BodyBytes > 0 {
+	if limits := plan.snapshot.ClientLimits; limits != nil && limits.BodyBytes > 0 {
 		maxBytes = min(maxBytes, limits.BodyBytes)
 	}
 	if r.ContentLength > maxBytes {
@@ -249,7 +249,7 @@
 	if target.Zone != p.environment.Config.Zone {
 		kind += " between"
 	}
-	p.rpc.Count(kind, "", bytes)
+	p.rpc.RecordSent(kind, "", bytes)
 }
 
 // countingWriter knows whether a first byte was written.
--- a/internal/proxy/endpoint.go
+++ b/internal/proxy/endpoint.go
@@ -142,7 +142,7 @@
 }
 
 // zoneProxies counts the proxies that share the targets of this zone.
-func (p *Proxy) zoneProxies(snapshot *distribution.Chart) int {
+func (p *Proxy) zoneProxies(snapshot *distribution.Snapshot) int {
 	count := 0
 	for name, member := range p.membership.View() {
 		if _, named := snapshot.Shares[name]; named && member.Zone == p.environment.Config.Zone && (member.State == membership.StateAlive || member.State == membership.StateSuspect) {
--- a/internal/proxy/order_report.go
+++ b/internal/proxy/order_report.go
@@ -31,18 +31,18 @@
 
 type orderReporter struct {
 	environment *environment.Environment
-	rpc         *rpc.Wire
+	rpc         *rpc.Transport
 	membership  *membership.Memberlist
 	budget      *retry.Budget
-	snapshot    func() *distribution.Chart
+	snapshot    func() *distribution.Snapshot
 	queue       chan lostOrder
 }
 
-func newOrderReporter(env *environment.Environment, rpcClient *rpc.Wire, membership *membership.Memberlist, budget *retry.Budget, orders *Tracker, snapshot func() *distribution.Chart) *orderReporter {
+func newOrderReporter(env *environment.Environment, rpcClient *rpc.Transport, membership *membership.Memberlist, budget *retry.Budget, orders *Tracker, snapshot func() *distribution.Snapshot) *orderReporter {
 	reporter := &orderReporter{environment: env, rpc: rpcClient, membership: membership, budget: budget, snapshot: snapshot, queue: make(chan lostOrder, maxReportBatch)}
-	rpcClient.Handle("gate.seen", func(call *rpc.Call) (any, error) {
+	rpcClient.Handle("gate.seen", func(call *rpc.Request) (any, error) {
 		var request rpc.UnansweredRequests
-		if err := call.Read(&request); err != nil {
+		if err := call.Decode(&request); err != nil {
 			return nil, err
 		}
 		budget.RecordPeerLosses(request.Keys)
@@ -112,7 +112,7 @@
 			defer pending.Done()
 			ctx, cancel := context.WithTimeout(o.environment, reportTimeout)
 			defer cancel()
-			if o.rpc.Ask(ctx, member.RPCAddress, "gate.seen", &rpc.UnansweredRequests{Keys: keys}, nil) != nil && named {
+			if o.rpc.Call(ctx, member.RPCAddress, "gate.seen", &rpc.UnansweredRequests{Keys: keys}, nil) != nil && named {
 				unreached.Add(1)
 			}
 		})
--- a/internal/proxy/outlier.go
+++ b/internal/proxy/outlier.go
@@ -93,9 +93,9 @@
 
 func newOutlierReporter(proxy *Proxy) *outlierReporter {
 	reporter := &outlierReporter{proxy: proxy, failures: map[string]int{}, wake: make(chan struct{}, 1)}
-	proxy.rpc.Handle("gate.ill", func(call *rpc.Call) (any, error) {
+	proxy.rpc.Handle("gate.ill", func(call *rpc.Request) (any, error) {
 		var request rpc.FailureReport
-		if err := call.Read(&request); err != nil {
+		if err := call.Decode(&request); err != nil {
 			return nil, err
 		}
 		reporter.applyReport(request.Failures)
@@ -167,7 +167,7 @@
 		r.proxy.environment.Go(func() {
 			ctx, cancel := context.WithTimeout(r.proxy.environment, outlierReportTimeout)
 			defer cancel()
-			r.proxy.rpc.Ask(ctx, member.RPCAddress, "gate.ill", &rpc.FailureReport{Failures: failures}, nil)
+			r.proxy.rpc.Call(ctx, member.RPCAddress, "gate.ill", &rpc.FailureReport{Failures: failures}, nil)
 		})
 	}
 }
--- a/internal/proxy/plan.go
+++ b/internal/proxy/plan.go
@@ -18,7 +18,7 @@
 
 type requestPlan struct {
 	requestID     string
-	snapshot      *distribution.Chart
+	snapshot      *distribution.Snapshot
 	route         *rpc.Route
 	service       rpc.Service
 	endpoints     *Pool
@@ -58,7 +58,7 @@
 
 // epochView finds mappings by path, and knows the targets of the epoch.
 type epochView struct {
-	snapshot     *distribution.Chart
+	snapshot     *distribution.Snapshot
 	routesByPath map[string][]*rpc.Route
 	addresses    map[string]bool
 	byReportID   map[string]*Endpoint // by what proxies name them to one another
@@ -66,7 +66,7 @@
 	zoneProxies  int
 }
 
-func (p *Proxy) newEpochView(snapshot *distribution.Chart, previous *epochView) *epochView {
+func (p *Proxy) newEpochView(snapshot *distribution.Snapshot, previous *epochView) *epochView {
 	view := &epochView{snapshot: snapshot, addresses: map[string]bool{}, byReportID: map[string]*Endpoint{}, pools: map[string]*Pool{}, zoneProxies: p.zoneProxies(snapshot)}
 	if view.hasSameRoutes(previous) {
 		view.routesByPath = previous.routesByPath
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -49,22 +49,22 @@
 	orderReports  *orderReporter
 	outliers      *outlierReporter
 	membership    *membership.Memberlist
-	rpc           *rpc.Wire
+	rpc           *rpc.Transport
 	unwritten     chan orderOutcome
 	coordinate    func(context.Context, *rpc.CoordinationRequest) (*rpc.CoordinationResponse, error)
 	OutcomeCounts sync.Map
 }
 
-func New(env *environment.Environment, configuration *distribution.Client, rpcClient *rpc.Wire, membership *membership.Memberlist, coordinate func(context.Context, *rpc.CoordinationRequest) (*rpc.CoordinationResponse, error)) *Proxy {
+func New(env *environment.Environment, configuration *distribution.Client, rpcClient *rpc.Transport, membership *membership.Memberlist, coordinate func(context.Context, *rpc.CoordinationRequest) (*rpc.CoordinationResponse, error)) *Proxy {
 	correlationHeader := ""
 	if env.Config.GateSeal == "opaque" {
 		correlationHeader = env.Config.HeaderRequest
 	}
 	p := &Proxy{environment: env, configuration: configuration, connections: upstream.NewPool(upstream.Config{Environment: env, IdleTimeout: env.Config.GateIdle, CorrelationHeader: correlationHeader}), retryBudget: retry.NewBudget(env.Config.ExtraWindow), uploads: admission.New(admission.Config{KilobytesPerSecond: env.Config.GateRate, ConcurrentReads: env.Config.GateBodies}), opaqueSeals: env.Config.GateSeal == "opaque", orders: NewTracker(), membership: membership, rpc: rpcClient, coordinate: coordinate, unwritten: make(chan orderOutcome, 4096)}
 	env.Go(p.writeOutcomes)
-	p.orderReports = newOrderReporter(env, rpcClient, membership, p.retryBudget, p.orders, configuration.Cache.Chart)
+	p.orderReports = newOrderReporter(env, rpcClient, membership, p.retryBudget, p.orders, configuration.Cache.Snapshot)
 	p.outliers = newOutlierReporter(p)
-	configuration.Cache.Subscribe(func(snapshot *distribution.Chart) {
+	configuration.Cache.Subscribe(func(snapshot *distribution.Snapshot) {
 		next := p.newEpochView(snapshot, p.current.Load())
 		p.current.Store(next)
 		p.retryBudget.SetProxyCount(len(snapshot.Shares))
@@ -202,7 +202,7 @@
 }
 
 // quotaShare is this proxy's part of a fleet-wide bound, by strength.
-func (p *Proxy) quotaShare(snapshot *distribution.Chart, limit int) int64 {
+func (p *Proxy) quotaShare(snapshot *distribution.Snapshot, limit int) int64 {
 	total := 0
 	for _, strength := range snapshot.Shares {
 		total += strength
--- a/internal/rpc/idle_test.go
+++ b/internal/rpc/idle_test.go
@@ -39,7 +39,7 @@
 		defer end()
 		far := &socket{conns: make(chan net.Conn), over: make(chan struct{})}
 		dialled := 0
-		node := func(address string, listen *socket) *Wire {
+		node := func(address string, listen *socket) *Transport {
 			settings, err := config.Load("", map[string]string{"name": "n", "zone": "a", "wire.address": address, "api.address": "10.0.0.1:2", "gate.address": "10.0.0.1:3"})
 			if err != nil {
 				t.Fatal(err)
@@ -53,9 +53,9 @@
 					return mine, nil
 				},
 			}))
-			w.Handle("now", func(c *Call) (any, error) { return 1, nil })
-			w.Handle("held", func(c *Call) (any, error) { time.Sleep(5 * time.Minute); return 1, nil })
-			if err := w.Open(); err != nil {
+			w.Handle("now", func(c *Request) (any, error) { return 1, nil })
+			w.Handle("held", func(c *Request) (any, error) { time.Sleep(5 * time.Minute); return 1, nil })
+			if err := w.Start(); err != nil {
 				t.Fatal(err)
 			}
 			return w
@@ -63,11 +63,11 @@
 		const its = "10.0.0.2:1"
 		node(its, far)
 		w := node("10.0.0.1:1", &socket{conns: make(chan net.Conn), over: make(chan struct{})})
-		idle := w.r.Config.WireIdle
-		open := func() int { w.mu.Lock(); defer w.mu.Unlock(); return len(w.pipes) }
+		idle := w.env.Config.WireIdle
+		open := func() int { w.mu.Lock(); defer w.mu.Unlock(); return len(w.clientConns) }
 		ask := func(kind string) {
 			t.Helper()
-			if err := w.Ask(ctx, its, kind, struct{}{}, nil); err != nil {
+			if err := w.Call(ctx, its, kind, struct{}{}, nil); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -92,12 +92,12 @@
 		}
 		// Just when it is closed it is used: the ask goes over a new one.
 		w.mu.Lock()
-		p := w.pipes[its]
+		p := w.clientConns[its]
 		w.mu.Unlock()
 		p.mu.Lock()
-		p.lastUse = p.lastUse.Add(-idle)
+		p.lastUsed = p.lastUsed.Add(-idle)
 		p.mu.Unlock()
-		if !p.rest() {
+		if !p.markIdle() {
 			t.Fatal("not idle")
 		}
 		ask("now")
@@ -105,7 +105,7 @@
 		if ask("now"); dialled != 3 || open() != 1 {
 			t.Errorf("%d dialled, %d open", dialled, open())
 		}
-		if err := w.Ask(ctx, its, "nothing", struct{}{}, nil); !errcode.Is(err, errcode.UnknownKind) {
+		if err := w.Call(ctx, its, "nothing", struct{}{}, nil); !errcode.Is(err, errcode.UnknownKind) {
 			t.Error(err)
 		}
 	})
--- a/internal/rpc/pack.go
+++ b/internal/rpc/pack.go
@@ -7,13 +7,13 @@
 	"io"
 )
 
-// packed is a frame's line in pieces; a large body stays the one that all share.
-type packed [][]byte
+// encodedFrame is a frame's line in pieces; a large body stays the one that all share.
+type encodedFrame [][]byte
 
-// joined is up to how large a body is copied, so that the line is one write.
-const joined = 64 << 10
+// maxJoinedBody is up to how large a body is copied, so that the line is one write.
+const maxJoinedBody = 64 << 10
 
-func pack(frame *Frame) (packed, error) {
+func encodeFrame(frame *Frame) (encodedFrame, error) {
 	bare := *frame
 	bare.Body = nil
 	head, err := json.Marshal(&bare)
@@ -21,24 +21,24 @@
 		return nil, err
 	}
 	if len(frame.Body) == 0 {
-		return packed{append(head, '\n')}, nil
+		return encodedFrame{append(head, '\n')}, nil
 	}
 	head = append(head[:len(head)-1], `,"body":`...)
-	if len(frame.Body) > joined {
-		return packed{head, frame.Body, []byte("}\n")}, nil
+	if len(frame.Body) > maxJoinedBody {
+		return encodedFrame{head, frame.Body, []byte("}\n")}, nil
 	}
-	return packed{append(append(head, frame.Body...), "}\n"...)}, nil
+	return encodedFrame{append(append(head, frame.Body...), "}\n"...)}, nil
 }
 
-func (p packed) size() (sum int) {
-	for _, piece := range p {
+func (f encodedFrame) size() (sum int) {
+	for _, piece := range f {
 		sum += len(piece)
 	}
 	return sum
 }
 
-func (p packed) write(to io.Writer) error {
-	for _, piece := range p {
+func (f encodedFrame) write(to io.Writer) error {
+	for _, piece := range f {
 		if _, err := to.Write(piece); err != nil {
 			return err
 		}
--- a/internal/rpc/pack_test.go
+++ b/internal/rpc/pack_test.go
@@ -18,7 +18,7 @@
 )
 
 func TestAPackedFrameIsTheFrameAsJson(t *testing.T) {
-	large, _ := json.Marshal(strings.Repeat("a<b", joined))
+	large, _ := json.Marshal(strings.Repeat("a<b", maxJoinedBody))
 	for _, frame := range []*Frame{
 		{Version: Version, ID: 1, Code: 4004, Note: "gone <&>", Paths: []string{"a"}},
 		{Version: Version, ID: 2, Kind: "kin.sync", Deadline: 9, Body: json.RawMessage(`{"digest":7}`)},
@@ -28,7 +28,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		got, err := pack(frame)
+		got, err := encodeFrame(frame)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -36,7 +36,7 @@
 		if err := got.write(&line); err != nil || line.String() != string(plain)+"\n" || got.size() != line.Len() {
 			t.Errorf("%v: %.200s is not %.200s", err, line.String(), plain)
 		}
-		if len(frame.Body) > joined && &got[1][0] != &frame.Body[0] {
+		if len(frame.Body) > maxJoinedBody && &got[1][0] != &frame.Body[0] {
 			t.Error("a large body is copied")
 		}
 	}
@@ -52,25 +52,25 @@
 		defer end()
 		w := New(environment.New(ctx, settings, eventlog.New(t.Output(), "error", "n"), environment.Host{}))
 		begun, sent := 0, 0
-		w.Handle("slow", func(c *Call) (any, error) {
+		w.Handle("slow", func(c *Request) (any, error) {
 			begun++
 			<-c.Done()
-			return &Raw{Body: json.RawMessage(`{"large":true}`), Sent: func() { sent++ }}, nil
+			return &EncodedResponse{Body: json.RawMessage(`{"large":true}`), Release: func() { sent++ }}, nil
 		})
 		ask := &Frame{Version: Version, ID: 5, Kind: "slow", Deadline: 20_000}
 		got := time.Now()
-		receipt, leave := w.answer(ctx, ask, got)
-		if begun != 1 || receipt.Body != nil || receipt.Code != errcode.ReplyLost.No || receipt.ID != 5 || leave == nil {
-			t.Errorf("begun %d, %+v", begun, receipt)
+		response, leave := w.dispatch(ctx, ask, got)
+		if begun != 1 || response.Body != nil || response.Code != errcode.ReplyLost.No || response.ID != 5 || leave == nil {
+			t.Errorf("begun %d, %+v", begun, response)
 		}
 		leave()
 		if sent != 1 {
 			t.Error("the handler is not told that its receipt is done with")
 		}
 		// Read from the pipe, but not begun until its asker had given up.
-		receipt, leave = w.answer(ctx, ask, got)
-		if begun != 1 || leave != nil || !reflect.DeepEqual(receipt, &Frame{Version: Version, ID: 5, Code: errcode.ReplyLost.No, Note: "slow: not begun, its time is over"}) {
-			t.Errorf("begun %d, %+v", begun, receipt)
+		response, leave = w.dispatch(ctx, ask, got)
+		if begun != 1 || leave != nil || !reflect.DeepEqual(response, &Frame{Version: Version, ID: 5, Code: errcode.ReplyLost.No, Note: "slow: not begun, its time is over"}) {
+			t.Errorf("begun %d, %+v", begun, response)
 		}
 	})
 }
--- a/internal/rpc/pipe.go
+++ b/internal/rpc/pipe.go
@@ -15,122 +15,122 @@
 	"github.com/sumactrestle/sumactrestle/internal/errcode"
 )
 
-type pipe struct {
-	w       *Wire
-	address string
-	ready   chan struct{}
-	problem error
-	conn    net.Conn
+type clientConn struct {
+	transport *Transport
+	address   string
+	ready     chan struct{}
+	dialError error
+	conn      net.Conn
 
-	mu      sync.Mutex
-	writing environment.ChanMutex
-	next    uint64
-	waiting map[uint64]chan *Frame
-	isOver  bool
-	isIdle  bool
-	lastGot time.Time
-	lastUse time.Time
+	mu         sync.Mutex
+	writeLock  environment.ChanMutex
+	lastID     uint64
+	pending    map[uint64]chan *Frame
+	closed     bool
+	closedIdle bool
+	lastRead   time.Time
+	lastUsed   time.Time
 }
 
-// heard notes each byte that comes. A pipe on which none came for the length of an ask
+// activityReader notes each byte that comes. A pipe on which none came for the length of an ask
 // that ran out of time is dropped: a connection that lived through a cut may otherwise
 // stay silent for as long as TCP's own growing pauses last. One that is in the midst of
 // a long receipt is not: that would begin anew, and fill the link that made it late.
-type heard struct{ p *pipe }
+type activityReader struct{ conn *clientConn }
 
-func (h heard) Read(to []byte) (int, error) {
-	n, err := h.p.conn.Read(to)
+func (r activityReader) Read(buffer []byte) (int, error) {
+	n, err := r.conn.conn.Read(buffer)
 	if n > 0 {
-		h.p.mu.Lock()
-		h.p.lastGot = time.Now()
-		h.p.mu.Unlock()
+		r.conn.mu.Lock()
+		r.conn.lastRead = time.Now()
+		r.conn.mu.Unlock()
 	}
 	return n, err
 }
 
-func (w *Wire) pipe(ctx context.Context, address string) (*pipe, error) {
-	w.mu.Lock()
-	p, ok := w.pipes[address]
+func (t *Transport) clientConn(ctx context.Context, address string) (*clientConn, error) {
+	t.mu.Lock()
+	conn, ok := t.clientConns[address]
 	if !ok {
-		if w.r.IsStopping() {
-			w.mu.Unlock()
+		if t.env.IsStopping() {
+			t.mu.Unlock()
 			return nil, errcode.New(errcode.Unreached, "%s: stopping", address)
 		}
-		p = &pipe{w: w, address: address, ready: make(chan struct{}), waiting: map[uint64]chan *Frame{}, writing: environment.NewChanMutex()}
-		w.pipes[address] = p
-		w.r.Go(p.run)
+		conn = &clientConn{transport: t, address: address, ready: make(chan struct{}), pending: map[uint64]chan *Frame{}, writeLock: environment.NewChanMutex()}
+		t.clientConns[address] = conn
+		t.env.Go(conn.run)
 	}
-	w.mu.Unlock()
+	t.mu.Unlock()
 	select {
-	case <-p.ready:
-		return p, p.problem
+	case <-conn.ready:
+		return conn, conn.dialError
 	case <-ctx.Done():
 		return nil, errcode.New(errcode.Unreached, "%s: %v", address, ctx.Err())
 	}
 }
 
-func (p *pipe) run() {
-	conn, err := p.dial()
+func (c *clientConn) run() {
+	conn, err := c.dial()
 	if err != nil {
-		p.problem = errcode.New(errcode.Unreached, "%s: %v", p.address, err)
-		p.forget()
-		close(p.ready)
+		c.dialError = errcode.New(errcode.Unreached, "%s: %v", c.address, err)
+		c.unregister()
+		close(c.ready)
 		return
 	}
-	p.conn = conn
-	if !p.w.keep(conn) {
-		p.problem = errcode.New(errcode.Unreached, "%s: stopping", p.address)
-		p.forget()
-		close(p.ready)
+	c.conn = conn
+	if !c.transport.trackConn(conn) {
+		c.dialError = errcode.New(errcode.Unreached, "%s: stopping", c.address)
+		c.unregister()
+		close(c.ready)
 		return
 	}
-	p.mu.Lock()
-	p.lastUse = time.Now()
-	p.mu.Unlock()
-	close(p.ready)
-	reader := bufio.NewReaderSize(heard{p}, 16<<10)
+	c.mu.Lock()
+	c.lastUsed = time.Now()
+	c.mu.Unlock()
+	close(c.ready)
+	reader := bufio.NewReaderSize(activityReader{c}, 16<<10)
 	for {
-		line, err := readLine(reader, p.w.r.Config.WireLine)
+		line, err := readLine(reader, c.transport.env.Config.WireLine)
 		if err != nil {
 			break
 		}
-		receipt := &Frame{}
-		if err := json.Unmarshal(line, receipt); err != nil {
+		response := &Frame{}
+		if err := json.Unmarshal(line, response); err != nil {
 			break
 		}
-		p.mu.Lock()
-		p.lastUse = time.Now()
-		waiter := p.waiting[receipt.ID]
-		delete(p.waiting, receipt.ID)
-		p.mu.Unlock()
+		c.mu.Lock()
+		c.lastUsed = time.Now()
+		waiter := c.pending[response.ID]
+		delete(c.pending, response.ID)
+		c.mu.Unlock()
 		if waiter != nil {
-			waiter <- receipt
+			waiter <- response
 		}
 	}
-	p.close()
+	c.close()
 }
 
-// dials is how many connections are tried for one pipe: a machine that was down when
+// dialAttempts is how many connections are tried for one pipe: a machine that was down when
 // the first was asked for is asked again by the system only after a second.
-const dials = 3
+const dialAttempts = 3
 
 // dial opens a connection. While none is there and none was refused, another is tried
 // beside it after a part of the time; the first that opens is the pipe's.
-func (p *pipe) dial() (net.Conn, error) {
-	ctx, end := context.WithTimeout(p.w.r, p.w.r.Config.WireDial)
+func (c *clientConn) dial() (net.Conn, error) {
+	ctx, end := context.WithTimeout(c.transport.env, c.transport.env.Config.WireDial)
 	defer end()
 	type opened struct {
 		conn net.Conn
 		err  error
 	}
-	results := make(chan opened, dials)
+	results := make(chan opened, dialAttempts)
 	begin := func() {
-		p.w.r.Go(func() {
-			conn, err := p.w.r.Host.Dial(ctx, p.address)
+		c.transport.env.Go(func() {
+			conn, err := c.transport.env.Host.Dial(ctx, c.address)
 			results <- opened{conn, err}
 		})
 	}
-	again := time.NewTicker(p.w.r.Config.WireDial / dials)
+	again := time.NewTicker(c.transport.env.Config.WireDial / dialAttempts)
 	defer again.Stop()
 	begin()
 	begun := 1
@@ -138,7 +138,7 @@
 		select {
 		case got := <-results:
 			left := begun - 1
-			p.w.r.Go(func() {
+			c.transport.env.Go(func() {
 				for range left {
 					if late := <-results; late.conn != nil {
 						late.conn.Close()
@@ -147,7 +147,7 @@
 			})
 			return got.conn, got.err
 		case <-again.C:
-			if begun < dials {
+			if begun < dialAttempts {
 				begin()
 				begun++
 			}
@@ -155,71 +155,71 @@
 	}
 }
 
-func (p *pipe) forget() {
-	p.w.mu.Lock()
-	if p.w.pipes[p.address] == p {
-		delete(p.w.pipes, p.address)
+func (c *clientConn) unregister() {
+	c.transport.mu.Lock()
+	if c.transport.clientConns[c.address] == c {
+		delete(c.transport.clientConns, c.address)
 	}
-	p.w.mu.Unlock()
+	c.transport.mu.Unlock()
 }
 
-func (p *pipe) close() {
-	p.forget()
-	p.w.drop(p.conn)
-	p.mu.Lock()
-	p.isOver = true
-	for id, waiter := range p.waiting {
-		delete(p.waiting, id)
+func (c *clientConn) close() {
+	c.unregister()
+	c.transport.closeConn(c.conn)
+	c.mu.Lock()
+	c.closed = true
+	for id, waiter := range c.pending {
+		delete(c.pending, id)
 		close(waiter)
 	}
-	p.mu.Unlock()
+	c.mu.Unlock()
 }
 
-func (p *pipe) ask(ctx context.Context, frame *Frame) (*Frame, error) {
+func (c *clientConn) roundTrip(ctx context.Context, frame *Frame) (*Frame, error) {
 	waiter := make(chan *Frame, 1)
-	p.mu.Lock()
-	if p.isIdle {
-		p.mu.Unlock()
-		p.forget()
-		return nil, errIdle
-	}
-	if p.isOver {
-		p.mu.Unlock()
-		return nil, errcode.New(errcode.Unreached, "%s: pipe closed", p.address)
-	}
-	p.next++
-	frame.ID = p.next
-	p.waiting[frame.ID] = waiter
-	p.lastUse = time.Now()
-	p.mu.Unlock()
-	raw, err := pack(frame)
+	c.mu.Lock()
+	if c.closedIdle {
+		c.mu.Unlock()
+		c.unregister()
+		return nil, errClosedIdle
+	}
+	if c.closed {
+		c.mu.Unlock()
+		return nil, errcode.New(errcode.Unreached, "%s: pipe closed", c.address)
+	}
+	c.lastID++
+	frame.ID = c.lastID
+	c.pending[frame.ID] = waiter
+	c.lastUsed = time.Now()
+	c.mu.Unlock()
+	encoded, err := encodeFrame(frame)
 	if err != nil {
 		return nil, errcode.New(errcode.Internal, "%v", err)
 	}
 	sent := time.Now()
-	p.w.count(frame.Kind, p.address, raw.size())
-	p.writing.Lock()
-	p.conn.SetWriteDeadline(time.Now().Add(5 * time.Second))
-	err = raw.write(p.conn)
-	p.writing.Unlock()
+	c.transport.recordSent(frame.Kind, c.address, encoded.size())
+	c.writeLock.Lock()
+	c.conn.SetWriteDeadline(time.Now().Add(5 * time.Second))
+	err = encoded.write(c.conn)
+	c.writeLock.Unlock()
 	if err != nil {
-		p.close()
-		return nil, errcode.New(errcode.ReplyLost, "%s: %v", p.address, err)
+		c.close()
+		return nil, errcode.New(errcode.ReplyLost, "%s: %v", c.address, err)
 	}
 	select {
-	case receipt, ok := <-waiter:
+	case response, ok := <-waiter:
 		if !ok {
-			return nil, errcode.New(errcode.ReplyLost, "%s: pipe closed", p.address)
+			return nil, errcode.New(errcode.ReplyLost, "%s: pipe closed", c.address)
 		}
-		return receipt, nil
+		return response, nil
 	case <-ctx.Done():
-		p.mu.Lock()
-		delete(p.waiting, frame.ID)
-		isDeaf := p.lastGot.Before(sent) && time.Since(sent) > p.w.r.Config.WireDeaf
-		p.mu.Unlock()
-		if isDeaf {
-			p.close()
+		c.mu.Lock()
+		delete(c.pending, frame.ID)
+		unresponsive := c.lastRead.Before(sent) && time.Since(sent) > c.transport.env.Config.WireDeaf
+		c.mu.Unlock()
+		if unresponsive {
+			c.close()
 		}
-		return nil, errcode.New(errcode.ReplyLost, "%s %s: %v", p.address, frame.Kind, ctx.Err())
+		return nil, errcode.New(errcode.ReplyLost, "%s %s: %v", c.address, frame.Kind, ctx.Err())
 	}
 }
--- a/internal/rpc/pipe_test.go
+++ b/internal/rpc/pipe_test.go
@@ -16,7 +16,7 @@
 )
 
 // dialled is a wire whose n-th dial does what the n-th verb does.
-func dialled(t *testing.T, verbs ...func(context.Context) (net.Conn, error)) (*Wire, *environment.Environment, *atomic.Int64) {
+func dialled(t *testing.T, verbs ...func(context.Context) (net.Conn, error)) (*Transport, *environment.Environment, *atomic.Int64) {
 	t.Helper()
 	p, err := config.Load("", map[string]string{"name": "one", "wire.address": "127.0.0.1:1", "api.address": "127.0.0.1:2", "gate.address": "127.0.0.1:3", "wire.dial": "600ms"})
 	if err != nil {
@@ -40,7 +40,7 @@
 		w, r, _ := dialled(t, hangs, opens)
 		defer func() { there.Close(); r.Shutdown() }()
 		began := time.Now()
-		if _, err := w.pipe(r, "10.0.0.1:1"); err != nil || time.Since(began) > 250*time.Millisecond {
+		if _, err := w.clientConn(r, "10.0.0.1:1"); err != nil || time.Since(began) > 250*time.Millisecond {
 			t.Error("after", time.Since(began), err)
 		}
 	})
@@ -50,7 +50,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w, r, count := dialled(t, refuses)
 		defer r.Shutdown()
-		if _, err := w.pipe(r, "10.0.0.1:1"); err == nil || count.Load() != 1 {
+		if _, err := w.clientConn(r, "10.0.0.1:1"); err == nil || count.Load() != 1 {
 			t.Error(count.Load(), "dials,", err)
 		}
 	})
@@ -61,7 +61,7 @@
 		w, r, count := dialled(t, hangs)
 		defer r.Shutdown()
 		began := time.Now()
-		if _, err := w.pipe(r, "10.0.0.1:1"); err == nil || time.Since(began) != 600*time.Millisecond || count.Load() != dials {
+		if _, err := w.clientConn(r, "10.0.0.1:1"); err == nil || time.Since(began) != 600*time.Millisecond || count.Load() != dialAttempts {
 			t.Error(count.Load(), "dials, after", time.Since(began), err)
 		}
 	})
--- a/internal/rpc/wire.go
+++ b/internal/rpc/wire.go
@@ -24,167 +24,167 @@
 // older build what it means to this one; peers of another version are refused.
 const Version = 3
 
-// Call is an ask as its handler sees it.
-type Call struct {
+// Request is an ask as its handler sees it.
+type Request struct {
 	context.Context
 	Hops int
 	body json.RawMessage
 }
 
-// Read unpacks the ask.
-func (c *Call) Read(into any) error {
+// Decode unpacks the ask.
+func (c *Request) Decode(into any) error {
 	if err := json.Unmarshal(c.body, into); err != nil {
 		return errcode.New(errcode.BadMessage, "%v", err)
 	}
 	return nil
 }
 
-type Handler func(*Call) (any, error)
+type Handler func(*Request) (any, error)
 
-// Raw is a receipt that was encoded before, for all who ask; Sent is called once it
+// EncodedResponse is a receipt that was encoded before, for all who ask; Sent is called once it
 // was written, or was not.
-type Raw struct {
-	Body json.RawMessage
-	Sent func()
+type EncodedResponse struct {
+	Body    json.RawMessage
+	Release func()
 }
 
-// Counts are messages and bytes by kind, both ways.
-type Counts struct {
-	Messages, Bytes atomic.Int64
+// trafficCounter are messages and bytes by kind, both ways.
+type trafficCounter struct {
+	messages, bytes atomic.Int64
 }
 
-// Wire is a node's end of all its pipes.
-type Wire struct {
-	r        *environment.Environment
-	mu       sync.Mutex
-	pipes    map[string]*pipe
-	handlers map[string]Handler
-	listener net.Listener
-	conns    map[net.Conn]bool
-	counts   sync.Map
-	// IsNear tells whether an address is in this node's zone.
-	IsNear func(address string) bool
+// Transport is a node's end of all its pipes.
+type Transport struct {
+	env         *environment.Environment
+	mu          sync.Mutex
+	clientConns map[string]*clientConn
+	handlers    map[string]Handler
+	listener    net.Listener
+	openConns   map[net.Conn]bool
+	traffic     sync.Map
+	// IsSameZone tells whether an address is in this node's zone.
+	IsSameZone func(address string) bool
 }
 
-func New(r *environment.Environment) *Wire {
-	return &Wire{r: r, pipes: map[string]*pipe{}, handlers: map[string]Handler{}, conns: map[net.Conn]bool{}}
+func New(r *environment.Environment) *Transport {
+	return &Transport{env: r, clientConns: map[string]*clientConn{}, handlers: map[string]Handler{}, openConns: map[net.Conn]bool{}}
 }
 
 // Handle names the handler of a kind; all are named before Open.
-func (w *Wire) Handle(kind string, handle Handler) { w.handlers[kind] = handle }
+func (t *Transport) Handle(kind string, handle Handler) { t.handlers[kind] = handle }
 
-// Open starts to listen.
-func (w *Wire) Open() error {
-	listener, err := w.r.Host.Listen(w.r.Config.WireAddress)
+// Start starts to listen.
+func (t *Transport) Start() error {
+	listener, err := t.env.Host.Listen(t.env.Config.WireAddress)
 	if err != nil {
 		return errcode.New(errcode.BadProps, "wire.address: %v", err)
 	}
-	w.listener = listener
-	w.r.Go(func() {
+	t.listener = listener
+	t.env.Go(func() {
 		for {
 			conn, err := listener.Accept()
 			if err != nil {
-				if w.r.IsStopping() || !w.r.Sleep(10*time.Millisecond) {
+				if t.env.IsStopping() || !t.env.Sleep(10*time.Millisecond) {
 					return
 				}
 				continue
 			}
-			if w.keep(conn) {
-				w.r.Go(func() { w.serve(conn) })
+			if t.trackConn(conn) {
+				t.env.Go(func() { t.serveConn(conn) })
 			}
 		}
 	})
-	w.r.Go(w.sweep)
-	w.r.Go(func() {
-		<-w.r.Done()
+	t.env.Go(t.closeIdleConns)
+	t.env.Go(func() {
+		<-t.env.Done()
 		listener.Close()
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		for conn := range w.conns {
+		t.mu.Lock()
+		defer t.mu.Unlock()
+		for conn := range t.openConns {
 			conn.Close()
 		}
 	})
 	return nil
 }
 
-func (w *Wire) keep(conn net.Conn) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.r.IsStopping() {
+func (t *Transport) trackConn(conn net.Conn) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.env.IsStopping() {
 		conn.Close()
 		return false
 	}
-	w.conns[conn] = true
+	t.openConns[conn] = true
 	return true
 }
 
-func (w *Wire) drop(conn net.Conn) {
+func (t *Transport) closeConn(conn net.Conn) {
 	conn.Close()
-	w.mu.Lock()
-	delete(w.conns, conn)
-	w.mu.Unlock()
+	t.mu.Lock()
+	delete(t.openConns, conn)
+	t.mu.Unlock()
 }
 
-func (w *Wire) count(kind, address string, bytes int) {
-	if w.IsNear != nil && !w.IsNear(address) {
+func (t *Transport) recordSent(kind, address string, bytes int) {
+	if t.IsSameZone != nil && !t.IsSameZone(address) {
 		kind += " between"
 	}
-	found, ok := w.counts.Load(kind)
+	found, ok := t.traffic.Load(kind)
 	if !ok {
-		found, _ = w.counts.LoadOrStore(kind, &Counts{})
+		found, _ = t.traffic.LoadOrStore(kind, &trafficCounter{})
 	}
-	found.(*Counts).Messages.Add(1)
-	found.(*Counts).Bytes.Add(int64(bytes))
+	found.(*trafficCounter).messages.Add(1)
+	found.(*trafficCounter).bytes.Add(int64(bytes))
 }
 
 // Traffic is messages and bytes sent, by kind; " between" marks what went to
 // another zone.
-func (w *Wire) Traffic() map[string][2]int64 {
+func (t *Transport) Traffic() map[string][2]int64 {
 	view := map[string][2]int64{}
-	w.counts.Range(func(kind, c any) bool {
-		view[kind.(string)] = [2]int64{c.(*Counts).Messages.Load(), c.(*Counts).Bytes.Load()}
+	t.traffic.Range(func(kind, c any) bool {
+		view[kind.(string)] = [2]int64{c.(*trafficCounter).messages.Load(), c.(*trafficCounter).bytes.Load()}
 		return true
 	})
 	return view
 }
 
-// Count adds what other packages send themselves.
-func (w *Wire) Count(kind, address string, bytes int) { w.count(kind, address, bytes) }
+// RecordSent adds what other packages send themselves.
+func (t *Transport) RecordSent(kind, address string, bytes int) { t.recordSent(kind, address, bytes) }
 
-// serve reads asks from one incoming pipe and answers each in a task.
-func (w *Wire) serve(conn net.Conn) {
-	defer w.drop(conn)
-	ctx, end := context.WithCancel(w.r)
+// serveConn reads asks from one incoming pipe and answers each in a task.
+func (t *Transport) serveConn(conn net.Conn) {
+	defer t.closeConn(conn)
+	ctx, end := context.WithCancel(t.env)
 	defer end()
 	writing := environment.NewChanMutex()
 	reader := bufio.NewReaderSize(conn, 16<<10)
 	for {
-		line, err := readLine(reader, w.r.Config.WireLine)
+		line, err := readLine(reader, t.env.Config.WireLine)
 		if err != nil {
 			if errcode.Is(err, errcode.LineTooLong) {
-				w.r.Events.Say(eventlog.MessageRefused, "code", errcode.LineTooLong.No, "from", conn.RemoteAddr().String())
+				t.env.Events.Say(eventlog.MessageRefused, "code", errcode.LineTooLong.No, "from", conn.RemoteAddr().String())
 			}
 			return
 		}
-		var ask Frame
-		if err := json.Unmarshal(line, &ask); err != nil {
-			w.r.Events.Say(eventlog.MessageRefused, "code", errcode.BadMessage.No, "from", conn.RemoteAddr().String())
+		var frame Frame
+		if err := json.Unmarshal(line, &frame); err != nil {
+			t.env.Events.Say(eventlog.MessageRefused, "code", errcode.BadMessage.No, "from", conn.RemoteAddr().String())
 			return
 		}
-		got := time.Now()
-		w.r.Go(func() {
-			receipt, sent := w.answer(ctx, &ask, got)
-			if sent != nil {
-				defer sent()
+		received := time.Now()
+		t.env.Go(func() {
+			response, release := t.dispatch(ctx, &frame, received)
+			if release != nil {
+				defer release()
 			}
 			if ctx.Err() != nil {
 				return
 			}
-			raw, err := pack(receipt)
+			raw, err := encodeFrame(response)
 			if err != nil {
 				return
 			}
-			w.count(ask.Kind+".receipt", conn.RemoteAddr().String(), raw.size())
+			t.recordSent(frame.Kind+".receipt", conn.RemoteAddr().String(), raw.size())
 			writing.Lock()
 			defer writing.Unlock()
 			conn.SetWriteDeadline(time.Now().Add(10 * time.Second))
@@ -195,57 +195,57 @@
 	}
 }
 
-// answer has an ask handled. Its time runs from when it was read: one whose asker
+// dispatch has an ask handled. Its time runs from when it was read: one whose asker
 // has given up is not begun, and a receipt that comes too late goes out without its
 // body, as a sign of life.
-func (w *Wire) answer(ctx context.Context, ask *Frame, got time.Time) (receipt *Frame, sent func()) {
-	receipt = &Frame{Version: Version, ID: ask.ID}
+func (t *Transport) dispatch(ctx context.Context, request *Frame, received time.Time) (response *Frame, release func()) {
+	response = &Frame{Version: Version, ID: request.ID}
 	fail := func(err error) (*Frame, func()) {
-		p := errcode.Of(err)
-		receipt.Code, receipt.Note, receipt.Paths = p.Code.No, p.Note, p.Paths
-		return receipt, sent
+		problem := errcode.Of(err)
+		response.Code, response.Note, response.Paths = problem.Code.No, problem.Note, problem.Paths
+		return response, release
 	}
-	if ask.Version != Version {
-		w.r.Events.Say(eventlog.MessageRefused, "code", errcode.WrongVersion.No, "kind", ask.Kind, "version", ask.Version)
-		return fail(errcode.New(errcode.WrongVersion, "%d, not %d", ask.Version, Version))
+	if request.Version != Version {
+		t.env.Events.Say(eventlog.MessageRefused, "code", errcode.WrongVersion.No, "kind", request.Kind, "version", request.Version)
+		return fail(errcode.New(errcode.WrongVersion, "%d, not %d", request.Version, Version))
 	}
-	handle, ok := w.handlers[ask.Kind]
+	handle, ok := t.handlers[request.Kind]
 	if !ok {
-		w.r.Events.Say(eventlog.MessageRefused, "code", errcode.UnknownKind.No, "kind", ask.Kind)
-		return fail(errcode.New(errcode.UnknownKind, "%q", ask.Kind))
+		t.env.Events.Say(eventlog.MessageRefused, "code", errcode.UnknownKind.No, "kind", request.Kind)
+		return fail(errcode.New(errcode.UnknownKind, "%q", request.Kind))
 	}
-	if ask.Deadline > 0 {
-		limited, end := context.WithDeadline(ctx, got.Add(time.Duration(ask.Deadline)*time.Microsecond))
+	if request.Deadline > 0 {
+		limited, end := context.WithDeadline(ctx, received.Add(time.Duration(request.Deadline)*time.Microsecond))
 		defer end()
 		ctx = limited
 	}
 	if ctx.Err() != nil {
-		return fail(errcode.New(errcode.ReplyLost, "%s: not begun, its time is over", ask.Kind))
+		return fail(errcode.New(errcode.ReplyLost, "%s: not begun, its time is over", request.Kind))
 	}
-	body, err := handle(&Call{Context: ctx, Hops: ask.Hops, body: ask.Body})
-	ready, isReady := body.(*Raw)
-	if isReady {
-		sent = ready.Sent
+	body, err := handle(&Request{Context: ctx, Hops: request.Hops, body: request.Body})
+	encoded, isEncoded := body.(*EncodedResponse)
+	if isEncoded {
+		release = encoded.Release
 	}
 	if err != nil {
-		if p := errcode.Of(err); p.Code.No == errcode.BadMessage.No {
-			w.r.Events.Say(eventlog.MessageRefused, "code", p.Code.No, "kind", ask.Kind, "note", p.Note)
+		if problem := errcode.Of(err); problem.Code.No == errcode.BadMessage.No {
+			t.env.Events.Say(eventlog.MessageRefused, "code", problem.Code.No, "kind", request.Kind, "note", problem.Note)
 		}
 		return fail(err)
 	}
 	if ctx.Err() != nil {
-		return fail(errcode.New(errcode.ReplyLost, "%s: its time is over", ask.Kind))
+		return fail(errcode.New(errcode.ReplyLost, "%s: its time is over", request.Kind))
 	}
-	if isReady {
-		receipt.Body = ready.Body
-		return receipt, sent
+	if isEncoded {
+		response.Body = encoded.Body
+		return response, release
 	}
 	raw, err := json.Marshal(body)
 	if err != nil {
 		return fail(errcode.New(errcode.Internal, "%v", err))
 	}
-	receipt.Body = raw
-	return receipt, sent
+	response.Body = raw
+	return response, release
 }
 
 func readLine(reader *bufio.Reader, limit int) ([]byte, error) {
@@ -268,16 +268,16 @@
 	}
 }
 
-// Hops is how often a call may be passed on.
-const Hops = 4
+// MaxHops is how often a call may be passed on.
+const MaxHops = 4
 
-// Ask sends one ask and waits for its receipt until the deadline of ctx.
-func (w *Wire) Ask(ctx context.Context, address, kind string, body, into any) error {
-	return w.AskHop(ctx, address, kind, 0, body, into)
+// Call sends one ask and waits for its receipt until the deadline of ctx.
+func (t *Transport) Call(ctx context.Context, address, kind string, body, into any) error {
+	return t.Forward(ctx, address, kind, 0, body, into)
 }
 
-// AskHop is Ask for a call that was passed on already.
-func (w *Wire) AskHop(ctx context.Context, address, kind string, hops int, body, into any) error {
+// Forward is Ask for a call that was passed on already.
+func (t *Transport) Forward(ctx context.Context, address, kind string, hops int, body, into any) error {
 	raw, err := json.Marshal(body)
 	if err != nil {
 		return errcode.New(errcode.Internal, "%v", err)
@@ -290,42 +290,42 @@
 		}
 		frame.Deadline = left.Microseconds() + 1
 	}
-	receipt, err := w.over(ctx, address, frame)
+	response, err := t.roundTrip(ctx, address, frame)
 	if err != nil {
 		return err
 	}
-	if receipt.Version != Version {
-		return errcode.New(errcode.ReplyLost, "%s %s: answered in version %d of the wire, not %d", address, kind, receipt.Version, Version)
+	if response.Version != Version {
+		return errcode.New(errcode.ReplyLost, "%s %s: answered in version %d of the wire, not %d", address, kind, response.Version, Version)
 	}
-	if receipt.Code != 0 {
-		code, ok := errcode.Codes[receipt.Code]
+	if response.Code != 0 {
+		code, ok := errcode.Codes[response.Code]
 		if !ok {
 			code = errcode.Internal
 		}
-		problem := errcode.New(code, "%s", receipt.Note)
-		errcode.Of(problem).Paths = receipt.Paths
+		problem := errcode.New(code, "%s", response.Note)
+		errcode.Of(problem).Paths = response.Paths
 		return problem
 	}
 	if into != nil {
-		if err := json.Unmarshal(receipt.Body, into); err != nil {
+		if err := json.Unmarshal(response.Body, into); err != nil {
 			return errcode.New(errcode.BadMessage, "%s from %s: %v", kind, address, err)
 		}
 	}
 	return nil
 }
 
-// over asks on the pipe to an address, and on a new one if that was closed as idle.
-func (w *Wire) over(ctx context.Context, address string, frame *Frame) (*Frame, error) {
+// roundTrip asks on the pipe to an address, and on a new one if that was closed as idle.
+func (t *Transport) roundTrip(ctx context.Context, address string, frame *Frame) (*Frame, error) {
 	for {
-		p, err := w.pipe(ctx, address)
+		conn, err := t.clientConn(ctx, address)
 		if err != nil {
 			return nil, err
 		}
-		if receipt, err := p.ask(ctx, frame); err != errIdle {
-			return receipt, err
+		if response, err := conn.roundTrip(ctx, frame); err != errClosedIdle {
+			return response, err
 		}
 	}
 }
 
 // From is the id of the node that asks, for logs.
-func (w *Wire) From() ids.NodeName { return w.r.Name }
+func (t *Transport) From() ids.NodeName { return t.env.Name }
--- a/internal/simulator/hold_test.go
+++ b/internal/simulator/hold_test.go
@@ -23,7 +23,7 @@
 		if took := time.Since(began); took < 500*time.Millisecond || took > 950*time.Millisecond {
 			t.Error("the word came after", took)
 		}
-		if list := proxyNode.Flow.Cache.Chart().Targets["rates"]; len(list) != 0 {
+		if list := proxyNode.Flow.Cache.Snapshot().Targets["rates"]; len(list) != 0 {
 			t.Error("the proxy still has", list)
 		}
 		client := standin.NewAPIClient(f.W.Net(f.outside(1)), f.Of("proxy1").Api())
@@ -35,7 +35,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if chart := proxyNode.Flow.Cache.Chart(); chart.Epoch < ids.Epoch(receipt.Epoch) {
+		if chart := proxyNode.Flow.Cache.Snapshot(); chart.Epoch < ids.Epoch(receipt.Epoch) {
 			t.Error("acknowledged in epoch", receipt.Epoch, "the proxy has", chart.Epoch)
 		}
 	})
--- a/internal/simulator/keepers_test.go
+++ b/internal/simulator/keepers_test.go
@@ -28,10 +28,10 @@
 		chart := func() ids.Epoch {
 			least := ids.Epoch(1 << 40)
 			for _, proxyNode := range late {
-				if proxyNode.Node() == nil || proxyNode.Node().Flow.Cache.Chart() == nil {
+				if proxyNode.Node() == nil || proxyNode.Node().Flow.Cache.Snapshot() == nil {
 					return 0
 				}
-				least = min(least, proxyNode.Node().Flow.Cache.Chart().Epoch)
+				least = min(least, proxyNode.Node().Flow.Cache.Snapshot().Epoch)
 			}
 			return least
 		}
--- a/internal/simulator/late_test.go
+++ b/internal/simulator/late_test.go
@@ -49,7 +49,7 @@
 
 // hasBy tells whether a proxy has an epoch by then.
 func hasBy(proxyNode *Machine, epoch ids.Epoch, by time.Time) bool {
-	for proxyNode.Node().Flow.Cache.Chart().Epoch < epoch {
+	for proxyNode.Node().Flow.Cache.Snapshot().Epoch < epoch {
 		if time.Now().After(by) {
 			return false
 		}
@@ -107,7 +107,7 @@
 
 // stagedCore is a control node of which a test decides what it answers.
 type stagedCore struct {
-	*rpc.Wire
+	*rpc.Transport
 	address string
 	epoch   atomic.Uint64 // what its pulses tell
 	gives   atomic.Uint64 // what it gives to those who listen
@@ -116,7 +116,7 @@
 	hangs   atomic.Bool  // whether its fetches hang
 }
 
-func stagedNode(t *testing.T, w *World, name, zone, address string, seeds string, isCore bool, settings map[string]string) (*environment.Environment, *rpc.Wire, *membership.Memberlist) {
+func stagedNode(t *testing.T, w *World, name, zone, address string, seeds string, isCore bool, settings map[string]string) (*environment.Environment, *rpc.Transport, *membership.Memberlist) {
 	set := map[string]string{"name": name, "zone": zone, "wire.address": address, "seeds": seeds, "flow.pulse": "1s", "flow.stay": "1h"}
 	set["api.address"], set["gate.address"] = host(address)+":7001", host(address)+":7002"
 	for key, value := range settings {
@@ -142,12 +142,12 @@
 func (s *stagedCore) handle(r *environment.Environment) {
 	s.epoch.Store(1)
 	s.gives.Store(1)
-	s.Handle("flow.pulse", func(*rpc.Call) (any, error) {
+	s.Handle("flow.pulse", func(*rpc.Request) (any, error) {
 		return &rpc.FreshnessResponse{Epoch: ids.Epoch(s.epoch.Load()), ShardAgeMicros: make([]int64, ids.ShardCount)}, nil
 	})
-	s.Handle("flow.listen", func(c *rpc.Call) (any, error) {
+	s.Handle("flow.listen", func(c *rpc.Request) (any, error) {
 		var ask rpc.ListenRequest
-		if err := c.Read(&ask); err != nil {
+		if err := c.Decode(&ask); err != nil {
 			return nil, err
 		}
 		no := s.listens.Add(1)
@@ -160,7 +160,7 @@
 		_, held := groupsAt(epoch)
 		return &rpc.ListenResponse{Epoch: epoch, Changed: held}, nil
 	})
-	s.Handle("flow.fetch", func(c *rpc.Call) (any, error) {
+	s.Handle("flow.fetch", func(c *rpc.Request) (any, error) {
 		if s.hangs.Load() {
 			<-c.Done()
 			return nil, c.Err()
@@ -178,9 +178,9 @@
 		w := NewWorld(1)
 		var realms []*environment.Environment
 		var cores []*stagedCore
-		open := func(r *environment.Environment, line *rpc.Wire, who *membership.Memberlist) {
+		open := func(r *environment.Environment, line *rpc.Transport, who *membership.Memberlist) {
 			realms = append(realms, r)
-			if err := line.Open(); err != nil {
+			if err := line.Start(); err != nil {
 				t.Fatal(err)
 			}
 			if err := who.Start(); err != nil {
@@ -195,7 +195,7 @@
 			zone, address := fmt.Sprint("zone", i+1), fmt.Sprintf("10.%d.0.1:7000", i+1)
 			w.Place(host(address), zone)
 			r, line, who := stagedNode(t, w, fmt.Sprint("core", i+1), zone, address, seeds[1:], true, settings)
-			core := &stagedCore{Wire: line, address: address}
+			core := &stagedCore{Transport: line, address: address}
 			core.handle(r)
 			cores = append(cores, core)
 			open(r, line, who)
@@ -205,9 +205,9 @@
 		open(r, line, who)
 		client := distribution.NewClient(r, line, who)
 		time.Sleep(2 * time.Second)
-		client.Open()
+		client.Start()
 		time.Sleep(3 * time.Second)
-		if chart := client.Cache.Chart(); chart == nil || chart.Epoch != 1 || len(who.CoreMembers()) != n {
+		if chart := client.Cache.Snapshot(); chart == nil || chart.Epoch != 1 || len(who.CoreMembers()) != n {
 			t.Fatalf("the proxy has %+v and knows %d core nodes", chart, len(who.CoreMembers()))
 		}
 		play(t, client, cores)
@@ -222,7 +222,7 @@
 func has(client *distribution.Client, epoch ids.Epoch, limit time.Duration) bool {
 	over, end := context.WithTimeout(context.Background(), limit)
 	defer end()
-	for client.Cache.Chart().Epoch < epoch {
+	for client.Cache.Snapshot().Epoch < epoch {
 		if sleep(over, touchLook) != nil {
 			return false
 		}
@@ -243,7 +243,7 @@
 				}
 			}
 			if !has(client, 2, 5*time.Second) {
-				t.Errorf("flow.servers=%s: the proxy is at epoch %d after 5 s", servers, client.Cache.Chart().Epoch)
+				t.Errorf("flow.servers=%s: the proxy is at epoch %d after 5 s", servers, client.Cache.Snapshot().Epoch)
 			}
 		})
 	}
@@ -260,7 +260,7 @@
 			core.gives.Store(2)
 		}
 		if !has(client, 2, time.Second) {
-			t.Errorf("the proxy is at epoch %d a second after a control node that can be fetched from gave word of epoch 2", client.Cache.Chart().Epoch)
+			t.Errorf("the proxy is at epoch %d a second after a control node that can be fetched from gave word of epoch 2", client.Cache.Snapshot().Epoch)
 		}
 	})
 }
--- a/internal/simulator/links_test.go
+++ b/internal/simulator/links_test.go
@@ -48,20 +48,20 @@
 	inFleet(t, one(), func(t *testing.T, f *Fleet) {
 		core, proxyNode := f.Cores()[0], f.Of("proxy1")
 		long := strings.Repeat("x", 300_000)
-		core.Node().Wire.Handle("test.long", func(*rpc.Call) (any, error) { return long, nil })
-		core.Node().Wire.Handle("test.short", func(*rpc.Call) (any, error) { return "here", nil })
+		core.Node().Wire.Handle("test.long", func(*rpc.Request) (any, error) { return long, nil })
+		core.Node().Wire.Handle("test.short", func(*rpc.Request) (any, error) { return "here", nil })
 		f.W.Narrow(proxyNode.IP, 100_000)
 		got := make(chan error, 1)
 		go func() {
 			ctx, end := context.WithTimeout(f.ctx, 10*time.Second)
 			defer end()
 			var whole string
-			got <- proxyNode.Node().Wire.Ask(ctx, core.Wire(), "test.long", struct{}{}, &whole)
+			got <- proxyNode.Node().Wire.Call(ctx, core.Wire(), "test.long", struct{}{}, &whole)
 		}()
 		time.Sleep(500 * time.Millisecond)
 		ctx, end := context.WithTimeout(f.ctx, 500*time.Millisecond)
 		defer end()
-		if err := proxyNode.Node().Wire.Ask(ctx, core.Wire(), "test.short", struct{}{}, nil); err == nil {
+		if err := proxyNode.Node().Wire.Call(ctx, core.Wire(), "test.short", struct{}{}, nil); err == nil {
 			t.Fatal("the short receipt overtook the long one")
 		}
 		if err := <-got; err != nil {
@@ -100,7 +100,7 @@
 				conn.Write(make([]byte, 10_000))
 			}
 			time.Sleep(50 * time.Millisecond)
-			if age := node.R.Since(node.Flow.Ages().Config); age > 1700*time.Millisecond {
+			if age := node.R.Since(node.Flow.LatestConfirmation().ConfigAsOf); age > 1700*time.Millisecond {
 				in, out := f.W.Queue(proxyNode.IP)
 				t.Fatal("the last word of the newest epoch is old by", age, "while words wait", in, out)
 			}
@@ -108,7 +108,7 @@
 		conn.Close()
 		f.isolate([]*Machine{proxyNode})
 		time.Sleep(1800 * time.Millisecond)
-		if node.Flow.IsFresh(node.Flow.Cache.Chart(), "rates") {
+		if node.Flow.IsFresh(node.Flow.Cache.Snapshot(), "rates") {
 			t.Error("a proxy that was cut off goes on for longer than flow.behind")
 		}
 	})
--- a/internal/simulator/manner.go
+++ b/internal/simulator/manner.go
@@ -100,7 +100,7 @@
 	for c.node.Load() == nil {
 		time.Sleep(time.Millisecond)
 	}
-	mark := fmt.Sprintf("\r\n%s: %d\r\n%s: %s\r\n", standin.HeaderActingEpoch, c.node.Load().Flow.Cache.Chart().Epoch, standin.HeaderActingProxy, c.as)
+	mark := fmt.Sprintf("\r\n%s: %d\r\n%s: %s\r\n", standin.HeaderActingEpoch, c.node.Load().Flow.Cache.Snapshot().Epoch, standin.HeaderActingProxy, c.as)
 	n, err := c.conn.Write([]byte(string(head) + mark + string(rest)))
 	return max(min(n-len(mark)+2, len(p)), 0), err
 }
