--- a/cmd/sumac/main.go
+++ b/cmd/sumac/main.go
@@ -115,7 +115,7 @@
 	}
 	var failed <-chan struct{}
 	if node.Store != nil {
-		failed = node.Store.Corrupted
+		failed = node.Store.Corrupted()
 	}
 	select {
 	case <-signals:
--- a/internal/simulator/fleet.go
+++ b/internal/simulator/fleet.go
@@ -179,7 +179,7 @@
 	if node.Store != nil {
 		go func() {
 			select {
-			case <-node.Store.Corrupted:
+			case <-node.Store.Corrupted():
 				m.Kill(false)
 			case <-r.Done():
 			}
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -1,5 +1,3 @@
-// The data folder under damage: nothing damaged is ever served from, what was
-// synced survives, and a torn end is no damage.
 package storage
 
 import (
@@ -16,117 +14,196 @@
 	"github.com/sumactrestle/sumactrestle/internal/eventlog"
 )
 
-func open(t *testing.T, folder string) (*Store, *environment.Environment, *bytes.Buffer) {
+// testStore is a store on the real disk with its log of events.
+type testStore struct {
+	*Store
+	log *bytes.Buffer
+}
+
+func newEnvironment(folder string, log *bytes.Buffer) *environment.Environment {
+	settings := &config.Props{Name: "n", DataFolder: folder, LogLevel: "info"}
+	return environment.New(context.Background(), settings, eventlog.New(log, "info", "n"), environment.NewHost(""))
+}
+
+// open opens a store; stop or the end of the test closes it.
+func open(t *testing.T, folder string) *testStore {
 	t.Helper()
-	var log bytes.Buffer
-	p := &config.Props{Name: "n", DataFolder: folder, LogLevel: "info"}
-	r := environment.New(context.Background(), p, eventlog.New(&log, "info", "n"), environment.NewHost(""))
-	l, err := Open(r)
+	log := &bytes.Buffer{}
+	env := newEnvironment(folder, log)
+	t.Cleanup(env.Shutdown)
+	s, err := Open(env)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return l, r, &log
+	return &testStore{s, log}
 }
 
-func put(t *testing.T, l *Store, n int) {
+func (s *testStore) stop() { s.env.Shutdown() }
+
+// put writes the key of that index and waits until it is synced.
+func (s *testStore) put(t *testing.T, index int) {
 	t.Helper()
-	w := l.NewBatch()
-	w.Put(fmt.Sprintf("k/%04d", n), bytes.Repeat([]byte{byte(n)}, 100))
-	l.Submit(w)
-	if err := w.Wait(); err != nil {
+	batch := s.NewBatch()
+	batch.Put(fmt.Sprintf("k/%04d", index), bytes.Repeat([]byte{byte(index)}, 100))
+	s.Submit(batch)
+	if err := batch.Wait(); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func count(t *testing.T, l *Store) (n int) {
+func (s *testStore) count(t *testing.T) (n int) {
 	t.Helper()
-	if err := l.Scan("k/", func(string, []byte) error { n++; return nil }); err != nil {
+	if err := s.Scan("k/", func(string, []byte) error { n++; return nil }); err != nil {
 		t.Fatal(err)
 	}
 	return n
 }
 
-// journal is the newest journal file of a folder.
-func journal(t *testing.T, folder string) string {
+// folderWith returns a data folder, not in use, to which so many keys were written.
+func folderWith(t *testing.T, keys int) string {
 	t.Helper()
-	names, _ := filepath.Glob(filepath.Join(folder, "lore", "*.log"))
-	if len(names) == 0 {
-		t.Fatal("no journal")
+	folder := filepath.Join(t.TempDir(), "data")
+	if err := os.Mkdir(folder, 0o755); err != nil {
+		t.Fatal(err)
+	}
+	s := open(t, folder)
+	for index := range keys {
+		s.put(t, index)
 	}
-	return names[len(names)-1]
+	s.stop()
+	return folder
 }
 
-func TestSyncedBatchesSurvive(t *testing.T) {
-	folder := t.TempDir()
-	l, r, _ := open(t, folder)
-	for i := range 50 {
-		put(t, l, i)
+// editJournal changes the newest journal file of a folder.
+func editJournal(t *testing.T, folder string, edit func(raw []byte) []byte) {
+	t.Helper()
+	names, err := filepath.Glob(filepath.Join(folder, databaseFolder, "*.log"))
+	if err != nil || len(names) == 0 {
+		t.Fatal("no journal", err)
 	}
-	r.Shutdown()
-	l, r, log := open(t, folder)
-	defer r.Shutdown()
-	if n := count(t, l); n != 50 || l.ReplacesCorrupt() {
-		t.Fatalf("%d of 50 are there, %s", n, log)
+	name := names[len(names)-1]
+	raw, err := os.ReadFile(name)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(name, edit(raw), 0o644); err != nil {
+		t.Fatal(err)
 	}
 }
 
-func TestTornEndIsDropped(t *testing.T) {
-	folder := t.TempDir()
-	l, r, _ := open(t, folder)
-	for i := range 50 {
-		put(t, l, i)
-	}
-	r.Shutdown()
-	name := journal(t, folder)
-	raw, _ := os.ReadFile(name)
-	os.WriteFile(name, raw[:len(raw)-60], 0o644)
-	l, r, log := open(t, folder)
-	defer r.Shutdown()
-	if n := count(t, l); n != 49 || l.ReplacesCorrupt() {
-		t.Fatalf("%d of 49 are there, %s", n, log)
+// setAside returns the folders that were set aside.
+func setAside(t *testing.T, folder string) []string {
+	t.Helper()
+	names, err := filepath.Glob(folder + ".damaged-*")
+	if err != nil {
+		t.Fatal(err)
 	}
+	return names
 }
 
-func TestDamageInTheMiddleIsRefusedAndSetAside(t *testing.T) {
-	folder := filepath.Join(t.TempDir(), "data")
-	os.MkdirAll(folder, 0o755)
-	l, r, _ := open(t, folder)
-	for i := range 2000 {
-		put(t, l, i)
-	}
-	r.Shutdown()
-	name := journal(t, folder)
-	raw, _ := os.ReadFile(name)
-	raw[len(raw)/2] ^= 0xff
-	os.WriteFile(name, raw, 0o644)
-	l, r, log := open(t, folder)
-	defer r.Shutdown()
-	if n := count(t, l); n != 0 {
-		t.Fatalf("%d keys are served from a damaged folder", n)
-	}
-	if !strings.Contains(log.String(), `"event":306`) || !l.ReplacesCorrupt() {
-		t.Fatalf("the damage is not reported: %s", log)
-	}
-	if aside, _ := filepath.Glob(folder + ".damaged-*"); len(aside) != 1 {
+// checkReplaced checks that an empty store took the place of a corrupt one.
+func checkReplaced(t *testing.T, s *testStore, folder string) {
+	t.Helper()
+	if n := s.count(t); n != 0 {
+		t.Fatalf("%d keys are served from a corrupt folder", n)
+	}
+	if !strings.Contains(s.log.String(), `"event":306`) || !s.ReplacesCorrupt() {
+		t.Fatalf("the corruption is not reported: %s", s.log)
+	}
+	if aside := setAside(t, folder); len(aside) != 1 {
 		t.Fatalf("set aside: %v", aside)
 	}
-	put(t, l, 1)
 }
 
-func TestAFolderInUseIsLeftAlone(t *testing.T) {
-	folder := filepath.Join(t.TempDir(), "data")
-	os.MkdirAll(folder, 0o755)
-	l, r, _ := open(t, folder)
-	defer r.Shutdown()
-	put(t, l, 1)
-	var log bytes.Buffer
-	second := environment.New(context.Background(), r.Config, eventlog.New(&log, "info", "n"), environment.NewHost(""))
+func TestOpen_SyncedBatchesSurvive(t *testing.T) {
+	s := open(t, folderWith(t, 50))
+	if n := s.count(t); n != 50 || s.ReplacesCorrupt() {
+		t.Fatalf("%d of 50 keys are there, %s", n, s.log)
+	}
+}
+
+func TestOpen_TornEndIsDropped(t *testing.T) {
+	folder := folderWith(t, 50)
+	editJournal(t, folder, func(raw []byte) []byte { return raw[:len(raw)-60] })
+	s := open(t, folder)
+	if n := s.count(t); n != 49 || s.ReplacesCorrupt() {
+		t.Fatalf("%d of 49 keys are there, %s", n, s.log)
+	}
+}
+
+func TestOpen_CorruptFolderIsSetAside(t *testing.T) {
+	folder := folderWith(t, 2000)
+	editJournal(t, folder, func(raw []byte) []byte { raw[len(raw)/2] ^= 0xff; return raw })
+	s := open(t, folder)
+	checkReplaced(t, s, folder)
+	s.put(t, 1)
+	s.stop()
+	if s := open(t, folder); !s.ReplacesCorrupt() || s.count(t) != 1 {
+		t.Error("after a restart the store no longer knows that it replaces a corrupt one")
+	}
+}
+
+func TestOpen_MissingBatchIsCorruption(t *testing.T) {
+	folder := folderWith(t, 20)
+	s := open(t, folder)
+	if err := s.db.Delete(sequenceKey(10), nil); err != nil {
+		t.Fatal(err)
+	}
+	s.stop()
+	checkReplaced(t, open(t, folder), folder)
+}
+
+func TestOpen_SequenceNumbersAreBounded(t *testing.T) {
+	s := open(t, folderWith(t, sequenceHistory+100))
+	numbers := 0
+	if err := s.Scan(sequencePrefix, func(string, []byte) error { numbers++; return nil }); err != nil {
+		t.Fatal(err)
+	}
+	if numbers != sequenceHistory || s.lastSequence != sequenceHistory+100 {
+		t.Errorf("%d numbers are kept, the last is %d", numbers, s.lastSequence)
+	}
+}
+
+func TestOpen_FolderInUseIsLeftAlone(t *testing.T) {
+	folder := folderWith(t, 0)
+	s := open(t, folder)
+	s.put(t, 1)
+	second := newEnvironment(folder, &bytes.Buffer{})
 	defer second.Shutdown()
 	if _, err := Open(second); err == nil {
 		t.Fatal("two processes have one folder")
 	}
-	if aside, _ := filepath.Glob(folder + ".damaged-*"); len(aside) != 0 {
+	if aside := setAside(t, folder); len(aside) != 0 {
 		t.Fatalf("a folder in use was set aside: %v", aside)
 	}
-	put(t, l, 2)
+	s.put(t, 2)
+}
+
+func TestSubmit_BatchesReachTheDiskInOrder(t *testing.T) {
+	s := open(t, t.TempDir())
+	var batches []*Batch
+	for value := range 100 {
+		batch := s.NewBatch()
+		if value%2 == 0 {
+			batch.Put("key", []byte{byte(value)})
+		} else {
+			batch.Delete("key")
+		}
+		s.Submit(batch)
+		batches = append(batches, batch)
+	}
+	last := s.NewBatch()
+	last.Put("key", []byte("last"))
+	s.Submit(last)
+	for _, batch := range append(batches, last) {
+		if err := batch.Wait(); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if value, err := s.Get("key"); err != nil || string(value) != "last" {
+		t.Errorf("the value is %q, %v", value, err)
+	}
+	if value, err := s.Get("another key"); err != nil || value != nil {
+		t.Errorf("a key that is not there has the value %q, %v", value, err)
+	}
 }
