--- a/internal/node/seat.go
+++ b/internal/node/seat.go
@@ -94,11 +94,11 @@
 	}
 	if p.GateAddress != "" {
 		n.Flow = distribution.NewClient(r, n.Wire, n.Kin)
-		n.Gate = proxy.New(r, n.Flow, n.Wire, n.Kin, func(ctx context.Context, call *rpc.CoordinationRequest) (*rpc.CoordinationResponse, error) {
+		n.Gate = proxy.New(proxy.Config{Environment: r, Configuration: n.Flow, RPC: n.Wire, Membership: n.Kin, Coordinate: func(ctx context.Context, call *rpc.CoordinationRequest) (*rpc.CoordinationResponse, error) {
 			var receipt rpc.CoordinationResponse
 			err := n.pass(ctx, op{ids.ShardOf(call.Name), "bond", call}, 0, &receipt)
 			return &receipt, err
-		})
+		}})
 	}
 	n.Wire.Handle("seat.pass", n.passed)
 	if err := n.Wire.Start(); err != nil {
--- a/internal/node/show.go
+++ b/internal/node/show.go
@@ -7,7 +7,6 @@
 	"fmt"
 	"sort"
 	"strings"
-	"sync/atomic"
 	"time"
 
 	"github.com/sumactrestle/sumactrestle/internal/api"
@@ -73,10 +72,7 @@
 			add("event "+name, count)
 		}
 		if n.Gate != nil {
-			n.Gate.OutcomeCounts.Range(func(name, count any) bool {
-				add("outcome "+name.(string), count.(*atomic.Int64).Load())
-				return true
-			})
+			n.Gate.VisitOutcomes(func(name string, count int64) { add("outcome "+name, count) })
 			add("requests under way", n.Gate.InFlight())
 		}
 		if n.Store != nil {
--- /dev/null
+++ b/internal/proxy/idempotency/loss_report.go
@@ -0,0 +1,136 @@
+package idempotency
+
+import (
+	"context"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/sumactrestle/sumactrestle/internal/distribution"
+	"github.com/sumactrestle/sumactrestle/internal/environment"
+	"github.com/sumactrestle/sumactrestle/internal/membership"
+	"github.com/sumactrestle/sumactrestle/internal/proxy/retry"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
+)
+
+const (
+	reportInterval = 2 * time.Millisecond // between two batches
+	reportTimeout  = 500 * time.Millisecond
+	maxReportBatch = 512
+
+	// lossReportKind is the kind of the messages between proxies.
+	lossReportKind = "gate.seen"
+)
+
+// LossReporterConfig is what a LossReporter needs.
+type LossReporterConfig struct {
+	Environment *environment.Environment
+	RPC         *rpc.Transport
+	Membership  *membership.Memberlist
+	Budget      *retry.Budget
+	Tracker     *Tracker
+	Snapshot    func() *distribution.Snapshot // of the configuration in use; nil before the first
+}
+
+// LossReporter tells the other proxies of requests with a key that were forwarded and got no
+// response, so that a repeat is recognised whichever proxy it comes to. Only hashes are
+// sent, the first loss at once and those that follow in batches; no request waits for it.
+// A loss that could not be reported to every proxy of the epoch may be repeated
+// unrecognised, so it is charged to this proxy's own retry budget.
+type LossReporter struct {
+	config LossReporterConfig
+	queue  chan loss
+}
+
+type loss struct {
+	hash    uint64
+	service string
+}
+
+// NewLossReporter returns a reporter, registers it as the handler of other proxies' reports,
+// and starts its task of the environment.
+func NewLossReporter(config LossReporterConfig) *LossReporter {
+	l := &LossReporter{config: config, queue: make(chan loss, maxReportBatch)}
+	config.RPC.Handle(lossReportKind, l.receive)
+	config.Environment.Go(l.run)
+	return l
+}
+
+// receive takes the report of another proxy.
+func (l *LossReporter) receive(call *rpc.Request) (any, error) {
+	var request rpc.UnansweredRequests
+	if err := call.Decode(&request); err != nil {
+		return nil, err
+	}
+	l.config.Budget.RecordPeerLosses(request.Keys)
+	l.config.Tracker.RecordPeerLosses(request.Keys)
+	return struct{}{}, nil
+}
+
+// Report reports a request of a service by its hash. It never waits: if the queue is full,
+// the loss is charged to the budget unreported.
+func (l *LossReporter) Report(hash uint64, service string) {
+	l.config.Budget.RecordLoss(service)
+	select {
+	case l.queue <- loss{hash, service}:
+	default:
+		l.config.Budget.RecordReported(nil, map[string]int{service: 1}, false)
+	}
+}
+
+func (l *LossReporter) run() {
+	for {
+		var batch []loss
+		select {
+		case <-l.config.Environment.Done():
+			return
+		case lost := <-l.queue:
+			batch = append(batch, lost)
+		}
+		batch = drain(l.queue, batch, maxReportBatch)
+		l.config.Environment.Go(func() { l.send(batch) })
+		if !l.config.Environment.Sleep(reportInterval) {
+			return
+		}
+	}
+}
+
+// send reports a batch to every proxy, and records in the budget whether all that the epoch
+// names were reached.
+func (l *LossReporter) send(batch []loss) {
+	var hashes []uint64
+	services := map[string]int{}
+	for _, lost := range batch {
+		hashes = append(hashes, lost.hash)
+		services[lost.service]++
+	}
+	var pending sync.WaitGroup
+	var unreached atomic.Int64
+	snapshot := l.config.Snapshot()
+	if snapshot == nil {
+		return
+	}
+	env := l.config.Environment
+	for name, member := range l.config.Membership.View() {
+		_, named := snapshot.Shares[name]
+		if name == env.Name || member.ProxyAddress == "" || member.State == membership.StateLeft {
+			continue
+		}
+		pending.Add(1)
+		env.Go(func() {
+			defer pending.Done()
+			ctx, cancel := context.WithTimeout(env, reportTimeout)
+			defer cancel()
+			if l.config.RPC.Call(ctx, member.RPCAddress, lossReportKind, &rpc.UnansweredRequests{Keys: hashes}, nil) != nil && named {
+				unreached.Add(1)
+			}
+		})
+	}
+	for name := range snapshot.Shares {
+		if _, ok := l.config.Membership.View()[name]; !ok {
+			unreached.Add(1)
+		}
+	}
+	pending.Wait()
+	l.config.Budget.RecordReported(hashes, services, unreached.Load() == 0)
+}
--- /dev/null
+++ b/internal/proxy/idempotency/records.go
@@ -0,0 +1,175 @@
+package idempotency
+
+import (
+	"context"
+	"encoding/json"
+	"strings"
+	"time"
+
+	"github.com/sumactrestle/sumactrestle/internal/environment"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
+	"github.com/sumactrestle/sumactrestle/internal/membership"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
+)
+
+const (
+	acquireTimeout = 2 * time.Second
+	writeTimeout   = 10 * time.Second // of a release, or of one batch of outcomes
+	retryInterval  = 100 * time.Millisecond
+
+	outcomeInterval = time.Second // between two batches of outcomes
+	maxOutcomeBatch = 1024
+	outcomeQueue    = 4096
+)
+
+// RecordsConfig is what Records needs.
+type RecordsConfig struct {
+	Environment *environment.Environment
+	Membership  *membership.Memberlist
+	// Coordinate sends a request to the leader of the replicated state.
+	Coordinate func(context.Context, *rpc.CoordinationRequest) (*rpc.CoordinationResponse, error)
+}
+
+// Records holds the idempotency records of the replicated state. A request that has to be
+// deduplicated is forwarded only after its record was acquired; a repeat, through whatever
+// proxy, finds the record and is answered with what became of the request. A record whose
+// request was surely not run is released. One whose proxy has gone stays, and its request's
+// state is unknown. Outcomes are written in batches, once a second.
+type Records struct {
+	config   RecordsConfig
+	outcomes chan recordedOutcome // not written yet; further ones are dropped, and stay unknown
+}
+
+type recordedOutcome struct {
+	name   string
+	holder string
+	state  State
+}
+
+// NewRecords returns the records, and starts the task of the environment that writes
+// outcomes.
+func NewRecords(config RecordsConfig) *Records {
+	r := &Records{config: config, outcomes: make(chan recordedOutcome, outcomeQueue)}
+	config.Environment.Go(r.writeOutcomes)
+	return r
+}
+
+// Acquire acquires a record for a request, within the deadline. If it fails, the request may
+// not be forwarded: the record is another request's (Conflict), or it is not known whose it
+// is (errcode.NoOwner).
+func (r *Records) Acquire(name, requestID string, deadline time.Time) error {
+	if limit := time.Now().Add(acquireTimeout); limit.Before(deadline) {
+		deadline = limit
+	}
+	ctx, cancel := context.WithDeadline(r.config.Environment, deadline)
+	defer cancel()
+	response, err := r.config.Coordinate(ctx, &rpc.CoordinationRequest{Operation: "claim", Name: name, Holder: r.holder(requestID)})
+	if err != nil {
+		r.config.Environment.Go(func() { r.release(name, requestID) })
+		return errcode.New(errcode.NoOwner, "the order can't be claimed: %v", err)
+	}
+	if response.Code == 0 {
+		return nil
+	}
+	state := Unheard
+	if len(response.Value) > 0 {
+		if err := json.Unmarshal(response.Value, &state); err != nil {
+			return Conflict(Unknown, "request "+response.Holder+": its record can't be read: "+err.Error())
+		}
+	}
+	if state == Unheard && !r.isHolderAlive(response.Holder) {
+		state = Unknown
+	}
+	return Conflict(state, "request "+response.Holder)
+}
+
+// Finish records how a request ended whose record was acquired. One that surely did not run
+// gives the record back.
+func (r *Records) Finish(name, requestID string, err error) {
+	state := Ran
+	switch {
+	case err == nil:
+	case errcode.Of(err).Code.Outcome == outcomeNotRun:
+		r.config.Environment.Go(func() { r.release(name, requestID) })
+		return
+	default:
+		state = Unknown
+	}
+	select {
+	case r.outcomes <- recordedOutcome{name, r.holder(requestID), state}:
+	default:
+	}
+}
+
+// holder names a request together with the incarnation of the proxy that it came to.
+func (r *Records) holder(requestID string) string {
+	self := r.config.Membership.Self()
+	return string(self.Name) + " " + string(self.ID) + " " + requestID
+}
+
+// isHolderAlive reports whether the proxy that acquired a record still lives. If not, it
+// won't write the outcome any more.
+func (r *Records) isHolderAlive(holder string) bool {
+	fields := strings.Split(holder, " ")
+	return len(fields) != 3 || r.config.Membership.IsLive(rpc.Peer{Name: ids.NodeName(fields[0]), ID: ids.MemberID(fields[1])})
+}
+
+// release gives back the record of a request of which nothing was written.
+func (r *Records) release(name, requestID string) {
+	r.write(&rpc.CoordinationRequest{Operation: "unclaim", Name: name, Holder: r.holder(requestID)})
+}
+
+// write sends a request until it succeeds, within writeTimeout.
+func (r *Records) write(request *rpc.CoordinationRequest) {
+	ctx, cancel := context.WithTimeout(r.config.Environment, writeTimeout)
+	defer cancel()
+	for ctx.Err() == nil {
+		if _, err := r.config.Coordinate(ctx, request); err == nil {
+			return
+		}
+		r.config.Environment.Sleep(retryInterval)
+	}
+}
+
+// writeOutcomes writes outcomes in batches, one request for each shard.
+func (r *Records) writeOutcomes() {
+	for {
+		var batch []recordedOutcome
+		select {
+		case <-r.config.Environment.Done():
+			return
+		case outcome := <-r.outcomes:
+			batch = append(batch, outcome)
+		}
+		if !r.config.Environment.Sleep(outcomeInterval) {
+			return
+		}
+		batch = drain(r.outcomes, batch, maxOutcomeBatch)
+		byShard := map[ids.Shard]*rpc.CoordinationRequest{}
+		for _, outcome := range batch {
+			shard := ids.ShardOf(outcome.name)
+			if byShard[shard] == nil {
+				byShard[shard] = &rpc.CoordinationRequest{Operation: "settle", Name: outcome.name}
+			}
+			value, _ := json.Marshal(outcome.state) // a string; can't fail
+			byShard[shard].Records = append(byShard[shard].Records, rpc.CoordinationRecord{Name: outcome.name, Holder: outcome.holder, Value: value})
+		}
+		for _, request := range byShard {
+			r.config.Environment.Go(func() { r.write(request) })
+		}
+	}
+}
+
+// drain appends what is queued to the batch, up to limit values in all, without waiting.
+func drain[T any](queue <-chan T, batch []T, limit int) []T {
+	for len(batch) < limit {
+		select {
+		case value := <-queue:
+			batch = append(batch, value)
+		default:
+			return batch
+		}
+	}
+	return batch
+}
--- a/internal/proxy/plan_test.go
+++ b/internal/proxy/plan_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestAConnectionTakesNoLongerThanTheAim(t *testing.T) {
+func TestRequestPlan_ConnectTimeout(t *testing.T) {
 	for _, one := range []struct{ aim, most, want time.Duration }{
 		{2 * time.Second, 1500 * time.Millisecond, 1500 * time.Millisecond},
 		{400 * time.Millisecond, 1500 * time.Millisecond, 400 * time.Millisecond},
--- a/internal/proxy/respond.go
+++ b/internal/proxy/respond.go
@@ -7,12 +7,12 @@
 	"math/rand/v2"
 	"net/http"
 	"strconv"
-	"strings"
 	"sync/atomic"
 	"time"
 
 	"github.com/sumactrestle/sumactrestle/internal/errcode"
 	"github.com/sumactrestle/sumactrestle/internal/proxy/admission"
+	"github.com/sumactrestle/sumactrestle/internal/proxy/idempotency"
 	"github.com/sumactrestle/sumactrestle/internal/proxy/upstream"
 )
 
@@ -30,22 +30,6 @@
 	statusClientClosedRequest = 499
 )
 
-// hopByHop are the header fields that concern one connection only and are not forwarded,
-// beside those that the Connection field names (RFC 9110, section 7.6.1), and those that the
-// proxy answers itself.
-var hopByHop = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect", "Proxy-Authorization", "Proxy-Authenticate"}
-
-// removeHopByHop removes the hop-by-hop fields from a header. connection is the value of the
-// message's Connection field.
-func removeHopByHop(header http.Header, connection string) {
-	for _, option := range strings.Split(connection, ",") {
-		header.Del(strings.TrimSpace(option))
-	}
-	for _, name := range hopByHop {
-		header.Del(name)
-	}
-}
-
 // writeResponse hands a target's response to the client. It has been read whole, so it goes
 // out with a Content-Length, except where RFC 9110, section 8.6, wants none.
 func (p *Proxy) writeResponse(w http.ResponseWriter, plan *requestPlan, response *upstream.Response) {
@@ -54,7 +38,7 @@
 		header[name] = values
 	}
 	removeHopByHop(header, response.HTTP.Header.Get("Connection"))
-	if p.draining.Load() {
+	if p.lifecycle.draining.Load() {
 		header.Set("Connection", "close")
 	}
 	if !p.opaqueSeals {
@@ -72,9 +56,9 @@
 
 // countOutcome counts how a request ended: "ran", or the name of an error code.
 func (p *Proxy) countOutcome(outcome string) {
-	found, ok := p.OutcomeCounts.Load(outcome)
+	found, ok := p.counts.outcomes.Load(outcome)
 	if !ok {
-		found, _ = p.OutcomeCounts.LoadOrStore(outcome, new(atomic.Int64))
+		found, _ = p.counts.outcomes.LoadOrStore(outcome, new(atomic.Int64))
 	}
 	found.(*atomic.Int64).Add(1)
 }
@@ -93,8 +77,8 @@
 // that key, not only of this one.
 func (p *Proxy) reject(w http.ResponseWriter, r *http.Request, plan *requestPlan, err error) {
 	problem := errcode.Of(err)
-	if key := KeyOf(r); key != 0 {
-		problem = Refusal(p.orders.State(key), problem)
+	if hash := idempotency.HashOf(r); hash != 0 {
+		problem = idempotency.Refusal(p.keyed.tracker.State(hash), problem)
 	}
 	p.countOutcome(problem.Code.Name)
 	header := w.Header()
--- a/internal/proxy/seal.go
+++ b/internal/proxy/seal.go
@@ -1,7 +1,3 @@
-// Package gate is the path of a request: first a plan as data, then the plan is
-// carried out on pipes of its own. This file is the seal: a server signs the
-// request's id, its own service and instance, the status and the whole body,
-// and nothing that lacks a right seal is handed to a caller as an answer.
 package proxy
 
 import (
@@ -9,23 +5,35 @@
 	"crypto/sha256"
 	"encoding/hex"
 	"strconv"
+
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
+	"github.com/sumactrestle/sumactrestle/internal/eventlog"
+	"github.com/sumactrestle/sumactrestle/internal/proxy/idempotency"
+	"github.com/sumactrestle/sumactrestle/internal/proxy/upstream"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// The headers between a proxy and a server, and towards the caller.
+// headerPrefix begins the names of the project's own header fields.
+const headerPrefix = "Sumac-"
+
+// The header fields between a proxy and a server, and towards the client.
 const (
-	HeaderRequestID      = "Sumac-Request"
-	HeaderAttempt        = "Sumac-Try"
-	HeaderService        = "Sumac-Service"
-	HeaderInstance       = "Sumac-Instance"
-	HeaderSeal           = "Sumac-Seal"
-	HeaderOutcome        = "Sumac-Outcome"
-	HeaderCode           = "Sumac-Code"
-	HeaderEpoch          = "Sumac-Epoch"
-	HeaderProxy          = "Sumac-Proxy"
-	HeaderIdempotencyKey = "Idempotency-Key"
+	HeaderRequestID      = headerPrefix + "Request"
+	HeaderAttempt        = headerPrefix + "Try"
+	HeaderService        = headerPrefix + "Service"
+	HeaderInstance       = headerPrefix + "Instance"
+	HeaderSeal           = headerPrefix + "Seal"
+	HeaderOutcome        = headerPrefix + "Outcome"
+	HeaderCode           = headerPrefix + "Code"
+	HeaderEpoch          = headerPrefix + "Epoch"
+	HeaderProxy          = headerPrefix + "Proxy"
+	HeaderIdempotencyKey = idempotency.HeaderKey
 )
 
-// Seal is what a server puts into HeaderSeal.
+// Seal is the seal of a response, which a server puts into HeaderSeal: an HMAC under the
+// service's key over the request's id, the server's own service and instance, the status and
+// the hash of the whole body. Nothing that lacks a right seal is handed to a client as a
+// response.
 func Seal(key, requestID, service, instance string, status int, body []byte) string {
 	sum := sha256.Sum256(body)
 	mac := hmac.New(sha256.New, []byte(key))
@@ -36,7 +44,27 @@
 	return hex.EncodeToString(mac.Sum(nil))
 }
 
-// VerifySeal checks a seal.
+// VerifySeal reports whether the seal is that of the response.
 func VerifySeal(seal, key, requestID, service, instance string, status int, body []byte) bool {
 	return hmac.Equal([]byte(seal), []byte(Seal(key, requestID, service, instance, status, body)))
 }
+
+// verifySeal checks the seal of a target's response. Of an opaque seal only the presence can
+// be checked; the response must name its request then, and have a framing by which it is
+// known to be complete (RFC 9112, section 8).
+func (p *Proxy) verifySeal(plan *requestPlan, target rpc.Target, response *upstream.Response) error {
+	header := response.HTTP.Header
+	seal := header.Get(p.environment.Config.HeaderSeal)
+	sealed := false
+	if p.opaqueSeals {
+		success := response.HTTP.StatusCode < 300
+		sealed = header.Get(p.environment.Config.HeaderRequest) == plan.requestID && (!success || seal != "") && (response.HTTP.ContentLength >= 0 || len(response.HTTP.TransferEncoding) > 0)
+	} else {
+		sealed = VerifySeal(seal, plan.service.Key, plan.requestID, plan.service.Name, target.Instance, response.HTTP.StatusCode, response.Body)
+	}
+	if !sealed {
+		p.environment.Events.Say(eventlog.SealRefused, "request", plan.requestID, "service", plan.service.Name, "instance", target.Instance, "address", target.Address, "status", response.HTTP.StatusCode)
+		return errcode.New(errcode.SealBroken, "%s", target.Instance)
+	}
+	return nil
+}
--- a/internal/proxy/stats.go
+++ b/internal/proxy/stats.go
@@ -1,5 +1,3 @@
-// What a gate shows of itself, folded when it is asked: how long requests took, what
-// it holds of its targets, and what each service's budget of further tries holds.
 package proxy
 
 import (
@@ -8,12 +6,11 @@
 
 	"github.com/sumactrestle/sumactrestle/internal/errcode"
 	"github.com/sumactrestle/sumactrestle/internal/metrics"
+	"github.com/sumactrestle/sumactrestle/internal/proxy/endpoint"
 )
 
-// addUpstreamTime notes that a target was left, having been written to then.
-func (rp *requestPlan) addUpstreamTime(sent time.Time) { rp.upstreamTime += time.Since(sent) }
-
-// recordDuration notes how long a request took; one that found no service has no name.
+// recordDuration records how long a request took. One that found no service counts under
+// the empty name.
 func (p *Proxy) recordDuration(plan *requestPlan, started time.Time, err error) {
 	elapsed := time.Since(started)
 	outcome := metrics.Ran
@@ -29,44 +26,43 @@
 		plan.endpoints.Durations.Take(outcome, elapsed)
 	}
 	if err == nil {
-		p.environment.Latencies.Added.Take(elapsed - plan.upstreamTime)
+		p.environment.Latencies.Added.Take(elapsed - time.Duration(plan.upstreamTime.Load()))
 	}
 }
 
-// VisitOutcomes is how often requests ended in one way: in "ran", or in a code's name.
+// VisitOutcomes calls visit with how often requests ended as "ran" or with the named error
+// code.
 func (p *Proxy) VisitOutcomes(visit func(name string, count int64)) {
-	p.OutcomeCounts.Range(func(name, count any) bool {
+	p.counts.outcomes.Range(func(name, count any) bool {
 		visit(name.(string), count.(*atomic.Int64).Load())
 		return true
 	})
 }
 
-// EndpointCounts counts a service's targets in the epoch in use, as this gate holds them.
+// EndpointCounts counts the endpoints of one service in the epoch in use.
 type EndpointCounts struct {
 	Service                    string
 	Available, Ejected, Barred int
 }
 
-// EndpointCounts is the targets of every service in the epoch in use.
+// EndpointCounts counts the endpoints of each service in the epoch in use.
 func (p *Proxy) EndpointCounts() (list []EndpointCounts) {
-	view := p.current.Load()
+	view := p.epoch.Load()
 	if view == nil {
 		return nil
 	}
 	now := time.Now()
 	for service, pool := range view.pools {
 		counts := EndpointCounts{Service: service}
-		for _, endpoint := range pool.Endpoints {
-			endpoint.mu.Lock()
-			switch {
-			case endpoint.barred:
+		for _, member := range pool.Endpoints {
+			switch member.Status(now) {
+			case endpoint.Barred:
 				counts.Barred++
-			case now.Before(endpoint.ejectedUntil):
+			case endpoint.Ejected:
 				counts.Ejected++
 			default:
 				counts.Available++
 			}
-			endpoint.mu.Unlock()
 		}
 		list = append(list, counts)
 	}
