--- a/internal/controlplane/registry.go
+++ b/internal/controlplane/registry.go
@@ -114,20 +114,15 @@
 	return nil
 }
 
-// Operations of a data shard's log by which it keeps departures.
-const (
-	operationRecord = "mark"
-	operationClear  = "unmark"
-)
-
-// recordDeparture is the entry by which a shard remembers that a target drains or left.
+// recordDeparture is the entry by which a shard remembers that a target drains or left: its
+// departure, which is the state that the instance announced last.
 func recordDeparture(heartbeat *rpc.TargetHeartbeat) *rpc.CoordinationRequest {
-	return &rpc.CoordinationRequest{Operation: operationRecord, Name: heartbeat.Service + "/" + heartbeat.Instance, Holder: heartbeat.State, Sequence: heartbeat.Sequence}
+	return &rpc.CoordinationRequest{Operation: coordination.OpSetInstanceState, Name: heartbeat.Service + "/" + heartbeat.Instance, Holder: heartbeat.State, Sequence: heartbeat.Sequence}
 }
 
 // clearDeparture is the entry by which a shard forgets it.
 func clearDeparture(service, instance string, sequence uint64) *rpc.CoordinationRequest {
-	return &rpc.CoordinationRequest{Operation: operationClear, Name: service + "/" + instance, Sequence: sequence}
+	return &rpc.CoordinationRequest{Operation: coordination.OpClearInstanceState, Name: service + "/" + instance, Sequence: sequence}
 }
 
 // record notes a heartbeat, unless it is outdated: sent before one that was already taken,
