--- /dev/null
+++ b/internal/rpc/frame_test.go
@@ -0,0 +1,33 @@
+package rpc
+
+import (
+	"bytes"
+	"encoding/json"
+	"strings"
+	"testing"
+)
+
+func TestEncodeFrame_IsTheFrameAsJSON(t *testing.T) {
+	large, _ := json.Marshal(strings.Repeat("a<b", maxJoinedBody))
+	for _, frame := range []*Frame{
+		{Version: Version, ID: 1, Code: 4004, Note: "gone <&>", Paths: []string{"a"}},
+		{Version: Version, ID: 2, Kind: "kin.sync", Deadline: 9, Body: json.RawMessage(`{"digest":7}`)},
+		{ID: 0, Body: large},
+	} {
+		plain, err := json.Marshal(frame)
+		if err != nil {
+			t.Fatal(err)
+		}
+		got, err := encodeFrame(frame)
+		if err != nil {
+			t.Fatal(err)
+		}
+		var line bytes.Buffer
+		if err := got.writeTo(&line); err != nil || line.String() != string(plain)+"\n" || got.size() != line.Len() {
+			t.Errorf("%v: %.200s is not %.200s", err, line.String(), plain)
+		}
+		if len(frame.Body) > maxJoinedBody && &got[1][0] != &frame.Body[0] {
+			t.Error("a large body is copied")
+		}
+	}
+}
--- a/internal/rpc/idle.go
+++ b/internal/rpc/idle.go
@@ -1,4 +1,3 @@
-// Pipes on which nothing is asked are closed by their asking end.
 package rpc
 
 import (
@@ -6,13 +5,13 @@
 	"time"
 )
 
-// errClosedIdle is of a pipe that was closed as idle just when it was to be used; nothing
-// was written.
-var errClosedIdle = errors.New("pipe closed as idle")
+// errClosedIdle is that of a call on a connection that was closed as idle just before;
+// nothing was written.
+var errClosedIdle = errors.New("connection closed as idle")
 
-// closeIdleConns closes the pipes on which nothing was asked for a while: each asks its ends
-// for signs of life, and a node that talks to a random other now and then would in
-// time keep one to each.
+// closeIdleConns closes the outgoing connections on which nothing was asked for a while
+// (wire.idle). Each costs keep-alives at both ends, and a node that calls a random peer now
+// and then would in time keep a connection to each of them.
 func (t *Transport) closeIdleConns() {
 	for t.env.Sleep(t.env.Config.WireIdle / 4) {
 		t.mu.Lock()
@@ -29,7 +28,8 @@
 	}
 }
 
-// markIdle marks a pipe as closed if it is idle.
+// markIdle marks the connection as closed if it is idle, and reports whether it was. From
+// then on no call can start on it.
 func (c *clientConn) markIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/rpc/idle_test.go
+++ b/internal/rpc/idle_test.go
@@ -1,4 +1,3 @@
-// Pipes on which nothing is asked are closed; no ask is lost by it.
 package rpc
 
 import (
@@ -15,7 +14,7 @@
 	"github.com/sumactrestle/sumactrestle/internal/eventlog"
 )
 
-// socket is the one listener of a network in memory.
+// socket is a listener whose connections come from memory.
 type socket struct {
 	conns chan net.Conn
 	over  chan struct{}
@@ -33,10 +32,10 @@
 func (s *socket) Close() error   { s.once.Do(func() { close(s.over) }); return nil }
 func (s *socket) Addr() net.Addr { return &net.TCPAddr{} }
 
-func TestAnIdlePipeIsClosedAndNoAskIsLost(t *testing.T) {
+func TestTransport_ClosesIdleConnectionsAndLosesNoCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, end := context.WithCancel(t.Context())
-		defer end()
+		ctx, cancel := context.WithCancel(t.Context())
+		defer cancel()
 		far := &socket{conns: make(chan net.Conn), over: make(chan struct{})}
 		dialled := 0
 		node := func(address string, listen *socket) *Transport {
@@ -44,7 +43,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			w := New(environment.New(ctx, settings, eventlog.New(t.Output(), "error", "n"), environment.Host{
+			transport := New(environment.New(ctx, settings, eventlog.New(t.Output(), "error", "n"), environment.Host{
 				Listen: func(string) (net.Listener, error) { return listen, nil },
 				Dial: func(context.Context, string) (net.Conn, error) {
 					dialled++
@@ -53,59 +52,59 @@
 					return mine, nil
 				},
 			}))
-			w.Handle("now", func(c *Request) (any, error) { return 1, nil })
-			w.Handle("held", func(c *Request) (any, error) { time.Sleep(5 * time.Minute); return 1, nil })
-			if err := w.Start(); err != nil {
+			transport.Handle("now", func(c *Request) (any, error) { return 1, nil })
+			transport.Handle("held", func(c *Request) (any, error) { time.Sleep(5 * time.Minute); return 1, nil })
+			if err := transport.Start(); err != nil {
 				t.Fatal(err)
 			}
-			return w
+			return transport
 		}
 		const its = "10.0.0.2:1"
 		node(its, far)
-		w := node("10.0.0.1:1", &socket{conns: make(chan net.Conn), over: make(chan struct{})})
-		idle := w.env.Config.WireIdle
-		open := func() int { w.mu.Lock(); defer w.mu.Unlock(); return len(w.clientConns) }
-		ask := func(kind string) {
+		caller := node("10.0.0.1:1", &socket{conns: make(chan net.Conn), over: make(chan struct{})})
+		idle := caller.env.Config.WireIdle
+		open := func() int { caller.mu.Lock(); defer caller.mu.Unlock(); return len(caller.clientConns) }
+		call := func(kind string) {
 			t.Helper()
-			if err := w.Call(ctx, its, kind, struct{}{}, nil); err != nil {
+			if err := caller.Call(ctx, its, kind, struct{}{}, nil); err != nil {
 				t.Fatal(err)
 			}
 		}
 		for range 20 {
-			ask("now")
+			call("now")
 			time.Sleep(idle / 2)
 		}
 		if dialled != 1 || open() != 1 {
 			t.Fatalf("%d dialled, %d open while in use", dialled, open())
 		}
-		ask("held")
+		call("held")
 		if dialled != 1 {
-			t.Fatal("closed while an ask was held")
+			t.Fatal("closed while a call was held")
 		}
 		time.Sleep(2 * idle)
 		if open() != 0 {
 			t.Fatal("still open")
 		}
-		ask("now")
+		call("now")
 		if dialled != 2 {
 			t.Fatal("dialled", dialled)
 		}
-		// Just when it is closed it is used: the ask goes over a new one.
-		w.mu.Lock()
-		p := w.clientConns[its]
-		w.mu.Unlock()
-		p.mu.Lock()
-		p.lastUsed = p.lastUsed.Add(-idle)
-		p.mu.Unlock()
-		if !p.markIdle() {
+		// A call that finds the connection just marked as idle goes over a new one.
+		caller.mu.Lock()
+		conn := caller.clientConns[its]
+		caller.mu.Unlock()
+		conn.mu.Lock()
+		conn.lastUsed = conn.lastUsed.Add(-idle)
+		conn.mu.Unlock()
+		if !conn.markIdle() {
 			t.Fatal("not idle")
 		}
-		ask("now")
-		p.close()
-		if ask("now"); dialled != 3 || open() != 1 {
+		call("now")
+		conn.close()
+		if call("now"); dialled != 3 || open() != 1 {
 			t.Errorf("%d dialled, %d open", dialled, open())
 		}
-		if err := w.Call(ctx, its, "nothing", struct{}{}, nil); !errcode.Is(err, errcode.UnknownKind) {
+		if err := caller.Call(ctx, its, "nothing", struct{}{}, nil); !errcode.Is(err, errcode.UnknownKind) {
 			t.Error(err)
 		}
 	})
--- /dev/null
+++ b/internal/rpc/transport.go
@@ -0,0 +1,100 @@
+package rpc
+
+import (
+	"net"
+	"sync"
+	"time"
+
+	"github.com/sumactrestle/sumactrestle/internal/environment"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
+)
+
+// acceptRetry is the pause after a connection could not be accepted, as when the process
+// has run out of file descriptors.
+const acceptRetry = 10 * time.Millisecond
+
+// Transport is a node's end of all its connections. Its handlers and IsSameZone are set
+// before Start and not changed afterwards.
+type Transport struct {
+	env      *environment.Environment
+	handlers map[string]Handler
+	// IsSameZone reports whether an address lies in this node's zone; it only tells
+	// traffic apart. If it is nil, all addresses do.
+	IsSameZone func(address string) bool
+
+	traffic sync.Map // message kind -> *trafficCounter
+
+	// mu guards the connections.
+	mu          sync.Mutex
+	clientConns map[string]*clientConn // outgoing, by address
+	openConns   map[net.Conn]bool      // incoming and outgoing, closed at the end
+}
+
+// New returns a transport that does not listen yet.
+func New(env *environment.Environment) *Transport {
+	return &Transport{
+		env:         env,
+		handlers:    map[string]Handler{},
+		clientConns: map[string]*clientConn{},
+		openConns:   map[net.Conn]bool{},
+	}
+}
+
+// Start listens on wire.address and accepts connections until the node's environment ends.
+func (t *Transport) Start() error {
+	listener, err := t.env.Host.Listen(t.env.Config.WireAddress)
+	if err != nil {
+		return errcode.New(errcode.BadProps, "wire.address: %v", err)
+	}
+	t.env.Go(func() { t.acceptConns(listener) })
+	t.env.Go(t.closeIdleConns)
+	t.env.Go(func() {
+		<-t.env.Done()
+		listener.Close()
+		t.closeAllConns()
+	})
+	return nil
+}
+
+func (t *Transport) acceptConns(listener net.Listener) {
+	for {
+		conn, err := listener.Accept()
+		if err != nil {
+			if t.env.IsStopping() || !t.env.Sleep(acceptRetry) {
+				return
+			}
+			continue
+		}
+		if t.trackConn(conn) {
+			t.env.Go(func() { t.serveConn(conn) })
+		}
+	}
+}
+
+// trackConn has a connection closed at the end of the node's life. If that has come
+// already, it closes the connection and reports false.
+func (t *Transport) trackConn(conn net.Conn) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.env.IsStopping() {
+		conn.Close()
+		return false
+	}
+	t.openConns[conn] = true
+	return true
+}
+
+func (t *Transport) closeConn(conn net.Conn) {
+	conn.Close()
+	t.mu.Lock()
+	delete(t.openConns, conn)
+	t.mu.Unlock()
+}
+
+func (t *Transport) closeAllConns() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for conn := range t.openConns {
+		conn.Close()
+	}
+}
