--- a/internal/simulator/gone_test.go
+++ b/internal/simulator/gone_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// TestAReadWhoseCallerWentIsLeftOff: the target is told by the end of its connection,
+// TestProxy_ReadWhoseClientHasGoneIsAbandoned: the target is told by the end of its connection,
 // soon, and no other target is tried for a caller that is gone.
-func TestAReadWhoseCallerWentIsLeftOff(t *testing.T) {
+func TestProxy_ReadWhoseClientHasGoneIsAbandoned(t *testing.T) {
 	const soon = 500 * time.Millisecond
 	for _, isStay := range []bool{false, true} {
 		shape := one()
--- a/internal/simulator/double_test.go
+++ b/internal/simulator/hedge_test.go
@@ -39,7 +39,7 @@
 	})
 }
 
-func TestAReadThatIsOverdueIsAnsweredByASecondTarget(t *testing.T) {
+func TestProxy_OverdueReadIsHedged(t *testing.T) {
 	withOneIll(t, "rates", standin.Slow, func(f *Fleet, call func(method, path string) (int, time.Duration)) {
 		for i := range 12 {
 			if status, took := call("GET", "/rates"); status != 200 || took > time.Second {
@@ -49,7 +49,7 @@
 	})
 }
 
-func TestAReadAtWhichATargetFailedIsAnsweredByAnother(t *testing.T) {
+func TestProxy_FailedReadIsRetriedAtAnotherTarget(t *testing.T) {
 	withOneIll(t, "rates", standin.Failing, func(f *Fleet, call func(method, path string) (int, time.Duration)) {
 		for i := range 12 {
 			if status, _ := call("GET", "/rates"); status != 200 {
@@ -59,7 +59,7 @@
 	})
 }
 
-func TestAnOrderThatIsOverdueGoesToOneTarget(t *testing.T) {
+func TestProxy_OverdueOrderGoesToOneTarget(t *testing.T) {
 	withOneIll(t, "bookings", standin.Slow, func(f *Fleet, call func(method, path string) (int, time.Duration)) {
 		before := len(f.H.Records())
 		for range 12 {
@@ -83,7 +83,7 @@
 	})
 }
 
-func TestOrdersLeaveATargetThatFails(t *testing.T) {
+func TestProxy_OrdersAvoidAFailingTarget(t *testing.T) {
 	withOneIll(t, "bookings", standin.Failing, func(f *Fleet, call func(method, path string) (int, time.Duration)) {
 		failed := 0
 		for range 40 {
--- a/internal/simulator/order_test.go
+++ b/internal/simulator/idempotency_test.go
@@ -13,7 +13,7 @@
 
 // The claim on an order must outlive a change set that leads its path to another
 // service: the repeat, which comes to another proxy, is the same order still.
-func TestARepeatAfterAMoveToAnotherServiceIsTheSameOrder(t *testing.T) {
+func TestProxy_RepeatAfterMoveToAnotherServiceIsTheSameRequest(t *testing.T) {
 	shape := Small()
 	shape.Servers = map[string]int{"bookings": 1, "rates": 1, "desk": 1}
 	inFleet(t, shape, func(t *testing.T, f *Fleet) {
@@ -42,7 +42,7 @@
 
 // A call whose receipt was lost is repeated under its id at a node that reaches no
 // owner any more. The call was done; the repeat must not be told that it was not.
-func TestARepeatedCallWithoutAnOwnerIsUnknown(t *testing.T) {
+func TestProxy_RepeatWithoutLeaderIsUnknown(t *testing.T) {
 	inFleet(t, Small(), func(t *testing.T, f *Fleet) {
 		proxyNode := f.Of("proxy1")
 		client := standin.NewAPIClient(f.W.Net(f.outside(4)), proxyNode.Api())
--- a/internal/simulator/late_test.go
+++ b/internal/simulator/late_test.go
@@ -59,7 +59,7 @@
 }
 
 // The listening tasks are all in their long pause when the way is back.
-func TestWordOfAnEpochDoesNotWaitForTheLongPause(t *testing.T) {
+func TestDistribution_EpochUpdateDoesNotWaitForTheLongPause(t *testing.T) {
 	shape := one()
 	shape.Settings["flow.cool"], shape.Settings["kin.suspect"] = "5m", "1m"
 	inFleet(t, stays(shape), func(t *testing.T, f *Fleet) {
@@ -77,7 +77,7 @@
 }
 
 // The proxy holds all core nodes for down, and many others beside them.
-func TestWordOfAnEpochDoesNotWaitForOpinionsOnWhoIsThere(t *testing.T) {
+func TestDistribution_EpochUpdateDoesNotWaitForMembershipToAgree(t *testing.T) {
 	shape := one()
 	shape.Proxies = 14
 	inFleet(t, stays(shape), func(t *testing.T, f *Fleet) {
@@ -232,7 +232,7 @@
 
 // All held requests hang, and the first node that tells of the newer epoch doesn't
 // give it: the next one that is asked does.
-func TestANodeThatTellsOfAnEpochAndDoesNotGiveItIsPassedBy(t *testing.T) {
+func TestDistribution_NodeThatAnnouncesAnEpochWithoutServingItIsBypassed(t *testing.T) {
 	for _, servers := range []string{"0", "2"} {
 		staged(t, 3, map[string]string{"flow.servers": servers}, func(t *testing.T, client *distribution.Client, cores []*stagedCore) {
 			for i, core := range cores {
@@ -250,7 +250,7 @@
 }
 
 // A fetch that hangs at one control node holds up no other's.
-func TestAFetchThatHangsHoldsUpNoOther(t *testing.T) {
+func TestDistribution_HangingFetchDelaysNoOther(t *testing.T) {
 	staged(t, 2, nil, func(t *testing.T, client *distribution.Client, cores []*stagedCore) {
 		cores[0].hangs.Store(true)
 		cores[0].gives.Store(2)
--- a/internal/simulator/gate_test.go
+++ b/internal/simulator/proxy_test.go
@@ -41,7 +41,7 @@
 	return n
 }
 
-func TestAnUploadCutHalfWayNeverRuns(t *testing.T) {
+func TestProxy_InterruptedUploadNeverRuns(t *testing.T) {
 	inFleet(t, one(), func(t *testing.T, f *Fleet) {
 		for i, head := range []string{"Content-Length: 200000", "Transfer-Encoding: chunked"} {
 			conn, err := f.W.Net(f.outside(3)).Dial(f.ctx, f.Of("proxy1").Gate())
@@ -70,7 +70,7 @@
 	})
 }
 
-func TestSharesFollowStrengthAndTheRestIsRefusedAtOnce(t *testing.T) {
+func TestProxy_QuotaSharesFollowStrengthAndTheRestIsRejectedAtOnce(t *testing.T) {
 	shape := Small()
 	shape.Servers = map[string]int{"bookings": 2, "rates": 1}
 	inFleet(t, shape, func(t *testing.T, f *Fleet) {
@@ -122,7 +122,7 @@
 }
 
 // A part in which no server was ever heard is known to be empty, not unknown.
-func TestAServiceWithoutServersHasNoTarget(t *testing.T) {
+func TestProxy_ServiceWithoutServersHasNoTarget(t *testing.T) {
 	inFleet(t, one(), func(t *testing.T, f *Fleet) {
 		client := standin.NewAPIClient(f.W.Net(f.outside(4)), f.Cores()[0].Api())
 		view, err := client.Epoch(f.ctx)
@@ -149,7 +149,7 @@
 	})
 }
 
-func TestAnAnswerLargerThanMayBeHeldIsUnknown(t *testing.T) {
+func TestProxy_TooLargeResponseIsUnknown(t *testing.T) {
 	shape := one()
 	shape.Settings["gate.body"] = "4096"
 	inFleet(t, shape, func(t *testing.T, f *Fleet) {
@@ -166,7 +166,7 @@
 
 // A request that was written into a way that is cut must not arrive when the
 // way heals: its plan is long past then, and its caller has been answered.
-func TestWhatACutHeldBackDoesNotArriveLater(t *testing.T) {
+func TestProxy_RequestHeldBackByPartitionDoesNotArriveLater(t *testing.T) {
 	inFleet(t, one(), func(t *testing.T, f *Fleet) {
 		proxyNode, server := f.Of("proxy1"), f.Servers("bookings")[0]
 		caller := standin.NewClient(f.W.Net(f.outside(5)), f.H)
@@ -184,7 +184,7 @@
 
 // The same for a body that streams: its head must be taken by the server within
 // the short patience, or nothing of the body goes out.
-func TestAnUploadThatACutHeldBackDoesNotArriveLater(t *testing.T) {
+func TestProxy_UploadHeldBackByPartitionDoesNotArriveLater(t *testing.T) {
 	inFleet(t, one(), func(t *testing.T, f *Fleet) {
 		proxyNode, server := f.Of("proxy1"), f.Servers("bookings")[0]
 		caller := standin.NewClient(f.W.Net(f.outside(5)), f.H)
--- a/internal/simulator/sleep_test.go
+++ b/internal/simulator/sleep_test.go
@@ -11,7 +11,7 @@
 	"github.com/sumactrestle/sumactrestle/internal/standin"
 )
 
-func TestASuspendedProxyWakesWithoutAFreshPlan(t *testing.T) {
+func TestProxy_SuspendedProxyWakesWithoutFreshConfiguration(t *testing.T) {
 	inFleet(t, one(), func(t *testing.T, f *Fleet) {
 		proxyNode := f.Of("proxy1")
 		caller := standin.NewClient(f.W.Net(f.outside(3)), f.H)
--- a/internal/simulator/slide_test.go
+++ b/internal/simulator/slide_test.go
@@ -11,7 +11,7 @@
 	"github.com/sumactrestle/sumactrestle/internal/standin"
 )
 
-func TestAProxyStartedAnewDoesNotSlideBack(t *testing.T) {
+func TestProxy_RestartedProxyKeepsItsEpoch(t *testing.T) {
 	shown := 0
 	for i := 0; i < 60 && shown < 1; i++ {
 		if startedAnew(t) {
