--- a/internal/controlplane/state.go
+++ b/internal/controlplane/state.go
@@ -89,16 +89,16 @@
 	return nil
 }
 
-// GroupData is the data that a group had under a digest in one of the previous epochs.
-func (c *ConfigState) GroupData(name, digest string) (json.RawMessage, bool) {
+// previousGroup is a group as it was under a digest in one of the previous epochs.
+func (c *ConfigState) previousGroup(name, digest string) (rpc.Group, bool) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	for i := len(c.previous) - 1; i >= 0; i-- {
 		if group, ok := c.previous[i].Groups[name]; ok && group.Digest == digest {
-			return group.Data, true
+			return group, true
 		}
 	}
-	return nil, false
+	return rpc.Group{}, false
 }
 
 // Snapshot takes hold of the epoch in force, to be encoded for a snapshot while further
--- a/internal/controlplane/state_test.go
+++ b/internal/controlplane/state_test.go
@@ -56,7 +56,7 @@
 		}
 	}
 	previous := c.AtEpoch(last - 1).Groups[LimitsGroup]
-	if data, ok := c.GroupData(LimitsGroup, previous.Digest); !ok || string(data) != string(previous.Data) {
-		t.Errorf("%v %s", ok, data)
+	if group, ok := c.previousGroup(LimitsGroup, previous.Digest); !ok || string(group.Data) != string(previous.Data) {
+		t.Errorf("%v %s", ok, group.Data)
 	}
 }
--- a/internal/controlplane/target_diff.go
+++ b/internal/controlplane/target_diff.go
@@ -5,20 +5,63 @@
 	"slices"
 	"strings"
 
+	"github.com/sumactrestle/sumactrestle/internal/ids"
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
 // Target lists are long and change by a few targets at a time, so a proxy that holds an
 // earlier list is sent the difference. It checks the result against the digest of the list.
 
-// DiffTargets is the difference between two encoded target lists: the targets that are new
-// or changed, and the instances that are removed. It is not ok if it is no shorter than the
-// list itself, or if either list cannot be decoded; the list is to be sent in full then.
-func DiffTargets(from, to json.RawMessage) (put []rpc.Target, removed []string, ok bool) {
-	var before, after []rpc.Target
-	if json.Unmarshal(from, &before) != nil || json.Unmarshal(to, &after) != nil {
-		return nil, nil, false
+// Delta is a target list as its difference from the version with a digest. It is not ok if
+// the group is no target list, that version is in none of the epochs kept, or the difference
+// is no shorter; the group is to be sent in full then. The difference was checked: it leads
+// from that version to exactly this list. A list that cannot be decoded is reported as
+// damaged, and has no difference.
+func (c *ConfigState) Delta(name, baseDigest string, group rpc.Group) (delta rpc.Group, ok bool) {
+	if baseDigest == "" || !strings.HasPrefix(name, TargetsPrefix) {
+		return rpc.Group{}, false
 	}
+	base, isKept := c.previousGroup(name, baseDigest)
+	if !isKept {
+		return rpc.Group{}, false
+	}
+	before, err := decodeTargets(name, base)
+	if err != nil {
+		c.reportDamage(err)
+		return rpc.Group{}, false
+	}
+	after, err := decodeTargets(name, group)
+	if err != nil {
+		c.reportDamage(err)
+		return rpc.Group{}, false
+	}
+	put, removed := diffTargets(before, after)
+	if len(put) >= len(after) || Digest(patchTargets(before, put, removed)) != group.Digest {
+		return rpc.Group{}, false
+	}
+	return rpc.Group{Digest: group.Digest, Index: group.Index, BaseDigest: baseDigest, PutTargets: put, RemovedTargets: removed}, true
+}
+
+// PatchTargets applies a difference to an encoded target list.
+func PatchTargets(from json.RawMessage, put []rpc.Target, removed []string) (json.RawMessage, error) {
+	var before []rpc.Target
+	if err := json.Unmarshal(from, &before); err != nil {
+		return nil, err
+	}
+	return patchTargets(before, put, removed), nil
+}
+
+// decodeTargets reads a target list; the error is a *DamagedGroupError.
+func decodeTargets(name string, group rpc.Group) (targets []rpc.Target, err error) {
+	if err := json.Unmarshal(group.Data, &targets); err != nil {
+		return nil, &DamagedGroupError{Epoch: ids.Epoch(group.Index), Group: name, Digest: group.Digest, Err: err}
+	}
+	return targets, nil
+}
+
+// diffTargets is the targets that are new or changed in a list, and the instances that are
+// no longer in it.
+func diffTargets(before, after []rpc.Target) (put []rpc.Target, removed []string) {
 	remaining := make(map[string]rpc.Target, len(before))
 	for _, target := range before {
 		remaining[target.Instance] = target
@@ -33,15 +76,12 @@
 		removed = append(removed, instance)
 	}
 	slices.Sort(removed)
-	return put, removed, len(put) < len(after)
+	return put, removed
 }
 
-// PatchTargets applies a difference to an encoded target list.
-func PatchTargets(from json.RawMessage, put []rpc.Target, removed []string) (json.RawMessage, error) {
-	var before []rpc.Target
-	if err := json.Unmarshal(from, &before); err != nil {
-		return nil, err
-	}
+// patchTargets applies a difference to a list, and encodes the result in the order of its
+// instances.
+func patchTargets(before, put []rpc.Target, removed []string) json.RawMessage {
 	superseded := make(map[string]bool, len(removed)+len(put))
 	for _, instance := range removed {
 		superseded[instance] = true
@@ -57,5 +97,5 @@
 	}
 	after = append(after, put...)
 	slices.SortStableFunc(after, func(a, b rpc.Target) int { return strings.Compare(a.Instance, b.Instance) })
-	return json.Marshal(after)
+	return mustMarshal(after)
 }
--- a/internal/distribution/serve.go
+++ b/internal/distribution/serve.go
@@ -165,12 +165,8 @@
 		return delta
 	}
 	delta = group
-	if from, isKept := s.state.GroupData(name, held); isKept {
-		if put, gone, isShorter := controlplane.DiffTargets(from, group.Data); isShorter {
-			if whole, err := controlplane.PatchTargets(from, put, gone); err == nil && controlplane.Digest(whole) == group.Digest {
-				delta = rpc.Group{Digest: group.Digest, Index: group.Index, BaseDigest: held, PutTargets: put, RemovedTargets: gone}
-			}
-		}
+	if shorter, ok := s.state.Delta(name, held, group); ok {
+		delta = shorter
 	}
 	s.mu.Lock()
 	if len(s.deltas) >= maxDeltasKept || s.deltas == nil {
