--- a/internal/controlplane/stats.go
+++ b/internal/controlplane/stats.go
@@ -33,12 +33,19 @@
 	return counts
 }
 
-// Rows is the targets known here as the shell shows them: service, instance, address, zone,
-// weight, state and time since the last heartbeat.
-func (r *TargetRegistry) Rows() (rows [][]any) {
+// TargetRow is one target as the shell shows it.
+type TargetRow struct {
+	Service, Instance, Address, Zone string
+	Weight                           int
+	State                            string        // "in" or "out", with what the target said of itself
+	SinceHeartbeat                   time.Duration // in whole milliseconds
+}
+
+// Rows lists the targets known here, in no order.
+func (r *TargetRegistry) Rows() (rows []TargetRow) {
 	r.eachTarget(func(service, instance string, target *targetRecord) {
 		last := &target.heartbeat
-		rows = append(rows, []any{service, instance, last.Address, last.Zone, last.Weight, target.rotation() + " (" + last.State + ")", r.env.Since(target.lastSeen).Round(time.Millisecond)})
+		rows = append(rows, TargetRow{service, instance, last.Address, last.Zone, last.Weight, target.rotation() + " (" + last.State + ")", r.env.Since(target.lastSeen).Round(time.Millisecond)})
 	})
 	return rows
 }
--- a/internal/node/show.go
+++ b/internal/node/show.go
@@ -52,7 +52,7 @@
 		columns("service", "instance", "address", "zone", "weight", "state", "silence")
 		if n.Roll != nil {
 			for _, row := range n.Roll.Rows() {
-				add(row...)
+				add(row.Service, row.Instance, row.Address, row.Zone, row.Weight, row.State, row.SinceHeartbeat)
 			}
 		}
 	case api.ShowWhatAges:
