--- a/internal/approved/node_test.go
+++ b/internal/approved/node_test.go
@@ -3,8 +3,10 @@
 import (
 	"bytes"
 	"context"
+	"encoding/json"
 	"fmt"
 	"io"
+	"maps"
 	"net"
 	"net/http"
 	"reflect"
@@ -186,6 +188,11 @@
 	gate("GET", "/pears/")
 	gate("POST", "/pears/", "Idempotency-Key: o1")
 	gate("GET", "/apples/")
+	var epoch struct{ Manifest map[string]any }
+	if _, text := get(t, "http://"+apiAddress+"/v1/epoch"); json.Unmarshal([]byte(text), &epoch) != nil {
+		t.Fatal(text)
+	}
+	fmt.Fprintf(&out, "groups %s\n", slices.Sorted(maps.Keys(epoch.Manifest)))
 	for _, what := range []string{"members", "parts", "targets", "ages", "counts", "traffic", "latency", "events", "node"} {
 		_, text := get(t, "http://"+apiAddress+"/v1/show/"+what)
 		head, _, _ := strings.Cut(text, "]")
