--- a/internal/coordination/service_test.go
+++ b/internal/coordination/service_test.go
@@ -24,7 +24,7 @@
 // leader returns the machine that leads the shard of a name.
 func (s *serviceTest) leader(name string) (leader *simulator.Machine) {
 	s.Helper()
-	found := s.fleet.Until(30*time.Second, func() bool {
+	found := s.fleet.WaitUntil(30*time.Second, func() bool {
 		for _, m := range s.fleet.Cores() {
 			if n := m.Node(); n != nil && n.Consensus.Replica(ids.ShardOf(name)).IsServing() {
 				leader = m
--- a/internal/simulator/address_test.go
+++ b/internal/simulator/address_test.go
@@ -17,7 +17,7 @@
 	inFleet(t, shape, func(t *testing.T, f *Fleet) {
 		core := f.Cores()[0]
 		holds := func(service, instance string) bool {
-			owner := ownerOf(f, ids.ConfigShard, nil)
+			owner := leaderOf(f, ids.ConfigShard, nil)
 			if owner == nil {
 				return false
 			}
@@ -44,7 +44,7 @@
 			isIn := false
 			for seq := uint64(1); seq < 20 && !isIn; seq++ {
 				beat("bookings", old, seq)
-				isIn = f.Until(200*time.Millisecond, func() bool { return holds("bookings", old) })
+				isIn = f.WaitUntil(200*time.Millisecond, func() bool { return holds("bookings", old) })
 			}
 			if !isIn {
 				t.Fatal("the old target did not come in")
@@ -53,7 +53,7 @@
 			isIn = false
 			for seq := uint64(1); seq < 40 && !isIn; seq++ {
 				beat("rates", young, seq)
-				isIn = f.Until(200*time.Millisecond, func() bool {
+				isIn = f.WaitUntil(200*time.Millisecond, func() bool {
 					if gone.IsZero() && !holds("bookings", old) {
 						gone = time.Now()
 					}
--- a/internal/simulator/bonds.go
+++ b/internal/simulator/bonds.go
@@ -21,13 +21,13 @@
 
 const space = "space/"
 
-// again makes a call under an id, and up to three times more while it is left
+// repeatUnknown makes a call under an id, and up to three times more while it is left
 // unknown; each try is recorded under the id.
-func (f *Fleet) again(r *rand.Rand, clients []*api.Client, rec checker.Record, call func(ctx context.Context, client *api.Client, id string, rec *checker.Record) error) (done bool) {
+func (f *Fleet) repeatUnknown(r *rand.Rand, clients []*api.Client, rec checker.Record, call func(ctx context.Context, client *api.Client, id string, rec *checker.Record) error) (done bool) {
 	rec.RequestID = ids.NewID()
 	for range 4 {
 		client, outcome := clients[r.IntN(len(clients))], ""
-		f.bonded(rec, func(ctx context.Context, now *checker.Record) error {
+		f.recordCoordination(rec, func(ctx context.Context, now *checker.Record) error {
 			err := call(ctx, client, rec.RequestID, now)
 			outcome = outcomeOf(err)
 			return err
@@ -40,39 +40,39 @@
 	return false
 }
 
-func take(rec *checker.Record, receipt *api.Receipt, err error) error {
+func recordResponse(rec *checker.Record, receipt *api.Receipt, err error) error {
 	if err == nil {
 		rec.Revision, rec.Count = receipt.Stamp, receipt.Count.Or(0)
 	}
 	return err
 }
 
-// Bonders start n applications, and watchers of the space.
-func (f *Fleet) Bonders(n int, mean time.Duration) {
+// StartCoordinationClients start n applications, and watchers of the space.
+func (f *Fleet) StartCoordinationClients(n int, mean time.Duration) {
 	var clients []*api.Client
 	for _, m := range f.Machines {
-		clients = append(clients, standin.NewAPIClient(f.W.Net(f.outside(61)), m.Api()))
+		clients = append(clients, standin.NewAPIClient(f.Network.HostAt(f.clientHost(61)), m.APIAddress()))
 	}
 	for i := range n {
-		f.task(func(r *rand.Rand) {
+		f.goTask(func(r *rand.Rand) {
 			pause(r, mean)
 			key := fmt.Sprint(space, "k", r.IntN(4))
 			client := clients[r.IntN(len(clients))]
 			switch r.IntN(6) {
 			case 0:
-				f.again(r, clients, checker.Record{Op: "add", Name: "total/" + fmt.Sprint(r.IntN(2))}, func(ctx context.Context, client *api.Client, id string, rec *checker.Record) error {
+				f.repeatUnknown(r, clients, checker.Record{Op: "add", Name: "total/" + fmt.Sprint(r.IntN(2))}, func(ctx context.Context, client *api.Client, id string, rec *checker.Record) error {
 					receipt, err := client.AddCounter(ctx, &api.Call{Name: rec.Name, ID: api.NewOptString(id)})
-					return take(rec, receipt, err)
+					return recordResponse(rec, receipt, err)
 				})
 			case 1, 2:
 				f.compareAndSet(r, clients, key)
 			case 3:
-				f.again(r, clients, checker.Record{Op: "drop", Name: key}, func(ctx context.Context, client *api.Client, id string, rec *checker.Record) error {
+				f.repeatUnknown(r, clients, checker.Record{Op: "drop", Name: key}, func(ctx context.Context, client *api.Client, id string, rec *checker.Record) error {
 					receipt, err := client.DropKey(ctx, &api.Call{Name: rec.Name, ID: api.NewOptString(id)})
-					return take(rec, receipt, err)
+					return recordResponse(rec, receipt, err)
 				})
 			case 4:
-				f.bonded(checker.Record{Op: "list", Name: space}, func(ctx context.Context, rec *checker.Record) error {
+				f.recordCoordination(checker.Record{Op: "list", Name: space}, func(ctx context.Context, rec *checker.Record) error {
 					receipt, err := client.ListKeys(ctx, api.ListKeysParams{Prefix: space})
 					if err == nil {
 						rec.Revision = receipt.Stamp
@@ -88,13 +88,13 @@
 		})
 	}
 	from := uint64(0)
-	f.task(func(r *rand.Rand) { f.watchOnce(r, clients[r.IntN(len(clients))], space, &from) })
+	f.goTask(func(r *rand.Rand) { f.useWatch(r, clients[r.IntN(len(clients))], space, &from) })
 }
 
 // compareAndSet reads a key and puts it back, if nobody else did meanwhile.
 func (f *Fleet) compareAndSet(r *rand.Rand, clients []*api.Client, key string) {
 	stamp, isRead := uint64(0), false
-	f.bonded(checker.Record{Op: "get", Name: key}, func(ctx context.Context, rec *checker.Record) error {
+	f.recordCoordination(checker.Record{Op: "get", Name: key}, func(ctx context.Context, rec *checker.Record) error {
 		receipt, err := clients[r.IntN(len(clients))].GetKey(ctx, api.GetKeyParams{Name: key})
 		if standin.CodeOf(err) == errcode.NoKey.No {
 			isRead = true
@@ -110,9 +110,9 @@
 		return
 	}
 	value, _ := json.Marshal(r.Uint32())
-	f.again(r, clients, checker.Record{Op: "put", Name: key, IsConditional: true, From: stamp, Digest: string(value)}, func(ctx context.Context, client *api.Client, id string, rec *checker.Record) error {
+	f.repeatUnknown(r, clients, checker.Record{Op: "put", Name: key, IsConditional: true, From: stamp, Digest: string(value)}, func(ctx context.Context, client *api.Client, id string, rec *checker.Record) error {
 		receipt, err := client.PutKey(ctx, &api.Call{Name: key, Value: jx.Raw(value), If: api.NewOptUint64(stamp), ID: api.NewOptString(id)})
-		return take(rec, receipt, err)
+		return recordResponse(rec, receipt, err)
 	})
 }
 
@@ -122,7 +122,7 @@
 	session := who + "-" + ids.NewID()
 	fence := uint64(0)
 	client := clients[r.IntN(len(clients))]
-	f.bonded(checker.Record{Op: "leader", Name: "head"}, func(ctx context.Context, rec *checker.Record) error {
+	f.recordCoordination(checker.Record{Op: "leader", Name: "head"}, func(ctx context.Context, rec *checker.Record) error {
 		receipt, err := client.GetLeader(ctx, api.GetLeaderParams{Name: "head"})
 		if standin.CodeOf(err) == errcode.NoKey.No {
 			return nil
@@ -132,7 +132,7 @@
 		}
 		return err
 	})
-	err := f.bonded(checker.Record{Op: "acquire", Name: "head", Holder: session, TTL: ttl}, func(ctx context.Context, rec *checker.Record) error {
+	err := f.recordCoordination(checker.Record{Op: "acquire", Name: "head", Holder: session, TTL: ttl}, func(ctx context.Context, rec *checker.Record) error {
 		receipt, err := client.Elect(ctx, &api.Call{Name: "head", Holder: api.NewOptString(session), TTL: api.NewOptInt64(ttl.Milliseconds()), Value: jx.Raw(`"here"`), ID: api.NewOptString(ids.NewID())}, api.ElectParams{Verb: api.ElectVerbCampaign})
 		if err == nil {
 			fence = receipt.Fence.Or(0)
@@ -145,21 +145,21 @@
 	}
 	time.Sleep(time.Duration(r.Int64N(int64(ttl))))
 	if r.IntN(2) == 0 {
-		f.bonded(checker.Record{Op: "release", Name: "head", Holder: session, FencingToken: fence}, func(ctx context.Context, rec *checker.Record) error {
+		f.recordCoordination(checker.Record{Op: "release", Name: "head", Holder: session, FencingToken: fence}, func(ctx context.Context, rec *checker.Record) error {
 			_, err := client.Elect(ctx, &api.Call{Name: "head", Holder: api.NewOptString(session), Fence: api.NewOptUint64(fence), ID: api.NewOptString(ids.NewID())}, api.ElectParams{Verb: api.ElectVerbResign})
 			return err
 		})
 	}
 }
 
-// countUp reads the counters at the end, when nothing else goes on.
-func (f *Fleet) countUp() {
-	client := standin.NewAPIClient(f.W.Net(f.outside(92)), f.Cores()[0].Api())
+// incrementCounter reads the counters at the end, when nothing else goes on.
+func (f *Fleet) incrementCounter() {
+	client := standin.NewAPIClient(f.Network.HostAt(f.clientHost(92)), f.Cores()[0].APIAddress())
 	for i := range 2 {
-		f.Until(10*time.Second, func() bool {
-			return f.bonded(checker.Record{Op: "total", Name: fmt.Sprint("total/", i)}, func(ctx context.Context, rec *checker.Record) error {
+		f.WaitUntil(10*time.Second, func() bool {
+			return f.recordCoordination(checker.Record{Op: "total", Name: fmt.Sprint("total/", i)}, func(ctx context.Context, rec *checker.Record) error {
 				receipt, err := client.GetCounter(ctx, api.GetCounterParams{Name: rec.Name})
-				return take(rec, receipt, err)
+				return recordResponse(rec, receipt, err)
 			}) == nil
 		})
 	}
--- a/internal/simulator/conn.go
+++ b/internal/simulator/conn.go
@@ -11,95 +11,95 @@
 	"time"
 )
 
-const halfMost = 1 << 20
+const maxQueuedBytes = 1 << 20
 
-type chunk struct {
-	due  time.Time
-	late time.Time // when the sender's system gives it up; zero for never
-	data []byte
+type segment struct {
+	deliverAt time.Time
+	expiresAt time.Time // when the sender's system gives it up; zero for never
+	data      []byte
 }
 
-type half struct {
+type stream struct {
 	mu       sync.Mutex
-	chunks   []chunk
+	segments []segment
 	size     int
-	isShut   bool // the writer closed it; what is queued can still be read
-	shutDue  time.Time
-	isBroken bool
-	change   chan struct{}
+	closed   bool // the writer closed it; what is queued can still be read
+	closedAt time.Time
+	broken   bool
+	changed  chan struct{}
 }
 
-func (h *half) stir() {
-	close(h.change)
-	h.change = make(chan struct{})
+func (h *stream) broadcast() {
+	close(h.changed)
+	h.changed = make(chan struct{})
 }
 
 type conn struct {
-	w             *World
-	local, remote string
-	here, there   string
-	in, out       *half
-	mu            sync.Mutex
-	isClosed      bool
-	readBy        time.Time
-	writeBy       time.Time
-	deadline      chan struct{}
-	patience      time.Duration
-	isHasty       bool
+	network                     *Network
+	localHost, remoteHost       string
+	localAddress, remoteAddress string
+	inbound, outbound           *stream
+	mu                          sync.Mutex
+	closed                      bool
+	readDeadline                time.Time
+	writeDeadline               time.Time
+	deadlineChanged             chan struct{}
+	userTimeout                 time.Duration
+	discardOnClose              bool
 }
 
 // SetUserTimeout bounds how long what was sent may stay on its way.
-func (c *conn) SetUserTimeout(d time.Duration) { c.mu.Lock(); c.patience = d; c.mu.Unlock() }
+func (c *conn) SetUserTimeout(d time.Duration) { c.mu.Lock(); c.userTimeout = d; c.mu.Unlock() }
 
 // SetLinger, as zero, throws away at the close what has not arrived.
-func (c *conn) SetLinger(int) error { c.mu.Lock(); c.isHasty = true; c.mu.Unlock(); return nil }
+func (c *conn) SetLinger(int) error { c.mu.Lock(); c.discardOnClose = true; c.mu.Unlock(); return nil }
 
-func pair(w *World, here, there string) (*conn, *conn) {
-	one, two := &half{change: make(chan struct{})}, &half{change: make(chan struct{})}
-	a := &conn{w: w, local: host(here), remote: host(there), here: here, there: there, in: one, out: two, deadline: make(chan struct{})}
-	b := &conn{w: w, local: host(there), remote: host(here), here: there, there: here, in: two, out: one, deadline: make(chan struct{})}
+func newConnPair(w *Network, here, there string) (*conn, *conn) {
+	one, two := &stream{changed: make(chan struct{})}, &stream{changed: make(chan struct{})}
+	a := &conn{network: w, localHost: hostOf(here), remoteHost: hostOf(there), localAddress: here, remoteAddress: there, inbound: one, outbound: two, deadlineChanged: make(chan struct{})}
+	b := &conn{network: w, localHost: hostOf(there), remoteHost: hostOf(here), localAddress: there, remoteAddress: here, inbound: two, outbound: one, deadlineChanged: make(chan struct{})}
 	return a, b
 }
 
 // reset ends the connection with its process. Of a killed process the peer
 // still gets what was sent, or sometimes a reset; of a machine without power it
 // hears nothing.
-func (c *conn) reset(isOwn, isTold, isHard bool) {
+func (c *conn) reset(isOwn, peerNotified, isHard bool) {
 	if isOwn {
 		c.mu.Lock()
-		c.isClosed = true
-		close(c.deadline)
-		c.deadline = make(chan struct{})
+		c.closed = true
+		close(c.deadlineChanged)
+		c.deadlineChanged = make(chan struct{})
 		c.mu.Unlock()
 		return
 	}
-	if !isTold {
+	if !peerNotified {
 		return
 	}
-	c.in.mu.Lock()
-	if !c.in.isShut {
-		c.in.isShut, c.in.isBroken = true, isHard
-		c.in.shutDue = time.Now().Add(time.Millisecond)
-		if n := len(c.in.chunks); n > 0 && c.in.shutDue.Before(c.in.chunks[n-1].due) {
-			c.in.shutDue = c.in.chunks[n-1].due
+	c.inbound.mu.Lock()
+	if !c.inbound.closed {
+		c.inbound.closed, c.inbound.broken = true, isHard
+		c.inbound.closedAt = time.Now().Add(time.Millisecond)
+		if n := len(c.inbound.segments); n > 0 && c.inbound.closedAt.Before(c.inbound.segments[n-1].deliverAt) {
+			c.inbound.closedAt = c.inbound.segments[n-1].deliverAt
 		}
 	}
-	c.in.stir()
-	c.in.mu.Unlock()
-	c.out.mu.Lock()
-	c.out.isBroken = true
-	c.out.stir()
-	c.out.mu.Unlock()
+	c.inbound.broadcast()
+	c.inbound.mu.Unlock()
+	c.outbound.mu.Lock()
+	c.outbound.broken = true
+	c.outbound.broadcast()
+	c.outbound.mu.Unlock()
 }
 
-func (c *conn) state() (isClosed bool, readBy, writeBy time.Time, deadline chan struct{}) {
+func (c *conn) status() (isClosed bool, readBy, writeBy time.Time, deadline chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.isClosed, c.readBy, c.writeBy, c.deadline
+	return c.closed, c.readDeadline, c.writeDeadline, c.deadlineChanged
 }
 
-// wait blocks until one of the changes, a moment, or the deadline.
-func wait(by time.Time, due time.Time, changes ...chan struct{}) {
+// waitForEvent blocks until one of the changes, a moment, or the deadline.
+func waitForEvent(by time.Time, due time.Time, changes ...chan struct{}) {
 	var wakeups [2]<-chan time.Time
 	for i, at := range []time.Time{by, due} {
 		if !at.IsZero() {
@@ -126,59 +126,59 @@
 
 func (c *conn) Read(p []byte) (int, error) {
 	for {
-		isClosed, by, _, deadline := c.state()
+		isClosed, by, _, deadline := c.status()
 		if isClosed {
 			return 0, net.ErrClosed
 		}
 		if !by.IsZero() && !time.Now().Before(by) {
 			return 0, os.ErrDeadlineExceeded
 		}
-		c.w.mu.Lock()
-		isBlocked, topology := c.w.blocked(c.remote, c.local), c.w.change
-		c.w.mu.Unlock()
-		c.in.mu.Lock()
-		h := c.in
-		change := h.change
+		c.network.mu.Lock()
+		isBlocked, topology := c.network.blocked(c.remoteHost, c.localHost), c.network.changed
+		c.network.mu.Unlock()
+		c.inbound.mu.Lock()
+		h := c.inbound
+		change := h.changed
 		var due time.Time
 		switch {
-		case h.isBroken:
+		case h.broken:
 			h.mu.Unlock()
 			return 0, syscall.ECONNRESET
 		case isBlocked:
-		case len(h.chunks) > 0:
-			first := &h.chunks[0]
-			if !first.late.IsZero() && time.Now().After(first.late) {
-				h.isBroken = true
-				h.stir()
+		case len(h.segments) > 0:
+			first := &h.segments[0]
+			if !first.expiresAt.IsZero() && time.Now().After(first.expiresAt) {
+				h.broken = true
+				h.broadcast()
 				h.mu.Unlock()
 				return 0, syscall.ECONNRESET
 			}
-			if !time.Now().Before(first.due) {
+			if !time.Now().Before(first.deliverAt) {
 				n := copy(p, first.data)
 				if first.data = first.data[n:]; len(first.data) == 0 {
-					h.chunks = h.chunks[1:]
+					h.segments = h.segments[1:]
 				}
 				h.size -= n
-				h.stir()
+				h.broadcast()
 				h.mu.Unlock()
 				return n, nil
 			}
-			due = first.due
-		case h.isShut:
-			if !time.Now().Before(h.shutDue) {
+			due = first.deliverAt
+		case h.closed:
+			if !time.Now().Before(h.closedAt) {
 				h.mu.Unlock()
 				return 0, io.EOF
 			}
-			due = h.shutDue
+			due = h.closedAt
 		}
 		h.mu.Unlock()
-		wait(by, due, change, topology, deadline)
+		waitForEvent(by, due, change, topology, deadline)
 	}
 }
 
 func (c *conn) Write(p []byte) (int, error) {
 	for {
-		isClosed, _, by, deadline := c.state()
+		isClosed, _, by, deadline := c.status()
 		if isClosed {
 			return 0, net.ErrClosed
 		}
@@ -186,51 +186,51 @@
 			return 0, os.ErrDeadlineExceeded
 		}
 		c.mu.Lock()
-		patience := c.patience
+		patience := c.userTimeout
 		c.mu.Unlock()
-		h := c.out
+		h := c.outbound
 		h.mu.Lock()
-		isOver, isFull, change := h.isBroken || h.isShut, h.size >= halfMost, h.change
+		isOver, isFull, change := h.broken || h.closed, h.size >= maxQueuedBytes, h.changed
 		h.mu.Unlock()
 		switch {
 		case isOver:
 			return 0, syscall.EPIPE
 		case isFull:
-			wait(by, time.Time{}, change, deadline)
+			waitForEvent(by, time.Time{}, change, deadline)
 			continue
 		}
-		pieces := c.cut(p)
+		pieces := c.segmentsOf(p)
 		h.mu.Lock()
 		for _, one := range pieces {
-			if n := len(h.chunks); n > 0 && one.due.Before(h.chunks[n-1].due) {
-				one.due = h.chunks[n-1].due
+			if n := len(h.segments); n > 0 && one.deliverAt.Before(h.segments[n-1].deliverAt) {
+				one.deliverAt = h.segments[n-1].deliverAt
 			}
 			if patience > 0 {
-				one.late = one.due.Add(patience)
+				one.expiresAt = one.deliverAt.Add(patience)
 			}
-			h.chunks = append(h.chunks, one)
+			h.segments = append(h.segments, one)
 		}
 		h.size += len(p)
-		h.stir()
+		h.broadcast()
 		h.mu.Unlock()
 		return len(p), nil
 	}
 }
 
-// cut makes of what is written the pieces in which it arrives: one, unless a link on the
+// segmentsOf makes of what is written the pieces in which it arrives: one, unless a link on the
 // way is narrow.
-func (c *conn) cut(p []byte) (pieces []chunk) {
-	c.w.mu.Lock()
-	defer c.w.mu.Unlock()
-	c.w.count(c.local, c.remote, len(p)+40)
+func (c *conn) segmentsOf(p []byte) (pieces []segment) {
+	c.network.mu.Lock()
+	defer c.network.mu.Unlock()
+	c.network.countBytes(c.localHost, c.remoteHost, len(p)+40)
 	most := len(p)
-	if c.w.isNarrow(c.local, c.remote) {
+	if c.network.isLimited(c.localHost, c.remoteHost) {
 		most = packetMost
 	}
 	now := time.Now()
 	for {
 		n := min(len(p), most)
-		pieces = append(pieces, chunk{due: c.w.arrival(c.local, c.remote, now, n+40), data: append([]byte(nil), p[:n]...)})
+		pieces = append(pieces, segment{deliverAt: c.network.arrivalTime(c.localHost, c.remoteHost, now, n+40), data: append([]byte(nil), p[:n]...)})
 		if p = p[n:]; len(p) == 0 {
 			return pieces
 		}
@@ -238,57 +238,57 @@
 }
 
 func (c *conn) Close() error {
-	c.w.mu.Lock()
-	delete(c.w.conns, c)
-	c.w.mu.Unlock()
+	c.network.mu.Lock()
+	delete(c.network.conns, c)
+	c.network.mu.Unlock()
 	c.mu.Lock()
-	if c.isClosed {
+	if c.closed {
 		c.mu.Unlock()
 		return nil
 	}
-	c.isClosed = true
-	isHasty := c.isHasty
-	close(c.deadline)
-	c.deadline = make(chan struct{})
+	c.closed = true
+	isHasty := c.discardOnClose
+	close(c.deadlineChanged)
+	c.deadlineChanged = make(chan struct{})
 	c.mu.Unlock()
-	c.out.mu.Lock()
+	c.outbound.mu.Lock()
 	if isHasty {
-		c.out.chunks, c.out.size, c.out.isBroken = nil, 0, true
+		c.outbound.segments, c.outbound.size, c.outbound.broken = nil, 0, true
 	}
-	c.out.isShut = true
-	c.out.shutDue = time.Now().Add(time.Millisecond)
-	if n := len(c.out.chunks); n > 0 && c.out.shutDue.Before(c.out.chunks[n-1].due) {
-		c.out.shutDue = c.out.chunks[n-1].due
+	c.outbound.closed = true
+	c.outbound.closedAt = time.Now().Add(time.Millisecond)
+	if n := len(c.outbound.segments); n > 0 && c.outbound.closedAt.Before(c.outbound.segments[n-1].deliverAt) {
+		c.outbound.closedAt = c.outbound.segments[n-1].deliverAt
 	}
-	c.out.stir()
-	c.out.mu.Unlock()
-	c.in.mu.Lock()
-	c.in.isShut = true
-	c.in.stir()
-	c.in.mu.Unlock()
+	c.outbound.broadcast()
+	c.outbound.mu.Unlock()
+	c.inbound.mu.Lock()
+	c.inbound.closed = true
+	c.inbound.broadcast()
+	c.inbound.mu.Unlock()
 	return nil
 }
 
-func (c *conn) LocalAddr() net.Addr  { return addr(c.here) }
-func (c *conn) RemoteAddr() net.Addr { return addr(c.there) }
+func (c *conn) LocalAddr() net.Addr  { return tcpAddr(c.localAddress) }
+func (c *conn) RemoteAddr() net.Addr { return tcpAddr(c.remoteAddress) }
 
-func (c *conn) set(change func()) error {
+func (c *conn) update(change func()) error {
 	c.mu.Lock()
 	change()
-	close(c.deadline)
-	c.deadline = make(chan struct{})
+	close(c.deadlineChanged)
+	c.deadlineChanged = make(chan struct{})
 	c.mu.Unlock()
 	return nil
 }
 
 func (c *conn) SetDeadline(t time.Time) error {
-	return c.set(func() { c.readBy, c.writeBy = t, t })
+	return c.update(func() { c.readDeadline, c.writeDeadline = t, t })
 }
-func (c *conn) SetReadDeadline(t time.Time) error  { return c.set(func() { c.readBy = t }) }
-func (c *conn) SetWriteDeadline(t time.Time) error { return c.set(func() { c.writeBy = t }) }
+func (c *conn) SetReadDeadline(t time.Time) error  { return c.update(func() { c.readDeadline = t }) }
+func (c *conn) SetWriteDeadline(t time.Time) error { return c.update(func() { c.writeDeadline = t }) }
 
 type listener struct {
-	w       *World
+	w       *Network
 	address string
 	queue   chan *conn
 	closed  chan struct{}
@@ -316,7 +316,7 @@
 	return nil
 }
 
-func (l *listener) Addr() net.Addr { return addr(l.address) }
+func (l *listener) Addr() net.Addr { return tcpAddr(l.address) }
 
 type packet struct {
 	due  time.Time
@@ -325,7 +325,7 @@
 }
 
 type packetConn struct {
-	w       *World
+	w       *Network
 	address string
 	queue   chan packet
 	closed  chan struct{}
@@ -337,15 +337,15 @@
 		select {
 		case got := <-p.queue:
 			if d := time.Until(got.due); d > 0 {
-				wait(time.Time{}, got.due, p.closed)
+				waitForEvent(time.Time{}, got.due, p.closed)
 			}
 			p.w.mu.Lock()
-			isBlocked := p.w.blocked(host(got.from), host(p.address))
+			isBlocked := p.w.blocked(hostOf(got.from), hostOf(p.address))
 			p.w.mu.Unlock()
 			if isBlocked {
 				continue
 			}
-			return copy(b, got.data), addr(got.from), nil
+			return copy(b, got.data), tcpAddr(got.from), nil
 		case <-p.closed:
 			return 0, nil, net.ErrClosed
 		}
@@ -358,15 +358,15 @@
 		return 0, net.ErrClosed
 	default:
 	}
-	w, from := p.w, host(p.address)
+	w, from := p.w, hostOf(p.address)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.count(from, host(to.String()), len(b)+28)
-	target := w.packets[to.String()]
-	if target == nil || w.blocked(from, host(to.String())) || w.rand.Float64() < w.loss {
+	w.countBytes(from, hostOf(to.String()), len(b)+28)
+	target := w.packetConns[to.String()]
+	if target == nil || w.blocked(from, hostOf(to.String())) || w.rand.Float64() < w.lossRate {
 		return len(b), nil
 	}
-	due := w.arrival(from, host(to.String()), time.Now(), len(b)+28)
+	due := w.arrivalTime(from, hostOf(to.String()), time.Now(), len(b)+28)
 	if time.Until(due) > queueMost {
 		return len(b), nil
 	}
@@ -382,14 +382,14 @@
 func (p *packetConn) Close() error {
 	p.shut()
 	p.w.mu.Lock()
-	if p.w.packets[p.address] == p {
-		delete(p.w.packets, p.address)
+	if p.w.packetConns[p.address] == p {
+		delete(p.w.packetConns, p.address)
 	}
 	p.w.mu.Unlock()
 	return nil
 }
 
-func (p *packetConn) LocalAddr() net.Addr                { return addr(p.address) }
+func (p *packetConn) LocalAddr() net.Addr                { return tcpAddr(p.address) }
 func (p *packetConn) SetDeadline(t time.Time) error      { return nil }
 func (p *packetConn) SetReadDeadline(t time.Time) error  { return nil }
 func (p *packetConn) SetWriteDeadline(t time.Time) error { return nil }
--- a/internal/simulator/contact_test.go
+++ b/internal/simulator/contact_test.go
@@ -26,7 +26,7 @@
 // askWire sends one message to a machine, as a node would.
 func (f *Fleet) askWire(t *testing.T, m *Machine, kind string, ask any) *rpc.Frame {
 	t.Helper()
-	conn, err := f.W.Net(f.outside(6)).Dial(f.ctx, m.Wire())
+	conn, err := f.Network.HostAt(f.clientHost(6)).Dial(f.ctx, m.RPCAddress())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -108,8 +108,8 @@
 	}
 	f.cutContact(m, manner)
 	time.Sleep(shapeContact)
-	other := f.Of("proxy2")
-	operator := standin.NewOperator(f.W.Net(f.outside(2)), f.H, other.Api())
+	other := f.Machine("proxy2")
+	operator := standin.NewOperator(f.Network.HostAt(f.clientHost(2)), f.History, other.APIAddress())
 	view, err := operator.Epoch(f.ctx)
 	if err != nil {
 		t.Fatal(err)
@@ -120,8 +120,8 @@
 	if got := f.givesOut(t, m); len(got) > 0 {
 		t.Errorf("without contact it gives out %v", got)
 	}
-	client := standin.NewAPIClient(f.W.Net(f.outside(1)), m.Api())
-	server := f.Servers("rates")[0]
+	client := standin.NewAPIClient(f.Network.HostAt(f.clientHost(1)), m.APIAddress())
+	server := f.Targets("rates")[0]
 	beat := &api.Beat{Service: server.Service, Instance: server.Instance, Seq: 1 << 40, Address: server.Address, Zone: api.NewOptString(server.Zone), Weight: api.NewOptInt(1), State: "serving"}
 	for name, call := range f.calls(client, beat, f.setChange(f.Rand, "cut off", view)) {
 		began := time.Now()
@@ -138,8 +138,8 @@
 			t.Errorf("%s: code %d, outcome %q: %v", name, code, outcomeOf(err), err)
 		}
 	}
-	f.W.Heal()
-	if !f.Until(5*time.Second, func() bool { return len(f.givesOut(t, m)) == 4 }) {
+	f.Network.Heal()
+	if !f.WaitUntil(5*time.Second, func() bool { return len(f.givesOut(t, m)) == 4 }) {
 		t.Error("in contact again it gives nothing out")
 	}
 }
@@ -154,21 +154,21 @@
 			continue
 		}
 		if manner != "inward" {
-			f.W.Cut(m.IP, other.IP)
+			f.Network.Partition(m.IP, other.IP)
 		}
 		if manner != "outward" {
-			f.W.Cut(other.IP, m.IP)
+			f.Network.Partition(other.IP, m.IP)
 		}
 	}
 	if manner == "with a third of the callers" {
-		f.cutFrom(m, f.Of("proxy2"))
-		f.cutFrom(f.Of("proxy1"), f.some(func(o *Machine) bool { return o != m })...)
+		f.cutFrom(m, f.Machine("proxy2"))
+		f.cutFrom(f.Machine("proxy1"), f.filter(func(o *Machine) bool { return o != m })...)
 	}
 }
 
 func TestProxy_NotReadyWithoutQuorumContact(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		shape := stays(Small())
+		shape := platformShape(Small())
 		shape.Cores = 5
 		f := NewFleet(1, shape, io.Discard)
 		defer f.Close()
@@ -176,19 +176,19 @@
 			t.Fatal(err)
 		}
 		time.Sleep(3 * time.Second)
-		m, proxyNode := follower(f, ids.ConfigShard), f.Of("proxy1")
+		m, proxyNode := follower(f, ids.ConfigShard), f.Machine("proxy1")
 		proxyNode.Kill(false)
 		f.cutContact(m, "with a third of the callers")
 		time.Sleep(shapeContact)
-		f.up(proxyNode)
+		f.startMachine(proxyNode)
 		for range 100 {
 			time.Sleep(100 * time.Millisecond)
 			if err := proxyNode.Node().Ready(); err == nil {
 				t.Fatal("ready without a plan that a majority stands behind")
 			}
 		}
-		f.W.Heal()
-		if !f.Until(10*time.Second, func() bool { return proxyNode.Node().Ready() == nil }) {
+		f.Network.Heal()
+		if !f.WaitUntil(10*time.Second, func() bool { return proxyNode.Node().Ready() == nil }) {
 			t.Error("not ready after the cut")
 		}
 	})
--- a/internal/simulator/disk.go
+++ b/internal/simulator/disk.go
@@ -16,7 +16,7 @@
 	"github.com/syndtr/goleveldb/leveldb/storage"
 )
 
-var errGone = errors.New("the disk no longer obeys this process")
+var errDetached = errors.New("the disk no longer obeys this process")
 
 type file struct {
 	data   []byte
@@ -25,17 +25,17 @@
 
 // Disk is one machine's.
 type Disk struct {
-	mu      sync.Mutex
-	rand    *rand.Rand
-	files   map[storage.FileDesc]*file
-	meta    storage.FileDesc
-	hasMeta bool
-	life    int
-	stalled chan struct{}
-	each    time.Duration
-	isFull  bool
-	hurts   int
-	Syncs   int
+	mu         sync.Mutex
+	rand       *rand.Rand
+	files      map[storage.FileDesc]*file
+	meta       storage.FileDesc
+	hasMeta    bool
+	generation int
+	stall      chan struct{}
+	syncDelay  time.Duration
+	full       bool
+	faultCount int
+	Syncs      int
 }
 
 func newDisk(r *rand.Rand) *Disk {
@@ -46,16 +46,16 @@
 func (d *Disk) Wipe() {
 	d.mu.Lock()
 	d.files, d.hasMeta = map[storage.FileDesc]*file{}, false
-	d.life++
+	d.generation++
 	d.mu.Unlock()
 }
 
 // Stall makes every sync wait until Resume.
 func (d *Disk) Stall() {
 	d.mu.Lock()
-	if d.stalled == nil {
-		d.stalled = make(chan struct{})
-		d.hurts++
+	if d.stall == nil {
+		d.stall = make(chan struct{})
+		d.faultCount++
 	}
 	d.mu.Unlock()
 }
@@ -64,18 +64,18 @@
 // write that found it full.
 func (d *Disk) Fill() {
 	d.mu.Lock()
-	d.isFull = true
-	d.hurts++
+	d.full = true
+	d.faultCount++
 	d.mu.Unlock()
 }
 
 // Resume ends a stall, and makes room.
 func (d *Disk) Resume() {
 	d.mu.Lock()
-	d.isFull = false
-	if d.stalled != nil {
-		close(d.stalled)
-		d.stalled = nil
+	d.full = false
+	if d.stall != nil {
+		close(d.stall)
+		d.stall = nil
 	}
 	d.mu.Unlock()
 }
@@ -83,19 +83,19 @@
 // Slow makes every sync take so long; zero makes it quick again.
 func (d *Disk) Slow(each time.Duration) {
 	d.mu.Lock()
-	d.each = each
-	d.hurts++
+	d.syncDelay = each
+	d.faultCount++
 	d.mu.Unlock()
 }
 
-func (d *Disk) state() (isWell bool, hurts int) {
+func (d *Disk) status() (intact bool, faults int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.stalled == nil && d.each == 0 && !d.isFull, d.hurts
+	return d.stall == nil && d.syncDelay == 0 && !d.full, d.faultCount
 }
 
-// SpoilAll cuts the index of the store short, so that it can't be read.
-func (d *Disk) SpoilAll() {
+// CorruptManifest cuts the index of the store short, so that it can't be read.
+func (d *Disk) CorruptManifest() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for fd, f := range d.files {
@@ -107,7 +107,7 @@
 
 func (d *Disk) detach(isPowerLost bool) {
 	d.mu.Lock()
-	d.life++
+	d.generation++
 	if isPowerLost {
 		for _, f := range d.files {
 			if rest := len(f.data) - f.synced; rest > 0 {
@@ -115,9 +115,9 @@
 			}
 		}
 	}
-	if d.stalled != nil {
-		close(d.stalled)
-		d.stalled = nil
+	if d.stall != nil {
+		close(d.stall)
+		d.stall = nil
 	}
 	d.mu.Unlock()
 }
@@ -125,39 +125,39 @@
 func (d *Disk) attach() (storage.Storage, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.life++
-	return &disk{Disk: d, life: d.life}, nil
+	d.generation++
+	return &attachedDisk{Disk: d, life: d.generation}, nil
 }
 
-// disk is a Disk as one life of a process has it.
-type disk struct {
+// attachedDisk is a Disk as one life of a process has it.
+type attachedDisk struct {
 	*Disk
 	life int
 }
 
-func (d *disk) do(verb func() error) error {
+func (d *attachedDisk) withLock(operation func() error) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.life != d.Disk.life {
-		return errGone
+	if d.life != d.Disk.generation {
+		return errDetached
 	}
-	return verb()
+	return operation()
 }
 
-type locked struct{}
+type noLock struct{}
 
-func (locked) Unlock() {}
+func (noLock) Unlock() {}
 
-func (d *disk) Lock() (storage.Locker, error) { return locked{}, nil }
-func (d *disk) Log(string)                    {}
-func (d *disk) Close() error                  { return nil }
+func (d *attachedDisk) Lock() (storage.Locker, error) { return noLock{}, nil }
+func (d *attachedDisk) Log(string)                    {}
+func (d *attachedDisk) Close() error                  { return nil }
 
-func (d *disk) SetMeta(fd storage.FileDesc) error {
-	return d.do(func() error { d.meta, d.hasMeta = fd, true; return nil })
+func (d *attachedDisk) SetMeta(fd storage.FileDesc) error {
+	return d.withLock(func() error { d.meta, d.hasMeta = fd, true; return nil })
 }
 
-func (d *disk) GetMeta() (fd storage.FileDesc, err error) {
-	err = d.do(func() error {
+func (d *attachedDisk) GetMeta() (fd storage.FileDesc, err error) {
+	err = d.withLock(func() error {
 		if !d.hasMeta {
 			return os.ErrNotExist
 		}
@@ -167,8 +167,8 @@
 	return fd, err
 }
 
-func (d *disk) List(ft storage.FileType) (list []storage.FileDesc, err error) {
-	err = d.do(func() error {
+func (d *attachedDisk) List(ft storage.FileType) (list []storage.FileDesc, err error) {
+	err = d.withLock(func() error {
 		for fd := range d.files {
 			if fd.Type&ft != 0 {
 				list = append(list, fd)
@@ -183,8 +183,8 @@
 
 func (reader) Close() error { return nil }
 
-func (d *disk) Open(fd storage.FileDesc) (r storage.Reader, err error) {
-	err = d.do(func() error {
+func (d *attachedDisk) Open(fd storage.FileDesc) (r storage.Reader, err error) {
+	err = d.withLock(func() error {
 		f, ok := d.files[fd]
 		if !ok {
 			return os.ErrNotExist
@@ -195,8 +195,8 @@
 	return r, err
 }
 
-func (d *disk) Create(fd storage.FileDesc) (w storage.Writer, err error) {
-	err = d.do(func() error {
+func (d *attachedDisk) Create(fd storage.FileDesc) (w storage.Writer, err error) {
+	err = d.withLock(func() error {
 		f := &file{}
 		d.files[fd] = f
 		w = &writer{d: d, f: f}
@@ -205,8 +205,8 @@
 	return w, err
 }
 
-func (d *disk) Remove(fd storage.FileDesc) error {
-	return d.do(func() error {
+func (d *attachedDisk) Remove(fd storage.FileDesc) error {
+	return d.withLock(func() error {
 		if _, ok := d.files[fd]; !ok {
 			return os.ErrNotExist
 		}
@@ -215,8 +215,8 @@
 	})
 }
 
-func (d *disk) Rename(from, to storage.FileDesc) error {
-	return d.do(func() error {
+func (d *attachedDisk) Rename(from, to storage.FileDesc) error {
+	return d.withLock(func() error {
 		f, ok := d.files[from]
 		if !ok {
 			return os.ErrNotExist
@@ -228,18 +228,18 @@
 }
 
 type writer struct {
-	d *disk
+	d *attachedDisk
 	f *file
 }
 
 func (w *writer) Write(p []byte) (n int, err error) {
-	err = w.d.do(func() error {
+	err = w.d.withLock(func() error {
 		n = len(p)
-		if w.d.isFull {
+		if w.d.full {
 			n = w.d.rand.IntN(n + 1)
 		}
 		w.f.data = append(w.f.data, p[:n]...)
-		if w.d.isFull {
+		if w.d.full {
 			return syscall.ENOSPC
 		}
 		return nil
@@ -250,7 +250,7 @@
 func (w *writer) Sync() error {
 	for {
 		w.d.mu.Lock()
-		stalled, each := w.d.stalled, w.d.each
+		stalled, each := w.d.stall, w.d.syncDelay
 		w.d.mu.Unlock()
 		time.Sleep(each)
 		if stalled == nil {
@@ -258,7 +258,7 @@
 		}
 		<-stalled
 	}
-	return w.d.do(func() error { w.f.synced = len(w.f.data); w.d.Syncs++; return nil })
+	return w.d.withLock(func() error { w.f.synced = len(w.f.data); w.d.Syncs++; return nil })
 }
 
 func (w *writer) Close() error { return nil }
--- a/internal/simulator/dream_test.go
+++ b/internal/simulator/dream_test.go
@@ -83,7 +83,7 @@
 			list = append(list, s)
 		}
 		if s.Name += staying; manner != "brief" {
-			s.IsStay = true
+			s.PlatformMode = true
 			list = append(list, s)
 		}
 	}
@@ -112,7 +112,7 @@
 			}
 		}
 		if !result.Verdict.IsValid() {
-			for _, r := range result.Fleet.H.Records() {
+			for _, r := range result.Fleet.History.Records() {
 				line, _ := json.Marshal(r)
 				history = append(append(history, line...), '\n')
 			}
--- a/internal/simulator/fleet.go
+++ b/internal/simulator/fleet.go
@@ -24,64 +24,64 @@
 // Shape is what a fleet is made of.
 type Shape struct {
 	Cores, Proxies, Zones int
-	Servers               map[string]int
-	Repeatable            map[string]bool
-	IsTwice               bool // its orders decline to be run once
+	Targets               map[string]int
+	Idempotent            map[string]bool
+	AllowsDuplicates      bool // its orders decline to be run once
 	Growth                int  // mappings that some change sets add at once
 	Settings              map[string]string
-	Work                  time.Duration // how long a server works at most; a moment if zero
-	IsStay                bool          // its proxies go on while they are out of touch
+	ServiceTime           time.Duration // how long a server works at most; a moment if zero
+	PlatformMode          bool          // its proxies go on while they are out of touch
 }
 
 // Small is the shape of most simulated runs.
 func Small() Shape {
-	return Shape{Cores: 3, Proxies: 2, Zones: 3, Servers: map[string]int{"rates": 3, "bookings": 3}, Repeatable: map[string]bool{"rates": true}, Settings: map[string]string{}}
+	return Shape{Cores: 3, Proxies: 2, Zones: 3, Targets: map[string]int{"rates": 3, "bookings": 3}, Idempotent: map[string]bool{"rates": true}, Settings: map[string]string{}}
 }
 
 // Machine is one node's place; its node is nil while it is down.
 type Machine struct {
-	f       *Fleet
-	Name    string
-	Zone    string
-	IP      string
-	IsCore  bool
-	IsProxy bool
-	mu      sync.Mutex
-	node    *node.Node
-	upping  chan struct{} // held while the machine is started; waiting for it lets time pass
+	fleet    *Fleet
+	Name     string
+	Zone     string
+	IP       string
+	IsCore   bool
+	IsProxy  bool
+	mu       sync.Mutex
+	node     *node.Node
+	starting chan struct{} // held while the machine is started; waiting for it lets time pass
 }
 
 // Fleet is one run.
 type Fleet struct {
-	W        *World
-	H        *checker.History
-	Shape    Shape
-	Machines []*Machine
-	Log      io.Writer
-	Rand     *rand.Rand
-	ctx      context.Context
-	end      context.CancelFunc
-	loads    sync.WaitGroup
-
-	mu      sync.Mutex
-	servers []*standin.Server
-	hosts   int
-	Faults  []string
-	isLoad  atomic.Bool
+	Network   *Network
+	History   *checker.History
+	Shape     Shape
+	Machines  []*Machine
+	Log       io.Writer
+	Rand      *rand.Rand
+	ctx       context.Context
+	cancel    context.CancelFunc
+	loadTasks sync.WaitGroup
+
+	mu          sync.Mutex
+	targets     []*standin.Server
+	hostCount   int
+	Faults      []string
+	loadRunning atomic.Bool
 
 	conformance model.Conformance
-	watch       atomic.Pointer[func(m *Machine, step any)] // of a test
-	changes     atomic.Int64
+	observer    atomic.Pointer[func(m *Machine, step any)] // of a test
+	changeCount atomic.Int64
 }
 
 func NewFleet(seed uint64, shape Shape, log io.Writer) *Fleet {
 	ctx, end := context.WithCancel(context.Background())
-	f := &Fleet{W: NewWorld(seed), H: checker.NewHistory(nil), Shape: shape, Log: log, Rand: rand.New(&chance{pcg: rand.NewPCG(seed, 7)}), ctx: ctx, end: end}
-	f.isLoad.Store(true)
+	f := &Fleet{Network: NewNetwork(seed), History: checker.NewHistory(nil), Shape: shape, Log: log, Rand: rand.New(&lockedSource{pcg: rand.NewPCG(seed, 7)}), ctx: ctx, cancel: end}
+	f.loadRunning.Store(true)
 	f.conformance.Breached = func(invariant, detail string) {
-		f.H.Add(checker.Record{Kind: checker.ReplicaDivergence, Note: invariant + ": " + detail})
+		f.History.Add(checker.Record{Kind: checker.ReplicaDivergence, Note: invariant + ": " + detail})
 	}
-	f.H.Add(checker.Record{Kind: checker.ScenarioStarted, Note: fmt.Sprint("seed ", seed)})
+	f.History.Add(checker.Record{Kind: checker.ScenarioStarted, Note: fmt.Sprint("seed ", seed)})
 	for i := range shape.Cores {
 		f.Add(fmt.Sprintf("core%d", i+1), i%shape.Zones, true, false)
 	}
@@ -91,13 +91,13 @@
 	return f
 }
 
-// chance is a source that several faults may draw from at once.
-type chance struct {
+// lockedSource is a source that several faults may draw from at once.
+type lockedSource struct {
 	mu  sync.Mutex
 	pcg *rand.PCG
 }
 
-func (c *chance) Uint64() uint64 {
+func (c *lockedSource) Uint64() uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.pcg.Uint64()
@@ -105,23 +105,23 @@
 
 // Add puts a machine into the fleet; it is down at first.
 func (f *Fleet) Add(name string, zone int, isCore, isProxy bool) *Machine {
-	m := &Machine{f: f, Name: name, Zone: fmt.Sprint("zone", zone+1), IP: f.host(zone), IsCore: isCore, IsProxy: isProxy, upping: make(chan struct{}, 1)}
+	m := &Machine{fleet: f, Name: name, Zone: fmt.Sprint("zone", zone+1), IP: f.newHost(zone), IsCore: isCore, IsProxy: isProxy, starting: make(chan struct{}, 1)}
 	f.Machines = append(f.Machines, m)
 	return m
 }
 
-func (f *Fleet) host(zone int) string {
+func (f *Fleet) newHost(zone int) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.hosts++
-	ip := fmt.Sprintf("10.%d.%d.%d", zone+1, f.hosts/200, f.hosts%200+1)
-	f.W.Place(ip, fmt.Sprint("zone", zone+1))
+	f.hostCount++
+	ip := fmt.Sprintf("10.%d.%d.%d", zone+1, f.hostCount/200, f.hostCount%200+1)
+	f.Network.SetZone(ip, fmt.Sprint("zone", zone+1))
 	return ip
 }
 
-func (m *Machine) Wire() string { return m.IP + ":7000" }
-func (m *Machine) Api() string  { return m.IP + ":7001" }
-func (m *Machine) Gate() string { return m.IP + ":7002" }
+func (m *Machine) RPCAddress() string   { return m.IP + ":7000" }
+func (m *Machine) APIAddress() string   { return m.IP + ":7001" }
+func (m *Machine) ProxyAddress() string { return m.IP + ":7002" }
 
 // Node is the running node, or nil.
 func (m *Machine) Node() *node.Node {
@@ -132,11 +132,11 @@
 
 // Start brings the machine's process up.
 func (m *Machine) Start() error {
-	set := map[string]string{"name": m.Name, "zone": m.Zone, "wire.address": m.Wire(), "api.address": m.Api(), "found.cores": fmt.Sprint(m.f.Shape.Cores), "log.level": "debug"}
+	set := map[string]string{"name": m.Name, "zone": m.Zone, "wire.address": m.RPCAddress(), "api.address": m.APIAddress(), "found.cores": fmt.Sprint(m.fleet.Shape.Cores), "log.level": "debug"}
 	seeds := ""
-	for _, other := range m.f.Machines {
+	for _, other := range m.fleet.Machines {
 		if other.IsCore && len(seeds) < 40 {
-			seeds += "," + other.Wire()
+			seeds += "," + other.RPCAddress()
 		}
 	}
 	set["seeds"] = seeds[1:]
@@ -144,9 +144,9 @@
 		set["data.folder"] = "/dream/" + m.Name
 	}
 	if m.IsProxy {
-		set["gate.address"] = m.Gate()
+		set["gate.address"] = m.ProxyAddress()
 	}
-	for key, value := range m.f.Shape.Settings {
+	for key, value := range m.fleet.Shape.Settings {
 		set[key] = value
 	}
 	p, err := config.Load("", set)
@@ -154,21 +154,21 @@
 		return err
 	}
 	if m.IsProxy {
-		m.f.H.Add(checker.Record{Kind: checker.ProxyStarted, Proxy: m.Gate()})
+		m.fleet.History.Add(checker.Record{Kind: checker.ProxyStarted, Proxy: m.ProxyAddress()})
 	}
-	journal := eventlog.New(m.f.Log, "debug", m.Name)
-	journal.Told = m.f.hear
+	journal := eventlog.New(m.fleet.Log, "debug", m.Name)
+	journal.Told = m.fleet.recordEvent
 	here := &atomic.Pointer[node.Node]{}
-	r := environment.New(m.f.ctx, p, journal, m.network(here))
+	r := environment.New(m.fleet.ctx, p, journal, m.hostNetwork(here))
 	r.Trace = func(step any) {
-		m.f.conformance.Observe(step)
-		if watch := m.f.watch.Load(); watch != nil {
+		m.fleet.conformance.Observe(step)
+		if watch := m.fleet.observer.Load(); watch != nil {
 			(*watch)(m, step)
 		}
 	}
 	node, err := node.Start(r)
 	if err != nil {
-		m.f.W.Kill(m.IP, false)
+		m.fleet.Network.Kill(m.IP, false)
 		r.Shutdown()
 		return err
 	}
@@ -188,16 +188,16 @@
 	return nil
 }
 
-// watchSteps has a test see every step of the replicated parts.
-func (f *Fleet) watchSteps(watch func(m *Machine, step any)) { f.watch.Store(&watch) }
+// observeSteps has a test see every step of the replicated parts.
+func (f *Fleet) observeSteps(watch func(m *Machine, step any)) { f.observer.Store(&watch) }
 
-// hear notes what a node has learned, be it that its answer is lost.
-func (f *Fleet) hear(e eventlog.Entry) {
+// recordEvent notes what a node has learned, be it that its answer is lost.
+func (f *Fleet) recordEvent(e eventlog.Entry) {
 	switch e.Event.No {
 	case eventlog.TargetGoing.No:
-		f.H.Add(checker.Record{Kind: checker.DrainAcknowledged, Service: e.Pairs[1].(string), Instance: e.Pairs[3].(string), Note: "taken in"})
+		f.History.Add(checker.Record{Kind: checker.DrainAcknowledged, Service: e.Pairs[1].(string), Instance: e.Pairs[3].(string), Note: "taken in"})
 	case eventlog.PartBroken.No, eventlog.PartMended.No:
-		f.H.Add(checker.Record{Kind: checker.ReplicaDivergence, Note: fmt.Sprint(e.Event.Text, " ", e.Pairs)})
+		f.History.Add(checker.Record{Kind: checker.ReplicaDivergence, Note: fmt.Sprint(e.Event.Text, " ", e.Pairs)})
 	}
 }
 
@@ -210,7 +210,7 @@
 	if node == nil {
 		return
 	}
-	m.f.W.Kill(m.IP, isPowerLost)
+	m.fleet.Network.Kill(m.IP, isPowerLost)
 	node.R.Shutdown()
 }
 
@@ -224,18 +224,18 @@
 		return
 	}
 	node.Stop()
-	m.f.W.Kill(m.IP, false)
+	m.fleet.Network.Kill(m.IP, false)
 }
 
 // Move gives a machine that is down an empty disk and a new address.
 func (m *Machine) Move() {
 	var zone int
 	fmt.Sscanf(m.Zone, "zone%d", &zone)
-	m.IP = m.f.host(zone - 1)
+	m.IP = m.fleet.newHost(zone - 1)
 }
 
-// Of finds a machine.
-func (f *Fleet) Of(name string) *Machine {
+// Machine finds a machine.
+func (f *Fleet) Machine(name string) *Machine {
 	for _, m := range f.Machines {
 		if m.Name == name {
 			return m
@@ -244,7 +244,7 @@
 	return nil
 }
 
-func (f *Fleet) some(isWanted func(*Machine) bool) (list []*Machine) {
+func (f *Fleet) filter(isWanted func(*Machine) bool) (list []*Machine) {
 	for _, m := range f.Machines {
 		if isWanted(m) {
 			list = append(list, m)
@@ -253,41 +253,41 @@
 	return list
 }
 
-func (f *Fleet) Cores() []*Machine   { return f.some(func(m *Machine) bool { return m.IsCore }) }
-func (f *Fleet) Proxies() []*Machine { return f.some(func(m *Machine) bool { return m.IsProxy }) }
+func (f *Fleet) Cores() []*Machine   { return f.filter(func(m *Machine) bool { return m.IsCore }) }
+func (f *Fleet) Proxies() []*Machine { return f.filter(func(m *Machine) bool { return m.IsProxy }) }
 
-// apis is where servers send their beats: any node will do, and the proxies
+// apiAddresses is where servers send their beats: any node will do, and the proxies
 // stay where they are when core machines move.
-func (f *Fleet) apis() (list []string) {
+func (f *Fleet) apiAddresses() (list []string) {
 	for _, m := range f.Machines {
-		list = append(list, m.Api())
+		list = append(list, m.APIAddress())
 	}
 	return list
 }
 
-// Serve starts a stand-in server at a new address, or at one given.
-func (f *Fleet) Serve(service, ip string, zone int) *standin.Server {
+// StartTarget starts a stand-in server at a new address, or at one given.
+func (f *Fleet) StartTarget(service, ip string, zone int) *standin.Server {
 	if ip == "" {
-		ip = f.host(zone)
+		ip = f.newHost(zone)
 	}
-	s := f.fit(&standin.Server{Network: f.W.Net(ip), History: f.H, Service: service, Zone: fmt.Sprint("zone", zone+1), Address: ip + ":8000", SealKey: "key-" + service, Nodes: f.apis(), ServiceTime: 2 * time.Millisecond})
-	if f.Shape.Work > 0 {
-		s.ServiceTime = time.Duration(f.Rand.Int64N(int64(f.Shape.Work)))
+	s := f.configureTarget(&standin.Server{Network: f.Network.HostAt(ip), History: f.History, Service: service, Zone: fmt.Sprint("zone", zone+1), Address: ip + ":8000", SealKey: "key-" + service, Nodes: f.apiAddresses(), ServiceTime: 2 * time.Millisecond})
+	if f.Shape.ServiceTime > 0 {
+		s.ServiceTime = time.Duration(f.Rand.Int64N(int64(f.Shape.ServiceTime)))
 	}
 	if err := s.Start(f.ctx); err != nil {
 		panic(err)
 	}
 	f.mu.Lock()
-	f.servers = append(f.servers, s)
+	f.targets = append(f.targets, s)
 	f.mu.Unlock()
 	return s
 }
 
-// Servers is the stand-ins of a service that were started and not taken out.
-func (f *Fleet) Servers(service string) (list []*standin.Server) {
+// Targets is the stand-ins of a service that were started and not taken out.
+func (f *Fleet) Targets(service string) (list []*standin.Server) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, s := range f.servers {
+	for _, s := range f.targets {
 		if s.Service == service {
 			list = append(list, s)
 		}
@@ -295,21 +295,21 @@
 	return list
 }
 
-// Forget takes a server out of the list, so that it is not picked again.
-func (f *Fleet) Forget(gone *standin.Server) {
+// RemoveTarget takes a server out of the list, so that it is not picked again.
+func (f *Fleet) RemoveTarget(target *standin.Server) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for i, s := range f.servers {
-		if s == gone {
-			f.servers = append(f.servers[:i], f.servers[i+1:]...)
+	for i, s := range f.targets {
+		if s == target {
+			f.targets = append(f.targets[:i], f.targets[i+1:]...)
 			return
 		}
 	}
 }
 
-// Say notes a fault for the report.
-func (f *Fleet) Say(format string, args ...any) {
-	line := fmt.Sprintf("%8s %s", f.H.Now().Round(time.Millisecond), fmt.Sprintf(format, args...))
+// Logf notes a fault for the report.
+func (f *Fleet) Logf(format string, args ...any) {
+	line := fmt.Sprintf("%8s %s", f.History.Now().Round(time.Millisecond), fmt.Sprintf(format, args...))
 	f.mu.Lock()
 	f.Faults = append(f.Faults, line)
 	f.mu.Unlock()
@@ -325,22 +325,22 @@
 			return err
 		}
 	}
-	for service, n := range f.Shape.Servers {
+	for service, n := range f.Shape.Targets {
 		for i := range n {
-			f.Serve(service, "", i%f.Shape.Zones)
+			f.StartTarget(service, "", i%f.Shape.Zones)
 		}
 	}
-	if !f.Until(20*time.Second, func() bool { return f.submitFirst() }) {
+	if !f.WaitUntil(20*time.Second, func() bool { return f.submitInitial() }) {
 		return fmt.Errorf("the first change set was not accepted")
 	}
-	if !f.Until(20*time.Second, f.IsUsable) {
+	if !f.WaitUntil(20*time.Second, f.IsUsable) {
 		return fmt.Errorf("the fleet did not come up")
 	}
 	return nil
 }
 
-// Until waits, in virtual time, until it is so.
-func (f *Fleet) Until(limit time.Duration, isSo func() bool) bool {
+// WaitUntil waits, in virtual time, until it is so.
+func (f *Fleet) WaitUntil(limit time.Duration, isSo func() bool) bool {
 	over := time.Now().Add(limit)
 	for !isSo() {
 		if time.Now().After(over) {
@@ -353,21 +353,21 @@
 
 // Close ends everything, so that the bubble can end.
 func (f *Fleet) Close() {
-	f.isLoad.Store(false)
-	f.loads.Wait()
-	f.W.Heal()
+	f.loadRunning.Store(false)
+	f.loadTasks.Wait()
+	f.Network.Heal()
 	for _, m := range f.Machines {
 		if m.Node() != nil {
-			f.W.Disk(m.IP).Resume()
+			f.Network.Disk(m.IP).Resume()
 			m.Kill(false)
 		}
 	}
 	f.mu.Lock()
-	servers := f.servers
+	servers := f.targets
 	f.mu.Unlock()
 	for _, s := range servers {
 		s.Close()
 	}
-	f.end()
+	f.cancel()
 	time.Sleep(30 * time.Second)
 }
--- a/internal/simulator/follow_test.go
+++ b/internal/simulator/follow_test.go
@@ -25,8 +25,8 @@
 		}
 		for i := range 5 {
 			var owner *Machine
-			if !f.Until(20*time.Second, func() bool {
-				owner = ownerOf(f, no, nil)
+			if !f.WaitUntil(20*time.Second, func() bool {
+				owner = leaderOf(f, no, nil)
 				return owner != nil && f.IsUsable()
 			}) {
 				t.Fatal("the fleet did not come back")
@@ -55,12 +55,12 @@
 			time.Sleep(100 * time.Millisecond)
 			for _, m := range f.Machines {
 				if m != owner {
-					f.W.Cut(m.IP, owner.IP)
-					f.W.Cut(owner.IP, m.IP)
+					f.Network.Partition(m.IP, owner.IP)
+					f.Network.Partition(owner.IP, m.IP)
 				}
 			}
 			cut := time.Now()
-			if !f.Until(5*time.Second, func() bool { return ownerOf(f, no, owner) != nil }) {
+			if !f.WaitUntil(5*time.Second, func() bool { return leaderOf(f, no, owner) != nil }) {
 				t.Fatal("nobody took the part over")
 			}
 			if _, err := set(rest[0], fmt.Sprint("after", i)); err != nil {
@@ -77,7 +77,7 @@
 					t.Errorf("taken over and set %v after the cut, not heard within 10 s", done.Sub(cut))
 				}
 			}
-			f.W.Heal()
+			f.Network.Heal()
 		}
 	})
 }
--- a/internal/simulator/found_test.go
+++ b/internal/simulator/found_test.go
@@ -42,7 +42,7 @@
 				defer f.Close()
 				r := rand.New(rand.NewPCG(seed, 9))
 				for _, m := range f.Cores() {
-					f.up(m)
+					f.startMachine(m)
 					time.Sleep(time.Duration(r.Int64N(int64(50 * time.Millisecond))))
 				}
 				for range 1 + r.IntN(4) {
@@ -50,15 +50,15 @@
 					m := f.pick(f.Cores())
 					m.Kill(r.IntN(2) == 0)
 					time.Sleep(time.Duration(r.Int64N(int64(100 * time.Millisecond))))
-					f.up(m)
+					f.startMachine(m)
 				}
-				if !f.Until(15*time.Second, func() bool { _, n := fleets(f); return n == 3 }) {
+				if !f.WaitUntil(15*time.Second, func() bool { _, n := fleets(f); return n == 3 }) {
 					t.Error("the fleet is not founded")
 				}
 				if ids, _ := fleets(f); len(ids) > 1 {
 					t.Errorf("there are %d fleets", len(ids))
 				}
-				if !f.Until(15*time.Second, f.isMended) {
+				if !f.WaitUntil(15*time.Second, f.isRepaired) {
 					t.Error("not every part has an owner")
 				}
 			})
@@ -71,10 +71,10 @@
 		before, _ := fleets(f)
 		for _, m := range f.Cores() {
 			m.Kill(false)
-			f.W.Disk(m.IP).SpoilAll()
+			f.Network.Disk(m.IP).CorruptManifest()
 		}
 		for _, m := range f.Cores() {
-			f.up(m)
+			f.startMachine(m)
 		}
 		time.Sleep(20 * time.Second)
 		for id := range before {
@@ -99,34 +99,34 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := NewFleet(1, Small(), io.Discard)
 		defer f.Close()
-		victim := f.Of("core2")
+		victim := f.Machine("core2")
 		accepted := make(chan struct{})
 		var once sync.Once
-		f.watchSteps(func(m *Machine, step any) {
+		f.observeSteps(func(m *Machine, step any) {
 			if charter, ok := step.(consensus.CharterEvent); ok && m == victim && !charter.IsOpen {
 				for _, other := range f.Cores() {
-					f.W.Cut(victim.IP, other.IP)
+					f.Network.Partition(victim.IP, other.IP)
 				}
 				once.Do(func() { close(accepted) })
 			}
 		})
 		for _, m := range f.Cores() {
-			f.up(m)
+			f.startMachine(m)
 		}
 		<-accepted
 		victim.Kill(true)
-		f.W.Disk(victim.IP).Wipe()
-		f.watchSteps(func(*Machine, any) {})
+		f.Network.Disk(victim.IP).Wipe()
+		f.observeSteps(func(*Machine, any) {})
 		time.Sleep(3 * time.Second) // of virtual time, in which the answer is given up
-		f.W.Heal()
-		f.up(victim)
-		if !f.Until(15*time.Second, func() bool { _, n := fleets(f); return n == 3 }) {
+		f.Network.Heal()
+		f.startMachine(victim)
+		if !f.WaitUntil(15*time.Second, func() bool { _, n := fleets(f); return n == 3 }) {
 			t.Fatal("the fleet is not founded")
 		}
 		if ids, _ := fleets(f); len(ids) > 1 {
 			t.Errorf("there are %d fleets", len(ids))
 		}
-		if !f.Until(15*time.Second, f.isMended) {
+		if !f.WaitUntil(15*time.Second, f.isRepaired) {
 			t.Error("not every part has an owner")
 		}
 	})
@@ -137,23 +137,23 @@
 func TestNode_NeededVoterDelaysShutdown(t *testing.T) {
 	inFleet(t, one(), func(t *testing.T, f *Fleet) {
 		time.Sleep(3 * time.Second)
-		f.Of("core1").Kill(true)
+		f.Machine("core1").Kill(true)
 		time.Sleep(2 * time.Second)
 		stopped := make(chan time.Time, 1)
 		go func() {
-			f.Of("core2").Stop()
+			f.Machine("core2").Stop()
 			stopped <- time.Now()
 		}()
 		time.Sleep(time.Second)
-		client := standin.NewAPIClient(f.W.Net(f.outside(1)), f.Of("core3").Api())
-		if !f.Until(1500*time.Millisecond, func() bool {
+		client := standin.NewAPIClient(f.Network.HostAt(f.clientHost(1)), f.Machine("core3").APIAddress())
+		if !f.WaitUntil(1500*time.Millisecond, func() bool {
 			_, err := client.PutKey(f.ctx, &api.Call{Name: "app/a", Value: jx.Raw(`"x"`)})
 			return err == nil
 		}) {
 			t.Error("no write while two of three run, one of them on its way out")
 		}
 		back := time.Now()
-		f.up(f.Of("core1"))
+		f.startMachine(f.Machine("core1"))
 		if went := (<-stopped).Sub(back); went > 2*time.Second {
 			t.Errorf("it goes %s after it is not needed any more", went)
 		}
--- a/internal/simulator/full_test.go
+++ b/internal/simulator/full_test.go
@@ -19,17 +19,17 @@
 		no := ids.ShardOf("app/a")
 		full := f.owner(no)
 		node := full.Node()
-		client := standin.NewAPIClient(f.W.Net(f.outside(1)), full.Api())
+		client := standin.NewAPIClient(f.Network.HostAt(f.clientHost(1)), full.APIAddress())
 		put := func() bool {
 			_, err := client.PutKey(f.ctx, &api.Call{Name: "app/a", Value: jx.Raw(`"x"`)})
 			return err == nil
 		}
-		f.W.Disk(full.IP).Fill()
+		f.Network.Disk(full.IP).Fill()
 		go put() // what is written shows that the disk is full
-		if !f.Until(5*time.Second, func() bool { m := f.owner(no); return m != nil && m != full }) {
+		if !f.WaitUntil(5*time.Second, func() bool { m := f.owner(no); return m != nil && m != full }) {
 			t.Fatal("the part is not given up")
 		}
-		if !f.Until(3*time.Second, put) {
+		if !f.WaitUntil(3*time.Second, put) {
 			t.Error("it passes no calls on")
 		}
 		for no := range ids.ShardCount + 1 {
@@ -48,8 +48,8 @@
 		if !node.Store.IsFailing() {
 			t.Error("it does not know that its disk is full")
 		}
-		f.W.Disk(full.IP).Resume()
-		if !f.Until(3*time.Second, func() bool {
+		f.Network.Disk(full.IP).Resume()
+		if !f.WaitUntil(3*time.Second, func() bool {
 			if !put() {
 				return false
 			}
@@ -69,13 +69,13 @@
 func TestANodeStartsWhenThereIsRoom(t *testing.T) {
 	inFleet(t, one(), func(t *testing.T, f *Fleet) {
 		time.Sleep(3 * time.Second)
-		m := f.Of("core2")
+		m := f.Machine("core2")
 		birth := m.Node().Kin.Self().ID
-		f.W.Disk(m.IP).Fill()
+		f.Network.Disk(m.IP).Fill()
 		m.Kill(true)
 		isUp := make(chan struct{})
 		go func() {
-			f.up(m)
+			f.startMachine(m)
 			close(isUp)
 		}()
 		time.Sleep(5 * time.Second)
@@ -84,7 +84,7 @@
 			t.Error("it is up on a full disk")
 		default:
 		}
-		f.W.Disk(m.IP).Resume()
+		f.Network.Disk(m.IP).Resume()
 		<-isUp
 		if m.Node() == nil {
 			t.Fatal("it is not up when there is room")
@@ -92,7 +92,7 @@
 		if now := m.Node().Kin.Self().ID; now != birth {
 			t.Errorf("its data was set aside: it was born as %s and is %s", birth, now)
 		}
-		if !f.Until(10*time.Second, f.isMended) {
+		if !f.WaitUntil(10*time.Second, f.isRepaired) {
 			t.Error("it is no member again")
 		}
 	})
--- a/internal/simulator/gone_test.go
+++ b/internal/simulator/gone_test.go
@@ -12,29 +12,29 @@
 	const soon = 500 * time.Millisecond
 	for _, isStay := range []bool{false, true} {
 		shape := one()
-		shape.Servers = map[string]int{"rates": 2}
+		shape.Targets = map[string]int{"rates": 2}
 		if isStay {
-			shape = stays(shape)
+			shape = platformShape(shape)
 		}
 		inFleet(t, shape, func(t *testing.T, f *Fleet) {
-			for _, s := range f.Servers("rates") {
+			for _, s := range f.Targets("rates") {
 				s.CancelsOnDisconnect, s.ServiceTime = true, 3*time.Second
 			}
 			dropped := func() (n int64) {
-				for _, s := range f.Servers("rates") {
+				for _, s := range f.Targets("rates") {
 					n += s.Cancelled.Load()
 				}
 				return n
 			}
-			caller := f.caller(5)
+			caller := f.newClient(5)
 			defer caller.Close()
 			ctx, leave := context.WithCancel(f.ctx)
 			go func() {
 				time.Sleep(300 * time.Millisecond)
 				leave()
 			}()
-			caller.Call(ctx, f.Of("proxy1").Gate(), "GET", "/rates", "rates", nil)
-			if !f.Until(soon, func() bool { return dropped() > 0 }) {
+			caller.Call(ctx, f.Machine("proxy1").ProxyAddress(), "GET", "/rates", "rates", nil)
+			if !f.WaitUntil(soon, func() bool { return dropped() > 0 }) {
 				t.Error("the target works on")
 			}
 			time.Sleep(2 * time.Second)
--- a/internal/simulator/hedge_test.go
+++ b/internal/simulator/hedge_test.go
@@ -13,19 +13,19 @@
 // from, and one server that then misbehaves.
 func withOneIll(t *testing.T, service, way string, play func(f *Fleet, call func(method, path string) (int, time.Duration))) {
 	shape := one()
-	shape.Servers = map[string]int{"rates": 3, "bookings": 3}
+	shape.Targets = map[string]int{"rates": 3, "bookings": 3}
 	shape.Settings["gate.doubles"] = "6"
 	inFleet(t, shape, func(t *testing.T, f *Fleet) {
 		for _, name := range []string{"rates", "bookings"} {
-			for _, s := range f.Servers(name) {
+			for _, s := range f.Targets(name) {
 				s.ServiceTime = 50 * time.Millisecond
 			}
 		}
-		caller := standin.NewClient(f.W.Net(f.outside(5)), f.H)
+		caller := standin.NewClient(f.Network.HostAt(f.clientHost(5)), f.History)
 		defer caller.Close()
 		call := func(method, path string) (int, time.Duration) {
 			began := time.Now()
-			got := caller.Call(f.ctx, f.Of("proxy1").Gate(), method, path, "", nil)
+			got := caller.Call(f.ctx, f.Machine("proxy1").ProxyAddress(), method, path, "", nil)
 			return got.Status, time.Since(began)
 		}
 		// The servers were quicker while the fleet booted; a proxy forgets that slowly.
@@ -33,7 +33,7 @@
 			call("GET", "/rates")
 			call("POST", "/bookings")
 		}
-		f.replace(f.Servers(service)[0], func(int64) string { return way })
+		f.replaceTarget(f.Targets(service)[0], func(int64) string { return way })
 		time.Sleep(2 * time.Second)
 		play(f, call)
 	})
@@ -61,13 +61,13 @@
 
 func TestProxy_OverdueOrderGoesToOneTarget(t *testing.T) {
 	withOneIll(t, "bookings", standin.Slow, func(f *Fleet, call func(method, path string) (int, time.Duration)) {
-		before := len(f.H.Records())
+		before := len(f.History.Records())
 		for range 12 {
 			call("POST", "/bookings")
 		}
 		time.Sleep(3 * time.Second)
 		runs := map[string]int{}
-		for _, r := range f.H.Records()[before:] {
+		for _, r := range f.History.Records()[before:] {
 			if r.Kind == "ran" && r.Service == "bookings" {
 				runs[r.CallID]++
 			}
--- a/internal/simulator/hold_test.go
+++ b/internal/simulator/hold_test.go
@@ -14,7 +14,7 @@
 	shape := one()
 	shape.Settings["plan.hold"] = "500ms"
 	inFleet(t, shape, func(t *testing.T, f *Fleet) {
-		server, proxyNode := f.Servers("rates")[0], f.Of("proxy1").Node()
+		server, proxyNode := f.Targets("rates")[0], f.Machine("proxy1").Node()
 		began := time.Now()
 		beat := &rpc.TargetHeartbeat{Service: "rates", Instance: server.Instance, Sequence: 1 << 30, Address: server.Address, Zone: "zone1", Weight: 100, State: "draining"}
 		if _, err := f.Cores()[0].Node().Take(f.ctx, beat); err != nil {
@@ -26,7 +26,7 @@
 		if list := proxyNode.Flow.Cache.Snapshot().Targets["rates"]; len(list) != 0 {
 			t.Error("the proxy still has", list)
 		}
-		client := standin.NewAPIClient(f.W.Net(f.outside(1)), f.Of("proxy1").Api())
+		client := standin.NewAPIClient(f.Network.HostAt(f.clientHost(1)), f.Machine("proxy1").APIAddress())
 		view, err := client.Epoch(f.ctx)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/simulator/hurts.go
+++ b/internal/simulator/hurts.go
@@ -23,40 +23,40 @@
 	"github.com/sumactrestle/sumactrestle/internal/standin"
 )
 
-// march kills every machine in turn, the next one soon after the last is back.
-func march(f *Fleet) {
+// killEachInTurn kills every machine in turn, the next one soon after the last is back.
+func killEachInTurn(f *Fleet) {
 	all := append([]*Machine(nil), f.Machines...)
 	f.Rand.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	for _, m := range all {
-		f.Say("kill %s", m.Name)
+		f.Logf("kill %s", m.Name)
 		m.Kill(f.Rand.IntN(2) == 0)
-		f.nap(0, 1500*time.Millisecond)
-		f.up(m)
-		f.nap(300*time.Millisecond, 2500*time.Millisecond)
+		f.sleepBetween(0, 1500*time.Millisecond)
+		f.startMachine(m)
+		f.sleepBetween(300*time.Millisecond, 2500*time.Millisecond)
 	}
 }
 
-// ownerOf is the core node that serves a part, other than one.
-func ownerOf(f *Fleet, no ids.Shard, but *Machine) *Machine {
+// leaderOf is the core node that serves a part, other than one.
+func leaderOf(f *Fleet, shard ids.Shard, but *Machine) *Machine {
 	for _, m := range f.Cores() {
-		if m != but && m.Node() != nil && m.Node().Consensus.Replica(no).IsServing() {
+		if m != but && m.Node() != nil && m.Node().Consensus.Replica(shard).IsServing() {
 			return m
 		}
 	}
 	return nil
 }
 
-// acked takes power or disk from the owner, or from another member, at the moment
+// faultAfterAcknowledgement takes power or disk from the owner, or from another member, at the moment
 // at which a write or a change set was acknowledged.
-func acked(f *Fleet) {
-	f.nap(500*time.Millisecond, 2*time.Second)
+func faultAfterAcknowledgement(f *Fleet) {
+	f.sleepBetween(500*time.Millisecond, 2*time.Second)
 	isChange, isWipe, isOwner := f.Rand.IntN(2) == 0, f.Rand.IntN(2) == 0, f.Rand.IntN(2) == 0
 	name := fmt.Sprint("acked", f.Rand.IntN(100))
-	no := ids.ShardOf(name)
+	shard := ids.ShardOf(name)
 	if isChange {
-		no = ids.ConfigShard
+		shard = ids.ConfigShard
 	}
-	owner := ownerOf(f, no, nil)
+	owner := leaderOf(f, shard, nil)
 	if owner == nil {
 		return
 	}
@@ -69,150 +69,150 @@
 		return
 	}
 	if isChange {
-		operator := standin.NewOperator(f.W.Net(f.outside(70)), f.H, proxyNode.Api())
+		operator := standin.NewOperator(f.Network.HostAt(f.clientHost(70)), f.History, proxyNode.APIAddress())
 		if view, err := operator.Epoch(f.ctx); err == nil {
-			operator.Submit(f.ctx, f.change(fmt.Sprint("a-", f.changes.Add(1)), view.Epoch))
+			operator.Submit(f.ctx, f.newChange(fmt.Sprint("a-", f.changeCount.Add(1)), view.Epoch))
 		}
 	} else {
-		client := standin.NewAPIClient(f.W.Net(f.outside(70)), proxyNode.Api())
-		f.bonded(checker.Record{Op: "put", Name: name}, func(ctx context.Context, rec *checker.Record) error {
+		client := standin.NewAPIClient(f.Network.HostAt(f.clientHost(70)), proxyNode.APIAddress())
+		f.recordCoordination(checker.Record{Op: "put", Name: name}, func(ctx context.Context, rec *checker.Record) error {
 			receipt, err := client.PutKey(ctx, &api.Call{Name: name, Value: jx.Raw("1")})
-			return take(rec, receipt, err)
+			return recordResponse(rec, receipt, err)
 		})
 	}
-	f.Say("%s loses power right after an acknowledgement (change set %v, owner %v, disk lost %v)", victim.Name, isChange, isOwner, isWipe)
+	f.Logf("%s loses power right after an acknowledgement (change set %v, owner %v, disk lost %v)", victim.Name, isChange, isOwner, isWipe)
 	victim.Kill(true)
 	if isWipe {
-		f.W.Disk(victim.IP).Wipe()
+		f.Network.Disk(victim.IP).Wipe()
 	}
-	f.nap(0, 2*time.Second)
+	f.sleepBetween(0, 2*time.Second)
 	if !isChange {
 		f.readBack(name)
 	}
-	f.up(victim)
-	if isWipe && !f.Until(30*time.Second, f.isMended) {
-		f.Say("the copies are not mended after 30 s")
+	f.startMachine(victim)
+	if isWipe && !f.WaitUntil(30*time.Second, f.isRepaired) {
+		f.Logf("the copies are not mended after 30 s")
 	}
 }
 
 func (f *Fleet) readBack(name string) {
-	client := standin.NewAPIClient(f.W.Net(f.outside(70)), f.pick(f.Proxies()).Api())
-	f.bonded(checker.Record{Op: "get", Name: name}, func(ctx context.Context, rec *checker.Record) error {
+	client := standin.NewAPIClient(f.Network.HostAt(f.clientHost(70)), f.pick(f.Proxies()).APIAddress())
+	f.recordCoordination(checker.Record{Op: "get", Name: name}, func(ctx context.Context, rec *checker.Record) error {
 		receipt, err := client.GetKey(ctx, api.GetKeyParams{Name: name})
 		if standin.CodeOf(err) == 3008 {
 			return nil
 		}
-		return take(rec, receipt, err)
+		return recordResponse(rec, receipt, err)
 	})
 }
 
-// slows makes disks slow, not stopped: from a little to near the bound at which an
+// slowDisks makes disks slow, not stopped: from a little to near the bound at which an
 // owner gives its parts up.
-func slows(f *Fleet) {
-	f.nap(500*time.Millisecond, 2*time.Second)
+func slowDisks(f *Fleet) {
+	f.sleepBetween(500*time.Millisecond, 2*time.Second)
 	victims := f.Cores()
 	if f.Rand.IntN(2) == 0 {
 		victims = victims[:1]
 	}
 	for _, m := range victims {
 		each := time.Duration(20+f.Rand.IntN(900)) * time.Millisecond
-		f.Say("every sync of %s takes %s", m.Name, each)
-		f.W.Disk(m.IP).Slow(each)
+		f.Logf("every sync of %s takes %s", m.Name, each)
+		f.Network.Disk(m.IP).Slow(each)
 	}
-	f.nap(time.Second, 5*time.Second)
+	f.sleepBetween(time.Second, 5*time.Second)
 	for _, m := range victims {
-		f.W.Disk(m.IP).Slow(0)
+		f.Network.Disk(m.IP).Slow(0)
 	}
 	if f.Rand.IntN(3) == 0 {
-		f.Say("%s loses power while its disk is slow", victims[0].Name)
+		f.Logf("%s loses power while its disk is slow", victims[0].Name)
 		victims[0].Kill(true)
-		f.up(victims[0])
+		f.startMachine(victims[0])
 	}
 }
 
-// herds lets all servers of a service vanish, or all of a zone, and come back.
-func herds(f *Fleet) {
-	f.nap(time.Second, 3*time.Second)
+// addManyTargets lets all servers of a service vanish, or all of a zone, and come back.
+func addManyTargets(f *Fleet) {
+	f.sleepBetween(time.Second, 3*time.Second)
 	service := []string{"bookings", "rates"}[f.Rand.IntN(2)]
 	zone := fmt.Sprint("zone", 1+f.Rand.IntN(f.Shape.Zones))
 	isZone := f.Rand.IntN(2) == 0
 	var gone []*standin.Server
 	for _, name := range []string{"bookings", "rates"} {
-		for _, s := range f.Servers(name) {
+		for _, s := range f.Targets(name) {
 			if isZone && s.Zone == zone || !isZone && name == service {
 				gone = append(gone, s)
 			}
 		}
 	}
-	f.Say("a herd of %d servers vanishes (zone %v)", len(gone), isZone)
+	f.Logf("a herd of %d servers vanishes (zone %v)", len(gone), isZone)
 	for _, s := range gone {
-		f.Forget(s)
+		f.RemoveTarget(s)
 		s.Crash()
 	}
-	f.nap(0, 3*time.Second)
+	f.sleepBetween(0, 3*time.Second)
 	for _, s := range gone {
-		f.Serve(s.Service, "", f.Rand.IntN(f.Shape.Zones))
+		f.StartTarget(s.Service, "", f.Rand.IntN(f.Shape.Zones))
 	}
-	f.nap(time.Second, 2*time.Second)
+	f.sleepBetween(time.Second, 2*time.Second)
 }
 
-// cold ends everything and starts the proxies, some before the core and some after.
-func cold(f *Fleet) {
-	f.nap(time.Second, 3*time.Second)
-	f.Say("all machines lose power; proxies start before the core")
+// startProxiesBeforeCore ends everything and starts the proxies, some before the core and some after.
+func startProxiesBeforeCore(f *Fleet) {
+	f.sleepBetween(time.Second, 3*time.Second)
+	f.Logf("all machines lose power; proxies start before the core")
 	for _, m := range f.Machines {
 		m.Kill(true)
 	}
 	for _, m := range f.Proxies() {
-		f.up(m)
-		f.nap(0, time.Second)
+		f.startMachine(m)
+		f.sleepBetween(0, time.Second)
 	}
-	f.nap(0, 4*time.Second)
+	f.sleepBetween(0, 4*time.Second)
 	for _, m := range f.Cores() {
-		f.up(m)
-		f.nap(0, time.Second)
+		f.startMachine(m)
+		f.sleepBetween(0, time.Second)
 	}
-	f.nap(3*time.Second, 6*time.Second)
+	f.sleepBetween(3*time.Second, 6*time.Second)
 }
 
-// longStops stops machines as planned while answers that take seconds and uploads
+// stopDuringLongRequests stops machines as planned while answers that take seconds and uploads
 // are under way; what is not out at six seconds is killed.
-func longStops(f *Fleet) {
-	f.nap(time.Second, 3*time.Second)
+func stopDuringLongRequests(f *Fleet) {
+	f.sleepBetween(time.Second, 3*time.Second)
 	m := f.pick(f.Machines)
-	f.Say("stop %s as planned, in the middle of long work", m.Name)
+	f.Logf("stop %s as planned, in the middle of long work", m.Name)
 	done := make(chan struct{})
 	go func() { m.Stop(); close(done) }()
 	select {
 	case <-done:
 	case <-time.After(6 * time.Second):
-		f.Say("%s is killed at six seconds", m.Name)
+		f.Logf("%s is killed at six seconds", m.Name)
 		m.Kill(false)
-		f.W.Kill(m.IP, false)
+		f.Network.Kill(m.IP, false)
 		<-done
 	}
-	f.nap(0, time.Second)
-	f.up(m)
-	f.nap(500*time.Millisecond, 2*time.Second)
+	f.sleepBetween(0, time.Second)
+	f.startMachine(m)
+	f.sleepBetween(500*time.Millisecond, 2*time.Second)
 }
 
-// loneStops stops machines as planned while the core is split and has no majority.
-func loneStops(f *Fleet) {
-	f.nap(time.Second, 2*time.Second)
-	f.Say("split the core apart")
+// stopWithoutMajority stops machines as planned while the core is split and has no majority.
+func stopWithoutMajority(f *Fleet) {
+	f.sleepBetween(time.Second, 2*time.Second)
+	f.Logf("split the core apart")
 	for _, a := range f.Cores() {
 		f.isolate([]*Machine{a})
 	}
-	f.nap(0, 2*time.Second)
-	longStops(f)
-	f.Say("heal")
-	f.W.Heal()
-	f.nap(2*time.Second, 4*time.Second)
+	f.sleepBetween(0, 2*time.Second)
+	stopDuringLongRequests(f)
+	f.Logf("heal")
+	f.Network.Heal()
+	f.sleepBetween(2*time.Second, 4*time.Second)
 }
 
-// overlap lets two or three kinds of faults go on at once, each in its own time.
-func overlap(f *Fleet) {
-	kinds := []func(*Fleet){kills, freezes, cuts, slows, servers, herds, stops}
+// overlapFaults lets two or three kinds of faults go on at once, each in its own time.
+func overlapFaults(f *Fleet) {
+	kinds := []func(*Fleet){killMachines, pauseMachines, partitionNetwork, slowDisks, disturbTargets, addManyTargets, stopMachines}
 	f.Rand.Shuffle(len(kinds), func(i, j int) { kinds[i], kinds[j] = kinds[j], kinds[i] })
 	var all sync.WaitGroup
 	for _, hurt := range kinds[:2+f.Rand.IntN(2)] {
@@ -220,19 +220,19 @@
 		go func() { defer all.Done(); hurt(f); hurt(f) }()
 	}
 	all.Wait()
-	f.W.Heal()
-	f.nap(time.Second, 3*time.Second)
+	f.Network.Heal()
+	f.sleepBetween(time.Second, 3*time.Second)
 }
 
-// Uploads start callers who send large bodies slowly, of whom some break off, and
+// StartUploads start callers who send large bodies slowly, of whom some break off, and
 // some go away as soon as they have sent all.
-func (f *Fleet) Uploads(n int) {
+func (f *Fleet) StartUploads(n int) {
 	for i := range n {
-		net := f.W.Net(f.outside(80 + i))
-		caller := f.caller(80 + i)
-		f.task(func(r *rand.Rand) {
+		net := f.Network.HostAt(f.clientHost(80 + i))
+		caller := f.newClient(80 + i)
+		f.goTask(func(r *rand.Rand) {
 			pause(r, 300*time.Millisecond)
-			proxyNode := f.Proxies()[r.IntN(len(f.Proxies()))].Gate()
+			proxyNode := f.Proxies()[r.IntN(len(f.Proxies()))].ProxyAddress()
 			body := strings.Repeat(fmt.Sprintf("%08x", r.Uint32()), 12000)
 			if r.IntN(2) == 0 {
 				caller.Call(f.ctx, proxyNode, http.MethodPost, "/bookings", "bookings", []byte(body))
@@ -244,8 +244,8 @@
 			}
 			defer conn.Close()
 			call, isWhole := ids.NewID(), r.IntN(2) == 0
-			rec := checker.Record{Kind: checker.RequestCompleted, Start: f.H.Now(), CallID: call, Proxy: proxyNode, Service: "bookings", Path: "/bookings", Digest: standin.Digest([]byte(body)), Outcome: "gone"}
-			if f.Shape.IsStay {
+			rec := checker.Record{Kind: checker.RequestCompleted, Start: f.History.Now(), CallID: call, Proxy: proxyNode, Service: "bookings", Path: "/bookings", Digest: standin.Digest([]byte(body)), Outcome: "gone"}
+			if f.Shape.PlatformMode {
 				rec.PerAttempt, rec.RequestID = true, ids.NewID()
 			}
 			fmt.Fprintf(conn, "POST /bookings HTTP/1.1\r\nHost: x\r\n%s: %s\r\n%s: %s\r\nContent-Length: %d\r\n\r\n", standin.HeaderCall, call, proxy.HeaderRequestID, rec.RequestID, len(body))
@@ -253,7 +253,7 @@
 				io.WriteString(conn, body[at:min(at+16000, len(body))])
 				pause(r, 40*time.Millisecond)
 			}
-			f.H.Add(rec)
+			f.History.Add(rec)
 		})
 	}
 }
--- a/internal/simulator/idempotency_test.go
+++ b/internal/simulator/idempotency_test.go
@@ -15,15 +15,15 @@
 // service: the repeat, which comes to another proxy, is the same order still.
 func TestProxy_RepeatAfterMoveToAnotherServiceIsTheSameRequest(t *testing.T) {
 	shape := Small()
-	shape.Servers = map[string]int{"bookings": 1, "rates": 1, "desk": 1}
+	shape.Targets = map[string]int{"bookings": 1, "rates": 1, "desk": 1}
 	inFleet(t, shape, func(t *testing.T, f *Fleet) {
-		caller := standin.NewClient(f.W.Net(f.outside(3)), f.H)
+		caller := standin.NewClient(f.Network.HostAt(f.clientHost(3)), f.History)
 		defer caller.Close()
-		first := caller.CallWithID(f.ctx, f.Of("proxy1").Gate(), "POST", "/bookings", "bookings", []byte("{}"), "moved", false)
+		first := caller.CallWithID(f.ctx, f.Machine("proxy1").ProxyAddress(), "POST", "/bookings", "bookings", []byte("{}"), "moved", false)
 		if first.Outcome != "ran" {
 			t.Fatalf("%+v", first)
 		}
-		operator := standin.NewOperator(f.W.Net(f.outside(4)), f.H, f.Cores()[0].Api())
+		operator := standin.NewOperator(f.Network.HostAt(f.clientHost(4)), f.History, f.Cores()[0].APIAddress())
 		view, err := operator.Epoch(f.ctx)
 		if err != nil {
 			t.Fatal(err)
@@ -33,7 +33,7 @@
 			t.Fatal(err)
 		}
 		time.Sleep(3 * time.Second)
-		again := caller.CallWithID(f.ctx, f.Of("proxy2").Gate(), "POST", "/bookings", "desk", []byte("{}"), "moved", true)
+		again := caller.CallWithID(f.ctx, f.Machine("proxy2").ProxyAddress(), "POST", "/bookings", "desk", []byte("{}"), "moved", true)
 		if again.Code != errcode.OrderRan.No || again.Outcome != "ran" || ranOf(f, "moved") != 1 {
 			t.Errorf("the order ran %d times, its repeat was answered %+v", ranOf(f, "moved"), again)
 		}
@@ -44,9 +44,9 @@
 // owner any more. The call was done; the repeat must not be told that it was not.
 func TestProxy_RepeatWithoutLeaderIsUnknown(t *testing.T) {
 	inFleet(t, Small(), func(t *testing.T, f *Fleet) {
-		proxyNode := f.Of("proxy1")
-		client := standin.NewAPIClient(f.W.Net(f.outside(4)), proxyNode.Api())
-		operator := standin.NewOperator(f.W.Net(f.outside(4)), f.H, proxyNode.Api())
+		proxyNode := f.Machine("proxy1")
+		client := standin.NewAPIClient(f.Network.HostAt(f.clientHost(4)), proxyNode.APIAddress())
+		operator := standin.NewOperator(f.Network.HostAt(f.clientHost(4)), f.History, proxyNode.APIAddress())
 		view, err := operator.Epoch(f.ctx)
 		if err != nil {
 			t.Fatal(err)
@@ -54,7 +54,7 @@
 		submit := func() string {
 			limited, end := context.WithTimeout(f.ctx, 20*time.Second)
 			defer end()
-			_, err := client.Submit(limited, f.change("again", view.Epoch))
+			_, err := client.Submit(limited, f.newChange("again", view.Epoch))
 			return outcomeOf(err)
 		}
 		add := func() string {
@@ -64,13 +64,13 @@
 			return outcomeOf(err)
 		}
 		for _, m := range f.Cores() {
-			f.W.Cut(m.IP, proxyNode.IP)
+			f.Network.Partition(m.IP, proxyNode.IP)
 		}
 		first, count := submit(), add()
 		f.isolate([]*Machine{proxyNode})
 		time.Sleep(5 * time.Second)
 		again, recount := submit(), add()
-		f.W.Heal()
+		f.Network.Heal()
 		if first == "done" || count == "done" {
 			t.Fatalf("the cut did not hold the receipts back: %s, %s", first, count)
 		}
--- a/internal/simulator/keepers_test.go
+++ b/internal/simulator/keepers_test.go
@@ -17,13 +17,13 @@
 	shape.Settings["flow.stay"] = "1h"
 	inFleet(t, shape, func(t *testing.T, f *Fleet) {
 		for i := range 12 {
-			f.up(f.Add(fmt.Sprint("spare", i), i%3, true, false))
+			f.startMachine(f.Add(fmt.Sprint("spare", i), i%3, true, false))
 		}
 		time.Sleep(10 * time.Second)
 		var late []*Machine
 		for i := range 6 {
 			late = append(late, f.Add(fmt.Sprint("late", i), i%3, false, true))
-			f.up(late[i])
+			f.startMachine(late[i])
 		}
 		chart := func() ids.Epoch {
 			least := ids.Epoch(1 << 40)
@@ -35,10 +35,10 @@
 			}
 			return least
 		}
-		if !f.Until(5*time.Second, func() bool { return chart() > 0 }) {
+		if !f.WaitUntil(5*time.Second, func() bool { return chart() > 0 }) {
 			t.Fatal("a proxy got no plan")
 		}
-		client := standin.NewAPIClient(f.W.Net(f.outside(1)), f.Of("proxy1").Api())
+		client := standin.NewAPIClient(f.Network.HostAt(f.clientHost(1)), f.Machine("proxy1").APIAddress())
 		for i := range 4 {
 			view, err := client.Epoch(f.ctx)
 			if err != nil {
@@ -49,7 +49,7 @@
 			if err != nil {
 				continue
 			}
-			if !f.Until(2*time.Second, func() bool { return chart() >= ids.Epoch(receipt.Epoch) }) {
+			if !f.WaitUntil(2*time.Second, func() bool { return chart() >= ids.Epoch(receipt.Epoch) }) {
 				t.Fatalf("change %d: a proxy is at epoch %d, %d is in force", i, chart(), receipt.Epoch)
 			}
 		}
--- a/internal/simulator/kin_test.go
+++ b/internal/simulator/kin_test.go
@@ -18,7 +18,7 @@
 			}
 			time.Sleep(300 * time.Millisecond)
 			for _, m := range f.Cores() {
-				f.up(m)
+				f.startMachine(m)
 			}
 			back := time.Now()
 			isKnown := func() bool {
@@ -31,7 +31,7 @@
 				}
 				return true
 			}
-			if !f.Until(5*time.Second, isKnown) {
+			if !f.WaitUntil(5*time.Second, isKnown) {
 				t.Error("after 5 s a core node does not know every proxy")
 			}
 			t.Log(time.Since(back))
@@ -45,9 +45,9 @@
 	inFleet(t, Small(), func(t *testing.T, f *Fleet) {
 		silent := f.Cores()[0]
 		late := f.Add("late", 1, false, true)
-		f.W.Cut(silent.IP, late.IP)
-		f.W.Cut(late.IP, silent.IP)
-		f.up(late)
+		f.Network.Partition(silent.IP, late.IP)
+		f.Network.Partition(late.IP, silent.IP)
+		f.startMachine(late)
 		began := time.Now()
 		for len(late.Node().Kin.CoreMembers()) < 3 && time.Since(began) < 5*time.Second {
 			time.Sleep(10 * time.Millisecond)
@@ -55,6 +55,6 @@
 		if took := time.Since(began); took > 200*time.Millisecond {
 			t.Error("it knew the core after", took)
 		}
-		f.W.Heal()
+		f.Network.Heal()
 	})
 }
--- a/internal/simulator/late_test.go
+++ b/internal/simulator/late_test.go
@@ -29,14 +29,14 @@
 // submitted has a change set accepted, and tells its epoch.
 func submitted(t *testing.T, f *Fleet, name string) ids.Epoch {
 	t.Helper()
-	operator := standin.NewOperator(f.W.Net(f.outside(4)), f.H, f.Cores()[0].Api())
+	operator := standin.NewOperator(f.Network.HostAt(f.clientHost(4)), f.History, f.Cores()[0].APIAddress())
 	var epoch ids.Epoch
-	if !f.Until(20*time.Second, func() bool {
+	if !f.WaitUntil(20*time.Second, func() bool {
 		view, err := operator.Epoch(f.ctx)
 		if err != nil {
 			return false
 		}
-		receipt, err := operator.Submit(f.ctx, f.change(name, view.Epoch))
+		receipt, err := operator.Submit(f.ctx, f.newChange(name, view.Epoch))
 		if err == nil {
 			epoch = ids.Epoch(receipt.Epoch)
 		}
@@ -53,7 +53,7 @@
 		if time.Now().After(by) {
 			return false
 		}
-		time.Sleep(touchLook)
+		time.Sleep(connectivityInterval)
 	}
 	return true
 }
@@ -62,13 +62,13 @@
 func TestDistribution_EpochUpdateDoesNotWaitForTheLongPause(t *testing.T) {
 	shape := one()
 	shape.Settings["flow.cool"], shape.Settings["kin.suspect"] = "5m", "1m"
-	inFleet(t, stays(shape), func(t *testing.T, f *Fleet) {
-		proxyNode := f.Of("proxy1")
+	inFleet(t, platformShape(shape), func(t *testing.T, f *Fleet) {
+		proxyNode := f.Machine("proxy1")
 		for i := range 5 {
 			f.isolate([]*Machine{proxyNode})
 			time.Sleep(10 * time.Second)
 			epoch := submitted(t, f, fmt.Sprint("cool", i))
-			f.W.Heal()
+			f.Network.Heal()
 			if !hasBy(proxyNode, epoch, time.Now().Add(lateBound)) {
 				t.Errorf("round %d: the proxy does not have epoch %d %s after its ways are whole", i, epoch, lateBound)
 			}
@@ -80,8 +80,8 @@
 func TestDistribution_EpochUpdateDoesNotWaitForMembershipToAgree(t *testing.T) {
 	shape := one()
 	shape.Proxies = 14
-	inFleet(t, stays(shape), func(t *testing.T, f *Fleet) {
-		proxyNode := f.Of("proxy1")
+	inFleet(t, platformShape(shape), func(t *testing.T, f *Fleet) {
+		proxyNode := f.Machine("proxy1")
 		for _, other := range f.Proxies() {
 			if other != proxyNode {
 				other.Kill(true)
@@ -89,17 +89,17 @@
 		}
 		for i := range 12 {
 			f.isolate([]*Machine{proxyNode})
-			if !f.Until(30*time.Second, func() bool { return len(proxyNode.Node().Kin.CoreMembers()) == 0 }) {
+			if !f.WaitUntil(30*time.Second, func() bool { return len(proxyNode.Node().Kin.CoreMembers()) == 0 }) {
 				t.Fatal("the proxy still holds a core node for live")
 			}
 			epoch := submitted(t, f, fmt.Sprint("down", i))
-			f.W.Heal()
+			f.Network.Heal()
 			healed := time.Now()
 			if !hasBy(proxyNode, epoch, healed.Add(lateBound)) {
 				t.Errorf("round %d: the proxy does not have epoch %d %s after its ways are whole", i, epoch, lateBound)
 			}
-			if !f.Until(time.Until(healed.Add(touchTime)), func() bool { return len(proxyNode.Node().Kin.CoreMembers()) == 3 }) {
-				t.Errorf("round %d: %s after its ways are whole the proxy knows %d of 3 core nodes", i, touchTime, len(proxyNode.Node().Kin.CoreMembers()))
+			if !f.WaitUntil(time.Until(healed.Add(connectivityWindow)), func() bool { return len(proxyNode.Node().Kin.CoreMembers()) == 3 }) {
+				t.Errorf("round %d: %s after its ways are whole the proxy knows %d of 3 core nodes", i, connectivityWindow, len(proxyNode.Node().Kin.CoreMembers()))
 			}
 		}
 	})
@@ -116,9 +116,9 @@
 	hangs   atomic.Bool  // whether its fetches hang
 }
 
-func stagedNode(t *testing.T, w *World, name, zone, address string, seeds string, isCore bool, settings map[string]string) (*environment.Environment, *rpc.Transport, *membership.Memberlist) {
+func stagedNode(t *testing.T, w *Network, name, zone, address string, seeds string, isCore bool, settings map[string]string) (*environment.Environment, *rpc.Transport, *membership.Memberlist) {
 	set := map[string]string{"name": name, "zone": zone, "wire.address": address, "seeds": seeds, "flow.pulse": "1s", "flow.stay": "1h"}
-	set["api.address"], set["gate.address"] = host(address)+":7001", host(address)+":7002"
+	set["api.address"], set["gate.address"] = hostOf(address)+":7001", hostOf(address)+":7002"
 	for key, value := range settings {
 		set[key] = value
 	}
@@ -126,7 +126,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := environment.New(t.Context(), p, eventlog.New(io.Discard, "error", name), w.Net(host(address)))
+	r := environment.New(t.Context(), p, eventlog.New(io.Discard, "error", name), w.HostAt(hostOf(address)))
 	line := rpc.New(r)
 	who := membership.New(r, line, rpc.Member{Name: ids.NodeName(name), ID: ids.MemberID("b" + name), RPCAddress: address, Zone: zone, Core: isCore, HoldsConfiguration: isCore})
 	return r, line, who
@@ -175,7 +175,7 @@
 // the first is in the proxy's zone.
 func staged(t *testing.T, n int, settings map[string]string, play func(t *testing.T, client *distribution.Client, cores []*stagedCore)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := NewWorld(1)
+		w := NewNetwork(1)
 		var realms []*environment.Environment
 		var cores []*stagedCore
 		open := func(r *environment.Environment, line *rpc.Transport, who *membership.Memberlist) {
@@ -193,14 +193,14 @@
 		}
 		for i := range n {
 			zone, address := fmt.Sprint("zone", i+1), fmt.Sprintf("10.%d.0.1:7000", i+1)
-			w.Place(host(address), zone)
+			w.SetZone(hostOf(address), zone)
 			r, line, who := stagedNode(t, w, fmt.Sprint("core", i+1), zone, address, seeds[1:], true, settings)
 			core := &stagedCore{Transport: line, address: address}
 			core.handle(r)
 			cores = append(cores, core)
 			open(r, line, who)
 		}
-		w.Place("10.1.0.9", "zone1")
+		w.SetZone("10.1.0.9", "zone1")
 		r, line, who := stagedNode(t, w, "proxy1", "zone1", "10.1.0.9:7000", seeds[1:], false, settings)
 		open(r, line, who)
 		client := distribution.NewClient(r, line, who)
@@ -223,7 +223,7 @@
 	over, end := context.WithTimeout(context.Background(), limit)
 	defer end()
 	for client.Cache.Snapshot().Epoch < epoch {
-		if sleep(over, touchLook) != nil {
+		if sleep(over, connectivityInterval) != nil {
 			return false
 		}
 	}
--- a/internal/simulator/links.go
+++ b/internal/simulator/links.go
@@ -18,8 +18,8 @@
 	in, out time.Time
 }
 
-// take is when so many bytes that come at that time are through.
-func (l *link) take(free *time.Time, at time.Time, bytes int) time.Time {
+// transmit is when so many bytes that come at that time are through.
+func (l *link) transmit(free *time.Time, at time.Time, bytes int) time.Time {
 	if l == nil {
 		return at
 	}
@@ -30,35 +30,35 @@
 	return *free
 }
 
-// Narrow gives a machine's link a rate in bytes a second.
-func (w *World) Narrow(ip string, rate int) {
-	w.mu.Lock()
-	w.links[ip] = &link{rate: float64(rate)}
-	w.mu.Unlock()
+// LimitBandwidth gives a machine's link a rate in bytes a second.
+func (n *Network) LimitBandwidth(ip string, rate int) {
+	n.mu.Lock()
+	n.links[ip] = &link{rate: float64(rate)}
+	n.mu.Unlock()
 }
 
-// Queue is how long what comes to a machine now waits at its link, and what leaves it.
-func (w *World) Queue(ip string) (in, out time.Duration) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if l := w.links[ip]; l != nil {
+// QueueDelay is how long what comes to a machine now waits at its link, and what leaves it.
+func (n *Network) QueueDelay(ip string) (in, out time.Duration) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if l := n.links[ip]; l != nil {
 		in, out = max(0, time.Until(l.in)), max(0, time.Until(l.out))
 	}
 	return in, out
 }
 
-// arrival is when what leaves one machine at that time is at the other.
-func (w *World) arrival(from, to string, at time.Time, bytes int) time.Time {
-	one, two := w.links[from], w.links[to]
+// arrivalTime is when what leaves one machine at that time is at the other.
+func (n *Network) arrivalTime(from, to string, at time.Time, bytes int) time.Time {
+	one, two := n.links[from], n.links[to]
 	if one != nil {
-		at = one.take(&one.out, at, bytes)
+		at = one.transmit(&one.out, at, bytes)
 	}
-	at = at.Add(w.delay(from, to))
+	at = at.Add(n.delay(from, to))
 	if two != nil {
-		at = two.take(&two.in, at, bytes)
+		at = two.transmit(&two.in, at, bytes)
 	}
 	return at
 }
 
-// isNarrow tells whether a link on the way bounds what goes over it.
-func (w *World) isNarrow(from, to string) bool { return w.links[from] != nil || w.links[to] != nil }
+// isLimited tells whether a link on the way bounds what goes over it.
+func (n *Network) isLimited(from, to string) bool { return n.links[from] != nil || n.links[to] != nil }
--- a/internal/simulator/links_test.go
+++ b/internal/simulator/links_test.go
@@ -13,20 +13,20 @@
 
 func TestANarrowLinkQueuesWhatItCantCarry(t *testing.T) {
 	inFleet(t, one(), func(t *testing.T, f *Fleet) {
-		from, to := f.outside(4), f.outside(5)
-		f.W.Narrow(to, 100_000)
-		listener, err := f.W.Net(to).Listen(to + ":9000")
+		from, to := f.clientHost(4), f.clientHost(5)
+		f.Network.LimitBandwidth(to, 100_000)
+		listener, err := f.Network.HostAt(to).Listen(to + ":9000")
 		if err != nil {
 			t.Fatal(err)
 		}
-		conn, err := f.W.Net(from).Dial(f.ctx, to+":9000")
+		conn, err := f.Network.HostAt(from).Dial(f.ctx, to+":9000")
 		if err != nil {
 			t.Fatal(err)
 		}
 		other, _ := listener.Accept()
 		began := time.Now()
 		conn.Write(make([]byte, 100_000))
-		if in, out := f.W.Queue(to); in < time.Second || out != 0 {
+		if in, out := f.Network.QueueDelay(to); in < time.Second || out != 0 {
 			t.Error("queues of", in, out)
 		}
 		for n, buffer := 0, make([]byte, 32<<10); n < 100_000; {
@@ -46,22 +46,22 @@
 
 func TestALongReceiptOnANarrowLinkKeepsItsPipe(t *testing.T) {
 	inFleet(t, one(), func(t *testing.T, f *Fleet) {
-		core, proxyNode := f.Cores()[0], f.Of("proxy1")
+		core, proxyNode := f.Cores()[0], f.Machine("proxy1")
 		long := strings.Repeat("x", 300_000)
 		core.Node().Wire.Handle("test.long", func(*rpc.Request) (any, error) { return long, nil })
 		core.Node().Wire.Handle("test.short", func(*rpc.Request) (any, error) { return "here", nil })
-		f.W.Narrow(proxyNode.IP, 100_000)
+		f.Network.LimitBandwidth(proxyNode.IP, 100_000)
 		got := make(chan error, 1)
 		go func() {
 			ctx, end := context.WithTimeout(f.ctx, 10*time.Second)
 			defer end()
 			var whole string
-			got <- proxyNode.Node().Wire.Call(ctx, core.Wire(), "test.long", struct{}{}, &whole)
+			got <- proxyNode.Node().Wire.Call(ctx, core.RPCAddress(), "test.long", struct{}{}, &whole)
 		}()
 		time.Sleep(500 * time.Millisecond)
 		ctx, end := context.WithTimeout(f.ctx, 500*time.Millisecond)
 		defer end()
-		if err := proxyNode.Node().Wire.Call(ctx, core.Wire(), "test.short", struct{}{}, nil); err == nil {
+		if err := proxyNode.Node().Wire.Call(ctx, core.RPCAddress(), "test.short", struct{}{}, nil); err == nil {
 			t.Fatal("the short receipt overtook the long one")
 		}
 		if err := <-got; err != nil {
@@ -76,13 +76,13 @@
 	shape.Settings["flow.servers"], shape.Settings["plan.linger"] = "2", "30s"
 	shape.Settings["flow.pulse"], shape.Settings["wire.deaf"], shape.Settings["wire.dial"] = "300ms", "1500ms", "2s"
 	inFleet(t, shape, func(t *testing.T, f *Fleet) {
-		proxyNode, from := f.Of("proxy1"), f.outside(4)
-		f.W.Narrow(proxyNode.IP, 100_000)
-		listener, err := f.W.Net(proxyNode.IP).Listen(proxyNode.IP + ":9000")
+		proxyNode, from := f.Machine("proxy1"), f.clientHost(4)
+		f.Network.LimitBandwidth(proxyNode.IP, 100_000)
+		listener, err := f.Network.HostAt(proxyNode.IP).Listen(proxyNode.IP + ":9000")
 		if err != nil {
 			t.Fatal(err)
 		}
-		conn, err := f.W.Net(from).Dial(f.ctx, proxyNode.IP+":9000")
+		conn, err := f.Network.HostAt(from).Dial(f.ctx, proxyNode.IP+":9000")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -96,12 +96,12 @@
 		}()
 		node := proxyNode.Node()
 		for range 200 {
-			if in, _ := f.W.Queue(proxyNode.IP); in < 600*time.Millisecond {
+			if in, _ := f.Network.QueueDelay(proxyNode.IP); in < 600*time.Millisecond {
 				conn.Write(make([]byte, 10_000))
 			}
 			time.Sleep(50 * time.Millisecond)
 			if age := node.R.Since(node.Flow.LatestConfirmation().ConfigAsOf); age > 1700*time.Millisecond {
-				in, out := f.W.Queue(proxyNode.IP)
+				in, out := f.Network.QueueDelay(proxyNode.IP)
 				t.Fatal("the last word of the newest epoch is old by", age, "while words wait", in, out)
 			}
 		}
--- a/internal/simulator/load.go
+++ b/internal/simulator/load.go
@@ -19,14 +19,14 @@
 	"github.com/sumactrestle/sumactrestle/internal/standin"
 )
 
-// task runs until the load is ended.
-func (f *Fleet) task(verb func(r *rand.Rand)) {
+// goTask runs until the load is ended.
+func (f *Fleet) goTask(verb func(r *rand.Rand)) {
 	seed := f.Rand.Uint64()
-	f.loads.Add(1)
+	f.loadTasks.Add(1)
 	go func() {
-		defer f.loads.Done()
+		defer f.loadTasks.Done()
 		r := rand.New(rand.NewPCG(seed, 3))
-		for f.isLoad.Load() {
+		for f.loadRunning.Load() {
 			verb(r)
 		}
 	}()
@@ -36,38 +36,38 @@
 	time.Sleep(mean/2 + time.Duration(r.Int64N(int64(mean))))
 }
 
-// outside is a machine that is in no zone of the fleet.
-func (f *Fleet) outside(i int) string { return fmt.Sprintf("10.99.0.%d", i+1) }
+// clientHost is a machine that is in no zone of the fleet.
+func (f *Fleet) clientHost(i int) string { return fmt.Sprintf("10.99.0.%d", i+1) }
 
-// Callers starts callers for every service and proxy.
-func (f *Fleet) Callers(mean time.Duration) {
+// StartClients starts callers for every service and proxy.
+func (f *Fleet) StartClients(mean time.Duration) {
 	for i, proxyNode := range f.Proxies() {
-		for service := range f.Shape.Servers {
-			caller := f.caller(i)
-			f.task(func(r *rand.Rand) {
+		for service := range f.Shape.Targets {
+			caller := f.newClient(i)
+			f.goTask(func(r *rand.Rand) {
 				method, body := "POST", []byte(fmt.Sprintf(`{"n":%d}`, r.Uint32()))
-				if f.Shape.Repeatable[service] {
+				if f.Shape.Idempotent[service] {
 					method, body = "GET", nil
 				}
-				caller.Call(f.ctx, proxyNode.Gate(), method, "/"+service, service, body)
+				caller.Call(f.ctx, proxyNode.ProxyAddress(), method, "/"+service, service, body)
 				pause(r, mean)
 			})
 		}
 	}
 }
 
-// Stormers call for orders and, when one fails, repeat it at once under the
+// StartRetryStorm call for orders and, when one fails, repeat it at once under the
 // same key, up to many times.
-func (f *Fleet) Stormers(n int) {
+func (f *Fleet) StartRetryStorm(n int) {
 	for range n {
-		caller := f.caller(30)
-		caller.AtMostOnce = !f.Shape.IsTwice && !f.Shape.IsStay
+		caller := f.newClient(30)
+		caller.AtMostOnce = !f.Shape.AllowsDuplicates && !f.Shape.PlatformMode
 		proxies := f.Proxies()
-		f.task(func(r *rand.Rand) {
+		f.goTask(func(r *rand.Rand) {
 			call, body := ids.NewID(), []byte(`{"storm":1}`)
 			for try := range 30 {
-				got := caller.CallWithID(f.ctx, proxies[r.IntN(len(proxies))].Gate(), "POST", "/bookings", "bookings", body, call, try > 0)
-				if got.Outcome == "ran" || got.Code == 1017 || !f.isLoad.Load() {
+				got := caller.CallWithID(f.ctx, proxies[r.IntN(len(proxies))].ProxyAddress(), "POST", "/bookings", "bookings", body, call, try > 0)
+				if got.Outcome == "ran" || got.Code == 1017 || !f.loadRunning.Load() {
 					break
 				}
 				time.Sleep(time.Millisecond)
@@ -77,41 +77,41 @@
 	}
 }
 
-// change is the change set that adds one mapping of its own.
-func (f *Fleet) change(id string, base uint64) *api.Change {
+// newChange is the change set that adds one mapping of its own.
+func (f *Fleet) newChange(id string, base uint64) *api.Change {
 	service := "rates"
-	for name := range f.Shape.Servers {
+	for name := range f.Shape.Targets {
 		service = name
 	}
 	config := api.Config{Mappings: []api.Mapping{{Name: id, Path: "/extra/" + id, To: []api.Split{{Service: service, Weight: 1}}}}}
 	return &api.Change{ID: id, Base: base, Put: api.NewOptConfig(config)}
 }
 
-// firstConfig is what every fleet of the simulator begins with.
-func (f *Fleet) firstConfig() (config api.Config) {
-	for name := range f.Shape.Servers {
+// initialConfiguration is what every fleet of the simulator begins with.
+func (f *Fleet) initialConfiguration() (config api.Config) {
+	for name := range f.Shape.Targets {
 		config.Services = append(config.Services, service(name))
-		config.Mappings = append(config.Mappings, api.Mapping{Name: name, Path: "/" + name, To: []api.Split{{Service: name, Weight: 1}}, Repeatable: api.NewOptBool(f.Shape.Repeatable[name]), Once: api.NewOptBool(!f.Shape.IsTwice && !f.Shape.Repeatable[name]), Deadline: api.NewOptInt64(3000)})
+		config.Mappings = append(config.Mappings, api.Mapping{Name: name, Path: "/" + name, To: []api.Split{{Service: name, Weight: 1}}, Repeatable: api.NewOptBool(f.Shape.Idempotent[name]), Once: api.NewOptBool(!f.Shape.AllowsDuplicates && !f.Shape.Idempotent[name]), Deadline: api.NewOptInt64(3000)})
 	}
 	return config
 }
 
-func (f *Fleet) submitFirst() bool {
-	config := f.firstConfig()
-	operator := standin.NewOperator(f.W.Net(f.outside(40)), f.H, f.Cores()[0].Api())
+func (f *Fleet) submitInitial() bool {
+	config := f.initialConfiguration()
+	operator := standin.NewOperator(f.Network.HostAt(f.clientHost(40)), f.History, f.Cores()[0].APIAddress())
 	_, err := operator.Submit(f.ctx, &api.Change{ID: "first", Whole: api.NewOptBool(true), Put: api.NewOptConfig(config)})
 	return err == nil
 }
 
-// Operators race: each reads the epoch, thinks, and submits against it. What is
+// StartOperators race: each reads the epoch, thinks, and submits against it. What is
 // left unknown is asked for by id, once.
-func (f *Fleet) Operators(n int, mean time.Duration) {
+func (f *Fleet) StartOperators(n int, mean time.Duration) {
 	for i := range n {
 		operators := []*standin.Operator{}
 		for _, m := range f.Machines {
-			operators = append(operators, standin.NewOperator(f.W.Net(f.outside(41+i)), f.H, m.Api()))
+			operators = append(operators, standin.NewOperator(f.Network.HostAt(f.clientHost(41+i)), f.History, m.APIAddress()))
 		}
-		f.task(func(r *rand.Rand) {
+		f.goTask(func(r *rand.Rand) {
 			pause(r, mean)
 			o := operators[r.IntN(len(operators))]
 			view, err := o.Epoch(f.ctx)
@@ -119,8 +119,8 @@
 				return
 			}
 			pause(r, 50*time.Millisecond)
-			id := fmt.Sprintf("c%d-%d", i, f.changes.Add(1))
-			change := f.change(id, view.Epoch)
+			id := fmt.Sprintf("c%d-%d", i, f.changeCount.Add(1))
+			change := f.newChange(id, view.Epoch)
 			if r.IntN(6) == 0 {
 				change.Put.Value.Mappings[0].To[0].Service = standin.MissingService
 			}
@@ -133,22 +133,22 @@
 	}
 }
 
-// Apps exercise locks, counters, keys and watches through random nodes.
-func (f *Fleet) Apps(n int, mean time.Duration) {
+// StartApplications exercise locks, counters, keys and watches through random nodes.
+func (f *Fleet) StartApplications(n int, mean time.Duration) {
 	clients := []*api.Client{}
 	for _, m := range f.Machines {
-		clients = append(clients, standin.NewAPIClient(f.W.Net(f.outside(60)), m.Api()))
+		clients = append(clients, standin.NewAPIClient(f.Network.HostAt(f.clientHost(60)), m.APIAddress()))
 	}
 	for i := range n {
 		holder := fmt.Sprint("app", i)
-		f.task(func(r *rand.Rand) {
+		f.goTask(func(r *rand.Rand) {
 			pause(r, mean)
 			client := clients[r.IntN(len(clients))]
 			switch r.IntN(4) {
 			case 0:
-				f.lockOnce(r, client, holder)
+				f.useLock(r, client, holder)
 			case 1:
-				f.bonded(checker.Record{Op: "add", Name: fmt.Sprint("count/", r.IntN(3))}, func(ctx context.Context, rec *checker.Record) error {
+				f.recordCoordination(checker.Record{Op: "add", Name: fmt.Sprint("count/", r.IntN(3))}, func(ctx context.Context, rec *checker.Record) error {
 					receipt, err := client.AddCounter(ctx, &api.Call{Name: rec.Name, ID: api.NewOptString(ids.NewID())})
 					if err == nil {
 						rec.Count, rec.Revision = receipt.Count.Or(0), receipt.Stamp
@@ -156,7 +156,7 @@
 					return err
 				})
 			case 2:
-				f.bonded(checker.Record{Op: "put", Name: fmt.Sprint("key", r.IntN(3))}, func(ctx context.Context, rec *checker.Record) error {
+				f.recordCoordination(checker.Record{Op: "put", Name: fmt.Sprint("key", r.IntN(3))}, func(ctx context.Context, rec *checker.Record) error {
 					value, _ := json.Marshal(r.Uint32())
 					receipt, err := client.PutKey(ctx, &api.Call{Name: rec.Name, Value: jx.Raw(value), ID: api.NewOptString(ids.NewID())})
 					if err == nil {
@@ -165,7 +165,7 @@
 					return err
 				})
 			case 3:
-				f.bonded(checker.Record{Op: "get", Name: fmt.Sprint("key", r.IntN(3))}, func(ctx context.Context, rec *checker.Record) error {
+				f.recordCoordination(checker.Record{Op: "get", Name: fmt.Sprint("key", r.IntN(3))}, func(ctx context.Context, rec *checker.Record) error {
 					receipt, err := client.GetKey(ctx, api.GetKeyParams{Name: rec.Name})
 					if standin.CodeOf(err) == errcode.NoKey.No {
 						return nil
@@ -180,18 +180,18 @@
 	}
 	for k := range 3 {
 		from := uint64(0)
-		f.task(func(r *rand.Rand) { f.watchOnce(r, clients[r.IntN(len(clients))], fmt.Sprint("key", k), &from) })
+		f.goTask(func(r *rand.Rand) { f.useWatch(r, clients[r.IntN(len(clients))], fmt.Sprint("key", k), &from) })
 		lazily := uint64(0)
-		f.task(func(r *rand.Rand) {
-			f.watchOnce(r, clients[r.IntN(len(clients))], fmt.Sprint("key", k), &lazily)
+		f.goTask(func(r *rand.Rand) {
+			f.useWatch(r, clients[r.IntN(len(clients))], fmt.Sprint("key", k), &lazily)
 			pause(r, 5*time.Second)
 		})
 	}
 }
 
-// bonded records one coordination call.
-func (f *Fleet) bonded(r checker.Record, call func(ctx context.Context, r *checker.Record) error) error {
-	r.Kind, r.Start = checker.CoordinationCall, f.H.Now()
+// recordCoordination records one coordination call.
+func (f *Fleet) recordCoordination(r checker.Record, call func(ctx context.Context, r *checker.Record) error) error {
+	r.Kind, r.Start = checker.CoordinationCall, f.History.Now()
 	ctx, end := context.WithTimeout(f.ctx, 4*time.Second)
 	defer end()
 	err := call(ctx, &r)
@@ -203,18 +203,18 @@
 			r.Outcome = "unknown"
 		}
 	}
-	f.H.Add(r)
+	f.History.Add(r)
 	return err
 }
 
-// lockOnce takes a lock, holds it a while, perhaps renews it, gives it back or
+// useLock takes a lock, holds it a while, perhaps renews it, gives it back or
 // lets it run out.
-func (f *Fleet) lockOnce(r *rand.Rand, client *api.Client, holder string) {
+func (f *Fleet) useLock(r *rand.Rand, client *api.Client, holder string) {
 	name := fmt.Sprint("lock/", r.IntN(2))
 	const ttl = 2 * time.Second
 	var fence uint64
 	session := holder + "-" + ids.NewID()
-	err := f.bonded(checker.Record{Op: "acquire", Name: name, Holder: session, TTL: ttl}, func(ctx context.Context, rec *checker.Record) error {
+	err := f.recordCoordination(checker.Record{Op: "acquire", Name: name, Holder: session, TTL: ttl}, func(ctx context.Context, rec *checker.Record) error {
 		receipt, err := client.Lock(ctx, &api.Call{Name: name, Holder: api.NewOptString(session), TTL: api.NewOptInt64(ttl.Milliseconds()), ID: api.NewOptString(ids.NewID())}, api.LockParams{Verb: api.LockVerbAcquire})
 		if err == nil {
 			fence = receipt.Fence.Or(0)
@@ -227,7 +227,7 @@
 	}
 	for range r.IntN(4) {
 		time.Sleep(time.Duration(r.Int64N(int64(ttl))))
-		err := f.bonded(checker.Record{Op: "renew", Name: name, Holder: session, FencingToken: fence, TTL: ttl}, func(ctx context.Context, rec *checker.Record) error {
+		err := f.recordCoordination(checker.Record{Op: "renew", Name: name, Holder: session, FencingToken: fence, TTL: ttl}, func(ctx context.Context, rec *checker.Record) error {
 			_, err := client.Lock(ctx, &api.Call{Name: name, Holder: api.NewOptString(session), Fence: api.NewOptUint64(fence)}, api.LockParams{Verb: api.LockVerbRenew})
 			return err
 		})
@@ -236,18 +236,18 @@
 		}
 	}
 	if r.IntN(3) > 0 {
-		f.bonded(checker.Record{Op: "release", Name: name, Holder: session, FencingToken: fence}, func(ctx context.Context, rec *checker.Record) error {
+		f.recordCoordination(checker.Record{Op: "release", Name: name, Holder: session, FencingToken: fence}, func(ctx context.Context, rec *checker.Record) error {
 			_, err := client.Lock(ctx, &api.Call{Name: name, Holder: api.NewOptString(session), Fence: api.NewOptUint64(fence), ID: api.NewOptString(ids.NewID())}, api.LockParams{Verb: api.LockVerbRelease})
 			return err
 		})
 	}
 }
 
-// watchOnce goes on with a watch from where the last one ended.
-func (f *Fleet) watchOnce(r *rand.Rand, client *api.Client, name string, from *uint64) {
+// useWatch goes on with a watch from where the last one ended.
+func (f *Fleet) useWatch(r *rand.Rand, client *api.Client, name string, from *uint64) {
 	ctx, end := context.WithTimeout(f.ctx, 6*time.Second)
 	defer end()
-	rec := checker.Record{Kind: checker.WatchResponse, Start: f.H.Now(), Name: name, From: *from}
+	rec := checker.Record{Kind: checker.WatchResponse, Start: f.History.Now(), Name: name, From: *from}
 	receipt, err := client.Watch(ctx, api.WatchParams{Name: name, From: *from, Hold: api.NewOptInt64(2000)})
 	switch {
 	case err == nil:
@@ -256,12 +256,12 @@
 			rec.Revisions = append(rec.Revisions, e.Stamp)
 		}
 		if *from > 0 {
-			f.H.Add(rec)
+			f.History.Add(rec)
 		}
 		*from = receipt.Stamp
 	case standin.CodeOf(err) == errcode.StampTooOld.No:
 		rec.Outcome = "too old"
-		f.H.Add(rec)
+		f.History.Add(rec)
 		*from = 0
 	default:
 		pause(r, 200*time.Millisecond)
--- a/internal/simulator/manner.go
+++ b/internal/simulator/manner.go
@@ -23,18 +23,18 @@
 )
 
 const (
-	stayBeat    = 1500 * time.Millisecond
-	staySilence = 3 * stayBeat
-	touchTime   = 3 * time.Second
-	touchLook   = 10 * time.Millisecond
+	platformHeartbeatInterval = 1500 * time.Millisecond
+	platformHeartbeatTimeout  = 3 * platformHeartbeatInterval
+	connectivityWindow        = 3 * time.Second
+	connectivityInterval      = 10 * time.Millisecond
 )
 
-// stays is a shape in the second manner.
-func stays(s Shape) Shape {
-	s.IsStay = true
+// platformShape is a shape in the second manner.
+func platformShape(s Shape) Shape {
+	s.PlatformMode = true
 	settings := map[string]string{
 		"flow.stay": "24h", "flow.pulse": "1s", "plan.keep": "true", "plan.strangers": "true",
-		"plan.beat": stayBeat.String(), "plan.silence": staySilence.String(), "plan.settle": (2*stayBeat + 500*time.Millisecond).String(),
+		"plan.beat": platformHeartbeatInterval.String(), "plan.silence": platformHeartbeatTimeout.String(), "plan.settle": (2*platformHeartbeatInterval + 500*time.Millisecond).String(),
 		"gate.seal": "opaque", "gate.ids": "caller", "gate.connect": "250ms", "gate.linger": "2s", "gate.return": "100ms",
 	}
 	for key, value := range s.Settings {
@@ -44,34 +44,34 @@
 	return s
 }
 
-// caller is a stand-in caller at a machine outside, in the fleet's manner.
-func (f *Fleet) caller(at int) *standin.Client {
-	caller := standin.NewClient(f.W.Net(f.outside(at)), f.H)
-	caller.Opaque = f.Shape.IsStay
+// newClient is a stand-in caller at a machine outside, in the fleet's manner.
+func (f *Fleet) newClient(at int) *standin.Client {
+	caller := standin.NewClient(f.Network.HostAt(f.clientHost(at)), f.History)
+	caller.Opaque = f.Shape.PlatformMode
 	return caller
 }
 
-// fit gives a server the fleet's manner.
-func (f *Fleet) fit(s *standin.Server) *standin.Server {
-	if f.Shape.IsStay {
-		s.Opaque, s.HeartbeatInterval, s.FailureTimeout = true, stayBeat, staySilence
+// configureTarget gives a server the fleet's manner.
+func (f *Fleet) configureTarget(s *standin.Server) *standin.Server {
+	if f.Shape.PlatformMode {
+		s.Opaque, s.HeartbeatInterval, s.FailureTimeout = true, platformHeartbeatInterval, platformHeartbeatTimeout
 	}
 	return s
 }
 
-// ways are how a server may misbehave.
-func (f *Fleet) ways() []string {
+// misbehaviours are how a server may misbehave.
+func (f *Fleet) misbehaviours() []string {
 	ways := []string{standin.CloseUnanswered, standin.Garbage, standin.TruncatedBody, standin.Unsealed, standin.SwappedResponse, standin.Slow, standin.UnframedResponse, standin.DuplicateResponse, standin.TruncatedHeader}
-	if f.Shape.IsStay {
+	if f.Shape.PlatformMode {
 		ways = append(ways, standin.SurplusResponse, standin.ContradictoryNotRun, standin.Overloaded, standin.RejectedEarly)
 	}
 	return ways
 }
 
-// network is a machine's; a proxy that stays tells what it acts on.
-func (m *Machine) network(node *atomic.Pointer[node.Node]) environment.Host {
-	n := m.f.W.Net(m.IP)
-	if !m.f.Shape.IsStay || !m.IsProxy {
+// hostNetwork is a machine's; a proxy that stays tells what it acts on.
+func (m *Machine) hostNetwork(node *atomic.Pointer[node.Node]) environment.Host {
+	n := m.fleet.Network.HostAt(m.IP)
+	if !m.fleet.Shape.PlatformMode || !m.IsProxy {
 		return n
 	}
 	dial := n.Dial
@@ -80,19 +80,19 @@
 		if err != nil || !strings.HasSuffix(address, ":8000") {
 			return c, err
 		}
-		return &marked{conn: c.(*conn), as: m.Gate(), node: node}, nil
+		return &epochReportingConn{conn: c.(*conn), proxyAddress: m.ProxyAddress(), node: node}, nil
 	}
 	return n
 }
 
-// marked is a way from a proxy to a server.
-type marked struct {
+// epochReportingConn is a way from a proxy to a server.
+type epochReportingConn struct {
 	*conn
-	as   string
-	node *atomic.Pointer[node.Node]
+	proxyAddress string
+	node         *atomic.Pointer[node.Node]
 }
 
-func (c *marked) Write(p []byte) (int, error) {
+func (c *epochReportingConn) Write(p []byte) (int, error) {
 	head, rest, ok := bytes.Cut(p, []byte("\r\n"))
 	if !ok || !bytes.HasSuffix(head, []byte(" HTTP/1.1")) {
 		return c.conn.Write(p)
@@ -100,24 +100,24 @@
 	for c.node.Load() == nil {
 		time.Sleep(time.Millisecond)
 	}
-	mark := fmt.Sprintf("\r\n%s: %d\r\n%s: %s\r\n", standin.HeaderActingEpoch, c.node.Load().Flow.Cache.Snapshot().Epoch, standin.HeaderActingProxy, c.as)
-	n, err := c.conn.Write([]byte(string(head) + mark + string(rest)))
-	return max(min(n-len(mark)+2, len(p)), 0), err
+	header := fmt.Sprintf("\r\n%s: %d\r\n%s: %s\r\n", standin.HeaderActingEpoch, c.node.Load().Flow.Cache.Snapshot().Epoch, standin.HeaderActingProxy, c.proxyAddress)
+	n, err := c.conn.Write([]byte(string(head) + header + string(rest)))
+	return max(min(n-len(header)+2, len(p)), 0), err
 }
 
-// hasWay tells whether two machines reach each other, both ways.
-func (w *World) hasWay(a, b string) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return !w.blocked(a, b) && !w.blocked(b, a)
+// canReach tells whether two machines reach each other, both ways.
+func (n *Network) canReach(a, b string) bool {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return !n.blocked(a, b) && !n.blocked(b, a)
 }
 
-// owners names the owners of all parts; it is empty while a part has none, or while
+// leaders names the owners of all parts; it is empty while a part has none, or while
 // the running core nodes do not all reach one another.
-func (f *Fleet) owners(running []*Machine) string {
+func (f *Fleet) leaders(running []*Machine) string {
 	for i, a := range running {
 		for _, b := range running[:i] {
-			if !f.W.hasWay(a.IP, b.IP) {
+			if !f.Network.canReach(a.IP, b.IP) {
 				return ""
 			}
 		}
@@ -140,15 +140,15 @@
 	return names.String()
 }
 
-// watchTouch tells which proxies are in touch: for three seconds they had a way to
+// recordConnectivity tells which proxies are in touch: for three seconds they had a way to
 // every running core node, and the core was settled, with the same owners.
-func (f *Fleet) watchTouch() {
+func (f *Fleet) recordConnectivity() {
 	since, isIn, last := map[*Machine]time.Time{}, map[*Machine]bool{}, ""
 	nodes := map[*Machine]*node.Node{}
-	f.task(func(r *rand.Rand) {
-		time.Sleep(touchLook)
-		running := f.some(func(m *Machine) bool { return m.IsCore && m.Node() != nil })
-		owners := f.owners(running)
+	f.goTask(func(r *rand.Rand) {
+		time.Sleep(connectivityInterval)
+		running := f.filter(func(m *Machine) bool { return m.IsCore && m.Node() != nil })
+		owners := f.leaders(running)
 		isSettled := owners != "" && owners == last
 		last = owners
 		for _, proxyNode := range f.Proxies() {
@@ -156,21 +156,21 @@
 			hasAll := isSettled && node != nil && node == nodes[proxyNode]
 			nodes[proxyNode] = node
 			for _, m := range running {
-				hasAll = hasAll && f.W.hasWay(proxyNode.IP, m.IP)
+				hasAll = hasAll && f.Network.canReach(proxyNode.IP, m.IP)
 			}
 			if !hasAll {
 				since[proxyNode] = time.Now()
 			}
-			is := hasAll && time.Since(since[proxyNode]) >= touchTime
+			is := hasAll && time.Since(since[proxyNode]) >= connectivityWindow
 			if is == isIn[proxyNode] {
 				continue
 			}
 			isIn[proxyNode] = is
-			rec := checker.Record{Kind: checker.ProxyContact, Proxy: proxyNode.Gate(), Outcome: "out"}
+			rec := checker.Record{Kind: checker.ProxyContact, Proxy: proxyNode.ProxyAddress(), Outcome: "out"}
 			if is {
 				rec.Outcome = "in"
 			}
-			f.H.Add(rec)
+			f.History.Add(rec)
 		}
 	})
 }
--- a/internal/simulator/metrics_test.go
+++ b/internal/simulator/metrics_test.go
@@ -103,7 +103,7 @@
 func (s *script) sums() {
 	sums := map[string]float64{}
 	for _, m := range s.f.Cores() {
-		response, err := s.http.Get("http://" + m.Api() + "/metrics")
+		response, err := s.http.Get("http://" + m.APIAddress() + "/metrics")
 		if err != nil {
 			continue
 		}
@@ -131,7 +131,7 @@
 	shape := one()
 	shape.Settings = map[string]string{"metrics.serve": "true"}
 	transcript(t, "metrics", shape, func(s *script) {
-		gate, api := s.f.Of("proxy1").Gate(), s.f.Of("proxy1").Api()
+		gate, api := s.f.Machine("proxy1").ProxyAddress(), s.f.Machine("proxy1").APIAddress()
 		before, was := s.out.Len(), s.counts(api)
 		for i := range 3 {
 			s.send(gate, "GET", "/rates", "", fmt.Sprint("X-Call: c", i))
@@ -145,7 +145,7 @@
 		s.say("what these calls added")
 		s.growth(was, s.counts(api))
 		s.say("a core node, but for what it owns")
-		s.scrape(s.f.Of("core1").Api())
+		s.scrape(s.f.Machine("core1").APIAddress())
 		s.say("what the core nodes own, added up")
 		s.sums()
 	})
@@ -160,7 +160,7 @@
 		}
 		s := newScript(f)
 		defer s.http.CloseIdleConnections()
-		response, err := s.http.Get("http://" + f.Of("core1").Api() + "/metrics")
+		response, err := s.http.Get("http://" + f.Machine("core1").APIAddress() + "/metrics")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -221,11 +221,11 @@
 		}
 		s := newScript(f)
 		defer s.http.CloseIdleConnections()
-		for _, server := range f.Servers("rates") {
+		for _, server := range f.Targets("rates") {
 			server.Crash()
 		}
 		time.Sleep(5 * time.Second)
-		proxyNode := f.Of("proxy1")
+		proxyNode := f.Machine("proxy1")
 		count := func() (named, nameless uint64) {
 			proxyNode.Node().R.Latencies.Each(func(m metrics.Metric, labels []string, s metrics.Sum) {
 				switch {
@@ -238,8 +238,8 @@
 			return named, nameless
 		}
 		named, nameless := count()
-		s.send(proxyNode.Gate(), "GET", "/rates", "", "X-Call: a")
-		s.send(proxyNode.Gate(), "GET", "/nowhere", "")
+		s.send(proxyNode.ProxyAddress(), "GET", "/rates", "", "X-Call: a")
+		s.send(proxyNode.ProxyAddress(), "GET", "/nowhere", "")
 		if !strings.Contains(s.out.String(), "1003") {
 			t.Fatalf("it was not refused for want of a target: %s", s.out.String())
 		}
@@ -269,7 +269,7 @@
 		}
 		s := newScript(f)
 		defer s.http.CloseIdleConnections()
-		proxyNode := f.Of("proxy1")
+		proxyNode := f.Machine("proxy1")
 		count := func(m metrics.Metric, words ...string) (sum metrics.Sum) {
 			proxyNode.Node().R.Latencies.Each(func(one metrics.Metric, labels []string, s metrics.Sum) {
 				if one.Name == m.Name && slices.Equal(labels, words) {
@@ -281,7 +281,7 @@
 		before := count(metrics.GateRequest, "rates", "ran").Count
 		added := count(metrics.GateAdded).Count
 		for i := range 10 {
-			s.send(proxyNode.Gate(), "GET", "/rates", "", fmt.Sprint("X-Call: c", i))
+			s.send(proxyNode.ProxyAddress(), "GET", "/rates", "", fmt.Sprint("X-Call: c", i))
 		}
 		whole := count(metrics.GateRequest, "rates", "ran")
 		if whole.Count != before+10 || whole.Median < 2*time.Millisecond {
@@ -294,7 +294,7 @@
 			t.Errorf("age of epochs: %+v", age)
 		}
 		var rows api.Rows
-		if err := rows.UnmarshalJSON([]byte(s.send(proxyNode.Api(), "GET", "/v1/show/latency", ""))); err != nil {
+		if err := rows.UnmarshalJSON([]byte(s.send(proxyNode.APIAddress(), "GET", "/v1/show/latency", ""))); err != nil {
 			t.Fatal(err)
 		}
 		shown := map[string]string{}
--- a/internal/simulator/prevote_test.go
+++ b/internal/simulator/prevote_test.go
@@ -14,7 +14,7 @@
 // served is how many parts have an owner that serves.
 func served(f *Fleet) (n int) {
 	for no := range ids.ShardCount + 1 {
-		if ownerOf(f, ids.Shard(no), nil) != nil {
+		if leaderOf(f, ids.Shard(no), nil) != nil {
 			n++
 		}
 	}
@@ -22,7 +22,7 @@
 }
 
 func TestPrevote_RestartedCoreElectsLeadersAtOnce(t *testing.T) {
-	for _, shape := range []Shape{Small(), five()} {
+	for _, shape := range []Shape{Small(), fiveCoreShape()} {
 		inFleet(t, shape, func(t *testing.T, f *Fleet) {
 			for i := range 8 {
 				for _, m := range f.Cores() {
@@ -30,7 +30,7 @@
 				}
 				time.Sleep(800 * time.Millisecond)
 				for _, m := range f.Cores() {
-					f.up(m)
+					f.startMachine(m)
 				}
 				back := time.Now()
 				for served(f) < ids.ShardCount+1 && time.Since(back) < 10*time.Second {
@@ -56,21 +56,21 @@
 }
 
 func TestPrevote_RestartedMemberDisruptsNoLeader(t *testing.T) {
-	inFleet(t, five(), func(t *testing.T, f *Fleet) {
+	inFleet(t, fiveCoreShape(), func(t *testing.T, f *Fleet) {
 		var taken seized
 		f.Log = &taken // heard from whoever starts from now on
 		time.Sleep(3 * time.Second)
 		for _, m := range f.Cores() {
 			m.Kill(true)
 			time.Sleep(4 * time.Second)
-			f.up(m)
+			f.startMachine(m)
 			time.Sleep(time.Second)
 		}
 		for _, m := range f.Cores() {
 			m.Kill(true)
 			time.Sleep(4 * time.Second)
 			before := taken.n.Load()
-			f.up(m)
+			f.startMachine(m)
 			time.Sleep(time.Second)
 			if n := taken.n.Load() - before; n > 0 {
 				t.Errorf("%s came back, and %d parts changed their owner", m.Name, n)
@@ -87,7 +87,7 @@
 	shape.Settings["plan.keep"], shape.Settings["plan.settle"], shape.Settings["plan.linger"] = "true", "3s", "30s"
 	inFleet(t, shape, func(t *testing.T, f *Fleet) {
 		time.Sleep(3 * time.Second)
-		epoch := f.Of("proxy1").Node().Flow.Cache.Snapshot().Epoch
+		epoch := f.Machine("proxy1").Node().Flow.Cache.Snapshot().Epoch
 		for range 4 {
 			for _, m := range f.Machines {
 				m.Kill(true)
@@ -97,10 +97,10 @@
 				if m.IsProxy {
 					time.Sleep(150 * time.Millisecond)
 				}
-				f.up(m)
+				f.startMachine(m)
 			}
 			time.Sleep(6 * time.Second)
-			if now := f.Of("proxy1").Node().Flow.Cache.Snapshot().Epoch; now != epoch {
+			if now := f.Machine("proxy1").Node().Flow.Cache.Snapshot().Epoch; now != epoch {
 				t.Errorf("epoch %d became %d", epoch, now)
 				epoch = now
 			}
@@ -116,9 +116,9 @@
 		owner := f.owner(ids.ConfigShard)
 		deaf := follower(f, ids.ConfigShard)
 		before := owner.status(ids.ConfigShard).CurrentTerm
-		f.W.Cut(owner.IP, deaf.IP)
+		f.Network.Partition(owner.IP, deaf.IP)
 		time.Sleep(5 * time.Second)
-		f.W.Heal()
+		f.Network.Heal()
 		time.Sleep(3 * time.Second)
 		if after := owner.status(ids.ConfigShard); !after.IsServing || after.CurrentTerm != before {
 			t.Errorf("the owner under %s was ended by one that did not hear it: %s", before, after.CurrentTerm)
--- a/internal/simulator/proxy_test.go
+++ b/internal/simulator/proxy_test.go
@@ -33,7 +33,7 @@
 }
 
 func ranOf(f *Fleet, call string) (n int) {
-	for _, r := range f.H.Records() {
+	for _, r := range f.History.Records() {
 		if r.Kind == checker.RequestExecuted && r.CallID == call {
 			n++
 		}
@@ -44,7 +44,7 @@
 func TestProxy_InterruptedUploadNeverRuns(t *testing.T) {
 	inFleet(t, one(), func(t *testing.T, f *Fleet) {
 		for i, head := range []string{"Content-Length: 200000", "Transfer-Encoding: chunked"} {
-			conn, err := f.W.Net(f.outside(3)).Dial(f.ctx, f.Of("proxy1").Gate())
+			conn, err := f.Network.HostAt(f.clientHost(3)).Dial(f.ctx, f.Machine("proxy1").ProxyAddress())
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -61,9 +61,9 @@
 				t.Errorf("%s: a cut upload ran %d times", head, n)
 			}
 		}
-		caller := standin.NewClient(f.W.Net(f.outside(3)), f.H)
+		caller := standin.NewClient(f.Network.HostAt(f.clientHost(3)), f.History)
 		defer caller.Close()
-		got := caller.CallWithID(f.ctx, f.Of("proxy1").Gate(), "POST", "/bookings", "bookings", []byte(strings.Repeat("y", 500000)), "whole", false)
+		got := caller.CallWithID(f.ctx, f.Machine("proxy1").ProxyAddress(), "POST", "/bookings", "bookings", []byte(strings.Repeat("y", 500000)), "whole", false)
 		if got.Outcome != "ran" || got.Note != "" || ranOf(f, "whole") != 1 {
 			t.Errorf("a whole upload: %+v", got)
 		}
@@ -72,9 +72,9 @@
 
 func TestProxy_QuotaSharesFollowStrengthAndTheRestIsRejectedAtOnce(t *testing.T) {
 	shape := Small()
-	shape.Servers = map[string]int{"bookings": 2, "rates": 1}
+	shape.Targets = map[string]int{"bookings": 2, "rates": 1}
 	inFleet(t, shape, func(t *testing.T, f *Fleet) {
-		client := standin.NewAPIClient(f.W.Net(f.outside(4)), f.Cores()[0].Api())
+		client := standin.NewAPIClient(f.Network.HostAt(f.clientHost(4)), f.Cores()[0].APIAddress())
 		view, err := client.Epoch(f.ctx)
 		if err != nil {
 			t.Fatal(err)
@@ -82,10 +82,10 @@
 		if _, err := client.Submit(f.ctx, &api.Change{ID: "limit", Base: view.Epoch, Put: api.NewOptConfig(api.Config{Limits: []api.Limit{{Service: "bookings", Inflight: api.NewOptInt(8)}}})}); err != nil {
 			t.Fatal(err)
 		}
-		f.Of("proxy2").Kill(false)
+		f.Machine("proxy2").Kill(false)
 		f.Shape.Settings["strength"] = "300"
-		f.up(f.Of("proxy2"))
-		for _, s := range f.Servers("bookings") {
+		f.startMachine(f.Machine("proxy2"))
+		for _, s := range f.Targets("bookings") {
 			s.ServiceTime = time.Second
 		}
 		time.Sleep(3 * time.Second)
@@ -97,10 +97,10 @@
 				all.Add(1)
 				go func() {
 					defer all.Done()
-					caller := standin.NewClient(f.W.Net(f.outside(5)), f.H)
+					caller := standin.NewClient(f.Network.HostAt(f.clientHost(5)), f.History)
 					defer caller.Close()
 					began := time.Now()
-					got := caller.Call(context.Background(), f.Of(name).Gate(), "POST", "/bookings", "bookings", []byte("{}"))
+					got := caller.Call(context.Background(), f.Machine(name).ProxyAddress(), "POST", "/bookings", "bookings", []byte("{}"))
 					mu.Lock()
 					defer mu.Unlock()
 					switch {
@@ -124,7 +124,7 @@
 // A part in which no server was ever heard is known to be empty, not unknown.
 func TestProxy_ServiceWithoutServersHasNoTarget(t *testing.T) {
 	inFleet(t, one(), func(t *testing.T, f *Fleet) {
-		client := standin.NewAPIClient(f.W.Net(f.outside(4)), f.Cores()[0].Api())
+		client := standin.NewAPIClient(f.Network.HostAt(f.clientHost(4)), f.Cores()[0].APIAddress())
 		view, err := client.Epoch(f.ctx)
 		if err != nil {
 			t.Fatal(err)
@@ -139,10 +139,10 @@
 			t.Fatal(err)
 		}
 		time.Sleep(2 * time.Second)
-		caller := standin.NewClient(f.W.Net(f.outside(5)), f.H)
+		caller := standin.NewClient(f.Network.HostAt(f.clientHost(5)), f.History)
 		defer caller.Close()
 		for i := range 8 {
-			if got := caller.Call(f.ctx, f.Of("proxy1").Gate(), "POST", fmt.Sprint("/lonely", i), "", nil); got.Code != errcode.NoTarget.No {
+			if got := caller.Call(f.ctx, f.Machine("proxy1").ProxyAddress(), "POST", fmt.Sprint("/lonely", i), "", nil); got.Code != errcode.NoTarget.No {
 				t.Errorf("lonely%d: code %d", i, got.Code)
 			}
 		}
@@ -153,11 +153,11 @@
 	shape := one()
 	shape.Settings["gate.body"] = "4096"
 	inFleet(t, shape, func(t *testing.T, f *Fleet) {
-		f.replace(f.Servers("bookings")[0], func(int64) string { return standin.OversizedResponse })
+		f.replaceTarget(f.Targets("bookings")[0], func(int64) string { return standin.OversizedResponse })
 		time.Sleep(2 * time.Second)
-		caller := standin.NewClient(f.W.Net(f.outside(5)), f.H)
+		caller := standin.NewClient(f.Network.HostAt(f.clientHost(5)), f.History)
 		defer caller.Close()
-		got := caller.CallWithID(f.ctx, f.Of("proxy1").Gate(), "POST", "/bookings", "bookings", []byte("{}"), "huge", false)
+		got := caller.CallWithID(f.ctx, f.Machine("proxy1").ProxyAddress(), "POST", "/bookings", "bookings", []byte("{}"), "huge", false)
 		if got.Code != errcode.AnswerTooLarge.No || got.Outcome != "unknown" || ranOf(f, "huge") != 1 {
 			t.Errorf("%+v, ran %d times", got, ranOf(f, "huge"))
 		}
@@ -168,13 +168,13 @@
 // way heals: its plan is long past then, and its caller has been answered.
 func TestProxy_RequestHeldBackByPartitionDoesNotArriveLater(t *testing.T) {
 	inFleet(t, one(), func(t *testing.T, f *Fleet) {
-		proxyNode, server := f.Of("proxy1"), f.Servers("bookings")[0]
-		caller := standin.NewClient(f.W.Net(f.outside(5)), f.H)
+		proxyNode, server := f.Machine("proxy1"), f.Targets("bookings")[0]
+		caller := standin.NewClient(f.Network.HostAt(f.clientHost(5)), f.History)
 		defer caller.Close()
-		warm := caller.CallWithID(f.ctx, proxyNode.Gate(), "POST", "/bookings", "bookings", []byte("{}"), "warm", false)
-		f.W.Cut(proxyNode.IP, host(server.Address))
-		held := caller.CallWithID(f.ctx, proxyNode.Gate(), "POST", "/bookings", "bookings", []byte("{}"), "held", false)
-		f.W.Heal()
+		warm := caller.CallWithID(f.ctx, proxyNode.ProxyAddress(), "POST", "/bookings", "bookings", []byte("{}"), "warm", false)
+		f.Network.Partition(proxyNode.IP, hostOf(server.Address))
+		held := caller.CallWithID(f.ctx, proxyNode.ProxyAddress(), "POST", "/bookings", "bookings", []byte("{}"), "held", false)
+		f.Network.Heal()
 		time.Sleep(5 * time.Second)
 		if warm.Outcome != "ran" || held.Outcome != "unknown" || ranOf(f, "held") != 0 {
 			t.Errorf("%+v, ran %d times", held, ranOf(f, "held"))
@@ -186,14 +186,14 @@
 // the short patience, or nothing of the body goes out.
 func TestProxy_UploadHeldBackByPartitionDoesNotArriveLater(t *testing.T) {
 	inFleet(t, one(), func(t *testing.T, f *Fleet) {
-		proxyNode, server := f.Of("proxy1"), f.Servers("bookings")[0]
-		caller := standin.NewClient(f.W.Net(f.outside(5)), f.H)
+		proxyNode, server := f.Machine("proxy1"), f.Targets("bookings")[0]
+		caller := standin.NewClient(f.Network.HostAt(f.clientHost(5)), f.History)
 		defer caller.Close()
 		body := []byte(strings.Repeat("x", 300000))
-		warm := caller.CallWithID(f.ctx, proxyNode.Gate(), "POST", "/bookings", "bookings", body, "warm", false)
-		f.W.Cut(proxyNode.IP, host(server.Address))
-		time.AfterFunc(2600*time.Millisecond, f.W.Heal)
-		held := caller.CallWithID(f.ctx, proxyNode.Gate(), "POST", "/bookings", "bookings", body, "held", false)
+		warm := caller.CallWithID(f.ctx, proxyNode.ProxyAddress(), "POST", "/bookings", "bookings", body, "warm", false)
+		f.Network.Partition(proxyNode.IP, hostOf(server.Address))
+		time.AfterFunc(2600*time.Millisecond, f.Network.Heal)
+		held := caller.CallWithID(f.ctx, proxyNode.ProxyAddress(), "POST", "/bookings", "bookings", body, "held", false)
 		time.Sleep(5 * time.Second)
 		if warm.Outcome != "ran" || held.Outcome != "unknown" || ranOf(f, "held") != 0 {
 			t.Errorf("%+v\n%+v, ran %d times", warm, held, ranOf(f, "held"))
--- a/internal/simulator/repair_test.go
+++ b/internal/simulator/repair_test.go
@@ -36,7 +36,7 @@
 		if err := f.Boot(); err != nil {
 			t.Fatal(err)
 		}
-		client := standin.NewAPIClient(f.W.Net(f.outside(1)), f.Cores()[0].Api())
+		client := standin.NewAPIClient(f.Network.HostAt(f.clientHost(1)), f.Cores()[0].APIAddress())
 		put := func(value string) {
 			if _, err := client.PutKey(context.Background(), &api.Call{Name: "app/a", Value: jx.Raw(value)}); err != nil {
 				t.Fatal(err)
@@ -73,15 +73,15 @@
 		if isMended() {
 			t.Fatal("nothing was spoilt")
 		}
-		if !f.Until(30*time.Second, isMended) {
+		if !f.WaitUntil(30*time.Second, isMended) {
 			t.Fatal("the copies are not mended")
 		}
 		if m.Node().R.Events.Counts()["PartMended"] == 0 {
 			t.Fatal("nobody was told")
 		}
 		m.Kill(true)
-		f.up(m)
-		if !f.Until(10*time.Second, func() bool {
+		f.startMachine(m)
+		if !f.WaitUntil(10*time.Second, func() bool {
 			record, ok := m.Node().Stores[no].Get("key", "app/a")
 			return ok && string(record.Value) == `"right"`
 		}) {
--- a/internal/simulator/replaced_test.go
+++ b/internal/simulator/replaced_test.go
@@ -31,7 +31,7 @@
 // groupOf is a part's group as one member has it.
 func (f *Fleet) groupOf(m *Machine, no ids.Shard) (group []*Machine) {
 	for _, peer := range m.Node().Consensus.Replica(no).Status().Voters {
-		group = append(group, f.Of(string(peer.Name)))
+		group = append(group, f.Machine(string(peer.Name)))
 	}
 	return group
 }
@@ -40,8 +40,8 @@
 func (f *Fleet) cutFrom(m *Machine, others ...*Machine) {
 	for _, other := range others {
 		if other != m {
-			f.W.Cut(m.IP, other.IP)
-			f.W.Cut(other.IP, m.IP)
+			f.Network.Partition(m.IP, other.IP)
+			f.Network.Partition(other.IP, m.IP)
 		}
 	}
 }
@@ -69,7 +69,7 @@
 		}
 	}
 	f.cutFrom(replaced, f.Machines...)
-	if !f.Until(40*time.Second, func() bool {
+	if !f.WaitUntil(40*time.Second, func() bool {
 		group := f.groupOf(owner, no)
 		return f.owner(no) == owner && len(group) == 3 && !isIn(replaced, group)
 	}) {
@@ -100,7 +100,7 @@
 func (f *Fleet) killAtJointStep(no ids.Shard) <-chan *Machine {
 	killed := make(chan *Machine, 1)
 	var once sync.Once
-	f.watchSteps(func(m *Machine, step any) {
+	f.observeSteps(func(m *Machine, step any) {
 		trace, ok := step.(consensus.TraceEvent)
 		if !ok || trace.Shard != no || !trace.IsLeader || !trace.IsMembershipChange || !trace.Voters.IsJoint() {
 			return
@@ -138,8 +138,8 @@
 		}
 		// The owner stays away; the member that was to be replaced is back. One of the
 		// former and one of the new members are left with it.
-		f.W.Heal()
-		if !f.Until(10*time.Second, func() bool {
+		f.Network.Heal()
+		if !f.WaitUntil(10*time.Second, func() bool {
 			m := f.owner(no)
 			return m != nil && len(m.status(no).Voters) == 3 && len(m.status(no).OutgoingVoters) == 0
 		}) {
@@ -149,14 +149,14 @@
 }
 
 func TestMembershipChange_LostDiskRecoversInParallel(t *testing.T) {
-	inFleet(t, five(), func(t *testing.T, f *Fleet) {
+	inFleet(t, fiveCoreShape(), func(t *testing.T, f *Fleet) {
 		time.Sleep(3 * time.Second)
-		m := f.Of("core2")
+		m := f.Machine("core2")
 		m.Kill(true)
-		f.W.Disk(m.IP).Wipe()
-		f.up(m)
+		f.Network.Disk(m.IP).Wipe()
+		f.startMachine(m)
 		began := time.Now()
-		if !f.Until(catchUp, f.isMended) {
+		if !f.WaitUntil(catchUp, f.isRepaired) {
 			t.Fatalf("not mended within %s", catchUp)
 		}
 		t.Logf("all copies mended after %s", time.Since(began))
@@ -165,7 +165,7 @@
 
 func TestReplica_ReplacedMemberHidesNoAcknowledgedWrite(t *testing.T) {
 	inFleet(t, fiveCores(), func(t *testing.T, f *Fleet) {
-		client := standin.NewAPIClient(f.W.Net(f.outside(1)), f.Of("proxy1").Api())
+		client := standin.NewAPIClient(f.Network.HostAt(f.clientHost(1)), f.Machine("proxy1").APIAddress())
 		put := func(value string) {
 			if _, err := client.PutKey(f.ctx, &api.Call{Name: "app/a", Value: jx.Raw(value)}); err != nil {
 				t.Fatal(value, err)
@@ -179,7 +179,7 @@
 		time.Sleep(700 * time.Millisecond)
 		put(`"new"`)
 		owner.Kill(true)
-		f.W.Heal()
+		f.Network.Heal()
 		f.cutFrom(spare, f.Machines...)
 		for range 60 {
 			time.Sleep(100 * time.Millisecond)
@@ -187,8 +187,8 @@
 				t.Fatalf("%s owns the part without the member that has the last write", m.Name)
 			}
 		}
-		f.W.Heal()
-		if !f.Until(15*time.Second, func() bool {
+		f.Network.Heal()
+		if !f.WaitUntil(15*time.Second, func() bool {
 			got, err := client.GetKey(f.ctx, api.GetKeyParams{Name: "app/a"})
 			if err == nil && string(got.Value) != `"new"` {
 				t.Fatalf("read %s: an acknowledged write is lost", got.Value)
@@ -211,7 +211,7 @@
 	if f.conformance.Steps() == 0 {
 		t.Error("no step of a replicated part was seen")
 	}
-	for _, r := range f.H.Records() {
+	for _, r := range f.History.Records() {
 		if r.Kind == checker.ReplicaDivergence && !strings.HasPrefix(r.Note, eventlog.PartMended.Text) {
 			t.Error(r.Note)
 		}
--- a/internal/simulator/replacing.go
+++ b/internal/simulator/replacing.go
@@ -8,89 +8,89 @@
 	"time"
 )
 
-// replacing is a core of five whose lost members are soon replaced.
-func replacing() Shape {
-	shape := five()
+// withSpares is a core of five whose lost members are soon replaced.
+func withSpares() Shape {
+	shape := fiveCoreShape()
 	shape.Settings["pact.gone"] = "1s"
 	return shape
 }
 
-// replacements cuts a core node off for about as long as its replacement takes, and
+// replaceMembers cuts a core node off for about as long as its replacement takes, and
 // takes the power of others meanwhile and at its return.
-func replacements(f *Fleet) {
-	f.nap(500*time.Millisecond, 2*time.Second)
+func replaceMembers(f *Fleet) {
+	f.sleepBetween(500*time.Millisecond, 2*time.Second)
 	gone := f.pick(f.Cores())
-	f.Say("cut %s off", gone.Name)
+	f.Logf("cut %s off", gone.Name)
 	f.isolate([]*Machine{gone})
-	f.nap(time.Second, 5*time.Second)
+	f.sleepBetween(time.Second, 5*time.Second)
 	for range f.Rand.IntN(3) {
 		other := f.pick(f.Cores())
-		f.Say("%s loses power", other.Name)
+		f.Logf("%s loses power", other.Name)
 		other.Kill(true)
-		f.nap(0, 1500*time.Millisecond)
+		f.sleepBetween(0, 1500*time.Millisecond)
 		if f.Rand.IntN(2) == 0 {
-			f.Say("heal")
-			f.W.Heal()
+			f.Logf("heal")
+			f.Network.Heal()
 			one, two := f.pick(f.Cores()), f.pick(f.Cores())
-			f.Say("cut %s from %s", one.Name, two.Name)
-			f.W.Cut(one.IP, two.IP)
-			f.W.Cut(two.IP, one.IP)
+			f.Logf("cut %s from %s", one.Name, two.Name)
+			f.Network.Partition(one.IP, two.IP)
+			f.Network.Partition(two.IP, one.IP)
 		}
-		f.nap(0, time.Second)
-		f.up(other)
+		f.sleepBetween(0, time.Second)
+		f.startMachine(other)
 	}
-	f.Say("heal")
-	f.W.Heal()
-	f.nap(0, 3*time.Second)
+	f.Logf("heal")
+	f.Network.Heal()
+	f.sleepBetween(0, 3*time.Second)
 }
 
-// fulls takes the room on a disk, or on all, for a while; processes are started anew in
+// fillDisks takes the room on a disk, or on all, for a while; processes are started anew in
 // the middle of it.
-func fulls(f *Fleet) {
-	f.nap(time.Second, 3*time.Second)
+func fillDisks(f *Fleet) {
+	f.sleepBetween(time.Second, 3*time.Second)
 	victims := []*Machine{f.pick(f.Cores())}
 	if f.Rand.IntN(5) == 0 {
 		victims = f.Cores()
 	}
 	for _, m := range victims {
-		f.Say("the disk of %s is full", m.Name)
-		f.W.Disk(m.IP).Fill()
+		f.Logf("the disk of %s is full", m.Name)
+		f.Network.Disk(m.IP).Fill()
 	}
-	f.nap(100*time.Millisecond, 4*time.Second)
+	f.sleepBetween(100*time.Millisecond, 4*time.Second)
 	isKilled, isPower := f.Rand.IntN(2) == 0, f.Rand.IntN(2) == 0
 	if isKilled {
-		f.Say("%s is killed, with its power %v", victims[0].Name, isPower)
+		f.Logf("%s is killed, with its power %v", victims[0].Name, isPower)
 		victims[0].Kill(isPower)
 		isUp := make(chan struct{})
 		go func() {
-			f.up(victims[0])
+			f.startMachine(victims[0])
 			close(isUp)
 		}()
 		defer func() { <-isUp }()
 	}
-	f.nap(100*time.Millisecond, 3*time.Second)
+	f.sleepBetween(100*time.Millisecond, 3*time.Second)
 	for _, m := range victims {
-		f.Say("there is room on the disk of %s", m.Name)
-		f.W.Disk(m.IP).Resume()
+		f.Logf("there is room on the disk of %s", m.Name)
+		f.Network.Disk(m.IP).Resume()
 	}
 }
 
-// coreTroubles is what happens to core nodes, to be brought about two at a time.
-var coreTroubles = []func(*Fleet){kills, power, wipes, cuts, freezes, stalls, fulls, slows, replacements, takeovers, stops}
+// coreFaults is what happens to core nodes, to be brought about two at a time.
+var coreFaults = []func(*Fleet){killMachines, losePower, wipeDisks, partitionNetwork, pauseMachines, stallDisks, fillDisks, slowDisks, replaceMembers, forceLeaderChanges, stopMachines}
 
-// pairs lets two kinds of trouble of the core go on at once, each in its own time; over
+// pairCoreFaults lets two kinds of trouble of the core go on at once, each in its own time; over
 // the seeds every pair meets.
-func pairs(f *Fleet) {
-	one := f.Rand.IntN(len(coreTroubles))
-	two := (one + 1 + f.Rand.IntN(len(coreTroubles)-1)) % len(coreTroubles)
+func pairCoreFaults(f *Fleet) {
+	one := f.Rand.IntN(len(coreFaults))
+	two := (one + 1 + f.Rand.IntN(len(coreFaults)-1)) % len(coreFaults)
 	var all sync.WaitGroup
-	for _, trouble := range []func(*Fleet){coreTroubles[one], coreTroubles[two]} {
+	for _, trouble := range []func(*Fleet){coreFaults[one], coreFaults[two]} {
 		all.Go(func() {
 			trouble(f)
 			trouble(f)
 		})
 	}
 	all.Wait()
-	f.W.Heal()
-	f.nap(time.Second, 3*time.Second)
+	f.Network.Heal()
+	f.sleepBetween(time.Second, 3*time.Second)
 }
--- a/internal/simulator/rivals.go
+++ b/internal/simulator/rivals.go
@@ -12,13 +12,13 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// rivals is how many orders are under way at once.
-const rivals = 8
+// rivalOperators is how many orders are under way at once.
+const rivalOperators = 8
 
-// Rivals starts such operators; what they are told is judged with the versions.
-func (f *Fleet) Rivals(mean time.Duration) {
+// StartRivals starts such operators; what they are told is judged with the versions.
+func (f *Fleet) StartRivals(mean time.Duration) {
 	var taken []*rpc.ChangeSet
-	f.task(func(r *rand.Rand) {
+	f.goTask(func(r *rand.Rand) {
 		pause(r, mean)
 		node := f.anyNode(r)
 		if node == nil {
@@ -31,11 +31,11 @@
 		var mu sync.Mutex
 		var all sync.WaitGroup
 		number := view.Version + 1
-		for range rivals {
+		for range rivalOperators {
 			change, own := numberedChange(r, view.Version), rand.New(rand.NewPCG(r.Uint64(), 1))
 			change.Version = number
 			all.Go(func() {
-				if f.insist(own, change) {
+				if f.submitUntilAnswered(own, change) {
 					mu.Lock()
 					taken = append(taken, change)
 					mu.Unlock()
@@ -44,14 +44,14 @@
 		}
 		all.Wait()
 		if len(taken) > 0 {
-			f.insist(r, taken[r.IntN(len(taken))])
+			f.submitUntilAnswered(r, taken[r.IntN(len(taken))])
 		}
 	})
 }
 
-// insist sends an order up to four times, of which the first answers may be lost, and
+// submitUntilAnswered sends an order up to four times, of which the first answers may be lost, and
 // tells whether it was taken.
-func (f *Fleet) insist(r *rand.Rand, change *rpc.ChangeSet) bool {
+func (f *Fleet) submitUntilAnswered(r *rand.Rand, change *rpc.ChangeSet) bool {
 	for try := range 4 {
 		node := f.anyNode(r)
 		if node == nil {
@@ -72,24 +72,24 @@
 	return false
 }
 
-// takeovers takes the power of the configuration part's owner, or cuts it off, again
+// forceLeaderChanges takes the power of the configuration part's owner, or cuts it off, again
 // and again.
-func takeovers(f *Fleet) {
-	f.nap(300*time.Millisecond, 2*time.Second)
-	owner := ownerOf(f, ids.ConfigShard, nil)
+func forceLeaderChanges(f *Fleet) {
+	f.sleepBetween(300*time.Millisecond, 2*time.Second)
+	owner := leaderOf(f, ids.ConfigShard, nil)
 	if owner == nil {
 		return
 	}
 	if f.Rand.IntN(3) == 0 {
-		f.Say("cut %s off", owner.Name)
+		f.Logf("cut %s off", owner.Name)
 		f.isolate([]*Machine{owner})
-		f.nap(200*time.Millisecond, 3*time.Second)
-		f.Say("heal")
-		f.W.Heal()
+		f.sleepBetween(200*time.Millisecond, 3*time.Second)
+		f.Logf("heal")
+		f.Network.Heal()
 		return
 	}
-	f.Say("%s loses power", owner.Name)
+	f.Logf("%s loses power", owner.Name)
 	owner.Kill(true)
-	f.nap(0, 2*time.Second)
-	f.up(owner)
+	f.sleepBetween(0, 2*time.Second)
+	f.startMachine(owner)
 }
--- a/internal/simulator/rivals_test.go
+++ b/internal/simulator/rivals_test.go
@@ -25,7 +25,7 @@
 		submit := func(m *Machine, change *rpc.ChangeSet) (*rpc.ChangeResult, error) {
 			var receipt *rpc.ChangeResult
 			var err error
-			f.Until(10*time.Second, func() bool {
+			f.WaitUntil(10*time.Second, func() bool {
 				ctx, end := context.WithTimeout(f.ctx, time.Second)
 				defer end()
 				receipt, err = m.Node().Submit(ctx, change)
@@ -47,10 +47,10 @@
 				m := f.owner(ids.ConfigShard)
 				m.Kill(true)
 				if n%140 == 50 {
-					f.W.Disk(m.IP).Wipe()
+					f.Network.Disk(m.IP).Wipe()
 				}
-				f.up(m)
-				f.Until(10*time.Second, f.isMended)
+				f.startMachine(m)
+				f.WaitUntil(10*time.Second, f.isRepaired)
 			}
 		}
 		for _, m := range f.Cores() {
--- a/internal/simulator/run.go
+++ b/internal/simulator/run.go
@@ -23,10 +23,10 @@
 	Length time.Duration
 	Faults func(f *Fleet)
 	Start  func(f *Fleet)
-	// IsHarmless marks scenarios of planned stops only.
-	IsHarmless bool
-	// IsStay runs it in the second manner of fleets.
-	IsStay bool
+	// PlannedOnly marks scenarios of planned stops only.
+	PlannedOnly bool
+	// PlatformMode runs it in the second manner of fleets.
+	PlatformMode bool
 }
 
 // Result is what a run came to.
@@ -41,23 +41,23 @@
 // IsUsable tells whether every proxy that is up serves every service, and the
 // core takes calls.
 func (f *Fleet) IsUsable() bool {
-	caller := f.caller(90)
+	caller := f.newClient(90)
 	defer caller.Close()
 	for _, proxyNode := range f.Proxies() {
 		if proxyNode.Node() == nil {
 			continue
 		}
-		for service := range f.Shape.Servers {
+		for service := range f.Shape.Targets {
 			method, body := "POST", []byte("{}")
-			if f.Shape.Repeatable[service] {
+			if f.Shape.Idempotent[service] {
 				method, body = "GET", nil
 			}
-			if caller.Call(f.ctx, proxyNode.Gate(), method, "/"+service, service, body).Outcome != "ran" {
+			if caller.Call(f.ctx, proxyNode.ProxyAddress(), method, "/"+service, service, body).Outcome != "ran" {
 				return false
 			}
 		}
 	}
-	client := standin.NewAPIClient(f.W.Net(f.outside(91)), f.Cores()[0].Api())
+	client := standin.NewAPIClient(f.Network.HostAt(f.clientHost(91)), f.Cores()[0].APIAddress())
 	for i := range 3 {
 		ctx, end := context.WithTimeout(f.ctx, time.Second)
 		_, err := client.PutKey(ctx, &api.Call{Name: fmt.Sprint("usable", i), Value: jx.Raw("1")})
@@ -71,58 +71,58 @@
 
 // Restore brings everything back: ways, disks, machines.
 func (f *Fleet) Restore() {
-	f.W.Lose(0)
-	f.W.Heal()
+	f.Network.SetLossRate(0)
+	f.Network.Heal()
 	for _, m := range f.Machines {
-		f.W.Disk(m.IP).Resume()
-		f.W.Disk(m.IP).Slow(0)
+		f.Network.Disk(m.IP).Resume()
+		f.Network.Disk(m.IP).Slow(0)
 		if m.Node() == nil {
 			if err := m.Start(); err != nil {
-				f.Say("%s can't start: %v", m.Name, err)
+				f.Logf("%s can't start: %v", m.Name, err)
 			}
 		}
 	}
 }
 
-// state tells whether all machines are up, with their ways and disks, and how
+// status tells whether all machines are up, with their ways and disks, and how
 // often something was done to any of them.
-func (f *Fleet) state() (isWhole bool, hurts int) {
-	isWhole, hurts = f.W.state()
+func (f *Fleet) status() (intact bool, faults int) {
+	intact, faults = f.Network.status()
 	for _, m := range f.Machines {
-		isWell, more := f.W.Disk(m.IP).state()
-		isWhole = isWhole && isWell && m.Node() != nil
-		hurts += more
+		isWell, more := f.Network.Disk(m.IP).status()
+		intact = intact && isWell && m.Node() != nil
+		faults += more
 	}
-	return isWhole, hurts
+	return intact, faults
 }
 
-// watchReturns takes, after every return inside the run, the time until the fleet
+// measureRecoveries takes, after every return inside the run, the time until the fleet
 // is usable again; a return that the next fault overtakes is not counted.
-func (f *Fleet) watchReturns() {
+func (f *Fleet) measureRecoveries() {
 	back, isCounted, last := time.Duration(0), true, 0
-	f.task(func(r *rand.Rand) {
+	f.goTask(func(r *rand.Rand) {
 		time.Sleep(200 * time.Millisecond)
-		isWhole, hurts := f.state()
-		if hurts != last || !isWhole {
-			back, isCounted, last = 0, false, hurts
+		intact, faults := f.status()
+		if faults != last || !intact {
+			back, isCounted, last = 0, false, faults
 		}
-		if isWhole && back == 0 {
-			back = f.H.Now()
+		if intact && back == 0 {
+			back = f.History.Now()
 		}
 		if isCounted || back == 0 {
 			return
 		}
 		isUsable := f.IsUsable()
-		if isWhole, hurts = f.state(); hurts != last || !isWhole {
+		if intact, faults = f.status(); faults != last || !intact {
 			return
 		}
-		if isUsable || f.H.Now()-back > 16*time.Second {
+		if isUsable || f.History.Now()-back > 16*time.Second {
 			isCounted = true
 			rec := checker.Record{Kind: checker.Recovery, Start: back, Outcome: "usable"}
 			if !isUsable {
 				rec.Outcome = "not usable"
 			}
-			f.H.Add(rec)
+			f.History.Add(rec)
 		}
 	})
 }
@@ -130,28 +130,28 @@
 // Run carries a scenario out; it must be called in a bubble of virtual time.
 func Run(s Scenario, seed uint64, log io.Writer) (*Result, error) {
 	shape := s.Shape()
-	if s.IsStay {
-		shape = stays(shape)
+	if s.PlatformMode {
+		shape = platformShape(shape)
 	}
 	f := NewFleet(seed, shape, log)
 	defer f.Close()
 	if err := f.Boot(); err != nil {
 		return nil, err
 	}
-	if s.IsHarmless {
-		f.H.Add(checker.Record{Kind: checker.PlannedStopsOnly})
+	if s.PlannedOnly {
+		f.History.Add(checker.Record{Kind: checker.PlannedStopsOnly})
 	}
-	f.Callers(60 * time.Millisecond)
-	f.Operators(2, 2*time.Second)
-	f.Sets(2, 1500*time.Millisecond)
-	f.Bonders(5, 100*time.Millisecond)
-	f.Apps(6, 100*time.Millisecond)
-	f.Counted(4, 150*time.Millisecond)
-	f.Timed(3, 150*time.Millisecond)
-	f.Versions(2, 1500*time.Millisecond)
-	f.watchReturns()
-	if s.IsStay {
-		f.watchTouch()
+	f.StartClients(60 * time.Millisecond)
+	f.StartOperators(2, 2*time.Second)
+	f.StartChangeSets(2, 1500*time.Millisecond)
+	f.StartCoordinationClients(5, 100*time.Millisecond)
+	f.StartApplications(6, 100*time.Millisecond)
+	f.StartSpaceClients(4, 150*time.Millisecond)
+	f.StartTimedLocks(3, 150*time.Millisecond)
+	f.StartVersionedOperators(2, 1500*time.Millisecond)
+	f.measureRecoveries()
+	if s.PlatformMode {
+		f.recordConnectivity()
 	}
 	if s.Start != nil {
 		s.Start(f)
@@ -162,34 +162,34 @@
 		s.Faults(f)
 	}
 	f.Restore()
-	back := f.H.Now()
+	back := f.History.Now()
 	rescue := checker.Record{Kind: checker.Recovery, Start: back, Outcome: "usable"}
-	if !f.Until(30*time.Second, f.IsUsable) {
+	if !f.WaitUntil(30*time.Second, f.IsUsable) {
 		rescue.Outcome = "not usable"
 	}
-	f.H.Add(rescue)
-	recovery := f.H.Now() - back
+	f.History.Add(rescue)
+	recovery := f.History.Now() - back
 	time.Sleep(3 * time.Second)
-	f.isLoad.Store(false)
-	f.loads.Wait()
-	f.ask()
-	f.countUp()
+	f.loadRunning.Store(false)
+	f.loadTasks.Wait()
+	f.verifyFinalState()
+	f.incrementCounter()
 	if err := f.readBackLast(); err != nil {
 		return nil, err
 	}
-	f.H.Add(checker.Record{Kind: checker.ScenarioEnded})
-	records := f.H.Records()
+	f.History.Add(checker.Record{Kind: checker.ScenarioEnded})
+	records := f.History.Records()
 	return &Result{Verdict: checker.Check(records), Served: checker.MeasureAvailability(records), Recovery: recovery, Faults: f.Faults, Fleet: f}, nil
 }
 
-// ask asks after every change set, and reads the configuration at the end.
-func (f *Fleet) ask() {
-	operator := standin.NewOperator(f.W.Net(f.outside(92)), f.H, f.Cores()[0].Api())
+// verifyFinalState asks after every change set, and reads the configuration at the end.
+func (f *Fleet) verifyFinalState() {
+	operator := standin.NewOperator(f.Network.HostAt(f.clientHost(92)), f.History, f.Cores()[0].APIAddress())
 	asked := map[string]bool{}
-	for _, r := range f.H.Records() {
+	for _, r := range f.History.Records() {
 		if r.Kind == checker.ChangeSubmitted && !asked[r.Name] {
 			asked[r.Name] = true
-			f.Until(10*time.Second, func() bool { _, err := operator.QueryChange(f.ctx, r.Name); return err == nil })
+			f.WaitUntil(10*time.Second, func() bool { _, err := operator.QueryChange(f.ctx, r.Name); return err == nil })
 		}
 	}
 	if view, err := operator.Epoch(f.ctx); err == nil {
@@ -197,6 +197,6 @@
 		for _, m := range view.Config.Mappings {
 			r.Names = append(r.Names, m.Name)
 		}
-		f.H.Add(r)
+		f.History.Add(r)
 	}
 }
--- a/internal/simulator/sets.go
+++ b/internal/simulator/sets.go
@@ -14,7 +14,7 @@
 )
 
 // The services that come and go with change sets; their servers beat all along.
-var guests = []string{"alpha", "beta"}
+var guestServices = []string{"alpha", "beta"}
 
 const setPaths = 6
 
@@ -60,7 +60,7 @@
 				put.Mappings = append(put.Mappings, setMapping(i, one, two))
 			}
 		}
-		put.Mappings = append(put.Mappings, f.change(id, 0).Put.Value.Mappings...)
+		put.Mappings = append(put.Mappings, f.newChange(id, 0).Put.Value.Mappings...)
 	case 2: // some go, others come
 		for i := range setPaths {
 			if name := fmt.Sprint("set", i); r.IntN(2) == 0 && there[name] {
@@ -70,7 +70,7 @@
 			}
 		}
 	case 3: // a service comes with all its mappings, or goes and they with it
-		guest := guests[r.IntN(len(guests))]
+		guest := guestServices[r.IntN(len(guestServices))]
 		to := guest
 		if hasService[guest] {
 			drops.Services = append(drops.Services, guest)
@@ -90,8 +90,8 @@
 			}
 		}
 	case 4: // a whole configuration
-		put = f.firstConfig()
-		to := guests[r.IntN(len(guests))]
+		put = f.initialConfiguration()
+		to := guestServices[r.IntN(len(guestServices))]
 		put.Services = append(put.Services, service(to))
 		for i := range setPaths {
 			if r.IntN(4) > 0 {
@@ -107,8 +107,8 @@
 	return change
 }
 
-// grow adds many mappings in one set.
-func grow(id string, base uint64, n int) *api.Change {
+// growConfiguration adds many mappings in one set.
+func growConfiguration(id string, base uint64, n int) *api.Change {
 	config := api.Config{}
 	for i := range n {
 		config.Mappings = append(config.Mappings, api.Mapping{Name: fmt.Sprint(id, "-", i), Path: fmt.Sprintf("/extra/%s/%d", id, i), To: []api.Split{{Service: "rates", Weight: 1}}, Repeatable: api.NewOptBool(true)})
@@ -116,26 +116,26 @@
 	return &api.Change{ID: id, Base: base, Put: api.NewOptConfig(config)}
 }
 
-// Sets starts the servers of the guests, callers of all paths of the sets, and
+// StartChangeSets starts the servers of the guests, callers of all paths of the sets, and
 // operators who submit sets, repeat some of them, and call at once what they put.
-func (f *Fleet) Sets(n int, mean time.Duration) {
-	for i, guest := range guests {
-		f.Serve(guest, "", i%f.Shape.Zones)
+func (f *Fleet) StartChangeSets(n int, mean time.Duration) {
+	for i, guest := range guestServices {
+		f.StartTarget(guest, "", i%f.Shape.Zones)
 	}
 	for i, proxyNode := range f.Proxies() {
-		caller := f.caller(i)
-		f.task(func(r *rand.Rand) {
-			caller.Call(f.ctx, proxyNode.Gate(), "GET", setPath(r.IntN(setPaths)), "", nil)
+		caller := f.newClient(i)
+		f.goTask(func(r *rand.Rand) {
+			caller.Call(f.ctx, proxyNode.ProxyAddress(), "GET", setPath(r.IntN(setPaths)), "", nil)
 			pause(r, 40*time.Millisecond)
 		})
 	}
 	for i := range n {
 		var operators []*standin.Operator
 		for _, m := range f.Machines {
-			operators = append(operators, standin.NewOperator(f.W.Net(f.outside(50+i)), f.H, m.Api()))
+			operators = append(operators, standin.NewOperator(f.Network.HostAt(f.clientHost(50+i)), f.History, m.APIAddress()))
 		}
-		caller := f.caller(50 + i)
-		f.task(func(r *rand.Rand) {
+		caller := f.newClient(50 + i)
+		f.goTask(func(r *rand.Rand) {
 			pause(r, mean)
 			o := operators[r.IntN(len(operators))]
 			view, err := o.Epoch(f.ctx)
@@ -143,10 +143,10 @@
 				return
 			}
 			pause(r, 50*time.Millisecond)
-			id := fmt.Sprintf("s%d-%d", i, f.changes.Add(1))
+			id := fmt.Sprintf("s%d-%d", i, f.changeCount.Add(1))
 			change := f.setChange(r, id, view)
 			if f.Shape.Growth > 0 && r.IntN(4) == 0 {
-				change = grow(id, view.Epoch, f.Shape.Growth)
+				change = growConfiguration(id, view.Epoch, f.Shape.Growth)
 			}
 			isBad := r.IntN(6) == 0 && len(change.Put.Value.Mappings) > 1
 			if isBad {
@@ -156,7 +156,7 @@
 			_, err = o.Submit(f.ctx, change)
 			for _, m := range change.Put.Value.Mappings[:min(2, len(change.Put.Value.Mappings))] {
 				proxyNode := f.Proxies()[r.IntN(len(f.Proxies()))]
-				caller.Call(f.ctx, proxyNode.Gate(), "GET", m.Path, "", nil)
+				caller.Call(f.ctx, proxyNode.ProxyAddress(), "GET", m.Path, "", nil)
 			}
 			if err != nil || r.IntN(4) == 0 {
 				pause(r, 500*time.Millisecond)
--- a/internal/simulator/sleep_test.go
+++ b/internal/simulator/sleep_test.go
@@ -13,26 +13,26 @@
 
 func TestProxy_SuspendedProxyWakesWithoutFreshConfiguration(t *testing.T) {
 	inFleet(t, one(), func(t *testing.T, f *Fleet) {
-		proxyNode := f.Of("proxy1")
-		caller := standin.NewClient(f.W.Net(f.outside(3)), f.H)
+		proxyNode := f.Machine("proxy1")
+		caller := standin.NewClient(f.Network.HostAt(f.clientHost(3)), f.History)
 		defer caller.Close()
 		for range 5 {
-			if got := caller.Call(f.ctx, proxyNode.Gate(), "GET", "/rates", "rates", nil); got.Outcome != "ran" {
+			if got := caller.Call(f.ctx, proxyNode.ProxyAddress(), "GET", "/rates", "rates", nil); got.Outcome != "ran" {
 				t.Fatalf("before: %+v", got)
 			}
 			for _, m := range f.Machines {
 				if m != proxyNode {
-					f.W.Cut(m.IP, proxyNode.IP)
+					f.Network.Partition(m.IP, proxyNode.IP)
 				}
 			}
-			f.W.Suspend(proxyNode.IP, time.Minute)
-			got := caller.Call(f.ctx, proxyNode.Gate(), "GET", "/rates", "rates", nil)
-			f.W.Heal()
+			f.Network.Suspend(proxyNode.IP, time.Minute)
+			got := caller.Call(f.ctx, proxyNode.ProxyAddress(), "GET", "/rates", "rates", nil)
+			f.Network.Heal()
 			if got.Code != errcode.NotFresh.No || got.Outcome != "not run" {
 				t.Errorf("after: %+v", got)
 			}
-			if !f.Until(5*time.Second, func() bool {
-				return caller.Call(f.ctx, proxyNode.Gate(), "GET", "/rates", "rates", nil).Outcome == "ran"
+			if !f.WaitUntil(5*time.Second, func() bool {
+				return caller.Call(f.ctx, proxyNode.ProxyAddress(), "GET", "/rates", "rates", nil).Outcome == "ran"
 			}) {
 				t.Error("the proxy did not come back")
 			}
@@ -45,8 +45,8 @@
 	inFleet(t, one(), func(t *testing.T, f *Fleet) {
 		var owner *Machine
 		for range 5 {
-			if !f.Until(10*time.Second, func() bool {
-				owner = ownerOf(f, ids.ConfigShard, nil)
+			if !f.WaitUntil(10*time.Second, func() bool {
+				owner = leaderOf(f, ids.ConfigShard, nil)
 				if owner == nil || !f.IsUsable() {
 					return false
 				}
@@ -55,7 +55,7 @@
 			}) {
 				t.Fatal("the fleet did not come back")
 			}
-			f.W.Suspend(owner.IP, time.Minute)
+			f.Network.Suspend(owner.IP, time.Minute)
 			pulse, err := owner.Node().Planner.Freshness()
 			if err == nil && pulse.AgeMicros < time.Minute.Microseconds() {
 				t.Errorf("it tells an age of %d us", pulse.AgeMicros)
--- a/internal/simulator/slide_test.go
+++ b/internal/simulator/slide_test.go
@@ -30,30 +30,30 @@
 	shape.Settings["pact.silence"], shape.Settings["pact.round"] = "400ms", "100ms"
 	shape.Settings["flow.pulse"], shape.Settings["flow.retry"] = "20ms", "10ms"
 	inFleet(t, shape, func(t *testing.T, f *Fleet) {
-		old := ownerOf(f, ids.ConfigShard, nil)
-		near := f.some(func(m *Machine) bool { return m.IsProxy && m.Zone == old.Zone })[0]
+		old := leaderOf(f, ids.ConfigShard, nil)
+		near := f.filter(func(m *Machine) bool { return m.IsProxy && m.Zone == old.Zone })[0]
 		for _, m := range f.Machines {
 			if m != old && m != near {
-				f.W.Cut(m.IP, old.IP)
-				f.W.Cut(old.IP, m.IP)
+				f.Network.Partition(m.IP, old.IP)
+				f.Network.Partition(old.IP, m.IP)
 			}
 		}
 		var fresh *Machine
-		if !f.Until(time.Second, func() bool { fresh = ownerOf(f, ids.ConfigShard, old); return fresh != nil }) {
+		if !f.WaitUntil(time.Second, func() bool { fresh = leaderOf(f, ids.ConfigShard, old); return fresh != nil }) {
 			t.Fatal("nobody took the configuration part over")
 		}
-		operator := standin.NewOperator(f.W.Net(f.outside(4)), f.H, fresh.Api())
+		operator := standin.NewOperator(f.Network.HostAt(f.clientHost(4)), f.History, fresh.APIAddress())
 		view, err := operator.Epoch(f.ctx)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := operator.Submit(f.ctx, f.change("newer", view.Epoch)); err != nil {
+		if _, err := operator.Submit(f.ctx, f.newChange("newer", view.Epoch)); err != nil {
 			t.Fatal(err)
 		}
-		caller := standin.NewClient(f.W.Net(f.outside(3)), f.H)
+		caller := standin.NewClient(f.Network.HostAt(f.clientHost(3)), f.History)
 		defer caller.Close()
 		call := func() checker.Record {
-			return caller.Call(f.ctx, near.Gate(), "GET", "/rates", "rates", nil)
+			return caller.Call(f.ctx, near.ProxyAddress(), "GET", "/rates", "rates", nil)
 		}
 		time.Sleep(60 * time.Millisecond)
 		before := call()
@@ -72,11 +72,11 @@
 			time.Sleep(5 * time.Millisecond)
 		}
 		f.Restore()
-		if !f.Until(15*time.Second, func() bool { return call().Outcome == "ran" }) {
+		if !f.WaitUntil(15*time.Second, func() bool { return call().Outcome == "ran" }) {
 			t.Error("the proxy did not come back")
 		}
-		f.H.Add(checker.Record{Kind: checker.ScenarioEnded})
-		if v := checker.Check(f.H.Records()); !v.IsValid() {
+		f.History.Add(checker.Record{Kind: checker.ScenarioEnded})
+		if v := checker.Check(f.History.Records()); !v.IsValid() {
 			t.Error(v)
 		}
 	})
--- a/internal/simulator/snapshot_test.go
+++ b/internal/simulator/snapshot_test.go
@@ -21,7 +21,7 @@
 // fillPart writes about so many megabytes, which can't be packed, into one part.
 func (f *Fleet) fillPart(t *testing.T, megabytes int) ids.Shard {
 	t.Helper()
-	client := standin.NewAPIClient(f.W.Net(f.outside(1)), f.Of("proxy1").Api())
+	client := standin.NewAPIClient(f.Network.HostAt(f.clientHost(1)), f.Machine("proxy1").APIAddress())
 	r := rand.New(rand.NewPCG(1, 2))
 	const letters = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789+-"
 	for i := range megabytes * 64 {
@@ -41,13 +41,13 @@
 	shape.Settings["pact.snapshot"] = "50"
 	inFleet(t, shape, func(t *testing.T, f *Fleet) {
 		f.fillPart(t, 3)
-		m := f.Of("core2")
+		m := f.Machine("core2")
 		m.Kill(true)
-		f.W.Disk(m.IP).Wipe()
-		f.W.Narrow(m.IP, 300<<10)
+		f.Network.Disk(m.IP).Wipe()
+		f.Network.LimitBandwidth(m.IP, 300<<10)
 		began := time.Now()
-		f.up(m)
-		if !f.Until(40*time.Second, f.isMended) {
+		f.startMachine(m)
+		if !f.WaitUntil(40*time.Second, f.isRepaired) {
 			t.Fatal("a state of 3 MB does not arrive at 300 KB/s")
 		}
 		t.Logf("all copies mended after %s", time.Since(began))
@@ -73,10 +73,10 @@
 			over := version
 			change := &rpc.ChangeSet{ID: fmt.Sprint("c", version), Version: version + 1, BaseVersion: &over, Put: rpc.Configuration{Routes: put}}
 			var err error
-			if !f.Until(20*time.Second, func() bool {
+			if !f.WaitUntil(20*time.Second, func() bool {
 				ctx, end := context.WithTimeout(f.ctx, 3*time.Second)
 				defer end()
-				_, err = f.Of("proxy1").Node().Submit(ctx, change)
+				_, err = f.Machine("proxy1").Node().Submit(ctx, change)
 				return err == nil
 			}) {
 				t.Fatalf("change %d is not taken: %v", version, err)
@@ -99,16 +99,16 @@
 			switch n % 30 {
 			case 10:
 				m.Kill(true)
-				f.up(m)
+				f.startMachine(m)
 			case 29:
 				m.Kill(true)
-				f.W.Disk(m.IP).Wipe()
+				f.Network.Disk(m.IP).Wipe()
 				if n%60 == 29 {
 					m.Move()
 				}
 				began := time.Now()
-				f.up(m)
-				if !f.Until(20*time.Second, f.isMended) {
+				f.startMachine(m)
+				if !f.WaitUntil(20*time.Second, f.isRepaired) {
 					t.Fatalf("not mended after %d changes", n+1)
 				}
 				state, _ := f.owner(ids.ConfigShard).Node().Ledger.Snapshot()()
@@ -133,21 +133,21 @@
 	shape.Settings["pact.snapshot"] = "20"
 	shape.Settings["pact.tail"] = "5"
 	inFleet(t, shape, func(t *testing.T, f *Fleet) {
-		client := standin.NewAPIClient(f.W.Net(f.outside(1)), f.Of("proxy1").Api())
+		client := standin.NewAPIClient(f.Network.HostAt(f.clientHost(1)), f.Machine("proxy1").APIAddress())
 		no := ids.ShardOf("app/a")
 		behind := follower(f, no)
 		behind.Kill(true)
 		time.Sleep(2 * time.Second)
 		for i := range 60 {
-			f.Until(5*time.Second, func() bool {
+			f.WaitUntil(5*time.Second, func() bool {
 				_, err := client.PutKey(f.ctx, &api.Call{Name: "app/a", Value: jx.Raw(fmt.Sprint(i))})
 				return err == nil
 			})
 		}
 		owner := f.owner(no)
 		owner.Kill(true)
-		f.up(behind)
-		if !f.Until(10*time.Second, func() bool {
+		f.startMachine(behind)
+		if !f.WaitUntil(10*time.Second, func() bool {
 			got, err := client.GetKey(f.ctx, api.GetKeyParams{Name: "app/a"})
 			if err == nil && string(got.Value) != "59" {
 				t.Fatalf("read %s of 59", got.Value)
--- a/internal/simulator/spaces.go
+++ b/internal/simulator/spaces.go
@@ -17,16 +17,16 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-const counted = "sets/"
+const countedSpace = "sets/"
 
 // anyNode is a running node, or nil.
 func (f *Fleet) anyNode(r *rand.Rand) *node.Node {
 	return f.Machines[r.IntN(len(f.Machines))].Node()
 }
 
-// direct makes one coordination call at a node; refused is what its owner said.
-func (f *Fleet) direct(node *node.Node, rec checker.Record, op *rpc.CoordinationRequest) (*rpc.CoordinationResponse, string) {
-	rec.Kind, rec.Start, rec.Op = checker.CoordinationCall, f.H.Now(), cmpOr(rec.Op, op.Operation)
+// callNode makes one coordination call at a node; refused is what its owner said.
+func (f *Fleet) callNode(node *node.Node, rec checker.Record, op *rpc.CoordinationRequest) (*rpc.CoordinationResponse, string) {
+	rec.Kind, rec.Start, rec.Op = checker.CoordinationCall, f.History.Now(), cmpOr(rec.Op, op.Operation)
 	rec.Name, rec.Holder = op.Name, op.Holder
 	ctx, end := context.WithTimeout(f.ctx, 4*time.Second)
 	defer end()
@@ -50,7 +50,7 @@
 	if rec.FencingToken == 0 {
 		rec.FencingToken = uint64(got.FencingToken)
 	}
-	f.H.Add(rec)
+	f.History.Add(rec)
 	return got, rec.Outcome
 }
 
@@ -61,21 +61,21 @@
 	return b
 }
 
-// Counted starts those who set, look and follow in one space.
-func (f *Fleet) Counted(n int, mean time.Duration) {
+// StartSpaceClients starts those who set, look and follow in one space.
+func (f *Fleet) StartSpaceClients(n int, mean time.Duration) {
 	for range n {
-		f.task(func(r *rand.Rand) {
+		f.goTask(func(r *rand.Rand) {
 			pause(r, mean)
 			node := f.anyNode(r)
 			if node == nil {
 				return
 			}
-			key, value := fmt.Sprint(counted, "k", r.IntN(3)), ids.NewID()
+			key, value := fmt.Sprint(countedSpace, "k", r.IntN(3)), ids.NewID()
 			raw, _ := json.Marshal(value)
 			op := &rpc.CoordinationRequest{Operation: "set", ID: value, Name: key, Value: raw}
 			rec := checker.Record{RequestID: value, Digest: value}
 			if r.IntN(2) == 0 {
-				got, outcome := f.direct(node, checker.Record{Op: "look"}, &rpc.CoordinationRequest{Operation: "get", Name: key})
+				got, outcome := f.callNode(node, checker.Record{Op: "look"}, &rpc.CoordinationRequest{Operation: "get", Name: key})
 				if outcome != "done" {
 					return
 				}
@@ -84,7 +84,7 @@
 				pause(r, 100*time.Millisecond)
 			}
 			for range 4 {
-				_, outcome := f.direct(node, rec, op)
+				_, outcome := f.callNode(node, rec, op)
 				if outcome == "refused" || outcome == "done" && r.IntN(4) > 0 {
 					return
 				}
@@ -97,20 +97,20 @@
 	}
 	for i := range 2 {
 		from := ids.Index(0)
-		f.task(func(r *rand.Rand) { f.followOnce(r, &from); pause(r, time.Duration(1+i*3000)*time.Millisecond) })
+		f.goTask(func(r *rand.Rand) { f.useFollow(r, &from); pause(r, time.Duration(1+i*3000)*time.Millisecond) })
 	}
 }
 
-func (f *Fleet) followOnce(r *rand.Rand, from *ids.Index) {
+func (f *Fleet) useFollow(r *rand.Rand, from *ids.Index) {
 	node := f.anyNode(r)
 	if node == nil {
 		time.Sleep(100 * time.Millisecond)
 		return
 	}
-	rec := checker.Record{Kind: checker.FollowResponse, Start: f.H.Now(), Name: counted, From: uint64(*from), Outcome: "done"}
+	rec := checker.Record{Kind: checker.FollowResponse, Start: f.History.Now(), Name: countedSpace, From: uint64(*from), Outcome: "done"}
 	ctx, end := context.WithTimeout(f.ctx, 6*time.Second)
 	defer end()
-	got, err := node.Bond(ctx, &rpc.CoordinationRequest{Operation: "follow", Name: counted, FromIndex: *from, Wait: 2000})
+	got, err := node.Bond(ctx, &rpc.CoordinationRequest{Operation: "follow", Name: countedSpace, FromIndex: *from, Wait: 2000})
 	if err != nil {
 		time.Sleep(100 * time.Millisecond)
 		return
@@ -125,15 +125,15 @@
 		rec.Revisions, rec.Names = append(rec.Revisions, uint64(e.Revision)), append(rec.Names, e.Name+" "+id)
 	}
 	if *from > 0 {
-		f.H.Add(rec)
+		f.History.Add(rec)
 	}
 	*from = got.Revision
 }
 
-// Timed starts those who hold a lock for a moment, with a time in each call.
-func (f *Fleet) Timed(n int, mean time.Duration) {
+// StartTimedLocks starts those who hold a lock for a moment, with a time in each call.
+func (f *Fleet) StartTimedLocks(n int, mean time.Duration) {
 	for i := range n {
-		f.task(func(r *rand.Rand) {
+		f.goTask(func(r *rand.Rand) {
 			pause(r, mean)
 			node := f.anyNode(r)
 			if node == nil {
@@ -143,7 +143,7 @@
 			ttl := func() int64 { return 50 + r.Int64N(2500) }
 			call := func(op rpc.CoordinationRequest) (*rpc.CoordinationResponse, string) {
 				op.Name, op.Holder, op.ID = name, holder, ids.NewID()
-				return f.direct(node, checker.Record{FencingToken: uint64(op.FencingToken), TTL: time.Duration(op.TTL) * time.Millisecond}, &op)
+				return f.callNode(node, checker.Record{FencingToken: uint64(op.FencingToken), TTL: time.Duration(op.TTL) * time.Millisecond}, &op)
 			}
 			got, outcome := call(rpc.CoordinationRequest{Operation: "acquire", TTL: ttl()})
 			if outcome != "done" {
--- a/internal/simulator/spare_test.go
+++ b/internal/simulator/spare_test.go
@@ -18,15 +18,15 @@
 	shape.Settings["pact.gone"] = "3s"
 	inFleet(t, shape, func(t *testing.T, f *Fleet) {
 		spare := f.Add("core4", 0, true, false)
-		f.up(spare)
-		client := standin.NewAPIClient(f.W.Net(f.outside(1)), f.Of("proxy1").Api())
+		f.startMachine(spare)
+		client := standin.NewAPIClient(f.Network.HostAt(f.clientHost(1)), f.Machine("proxy1").APIAddress())
 		if _, err := client.PutKey(f.ctx, &api.Call{Name: "app/a", Value: jx.Raw(`"kept"`)}); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(2 * time.Second)
-		lost := f.Of("core1")
+		lost := f.Machine("core1")
 		lost.Kill(true)
-		f.W.Disk(lost.IP).Wipe()
+		f.Network.Disk(lost.IP).Wipe()
 		isReplaced := func() bool {
 			for no := range ids.ShardCount + 1 {
 				isWhole := false
@@ -46,11 +46,11 @@
 			}
 			return true
 		}
-		if !f.Until(30*time.Second, isReplaced) {
+		if !f.WaitUntil(30*time.Second, isReplaced) {
 			t.Fatal("the spare did not take the places")
 		}
-		f.Of("core2").Kill(true)
-		if !f.Until(15*time.Second, func() bool {
+		f.Machine("core2").Kill(true)
+		if !f.WaitUntil(15*time.Second, func() bool {
 			got, err := client.GetKey(f.ctx, api.GetKeyParams{Name: "app/a"})
 			return err == nil && string(got.Value) == `"kept"`
 		}) {
--- a/internal/simulator/transcript_test.go
+++ b/internal/simulator/transcript_test.go
@@ -36,7 +36,7 @@
 }
 
 func newScript(f *Fleet) *script {
-	n := f.W.Net(f.outside(95))
+	n := f.Network.HostAt(f.clientHost(95))
 	transport := &http.Transport{DialContext: func(ctx context.Context, _, at string) (net.Conn, error) { return n.Dial(ctx, at) }, IdleConnTimeout: time.Second}
 	return &script{f: f, http: &http.Client{Transport: transport, Timeout: 20 * time.Second}}
 }
@@ -126,42 +126,42 @@
 
 func one() Shape {
 	s := Small()
-	s.Proxies, s.Servers = 1, map[string]int{"rates": 1, "bookings": 1}
+	s.Proxies, s.Targets = 1, map[string]int{"rates": 1, "bookings": 1}
 	return s
 }
 
 func TestTranscriptCallers(t *testing.T) {
 	transcript(t, "callers", one(), func(s *script) {
-		gate := s.f.Of("proxy1").Gate()
+		gate := s.f.Machine("proxy1").ProxyAddress()
 		s.say("a look-up and an order")
 		s.send(gate, "GET", "/rates/lane?from=a", "", "X-Call: c1")
 		s.send(gate, "POST", "/bookings", `{"n":1}`, "X-Call: c2")
 		s.say("a path that nothing leads to")
 		s.send(gate, "GET", "/nowhere", "")
 		s.say("a service whose only server is gone")
-		s.f.Servers("rates")[0].Crash()
+		s.f.Targets("rates")[0].Crash()
 		time.Sleep(2500 * time.Millisecond)
 		s.send(gate, "GET", "/rates", "")
 		s.say("a proxy that was cut off, and has no fresh word of its plan")
-		s.f.isolate([]*Machine{s.f.Of("proxy1")})
+		s.f.isolate([]*Machine{s.f.Machine("proxy1")})
 		time.Sleep(1500 * time.Millisecond)
 		s.send(gate, "POST", "/bookings", `{"n":2}`, "X-Call: c3")
-		s.f.W.Heal()
+		s.f.Network.Heal()
 	})
 }
 
 func TestTranscriptWrongServers(t *testing.T) {
 	transcript(t, "wrong-servers", one(), func(s *script) {
-		gate := s.f.Of("proxy1").Gate()
+		gate := s.f.Machine("proxy1").ProxyAddress()
 		for _, way := range []string{standin.CloseUnanswered, standin.Garbage, standin.TruncatedBody, standin.Unsealed} {
-			old := s.f.Servers("bookings")[0]
-			s.f.replace(old, func(int64) string { return way })
+			old := s.f.Targets("bookings")[0]
+			s.f.replaceTarget(old, func(int64) string { return way })
 			time.Sleep(2 * time.Second)
 			s.say("the server runs the order and does this: %s", way)
 			s.send(gate, "POST", "/bookings", `{"n":1}`, "X-Call: c1")
 		}
 		s.say("the server answers after the mapping's deadline")
-		s.f.replace(s.f.Servers("bookings")[0], func(int64) string { time.Sleep(5 * time.Second); return standin.WellBehaved })
+		s.f.replaceTarget(s.f.Targets("bookings")[0], func(int64) string { time.Sleep(5 * time.Second); return standin.WellBehaved })
 		time.Sleep(2 * time.Second)
 		s.send(gate, "POST", "/bookings", `{"n":1}`, "X-Call: c2")
 		time.Sleep(10 * time.Second)
@@ -170,10 +170,10 @@
 
 func TestTranscriptRepeats(t *testing.T) {
 	shape := one()
-	shape.IsTwice = true
+	shape.AllowsDuplicates = true
 	transcript(t, "repeats", shape, func(s *script) {
-		gate := s.f.Of("proxy1").Gate()
-		s.f.replace(s.f.Servers("bookings")[0], func(int64) string { return standin.CloseUnanswered })
+		gate := s.f.Machine("proxy1").ProxyAddress()
+		s.f.replaceTarget(s.f.Targets("bookings")[0], func(int64) string { return standin.CloseUnanswered })
 		time.Sleep(2 * time.Second)
 		s.say("an order whose answer is lost; its repeats are refused while the budget is empty")
 		s.send(gate, "POST", "/bookings", `{"n":1}`, "X-Call: c1", "Idempotency-Key: k1")
@@ -181,23 +181,23 @@
 			s.send(gate, "POST", "/bookings", `{"n":1}`, "X-Call: c1", "Idempotency-Key: k1")
 		}
 		s.say("its repeat to a proxy that has no fresh word of its plan, beside a first order")
-		s.f.isolate([]*Machine{s.f.Of("proxy1")})
+		s.f.isolate([]*Machine{s.f.Machine("proxy1")})
 		time.Sleep(1500 * time.Millisecond)
 		s.send(gate, "POST", "/bookings", `{"n":1}`, "X-Call: c1", "Idempotency-Key: k1")
 		s.send(gate, "POST", "/bookings", `{"n":2}`, "X-Call: c2", "Idempotency-Key: k2")
-		s.f.W.Heal()
+		s.f.Network.Heal()
 	})
 }
 
 func TestTranscriptOnce(t *testing.T) {
 	transcript(t, "once", one(), func(s *script) {
-		gate := s.f.Of("proxy1").Gate()
+		gate := s.f.Machine("proxy1").ProxyAddress()
 		s.say("an order, and its repeat")
 		s.send(gate, "POST", "/bookings", `{"n":1}`, "X-Call: c1", "Idempotency-Key: k1")
 		time.Sleep(time.Second)
 		s.send(gate, "POST", "/bookings", `{"n":1}`, "X-Call: c1", "Idempotency-Key: k1")
 		s.say("an order whose answer is lost, and its repeat")
-		s.f.replace(s.f.Servers("bookings")[0], func(int64) string { return standin.CloseUnanswered })
+		s.f.replaceTarget(s.f.Targets("bookings")[0], func(int64) string { return standin.CloseUnanswered })
 		time.Sleep(2 * time.Second)
 		s.send(gate, "POST", "/bookings", `{"n":2}`, "X-Call: c2", "Idempotency-Key: k2")
 		time.Sleep(time.Second)
@@ -207,7 +207,7 @@
 
 func TestTranscriptOperators(t *testing.T) {
 	transcript(t, "operators", one(), func(s *script) {
-		api := s.f.Of("proxy1").Api()
+		api := s.f.Machine("proxy1").APIAddress()
 		s.say("a change set against an epoch that is past")
 		s.send(api, "POST", "/v1/changes", `{"id":"late","base":0,"put":{"services":[{"name":"slots"}]}}`)
 		s.say("one with many faults, none of which is in force")
@@ -230,7 +230,7 @@
 
 func TestTranscriptApplications(t *testing.T) {
 	transcript(t, "applications", one(), func(s *script) {
-		api := s.f.Of("proxy1").Api()
+		api := s.f.Machine("proxy1").APIAddress()
 		s.say("keys, by stamp")
 		s.send(api, "PUT", "/v1/keys", `{"name":"app/a","value":{"x":1},"if":0,"id":"r1"}`)
 		s.send(api, "PUT", "/v1/keys", `{"name":"app/a","value":{"x":1},"if":0,"id":"r1"}`)
--- a/internal/simulator/versions.go
+++ b/internal/simulator/versions.go
@@ -19,12 +19,12 @@
 	"github.com/sumactrestle/sumactrestle/internal/standin"
 )
 
-const numbered = "numbered-"
+const numberedPrefix = "numbered-"
 
-// Versions starts n such operators.
-func (f *Fleet) Versions(n int, mean time.Duration) {
+// StartVersionedOperators starts n such operators.
+func (f *Fleet) StartVersionedOperators(n int, mean time.Duration) {
 	for range n {
-		f.task(func(r *rand.Rand) {
+		f.goTask(func(r *rand.Rand) {
 			pause(r, mean)
 			node := f.anyNode(r)
 			if node == nil {
@@ -60,7 +60,7 @@
 
 // numberedChange is a change over a version, with a text of its own.
 func numberedChange(r *rand.Rand, over ids.Version) *rpc.ChangeSet {
-	id, service := numbered+ids.NewID(), "rates"
+	id, service := numberedPrefix+ids.NewID(), "rates"
 	if r.IntN(6) == 0 {
 		service = standin.MissingService
 	}
@@ -76,7 +76,7 @@
 // submitWithin sends a change and gives it up after a time; it may then be taken, or be
 // on its way.
 func (f *Fleet) submitWithin(limit time.Duration, node *node.Node, change *rpc.ChangeSet) string {
-	rec := checker.Record{Kind: checker.VersionedChange, Start: f.H.Now(), Name: change.ID, Revision: uint64(change.Version), From: uint64(*change.BaseVersion), Digest: string(change.Put.Routes[0].Source), Outcome: "accepted", Invalid: change.Put.Routes[0].Services[0].Service == standin.MissingService}
+	rec := checker.Record{Kind: checker.VersionedChange, Start: f.History.Now(), Name: change.ID, Revision: uint64(change.Version), From: uint64(*change.BaseVersion), Digest: string(change.Put.Routes[0].Source), Outcome: "accepted", Invalid: change.Put.Routes[0].Services[0].Service == standin.MissingService}
 	ctx, end := context.WithTimeout(f.ctx, limit)
 	defer end()
 	receipt, err := node.Submit(ctx, change)
@@ -88,13 +88,13 @@
 	default:
 		rec.Outcome, rec.Code, rec.Note = "unknown", errcode.Of(err).Code.No, err.Error()
 	}
-	f.H.Add(rec)
+	f.History.Add(rec)
 	return rec.Outcome
 }
 
 // readBackAll records what of the operators' texts is in force; nil if it can't be had.
 func (f *Fleet) readBackAll(node *node.Node) *rpc.ConfigurationView {
-	rec := checker.Record{Kind: checker.ConfigurationRead, Start: f.H.Now(), Destinations: map[string]string{}}
+	rec := checker.Record{Kind: checker.ConfigurationRead, Start: f.History.Now(), Destinations: map[string]string{}}
 	ctx, end := context.WithTimeout(f.ctx, 4*time.Second)
 	defer end()
 	view, err := node.Config(ctx)
@@ -103,17 +103,17 @@
 	}
 	rec.Revision, rec.Epoch = uint64(view.Version), uint64(view.Epoch)
 	for _, m := range view.Configuration.Routes {
-		if strings.HasPrefix(m.Name, numbered) {
+		if strings.HasPrefix(m.Name, numberedPrefix) {
 			rec.Destinations[m.Name] = string(m.Source)
 		}
 	}
-	f.H.Add(rec)
+	f.History.Add(rec)
 	return view
 }
 
 // readBackLast reads the versions once more, when nothing else goes on.
 func (f *Fleet) readBackLast() error {
-	isRead := f.Until(10*time.Second, func() bool {
+	isRead := f.WaitUntil(10*time.Second, func() bool {
 		node := f.Cores()[0].Node()
 		return node != nil && f.readBackAll(node) != nil
 	})
--- a/internal/simulator/wire_test.go
+++ b/internal/simulator/wire_test.go
@@ -18,7 +18,7 @@
 	inFleet(t, shape, func(t *testing.T, f *Fleet) {
 		m := f.Cores()[0]
 		send := func(line string) string {
-			conn, err := f.W.Net(f.outside(6)).Dial(f.ctx, m.Wire())
+			conn, err := f.Network.HostAt(f.clientHost(6)).Dial(f.ctx, m.RPCAddress())
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -46,12 +46,12 @@
 				t.Errorf("%.60q was answered %q", line, got)
 			}
 		}
-		packet, err := f.W.Net(f.outside(6)).ListenPacket(f.outside(6) + ":7000")
+		packet, err := f.Network.HostAt(f.clientHost(6)).ListenPacket(f.clientHost(6) + ":7000")
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer packet.Close()
-		packet.WriteTo([]byte("what"), addr(m.Wire()))
+		packet.WriteTo([]byte("what"), tcpAddr(m.RPCAddress()))
 		time.Sleep(100 * time.Millisecond)
 		if n := m.Node().R.Events.Counts()["MessageRefused"] - before; n < 9 {
 			t.Errorf("%d refusals are counted", n)
--- a/internal/simulator/world.go
+++ b/internal/simulator/world.go
@@ -20,35 +20,35 @@
 	"github.com/sumactrestle/sumactrestle/internal/environment"
 )
 
-// World is one network with its disks.
-type World struct {
-	mu        sync.Mutex
-	rand      *rand.Rand
-	change    chan struct{}
-	zones     map[string]string
-	cuts      map[[2]string]bool
-	held      map[string]bool
-	life      map[string]int
-	slept     map[string]time.Duration
-	listeners map[string]*listener
-	packets   map[string]*packetConn
-	conns     map[*conn]bool
-	disks     map[string]*Disk
-	links     map[string]*link
-	nextPort  int
-	loss      float64
-	hurts     int // how often something was done to a way or a machine
+// Network is one network with its disks.
+type Network struct {
+	mu          sync.Mutex
+	rand        *rand.Rand
+	changed     chan struct{}
+	zones       map[string]string
+	partitions  map[[2]string]bool
+	paused      map[string]bool
+	generations map[string]int
+	suspended   map[string]time.Duration
+	listeners   map[string]*listener
+	packetConns map[string]*packetConn
+	conns       map[*conn]bool
+	disks       map[string]*Disk
+	links       map[string]*link
+	nextPort    int
+	lossRate    float64
+	faultCount  int // how often something was done to a way or a machine
 
 	// Bytes sent between zones and within them, in all.
-	Between, Within int64
+	BytesBetweenZones, BytesWithinZones int64
 }
 
-func NewWorld(seed uint64) *World {
-	return &World{rand: rand.New(rand.NewPCG(seed, 1)), change: make(chan struct{}), zones: map[string]string{}, cuts: map[[2]string]bool{}, held: map[string]bool{}, life: map[string]int{}, slept: map[string]time.Duration{},
-		listeners: map[string]*listener{}, packets: map[string]*packetConn{}, conns: map[*conn]bool{}, disks: map[string]*Disk{}, links: map[string]*link{}, nextPort: 40000}
+func NewNetwork(seed uint64) *Network {
+	return &Network{rand: rand.New(rand.NewPCG(seed, 1)), changed: make(chan struct{}), zones: map[string]string{}, partitions: map[[2]string]bool{}, paused: map[string]bool{}, generations: map[string]int{}, suspended: map[string]time.Duration{},
+		listeners: map[string]*listener{}, packetConns: map[string]*packetConn{}, conns: map[*conn]bool{}, disks: map[string]*Disk{}, links: map[string]*link{}, nextPort: 40000}
 }
 
-func host(address string) string {
+func hostOf(address string) string {
 	ap, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return address
@@ -56,193 +56,193 @@
 	return ap.Addr().String()
 }
 
-func addr(address string) net.Addr {
+func tcpAddr(address string) net.Addr {
 	return net.TCPAddrFromAddrPort(netip.MustParseAddrPort(address))
 }
 
-func (w *World) stir() {
-	close(w.change)
-	w.change = make(chan struct{})
+func (n *Network) broadcast() {
+	close(n.changed)
+	n.changed = make(chan struct{})
 }
 
-// Place puts a machine into a zone.
-func (w *World) Place(ip, zone string) { w.mu.Lock(); w.zones[ip] = zone; w.mu.Unlock() }
+// SetZone puts a machine into a zone.
+func (n *Network) SetZone(ip, zone string) { n.mu.Lock(); n.zones[ip] = zone; n.mu.Unlock() }
 
-// Cut stops what goes from one machine to another; Heal lets it through.
-func (w *World) Cut(from, to string) {
-	w.mu.Lock()
-	w.cuts[[2]string{from, to}] = true
-	w.hurts++
-	w.mu.Unlock()
+// Partition stops what goes from one machine to another; Heal lets it through.
+func (n *Network) Partition(from, to string) {
+	n.mu.Lock()
+	n.partitions[[2]string{from, to}] = true
+	n.faultCount++
+	n.mu.Unlock()
 }
 
 // Heal ends all cuts and holds.
-func (w *World) Heal() {
-	w.mu.Lock()
-	w.cuts, w.held = map[[2]string]bool{}, map[string]bool{}
-	w.stir()
-	w.mu.Unlock()
+func (n *Network) Heal() {
+	n.mu.Lock()
+	n.partitions, n.paused = map[[2]string]bool{}, map[string]bool{}
+	n.broadcast()
+	n.mu.Unlock()
 }
 
-// Hold keeps back all that a machine sends and gets, until Release.
-func (w *World) Hold(ip string) { w.mu.Lock(); w.held[ip] = true; w.hurts++; w.mu.Unlock() }
+// Pause keeps back all that a machine sends and gets, until Release.
+func (n *Network) Pause(ip string) { n.mu.Lock(); n.paused[ip] = true; n.faultCount++; n.mu.Unlock() }
 
 // Suspend is a suspension as the machine sees it: its monotonic clock stands
 // still, and all else has gone on meanwhile.
-func (w *World) Suspend(ip string, d time.Duration) {
-	w.mu.Lock()
-	w.slept[ip] += d
-	w.hurts++
-	w.mu.Unlock()
+func (n *Network) Suspend(ip string, d time.Duration) {
+	n.mu.Lock()
+	n.suspended[ip] += d
+	n.faultCount++
+	n.mu.Unlock()
 }
 
-func (w *World) Release(ip string) {
-	w.mu.Lock()
-	delete(w.held, ip)
-	w.stir()
-	w.mu.Unlock()
+func (n *Network) Unpause(ip string) {
+	n.mu.Lock()
+	delete(n.paused, ip)
+	n.broadcast()
+	n.mu.Unlock()
 }
 
-// state tells whether all ways are whole, and how often something was hurt.
-func (w *World) state() (isWhole bool, hurts int) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return len(w.cuts) == 0 && len(w.held) == 0 && w.loss == 0, w.hurts
+// status tells whether all ways are whole, and how often something was hurt.
+func (n *Network) status() (intact bool, faults int) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	return len(n.partitions) == 0 && len(n.paused) == 0 && n.lossRate == 0, n.faultCount
 }
 
-// Lose sets the share of datagrams that are lost.
-func (w *World) Lose(share float64) { w.mu.Lock(); w.loss = share; w.mu.Unlock() }
+// SetLossRate sets the share of datagrams that are lost.
+func (n *Network) SetLossRate(share float64) { n.mu.Lock(); n.lossRate = share; n.mu.Unlock() }
 
 // Kill ends a process: its connections break, and its disk no longer obeys it.
 // When the machine loses power, peers hear nothing, and what was not synced is
 // gone but for a torn beginning.
-func (w *World) Kill(ip string, isPowerLost bool) {
-	w.mu.Lock()
-	w.life[ip]++
-	w.hurts++
-	for c := range w.conns {
-		if c.local == ip || c.remote == ip {
-			c.reset(c.local == ip, !isPowerLost, w.rand.IntN(2) == 0)
-			delete(w.conns, c)
+func (n *Network) Kill(ip string, isPowerLost bool) {
+	n.mu.Lock()
+	n.generations[ip]++
+	n.faultCount++
+	for c := range n.conns {
+		if c.localHost == ip || c.remoteHost == ip {
+			c.reset(c.localHost == ip, !isPowerLost, n.rand.IntN(2) == 0)
+			delete(n.conns, c)
 		}
 	}
-	for at, l := range w.listeners {
-		if host(at) == ip {
+	for at, l := range n.listeners {
+		if hostOf(at) == ip {
 			l.close()
-			delete(w.listeners, at)
+			delete(n.listeners, at)
 		}
 	}
-	for at, p := range w.packets {
-		if host(at) == ip {
+	for at, p := range n.packetConns {
+		if hostOf(at) == ip {
 			p.shut()
-			delete(w.packets, at)
+			delete(n.packetConns, at)
 		}
 	}
-	disk := w.disks[ip]
-	w.stir()
-	w.mu.Unlock()
+	disk := n.disks[ip]
+	n.broadcast()
+	n.mu.Unlock()
 	if disk != nil {
 		disk.detach(isPowerLost)
 	}
 }
 
 // Disk is a machine's disk, which outlives its processes.
-func (w *World) Disk(ip string) *Disk {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.disks[ip] == nil {
-		w.disks[ip] = newDisk(rand.New(rand.NewPCG(w.rand.Uint64(), 2)))
+func (n *Network) Disk(ip string) *Disk {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.disks[ip] == nil {
+		n.disks[ip] = newDisk(rand.New(rand.NewPCG(n.rand.Uint64(), 2)))
 	}
-	return w.disks[ip]
+	return n.disks[ip]
 }
 
 // blocked tells whether nothing gets from one machine to another now.
-func (w *World) blocked(from, to string) bool {
-	return w.cuts[[2]string{from, to}] || w.held[from] || w.held[to]
+func (n *Network) blocked(from, to string) bool {
+	return n.partitions[[2]string{from, to}] || n.paused[from] || n.paused[to]
 }
 
-func (w *World) delay(from, to string) time.Duration {
+func (n *Network) delay(from, to string) time.Duration {
 	base := 200 * time.Microsecond
-	if w.zones[from] != w.zones[to] {
+	if n.zones[from] != n.zones[to] {
 		base = time.Millisecond
 	}
-	return base + time.Duration(w.rand.Int64N(int64(base)))
+	return base + time.Duration(n.rand.Int64N(int64(base)))
 }
 
-func (w *World) count(from, to string, n int) {
-	if w.zones[from] == w.zones[to] {
-		w.Within += int64(n)
+func (n *Network) countBytes(from, to string, bytes int) {
+	if n.zones[from] == n.zones[to] {
+		n.BytesWithinZones += int64(bytes)
 	} else {
-		w.Between += int64(n)
+		n.BytesBetweenZones += int64(bytes)
 	}
 }
 
-// Net is the network as one machine has it, for one life of its process.
-func (w *World) Net(ip string) environment.Host {
-	w.mu.Lock()
-	life := w.life[ip]
-	w.mu.Unlock()
-	isAlive := func() bool { return w.life[ip] == life }
+// HostAt is the network as one machine has it, for one life of its process.
+func (n *Network) HostAt(ip string) environment.Host {
+	n.mu.Lock()
+	life := n.generations[ip]
+	n.mu.Unlock()
+	isAlive := func() bool { return n.generations[ip] == life }
 	return environment.Host{
 		Dial: func(ctx context.Context, address string) (net.Conn, error) {
-			return w.dial(ctx, ip, address, isAlive)
+			return n.dial(ctx, ip, address, isAlive)
 		},
 		Listen: func(address string) (net.Listener, error) {
-			w.mu.Lock()
-			defer w.mu.Unlock()
-			if !isAlive() || w.listeners[address] != nil {
+			n.mu.Lock()
+			defer n.mu.Unlock()
+			if !isAlive() || n.listeners[address] != nil {
 				return nil, fmt.Errorf("listen %s: address in use", address)
 			}
-			l := &listener{w: w, address: address, queue: make(chan *conn, 256), closed: make(chan struct{})}
-			w.listeners[address] = l
+			l := &listener{w: n, address: address, queue: make(chan *conn, 256), closed: make(chan struct{})}
+			n.listeners[address] = l
 			return l, nil
 		},
 		ListenPacket: func(address string) (net.PacketConn, error) {
-			w.mu.Lock()
-			defer w.mu.Unlock()
-			if !isAlive() || w.packets[address] != nil {
+			n.mu.Lock()
+			defer n.mu.Unlock()
+			if !isAlive() || n.packetConns[address] != nil {
 				return nil, fmt.Errorf("packet %s: address in use", address)
 			}
-			p := &packetConn{w: w, address: address, closed: make(chan struct{}), queue: make(chan packet, 1024)}
-			w.packets[address] = p
+			p := &packetConn{w: n, address: address, closed: make(chan struct{}), queue: make(chan packet, 1024)}
+			n.packetConns[address] = p
 			return p, nil
 		},
-		OpenStorage: func(string) (storage.Storage, error) { return w.Disk(ip).attach() },
+		OpenStorage: func(string) (storage.Storage, error) { return n.Disk(ip).attach() },
 		SuspendedTime: func() time.Duration {
-			w.mu.Lock()
-			defer w.mu.Unlock()
-			return w.slept[ip]
+			n.mu.Lock()
+			defer n.mu.Unlock()
+			return n.suspended[ip]
 		},
-		Rename: func(string, string) error { w.Disk(ip).Wipe(); return nil },
+		Rename: func(string, string) error { n.Disk(ip).Wipe(); return nil },
 	}
 }
 
-func (w *World) dial(ctx context.Context, ip, address string, isAlive func() bool) (net.Conn, error) {
-	to := host(address)
+func (n *Network) dial(ctx context.Context, ip, address string, isAlive func() bool) (net.Conn, error) {
+	to := hostOf(address)
 	for {
-		w.mu.Lock()
+		n.mu.Lock()
 		if !isAlive() {
-			w.mu.Unlock()
+			n.mu.Unlock()
 			return nil, fmt.Errorf("dial %s: no network", address)
 		}
-		if !w.blocked(ip, to) && !w.blocked(to, ip) {
-			there := w.arrival(ip, to, time.Now(), packetSize)
-			back := there.Add(w.delay(to, ip))
-			w.mu.Unlock()
+		if !n.blocked(ip, to) && !n.blocked(to, ip) {
+			there := n.arrivalTime(ip, to, time.Now(), packetSize)
+			back := there.Add(n.delay(to, ip))
+			n.mu.Unlock()
 			if err := sleep(ctx, time.Until(back)); err != nil {
 				return nil, err
 			}
-			w.mu.Lock()
-			l := w.listeners[address]
+			n.mu.Lock()
+			l := n.listeners[address]
 			if l == nil || !isAlive() {
-				w.mu.Unlock()
+				n.mu.Unlock()
 				return nil, fmt.Errorf("dial %s: connection refused", address)
 			}
-			w.nextPort++
-			here := fmt.Sprintf("%s:%d", ip, 40000+w.nextPort%20000)
-			a, b := pair(w, here, address)
-			w.conns[a], w.conns[b] = true, true
-			w.mu.Unlock()
+			n.nextPort++
+			here := fmt.Sprintf("%s:%d", ip, 40000+n.nextPort%20000)
+			a, b := newConnPair(n, here, address)
+			n.conns[a], n.conns[b] = true, true
+			n.mu.Unlock()
 			select {
 			case l.queue <- b:
 				return a, nil
@@ -256,8 +256,8 @@
 				return nil, ctx.Err()
 			}
 		}
-		change := w.change
-		w.mu.Unlock()
+		change := n.changed
+		n.mu.Unlock()
 		select {
 		case <-change:
 		case <-ctx.Done():
