--- a/internal/checker/served_test.go
+++ b/internal/checker/availability_test.go
@@ -6,7 +6,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func TestServedCountsEachCallOnce(t *testing.T) {
+func TestMeasureAvailability_CountsEachRequestOnce(t *testing.T) {
 	got := MeasureAvailability([]Record{
 		{Kind: RequestCompleted, Status: 200, Outcome: "ran"},
 		{Kind: RequestCompleted, Status: 503, Code: 1002, Outcome: "not run"},
--- /dev/null
+++ b/internal/checker/history_test.go
@@ -0,0 +1,45 @@
+package checker
+
+import (
+	"bytes"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
+)
+
+func TestHistory_IsReadAsItWasRecorded(t *testing.T) {
+	var out bytes.Buffer
+	h := NewHistory(&out)
+	for _, r := range sound() {
+		h.Add(r)
+	}
+	path := filepath.Join(t.TempDir(), "history")
+	if err := os.WriteFile(path, out.Bytes(), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	got, err := ReadHistory(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if diff := cmp.Diff(h.Records(), got); diff != "" {
+		t.Fatal(diff)
+	}
+}
+
+func TestReadHistory_NamesTheDamagedLine(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "history")
+	if err := os.WriteFile(path, []byte("{\"kind\":\"began\",\"at\":1}\n{\"kind\":"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := ReadHistory(path); !errcode.Is(err, errcode.BadCall) || !strings.Contains(err.Error(), "line 2") {
+		t.Fatal(err)
+	}
+	if _, err := ReadHistory(path + "-absent"); !errcode.Is(err, errcode.BadCall) {
+		t.Fatal(err)
+	}
+}
--- a/internal/simulator/dream_test.go
+++ b/internal/simulator/dream_test.go
@@ -62,7 +62,7 @@
 						mu.Lock()
 						recoveries = append(recoveries, recovery)
 						served = served.Add(some)
-						ran, inTouch = ran+counts[checker.RequestExecuted], inTouch+counts["ran in touch"]
+						ran, inTouch = ran+counts[string(checker.RequestExecuted)], inTouch+counts["ran in touch"]
 						mu.Unlock()
 					}
 				})
--- a/internal/standin/plain.go
+++ b/internal/standin/plain.go
@@ -25,7 +25,7 @@
 )
 
 // record is what a server sees of a request.
-func (s *Server) record(r *http.Request, kind string) checker.Record {
+func (s *Server) record(r *http.Request, kind checker.Kind) checker.Record {
 	rec := checker.Record{Kind: kind, CallID: r.Header.Get(HeaderCall), RequestID: r.Header.Get(proxy.HeaderRequestID), Proxy: r.Header.Get(proxy.HeaderProxy), Service: r.Header.Get(proxy.HeaderService), ServerService: s.Service, Instance: s.Instance, Address: s.Address, Path: r.URL.Path, Idempotent: r.Method == http.MethodGet, PerAttempt: s.Opaque}
 	epoch := r.Header.Get(proxy.HeaderEpoch)
 	if s.Opaque {
