--- a/internal/simulator/conn.go
+++ b/internal/simulator/conn.go
@@ -269,7 +269,8 @@
 	return nil
 }
 
-func (c *conn) LocalAddr() net.Addr  { return tcpAddr(c.localAddress) }
+func (c *conn) LocalAddr() net.Addr { return tcpAddr(c.localAddress) }
+
 func (c *conn) RemoteAddr() net.Addr { return tcpAddr(c.remoteAddress) }
 
 func (c *conn) update(change func()) error {
@@ -284,112 +285,7 @@
 func (c *conn) SetDeadline(t time.Time) error {
 	return c.update(func() { c.readDeadline, c.writeDeadline = t, t })
 }
-func (c *conn) SetReadDeadline(t time.Time) error  { return c.update(func() { c.readDeadline = t }) }
-func (c *conn) SetWriteDeadline(t time.Time) error { return c.update(func() { c.writeDeadline = t }) }
-
-type listener struct {
-	w       *Network
-	address string
-	queue   chan *conn
-	closed  chan struct{}
-	once    sync.Once
-}
-
-func (l *listener) Accept() (net.Conn, error) {
-	select {
-	case c := <-l.queue:
-		return c, nil
-	case <-l.closed:
-		return nil, net.ErrClosed
-	}
-}
-
-func (l *listener) close() { l.once.Do(func() { close(l.closed) }) }
-
-func (l *listener) Close() error {
-	l.close()
-	l.w.mu.Lock()
-	if l.w.listeners[l.address] == l {
-		delete(l.w.listeners, l.address)
-	}
-	l.w.mu.Unlock()
-	return nil
-}
-
-func (l *listener) Addr() net.Addr { return tcpAddr(l.address) }
-
-type packet struct {
-	due  time.Time
-	from string
-	data []byte
-}
-
-type packetConn struct {
-	w       *Network
-	address string
-	queue   chan packet
-	closed  chan struct{}
-	once    sync.Once
-}
-
-func (p *packetConn) ReadFrom(b []byte) (int, net.Addr, error) {
-	for {
-		select {
-		case got := <-p.queue:
-			if d := time.Until(got.due); d > 0 {
-				waitForEvent(time.Time{}, got.due, p.closed)
-			}
-			p.w.mu.Lock()
-			isBlocked := p.w.blocked(hostOf(got.from), hostOf(p.address))
-			p.w.mu.Unlock()
-			if isBlocked {
-				continue
-			}
-			return copy(b, got.data), tcpAddr(got.from), nil
-		case <-p.closed:
-			return 0, nil, net.ErrClosed
-		}
-	}
-}
 
-func (p *packetConn) WriteTo(b []byte, to net.Addr) (int, error) {
-	select {
-	case <-p.closed:
-		return 0, net.ErrClosed
-	default:
-	}
-	w, from := p.w, hostOf(p.address)
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.countBytes(from, hostOf(to.String()), len(b)+28)
-	target := w.packetConns[to.String()]
-	if target == nil || w.blocked(from, hostOf(to.String())) || w.rand.Float64() < w.lossRate {
-		return len(b), nil
-	}
-	due := w.arrivalTime(from, hostOf(to.String()), time.Now(), len(b)+28)
-	if time.Until(due) > queueMost {
-		return len(b), nil
-	}
-	select {
-	case target.queue <- packet{due, p.address, append([]byte(nil), b...)}:
-	default:
-	}
-	return len(b), nil
-}
+func (c *conn) SetReadDeadline(t time.Time) error { return c.update(func() { c.readDeadline = t }) }
 
-func (p *packetConn) shut() { p.once.Do(func() { close(p.closed) }) }
-
-func (p *packetConn) Close() error {
-	p.shut()
-	p.w.mu.Lock()
-	if p.w.packetConns[p.address] == p {
-		delete(p.w.packetConns, p.address)
-	}
-	p.w.mu.Unlock()
-	return nil
-}
-
-func (p *packetConn) LocalAddr() net.Addr                { return tcpAddr(p.address) }
-func (p *packetConn) SetDeadline(t time.Time) error      { return nil }
-func (p *packetConn) SetReadDeadline(t time.Time) error  { return nil }
-func (p *packetConn) SetWriteDeadline(t time.Time) error { return nil }
+func (c *conn) SetWriteDeadline(t time.Time) error { return c.update(func() { c.writeDeadline = t }) }
--- a/internal/simulator/faults.go
+++ b/internal/simulator/faults.go
@@ -11,48 +11,6 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-func fiveCoreShape() Shape {
-	s := Small()
-	s.Cores, s.Proxies = 5, 3
-	return s
-}
-
-// Scenarios is all of them.
-var Scenarios = []Scenario{
-	{Name: "kills", Shape: Small, Length: 25 * time.Second, Faults: killMachines},
-	{Name: "power", Shape: Small, Length: 25 * time.Second, Faults: losePower},
-	{Name: "wipes", Shape: fiveCoreShape, Length: 30 * time.Second, Faults: wipeDisks},
-	{Name: "cuts", Shape: Small, Length: 30 * time.Second, Faults: partitionNetwork},
-	{Name: "freezes", Shape: Small, Length: 25 * time.Second, Faults: pauseMachines},
-	{Name: "fulls", Shape: Small, Length: 25 * time.Second, Faults: fillDisks},
-	{Name: "stalls", Shape: Small, Length: 25 * time.Second, Faults: stallDisks},
-	{Name: "servers", Shape: Small, Length: 25 * time.Second, Faults: disturbTargets},
-	{Name: "answers", Shape: Small, Length: 25 * time.Second, Faults: corruptResponses},
-	{Name: "stops", Shape: Small, Length: 25 * time.Second, Faults: stopMachines, PlannedOnly: true},
-	{Name: "servers-cut", Shape: Small, Length: 30 * time.Second, Faults: disturbTargetsDuring(slowLinks)},
-	{Name: "servers-kill", Shape: Small, Length: 30 * time.Second, Faults: disturbTargetsDuring(killLeader)},
-	{Name: "amnesia", Shape: Small, Length: 30 * time.Second, Faults: loseDiskAndPower},
-	{Name: "folds", Shape: frequentSnapshots, Length: 25 * time.Second, Faults: killMachines},
-	{Name: "flash", Shape: Small, Length: 25 * time.Second, Faults: loseAllPower},
-	{Name: "laggard", Shape: Small, Length: 25 * time.Second, Faults: isolateFollower},
-	{Name: "storm", Shape: duplicatesAllowed, Length: 25 * time.Second, Start: func(f *Fleet) { f.StartRetryStorm(12) }, Faults: overloadTargets},
-	{Name: "once", Shape: Small, Length: 25 * time.Second, Start: func(f *Fleet) { f.StartRetryStorm(8) }, Faults: func(f *Fleet) { overloadTargets(f); killMachines(f) }},
-	{Name: "rivals", Shape: Small, Length: 25 * time.Second, Start: func(f *Fleet) { f.StartRivals(500 * time.Millisecond) }, Faults: forceLeaderChanges},
-	{Name: "replacements", Shape: withSpares, Length: 30 * time.Second, Faults: replaceMembers},
-	{Name: "march", Shape: fiveCoreShape, Length: 30 * time.Second, Faults: killEachInTurn},
-	{Name: "acked", Shape: Small, Length: 30 * time.Second, Faults: faultAfterAcknowledgement},
-	{Name: "slows", Shape: Small, Length: 25 * time.Second, Faults: slowDisks},
-	{Name: "herds", Shape: Small, Length: 25 * time.Second, Faults: addManyTargets},
-	{Name: "cold", Shape: Small, Length: 30 * time.Second, Faults: startProxiesBeforeCore},
-	{Name: "stops-long", Shape: longRequests, Length: 30 * time.Second, Start: func(f *Fleet) { f.StartUploads(4) }, Faults: stopDuringLongRequests, PlannedOnly: true},
-	{Name: "stops-alone", Shape: longRequests, Length: 30 * time.Second, Start: func(f *Fleet) { f.StartUploads(4) }, Faults: stopWithoutMajority},
-	{Name: "uploads", Shape: Small, Length: 25 * time.Second, Start: func(f *Fleet) { f.StartUploads(8) }, Faults: func(f *Fleet) { partitionNetwork(f); killMachines(f); disturbTargets(f) }},
-	{Name: "pairs", Shape: withSpares, Length: 30 * time.Second, Faults: pairCoreFaults},
-	{Name: "overlap", Shape: fiveCoreShape, Length: 30 * time.Second, Faults: overlapFaults},
-	{Name: "growth", Shape: growingConfiguration, Length: 25 * time.Second, Faults: killMachines},
-	{Name: "mixed", Shape: fiveCoreShape, Length: 40 * time.Second, Faults: mixFaults},
-}
-
 func (f *Fleet) sleepBetween(least, most time.Duration) {
 	time.Sleep(least + time.Duration(f.Rand.Int64N(int64(most-least)+1)))
 }
@@ -233,32 +191,6 @@
 	}
 }
 
-// frequentSnapshots makes snapshots all the time, so that restarts come from them.
-func frequentSnapshots() Shape {
-	s := Small()
-	s.Settings["pact.snapshot"] = "20"
-	return s
-}
-
-// longRequests has servers that work for up to a few seconds on each request.
-func longRequests() Shape {
-	s := Small()
-	s.ServiceTime = 2500 * time.Millisecond
-	return s
-}
-
-func growingConfiguration() Shape {
-	s := Small()
-	s.Growth = 400
-	return s
-}
-
-func duplicatesAllowed() Shape {
-	s := Small()
-	s.AllowsDuplicates = true
-	return s
-}
-
 // loseDiskAndPower wipes one core node while another is cut off, so that the one that
 // knows is alone with one that knows nothing.
 func loseDiskAndPower(f *Fleet) {
--- a/internal/simulator/replacing.go
+++ b/internal/simulator/faults_membership.go
@@ -6,14 +6,9 @@
 import (
 	"sync"
 	"time"
-)
 
-// withSpares is a core of five whose lost members are soon replaced.
-func withSpares() Shape {
-	shape := fiveCoreShape()
-	shape.Settings["pact.gone"] = "1s"
-	return shape
-}
+	"github.com/sumactrestle/sumactrestle/internal/ids"
+)
 
 // replaceMembers cuts a core node off for about as long as its replacement takes, and
 // takes the power of others meanwhile and at its return.
@@ -94,3 +89,25 @@
 	f.Network.Heal()
 	f.sleepBetween(time.Second, 3*time.Second)
 }
+
+// forceLeaderChanges takes the power of the configuration part's owner, or cuts it off, again
+// and again.
+func forceLeaderChanges(f *Fleet) {
+	f.sleepBetween(300*time.Millisecond, 2*time.Second)
+	owner := leaderOf(f, ids.ConfigShard, nil)
+	if owner == nil {
+		return
+	}
+	if f.Rand.IntN(3) == 0 {
+		f.Logf("cut %s off", owner.Name)
+		f.isolate([]*Machine{owner})
+		f.sleepBetween(200*time.Millisecond, 3*time.Second)
+		f.Logf("heal")
+		f.Network.Heal()
+		return
+	}
+	f.Logf("%s loses power", owner.Name)
+	owner.Kill(true)
+	f.sleepBetween(0, 2*time.Second)
+	f.startMachine(owner)
+}
--- a/internal/simulator/rivals.go
+++ b/internal/simulator/load_rivals.go
@@ -8,7 +8,6 @@
 	"sync"
 	"time"
 
-	"github.com/sumactrestle/sumactrestle/internal/ids"
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
@@ -71,25 +70,3 @@
 	}
 	return false
 }
-
-// forceLeaderChanges takes the power of the configuration part's owner, or cuts it off, again
-// and again.
-func forceLeaderChanges(f *Fleet) {
-	f.sleepBetween(300*time.Millisecond, 2*time.Second)
-	owner := leaderOf(f, ids.ConfigShard, nil)
-	if owner == nil {
-		return
-	}
-	if f.Rand.IntN(3) == 0 {
-		f.Logf("cut %s off", owner.Name)
-		f.isolate([]*Machine{owner})
-		f.sleepBetween(200*time.Millisecond, 3*time.Second)
-		f.Logf("heal")
-		f.Network.Heal()
-		return
-	}
-	f.Logf("%s loses power", owner.Name)
-	owner.Kill(true)
-	f.sleepBetween(0, 2*time.Second)
-	f.startMachine(owner)
-}
--- /dev/null
+++ b/internal/simulator/machine.go
@@ -0,0 +1,130 @@
+package simulator
+
+import (
+	"fmt"
+	"sync"
+	"sync/atomic"
+
+	"github.com/sumactrestle/sumactrestle/internal/checker"
+	"github.com/sumactrestle/sumactrestle/internal/config"
+	"github.com/sumactrestle/sumactrestle/internal/environment"
+	"github.com/sumactrestle/sumactrestle/internal/eventlog"
+	"github.com/sumactrestle/sumactrestle/internal/node"
+)
+
+// Machine is one node's place; its node is nil while it is down.
+type Machine struct {
+	fleet    *Fleet
+	Name     string
+	Zone     string
+	IP       string
+	IsCore   bool
+	IsProxy  bool
+	mu       sync.Mutex
+	node     *node.Node
+	starting chan struct{} // held while the machine is started; waiting for it lets time pass
+}
+
+func (m *Machine) RPCAddress() string { return m.IP + ":7000" }
+
+func (m *Machine) APIAddress() string { return m.IP + ":7001" }
+
+func (m *Machine) ProxyAddress() string { return m.IP + ":7002" }
+
+// Node is the running node, or nil.
+func (m *Machine) Node() *node.Node {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.node
+}
+
+// Start brings the machine's process up.
+func (m *Machine) Start() error {
+	set := map[string]string{"name": m.Name, "zone": m.Zone, "wire.address": m.RPCAddress(), "api.address": m.APIAddress(), "found.cores": fmt.Sprint(m.fleet.Shape.Cores), "log.level": "debug"}
+	seeds := ""
+	for _, other := range m.fleet.Machines {
+		if other.IsCore && len(seeds) < 40 {
+			seeds += "," + other.RPCAddress()
+		}
+	}
+	set["seeds"] = seeds[1:]
+	if m.IsCore {
+		set["data.folder"] = "/dream/" + m.Name
+	}
+	if m.IsProxy {
+		set["gate.address"] = m.ProxyAddress()
+	}
+	for key, value := range m.fleet.Shape.Settings {
+		set[key] = value
+	}
+	p, err := config.Load("", set)
+	if err != nil {
+		return err
+	}
+	if m.IsProxy {
+		m.fleet.History.Add(checker.Record{Kind: checker.ProxyStarted, Proxy: m.ProxyAddress()})
+	}
+	journal := eventlog.New(m.fleet.Log, "debug", m.Name)
+	journal.Told = m.fleet.recordEvent
+	here := &atomic.Pointer[node.Node]{}
+	r := environment.New(m.fleet.ctx, p, journal, m.hostNetwork(here))
+	r.Trace = func(step any) {
+		m.fleet.conformance.Observe(step)
+		if watch := m.fleet.observer.Load(); watch != nil {
+			(*watch)(m, step)
+		}
+	}
+	node, err := node.Start(r)
+	if err != nil {
+		m.fleet.Network.Kill(m.IP, false)
+		r.Shutdown()
+		return err
+	}
+	here.Store(node)
+	m.mu.Lock()
+	m.node = node
+	m.mu.Unlock()
+	if node.Store != nil {
+		go func() {
+			select {
+			case <-node.Store.Corrupted():
+				m.Kill(false)
+			case <-r.Done():
+			}
+		}()
+	}
+	return nil
+}
+
+// Kill ends the process at once; with the power, what was not synced is gone.
+func (m *Machine) Kill(isPowerLost bool) {
+	m.mu.Lock()
+	node := m.node
+	m.node = nil
+	m.mu.Unlock()
+	if node == nil {
+		return
+	}
+	m.fleet.Network.Kill(m.IP, isPowerLost)
+	node.R.Shutdown()
+}
+
+// Stop is the planned stop.
+func (m *Machine) Stop() {
+	m.mu.Lock()
+	node := m.node
+	m.node = nil
+	m.mu.Unlock()
+	if node == nil {
+		return
+	}
+	node.Stop()
+	m.fleet.Network.Kill(m.IP, false)
+}
+
+// Move gives a machine that is down an empty disk and a new address.
+func (m *Machine) Move() {
+	var zone int
+	fmt.Sscanf(m.Zone, "zone%d", &zone)
+	m.IP = m.fleet.newHost(zone - 1)
+}
--- /dev/null
+++ b/internal/simulator/recovery.go
@@ -0,0 +1,103 @@
+package simulator
+
+import (
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"time"
+
+	"github.com/go-faster/jx"
+
+	"github.com/sumactrestle/sumactrestle/internal/api"
+	"github.com/sumactrestle/sumactrestle/internal/checker"
+	"github.com/sumactrestle/sumactrestle/internal/standin"
+)
+
+// IsUsable tells whether every proxy that is up serves every service, and the
+// core takes calls.
+func (f *Fleet) IsUsable() bool {
+	caller := f.newClient(90)
+	defer caller.Close()
+	for _, proxyNode := range f.Proxies() {
+		if proxyNode.Node() == nil {
+			continue
+		}
+		for service := range f.Shape.Targets {
+			method, body := "POST", []byte("{}")
+			if f.Shape.Idempotent[service] {
+				method, body = "GET", nil
+			}
+			if caller.Call(f.ctx, proxyNode.ProxyAddress(), method, "/"+service, service, body).Outcome != "ran" {
+				return false
+			}
+		}
+	}
+	client := standin.NewAPIClient(f.Network.HostAt(f.clientHost(91)), f.Cores()[0].APIAddress())
+	for i := range 3 {
+		ctx, end := context.WithTimeout(f.ctx, time.Second)
+		_, err := client.PutKey(ctx, &api.Call{Name: fmt.Sprint("usable", i), Value: jx.Raw("1")})
+		end()
+		if err != nil {
+			return false
+		}
+	}
+	return true
+}
+
+// Restore brings everything back: ways, disks, machines.
+func (f *Fleet) Restore() {
+	f.Network.SetLossRate(0)
+	f.Network.Heal()
+	for _, m := range f.Machines {
+		f.Network.Disk(m.IP).Resume()
+		f.Network.Disk(m.IP).Slow(0)
+		if m.Node() == nil {
+			if err := m.Start(); err != nil {
+				f.Logf("%s can't start: %v", m.Name, err)
+			}
+		}
+	}
+}
+
+// status tells whether all machines are up, with their ways and disks, and how
+// often something was done to any of them.
+func (f *Fleet) status() (intact bool, faults int) {
+	intact, faults = f.Network.status()
+	for _, m := range f.Machines {
+		isWell, more := f.Network.Disk(m.IP).status()
+		intact = intact && isWell && m.Node() != nil
+		faults += more
+	}
+	return intact, faults
+}
+
+// measureRecoveries takes, after every return inside the run, the time until the fleet
+// is usable again; a return that the next fault overtakes is not counted.
+func (f *Fleet) measureRecoveries() {
+	back, isCounted, last := time.Duration(0), true, 0
+	f.goTask(func(r *rand.Rand) {
+		time.Sleep(200 * time.Millisecond)
+		intact, faults := f.status()
+		if faults != last || !intact {
+			back, isCounted, last = 0, false, faults
+		}
+		if intact && back == 0 {
+			back = f.History.Now()
+		}
+		if isCounted || back == 0 {
+			return
+		}
+		isUsable := f.IsUsable()
+		if intact, faults = f.status(); faults != last || !intact {
+			return
+		}
+		if isUsable || f.History.Now()-back > 16*time.Second {
+			isCounted = true
+			rec := checker.Record{Kind: checker.Recovery, Start: back, Outcome: "usable"}
+			if !isUsable {
+				rec.Outcome = "not usable"
+			}
+			f.History.Add(rec)
+		}
+	})
+}
