--- a/internal/simulator/full_test.go
+++ b/internal/simulator/disk_test.go
@@ -11,13 +11,13 @@
 	"github.com/sumactrestle/sumactrestle/internal/standin"
 )
 
-// TestANodeWhoseDiskIsFullGoesOn: it gives up what it owns, passes calls on, says so
-// once, and is a member again when there is room, without a restart.
-func TestANodeWhoseDiskIsFullGoesOn(t *testing.T) {
+// A node whose disk is full gives up the shards it leads, forwards calls, logs it once, and
+// is a member again when there is room, without a restart.
+func TestStorage_NodeWithAFullDiskGoesOn(t *testing.T) {
 	inFleet(t, one(), func(t *testing.T, f *Fleet) {
 		time.Sleep(3 * time.Second)
-		no := ids.ShardOf("app/a")
-		full := f.owner(no)
+		shard := ids.ShardOf("app/a")
+		full := f.owner(shard)
 		node := full.Node()
 		client := standin.NewAPIClient(f.Network.HostAt(f.clientHost(1)), full.APIAddress())
 		put := func() bool {
@@ -26,18 +26,21 @@
 		}
 		f.Network.Disk(full.IP).Fill()
 		go put() // what is written shows that the disk is full
-		if !f.WaitUntil(5*time.Second, func() bool { m := f.owner(no); return m != nil && m != full }) {
-			t.Fatal("the part is not given up")
+		if !f.WaitUntil(5*time.Second, func() bool { m := f.owner(shard); return m != nil && m != full }) {
+			t.Fatal("the shard is not given up")
+		}
+		if full.Node() != node {
+			t.Fatal("the process has ended")
 		}
 		if !f.WaitUntil(3*time.Second, put) {
-			t.Error("it passes no calls on")
+			t.Error("it forwards no calls")
 		}
-		for no := range ids.ShardCount + 1 {
-			if node.Consensus.Replica(ids.Shard(no)).IsLeader() {
-				t.Errorf("it still owns part %d", no)
+		for other := range ids.Shard(ids.ShardCount) + 1 {
+			if node.Consensus.Replica(other).IsLeader() {
+				t.Errorf("it still leads shard %d", other)
 			}
 		}
-		before := full.status(no)
+		before := full.status(shard)
 		time.Sleep(5 * time.Second)
 		if full.Node() != node {
 			t.Fatal("the process has ended")
@@ -54,8 +57,8 @@
 				return false
 			}
 			time.Sleep(500 * time.Millisecond)
-			now := full.status(no)
-			return node.Store.StallTime() == 0 && now.CommitIndex > before.CommitIndex && now.LastIndex == f.owner(no).status(no).LastIndex
+			now := full.status(shard)
+			return node.Store.StallTime() == 0 && now.CommitIndex > before.CommitIndex && now.LastIndex == f.owner(shard).status(shard).LastIndex
 		}) {
 			t.Error("it does not come back by itself")
 		}
@@ -65,12 +68,12 @@
 	})
 }
 
-// TestANodeStartsWhenThereIsRoom: no space at a start is no damage, and no end.
-func TestANodeStartsWhenThereIsRoom(t *testing.T) {
+// A disk without room is no corruption: the node waits for room and keeps its data.
+func TestStorage_NodeStartsWhenTheDiskHasRoom(t *testing.T) {
 	inFleet(t, one(), func(t *testing.T, f *Fleet) {
 		time.Sleep(3 * time.Second)
 		m := f.Machine("core2")
-		birth := m.Node().Kin.Self().ID
+		id := m.Node().Kin.Self().ID
 		f.Network.Disk(m.IP).Fill()
 		m.Kill(true)
 		isUp := make(chan struct{})
@@ -89,8 +92,8 @@
 		if m.Node() == nil {
 			t.Fatal("it is not up when there is room")
 		}
-		if now := m.Node().Kin.Self().ID; now != birth {
-			t.Errorf("its data was set aside: it was born as %s and is %s", birth, now)
+		if now := m.Node().Kin.Self().ID; now != id {
+			t.Errorf("its data was set aside: its member ID was %s and is %s", id, now)
 		}
 		if !f.WaitUntil(10*time.Second, f.isRepaired) {
 			t.Error("it is no member again")
--- a/internal/simulator/links_test.go
+++ b/internal/simulator/links_test.go
@@ -1,5 +1,3 @@
-// On a narrow link words come late, and are still right: what is long must not make a
-// proxy let go of its pipes, and a proxy must not call its epoch old for it.
 package simulator
 
 import (
@@ -11,7 +9,7 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-func TestANarrowLinkQueuesWhatItCantCarry(t *testing.T) {
+func TestLink_NarrowLinkQueuesWhatItCannotCarry(t *testing.T) {
 	inFleet(t, one(), func(t *testing.T, f *Fleet) {
 		from, to := f.clientHost(4), f.clientHost(5)
 		f.Network.LimitBandwidth(to, 100_000)
@@ -44,7 +42,8 @@
 	})
 }
 
-func TestALongReceiptOnANarrowLinkKeepsItsPipe(t *testing.T) {
+// A response that takes long on a narrow link must not make a node drop its connection.
+func TestLink_LongResponseKeepsItsConnection(t *testing.T) {
 	inFleet(t, one(), func(t *testing.T, f *Fleet) {
 		core, proxyNode := f.Cores()[0], f.Machine("proxy1")
 		long := strings.Repeat("x", 300_000)
@@ -55,22 +54,24 @@
 		go func() {
 			ctx, end := context.WithTimeout(f.ctx, 10*time.Second)
 			defer end()
-			var whole string
-			got <- proxyNode.Node().Wire.Call(ctx, core.RPCAddress(), "test.long", struct{}{}, &whole)
+			var response string
+			got <- proxyNode.Node().Wire.Call(ctx, core.RPCAddress(), "test.long", struct{}{}, &response)
 		}()
 		time.Sleep(500 * time.Millisecond)
 		ctx, end := context.WithTimeout(f.ctx, 500*time.Millisecond)
 		defer end()
 		if err := proxyNode.Node().Wire.Call(ctx, core.RPCAddress(), "test.short", struct{}{}, nil); err == nil {
-			t.Fatal("the short receipt overtook the long one")
+			t.Fatal("the short response overtook the long one")
 		}
 		if err := <-got; err != nil {
-			t.Error("the long receipt was lost:", err)
+			t.Error("the long response was lost:", err)
 		}
 	})
 }
 
-func TestAProxyWhoseLinkIsSlowStillHearsWhichEpochIsTheNewest(t *testing.T) {
+// Confirmations that come late over a slow link are still right: a proxy must not take its
+// epoch for stale because of them, though it must once it is cut off.
+func TestLink_ProxyBehindASlowLinkHearsOfTheNewestEpoch(t *testing.T) {
 	shape := one()
 	shape.Settings["flow.stay"], shape.Settings["flow.behind"] = "1h", "1700ms"
 	shape.Settings["flow.servers"], shape.Settings["plan.linger"] = "2", "30s"
@@ -102,7 +103,7 @@
 			time.Sleep(50 * time.Millisecond)
 			if age := node.R.Since(node.Flow.LatestConfirmation().ConfigAsOf); age > 1700*time.Millisecond {
 				in, out := f.Network.QueueDelay(proxyNode.IP)
-				t.Fatal("the last word of the newest epoch is old by", age, "while words wait", in, out)
+				t.Fatal("the last confirmation of the newest epoch is old by", age, "while messages wait", in, out)
 			}
 		}
 		conn.Close()
--- a/internal/simulator/kin_test.go
+++ b/internal/simulator/membership_test.go
@@ -1,4 +1,3 @@
-// Who knows whom after many machines came back at once.
 package simulator
 
 import (
@@ -7,8 +6,8 @@
 )
 
 // Core nodes that come back together find one another through their seeds; the
-// proxies, which knew them all along, must not stay strangers to them.
-func TestACoreThatReturnsAsAWholeSoonKnowsTheProxies(t *testing.T) {
+// proxies, which knew them all along, must not stay unknown to them.
+func TestMembership_ReturningCoreSoonKnowsTheProxies(t *testing.T) {
 	shape := Small()
 	shape.Proxies = 6
 	inFleet(t, shape, func(t *testing.T, f *Fleet) {
@@ -40,8 +39,8 @@
 	})
 }
 
-// A seed that says nothing keeps nobody from asking the others.
-func TestAProxyWhoseFirstSeedIsSilentSoonKnowsTheFleet(t *testing.T) {
+// A seed that does not answer keeps no node from joining through the others.
+func TestMembership_SilentSeedDelaysNoJoin(t *testing.T) {
 	inFleet(t, Small(), func(t *testing.T, f *Fleet) {
 		silent := f.Cores()[0]
 		late := f.Add("late", 1, false, true)
--- a/internal/storage/recovery.go
+++ b/internal/storage/recovery.go
@@ -75,9 +75,9 @@
 // quarantine sets the data folder aside under a name that tells the time.
 func (s *Store) quarantine(cause error) error {
 	folder := s.env.Config.DataFolder
-	aside := folder + ".damaged-" + time.Now().Format("20060102-150405")
-	s.env.Events.Say(eventlog.StoreDamaged, "folder", folder, "aside", aside, "cause", cause.Error())
-	if err := s.env.Host.Rename(folder, aside); err != nil {
+	quarantine := folder + ".damaged-" + time.Now().Format("20060102-150405")
+	s.env.Events.Say(eventlog.StoreDamaged, "folder", folder, "quarantine", quarantine, "cause", cause.Error())
+	if err := s.env.Host.Rename(folder, quarantine); err != nil {
 		return errcode.New(errcode.StorageBroken, "%s is corrupt (%v) and can't be set aside: %v", folder, cause, err)
 	}
 	return nil
