--- a/internal/controlplane/change.go
+++ b/internal/controlplane/change.go
@@ -47,13 +47,13 @@
 		}
 		return &first, nil
 	}
-	if change.BaseVersion != nil && *change.BaseVersion != e.Version {
-		return nil, errcode.New(errcode.ChangeConflict, "version %d was named, version %d is in force", *change.BaseVersion, e.Version)
+	if change.ExpectedVersion != nil && *change.ExpectedVersion != e.Version {
+		return nil, errcode.New(errcode.ChangeConflict, "version %d was named, version %d is in force", *change.ExpectedVersion, e.Version)
 	}
 	if change.Version > 0 && change.Version <= e.Version {
 		return nil, errcode.At(errcode.BadChange, []string{fmt.Sprintf("version: is not above %d, which is in force", e.Version)})
 	}
-	if change.BaseVersion == nil && (change.BaseEpoch < e.LastChange || change.BaseEpoch > e.Epoch) {
+	if change.ExpectedVersion == nil && (change.BaseEpoch < e.LastChange || change.BaseEpoch > e.Epoch) {
 		return nil, errcode.New(errcode.ChangeConflict, "epoch %d was named, the last change set was accepted in epoch %d, epoch %d is in force", change.BaseEpoch, e.LastChange, e.Epoch)
 	}
 	return nil, nil
--- a/internal/controlplane/change_test.go
+++ b/internal/controlplane/change_test.go
@@ -21,21 +21,21 @@
 		"as today":                      {rpc.ChangeSet{ID: "a", BaseEpoch: 7}, "x", errcode.Code{}, false},
 		"base too old":                  {rpc.ChangeSet{ID: "a", BaseEpoch: 6}, "x", errcode.ChangeConflict, false},
 		"base to come":                  {rpc.ChangeSet{ID: "a", BaseEpoch: 10}, "x", errcode.ChangeConflict, false},
-		"repeat":                        {rpc.ChangeSet{ID: "old", Version: 5, BaseVersion: version(1)}, "d", errcode.Code{}, true},
+		"repeat":                        {rpc.ChangeSet{ID: "old", Version: 5, ExpectedVersion: version(1)}, "d", errcode.Code{}, true},
 		"id used again":                 {rpc.ChangeSet{ID: "old", BaseEpoch: 7}, "other", errcode.ChangeReused, false},
-		"over what is in force":         {rpc.ChangeSet{ID: "a", Version: 6, BaseVersion: version(5)}, "x", errcode.Code{}, false},
-		"over, and no version":          {rpc.ChangeSet{ID: "a", BaseVersion: version(5)}, "x", errcode.Code{}, false},
-		"over what is past":             {rpc.ChangeSet{ID: "a", BaseEpoch: 9, Version: 6, BaseVersion: version(4)}, "x", errcode.ChangeConflict, false},
-		"over what is to come":          {rpc.ChangeSet{ID: "a", BaseEpoch: 9, Version: 7, BaseVersion: version(6)}, "x", errcode.ChangeConflict, false},
-		"over none":                     {rpc.ChangeSet{ID: "a", Version: 6, BaseVersion: version(0)}, "x", errcode.ChangeConflict, false},
+		"over what is in force":         {rpc.ChangeSet{ID: "a", Version: 6, ExpectedVersion: version(5)}, "x", errcode.Code{}, false},
+		"over, and no version":          {rpc.ChangeSet{ID: "a", ExpectedVersion: version(5)}, "x", errcode.Code{}, false},
+		"over what is past":             {rpc.ChangeSet{ID: "a", BaseEpoch: 9, Version: 6, ExpectedVersion: version(4)}, "x", errcode.ChangeConflict, false},
+		"over what is to come":          {rpc.ChangeSet{ID: "a", BaseEpoch: 9, Version: 7, ExpectedVersion: version(6)}, "x", errcode.ChangeConflict, false},
+		"over none":                     {rpc.ChangeSet{ID: "a", Version: 6, ExpectedVersion: version(0)}, "x", errcode.ChangeConflict, false},
 		"version that is there":         {rpc.ChangeSet{ID: "a", BaseEpoch: 9, Version: 5}, "x", errcode.BadChange, false},
 		"version below":                 {rpc.ChangeSet{ID: "a", BaseEpoch: 9, Version: 4}, "x", errcode.BadChange, false},
-		"version below, over it":        {rpc.ChangeSet{ID: "a", Version: 5, BaseVersion: version(5)}, "x", errcode.BadChange, false},
-		"version below, over past":      {rpc.ChangeSet{ID: "a", Version: 5, BaseVersion: version(4)}, "x", errcode.ChangeConflict, false},
+		"version below, over it":        {rpc.ChangeSet{ID: "a", Version: 5, ExpectedVersion: version(5)}, "x", errcode.BadChange, false},
+		"version below, over past":      {rpc.ChangeSet{ID: "a", Version: 5, ExpectedVersion: version(4)}, "x", errcode.ChangeConflict, false},
 		"version above":                 {rpc.ChangeSet{ID: "a", BaseEpoch: 9, Version: 60}, "x", errcode.Code{}, false},
 		"version above, base too old":   {rpc.ChangeSet{ID: "a", BaseEpoch: 6, Version: 6}, "x", errcode.ChangeConflict, false},
 		"version below, base too old":   {rpc.ChangeSet{ID: "a", BaseEpoch: 6, Version: 5}, "x", errcode.BadChange, false},
-		"over, and base isn't asked of": {rpc.ChangeSet{ID: "a", BaseEpoch: 99, BaseVersion: version(5)}, "x", errcode.Code{}, false},
+		"over, and base isn't asked of": {rpc.ChangeSet{ID: "a", BaseEpoch: 99, ExpectedVersion: version(5)}, "x", errcode.Code{}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			first, err := epoch.CheckPrecondition(&c.change, c.digest)
@@ -47,7 +47,7 @@
 			}
 		})
 	}
-	_, err := epoch.CheckPrecondition(&rpc.ChangeSet{ID: "a", Version: 5, BaseVersion: version(5)}, "x")
+	_, err := epoch.CheckPrecondition(&rpc.ChangeSet{ID: "a", Version: 5, ExpectedVersion: version(5)}, "x")
 	if paths := errcode.Of(err).Paths; len(paths) != 1 || paths[0] != "version: is not above 5, which is in force" {
 		t.Errorf("%v", err)
 	}
--- a/internal/rpc/messages_gen.go
+++ b/internal/rpc/messages_gen.go
@@ -491,11 +491,11 @@
 // Service is a group of targets that answer alike. MaxConnections bounds the connections
 // to each of them from all proxies together.
 type Service struct {
-	Name            string          `json:"name"`
-	Key             string          `json:"key,omitempty"`
-	MaxConnections  int             `json:"pipes,omitempty"`
-	HealthCheckPath string          `json:"probe,omitempty"`
-	Source          json.RawMessage `json:"source,omitempty"`
+	Name           string          `json:"name"`
+	Key            string          `json:"key,omitempty"`
+	MaxConnections int             `json:"pipes,omitempty"`
+	ProbePath      string          `json:"probe,omitempty"`
+	Source         json.RawMessage `json:"source,omitempty"`
 }
 
 // Limit bounds a service over the complete fleet: requests in flight, and retries as a
@@ -534,14 +534,14 @@
 
 // ChangeSet is a change of the configuration: all of it is applied, or nothing.
 type ChangeSet struct {
-	ID          string        `json:"id"`
-	BaseEpoch   ids.Epoch     `json:"base"`
-	Complete    bool          `json:"whole,omitempty"`
-	Version     ids.Version   `json:"version,omitempty"`
-	BaseVersion *ids.Version  `json:"over,omitempty"`
-	Put         Configuration `json:"put,omitempty"`
-	Remove      Removals      `json:"drop,omitempty"`
-	Note        string        `json:"note,omitempty"`
+	ID              string        `json:"id"`
+	BaseEpoch       ids.Epoch     `json:"base"`
+	Complete        bool          `json:"whole,omitempty"`
+	Version         ids.Version   `json:"version,omitempty"`
+	ExpectedVersion *ids.Version  `json:"over,omitempty"`
+	Put             Configuration `json:"put,omitempty"`
+	Remove          Removals      `json:"drop,omitempty"`
+	Note            string        `json:"note,omitempty"`
 }
 
 // ChangeResult tells what became of a change set.
--- a/internal/simulator/load_versions.go
+++ b/internal/simulator/load_versions.go
@@ -66,7 +66,7 @@
 	}
 	source, _ := json.Marshal(map[string]string{"as": "sent", "id": id})
 	m := rpc.Route{Name: id, Path: "/numbered/" + id, Services: []rpc.WeightedService{{Service: service, Weight: 1}}, Source: source}
-	return &rpc.ChangeSet{ID: id, Version: over + 1 + ids.Version(r.IntN(2)), BaseVersion: &over, Put: rpc.Configuration{Routes: []rpc.Route{m}}}
+	return &rpc.ChangeSet{ID: id, Version: over + 1 + ids.Version(r.IntN(2)), ExpectedVersion: &over, Put: rpc.Configuration{Routes: []rpc.Route{m}}}
 }
 
 func (f *Fleet) submitVersion(node *node.Node, change *rpc.ChangeSet) string {
@@ -76,7 +76,7 @@
 // submitWithin sends a change and gives it up after a time; it may then be taken, or be
 // on its way.
 func (f *Fleet) submitWithin(limit time.Duration, node *node.Node, change *rpc.ChangeSet) string {
-	rec := checker.Record{Kind: checker.VersionedChange, Start: f.History.Now(), Name: change.ID, Revision: uint64(change.Version), From: uint64(*change.BaseVersion), Digest: string(change.Put.Routes[0].Source), Outcome: "accepted", Invalid: change.Put.Routes[0].Services[0].Service == standin.MissingService}
+	rec := checker.Record{Kind: checker.VersionedChange, Start: f.History.Now(), Name: change.ID, Revision: uint64(change.Version), From: uint64(*change.ExpectedVersion), Digest: string(change.Put.Routes[0].Source), Outcome: "accepted", Invalid: change.Put.Routes[0].Services[0].Service == standin.MissingService}
 	ctx, end := context.WithTimeout(f.ctx, limit)
 	defer end()
 	receipt, err := node.Submit(ctx, change)
--- a/internal/simulator/platform_mode.go
+++ b/internal/simulator/platform_mode.go
@@ -20,10 +20,10 @@
 )
 
 const (
-	platformHeartbeatInterval = 1500 * time.Millisecond
-	platformHeartbeatTimeout  = 3 * platformHeartbeatInterval
-	connectivityWindow        = 3 * time.Second
-	connectivityInterval      = 10 * time.Millisecond
+	platformHeartbeatPeriod  = 1500 * time.Millisecond
+	platformHeartbeatTimeout = 3 * platformHeartbeatPeriod
+	connectivityWindow       = 3 * time.Second
+	connectivityInterval     = 10 * time.Millisecond
 )
 
 // platformShape is a shape in the second manner.
@@ -31,7 +31,7 @@
 	s.PlatformMode = true
 	settings := map[string]string{
 		"flow.stay": "24h", "flow.pulse": "1s", "plan.keep": "true", "plan.strangers": "true",
-		"plan.beat": platformHeartbeatInterval.String(), "plan.silence": platformHeartbeatTimeout.String(), "plan.settle": (2*platformHeartbeatInterval + 500*time.Millisecond).String(),
+		"plan.beat": platformHeartbeatPeriod.String(), "plan.silence": platformHeartbeatTimeout.String(), "plan.settle": (2*platformHeartbeatPeriod + 500*time.Millisecond).String(),
 		"gate.seal": "opaque", "gate.ids": "caller", "gate.connect": "250ms", "gate.linger": "2s", "gate.return": "100ms",
 	}
 	for key, value := range s.Settings {
@@ -51,7 +51,7 @@
 // configureTarget gives a server the fleet's manner.
 func (f *Fleet) configureTarget(s *standin.Server) *standin.Server {
 	if f.Shape.PlatformMode {
-		s.Opaque, s.HeartbeatInterval, s.FailureTimeout = true, platformHeartbeatInterval, platformHeartbeatTimeout
+		s.Opaque, s.HeartbeatPeriod, s.FailureTimeout = true, platformHeartbeatPeriod, platformHeartbeatTimeout
 	}
 	return s
 }
--- a/internal/simulator/rivals_test.go
+++ b/internal/simulator/rivals_test.go
@@ -20,7 +20,7 @@
 		order := func(n int) *rpc.ChangeSet {
 			over := ids.Version(n)
 			name := fmt.Sprint("numbered-order", n%7)
-			return &rpc.ChangeSet{ID: fmt.Sprint("order", n), Version: over + 1, BaseVersion: &over, Put: rpc.Configuration{Routes: []rpc.Route{{Name: name, Path: "/" + name, Services: []rpc.WeightedService{{Service: "rates", Weight: 1 + n}}, Source: []byte(`{}`)}}}}
+			return &rpc.ChangeSet{ID: fmt.Sprint("order", n), Version: over + 1, ExpectedVersion: &over, Put: rpc.Configuration{Routes: []rpc.Route{{Name: name, Path: "/" + name, Services: []rpc.WeightedService{{Service: "rates", Weight: 1 + n}}, Source: []byte(`{}`)}}}}
 		}
 		submit := func(m *Machine, change *rpc.ChangeSet) (*rpc.ChangeResult, error) {
 			var receipt *rpc.ChangeResult
--- a/internal/simulator/snapshot_test.go
+++ b/internal/simulator/snapshot_test.go
@@ -71,7 +71,7 @@
 		version := ids.Version(0)
 		submit := func(put []rpc.Route) {
 			over := version
-			change := &rpc.ChangeSet{ID: fmt.Sprint("c", version), Version: version + 1, BaseVersion: &over, Put: rpc.Configuration{Routes: put}}
+			change := &rpc.ChangeSet{ID: fmt.Sprint("c", version), Version: version + 1, ExpectedVersion: &over, Put: rpc.Configuration{Routes: put}}
 			var err error
 			if !f.WaitUntil(20*time.Second, func() bool {
 				ctx, end := context.WithTimeout(f.ctx, 3*time.Second)
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -44,19 +44,19 @@
 
 // Server is one stand-in back end.
 type Server struct {
-	Network           environment.Host
-	History           *checker.History
-	Service           string
-	Instance          string
-	Address           string
-	Zone              string
-	SealKey           string
-	Nodes             []string // API addresses
-	ServiceTime       time.Duration
-	Misbehavior       func(n int64) string
-	HeartbeatInterval time.Duration // pause between beats; 300 ms if zero
-	FailureTimeout    time.Duration // after which it counts as gone; the judge's own if zero
-	Opaque            bool          // answers bear an opaque seal and name their request
+	Network         environment.Host
+	History         *checker.History
+	Service         string
+	Instance        string
+	Address         string
+	Zone            string
+	SealKey         string
+	Nodes           []string // API addresses
+	ServiceTime     time.Duration
+	Misbehavior     func(n int64) string
+	HeartbeatPeriod time.Duration // pause between beats; 300 ms if zero
+	FailureTimeout  time.Duration // after which it counts as gone; the judge's own if zero
+	Opaque          bool          // answers bear an opaque seal and name their request
 	// CancelsOnDisconnect has it leave off work whose connection closes; Dropped is how often it did.
 	CancelsOnDisconnect bool
 	Cancelled           atomic.Int64
@@ -114,10 +114,10 @@
 }
 
 func (s *Server) pause(spent time.Duration) time.Duration {
-	if s.HeartbeatInterval == 0 {
+	if s.HeartbeatPeriod == 0 {
 		return 300 * time.Millisecond
 	}
-	return max(s.HeartbeatInterval-spent, 0)
+	return max(s.HeartbeatPeriod-spent, 0)
 }
 
 func (s *Server) heartbeat(ctx context.Context, client *api.Client, state string) error {
