--- a/internal/gatewayapi/gatewayapi.go
+++ b/internal/gatewayapi/gatewayapi.go
@@ -1,7 +1,6 @@
-// Package guise reads Kubernetes-style objects as configuration: HTTPRoutes of
-// the gateway API, by its own types, turned into the mappings and services of a
-// change set. What has no counterpart here is refused by its path, never passed
-// over.
+// Package gatewayapi reads HTTPRoute objects of the Kubernetes Gateway API (v1) as a change
+// set of routes and services. A field that has no counterpart here is an error that names
+// the field's path; none is passed over.
 package gatewayapi
 
 import (
@@ -18,23 +17,26 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// Annotations by which a route says what the gateway API has no word for.
+// Annotations by which a route says what the Gateway API has no field for.
 const (
-	RepeatableAnnotation = "sumactrestle/repeatable"
-	OnceAnnotation       = "sumactrestle/once"
+	RepeatableAnnotation = "sumactrestle/repeatable" // "true": rpc.Route.Idempotent
+	OnceAnnotation       = "sumactrestle/once"       // "true" or not: rpc.Route.Deduplicate
 )
 
+// converter collects what the objects of one file amount to.
 type converter struct {
 	changeSet rpc.ChangeSet
-	services  map[string]bool
-	problems  []string
+	services  map[string]bool // that routes refer to
+	problems  []string        // each begins with the path of the field at fault
 }
 
+// reject adds a problem with the field at the path.
 func (c *converter) reject(path, format string, args ...any) {
 	c.problems = append(c.problems, path+": "+fmt.Sprintf(format, args...))
 }
 
-// Read turns a file of objects into a change set without id and base.
+// Read converts a file of YAML documents, one object each, to a change set without ID and
+// base. An error is errcode.BadChange and names all problems by the paths of their fields.
 func Read(raw []byte) (*rpc.ChangeSet, error) {
 	c := &converter{services: map[string]bool{}}
 	for i, document := range bytes.Split(raw, []byte("\n---")) {
@@ -56,6 +58,7 @@
 	return &c.changeSet, nil
 }
 
+// convertObject converts one document.
 func (c *converter) convertObject(path string, document []byte) {
 	var route gateway.HTTPRoute
 	if err := yaml.UnmarshalStrict(document, &route); err != nil {
@@ -83,6 +86,7 @@
 	}
 }
 
+// convertRule converts the rule with that index: one route for each match and host.
 func (c *converter) convertRule(path string, route *gateway.HTTPRoute, index int, rule gateway.HTTPRouteRule, hosts []gateway.Hostname) {
 	if len(rule.Filters) > 0 {
 		c.reject(path+".filters", "are not taken")
@@ -131,6 +135,9 @@
 	}
 }
 
+// convertMatch adds the routes of one match of a rule: the rule's route, with what the match
+// says, for each host. Routes are named by namespace, object, rule, match and, if there are
+// more hosts than one, the host's number.
 func (c *converter) convertMatch(path, name string, route rpc.Route, match gateway.HTTPRouteMatch, hosts []gateway.Hostname) {
 	if len(match.Headers) > 0 {
 		c.reject(path+".headers", "are not taken")
--- a/internal/gatewayapi/gatewayapi_test.go
+++ b/internal/gatewayapi/gatewayapi_test.go
@@ -1,4 +1,3 @@
-// Objects become mappings and services; what has no counterpart is named.
 package gatewayapi
 
 import (
@@ -11,7 +10,7 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-const good = `
+const supported = `
 apiVersion: gateway.networking.k8s.io/v1
 kind: HTTPRoute
 metadata: {name: rates, annotations: {sumactrestle/repeatable: "true"}}
@@ -29,8 +28,8 @@
   rules: [{backendRefs: [{name: bookings}]}]
 `
 
-func TestRoutesBecomeMappings(t *testing.T) {
-	change, err := Read([]byte(good))
+func TestRead_RoutesAndServices(t *testing.T) {
+	change, err := Read([]byte(supported))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,7 +49,7 @@
 	}
 }
 
-func TestWhatHasNoCounterpartIsRefused(t *testing.T) {
+func TestRead_UnsupportedFieldsAreErrorsWithTheirPaths(t *testing.T) {
 	_, err := Read([]byte(`
 apiVersion: gateway.networking.k8s.io/v1
 kind: HTTPRoute
--- a/internal/proxy/endpoint/pool_test.go
+++ b/internal/proxy/endpoint/pool_test.go
@@ -1,5 +1,3 @@
-// Illness: what puts a target out, what brings it back, and that a service is never
-// emptied by it.
 package endpoint
 
 import (
@@ -32,19 +30,19 @@
 func TestPool_FailingEndpointIsEjectedAndComesBackSlowly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		pool := poolOf(10)
-		ill := pool.Endpoints[3]
-		ill.AddToFailureScore(time.Now(), 1)
+		outlier := pool.Endpoints[3]
+		outlier.AddToFailureScore(time.Now(), 1)
 		time.Sleep(100 * time.Millisecond)
-		if selections(pool, ill, 1000) == 0 {
-			t.Error("out after one failure")
+		if selections(pool, outlier, 1000) == 0 {
+			t.Error("ejected after one failure")
 		}
-		ill.AddToFailureScore(time.Now(), 4)
+		outlier.AddToFailureScore(time.Now(), 4)
 		time.Sleep(100 * time.Millisecond)
-		if n := selections(pool, ill, 1000); n > 0 {
+		if n := selections(pool, outlier, 1000); n > 0 {
 			t.Errorf("%d of 1000 requests went to it", n)
 		}
 		time.Sleep(time.Minute)
-		if selections(pool, ill, 1000) == 0 {
+		if selections(pool, outlier, 1000) == 0 {
 			t.Error("it never came back")
 		}
 	})
@@ -52,14 +50,14 @@
 
 func TestPool_WhereAllFailNoneIsEjected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		for _, ill := range []int{10, 5} {
+		for _, failing := range []int{10, 5} {
 			pool := poolOf(10)
-			for _, p := range pool.Endpoints[:ill] {
+			for _, p := range pool.Endpoints[:failing] {
 				p.AddToFailureScore(time.Now(), maxScore)
 			}
 			time.Sleep(100 * time.Millisecond)
 			if n := selections(pool, pool.Endpoints[0], 1000); n < 50 {
-				t.Errorf("%d of 10 fail, and one of them got %d of 1000 requests", ill, n)
+				t.Errorf("%d of 10 fail, and one of them got %d of 1000 requests", failing, n)
 			}
 		}
 	})
@@ -87,18 +85,18 @@
 		pool.RecordLatency(100 * time.Millisecond)
 	}
 	if !pool.NearBaseline() {
-		t.Error("not calm, though nothing ever took longer")
+		t.Error("not near its baseline, though nothing ever took longer")
 	}
 	for range 100 {
 		pool.RecordLatency(300 * time.Millisecond)
 	}
 	if pool.NearBaseline() {
-		t.Error("calm, though all takes three times as long")
+		t.Error("near its baseline, though all takes three times as long")
 	}
 	for range 200 {
 		pool.RecordLatency(100 * time.Millisecond)
 	}
 	if !pool.NearBaseline() {
-		t.Error("not calm after it")
+		t.Error("not near its baseline after it")
 	}
 }
--- a/internal/proxy/reject_test.go
+++ b/internal/proxy/reject_test.go
@@ -39,8 +39,8 @@
 	return counting{conn, l.n}, err
 }
 
-// A refused upload must cost the link next to nothing: its answer comes before its
-// body, and its body is left unread.
+// A rejected upload must cost the link next to nothing: its response comes before its body,
+// and its body is left unread.
 func TestProxy_RejectedUploadIsLeftUnread(t *testing.T) {
 	r := environment.New(t.Context(), &config.Props{GateReturn: time.Second}, eventlog.New(io.Discard, "info", "n"), environment.Host{})
 	p := &Proxy{environment: r, uploads: admission.New(admission.Config{KilobytesPerSecond: 100, ConcurrentReads: 1})}
--- /dev/null
+++ b/internal/proxy/retry/budget_test.go
@@ -0,0 +1,147 @@
+package retry
+
+import (
+	"testing"
+	"testing/synctest"
+	"time"
+)
+
+const window = 10 * time.Second
+
+// withdrawals is how many extra requests the budget allows now, up to ten more than wanted.
+func withdrawals(budget *Budget, limits Limits, wanted int) (count int) {
+	for range wanted + 10 {
+		if budget.Withdraw("s", limits) {
+			count++
+		}
+	}
+	return count
+}
+
+func expectWithdrawals(t *testing.T, budget *Budget, limits Limits, want int) {
+	t.Helper()
+	if got := withdrawals(budget, limits, want); got != want {
+		t.Errorf("%d extra requests, not %d", got, want)
+	}
+}
+
+func TestBudget_StartsEmpty(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		expectWithdrawals(t, NewBudget(window), Limits{Percent: 20, Base: 60}, 0)
+	})
+}
+
+func TestBudget_FirstRequestsPayForExtraOnes(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		budget, limits := NewBudget(window), Limits{Percent: 50}
+		budget.RecordRequest("s", limits, 0, false)
+		expectWithdrawals(t, budget, limits, 0)
+		budget.RecordRequest("s", limits, 0, true)
+		expectWithdrawals(t, budget, limits, 0)
+		budget.RecordRequest("s", limits, 0, false)
+		expectWithdrawals(t, budget, limits, 1)
+	})
+}
+
+func TestBudget_BaseIsSharedAndRefillsSteadily(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		budget, limits := NewBudget(window), Limits{Base: 60}
+		budget.SetProxyCount(3)
+		expectWithdrawals(t, budget, limits, 0)
+		time.Sleep(window / 2)
+		expectWithdrawals(t, budget, limits, 5)
+		time.Sleep(10 * window)
+		expectWithdrawals(t, budget, limits, 10)
+	})
+}
+
+func TestBudget_FewerProxiesTakeEffectAfterOneWindow(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		budget, limits := NewBudget(window), Limits{Base: 60}
+		budget.SetProxyCount(3)
+		budget.SetProxyCount(1)
+		expectWithdrawals(t, budget, limits, 0)
+		time.Sleep(window)
+		expectWithdrawals(t, budget, limits, 10)
+		time.Sleep(2 * window)
+		expectWithdrawals(t, budget, limits, 30)
+	})
+}
+
+func TestBudget_LossOfWhichNotAllWereToldIsPaidFirst(t *testing.T) {
+	for name, test := range map[string]struct {
+		complete bool
+		want     int
+	}{
+		"all were told":     {true, 30},
+		"not all were told": {false, 28},
+	} {
+		t.Run(name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				budget, limits := NewBudget(window), Limits{Base: 60}
+				expectWithdrawals(t, budget, limits, 0)
+				for range 2 {
+					budget.RecordLoss("s")
+				}
+				budget.RecordReported([]uint64{1, 2}, map[string]int{"s": 2}, test.complete)
+				time.Sleep(window)
+				expectWithdrawals(t, budget, limits, test.want)
+			})
+		})
+	}
+}
+
+func TestBudget_RetryFasterThanTheReportIsCharged(t *testing.T) {
+	for name, test := range map[string]struct {
+		reported bool // by this proxy, as its own loss
+		want     int
+	}{
+		"its first request was another proxy's": {false, 29},
+		"its first request was lost here":       {true, 30},
+	} {
+		t.Run(name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				budget, limits := NewBudget(window), Limits{Base: 60}
+				expectWithdrawals(t, budget, limits, 0)
+				time.Sleep(window)
+				budget.RecordRequest("s", limits, 7, false)
+				if test.reported {
+					budget.RecordReported([]uint64{7}, nil, true)
+				}
+				budget.RecordPeerLosses([]uint64{7})
+				expectWithdrawals(t, budget, limits, test.want)
+			})
+		})
+	}
+}
+
+func TestBudget_CoversLossesOnlyAsFarAsItCanPay(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		budget, limits := NewBudget(window), Limits{Base: 8}
+		for losses := range 3 {
+			if !budget.CoversLosses("s", limits) {
+				t.Errorf("an empty bucket does not cover %d losses", losses)
+			}
+			budget.RecordLoss("s")
+		}
+		if budget.CoversLosses("s", limits) {
+			t.Error("an empty bucket covers three losses")
+		}
+		budget.RecordReported(nil, map[string]int{"s": 3}, true)
+		if !budget.CoversLosses("s", limits) {
+			t.Error("losses of which all were told have to be covered")
+		}
+	})
+}
+
+func TestBudget_KeysAreForgotten(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		budget, limits := NewBudget(window), Limits{Base: 60}
+		budget.RecordRequest("s", limits, 7, false)
+		time.Sleep(keyLifetime*window + time.Second)
+		budget.RecordRequest("s", limits, 8, false)
+		if len(budget.keys) != 1 {
+			t.Errorf("%d keys are held", len(budget.keys))
+		}
+	})
+}
--- a/internal/proxy/upstream/connection_test.go
+++ b/internal/proxy/upstream/connection_test.go
@@ -1,6 +1,3 @@
-// Every way in which a connection to a target can end, against the pipe's framing: an
-// answer goes to the request that it names or to nobody, one that is not whole is none,
-// and behind a request whose body was not read nothing else is written.
 package upstream
 
 import (
@@ -19,11 +16,13 @@
 
 const namedBy = "X-Id"
 
-// ending is what a target does with the first request that comes on a connection.
+// ending is what a target does with the first request that comes on a connection. Whatever it
+// is, a response goes to the request that it names or to nobody, one that is not complete is
+// none, and behind a request whose body was not read nothing else is written.
 type ending struct {
 	name string
 	act  func(conn net.Conn, in *bufio.Reader)
-	want string // the body that the caller gets; none if it must fail
+	want string // the body that the client gets; none if it must fail
 	// isKept tells that the connection serves the next request as well.
 	isKept bool
 }
@@ -32,7 +31,7 @@
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: %d\r\n\r\n%s", namedBy, id, len(body), body)
 }
 
-// takeRequest reads one whole request and tells its id; no id if it broke off.
+// takeRequest reads one complete request and returns its id; no id if it broke off.
 func takeRequest(in *bufio.Reader) string {
 	request, err := http.ReadRequest(in)
 	if err != nil {
@@ -105,13 +104,13 @@
 
 const bodySize = 300 << 10
 
-// exchange sends one request on a pipe, as a try does.
+// exchange sends one request on a connection, as an attempt does.
 func exchange(p *Connection, id string) (string, error) {
 	request, _ := http.NewRequest(http.MethodPost, "http://t/", bytes.NewReader(make([]byte, bodySize)))
 	request.Header.Set(namedBy, id)
 	out, ok := p.Begin(request, 1<<20)
 	if !ok {
-		return "", errors.New("the pipe is dead")
+		return "", errors.New("the connection is dead")
 	}
 	p.conn.SetDeadline(time.Now().Add(5 * time.Second))
 	err := request.Write(p.conn)
--- a/internal/proxy/upstream/pool_test.go
+++ b/internal/proxy/upstream/pool_test.go
@@ -1,4 +1,3 @@
-// Connections that targets forget without a word.
 package upstream
 
 import (
@@ -23,7 +22,7 @@
 		defer r.Shutdown()
 		o := NewPool(Config{Environment: r, IdleTimeout: 20 * time.Second})
 		defer o.Prune(func(string) bool { return false })
-		// use takes a pipe, and leaves it idle for a while.
+		// use takes a connection, and leaves it idle for a while.
 		use := func(rest time.Duration) *Connection {
 			p, err := o.Get(r, "s", "t", time.Second)
 			if err != nil {
@@ -40,14 +39,14 @@
 		o.RecordStale(time.Second, time.Now())
 		use(200 * time.Millisecond)
 		if dials != 2 {
-			t.Error("a pipe that idled as long as one that was forgotten was used")
+			t.Error("a connection that was idle as long as a stale one was used")
 		}
 		if use(time.Second); dials != 2 {
-			t.Error("a pipe that idled for a moment was not used")
+			t.Error("a connection that was idle for a moment was not used")
 		}
 		time.Sleep(idleLimitDuration)
 		if use(time.Second); dials != 2 {
-			t.Error("long after, pipes still may not idle")
+			t.Error("long after, connections still may not be idle")
 		}
 	})
 }
--- a/internal/proxy/upstream/response_test.go
+++ b/internal/proxy/upstream/response_test.go
@@ -1,6 +1,3 @@
-// Whatever a target sends, reading its answer ends: with a problem, or with a
-// whole body that is no longer than the limit and belongs to the request, unless
-// nothing that belongs to it follows.
 package upstream
 
 import (
@@ -30,6 +27,9 @@
 	return "HTTP/1.1 200 OK\r\n" + namer + ": " + id + "\r\nContent-Length: " + strconv.Itoa(length) + "\r\n\r\n" + body
 }
 
+// FuzzReadResponse holds that reading a response ends, whatever a target sends: with an error,
+// or with a complete body that is no longer than the limit and belongs to the request, unless
+// nothing that belongs to it follows.
 func FuzzReadResponse(f *testing.F) {
 	for _, text := range []string{
 		reply(asked, 2, "ok"), reply(asked, 9, "short"), reply("r0", 4, "late") + reply(asked, 2, "ok"), reply(asked, 99, strings.Repeat("x", 99)),
@@ -79,15 +79,15 @@
 		}
 		after, _, _ := readBytes(append([]byte(front), raw...), method, namer)
 		if after.Err != nil || after.HTTP.Header.Get(namer) != asked || !bytes.Equal(after.Body, got.Body) {
-			if surplusIn(raw, method) < maxStrayResponses {
+			if straysIn(raw, method) < maxStrayResponses {
 				t.Fatalf("behind a surplus answer: %v %q", after.Err, after.Body)
 			}
 		}
 	})
 }
 
-// surplusIn counts the answers before the one asked for.
-func surplusIn(raw []byte, method string) (n int) {
+// straysIn counts the responses before the one asked for.
+func straysIn(raw []byte, method string) (n int) {
 	request := &http.Request{Method: method}
 	reader := bufio.NewReader(bytes.NewReader(raw))
 	for {
@@ -125,9 +125,11 @@
 		"as long as may be":               {reply(asked, limit, strings.Repeat("x", limit)), namer, strings.Repeat("x", limit), false},
 		"chunks that are cut off":         {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n" + namer + ": r1\r\n\r\n2\r\nok\r\n", namer, "", true},
 	} {
-		got, _, _ := readBytes([]byte(c.raw), http.MethodGet, c.names)
-		if (got.Err != nil) != c.isFailed || string(got.Body) != c.body {
-			t.Errorf("%s: %q, %v", name, got.Body, got.Err)
-		}
+		t.Run(name, func(t *testing.T) {
+			got, _, _ := readBytes([]byte(c.raw), http.MethodGet, c.names)
+			if (got.Err != nil) != c.isFailed || string(got.Body) != c.body {
+				t.Errorf("%q, %v", got.Body, got.Err)
+			}
+		})
 	}
 }
