--- a/internal/distribution/cache.go
+++ b/internal/distribution/cache.go
@@ -1,95 +1,86 @@
-// The proxy's cache: per group the copy with its digest and version, replaced
-// only by newer, and staged until all groups of one epoch's manifest are there;
-// then the whole epoch is swapped in by one pointer and subscribers are told.
-// Epochs only go up.
 package distribution
 
 import (
-	"encoding/json"
-	"maps"
 	"slices"
-	"strings"
 	"sync"
 	"sync/atomic"
 
 	"github.com/sumactrestle/sumactrestle/internal/controlplane"
-	"github.com/sumactrestle/sumactrestle/internal/errcode"
 	"github.com/sumactrestle/sumactrestle/internal/eventlog"
 	"github.com/sumactrestle/sumactrestle/internal/ids"
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// Snapshot is one epoch, converted for use; it is never written to.
-type Snapshot struct {
-	Epoch          ids.Epoch
-	Manifest       map[string]rpc.GroupVersion
-	Routes         map[string][]rpc.Route
-	Services       map[string]rpc.Service
-	Limits         map[string]rpc.Limit
-	ClientLimits   *rpc.ClientLimits
-	Targets        map[string][]rpc.Target
-	Shares         map[ids.NodeName]int
-	groups         map[string]rpc.Group
-	manifestDigest string
-}
-
-// Cache holds the chart in use and the groups staged for the next.
+// Cache holds a proxy's configuration: the snapshot in use, and the groups that were
+// fetched for a later epoch. A group is replaced only by one with a greater index. An epoch
+// comes into use only as a whole, when all groups of its manifest are there, and only if it
+// is greater than the one in use.
 type Cache struct {
-	log         *eventlog.Sign
-	snapshot    atomic.Pointer[Snapshot]
-	subscribers []func(*Snapshot)
+	events   *eventlog.Sign
+	snapshot atomic.Pointer[Snapshot] // written under mu
 
-	mu     sync.Mutex
-	staged map[string]rpc.Group
+	// mu guards all below and makes the steps of Activate one.
+	mu          sync.Mutex
+	staged      map[string]rpc.Group
+	subscribers []func(*Snapshot)
 }
 
-func NewCache(s *eventlog.Sign) *Cache { return &Cache{log: s, staged: map[string]rpc.Group{}} }
+// NewCache returns an empty cache.
+func NewCache(events *eventlog.Sign) *Cache {
+	return &Cache{events: events, staged: map[string]rpc.Group{}}
+}
 
-// Subscribe names a verb that is told of every chart swapped in.
+// Subscribe registers a function that is called with each snapshot that comes into use, in
+// order, while the cache is locked: it must be short and must not call the cache's methods
+// other than Snapshot and Epoch.
 func (c *Cache) Subscribe(subscriber func(*Snapshot)) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	c.subscribers = append(c.subscribers, subscriber)
 }
 
-// Snapshot is the epoch in use; nil before the first.
+// Snapshot returns the snapshot in use; nil before the first.
 func (c *Cache) Snapshot() *Snapshot { return c.snapshot.Load() }
 
-// Current is what a listener request carries: each group's digest and version.
-func (c *Cache) Current() (ids.Epoch, map[string]rpc.GroupVersion) {
-	snapshot := c.Snapshot()
-	if snapshot == nil {
-		return 0, nil
+// Epoch returns the epoch in use; 0 before the first.
+func (c *Cache) Epoch() ids.Epoch {
+	if snapshot := c.Snapshot(); snapshot != nil {
+		return snapshot.Epoch
 	}
-	return snapshot.Epoch, snapshot.Manifest
+	return 0
 }
 
-// Stage keeps fetched groups, each only if it is newer than the one kept.
-func (c *Cache) Stage(groups map[string]rpc.Group) (isNewer bool) {
+// Stage keeps fetched groups, each only if it is newer than the one held, and reports
+// whether any was. A group that does not have its digest, or a difference from one that is
+// not held, is left out: it stays missing.
+func (c *Cache) Stage(groups map[string]rpc.Group) (staged bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for name, group := range groups {
-		if old, ok := c.newest(name); ok && group.Index <= old.Index {
+		if held, ok := c.newest(name); ok && group.Index <= held.Index {
 			continue
 		}
 		if group.BaseDigest != "" {
-			old, ok := c.withDigest(name, group.BaseDigest)
+			base, ok := c.find(name, group.BaseDigest)
 			if !ok {
 				continue
 			}
-			whole, err := controlplane.PatchTargets(old.Data, group.PutTargets, group.RemovedTargets)
+			data, err := controlplane.PatchTargets(base.Data, group.PutTargets, group.RemovedTargets)
 			if err != nil {
 				continue
 			}
-			group = rpc.Group{Digest: group.Digest, Index: group.Index, Data: whole}
+			group = rpc.Group{Digest: group.Digest, Index: group.Index, Data: data}
 		}
 		if controlplane.Digest(group.Data) != group.Digest {
 			continue
 		}
 		c.staged[name] = group
-		isNewer = true
+		staged = true
 	}
-	return isNewer
+	return staged
 }
 
+// newest returns the group as staged or else as in use. The lock must be held.
 func (c *Cache) newest(name string) (rpc.Group, bool) {
 	if group, ok := c.staged[name]; ok {
 		return group, true
@@ -101,19 +92,20 @@
 	return rpc.Group{}, false
 }
 
-// withDigest is a group held under a digest, staged or in use.
-func (c *Cache) withDigest(name, digest string) (rpc.Group, bool) {
+// find returns the group with that digest, if it is staged or in use. The lock must be held.
+func (c *Cache) find(name, digest string) (rpc.Group, bool) {
 	if group, ok := c.staged[name]; ok && group.Digest == digest {
 		return group, true
 	}
-	if snapshot := c.Snapshot(); snapshot != nil && snapshot.groups[name].Digest == digest {
-		return snapshot.groups[name], true
+	if snapshot := c.Snapshot(); snapshot != nil {
+		group, ok := snapshot.groups[name]
+		return group, ok && group.Digest == digest
 	}
 	return rpc.Group{}, false
 }
 
-// Digests is the digests of the groups named that are held in some version.
-func (c *Cache) Digests(names []string) map[string]string {
+// HeldDigests returns the digests of those of the groups that are held in some version.
+func (c *Cache) HeldDigests(names []string) map[string]string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	digests := map[string]string{}
@@ -125,12 +117,12 @@
 	return digests
 }
 
-// Missing is which groups of a manifest are neither in use nor staged.
+// Missing returns the groups of a manifest that are neither staged nor in use, by name.
 func (c *Cache) Missing(manifest map[string]rpc.GroupVersion) (names []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for name, held := range manifest {
-		if !c.hasVersion(name, held) {
+	for name, version := range manifest {
+		if _, ok := c.find(name, version.Digest); !ok {
 			names = append(names, name)
 		}
 	}
@@ -138,44 +130,40 @@
 	return names
 }
 
-func (c *Cache) hasVersion(name string, held rpc.GroupVersion) bool {
-	if group, ok := c.staged[name]; ok && group.Digest == held.Digest {
-		return true
-	}
-	if snapshot := c.Snapshot(); snapshot != nil {
-		group, ok := snapshot.groups[name]
-		return ok && group.Digest == held.Digest
+// Activate brings an epoch into use, if it is greater than the one in use and all groups of
+// its manifest are held, and calls the subscribers. It reports whether it did. An error says
+// that a group could not be decoded; the epoch in use stays.
+func (c *Cache) Activate(epoch ids.Epoch, manifest map[string]rpc.GroupVersion) (activated bool, err error) {
+	snapshot, err := c.activate(epoch, manifest)
+	if snapshot == nil {
+		return false, err
 	}
-	return false
+	c.events.Say(eventlog.EpochServed, "epoch", uint64(epoch), "groups", len(snapshot.groups))
+	return true, nil
 }
 
-// Activate takes a whole epoch into use if it is newer and all of it is there.
-func (c *Cache) Activate(epoch ids.Epoch, manifest map[string]rpc.GroupVersion) (bool, error) {
+// activate returns the new snapshot, or nil if there is none.
+func (c *Cache) activate(epoch ids.Epoch, manifest map[string]rpc.GroupVersion) (*Snapshot, error) {
 	c.mu.Lock()
-	old := c.Snapshot()
-	if old != nil && epoch <= old.Epoch {
-		c.mu.Unlock()
-		return false, nil
+	defer c.mu.Unlock()
+	previous := c.Snapshot()
+	if previous != nil && epoch <= previous.Epoch {
+		return nil, nil
 	}
 	groups := make(map[string]rpc.Group, len(manifest))
-	for name, held := range manifest {
-		if !c.hasVersion(name, held) {
-			c.mu.Unlock()
-			return false, nil
-		}
-		group := c.staged[name]
-		if group.Digest != held.Digest {
-			group = old.groups[name]
+	for name, version := range manifest {
+		group, ok := c.find(name, version.Digest)
+		if !ok {
+			return nil, nil
 		}
 		groups[name] = group
 	}
-	snapshot, err := newSnapshot(epoch, manifest, groups, old)
+	snapshot, err := newSnapshot(epoch, manifest, groups, previous)
 	if err != nil {
-		c.mu.Unlock()
-		return false, err
+		return nil, err
 	}
 	for name, group := range c.staged {
-		if now, ok := groups[name]; ok && group.Index <= now.Index {
+		if inUse, ok := groups[name]; ok && group.Index <= inUse.Index {
 			delete(c.staged, name)
 		}
 	}
@@ -183,87 +171,5 @@
 	for _, subscriber := range c.subscribers {
 		subscriber(snapshot)
 	}
-	c.mu.Unlock()
-	c.log.Say(eventlog.EpochServed, "epoch", uint64(epoch), "groups", len(groups))
-	return true, nil
-}
-
-// newSnapshot unpacks the groups; those that did not change are taken over.
-func newSnapshot(epoch ids.Epoch, manifest map[string]rpc.GroupVersion, groups map[string]rpc.Group, old *Snapshot) (*Snapshot, error) {
-	snapshot := &Snapshot{Epoch: epoch, Manifest: maps.Clone(manifest), groups: groups, manifestDigest: controlplane.DigestManifest(manifest),
-		Services: map[string]rpc.Service{}, Limits: map[string]rpc.Limit{}, Targets: map[string][]rpc.Target{}, Shares: map[ids.NodeName]int{}}
-	read := func(name string, into any) error {
-		group, ok := groups[name]
-		if !ok {
-			return nil
-		}
-		if err := json.Unmarshal(group.Data, into); err != nil {
-			return errcode.New(errcode.BadMessage, "group %s: %v", name, err)
-		}
-		return nil
-	}
-	isSame := func(name string) bool { return old != nil && old.groups[name].Digest == groups[name].Digest }
-	routes := map[string][]rpc.Route{}
-	for name := range groups {
-		if !strings.HasPrefix(name, controlplane.RoutesPrefix) {
-			continue
-		}
-		var some []rpc.Route
-		if isSame(name) {
-			some = old.Routes[name]
-		} else if err := read(name, &some); err != nil {
-			return nil, err
-		}
-		routes[name] = some
-	}
-	snapshot.Routes = routes
-	var services []rpc.Service
-	var limits []rpc.Limit
-	if err := read(controlplane.ServicesGroup, &services); err != nil {
-		return nil, err
-	}
-	if err := read(controlplane.LimitsGroup, &limits); err != nil {
-		return nil, err
-	}
-	if err := read(controlplane.SharesGroup, &snapshot.Shares); err != nil {
-		return nil, err
-	}
-	if err := read(controlplane.ClientLimitsGroup, &snapshot.ClientLimits); err != nil {
-		return nil, err
-	}
-	for _, s := range services {
-		snapshot.Services[s.Name] = s
-	}
-	for _, l := range limits {
-		snapshot.Limits[l.Service] = l
-	}
-	for name := range groups {
-		service, ok := strings.CutPrefix(name, controlplane.TargetsPrefix)
-		if !ok {
-			continue
-		}
-		var list []rpc.Target
-		if isSame(name) {
-			list = old.Targets[service]
-		} else if err := read(name, &list); err != nil {
-			return nil, err
-		}
-		snapshot.Targets[service] = list
-	}
 	return snapshot, nil
 }
-
-// Delta makes a whole manifest of the one in use and what a listener reported.
-func (c *Cache) Delta(base map[string]rpc.GroupVersion, response *rpc.ListenResponse) map[string]rpc.GroupVersion {
-	manifest := maps.Clone(base)
-	if manifest == nil {
-		manifest = map[string]rpc.GroupVersion{}
-	}
-	for _, name := range response.Removed {
-		delete(manifest, name)
-	}
-	for name, held := range response.Changed {
-		manifest[name] = held
-	}
-	return manifest
-}
--- a/internal/distribution/cache_test.go
+++ b/internal/distribution/cache_test.go
@@ -1,4 +1,3 @@
-// The cache replaces only by newer, swaps whole epochs only, and only upward.
 package distribution
 
 import (
@@ -12,8 +11,8 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-func group(data string, stamp ids.Index) rpc.Group {
-	return rpc.Group{Digest: controlplane.Digest([]byte(data)), Index: stamp, Data: json.RawMessage(data)}
+func group(data string, index ids.Index) rpc.Group {
+	return rpc.Group{Digest: controlplane.Digest([]byte(data)), Index: index, Data: json.RawMessage(data)}
 }
 
 func manifest(groups map[string]rpc.Group) map[string]rpc.GroupVersion {
@@ -24,41 +23,41 @@
 	return m
 }
 
-func swap(t *testing.T, c *Cache, epoch ids.Epoch, groups map[string]rpc.Group, want bool) {
+func activate(t *testing.T, c *Cache, epoch ids.Epoch, groups map[string]rpc.Group, want bool) {
 	t.Helper()
 	got, err := c.Activate(epoch, manifest(groups))
 	if err != nil || got != want {
-		t.Fatalf("epoch %d: swapped %v, want %v (%v)", epoch, got, want, err)
+		t.Fatalf("epoch %d: activated %v, want %v (%v)", epoch, got, want, err)
 	}
 }
 
-func TestOnlyWholeAndNewerEpochsAreSwappedIn(t *testing.T) {
+func TestCache_ActivatesOnlyCompleteAndNewerEpochs(t *testing.T) {
 	c := NewCache(eventlog.New(io.Discard, "info", "n"))
-	var told []ids.Epoch
-	c.Subscribe(func(snapshot *Snapshot) { told = append(told, snapshot.Epoch) })
+	var notified []ids.Epoch
+	c.Subscribe(func(snapshot *Snapshot) { notified = append(notified, snapshot.Epoch) })
 	one := map[string]rpc.Group{"services": group(`[{"name":"a"}]`, 3), "targets/a": group(`[]`, 3)}
-	swap(t, c, 3, one, false)
+	activate(t, c, 3, one, false)
 	c.Stage(map[string]rpc.Group{"services": one["services"]})
-	swap(t, c, 3, one, false)
+	activate(t, c, 3, one, false)
 	c.Stage(map[string]rpc.Group{"targets/a": one["targets/a"]})
-	swap(t, c, 3, one, true)
+	activate(t, c, 3, one, true)
 	two := map[string]rpc.Group{"services": one["services"], "targets/a": group(`[{"instance":"i","address":"x","zone":"","weight":1}]`, 5)}
 	c.Stage(two)
-	swap(t, c, 5, two, true)
+	activate(t, c, 5, two, true)
 	c.Stage(one)
-	swap(t, c, 3, one, false)
-	swap(t, c, 4, one, false)
-	swap(t, c, 4, two, false)
-	swap(t, c, 5, two, false)
+	activate(t, c, 3, one, false)
+	activate(t, c, 4, one, false)
+	activate(t, c, 4, two, false)
+	activate(t, c, 5, two, false)
 	if len(c.Snapshot().Targets["a"]) != 1 || c.Snapshot().Epoch != 5 {
 		t.Fatalf("%+v", c.Snapshot())
 	}
-	if len(told) != 2 || told[0] != 3 || told[1] != 5 {
-		t.Fatalf("subscribers were told %v", told)
+	if len(notified) != 2 || notified[0] != 3 || notified[1] != 5 {
+		t.Fatalf("subscribers were notified of %v", notified)
 	}
 }
 
-func TestAGroupThatIsNotItsDigestIsLeftOut(t *testing.T) {
+func TestCache_LeavesOutGroupsThatDoNotHaveTheirDigest(t *testing.T) {
 	c := NewCache(eventlog.New(io.Discard, "info", "n"))
 	g := group(`[]`, 2)
 	g.Data = json.RawMessage(`[{"name":"forged"}]`)
--- a/internal/distribution/pack_test.go
+++ b/internal/distribution/compression_test.go
@@ -18,11 +18,11 @@
 	return map[string]rpc.Group{"routes/1": {Digest: fmt.Sprint("d", routes), Index: 7, Data: data}}
 }
 
-func TestLargeGroupsArePackedAndComeBackWhole(t *testing.T) {
-	s, groups := &Server{}, groupsOf(400)
+func TestCompress_LargeGroupsAreDeflatedAndComeBackComplete(t *testing.T) {
+	c, groups := newCompressor(), groupsOf(400)
 	plain, _ := json.Marshal(groups)
 	response := &rpc.FetchResponse{Groups: groups}
-	s.compress(response)
+	c.compress(response)
 	if response.Groups != nil || len(response.Packed) > len(plain)/5 {
 		t.Fatalf("%d bytes were packed into %d", len(plain), len(response.Packed))
 	}
@@ -31,7 +31,7 @@
 		t.Fatal("what was unpacked differs", err)
 	}
 	again := &rpc.FetchResponse{Groups: groups}
-	if s.compress(again); len(s.compressed) != 1 || &again.Packed[0] != &response.Packed[0] {
+	if c.compress(again); c.kept.len() != 1 || &again.Packed[0] != &response.Packed[0] {
 		t.Error("the same groups were packed twice")
 	}
 	newer := groupsOf(400)
@@ -39,7 +39,7 @@
 	group.Index++
 	newer["routes/1"] = group
 	retryAfter := &rpc.FetchResponse{Groups: newer}
-	s.compress(retryAfter)
+	c.compress(retryAfter)
 	if got, err := inflate(retryAfter.Packed, 1<<20); err != nil || got["routes/1"].Index != group.Index {
 		t.Error("the same text under another version came with the old one", err)
 	}
@@ -51,9 +51,9 @@
 	}
 }
 
-func TestSmallGroupsGoAsTheyAre(t *testing.T) {
-	s, response := &Server{}, &rpc.FetchResponse{Groups: groupsOf(3)}
-	if s.compress(response); response.Packed != nil || len(response.Groups) != 1 {
+func TestCompress_SmallGroupsGoAsTheyAre(t *testing.T) {
+	c, response := newCompressor(), &rpc.FetchResponse{Groups: groupsOf(3)}
+	if c.compress(response); response.Packed != nil || len(response.Groups) != 1 {
 		t.Error("a few routes were packed")
 	}
 }
--- a/internal/distribution/serve_test.go
+++ b/internal/distribution/delta_test.go
@@ -1,4 +1,3 @@
-// What a control node sends of a list that goes to and fro between two contents.
 package distribution
 
 import (
@@ -12,7 +11,8 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-func TestAListThatGoesToAndFroIsTakenEachTime(t *testing.T) {
+// A list may go to and fro between two contents, each time under a greater index.
+func TestDelta_ListThatAlternatesIsTakenEachTime(t *testing.T) {
 	list := func(n int) json.RawMessage {
 		targets := []rpc.Target{}
 		for i := range n {
@@ -22,19 +22,19 @@
 		return raw
 	}
 	for _, sizes := range [][2]int{{1, 0}, {9, 8}, {1, 2}} {
-		ledger := controlplane.NewConfigState()
-		s := &Server{state: ledger}
+		state := controlplane.NewConfigState()
+		deltas := newDeltaEncoder(state)
 		cache := NewCache(eventlog.New(t.Output(), "error", "test"))
 		const name = controlplane.TargetsPrefix + "s"
 		for epoch := ids.Epoch(1); epoch <= 8; epoch++ {
 			body, _ := json.Marshal(rpc.EpochEntry{Epoch: epoch, Put: map[string]json.RawMessage{name: list(sizes[epoch%2])}})
-			if err := ledger.Apply(ids.Index(epoch), body); err != nil {
+			if err := state.Apply(ids.Index(epoch), body); err != nil {
 				t.Fatal("not taken", epoch, err)
 			}
-			state := ledger.Current()
-			group, _ := state.PublishedGroup(name)
-			cache.Stage(map[string]rpc.Group{name: s.shorten(name, cache.Digests([]string{name})[name], group)})
-			if ok, err := cache.Activate(epoch, state.Manifest()); !ok || err != nil {
+			current := state.Current()
+			group, _ := current.PublishedGroup(name)
+			cache.Stage(map[string]rpc.Group{name: deltas.shorten(name, cache.HeldDigests([]string{name})[name], group)})
+			if ok, err := cache.Activate(epoch, current.Manifest()); !ok || err != nil {
 				t.Fatalf("sizes %v: epoch %d is not in use: %v", sizes, epoch, err)
 			}
 		}
--- /dev/null
+++ b/internal/distribution/fakenet_test.go
@@ -0,0 +1,75 @@
+package distribution
+
+import (
+	"context"
+	"net"
+	"sync"
+	"testing"
+
+	"github.com/sumactrestle/sumactrestle/internal/config"
+	"github.com/sumactrestle/sumactrestle/internal/environment"
+	"github.com/sumactrestle/sumactrestle/internal/eventlog"
+)
+
+// fakeNetwork is a network in memory.
+type fakeNetwork struct {
+	mu        sync.Mutex
+	listeners map[string]*fakeListener
+}
+
+type fakeListener struct {
+	address string
+	conns   chan net.Conn
+	over    chan struct{}
+	once    sync.Once
+}
+
+func (l *fakeListener) Accept() (net.Conn, error) {
+	select {
+	case conn := <-l.conns:
+		return conn, nil
+	case <-l.over:
+		return nil, net.ErrClosed
+	}
+}
+func (l *fakeListener) Close() error   { l.once.Do(func() { close(l.over) }); return nil }
+func (l *fakeListener) Addr() net.Addr { return &net.TCPAddr{} }
+
+func newFakeNetwork() *fakeNetwork { return &fakeNetwork{listeners: map[string]*fakeListener{}} }
+
+func (n *fakeNetwork) host() environment.Host {
+	return environment.Host{
+		Listen: func(address string) (net.Listener, error) {
+			l := &fakeListener{address: address, conns: make(chan net.Conn), over: make(chan struct{})}
+			n.mu.Lock()
+			n.listeners[address] = l
+			n.mu.Unlock()
+			return l, nil
+		},
+		Dial: func(ctx context.Context, address string) (net.Conn, error) {
+			n.mu.Lock()
+			l := n.listeners[address]
+			n.mu.Unlock()
+			if l == nil {
+				return nil, net.ErrClosed
+			}
+			mine, its := net.Pipe()
+			select {
+			case l.conns <- its:
+				return mine, nil
+			case <-l.over:
+			case <-ctx.Done():
+			}
+			return nil, net.ErrClosed
+		},
+	}
+}
+
+func (n *fakeNetwork) environment(t *testing.T, ctx context.Context, name, address string) *environment.Environment {
+	t.Helper()
+	settings, err := config.Load("", map[string]string{"name": name, "zone": "a", "wire.address": address, "api.address": "10.0.0.9:1", "gate.address": "10.0.0.9:2", "flow.fetches": "2"})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return environment.New(ctx, settings, eventlog.New(t.Output(), "error", name), n.host())
+}
--- a/internal/distribution/pulse.go
+++ b/internal/distribution/pulse.go
@@ -1,11 +1,10 @@
-// The proxy's pulse: it asks one control node how fresh the epoch in use is, and
-// so hears of every newer one within a bound of its own, whatever became of the held
-// requests. It goes on to others until one answers, those held for down included.
 package distribution
 
 import (
 	"context"
 	"slices"
+	"sync"
+	"sync/atomic"
 	"time"
 
 	"github.com/sumactrestle/sumactrestle/internal/environment"
@@ -14,149 +13,179 @@
 )
 
 const (
-	catchUpDelay         = 100 * time.Millisecond
-	catchUpTimeout       = time.Second
-	pulseAttempts        = 4
-	maxPulsesInFlight    = 6
-	maxSkipDelay         = 500 * time.Millisecond
+	// pulseAttempts is how many control nodes are asked in one turn until one answers, each
+	// for the interval of pulses, up to maxPulseWait, and pulseGrace.
+	pulseAttempts = 4
+	maxPulseWait  = 400 * time.Millisecond
+	pulseGrace    = 100 * time.Millisecond
+	// maxPulsesInFlight bounds the pulses that are sent beside each other.
+	maxPulsesInFlight = 6
+	// maxSkipDelay bounds how long a control node is waited for until the next is chosen.
+	maxSkipDelay = 500 * time.Millisecond
+	// returnToNearestAfter is when the nearest control node is chosen again.
 	returnToNearestAfter = 5 * time.Second
+
+	// The intervals of pulses before the first answer, and while none comes, if they are
+	// shorter than the setting flow.pulse.
+	firstPulseInterval = 150 * time.Millisecond
+	retryPulseInterval = 250 * time.Millisecond
+
+	// catchUpDelay is what the listeners are left to bring an epoch that a pulse told of.
+	catchUpDelay   = 100 * time.Millisecond
+	catchUpTimeout = time.Second
 )
 
-// runPulse renews freshness through one control node, the nearest that answers. Until
-// the first plan is fresh it asks more often, for so long nothing can be served; and
-// while none answers, so that word comes soon after the way to one is back.
+// pulseState is what the pulses of a client share.
+type pulseState struct {
+	choice    atomic.Uint64             // whom to ask, counted around the sources
+	skippedAt atomic.Pointer[time.Time] // when another was last chosen; nil for the nearest
+	inFlight  atomic.Int32
+	answered  atomic.Bool // whether the last pulse was
+	catchUps  sync.Map    // the addresses at which a catch-up is under way
+}
+
+// runPulse keeps the configuration's freshness known: it asks one control node at a time, the
+// nearest that answers, how old its confirmations are, and so hears of each new epoch
+// whatever became of the listeners. The paper has nothing of the kind; there a change during
+// a listener's pause "has no way to notify the gateway".
 func (c *Client) runPulse() {
-	c.pulseAnswered.Store(true)
+	c.pulse.answered.Store(true)
 	for c.env.Sleep(environment.Jitter(c.pulseInterval())) {
 		sources := c.members.ConfigReplicas()
-		if !c.pulseAnswered.Load() || len(sources) == 0 {
-			// Those held for down here may be back: nothing hangs on that opinion.
-			sources = append(sources[:len(sources):len(sources)], c.suspectedSources()...)
+		if !c.pulse.answered.Load() || len(sources) == 0 {
+			// Those that are held for dead may be back: nothing is lost by asking them.
+			sources = append(sources[:len(sources):len(sources)], c.deadSources()...)
 		}
 		c.returnToNearest()
 		if behind := c.env.Config.FlowBehind; behind > 0 {
-			c.pulseConcurrently(sources, behind)
+			c.sendPulseAside(sources, behind)
 			continue
 		}
-		isAnswered := false
+		timeout := min(c.env.Config.FlowPulse, maxPulseWait) + pulseGrace
+		answered := false
 		for range min(pulseAttempts, len(sources)) {
-			if isAnswered = c.pulseOnce(sources, min(c.env.Config.FlowPulse, 400*time.Millisecond)+100*time.Millisecond); isAnswered {
+			if answered = c.sendPulse(sources, timeout); answered {
 				break
 			}
 		}
-		c.pulseAnswered.Store(isAnswered)
-		c.reportFreshness()
+		c.pulse.answered.Store(answered)
+		c.freshness.report()
+	}
+}
+
+// pulseInterval is short until the first answer, as nothing can be served before, and while
+// none comes, so that freshness is back soon after the network is.
+func (c *Client) pulseInterval() time.Duration {
+	switch {
+	case c.freshness.latest().Epoch == 0:
+		return min(c.env.Config.FlowPulse, firstPulseInterval)
+	case !c.pulse.answered.Load():
+		return min(c.env.Config.FlowPulse, retryPulseInterval)
 	}
+	return c.env.Config.FlowPulse
 }
 
-// pulseConcurrently sends a pulse without waiting for those before it. Where a proxy goes by
-// flow.behind its link may be slow, and a word that comes late is still right, as it
-// counts from when it was asked for. A control node that does not answer soon is passed
-// by in the next pulse all the same: it may be gone.
-func (c *Client) pulseConcurrently(sources []rpc.Member, limit time.Duration) {
+// sendPulseAside sends a pulse without waiting for those before it. With the setting
+// flow.behind the proxy's link may be slow, and an answer that comes late still holds, as its
+// age counts from when it was asked for. A control node that does not answer soon is skipped
+// by the next pulse all the same: it may be gone.
+func (c *Client) sendPulseAside(sources []rpc.Member, timeout time.Duration) {
 	if len(sources) == 0 {
-		c.pulseAnswered.Store(false)
+		c.pulse.answered.Store(false)
 		return
 	}
-	if c.pulsesInFlight.Load() >= maxPulsesInFlight {
+	if c.pulse.inFlight.Load() >= maxPulsesInFlight {
 		return
 	}
-	c.pulsesInFlight.Add(1)
+	c.pulse.inFlight.Add(1)
 	c.env.Go(func() {
-		defer c.pulsesInFlight.Add(-1)
-		choice := c.pulseChoice.Load()
-		late := time.AfterFunc(min(limit/2, maxSkipDelay), func() { c.skipSource(choice) })
-		defer late.Stop()
-		c.pulseAnswered.Store(c.pulseOnce(sources, limit))
-		c.reportFreshness()
+		defer c.pulse.inFlight.Add(-1)
+		choice := c.pulse.choice.Load()
+		skip := time.AfterFunc(min(timeout/2, maxSkipDelay), func() { c.skipSource(choice) })
+		defer skip.Stop()
+		c.pulse.answered.Store(c.sendPulse(sources, timeout))
+		c.freshness.report()
 	})
 }
 
-// pulseOnce asks one control node; one that does not answer is passed by in the next.
-func (c *Client) pulseOnce(sources []rpc.Member, limit time.Duration) bool {
-	choice := c.pulseChoice.Load()
+// sendPulse asks one control node and reports whether it answered; one that does not is
+// skipped by the next pulse.
+func (c *Client) sendPulse(sources []rpc.Member, timeout time.Duration) (answered bool) {
+	choice := c.pulse.choice.Load()
 	source := sources[choice%uint64(len(sources))]
 	sent := c.env.Now()
-	ctx, end := context.WithTimeout(c.env, limit)
-	defer end()
+	ctx, cancel := context.WithTimeout(c.env, timeout)
+	defer cancel()
 	var response rpc.FreshnessResponse
 	if err := c.transport.Call(ctx, source.RPCAddress, "flow.pulse", &rpc.FreshnessRequest{}, &response); err != nil {
 		c.skipSource(choice)
 		return false
 	}
-	c.recordPulse(sent, &response)
+	c.freshness.record(sent, &response)
 	c.catchUp(source.RPCAddress, response.Epoch)
 	c.rejoin(source)
 	return true
 }
 
-// skipSource has the next control node asked, unless another pulse saw to that.
+// skipSource chooses the next control node, unless another pulse has done so since.
 func (c *Client) skipSource(choice uint64) {
-	if c.pulseChoice.CompareAndSwap(choice, choice+1) {
+	if c.pulse.choice.CompareAndSwap(choice, choice+1) {
 		now := c.env.Now()
-		c.chosenAt.Store(&now)
+		c.pulse.skippedAt.Store(&now)
 	}
 }
 
-// returnToNearest has the nearest asked again some time after it was passed by, where no request
-// hangs on each pulse: what goes to another zone costs more.
+// returnToNearest chooses the nearest control node again some time after it was skipped, as
+// traffic between zones costs more. It does so only with the setting flow.stay, where no
+// request depends on each single pulse.
 func (c *Client) returnToNearest() {
-	if at := c.chosenAt.Load(); c.env.Config.FlowStay > 0 && at != nil && c.env.Since(*at) > returnToNearestAfter {
-		c.pulseChoice.Store(0)
-		c.chosenAt.Store(nil)
+	skippedAt := c.pulse.skippedAt.Load()
+	if c.env.Config.FlowStay > 0 && skippedAt != nil && c.env.Since(*skippedAt) > returnToNearestAfter {
+		c.pulse.choice.Store(0)
+		c.pulse.skippedAt.Store(nil)
 	}
 }
 
-// suspectedSources is who of those held for down, without a word that they go, held the
-// configuration; all core nodes of them if none is known to.
-func (c *Client) suspectedSources() []rpc.Member {
-	sources := slices.DeleteFunc(c.members.RecentlyDead(), func(source rpc.Member) bool { return !source.Core })
-	if keepers := slices.DeleteFunc(slices.Clone(sources), func(source rpc.Member) bool { return !source.HoldsConfiguration }); len(keepers) > 0 {
-		return keepers
+// deadSources returns the core nodes that died lately without leaving: those that held a
+// replica of the configuration shard, or all if none did.
+func (c *Client) deadSources() []rpc.Member {
+	cores := slices.DeleteFunc(c.members.RecentlyDead(), func(m rpc.Member) bool { return !m.Core })
+	if sources := slices.DeleteFunc(slices.Clone(cores), func(m rpc.Member) bool { return !m.HoldsConfiguration }); len(sources) > 0 {
+		return sources
 	}
-	return sources
+	return cores
 }
 
-// rejoin lets one that was held for down and has answered be known to be there, and
-// through its list all that it knows.
+// rejoin makes a control node that was held for dead, and has answered, known as alive, and
+// with it all that it knows of the members.
 func (c *Client) rejoin(source rpc.Member) {
-	if _, isKnown := c.members.Lookup(source.Name); !isKnown {
+	if _, ok := c.members.Lookup(source.Name); !ok {
 		c.env.Go(func() { c.members.PushPull(source.RPCAddress) })
 	}
 }
 
-// catchUp asks where a newer epoch was heard of, if those listened to are slow to
-// tell of it: their held requests may hang at nodes that went, or wait out a pause.
-// Whoever heard of an epoch and does not give it is passed by in the next pulse.
+// catchUp polls the control node that told of a newer epoch, if the listeners are slow to
+// bring it: their requests may be held by nodes that are gone, or they may be in a pause. A
+// node that tells of an epoch and does not give it is skipped by the next pulse.
 func (c *Client) catchUp(address string, epoch ids.Epoch) {
-	isBehind := func() bool { now, _ := c.Cache.Current(); return now > 0 && now < epoch }
+	isBehind := func() bool { inUse := c.Cache.Epoch(); return inUse > 0 && inUse < epoch }
 	if !isBehind() {
 		return
 	}
-	if _, isUnderWay := c.catchUps.LoadOrStore(address, true); isUnderWay {
+	if _, isUnderWay := c.pulse.catchUps.LoadOrStore(address, true); isUnderWay {
 		return
 	}
 	c.env.Go(func() {
-		defer c.catchUps.Delete(address)
+		defer c.pulse.catchUps.Delete(address)
 		if !c.env.Sleep(catchUpDelay) || !isBehind() {
 			return
 		}
-		limited, end := context.WithTimeout(c.env, catchUpTimeout)
-		defer end()
-		choice := c.pulseChoice.Load()
-		if c.poll(limited, address); isBehind() {
+		ctx, cancel := context.WithTimeout(c.env, catchUpTimeout)
+		defer cancel()
+		choice := c.pulse.choice.Load()
+		// Whatever the poll failed by, what counts is whether the epoch came.
+		if c.poll(ctx, address); isBehind() {
 			c.skipSource(choice)
 		}
 	})
 }
-
-// pulseInterval is short until the first word has come, and while none comes.
-func (c *Client) pulseInterval() time.Duration {
-	switch {
-	case c.LatestConfirmation().Epoch == 0:
-		return min(c.env.Config.FlowPulse, 150*time.Millisecond)
-	case !c.pulseAnswered.Load():
-		return min(c.env.Config.FlowPulse, 250*time.Millisecond)
-	}
-	return c.env.Config.FlowPulse
-}
--- a/internal/distribution/relay_test.go
+++ b/internal/distribution/pulse_relay_test.go
@@ -1,4 +1,3 @@
-// Relays of pulses: few for many proxies, and as old as they are.
 package distribution
 
 import (
@@ -13,26 +12,27 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-func TestManyPulsesMakeFewRelays(t *testing.T) {
+// Few pulses are relayed for many proxies, and their ages grow as time passes.
+func TestPulseRelay_ManyPulsesMakeFewRelays(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, end := context.WithCancel(t.Context())
-		defer end()
-		r := (&switchboard{listeners: map[string]*board{}}).realm(t, ctx, "core", "10.0.0.1:1")
+		ctx, cancel := context.WithCancel(t.Context())
+		defer cancel()
+		env := newFakeNetwork().environment(t, ctx, "core", "10.0.0.1:1")
 		const way = 5 * time.Millisecond
 		relayed := 0
 		var isCut atomic.Bool
-		s := &pulseRelay{env: r, askLeader: func() (*rpc.FreshnessResponse, error) {
+		relay := newPulseRelay(env, func() (*rpc.FreshnessResponse, error) {
 			relayed++
 			time.Sleep(way)
 			if isCut.Load() {
 				return nil, errors.New("cut")
 			}
 			return &rpc.FreshnessResponse{Epoch: 3, AgeMicros: 1000, ShardAgeMicros: []int64{-1, 2000}}, nil
-		}}
-		least := r.Config.FlowPulse / relayShare
+		})
+		least := env.Config.FlowPulse / relayShare
 		one := func() {
 			asked := time.Now()
-			response, err := s.get(ctx)
+			response, err := relay.get(ctx)
 			took := time.Since(asked)
 			if err != nil || took > least+2*way {
 				t.Errorf("%v after %s", err, took)
@@ -53,7 +53,7 @@
 			all.Go(func() {
 				for range 4 {
 					one()
-					time.Sleep(r.Config.FlowPulse - way)
+					time.Sleep(env.Config.FlowPulse - way)
 				}
 			})
 			time.Sleep(time.Millisecond)
@@ -64,13 +64,13 @@
 		}
 		isCut.Store(true)
 		time.Sleep(relayReuse)
-		if _, err := s.get(ctx); err == nil {
-			t.Error("a relay that failed is told as done")
+		if _, err := relay.get(ctx); err == nil {
+			t.Error("a relay that failed is taken as answered")
 		}
-		// The end of life keeps nobody waiting.
-		go r.Shutdown()
+		// The end of the node keeps nobody waiting.
+		go env.Shutdown()
 		synctest.Wait()
-		if _, err := s.get(ctx); err == nil {
+		if _, err := relay.get(ctx); err == nil {
 			t.Error("relayed after the end")
 		}
 	})
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -177,7 +177,7 @@
 		s.add(metrics.BudgetTries, tries, service)
 		s.add(metrics.BudgetDebt, debt, service)
 	})
-	epoch, _ := s.n.Flow.Cache.Current()
+	epoch := s.n.Flow.Cache.Epoch()
 	s.add(metrics.EpochUsed, float64(epoch))
 	if ages := s.n.Flow.LatestConfirmation(); ages.Epoch > 0 {
 		s.add(metrics.EpochHeard, float64(ages.Epoch))
--- a/internal/node/seat.go
+++ b/internal/node/seat.go
@@ -190,7 +190,14 @@
 	n.Coordination = coordination.NewService(n.R, n.Consensus, n.Stores)
 	n.Roll = controlplane.NewTargetRegistry(controlplane.RegistryConfig{Env: n.R, Consensus: n.Consensus, Stores: n.Stores, State: n.Ledger, OnChange: n.stir})
 	n.Planner = controlplane.NewPlanner(controlplane.PlannerConfig{Env: n.R, Transport: n.Wire, Members: n.Kin, Consensus: n.Consensus, State: n.Ledger})
-	distribution.NewServer(n.R, n.Wire, n.Kin, n.Consensus, n.Ledger, n.Planner).HandleOwner()
+	distribution.NewServer(distribution.ServerConfig{
+		Environment: n.R,
+		Transport:   n.Wire,
+		Members:     n.Kin,
+		Consensus:   n.Consensus,
+		State:       n.Ledger,
+		Planner:     n.Planner,
+	})
 	n.Wire.Handle("plan.whose", func(c *rpc.Request) (any, error) {
 		var ask rpc.InstanceLookupRequest
 		if err := c.Decode(&ask); err != nil {
--- a/internal/node/show.go
+++ b/internal/node/show.go
@@ -59,7 +59,7 @@
 		columns("what", "epoch", "age")
 		if n.Flow != nil {
 			ages := n.Flow.LatestConfirmation()
-			epoch, _ := n.Flow.Cache.Current()
+			epoch := n.Flow.Cache.Epoch()
 			add("in use", epoch, "")
 			add("config", ages.Epoch, d.n.R.Since(ages.ConfigAsOf).Round(time.Millisecond))
 			for no, at := range ages.ShardsAsOf {
