--- a/internal/consensus/membership_change.go
+++ b/internal/consensus/membership_change.go
@@ -183,7 +183,7 @@
 // isDeadFor tells whether a name has not been live, under any birth, for long.
 func isDeadFor(view map[ids.NodeName]membership.NodeState, peer rpc.Peer, deadAfter time.Duration) bool {
 	m, ok := view[peer.Name]
-	return !ok || m.State != membership.StateAlive && m.State != membership.StateSuspect && time.Since(m.StateChange) > deadAfter
+	return !ok || !m.IsLive() && time.Since(m.StateChange) > deadAfter
 }
 
 func (r *Replica) servingStart() time.Time {
--- a/internal/controlplane/plan.go
+++ b/internal/controlplane/plan.go
@@ -11,7 +11,6 @@
 	"github.com/sumactrestle/sumactrestle/internal/errcode"
 	"github.com/sumactrestle/sumactrestle/internal/eventlog"
 	"github.com/sumactrestle/sumactrestle/internal/ids"
-	"github.com/sumactrestle/sumactrestle/internal/membership"
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
@@ -126,7 +125,7 @@
 	members := p.members.View()
 	shares := map[ids.NodeName]int{}
 	for name, member := range members {
-		isHere := member.State == membership.StateAlive || member.State == membership.StateSuspect
+		isHere := member.IsLive()
 		if member.ProxyAddress != "" && (isHere || time.Since(member.StateChange) < p.env.Config.PlanLinger) {
 			shares[name] = member.Strength
 		}
--- a/internal/membership/memberlist_test.go
+++ b/internal/membership/memberlist_test.go
@@ -5,6 +5,8 @@
 	"fmt"
 	"maps"
 	"net"
+	"net/netip"
+	"slices"
 	"sync"
 	"testing"
 	"testing/synctest"
@@ -16,10 +18,26 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// memoryNetwork connects nodes by pipes; each address has a listener.
+// memoryNetwork connects nodes by pipes and carries datagrams; each address has a listener
+// and a socket. A link that is cut loses datagrams one way, and connections are refused.
 type memoryNetwork struct {
 	mu        sync.Mutex
 	listeners map[string]*memoryListener
+	sockets   map[string]*memorySocket
+	cut       map[link]bool // of datagrams
+	refused   map[link]bool // of connections
+}
+
+// link is a way from one node's address to another's.
+type link struct{ from, to string }
+
+func newMemoryNetwork() *memoryNetwork {
+	return &memoryNetwork{
+		listeners: map[string]*memoryListener{},
+		sockets:   map[string]*memorySocket{},
+		cut:       map[link]bool{},
+		refused:   map[link]bool{},
+	}
 }
 
 type memoryListener struct {
@@ -39,8 +57,56 @@
 func (l *memoryListener) Close() error   { l.once.Do(func() { close(l.closed) }); return nil }
 func (l *memoryListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-func (n *memoryNetwork) host() environment.Host {
+// memorySocket receives datagrams; one that finds its queue full is lost.
+type memorySocket struct {
+	net.PacketConn // of the methods not needed here
+	network        *memoryNetwork
+	address        string
+	datagrams      chan datagram
+	closed         chan struct{}
+	once           sync.Once
+}
+
+type datagram struct {
+	from net.Addr
+	raw  []byte
+}
+
+func (s *memorySocket) ReadFrom(buffer []byte) (int, net.Addr, error) {
+	select {
+	case d := <-s.datagrams:
+		return copy(buffer, d.raw), d.from, nil
+	case <-s.closed:
+		return 0, nil, net.ErrClosed
+	}
+}
+
+func (s *memorySocket) WriteTo(raw []byte, to net.Addr) (int, error) {
+	s.network.mu.Lock()
+	target, cut := s.network.sockets[to.String()], s.network.cut[link{s.address, to.String()}]
+	s.network.mu.Unlock()
+	if target != nil && !cut {
+		from := net.UDPAddrFromAddrPort(netip.MustParseAddrPort(s.address))
+		select {
+		case target.datagrams <- datagram{from, slices.Clone(raw)}:
+		default:
+		}
+	}
+	return len(raw), nil
+}
+
+func (s *memorySocket) Close() error { s.once.Do(func() { close(s.closed) }); return nil }
+
+// host is the network as the node with that address sees it.
+func (n *memoryNetwork) host(own string) environment.Host {
 	return environment.Host{
+		ListenPacket: func(address string) (net.PacketConn, error) {
+			socket := &memorySocket{network: n, address: address, datagrams: make(chan datagram, 100), closed: make(chan struct{})}
+			n.mu.Lock()
+			n.sockets[address] = socket
+			n.mu.Unlock()
+			return socket, nil
+		},
 		Listen: func(address string) (net.Listener, error) {
 			listener := &memoryListener{conns: make(chan net.Conn), closed: make(chan struct{})}
 			n.mu.Lock()
@@ -50,9 +116,9 @@
 		},
 		Dial: func(ctx context.Context, address string) (net.Conn, error) {
 			n.mu.Lock()
-			listener := n.listeners[address]
+			listener, refused := n.listeners[address], n.refused[link{own, address}]
 			n.mu.Unlock()
-			if listener == nil {
+			if listener == nil || refused {
 				return nil, net.ErrClosed
 			}
 			near, far := net.Pipe()
@@ -79,7 +145,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
-		test(&cluster{t, ctx, &memoryNetwork{listeners: map[string]*memoryListener{}}})
+		test(&cluster{t, ctx, newMemoryNetwork()})
 	})
 }
 
@@ -91,7 +157,7 @@
 	if err != nil {
 		c.Fatal(err)
 	}
-	env := environment.New(c.ctx, settings, eventlog.New(c.Output(), "error", string(self.Name)), c.network.host())
+	env := environment.New(c.ctx, settings, eventlog.New(c.Output(), "error", string(self.Name)), c.network.host(self.RPCAddress))
 	transport := rpc.New(env)
 	m := New(env, transport, self)
 	if err := transport.Start(); err != nil {
@@ -100,6 +166,35 @@
 	return m
 }
 
+// probedNode is a node that also answers datagrams, and still does nothing by itself.
+func (c *cluster) probedNode(self rpc.Member) *Memberlist {
+	c.Helper()
+	m := c.node(self)
+	conn, err := m.env.Host.ListenPacket(m.config.bindAddress)
+	if err != nil {
+		c.Fatal(err)
+	}
+	m.packetConn = conn
+	m.env.Go(m.receiveLoop)
+	context.AfterFunc(m.env, func() { conn.Close() })
+	return m
+}
+
+// cut loses the datagrams both ways between two nodes.
+func (c *cluster) cut(a, b *Memberlist) {
+	c.network.mu.Lock()
+	defer c.network.mu.Unlock()
+	c.network.cut[link{a.config.bindAddress, b.config.bindAddress}] = true
+	c.network.cut[link{b.config.bindAddress, a.config.bindAddress}] = true
+}
+
+// refuse has connections from one node to another fail.
+func (c *cluster) refuse(from, to *Memberlist) {
+	c.network.mu.Lock()
+	defer c.network.mu.Unlock()
+	c.network.refused[link{from.config.bindAddress, to.config.bindAddress}] = true
+}
+
 // testMember returns the member with that index, alive at incarnation 1.
 func testMember(index int) rpc.Member {
 	return rpc.Member{
--- a/internal/proxy/epoch.go
+++ b/internal/proxy/epoch.go
@@ -4,7 +4,6 @@
 	"time"
 
 	"github.com/sumactrestle/sumactrestle/internal/distribution"
-	"github.com/sumactrestle/sumactrestle/internal/membership"
 	"github.com/sumactrestle/sumactrestle/internal/proxy/endpoint"
 	"github.com/sumactrestle/sumactrestle/internal/proxy/routing"
 )
@@ -77,7 +76,7 @@
 func (p *Proxy) zoneProxies(snapshot *distribution.Snapshot) int {
 	count := 0
 	for name, member := range p.membership.View() {
-		if _, named := snapshot.Shares[name]; named && member.Zone == p.environment.Config.Zone && (member.State == membership.StateAlive || member.State == membership.StateSuspect) {
+		if _, named := snapshot.Shares[name]; named && member.Zone == p.environment.Config.Zone && member.IsLive() {
 			count++
 		}
 	}
