--- a/internal/standin/operator.go
+++ b/internal/standin/operator.go
@@ -1,9 +1,7 @@
-// Stand-in operators and applications, over the generated client.
 package standin
 
 import (
 	"context"
-	"errors"
 	"strings"
 	"sync"
 	"time"
@@ -11,99 +9,99 @@
 	"github.com/sumactrestle/sumactrestle/internal/api"
 	"github.com/sumactrestle/sumactrestle/internal/checker"
 	"github.com/sumactrestle/sumactrestle/internal/environment"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
 )
 
-// MissingService is a service that is never there; a change set that names it is
+// MissingService is a service that is in no configuration; a change set that leads to it is
 // invalid.
 const MissingService = "nowhere"
 
+const (
+	submitTimeout = 8 * time.Second
+	queryTimeout  = 5 * time.Second
+)
+
 // Operator submits change sets through one node.
 type Operator struct {
 	History *checker.History
 	Client  *api.Client
-	paths   sync.Map // of the mappings last seen in force, by name
+	paths   sync.Map // of the routes last seen in force, by name
 }
 
-func NewOperator(n environment.Host, h *checker.History, address string) *Operator {
-	return &Operator{History: h, Client: NewAPIClient(n, address)}
+// NewOperator makes an operator at a host, who uses the API of the node at an address.
+func NewOperator(host environment.Host, history *checker.History, address string) *Operator {
+	return &Operator{History: history, Client: NewAPIClient(host, address)}
 }
 
-// CodeOf is the numbered code of a refused call; -1 if there was no answer.
-func CodeOf(err error) int {
-	var p *api.ProblemStatusCodeWithHeaders
-	if errors.As(err, &p) {
-		return p.Response.Code
-	}
-	if err != nil {
-		return -1
+// Submit sends a change set and records the response.
+func (o *Operator) Submit(ctx context.Context, change *api.Change) (*api.ChangeReceipt, error) {
+	record := o.recordOf(change)
+	ctx, cancel := context.WithTimeout(ctx, submitTimeout)
+	defer cancel()
+	response, err := o.Client.Submit(ctx, change)
+	record.Code = CodeOf(err)
+	if err == nil {
+		record.Outcome, record.Epoch = checker.OutcomeAccepted, response.Epoch
+	} else {
+		record.Outcome, record.Note = checker.OutcomeRefused, err.Error()
+		if problem := problemOf(err); problem == nil || problem.Outcome.Or("") == checker.OutcomeUnknown {
+			record.Outcome = checker.OutcomeUnknown
+		}
 	}
-	return 0
+	o.History.Add(record)
+	return response, err
 }
 
-// Submit sends a change set and records the receipt.
-func (o *Operator) Submit(ctx context.Context, change *api.Change) (*api.ChangeReceipt, error) {
-	r := checker.Record{Kind: checker.ChangeSubmitted, Start: o.History.Now(), Name: change.ID, BaseEpoch: change.Base}
-	r.ReplacesAll, r.Destinations = change.Whole.Value, map[string]string{}
+// recordOf returns a record of a change set that begins now, with where it leads each path.
+func (o *Operator) recordOf(change *api.Change) checker.Record {
+	record := checker.Record{Kind: checker.ChangeSubmitted, Start: o.History.Now(), Name: change.ID, BaseEpoch: change.Base, ReplacesAll: change.Whole.Value, Destinations: map[string]string{}}
 	for _, name := range change.Drop.Value.Mappings {
 		if path, ok := o.paths.Load(name); ok {
-			r.Destinations[path.(string)] = ""
+			record.Destinations[path.(string)] = ""
 		}
 	}
-	for _, m := range change.Put.Value.Mappings {
-		r.Names = append(r.Names, m.Name)
+	for _, route := range change.Put.Value.Mappings {
+		record.Names = append(record.Names, route.Name)
 		var services []string
-		for _, split := range m.To {
-			r.Invalid = r.Invalid || split.Service == MissingService
+		for _, split := range route.To {
+			record.Invalid = record.Invalid || split.Service == MissingService
 			services = append(services, split.Service)
 		}
-		r.Destinations[m.Path] = strings.Join(services, ",")
+		record.Destinations[route.Path] = strings.Join(services, ",")
 	}
-	limited, end := context.WithTimeout(ctx, 8*time.Second)
-	defer end()
-	receipt, err := o.Client.Submit(limited, change)
-	r.Code = CodeOf(err)
-	if err == nil {
-		r.Outcome, r.Epoch = "accepted", receipt.Epoch
-	} else {
-		r.Note = err.Error()
-		r.Outcome = "refused"
-		var p *api.ProblemStatusCodeWithHeaders
-		if !errors.As(err, &p) || p.Response.Outcome.Or("") == "unknown" {
-			r.Outcome = "unknown"
-		}
-	}
-	o.History.Add(r)
-	return receipt, err
+	return record
 }
 
-// QueryChange asks by id what became of a change set.
-func (o *Operator) QueryChange(ctx context.Context, id string) (string, error) {
-	r := checker.Record{Kind: checker.ChangeQueried, Start: o.History.Now(), Name: id}
-	limited, end := context.WithTimeout(ctx, 5*time.Second)
-	defer end()
-	receipt, err := o.Client.AskChange(limited, api.AskChangeParams{ID: id})
-	r.Code = CodeOf(err)
+// QueryChange asks what became of a change set: it is accepted, absent or unknown. Absence
+// is no error.
+func (o *Operator) QueryChange(ctx context.Context, id string) (outcome string, err error) {
+	record := checker.Record{Kind: checker.ChangeQueried, Start: o.History.Now(), Name: id}
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
+	defer cancel()
+	response, err := o.Client.AskChange(ctx, api.AskChangeParams{ID: id})
+	record.Code = CodeOf(err)
 	switch {
 	case err == nil:
-		r.Outcome, r.Epoch = "accepted", receipt.Epoch
-	case r.Code == 2004:
-		r.Outcome, err = "absent", nil
+		record.Outcome, record.Epoch = checker.OutcomeAccepted, response.Epoch
+	case record.Code == errcode.ChangeAbsent.No:
+		record.Outcome, err = checker.OutcomeAbsent, nil
 	default:
-		r.Outcome = "unknown"
+		record.Outcome = checker.OutcomeUnknown
 	}
-	o.History.Add(r)
-	return r.Outcome, err
+	o.History.Add(record)
+	return record.Outcome, err
 }
 
-// Epoch reads the epoch in force.
+// Epoch reads the epoch in force, and remembers the paths of its routes.
 func (o *Operator) Epoch(ctx context.Context) (*api.EpochView, error) {
-	limited, end := context.WithTimeout(ctx, 5*time.Second)
-	defer end()
-	view, err := o.Client.Epoch(limited)
-	if err == nil {
-		for _, m := range view.Config.Mappings {
-			o.paths.Store(m.Name, m.Path)
-		}
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
+	defer cancel()
+	view, err := o.Client.Epoch(ctx)
+	if err != nil {
+		return view, err
+	}
+	for _, route := range view.Config.Mappings {
+		o.paths.Store(route.Name, route.Path)
 	}
-	return view, err
+	return view, nil
 }
