--- a/internal/simulator/fleet.go
+++ b/internal/simulator/fleet.go
@@ -1,6 +1,3 @@
-// A Fleet is the nodes and the stand-ins of one simulated run. Machines are
-// started, killed, held still, wiped and moved; stand-in servers come and go;
-// everything at the edges is written into the history that the judge reads.
 package simulator
 
 import (
@@ -20,14 +17,22 @@
 
 // Shape is what a fleet is made of.
 type Shape struct {
+	// Cores and Proxies are how many nodes of each role there are, spread over Zones.
 	Cores, Proxies, Zones int
-	Targets               map[string]int
-	Idempotent            map[string]bool
-	AllowsDuplicates      bool // its orders decline to be run once
-	Growth                int  // mappings that some change sets add at once
-	Settings              map[string]string
-	ServiceTime           time.Duration // how long a server works at most; a moment if zero
-	PlatformMode          bool          // its proxies go on while they are out of touch
+	// Targets is how many targets each service has, by the service's name.
+	Targets map[string]int
+	// Idempotent names the services whose requests may be repeated.
+	Idempotent map[string]bool
+	// AllowsDuplicates has requests run without idempotency records.
+	AllowsDuplicates bool
+	// Growth is how many routes some change sets add at once.
+	Growth int
+	// Settings are the product's settings that differ from the defaults, for every node.
+	Settings map[string]string
+	// ServiceTime is how long a target works on a request at most; a moment if zero.
+	ServiceTime time.Duration
+	// PlatformMode runs the fleet as the users' platform does; see platform_mode.go.
+	PlatformMode bool
 }
 
 // Small is the shape of most simulated runs.
@@ -35,29 +40,33 @@
 	return Shape{Cores: 3, Proxies: 2, Zones: 3, Targets: map[string]int{"rates": 3, "bookings": 3}, Idempotent: map[string]bool{"rates": true}, Settings: map[string]string{}}
 }
 
-// Fleet is one run.
+// Fleet is the machines and the stand-ins of one simulated run. Machines are started, killed,
+// paused, wiped and moved; targets come and go; all that clients see is in the history.
 type Fleet struct {
-	Network   *Network
-	History   *checker.History
-	Shape     Shape
-	Machines  []*Machine
-	Log       io.Writer
-	Rand      *rand.Rand
-	ctx       context.Context
-	cancel    context.CancelFunc
-	loadTasks sync.WaitGroup
+	Network  *Network
+	History  *checker.History
+	Shape    Shape
+	Machines []*Machine
+	Log      io.Writer  // what the nodes log
+	Rand     *rand.Rand // faults are drawn from it
 
-	mu          sync.Mutex
-	targets     []*standin.Server
-	hostCount   int
-	Faults      []string
+	ctx         context.Context // ends with the run
+	cancel      context.CancelFunc
+	loadTasks   sync.WaitGroup
 	loadRunning atomic.Bool
+	changeCount atomic.Int64
+
+	mu        sync.Mutex // guards the three below
+	targets   []*standin.Server
+	hostCount int
+	Faults    []string // what was done, in words
 
+	// conformance holds the steps of the consensus code against the model's invariants.
 	conformance model.Conformance
-	observer    atomic.Pointer[func(m *Machine, step any)] // of a test
-	changeCount atomic.Int64
+	observer    atomic.Pointer[func(m *Machine, step any)] // set by a test
 }
 
+// NewFleet makes a fleet whose machines are all down.
 func NewFleet(seed uint64, shape Shape, log io.Writer) *Fleet {
 	ctx, end := context.WithCancel(context.Background())
 	f := &Fleet{Network: NewNetwork(seed), History: checker.NewHistory(nil), Shape: shape, Log: log, Rand: rand.New(&lockedSource{pcg: rand.NewPCG(seed, 7)}), ctx: ctx, cancel: end}
@@ -75,7 +84,7 @@
 	return f
 }
 
-// lockedSource is a source that several faults may draw from at once.
+// lockedSource is a source of randomness that several faults may draw from at once.
 type lockedSource struct {
 	mu  sync.Mutex
 	pcg *rand.PCG
--- a/internal/simulator/machine.go
+++ b/internal/simulator/machine.go
@@ -12,23 +12,28 @@
 	"github.com/sumactrestle/sumactrestle/internal/node"
 )
 
-// Machine is one node's place; its node is nil while it is down.
+// Machine is one machine with at most one running node.
 type Machine struct {
+	Name    string
+	Zone    string
+	IP      string
+	IsCore  bool
+	IsProxy bool
+
 	fleet    *Fleet
-	Name     string
-	Zone     string
-	IP       string
-	IsCore   bool
-	IsProxy  bool
-	mu       sync.Mutex
-	node     *node.Node
-	starting chan struct{} // held while the machine is started; waiting for it lets time pass
+	starting chan struct{} // a lock held while the node is started; waiting for it lets virtual time pass
+
+	mu   sync.Mutex // guards node
+	node *node.Node // nil while the machine is down
 }
 
+// RPCAddress is the node's address for other nodes.
 func (m *Machine) RPCAddress() string { return m.IP + ":7000" }
 
+// APIAddress is the node's address for targets, applications and operators.
 func (m *Machine) APIAddress() string { return m.IP + ":7001" }
 
+// ProxyAddress is the node's address for clients.
 func (m *Machine) ProxyAddress() string { return m.IP + ":7002" }
 
 // Node is the running node, or nil.
@@ -96,7 +101,7 @@
 	return nil
 }
 
-// Kill ends the process at once; with the power, what was not synced is gone.
+// Kill ends the process at once. If the power is lost with it, so is what was not synced.
 func (m *Machine) Kill(isPowerLost bool) {
 	m.mu.Lock()
 	node := m.node
--- a/internal/simulator/network.go
+++ b/internal/simulator/network.go
@@ -1,9 +1,3 @@
-// Package simulator is the simulator: the real, straight-down code of the nodes in
-// a bubble of virtual time, on a network and on disks made here. A World holds
-// the network: delays, lost datagrams, cuts one way and both ways, machines
-// held still, processes killed and machines that lose power. What a seed
-// decides is the faults and their times; the order in which tasks run is the
-// scheduler's, so a seed given again makes the same faults, not the same steps.
 package simulator
 
 import (
@@ -20,34 +14,56 @@
 	"github.com/sumactrestle/sumactrestle/internal/environment"
 )
 
-// Network is one network with its disks.
+// firstClientPort is the first port that a dialling machine uses.
+const firstClientPort = 40000
+
+// Network is the simulated network with the disks of its machines: delays, lost datagrams,
+// partitions in one direction or both, machines that are paused, processes that are killed
+// and machines that lose power. Machines are named by their IP addresses.
 type Network struct {
-	mu          sync.Mutex
-	rand        *rand.Rand
-	changed     chan struct{}
+	mu      sync.Mutex // guards all below
+	rand    *rand.Rand
+	changed chan struct{} // closed and replaced when what may pass changes
+
 	zones       map[string]string
-	partitions  map[[2]string]bool
+	partitions  map[[2]string]bool // from, to
 	paused      map[string]bool
-	generations map[string]int
+	generations map[string]int // a killed process of a machine counts up its generation
 	suspended   map[string]time.Duration
-	listeners   map[string]*listener
+	links       map[string]*link
+	disks       map[string]*Disk
+	lossRate    float64 // share of the datagrams that are lost
+	faultCount  int     // how often something was done to a link or a machine
+
+	listeners   map[string]*listener // by address, as the two below
 	packetConns map[string]*packetConn
 	conns       map[*conn]bool
-	disks       map[string]*Disk
-	links       map[string]*link
 	nextPort    int
-	lossRate    float64
-	faultCount  int // how often something was done to a way or a machine
 
-	// Bytes sent between zones and within them, in all.
+	// BytesBetweenZones and BytesWithinZones count what was sent since the start.
 	BytesBetweenZones, BytesWithinZones int64
 }
 
+// NewNetwork makes an undisturbed network. Its delays and losses are drawn from the seed.
 func NewNetwork(seed uint64) *Network {
-	return &Network{rand: rand.New(rand.NewPCG(seed, 1)), changed: make(chan struct{}), zones: map[string]string{}, partitions: map[[2]string]bool{}, paused: map[string]bool{}, generations: map[string]int{}, suspended: map[string]time.Duration{},
-		listeners: map[string]*listener{}, packetConns: map[string]*packetConn{}, conns: map[*conn]bool{}, disks: map[string]*Disk{}, links: map[string]*link{}, nextPort: 40000}
+	return &Network{
+		rand:        rand.New(rand.NewPCG(seed, 1)),
+		changed:     make(chan struct{}),
+		zones:       map[string]string{},
+		partitions:  map[[2]string]bool{},
+		paused:      map[string]bool{},
+		generations: map[string]int{},
+		suspended:   map[string]time.Duration{},
+		links:       map[string]*link{},
+		disks:       map[string]*Disk{},
+		listeners:   map[string]*listener{},
+		packetConns: map[string]*packetConn{},
+		conns:       map[*conn]bool{},
+		nextPort:    firstClientPort,
+	}
 }
 
+// hostOf returns the IP address within an address with a port.
 func hostOf(address string) string {
 	ap, err := netip.ParseAddrPort(address)
 	if err != nil {
@@ -60,13 +76,18 @@
 	return net.TCPAddrFromAddrPort(netip.MustParseAddrPort(address))
 }
 
+// broadcast wakes all that wait for the network to change. The caller holds mu.
 func (n *Network) broadcast() {
 	close(n.changed)
 	n.changed = make(chan struct{})
 }
 
-// SetZone puts a machine into a zone.
-func (n *Network) SetZone(ip, zone string) { n.mu.Lock(); n.zones[ip] = zone; n.mu.Unlock() }
+// SetZone puts a machine into a zone; delays follow from the zones.
+func (n *Network) SetZone(ip, zone string) {
+	n.mu.Lock()
+	n.zones[ip] = zone
+	n.mu.Unlock()
+}
 
 // Partition stops what goes from one machine to another; Heal lets it through.
 func (n *Network) Partition(from, to string) {
@@ -76,7 +97,7 @@
 	n.mu.Unlock()
 }
 
-// Heal ends all cuts and holds.
+// Heal ends all partitions and pauses.
 func (n *Network) Heal() {
 	n.mu.Lock()
 	n.partitions, n.paused = map[[2]string]bool{}, map[string]bool{}
@@ -84,8 +105,13 @@
 	n.mu.Unlock()
 }
 
-// Pause keeps back all that a machine sends and gets, until Release.
-func (n *Network) Pause(ip string) { n.mu.Lock(); n.paused[ip] = true; n.faultCount++; n.mu.Unlock() }
+// Pause keeps back all that a machine sends and gets, until Unpause or Heal.
+func (n *Network) Pause(ip string) {
+	n.mu.Lock()
+	n.paused[ip] = true
+	n.faultCount++
+	n.mu.Unlock()
+}
 
 // Suspend is a suspension as the machine sees it: its monotonic clock stands
 // still, and all else has gone on meanwhile.
@@ -96,6 +122,7 @@
 	n.mu.Unlock()
 }
 
+// Unpause lets through what Pause kept back.
 func (n *Network) Unpause(ip string) {
 	n.mu.Lock()
 	delete(n.paused, ip)
@@ -103,7 +130,7 @@
 	n.mu.Unlock()
 }
 
-// status tells whether all ways are whole, and how often something was hurt.
+// status reports whether nothing is partitioned, paused or lossy, and how many faults there were.
 func (n *Network) status() (intact bool, faults int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -111,7 +138,11 @@
 }
 
 // SetLossRate sets the share of datagrams that are lost.
-func (n *Network) SetLossRate(share float64) { n.mu.Lock(); n.lossRate = share; n.mu.Unlock() }
+func (n *Network) SetLossRate(share float64) {
+	n.mu.Lock()
+	n.lossRate = share
+	n.mu.Unlock()
+}
 
 // Kill ends a process: its connections break, and its disk no longer obeys it.
 // When the machine loses power, peers hear nothing, and what was not synced is
