--- a/internal/consensus/antientropy.go
+++ b/internal/consensus/antientropy.go
@@ -1,11 +1,6 @@
-// Repair: copies of a part are compared by digests over ranges of its state, at
-// an equal stamp, and a range that differs is mended from the owner, whose copy
-// a majority agrees with. Only committed state is compared, and nothing here
-// counts as a vote. An owner whose own copy stands alone gives the part up.
 package consensus
 
 import (
-	"context"
 	"encoding/json"
 	"time"
 
@@ -15,55 +10,49 @@
 )
 
 const (
-	compareInterval = 10 * time.Second
+	compareInterval = 10 * time.Second // for all shards together
 	compareTimeout  = 2 * time.Second
+	compareAttempts = 3
 )
 
-// RangeRepairer is the state of a machine cut into named ranges.
+// RangeRepairer is a StateMachine whose state is cut into named ranges, so that replicas
+// can be compared and repaired without a snapshot. Its methods are called under the
+// replica's lock.
 type RangeRepairer interface {
+	// RangeDigests returns a digest of each range, equal for equal content.
 	RangeDigests() map[string]string
+	// ExportRange returns the content of a range.
 	ExportRange(name string) (json.RawMessage, error)
+	// Repair replaces the content of a range by one that was exported.
 	Repair(name string, data json.RawMessage) error
 }
 
-func (n *Node) registerRepair() {
-	registerHandler(n.transport, "pact.compare", func(c *rpc.Request, request *rpc.RangeDigestRequest) (any, error) {
-		r, err := n.lookupReplica(request.Shard)
-		if err != nil {
-			return nil, err
-		}
-		return r.handleCompare(request), nil
-	})
-	registerHandler(n.transport, "pact.mend", func(c *rpc.Request, request *rpc.RepairRequest) (any, error) {
-		r, err := n.lookupReplica(request.Shard)
-		if err != nil {
-			return nil, err
-		}
-		return struct{}{}, r.handleRepair(request)
-	})
-}
-
-// repairLoop walks over the owned parts, one after another.
+// repairLoop compares the replicas of the shards that this node leads, one shard after
+// another.
 func (n *Node) repairLoop() {
-	for shard := 0; n.env.Sleep(compareInterval / time.Duration(len(n.replicas))); shard++ {
-		if r := n.replicas[shard%len(n.replicas)]; r.IsServing() {
+	for turn := 0; n.env.Sleep(compareInterval / time.Duration(len(n.replicas))); turn++ {
+		if r := n.replicas[turn%len(n.replicas)]; r.IsServing() {
 			r.compareReplicas()
 		}
 	}
 }
 
-// atIndex runs a verb while the part stands still at a stamp; the zero stamp is
-// whatever it stands at.
+// atIndex calls apply while nothing else is applied, if the applied index is the one given,
+// zero for any, and the term is not below the current one; false otherwise.
 func (r *Replica) atIndex(index ids.Index, term ids.Term, apply func(index ids.Index)) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if index != 0 && r.appliedIndex != index || term.Less(r.currentTerm) {
+	if index != 0 && r.log.applied != index || term.Less(r.currentTerm) {
 		return false
 	}
-	apply(r.appliedIndex)
+	apply(r.log.applied)
 	return true
 }
 
+// compareReplicas compares digests of the state's ranges with those of the other voters at
+// an equal applied index, and repairs the members whose ranges differ, if a quorum agrees
+// with the leader. A leader whose own state stands alone steps down. Only committed state
+// is compared, and nothing here counts as a vote.
 func (r *Replica) compareReplicas() {
 	ranged, ok := r.stateMachine.(RangeRepairer)
 	if !ok {
@@ -72,9 +61,7 @@
 	term, _, _ := r.LeadershipSince()
 	request := &rpc.RangeDigestRequest{Shard: r.shard, Term: term}
 	r.atIndex(0, term, func(index ids.Index) { request.Index, request.Digests = index, ranged.RangeDigests() })
-	r.mu.Lock()
-	voters := r.voters.Current
-	r.mu.Unlock()
+	voters := r.currentVoters().Current
 	r.node.kickHeartbeats(voters)
 	agreeing, disagreeing := 1, []rpc.Member{}
 	differing := map[ids.NodeName][]string{}
@@ -83,15 +70,7 @@
 		if peer == r.node.self || !ok || m.ID != peer.ID {
 			continue
 		}
-		var response rpc.RangeDigestResponse
-		for range 3 {
-			ctx, end := context.WithTimeout(r.node.env, compareTimeout)
-			err := r.node.transport.Call(ctx, m.RPCAddress, "pact.compare", request, &response)
-			end()
-			if err != nil || response.AtIndex || !r.node.env.Sleep(r.node.env.Config.PactRound) {
-				break
-			}
-		}
+		response := r.requestDigests(m, request)
 		switch {
 		case response.From != peer || !response.AtIndex:
 		case len(response.DifferingRanges) == 0:
@@ -106,7 +85,7 @@
 	}
 	if agreeing <= len(voters)/2 {
 		if agreeing == 1 && len(disagreeing) > len(voters)/2 {
-			r.resign("its copy differs from the others")
+			r.resign("its state differs from all others")
 		}
 		return
 	}
@@ -115,6 +94,19 @@
 	}
 }
 
+// requestDigests has a member compare. It is asked again while it has applied another
+// index, as the leader's commit index may be on its way there.
+func (r *Replica) requestDigests(m rpc.Member, request *rpc.RangeDigestRequest) (response rpc.RangeDigestResponse) {
+	for range compareAttempts {
+		err := r.node.call(r.node.env, compareTimeout, m.RPCAddress, "pact.compare", request, &response)
+		if err != nil || response.AtIndex || !r.node.env.Sleep(r.node.env.Config.PactRound) {
+			break
+		}
+	}
+	return response
+}
+
+// repairMember sends a member the leader's content of some ranges.
 func (r *Replica) repairMember(ranged RangeRepairer, term ids.Term, m rpc.Member, ranges []string) {
 	request := &rpc.RepairRequest{Shard: r.shard, Term: term, Ranges: map[string]json.RawMessage{}}
 	r.atIndex(0, term, func(index ids.Index) {
@@ -125,49 +117,48 @@
 			}
 		}
 	})
-	ctx, end := context.WithTimeout(r.node.env, compareTimeout)
-	defer end()
-	r.node.transport.Call(ctx, m.RPCAddress, "pact.mend", request, nil)
+	// What does not arrive is found to differ again at the next comparison.
+	_ = r.node.call(r.node.env, compareTimeout, m.RPCAddress, "pact.mend", request, nil)
 }
 
-func (r *Replica) handleCompare(request *rpc.RangeDigestRequest) *rpc.RangeDigestResponse {
+// handleCompare answers which ranges differ from the leader's, if this member has applied
+// the same index.
+func (r *Replica) handleCompare(request *rpc.RangeDigestRequest) (*rpc.RangeDigestResponse, error) {
 	response := &rpc.RangeDigestResponse{From: r.node.self}
 	ranged, ok := r.stateMachine.(RangeRepairer)
 	if !ok {
-		return response
+		return response, nil
 	}
 	response.AtIndex = r.atIndex(request.Index, request.Term, func(ids.Index) {
-		mine := ranged.RangeDigests()
+		own := ranged.RangeDigests()
 		for name, digest := range request.Digests {
-			if mine[name] != digest {
+			if own[name] != digest {
 				response.DifferingRanges = append(response.DifferingRanges, name)
 			}
-			delete(mine, name)
+			delete(own, name)
 		}
-		for name := range mine {
+		for name := range own {
 			response.DifferingRanges = append(response.DifferingRanges, name)
 		}
 	})
-	return response
+	return response, nil
 }
 
-// handleRepair takes ranges over, if the part still stands at their stamp, and keeps
-// the mended whole as a snapshot, so that a restart does not bring the fault
-// back.
-func (r *Replica) handleRepair(request *rpc.RepairRequest) error {
+// handleRepair takes a leader's ranges over, if this member has applied the same index, and
+// takes a snapshot of the repaired state, so that a restart does not bring the fault back.
+func (r *Replica) handleRepair(request *rpc.RepairRequest) (_ struct{}, err error) {
 	ranged, ok := r.stateMachine.(RangeRepairer)
 	if !ok {
-		return nil
+		return struct{}{}, nil
 	}
-	var err error
 	r.atIndex(request.Index, request.Term, func(ids.Index) {
 		for name, data := range request.Ranges {
 			if err = ranged.Repair(name, data); err != nil {
 				return
 			}
 		}
-		r.takeSnapshot()
-		r.node.log(eventlog.PartMended, "part", int(r.shard), "stamp", uint64(request.Index), "ranges", len(request.Ranges))
+		r.compactNow()
+		r.logEvent(eventlog.PartMended, "index", uint64(request.Index), "ranges", len(request.Ranges))
 	})
-	return err
+	return struct{}{}, err
 }
--- a/internal/consensus/bootstrap.go
+++ b/internal/consensus/bootstrap.go
@@ -1,13 +1,7 @@
-// Founding: only when the founding number of distinct empty core nodes have
-// seen one another does the first of them propose a charter. All of them must
-// promise, accept and sync it before it opens, so no two charters can ever
-// open; a later proposer carries on the newest charter it finds. Where an open
-// charter exists, an empty node takes it over and never founds.
 package consensus
 
 import (
 	"context"
-	"encoding/json"
 	"sort"
 	"time"
 
@@ -17,58 +11,80 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
+// Steps of bootstrap. The first two are the phases of single-decree Paxos, with all
+// founders in place of a quorum; the third tells them that all have accepted.
+const (
+	stepPromise = "promise"
+	stepAccept  = "accept"
+	stepOpen    = "open"
+)
+
+// bootstrapTimeout bounds one step with all founders.
 const bootstrapTimeout = 2 * time.Second
 
-// bootstrap joins a fleet if there is one, or tries to found it.
+// bootstrap joins a cluster if there is one, or tries to form one. Only when the expected
+// number of distinct empty core nodes have seen one another does the first of them by name
+// propose a charter. All of them must promise, accept and sync it before it opens, so no
+// two charters can ever open; a later proposer carries on the newest charter it finds.
+// Where an open charter exists, an empty node takes that over and never proposes.
 func (n *Node) bootstrap() {
 	cores := n.members.CoreMembers()
+	if n.joinCluster(cores) {
+		return
+	}
+	if founders := n.founders(cores); founders != nil {
+		n.proposeCharter(founders)
+	}
+}
+
+// joinCluster takes the open charter of some other node over.
+func (n *Node) joinCluster(cores []rpc.Member) bool {
 	for _, m := range cores {
 		if m.Fleet == "" || m.Name == n.env.Name {
 			continue
 		}
-		ctx, end := context.WithTimeout(n.env, bootstrapTimeout)
 		var charter rpc.Charter
-		err := n.transport.Call(ctx, m.RPCAddress, "pact.charter", struct{}{}, &charter)
-		end()
+		err := n.call(n.env, bootstrapTimeout, m.RPCAddress, "pact.charter", struct{}{}, &charter)
 		if err == nil && charter.Open && n.putCharter(&charter, charter.Term) == nil {
-			n.log(eventlog.FleetJoined, "fleet", charter.Fleet)
-			return
+			n.logEvent(eventlog.FleetJoined, "fleet", charter.Fleet)
+			return true
 		}
 	}
+	return false
+}
+
+// founders returns the nodes that are to form a cluster, if they are complete, none of the
+// nodes here has one, and this node is the first of them.
+func (n *Node) founders(cores []rpc.Member) (founders []rpc.Member) {
 	self := n.members.Self()
 	sort.Slice(cores, func(i, j int) bool { return cores[i].Name < cores[j].Name })
-	var founders []rpc.Member
 	for _, m := range cores {
 		if m.Fleet != "" {
-			return
+			return nil
 		}
 		if m.Founders == self.Founders && len(founders) < self.Founders {
 			founders = append(founders, m)
 		}
 	}
 	if self.Founders == 0 || len(founders) < self.Founders || founders[0].Name != self.Name {
-		return
+		return nil
 	}
-	n.proposeCharter(founders)
+	return founders
 }
 
-// proposeCharter runs one round of founding with all founders.
+// proposeCharter goes through the steps of bootstrap once, with all founders.
 func (n *Node) proposeCharter(founders []rpc.Member) {
 	n.mu.Lock()
 	term := ids.Term{Number: n.bootstrapTerm.Number + 1, Node: n.self.Name}
 	n.mu.Unlock()
-	charter := &rpc.Charter{Fleet: ids.NewID(), Members: founders, ShardCount: ids.ShardCount}
-	responses, ok := n.requestAll(founders, &rpc.BootstrapRequest{Step: "promise", Term: term, From: n.self})
+	charter := newCharter(founders)
+	responses, ok := n.requestAll(founders, &rpc.BootstrapRequest{Step: stepPromise, Term: term, From: n.self})
 	var newest ids.Term
 	for _, response := range responses {
 		if response.Charter != nil && newest.Less(response.Charter.Term) {
 			newest, charter = response.Charter.Term, response.Charter
 		}
-		n.mu.Lock()
-		if n.bootstrapTerm.Number < response.CurrentTerm.Number {
-			n.bootstrapTerm = ids.Term{Number: response.CurrentTerm.Number, Node: n.bootstrapTerm.Node}
-		}
-		n.mu.Unlock()
+		n.raiseBootstrapTerm(response.CurrentTerm)
 	}
 	if !ok {
 		return
@@ -77,28 +93,40 @@
 		// A founder lost its disk before the charter opened. All founders have promised
 		// now, none of them has it open, and none takes part in anything while it is not:
 		// nothing can have been written under it.
-		charter = &rpc.Charter{Fleet: ids.NewID(), Members: founders, ShardCount: ids.ShardCount}
+		charter = newCharter(founders)
 	}
 	charter.Term = term
-	if _, ok := n.requestAll(charter.Members, &rpc.BootstrapRequest{Step: "accept", Term: term, Charter: charter, From: n.self}); !ok {
+	if _, ok := n.requestAll(charter.Members, &rpc.BootstrapRequest{Step: stepAccept, Term: term, Charter: charter, From: n.self}); !ok {
 		return
 	}
 	opened := *charter
 	opened.Open = true
-	n.requestAll(charter.Members, &rpc.BootstrapRequest{Step: "open", Term: term, Charter: &opened, From: n.self})
+	// A founder that misses this joins later, by the charter of another.
+	n.requestAll(charter.Members, &rpc.BootstrapRequest{Step: stepOpen, Term: term, Charter: &opened, From: n.self})
+}
+
+func newCharter(founders []rpc.Member) *rpc.Charter {
+	return &rpc.Charter{Fleet: ids.NewID(), Members: founders, ShardCount: ids.ShardCount}
+}
+
+// raiseBootstrapTerm notes a number that the next proposal must exceed.
+func (n *Node) raiseBootstrapTerm(term ids.Term) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.bootstrapTerm.Number = max(n.bootstrapTerm.Number, term.Number)
 }
 
 // hasNewMemberID tells whether two lists name the same nodes, of which one at least has
-// another birth now.
+// another member id now.
 func hasNewMemberID(members, founders []rpc.Member) bool {
-	ids := map[ids.NodeName]ids.MemberID{}
+	known := map[ids.NodeName]ids.MemberID{}
 	for _, m := range members {
-		ids[m.Name] = m.ID
+		known[m.Name] = m.ID
 	}
 	differs := false
 	for _, m := range founders {
-		id, isThere := ids[m.Name]
-		if !isThere {
+		id, ok := known[m.Name]
+		if !ok {
 			return false
 		}
 		differs = differs || id != m.ID
@@ -106,13 +134,14 @@
 	return differs && len(members) == len(founders)
 }
 
-// requestAll is true only if every one agreed.
-func (n *Node) requestAll(founders []rpc.Member, request *rpc.BootstrapRequest) ([]*rpc.BootstrapResponse, bool) {
-	ctx, end := context.WithTimeout(n.env, bootstrapTimeout)
-	defer end()
+// requestAll takes one step with all founders, this node among them, and tells whether
+// every one accepted.
+func (n *Node) requestAll(founders []rpc.Member, request *rpc.BootstrapRequest) (responses []*rpc.BootstrapResponse, allAccepted bool) {
+	ctx, cancel := context.WithTimeout(n.env, bootstrapTimeout)
+	defer cancel()
 	type result struct {
-		receipt *rpc.BootstrapResponse
-		ok      bool
+		response *rpc.BootstrapResponse
+		accepted bool
 	}
 	results := make(chan result, len(founders))
 	for _, m := range founders {
@@ -131,48 +160,42 @@
 			results <- result{response, response.Accepted && response.From.ID == m.ID}
 		})
 	}
-	allAgreed := true
-	var responses []*rpc.BootstrapResponse
+	allAccepted = true
 	for range founders {
 		got := <-results
-		allAgreed = allAgreed && got.ok
-		if got.receipt != nil {
-			responses = append(responses, got.receipt)
+		allAccepted = allAccepted && got.accepted
+		if got.response != nil {
+			responses = append(responses, got.response)
 		}
 	}
-	return responses, allAgreed
+	return responses, allAccepted
 }
 
-// handleBootstrap answers a step of founding.
+// handleBootstrap answers a step of bootstrap. A step that is below what was promised, or
+// that comes when a charter is open, is not accepted; the charter here is answered.
 func (n *Node) handleBootstrap(request *rpc.BootstrapRequest) (*rpc.BootstrapResponse, error) {
 	n.mu.Lock()
 	response := &rpc.BootstrapResponse{From: n.self, CurrentTerm: n.bootstrapTerm, Charter: n.charter}
 	isOpen := n.charter != nil && n.charter.Open
 	isLower := request.Term.Less(n.bootstrapTerm)
 	n.mu.Unlock()
-	if request.Step != "promise" && request.Charter == nil {
+	if request.Step != stepPromise && request.Charter == nil {
 		return nil, errcode.New(errcode.BadMessage, "no charter in step %q", request.Step)
 	}
-	switch {
-	case isOpen || isLower && request.Step != "open":
+	if isOpen || isLower && request.Step != stepOpen {
 		return response, nil
-	case request.Step == "promise":
-		n.mu.Lock()
-		n.bootstrapTerm = request.Term
-		n.mu.Unlock()
-		raw, _ := json.Marshal(request.Term)
-		batch := n.store.NewBatch()
-		batch.Put("pledge", raw)
-		n.store.Submit(batch)
-		if err := batch.Wait(); err != nil {
+	}
+	switch request.Step {
+	case stepPromise:
+		if err := n.putBootstrapTerm(request.Term); err != nil {
 			return nil, err
 		}
-	case request.Step == "accept" || request.Step == "open":
+	case stepAccept, stepOpen:
 		if err := n.putCharter(request.Charter, request.Term); err != nil {
 			return nil, err
 		}
-		if request.Step == "open" {
-			n.log(eventlog.FleetFounded, "fleet", request.Charter.Fleet, "members", len(request.Charter.Members))
+		if request.Step == stepOpen {
+			n.logEvent(eventlog.FleetFounded, "fleet", request.Charter.Fleet, "members", len(request.Charter.Members))
 		}
 	default:
 		return nil, errcode.New(errcode.BadMessage, "no step %q", request.Step)
@@ -181,7 +204,19 @@
 	return response, nil
 }
 
-// putCharter syncs a charter and, if it is open, enters the fleet.
+// putBootstrapTerm promises a term, and returns when that is synced.
+func (n *Node) putBootstrapTerm(term ids.Term) error {
+	n.mu.Lock()
+	n.bootstrapTerm = term
+	n.mu.Unlock()
+	batch := n.store.NewBatch()
+	batch.Put(bootstrapTermKey, encodeRecord(term))
+	n.store.Submit(batch)
+	return batch.Wait()
+}
+
+// putCharter accepts a charter, returns when it is synced, and, if it is open, enters the
+// cluster.
 func (n *Node) putCharter(charter *rpc.Charter, term ids.Term) error {
 	n.mu.Lock()
 	if n.charter != nil && n.charter.Open {
@@ -190,12 +225,11 @@
 	}
 	if term.Less(n.bootstrapTerm) && !charter.Open {
 		n.mu.Unlock()
-		return errcode.New(errcode.NotOwner, "a higher round of founding was promised")
+		return errcode.New(errcode.NotOwner, "a higher term of bootstrap was promised")
 	}
 	n.charter, n.bootstrapTerm = charter, term
-	raw, _ := json.Marshal(charter)
 	batch := n.store.NewBatch()
-	batch.Put("charter", raw)
+	batch.Put(charterKey, encodeRecord(charter))
 	n.store.Submit(batch)
 	n.mu.Unlock()
 	if err := batch.Wait(); err != nil {
@@ -210,17 +244,43 @@
 	return nil
 }
 
-// enterCluster shows the fleet to others and gives every part its first group.
+// enterCluster gives every shard its first voters and tells the members of the cluster.
 func (n *Node) enterCluster(charter *rpc.Charter) {
 	for _, r := range n.replicas {
 		r.mu.Lock()
-		if r.snapshot.Index == 0 && len(r.snapshot.Voters) == 0 {
-			r.snapshot.Voters = SelectVoters(r.shard, charter.Members, r.node.env.Config.PactLosses)
+		if r.log.snapshot.Index == 0 && len(r.log.snapshot.Voters) == 0 {
+			r.log.snapshot.Voters = SelectVoters(r.shard, charter.Members, n.env.Config.PactLosses)
 			r.updateVoters()
 		}
-		r.electionTimerStart = r.node.env.Now()
+		r.election.timerStart = n.env.Now()
 		r.mu.Unlock()
 	}
 	n.members.UpdateSelf(func(m *rpc.Member) { m.Fleet = charter.Fleet })
 	close(n.Bootstrapped)
 }
+
+// Charter returns the cluster's charter, or nil while it is not open here.
+func (n *Node) Charter() *rpc.Charter {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.charter == nil || !n.charter.Open {
+		return nil
+	}
+	return n.charter
+}
+
+// clusterID returns the cluster's id, empty before the charter is open here.
+func (n *Node) clusterID() string {
+	if charter := n.Charter(); charter != nil {
+		return charter.Fleet
+	}
+	return ""
+}
+
+// handleCharter answers a node that seeks a cluster to join.
+func (n *Node) handleCharter(*struct{}) (*rpc.Charter, error) {
+	if charter := n.Charter(); charter != nil {
+		return charter, nil
+	}
+	return nil, errcode.New(errcode.NoOwner, "no charter here")
+}
--- a/internal/consensus/heartbeat.go
+++ b/internal/consensus/heartbeat.go
@@ -1,281 +1,212 @@
-// Rounds: one task to each other core node carries all the claims this node
-// holds in one message, some four times a second and whenever a read waits. A
-// receipt confirms every claim it does not refuse, as of the moment the message
-// was sent; a majority's moments make the age of the confirmation.
 package consensus
 
 import (
 	"context"
 	"time"
 
-	"github.com/sumactrestle/sumactrestle/internal/errcode"
 	"github.com/sumactrestle/sumactrestle/internal/ids"
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
+const (
+	heartbeatTimeout = 500 * time.Millisecond
+	// idleHeartbeatFactor is how much more seldom those are told who leads that vote for
+	// nothing led here.
+	idleHeartbeatFactor = 4
+)
+
+// heartbeater sends heartbeats to one core node. One message carries the claims of this
+// node to all the shards it leads, every pact.round and whenever a read waits.
 type heartbeater struct {
-	kick     chan struct{}
-	cancel   context.CancelFunc
-	sequence uint64
-	acked    claimState
+	kick   chan struct{} // has one place; a message is sent at once when it is filled
+	cancel context.CancelFunc
+
+	// sequence and acked belong to the task that sends.
+	sequence uint64     // of the last message; zero before the first
+	acked    claimState // the last claims that were answered
 }
 
-// Members of no part owned here have no word to give; they are told who owns what
-// this much more seldom.
-const idleHeartbeatFactor = 4
+// sendNow has a message sent at once, unless that is due already.
+func (h *heartbeater) sendNow() {
+	select {
+	case h.kick <- struct{}{}:
+	default:
+	}
+}
 
-// keepHeartbeats has one task for each core node there is.
+// keepHeartbeats starts a heartbeater for each core node that is new, and ends those of
+// nodes that are gone or are under another member id.
 func (n *Node) keepHeartbeats() {
-	view := n.members.View()
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for peer, h := range n.heartbeaters {
-		if m, ok := view[peer.Name]; !ok || m.ID != peer.ID {
+		if _, ok := n.memberOf(peer); !ok {
 			h.cancel()
 			delete(n.heartbeaters, peer)
 			delete(n.receivedClaims, peer)
 		}
 	}
-	for name, m := range view {
+	for name, m := range n.members.View() {
 		peer := rpc.Peer{Name: name, ID: m.ID}
 		if !m.Core || name == n.env.Name || n.heartbeaters[peer] != nil {
 			continue
 		}
-		ctx, end := context.WithCancel(n.env)
-		h := &heartbeater{kick: make(chan struct{}, 1), cancel: end}
+		ctx, cancel := context.WithCancel(n.env)
+		h := &heartbeater{kick: make(chan struct{}, 1), cancel: cancel}
 		n.heartbeaters[peer] = h
-		n.env.Go(func() { n.runHeartbeat(ctx, peer, h) })
+		n.env.Go(func() { n.runHeartbeats(ctx, peer, h) })
 	}
 }
 
-// kickHeartbeats has the members of a group asked at once.
-func (n *Node) kickHeartbeats(group []rpc.Peer) {
+// kickHeartbeats has heartbeats sent to some members at once.
+func (n *Node) kickHeartbeats(peers []rpc.Peer) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, peer := range group {
+	for _, peer := range peers {
 		if h := n.heartbeaters[peer]; h != nil {
-			select {
-			case h.kick <- struct{}{}:
-			default:
-			}
+			h.sendNow()
 		}
 	}
 }
 
-// kickAllHeartbeats has everybody told of a new owner at once.
+// kickAllHeartbeats has heartbeats sent to everybody at once, who learns of a new leader so.
 func (n *Node) kickAllHeartbeats() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, h := range n.heartbeaters {
-		select {
-		case h.kick <- struct{}{}:
-		default:
-		}
+		h.sendNow()
 	}
 }
 
-// isVoterOfLedShard tells whether a peer has a say in a part that this node owns.
+// isVoterOfLedShard tells whether a peer votes in a shard that this node leads.
 func (n *Node) isVoterOfLedShard(peer rpc.Peer) bool {
 	for _, r := range n.replicas {
 		r.mu.Lock()
-		is := r.isLeader && r.voters.Contains(peer)
+		isVoter := r.leadership.isLeader && r.voters.Contains(peer)
 		r.mu.Unlock()
-		if is {
+		if isVoter {
 			return true
 		}
 	}
 	return false
 }
 
-func (n *Node) runHeartbeat(ctx context.Context, peer rpc.Peer, h *heartbeater) {
-	wakeup := time.NewTimer(1)
-	defer wakeup.Stop()
+func (n *Node) runHeartbeats(ctx context.Context, peer rpc.Peer, h *heartbeater) {
+	timer := time.NewTimer(1)
+	defer timer.Stop()
 	for {
 		pause := n.env.Config.PactRound
 		select {
 		case <-ctx.Done():
 			return
 		case <-h.kick:
-			// Whoever kicks, does so about as often; the next kick is awaited a little
-			// longer, or there would be two rounds for each.
+			// Kicks come about as often as the timer fires. The next one is waited for a
+			// little longer, or there would be two messages for each.
 			pause = pause * 3 / 2
-		case <-wakeup.C:
+		case <-timer.C:
 		}
 		if !n.isVoterOfLedShard(peer) {
 			pause = n.env.Config.PactRound * idleHeartbeatFactor
 		}
-		wakeup.Reset(pause)
-		claims := n.claims()
-		m, ok := n.members.View()[peer.Name]
-		if len(claims) == 0 || !ok || m.ID != peer.ID {
-			continue
-		}
-		sent := n.env.Now()
-		limited, end := context.WithTimeout(ctx, 500*time.Millisecond)
-		var response rpc.HeartbeatResponse
-		request := h.nextRequest(n.self, claims)
-		err := n.transport.Call(limited, m.RPCAddress, "pact.round", request, &response)
-		end()
-		if err != nil || response.From != peer || response.Sequence != request.Sequence {
-			continue
-		}
-		h.acknowledge(request, claims, response.BaseLost)
-		if !response.BaseLost {
-			n.recordAcks(peer, sent, claims, &response)
-			continue
-		}
-		select {
-		case h.kick <- struct{}{}:
-		default:
-		}
+		timer.Reset(pause)
+		n.sendHeartbeat(ctx, peer, h)
 	}
 }
 
+// sendHeartbeat sends one message, if this node leads anything.
+func (n *Node) sendHeartbeat(ctx context.Context, peer rpc.Peer, h *heartbeater) {
+	claims := n.claims()
+	address, ok := n.addressOf(peer)
+	if len(claims) == 0 || !ok {
+		return
+	}
+	sent := n.env.Now()
+	request := h.nextRequest(n.self, claims)
+	var response rpc.HeartbeatResponse
+	if err := n.call(ctx, heartbeatTimeout, address, "pact.round", request, &response); err != nil || response.From != peer || response.Sequence != request.Sequence {
+		return
+	}
+	h.acknowledge(request, claims, response.BaseLost)
+	if response.BaseLost {
+		h.sendNow()
+	} else {
+		n.recordAcks(peer, sent, claims, &response)
+	}
+}
+
+// claims is the claims to all shards that this node leads.
 func (n *Node) claims() (claims []rpc.LeaderClaim) {
 	for _, r := range n.replicas {
 		r.mu.Lock()
-		if r.isLeader {
-			claims = append(claims, rpc.LeaderClaim{Shard: r.shard, Term: r.currentTerm, Commit: r.commitIndex, Serving: r.isServing})
+		if r.leadership.isLeader {
+			claims = append(claims, rpc.LeaderClaim{Shard: r.shard, Term: r.currentTerm, Commit: r.log.committed, Serving: r.leadership.isServing})
 		}
 		r.mu.Unlock()
 	}
 	return claims
 }
 
-// recordAcks notes a member's word on each claim it did not refuse.
+// recordAcks notes a member's answer: it confirms every claim that it does not reject, as
+// of the moment at which the message was sent.
 func (n *Node) recordAcks(peer rpc.Peer, sent time.Time, claims []rpc.LeaderClaim, response *rpc.HeartbeatResponse) {
-	shard := map[ids.Shard]ids.Term{}
-	for _, refused := range response.Rejected {
-		shard[refused.Shard] = refused.Term
+	higherTerms := map[ids.Shard]ids.Term{}
+	for _, rejected := range response.Rejected {
+		higherTerms[rejected.Shard] = rejected.Term
 	}
 	for _, claim := range claims {
-		r := n.replicas[claim.Shard]
-		r.mu.Lock()
-		if r.isLeader && r.currentTerm == claim.Term {
-			if higher, ok := shard[claim.Shard]; ok {
-				r.highestTermNumber = max(r.highestTermNumber, higher.Number)
-				r.stepDown("a member promised " + higher.String())
-			} else if r.lastAck[peer].Before(sent) {
-				r.lastAck[peer] = sent
-				r.notifyChanged()
-			}
-		}
-		r.mu.Unlock()
+		higher, isRejected := higherTerms[claim.Shard]
+		n.replicas[claim.Shard].recordAck(peer, sent, claim.Term, higher, isRejected)
 	}
 }
 
-// handleHeartbeat answers a round.
-func (n *Node) handleHeartbeat(request *rpc.HeartbeatRequest) *rpc.HeartbeatResponse {
+// recordAck notes a member's answer to one claim.
+func (r *Replica) recordAck(peer rpc.Peer, sent time.Time, term, higher ids.Term, isRejected bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if !r.leads(term) {
+		return
+	}
+	if isRejected {
+		r.stepDownForTerm(term, higher)
+	} else if p := r.leadership.progressOf(peer); p.lastAck.Before(sent) {
+		p.lastAck = sent
+		r.notifyChanged()
+	}
+}
+
+// handleHeartbeat answers a heartbeat. A claim below the current term is rejected with it.
+func (n *Node) handleHeartbeat(request *rpc.HeartbeatRequest) (*rpc.HeartbeatResponse, error) {
 	response := &rpc.HeartbeatResponse{From: n.self, Sequence: request.Sequence}
 	claims, ok := n.fullClaims(request)
 	if !ok {
 		response.BaseLost = true
-		return response
+		return response, nil
 	}
 	for _, claim := range claims {
-		r, err := n.lookupReplica(claim.Shard)
+		r, err := n.replica(claim.Shard)
 		if err != nil {
 			continue
 		}
-		r.mu.Lock()
-		if claim.Term.Less(r.currentTerm) {
-			response.Rejected = append(response.Rejected, rpc.LeaderClaim{Shard: claim.Shard, Term: r.currentTerm})
-			r.mu.Unlock()
-			continue
-		}
-		r.lastLeaderContact = r.node.env.Now()
-		if r.leaderMatchTerm == claim.Term {
-			r.advanceCommit(min(claim.Commit, r.leaderMatchIndex))
-		}
-		r.mu.Unlock()
-		if claim.Serving {
+		if higher, ok := r.acceptClaim(claim); !ok {
+			response.Rejected = append(response.Rejected, rpc.LeaderClaim{Shard: claim.Shard, Term: higher})
+		} else if claim.Serving {
 			n.recordLeader(claim.Shard, request.From.Name, claim.Term)
 		}
 	}
-	return response
-}
-
-func (n *Node) recordLeader(shard ids.Shard, name ids.NodeName, term ids.Term) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if old := n.leaders[shard]; !term.Less(old.term) {
-		n.leaders[shard] = leaderRecord{name: name, term: term, at: n.env.Now()}
-	}
+	return response, nil
 }
 
-// confirmedAt is the moment as of which a majority confirms the owner's term.
-func (r *Replica) confirmedAt() time.Time {
-	now := r.node.env.Now()
-	age := r.voters.QuorumValue(func(peer rpc.Peer) int64 {
-		if peer == r.node.self {
-			return 0
-		}
-		return -int64(now.Sub(r.lastAck[peer]))
-	})
-	return now.Add(time.Duration(age))
-}
-
-// confirmFallback is how long the word of the nearestMajority is awaited before all are asked.
-const confirmFallback = 40 * time.Millisecond
-
-// nearestMajority is the members that make a majority with this node: own zone first, and
-// those that seem live.
-func (n *Node) nearestMajority(voters Voters) []rpc.Peer {
-	current := voters.Current
-	if voters.IsJoint() {
-		return voters.All()
-	}
-	var nearest []rpc.Peer
-	for _, m := range n.members.CoreMembers() {
-		peer := rpc.Peer{Name: m.Name, ID: m.ID}
-		if peer != n.self && containsPeer(current, peer) && len(nearest) < len(current)/2 {
-			nearest = append(nearest, peer)
-		}
-	}
-	return nearest
-}
-
-// ConfirmLeadership waits until a majority has confirmed the term as of a moment. The nearestMajority
-// that make one are asked first, all if their word does not come at once.
-func (r *Replica) ConfirmLeadership(ctx context.Context, since time.Time) error {
-	var wakeup *time.Timer
-	var late <-chan time.Time
-	for {
-		r.mu.Lock()
-		if !r.isServing {
-			r.mu.Unlock()
-			return errcode.New(errcode.NotOwner, "part %d", r.shard)
-		}
-		if !r.confirmedAt().Before(since) {
-			r.trace(TraceEvent{Kind: TraceRead, Term: r.currentTerm, Index: r.appliedIndex, Since: time.Now().Add(-r.node.env.Since(since))})
-			r.mu.Unlock()
-			return nil
-		}
-		change, voters := r.changed, r.voters
-		r.mu.Unlock()
-		if wakeup == nil {
-			wakeup = time.NewTimer(confirmFallback)
-			defer wakeup.Stop()
-			late = wakeup.C
-			r.node.kickHeartbeats(r.node.nearestMajority(voters))
-		}
-		select {
-		case <-change:
-		case <-late:
-			late = nil
-			r.node.kickHeartbeats(voters.All())
-		case <-ctx.Done():
-			return errcode.New(errcode.NoOwner, "part %d can't be confirmed: %v", r.shard, ctx.Err())
-		}
-	}
-}
-
-// ConfirmationAge is how long ago the term was confirmed; false if the part isn't served.
-func (r *Replica) ConfirmationAge() (time.Duration, bool) {
+// acceptClaim takes a leader's claim, and commits what it says as far as this log is known
+// to equal the leader's. A claim below the current term is rejected with that.
+func (r *Replica) acceptClaim(claim rpc.LeaderClaim) (currentTerm ids.Term, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.isServing {
-		return 0, false
+	if claim.Term.Less(r.currentTerm) {
+		return r.currentTerm, false
+	}
+	r.election.lastLeaderContact = r.node.env.Now()
+	if r.follower.matchTerm == claim.Term {
+		r.advanceCommit(min(claim.Commit, r.follower.matchIndex))
 	}
-	return r.node.env.Since(r.confirmedAt()), true
+	return claim.Term, true
 }
--- a/internal/consensus/heartbeat_delta.go
+++ b/internal/consensus/heartbeat_delta.go
@@ -1,17 +1,17 @@
-// What a round says. Most claims are the same from round to round, so a message
-// names the one before it that was heard, and says only what differs. A member
-// that does not have that one, for it was started anew or the order of messages
-// broke, says so, confirms nothing, and is told all.
 package consensus
 
 import (
+	"maps"
 	"math/rand/v2"
 
 	"github.com/sumactrestle/sumactrestle/internal/ids"
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// claimState is all that one message claims, by its number.
+// claimState is all that one heartbeat claims. Most claims are the same from message to
+// message, so a message names the one before it that was answered, its base, and carries
+// only what differs. A member that does not have the base, as it was restarted or the
+// order of messages broke, says so, confirms nothing, and is sent everything.
 type claimState struct {
 	sequence uint64
 	claims   map[ids.Shard]rpc.LeaderClaim
@@ -25,8 +25,8 @@
 	return byShard
 }
 
-// nextRequest makes the next message; numbers begin anywhere, so that those of an earlier
-// life of this node are not met again.
+// nextRequest makes the next message. Sequence numbers begin at random, so that those of an
+// earlier process of this node are not met again.
 func (h *heartbeater) nextRequest(from rpc.Peer, claims []rpc.LeaderClaim) *rpc.HeartbeatRequest {
 	if h.sequence == 0 {
 		h.sequence = rand.Uint64() >> 2
@@ -39,23 +39,23 @@
 			request.Claims = append(request.Claims, c)
 		}
 	}
-	for no := range h.acked.claims {
-		if _, ok := now[no]; !ok {
-			request.Released = append(request.Released, no)
+	for shard := range h.acked.claims {
+		if _, ok := now[shard]; !ok {
+			request.Released = append(request.Released, shard)
 		}
 	}
 	return request
 }
 
-// acknowledge notes that a message was heard, or that its base was lost.
-func (h *heartbeater) acknowledge(request *rpc.HeartbeatRequest, claims []rpc.LeaderClaim, isLost bool) {
+// acknowledge notes that a message was answered, or that its base is lost.
+func (h *heartbeater) acknowledge(request *rpc.HeartbeatRequest, claims []rpc.LeaderClaim, isBaseLost bool) {
 	h.acked = claimState{}
-	if !isLost {
+	if !isBaseLost {
 		h.acked = claimState{sequence: request.Sequence, claims: claimsByShard(claims)}
 	}
 }
 
-// fullClaims is all that a message claims; false if its base is not the last heard.
+// fullClaims returns all that a message claims; false if its base is not the last one received.
 func (n *Node) fullClaims(request *rpc.HeartbeatRequest) (map[ids.Shard]rpc.LeaderClaim, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -65,9 +65,7 @@
 	}
 	claims := map[ids.Shard]rpc.LeaderClaim{}
 	if request.BaseSequence != 0 {
-		for shard, c := range last.claims {
-			claims[shard] = c
-		}
+		maps.Copy(claims, last.claims)
 	}
 	for _, shard := range request.Released {
 		delete(claims, shard)
--- a/internal/consensus/placement.go
+++ b/internal/consensus/placement.go
@@ -1,5 +1,3 @@
-// Where the members of a part are put: an agreed order of nodes for each part, and
-// groups that are spread over zones first.
 package consensus
 
 import (
@@ -10,7 +8,8 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// ElectionOrder is the agreed order of a part's group.
+// ElectionOrder returns voters in the order in which they are to lead a shard. It is the same
+// on every node, by rendezvous hashing, so that leaders are spread over the nodes.
 func ElectionOrder(shard ids.Shard, voters []rpc.Peer) []rpc.Peer {
 	order := append([]rpc.Peer(nil), voters...)
 	seed := fmt.Sprint("part", shard)
@@ -24,7 +23,8 @@
 	return order
 }
 
-// SelectVoters picks the group of a part: spread over zones first, then by order.
+// SelectVoters chooses the first voters of a shard: spread over zones first, then by
+// election order. tolerated is how many nodes may be lost at once (pact.losses).
 func SelectVoters(shard ids.Shard, members []rpc.Member, tolerated int) []rpc.Peer {
 	var peers []rpc.Peer
 	zones := map[ids.NodeName]string{}
@@ -47,9 +47,9 @@
 	return voters
 }
 
-// ReplicationFactor is how many members a part has in a fleet of so many core nodes. It is
-// odd where it can be: a fourth member would have to be heard for a majority
-// and would leave nobody to take a lost one's place.
+// ReplicationFactor returns how many voters a shard has in a cluster of so many core nodes.
+// It is odd where it can be: a fourth voter would be needed for a majority, and would leave
+// no spare to take a lost one's place.
 func ReplicationFactor(shard ids.Shard, cores, tolerated int) int {
 	size := 2*tolerated + 1
 	if shard == ids.ConfigShard && cores >= 5 {
--- a/internal/consensus/prevote.go
+++ b/internal/consensus/prevote.go
@@ -1,9 +1,3 @@
-// Standing early after a start. A member that has heard no owner since it started
-// asks all members of its parts whether they know of one (a pre-vote: nothing is
-// promised by it, and no term rises). Only where a majority answers, and everyone who
-// answers knows of none, does the first of them in the agreed order stand at once;
-// else the silence is awaited as ever. So nobody takes a part from a working owner,
-// and a fleet that lost all its processes does not wait for owners that are gone.
 package consensus
 
 import (
@@ -16,46 +10,43 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// How long all members are waited for, and how long the others are once one has
-// answered; and the pause between two rounds.
 const (
-	prevoteTimeout  = 100 * time.Millisecond
-	prevoteGrace    = 30 * time.Millisecond
-	prevoteInterval = 30 * time.Millisecond
+	prevoteTimeout  = 100 * time.Millisecond // for all members
+	prevoteGrace    = 30 * time.Millisecond  // for the others once one has answered
+	prevoteInterval = 30 * time.Millisecond  // between two pre-votes after a start
 )
 
-// isUnaware tells whether this member knows of no owner and of nobody who stands,
-// and has not waited long enough to stand without having asked.
+// isUnaware tells whether this member knows neither a leader nor a candidate since it
+// started, and would vote for itself.
 func (r *Replica) isUnaware() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return !r.isLeader && !r.isRemoved && r.voters.Contains(r.node.self) && r.lastLeaderContact.IsZero() && r.leaderMatchTerm == ids.Term{}
+	return r.canCampaign() && r.election.lastLeaderContact.IsZero() && r.follower.matchTerm == ids.Term{}
 }
 
-// hasLiveLeader tells whether this member owns the part, heard its owner of late, or
-// promised it to somebody a moment ago.
-func (r *Replica) hasLiveLeader() bool {
+// knowsLeader tells whether this member leads the shard, heard its leader of late, or
+// voted a moment ago.
+func (r *Replica) knowsLeader() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	timeout := r.node.env.Config.PactSilence
-	hasContact := !r.lastLeaderContact.IsZero() && r.node.env.Since(r.lastLeaderContact) < timeout*3/4
-	hasVoted := r.leaderMatchTerm != ids.Term{} && r.node.env.Since(r.electionTimerStart) < timeout/2
-	return r.isLeader || hasContact || hasVoted
+	hasVoted := r.follower.matchTerm != ids.Term{} && r.node.env.Since(r.election.timerStart) < r.node.env.Config.PactSilence/2
+	return r.leadership.isLeader || r.hasLeaderContact() || hasVoted
 }
 
-// handlePrevote answers a pre-vote.
-func (n *Node) handlePrevote(request *rpc.PreVoteRequest) *rpc.PreVoteResponse {
+// handlePrevote answers a pre-vote. No term rises by it, and nothing is promised.
+func (n *Node) handlePrevote(request *rpc.PreVoteRequest) (*rpc.PreVoteResponse, error) {
 	response := &rpc.PreVoteResponse{From: n.self}
 	for _, shard := range request.Shards {
-		if r, err := n.lookupReplica(shard); err != nil || r.hasLiveLeader() {
+		if r, err := n.replica(shard); err != nil || r.knowsLeader() {
 			response.LedShards = append(response.LedShards, shard)
 		}
 	}
-	return response
+	return response, nil
 }
 
-// prevoteAfterStart asks in rounds for the parts that nobody was heard of, until there is
-// none: whoever has waited for the whole silence stands without having asked.
+// prevoteAfterStart asks about the shards of which nobody was heard since the start, until
+// there is none, so that a cluster that lost all its processes does not wait for leaders
+// that are gone. Whoever has waited for the whole time-out campaigns without this.
 func (n *Node) prevoteAfterStart() {
 	select {
 	case <-n.Bootstrapped:
@@ -63,38 +54,34 @@
 		return
 	}
 	for n.env.Sleep(environment.Jitter(prevoteInterval)) && !n.IsStopping() {
-		var shards []ids.Shard
+		var unaware []*Replica
 		for _, r := range n.replicas {
 			if r.isUnaware() {
-				shards = append(shards, r.shard)
+				unaware = append(unaware, r)
 			}
 		}
-		if len(shards) == 0 {
+		if len(unaware) == 0 {
 			return
 		}
-		responses := n.requestPrevotes(shards)
-		for _, shard := range shards {
-			if r := n.replicas[shard]; r.isUnaware() && r.mayCampaignAfterStart(responses) {
-				n.runOnce(shard, func() { r.campaign(false) })
+		responses := n.requestPrevotes(unaware)
+		for _, r := range unaware {
+			if r.isUnaware() && r.mayCampaignAfterStart(responses) {
+				n.runOnce(r.shard, func() { r.campaign(false) })
 			}
 		}
 	}
 }
 
-// prevoteAndCampaign stands for parts whose owner is silent, where a majority has not heard
-// one either: who is cut off, or on a slow link, must not end the work of an owner
-// that the others hear.
+// prevoteAndCampaign campaigns for shards whose leader is silent, if a quorum has not heard
+// it either: a member that is cut off, or on a slow link, must not depose a leader that
+// the others hear.
 func (n *Node) prevoteAndCampaign(due []*Replica) {
 	if len(due) == 0 || !n.isPrevoting.CompareAndSwap(false, true) {
 		return
 	}
 	n.env.Go(func() {
 		defer n.isPrevoting.Store(false)
-		var shards []ids.Shard
-		for _, r := range due {
-			shards = append(shards, r.shard)
-		}
-		responses := n.requestPrevotes(shards)
+		responses := n.requestPrevotes(due)
 		for _, r := range due {
 			if r.isElectionDue() && r.hasPrevoteQuorum(responses) {
 				n.runOnce(r.shard, func() { r.campaign(false) })
@@ -103,11 +90,9 @@
 	})
 }
 
-// hasPrevoteQuorum tells whether enough members to decide know of no owner.
+// hasPrevoteQuorum tells whether a quorum, with this member, knows no leader.
 func (r *Replica) hasPrevoteQuorum(responses map[rpc.Peer]*rpc.PreVoteResponse) bool {
-	r.mu.Lock()
-	voters := r.voters
-	r.mu.Unlock()
+	voters := r.currentVoters()
 	supporters := []rpc.Peer{r.node.self}
 	for peer, response := range responses {
 		if !slices.Contains(response.LedShards, r.shard) {
@@ -117,9 +102,15 @@
 	return voters.HasQuorum(supporters)
 }
 
-func (n *Node) requestPrevotes(shards []ids.Shard) map[rpc.Peer]*rpc.PreVoteResponse {
-	ctx, end := context.WithTimeout(n.env, prevoteTimeout)
-	defer end()
+// requestPrevotes asks all live core nodes about some shards, and returns what those
+// answered who did in time.
+func (n *Node) requestPrevotes(replicas []*Replica) map[rpc.Peer]*rpc.PreVoteResponse {
+	request := &rpc.PreVoteRequest{}
+	for _, r := range replicas {
+		request.Shards = append(request.Shards, r.shard)
+	}
+	ctx, cancel := context.WithTimeout(n.env, prevoteTimeout)
+	defer cancel()
 	var cores []rpc.Member
 	for _, m := range n.members.CoreMembers() {
 		if m.Name != n.env.Name {
@@ -130,7 +121,7 @@
 	for _, m := range cores {
 		n.env.Go(func() {
 			response := &rpc.PreVoteResponse{}
-			if n.transport.Call(ctx, m.RPCAddress, "pact.prevote", &rpc.PreVoteRequest{Shards: shards}, response) != nil {
+			if n.transport.Call(ctx, m.RPCAddress, "pact.prevote", request, response) != nil {
 				response = nil
 			}
 			results <- response
@@ -146,9 +137,9 @@
 			}
 			responses[response.From] = response
 			if grace == nil {
-				wakeup := time.NewTimer(prevoteGrace)
-				defer wakeup.Stop()
-				grace = wakeup.C
+				timer := time.NewTimer(prevoteGrace)
+				defer timer.Stop()
+				grace = timer.C
 			}
 		case <-grace:
 			return responses
@@ -157,24 +148,18 @@
 	return responses
 }
 
-// mayCampaignAfterStart tells whether a majority answered, all who did know of no owner, and this
-// member is the first of them.
+// mayCampaignAfterStart tells whether a quorum answered, everybody who answered knows no
+// leader, and this member is the first of them in election order.
 func (r *Replica) mayCampaignAfterStart(responses map[rpc.Peer]*rpc.PreVoteResponse) bool {
-	r.mu.Lock()
-	voters := r.voters
-	r.mu.Unlock()
+	voters := r.currentVoters()
 	var answered []rpc.Peer
 	for _, peer := range voters.All() {
 		response := responses[peer]
 		if peer != r.node.self && response == nil {
 			continue
 		}
-		if response != nil {
-			for _, shard := range response.LedShards {
-				if shard == r.shard {
-					return false
-				}
-			}
+		if response != nil && slices.Contains(response.LedShards, r.shard) {
+			return false
 		}
 		answered = append(answered, peer)
 	}
--- /dev/null
+++ b/internal/consensus/proposal.go
@@ -0,0 +1,96 @@
+package consensus
+
+import (
+	"context"
+	"encoding/json"
+
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
+)
+
+// proposal is an entry that somebody here waits for.
+type proposal struct {
+	term ids.Term
+	// done gets the state machine's response; it is closed without one if the entry of
+	// this term may be lost.
+	done chan any
+}
+
+// Propose appends a command, waits until it is committed and applied, and returns its
+// index and the state machine's response. The error is NotOwner if this member does not
+// serve the shard, and nothing is written then; Unsure if the entry was appended and it
+// is not known whether it will be committed.
+func (r *Replica) Propose(ctx context.Context, command any) (index ids.Index, response any, err error) {
+	raw, err := json.Marshal(command)
+	if err != nil {
+		return 0, nil, errcode.New(errcode.Internal, "%v", err)
+	}
+	return r.propose(ctx, rpc.Entry{Kind: entryCommand, Body: raw})
+}
+
+// Barrier returns once everything that is in the log now is committed. Errors are those
+// of Propose.
+func (r *Replica) Barrier(ctx context.Context) error {
+	_, _, err := r.propose(ctx, rpc.Entry{Kind: entryEmpty})
+	return err
+}
+
+func (r *Replica) propose(ctx context.Context, entry rpc.Entry) (index ids.Index, response any, err error) {
+	index, proposed, err := r.appendProposal(entry)
+	if err != nil {
+		return 0, nil, err
+	}
+	select {
+	case response, ok := <-proposed.done:
+		if !ok {
+			return index, nil, errcode.New(errcode.Unsure, "shard %d: the leader changed", r.shard)
+		}
+		return index, response, nil
+	case <-ctx.Done():
+		return index, nil, errcode.New(errcode.Unsure, "shard %d: %v", r.shard, ctx.Err())
+	case <-r.node.env.Done():
+		return index, nil, errcode.New(errcode.Unsure, "shard %d: stopping", r.shard)
+	}
+}
+
+// appendProposal appends an entry that is waited for.
+func (r *Replica) appendProposal(entry rpc.Entry) (ids.Index, proposal, error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if !r.leadership.isServing {
+		return 0, proposal{}, errcode.New(errcode.NotOwner, "shard %d", r.shard)
+	}
+	if entry.Kind == entryMembershipChange && !(r.hasStableVoters() && r.voters.canBecome(votersOf(entry))) {
+		return 0, proposal{}, errcode.New(errcode.NotOwner, "shard %d: the voters have changed meanwhile", r.shard)
+	}
+	batch := r.node.store.NewBatch()
+	proposed := proposal{term: r.currentTerm, done: make(chan any, 1)}
+	last, _ := r.log.last()
+	r.proposals[last+1] = proposed
+	return r.appendOwn(batch, entry), proposed, nil
+}
+
+// resolveProposal answers whoever waits for an entry that is applied now.
+func (r *Replica) resolveProposal(entry rpc.Entry, response any) {
+	proposed, ok := r.proposals[entry.Index]
+	if !ok {
+		return
+	}
+	delete(r.proposals, entry.Index)
+	if proposed.term == entry.Term {
+		proposed.done <- response
+	} else {
+		close(proposed.done)
+	}
+}
+
+// failProposals leaves those unsure who wait for an entry from an index on.
+func (r *Replica) failProposals(from ids.Index) {
+	for index, proposed := range r.proposals {
+		if index >= from {
+			close(proposed.done)
+			delete(r.proposals, index)
+		}
+	}
+}
--- /dev/null
+++ b/internal/consensus/read.go
@@ -0,0 +1,89 @@
+package consensus
+
+import (
+	"context"
+	"time"
+
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
+)
+
+// confirmFallback is how long the nearest members that make a quorum are waited for before
+// all are asked.
+const confirmFallback = 40 * time.Millisecond
+
+// ConfirmLeadership waits until a quorum has confirmed the leader's term as of a moment.
+// A read that began then may be answered from the state machine, as in ReadIndex. The
+// error is NotOwner if this member does not serve the shard, NoOwner if ctx ends first.
+func (r *Replica) ConfirmLeadership(ctx context.Context, since time.Time) error {
+	var fallback <-chan time.Time
+	isRequested := false
+	for {
+		r.mu.Lock()
+		if !r.leadership.isServing {
+			r.mu.Unlock()
+			return errcode.New(errcode.NotOwner, "shard %d", r.shard)
+		}
+		if !r.confirmedAt().Before(since) {
+			r.trace(TraceEvent{Kind: TraceRead, Term: r.currentTerm, Index: r.log.applied, Since: time.Now().Add(-r.node.env.Since(since))})
+			r.mu.Unlock()
+			return nil
+		}
+		changed, voters := r.changed, r.voters
+		r.mu.Unlock()
+		if !isRequested {
+			isRequested = true
+			timer := time.NewTimer(confirmFallback)
+			defer timer.Stop()
+			fallback = timer.C
+			r.node.kickHeartbeats(r.node.nearestQuorum(voters))
+		}
+		select {
+		case <-changed:
+		case <-fallback:
+			fallback = nil
+			r.node.kickHeartbeats(voters.All())
+		case <-ctx.Done():
+			return errcode.New(errcode.NoOwner, "shard %d can't be confirmed: %v", r.shard, ctx.Err())
+		}
+	}
+}
+
+// ConfirmationAge returns how long ago a quorum confirmed the leader's term; false if this
+// member does not serve the shard.
+func (r *Replica) ConfirmationAge() (age time.Duration, isServing bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if !r.leadership.isServing {
+		return 0, false
+	}
+	return r.node.env.Since(r.confirmedAt()), true
+}
+
+// confirmedAt is the moment as of which a quorum confirms the leader's term.
+func (r *Replica) confirmedAt() time.Time {
+	now := r.node.env.Now()
+	age := r.voters.QuorumValue(func(peer rpc.Peer) int64 {
+		if peer == r.node.self {
+			return 0
+		}
+		return -int64(now.Sub(r.leadership.progressOf(peer).lastAck))
+	})
+	return now.Add(time.Duration(age))
+}
+
+// nearestQuorum is the members that make a quorum with this node: of its own zone first,
+// and those that seem live. In a joint step it is all of them.
+func (n *Node) nearestQuorum(voters Voters) []rpc.Peer {
+	if voters.IsJoint() {
+		return voters.All()
+	}
+	var nearest []rpc.Peer
+	for _, m := range n.members.CoreMembers() {
+		peer := rpc.Peer{Name: m.Name, ID: m.ID}
+		if peer != n.self && containsPeer(voters.Current, peer) && len(nearest) < len(voters.Current)/2 {
+			nearest = append(nearest, peer)
+		}
+	}
+	return nearest
+}
--- a/internal/consensus/replication.go
+++ b/internal/consensus/replication.go
@@ -1,14 +1,10 @@
-// Writing: the owner appends an entry, hands it to its own disk as one vote
-// among the others, and feeds it to each member by a task of its own. A member
-// takes entries only when they follow what it has, and answers once synced.
 package consensus
 
 import (
 	"context"
-	"encoding/json"
+	"errors"
 	"time"
 
-	"github.com/sumactrestle/sumactrestle/internal/errcode"
 	"github.com/sumactrestle/sumactrestle/internal/eventlog"
 	"github.com/sumactrestle/sumactrestle/internal/ids"
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
@@ -16,250 +12,266 @@
 )
 
 const (
-	appendTimeout    = 3 * time.Second
+	// appendTimeout bounds an append; a large one, as a single entry may make it, has
+	// longer by what it takes over the slowest link.
+	appendTimeout         = 3 * time.Second
+	minLinkBytesPerSecond = 64 << 10
+	// An append takes no further entry once it has this many, or more than so many bytes.
 	maxAppendEntries = 256
 	maxAppendBytes   = 64 << 10
-	// A message that is large all the same, for one entry is, has longer to arrive.
-	minLinkBytesPerSecond = 64 << 10 // bytes a second
+	// Pauses before a member is tried again that failed, or that the member list lacks.
+	appendRetryPause = 100 * time.Millisecond
+	unknownPeerPause = 200 * time.Millisecond
 )
 
-// appendOwn adds an entry of the owner's own term.
-func (r *Replica) appendOwn(batch *storage.Batch, e rpc.Entry) ids.Index {
-	last, _ := r.lastEntry()
-	e.Index, e.Term = last+1, r.currentTerm
-	r.entries = append(r.entries, e)
-	r.putEntries(batch, []rpc.Entry{e})
-	if e.Kind == entryMembershipChange {
+// appendOwn appends an entry of the leader's own term and submits the batch. The leader's
+// own sync counts as one among the voters', in its time.
+func (r *Replica) appendOwn(batch *storage.Batch, entry rpc.Entry) ids.Index {
+	last, _ := r.log.last()
+	entry.Index, entry.Term = last+1, r.currentTerm
+	r.log.append(batch, entry)
+	if entry.Kind == entryMembershipChange {
 		r.updateVoters()
 	}
 	r.node.store.Submit(batch)
-	term := r.currentTerm
 	r.node.env.Go(func() {
 		if batch.Wait() != nil {
 			return
 		}
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		if r.isLeader && r.currentTerm == term && r.matchIndex[r.node.self] < e.Index {
-			r.matchIndex[r.node.self] = e.Index
+		if own := r.leadership.progressOf(r.node.self); r.leads(entry.Term) && own.matchIndex < entry.Index {
+			own.matchIndex = entry.Index
 			r.maybeCommit()
 		}
 	})
 	r.notifyChanged()
-	return e.Index
+	return entry.Index
 }
 
-// Propose writes an entry and waits until it is committed and folded. Without
-// ownership nothing is written; once written, only the receipt is certain.
-func (r *Replica) Propose(ctx context.Context, body any) (ids.Index, any, error) {
-	raw, err := json.Marshal(body)
-	if err != nil {
-		return 0, nil, errcode.New(errcode.Internal, "%v", err)
-	}
-	return r.propose(ctx, rpc.Entry{Body: raw})
-}
-
-// Barrier returns once everything that is in the log now is committed.
-func (r *Replica) Barrier(ctx context.Context) error {
-	_, _, err := r.propose(ctx, rpc.Entry{Kind: entryEmpty})
-	return err
-}
+// leads tells whether this member is the leader of a term.
+func (r *Replica) leads(term ids.Term) bool { return r.leadership.isLeader && r.currentTerm == term }
 
-func (r *Replica) propose(ctx context.Context, e rpc.Entry) (ids.Index, any, error) {
-	r.mu.Lock()
-	if !r.isServing {
-		r.mu.Unlock()
-		return 0, nil, errcode.New(errcode.NotOwner, "part %d", r.shard)
+// maybeCommit commits what a quorum has synced, if the last of it is of the leader's own
+// term (section 5.4.2 of the Raft paper).
+func (r *Replica) maybeCommit() {
+	if !r.leadership.isLeader {
+		return
 	}
-	if e.Kind == entryMembershipChange && (r.commitIndex < r.votersIndex || !r.voters.canBecome(Voters{Current: e.Voters, Outgoing: e.OutgoingVoters})) {
-		r.mu.Unlock()
-		return 0, nil, errcode.New(errcode.NotOwner, "part %d: the members have changed meanwhile", r.shard)
-	}
-	batch := r.node.store.NewBatch()
-	waiting := proposal{term: r.currentTerm, done: make(chan any, 1)}
-	last, _ := r.lastEntry()
-	r.proposals[last+1] = waiting
-	index := r.appendOwn(batch, e)
-	r.mu.Unlock()
-	select {
-	case response, ok := <-waiting.done:
-		if !ok {
-			return index, nil, errcode.New(errcode.Unsure, "part %d changed its owner", r.shard)
-		}
-		return index, response, nil
-	case <-ctx.Done():
-		return index, nil, errcode.New(errcode.Unsure, "part %d: %v", r.shard, ctx.Err())
-	case <-r.node.env.Done():
-		return index, nil, errcode.New(errcode.Unsure, "part %d: stopping", r.shard)
+	index := r.leadership.quorumMatch(r.voters)
+	if r.log.contains(index, r.currentTerm) && index > r.log.committed {
+		r.advanceCommit(index)
 	}
 }
 
+// replicateToAll has a stream to every voter.
 func (r *Replica) replicateToAll() {
 	for _, peer := range r.voters.All() {
 		r.startReplicating(peer)
 	}
 }
 
+// startReplicating starts the stream to one member, a voter or a learner.
 func (r *Replica) startReplicating(peer rpc.Peer) {
-	if peer == r.node.self || r.replicating[peer] {
+	p := r.leadership.progressOf(peer)
+	if peer == r.node.self || p.isReplicating {
 		return
 	}
-	r.replicating[peer] = true
-	ctx, term := r.leaderCtx, r.currentTerm
-	r.node.env.Go(func() { r.replicateTo(ctx, term, peer) })
+	p.isReplicating = true
+	s := &stream{replica: r, ctx: r.leadership.ctx, term: r.currentTerm, peer: peer}
+	r.node.env.Go(s.run)
 }
 
-// replicateTo keeps one member up to date while the term lasts.
-func (r *Replica) replicateTo(ctx context.Context, term ids.Term, peer rpc.Peer) {
+// stream keeps one member up to date while its leader's term lasts.
+type stream struct {
+	replica *Replica
+	ctx     context.Context
+	term    ids.Term
+	peer    rpc.Peer
+
+	next       ids.Index // the first entry to send
+	isMatched  bool      // the member's log is known to equal this one below next
+	sentCommit ids.Index // the commit index that the member has been told
+}
+
+func (s *stream) run() {
+	s.replica.mu.Lock()
+	s.next, _ = s.replica.log.last()
+	s.replica.mu.Unlock()
+	for s.ctx.Err() == nil && s.step() {
+	}
+}
+
+// step sends what the member lacks, or waits until there is something; false if the stream
+// is over.
+func (s *stream) step() bool {
+	r := s.replica
 	r.mu.Lock()
-	next, _ := r.lastEntry()
-	r.mu.Unlock()
-	isMatched := false
-	sentCommit := ids.Index(0)
-	pause := func(d time.Duration) {
-		wakeup := time.NewTimer(d)
-		defer wakeup.Stop()
+	if !r.leads(s.term) || !r.leadership.progressOf(s.peer).isReplicating {
+		r.mu.Unlock()
+		return false
+	}
+	if s.isUpToDate() {
+		changed := r.changed
+		r.mu.Unlock()
 		select {
-		case <-ctx.Done():
-		case <-wakeup.C:
+		case <-changed:
+		case <-s.ctx.Done():
 		}
+		return true
 	}
-	for ctx.Err() == nil {
-		r.mu.Lock()
-		if !r.isLeader || r.currentTerm != term || !r.replicating[peer] {
-			r.mu.Unlock()
-			return
-		}
-		last, _ := r.lastEntry()
-		isCommitSent := r.shard != ids.ConfigShard || sentCommit >= r.commitIndex
-		if isMatched && next > last && isCommitSent {
-			changed := r.changed
-			r.mu.Unlock()
-			select {
-			case <-changed:
-			case <-ctx.Done():
-			}
-			continue
-		}
-		request := &rpc.AppendRequest{Shard: r.shard, Term: term, From: r.node.self, Commit: r.commitIndex}
-		prevTerm, entries, isThere := r.entriesFrom(next)
-		if !isThere {
-			r.mu.Unlock()
-			match, err := r.sendSnapshot(ctx, term, peer)
-			if err != nil {
-				pause(100 * time.Millisecond)
-				continue
-			}
-			next = match + 1
-			continue
-		}
-		request.PrevIndex, request.PrevTerm = next-1, prevTerm
-		size := 0
-		for _, e := range entries {
-			if len(request.Entries) >= maxAppendEntries || size > maxAppendBytes {
-				break
-			}
-			request.Entries = append(request.Entries, e)
-			size += len(e.Body)
-		}
-		r.mu.Unlock()
-		m, ok := r.node.members.View()[peer.Name]
-		if !ok || m.ID != peer.ID {
-			pause(200 * time.Millisecond)
-			continue
+	request, found := s.nextRequest()
+	r.mu.Unlock()
+	if !found {
+		match, err := r.sendSnapshot(s.ctx, s.term, s.peer)
+		if err != nil {
+			s.pause(appendRetryPause)
+		} else {
+			s.next = match + 1
 		}
-		limited, end := context.WithTimeout(ctx, appendTimeout+time.Duration(size)*time.Second/minLinkBytesPerSecond)
-		var response rpc.AppendResponse
-		err := r.node.transport.Call(limited, m.RPCAddress, "pact.append", request, &response)
-		end()
-		if err != nil || response.From != peer {
-			pause(100 * time.Millisecond)
-			continue
+		return true
+	}
+	address, ok := r.node.addressOf(s.peer)
+	if !ok {
+		s.pause(unknownPeerPause)
+		return true
+	}
+	var response rpc.AppendResponse
+	timeout := appendTimeout + time.Duration(bodyBytes(request.Entries))*time.Second/minLinkBytesPerSecond
+	if err := r.node.call(s.ctx, timeout, address, "pact.append", request, &response); err != nil || response.From != s.peer {
+		s.pause(appendRetryPause)
+		return true
+	}
+	s.handleResponse(request, &response)
+	return true
+}
+
+// isUpToDate tells whether the member has everything. Only of the configuration it needs
+// the commit index at once, as it gives its state out; elsewhere heartbeats carry it.
+func (s *stream) isUpToDate() bool {
+	last, _ := s.replica.log.last()
+	isCommitSent := s.replica.shard != ids.ConfigShard || s.sentCommit >= s.replica.log.committed
+	return s.isMatched && s.next > last && isCommitSent
+}
+
+// nextRequest is the next append; false if the member needs the snapshot.
+func (s *stream) nextRequest() (*rpc.AppendRequest, bool) {
+	r := s.replica
+	prevTerm, entries, found := r.log.from(s.next)
+	if !found {
+		return nil, false
+	}
+	request := &rpc.AppendRequest{Shard: r.shard, Term: s.term, From: r.node.self, Commit: r.log.committed, PrevIndex: s.next - 1, PrevTerm: prevTerm}
+	size := 0
+	for _, entry := range entries {
+		if len(request.Entries) >= maxAppendEntries || size > maxAppendBytes {
+			break
 		}
-		r.mu.Lock()
-		last, _ = r.lastEntry()
-		switch {
-		case r.isLeader && r.currentTerm == term && response.CurrentTerm == term && response.MatchIndex > last:
-			r.reportCorruption("a member has what its owner lacks", "member", string(peer.Name), "match", uint64(response.MatchIndex), "last", uint64(last))
-		case response.Success:
-			isMatched, sentCommit, next = true, request.Commit, response.MatchIndex+1
-			if r.isLeader && r.currentTerm == term && r.matchIndex[peer] < response.MatchIndex {
-				r.matchIndex[peer], r.lastProgress[peer] = response.MatchIndex, r.node.env.Now()
-				r.maybeCommit()
-				r.notifyChanged()
-			}
-		case term.Less(response.CurrentTerm):
-			r.highestTermNumber = max(r.highestTermNumber, response.CurrentTerm.Number)
-			if r.currentTerm == term {
-				r.stepDown("a member promised a higher term")
-			}
-		default:
-			next = response.MatchIndex + 1
+		request.Entries = append(request.Entries, entry)
+		size += len(entry.Body)
+	}
+	return request, true
+}
+
+func (s *stream) handleResponse(request *rpc.AppendRequest, response *rpc.AppendResponse) {
+	r := s.replica
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	last, _ := r.log.last()
+	switch {
+	case r.leads(s.term) && response.CurrentTerm == s.term && response.MatchIndex > last:
+		r.reportCorruption("a member has entries that its leader lacks", "member", string(s.peer.Name), "match", uint64(response.MatchIndex), "last", uint64(last))
+	case response.Success:
+		s.isMatched, s.sentCommit, s.next = true, request.Commit, response.MatchIndex+1
+		if p := r.leadership.progressOf(s.peer); r.leads(s.term) && p.matchIndex < response.MatchIndex {
+			p.matchIndex, p.lastAdvance = response.MatchIndex, r.node.env.Now()
+			r.maybeCommit()
+			r.notifyChanged()
 		}
-		r.mu.Unlock()
+	case s.term.Less(response.CurrentTerm):
+		r.stepDownForTerm(s.term, response.CurrentTerm)
+	default:
+		s.next = response.MatchIndex + 1
 	}
 }
 
-// hasSnapshotEntry tells whether the log already runs through a snapshot's entry. A
-// snapshot that comes late must not cut away what was synced since.
-func (r *Replica) hasSnapshotEntry(s *rpc.Snapshot) bool {
-	term, ok := r.termAt(s.Index)
-	return ok && term == s.Term
+func (s *stream) pause(d time.Duration) {
+	timer := time.NewTimer(d)
+	defer timer.Stop()
+	select {
+	case <-s.ctx.Done():
+	case <-timer.C:
+	}
 }
 
-// becomeFollower takes an owner's term for the one in force.
-func (r *Replica) becomeFollower(batch *storage.Batch, term ids.Term) {
+// acceptLeader is the beginning of every message from a leader: it checks the term and
+// follows it. The batch bears the term if it is new, and must be submitted whatever comes
+// of the rest of the message, as memory has the term already. There is none if the term
+// is below the current one; the leader is answered with that.
+func (r *Replica) acceptLeader(term ids.Term, from rpc.Peer) (*storage.Batch, error) {
+	if err := r.checkTerm(term, from); err != nil {
+		return nil, err
+	}
+	if term.Less(r.currentTerm) {
+		return nil, nil
+	}
+	batch := r.node.store.NewBatch()
 	if r.currentTerm.Less(term) {
-		r.stepDown("a higher term owns")
-		r.currentTerm = term
-		r.trace(TraceEvent{Kind: TraceTermRaised, Term: term})
-		r.putCurrentTerm(batch)
+		r.stepDown("a higher term has a leader")
+		r.raiseTerm(batch, term)
 	}
-	if r.leaderMatchTerm != term {
-		r.leaderMatchTerm, r.leaderMatchIndex = term, 0
+	if r.follower.matchTerm != term {
+		r.follower = followerState{matchTerm: term}
 	}
-	r.lastLeaderContact, r.isRemoved = r.node.env.Now(), false
+	r.election.lastLeaderContact, r.election.isRemoved = r.node.env.Now(), false
+	return batch, nil
 }
 
-// handleAppend is a member's answer to what it is fed.
+// handleAppend answers a leader's append once its entries are synced.
 func (r *Replica) handleAppend(request *rpc.AppendRequest) (*rpc.AppendResponse, error) {
+	response, batch, err := r.acceptEntries(request)
+	if err != nil || batch == nil {
+		return response, err
+	}
+	if response.Success {
+		r.node.recordLeader(r.shard, request.From.Name, request.Term)
+	}
+	return response, batch.Wait()
+}
+
+// acceptEntries merges an append into the log. The batch is submitted; none means that
+// nothing is to be waited for.
+func (r *Replica) acceptEntries(request *rpc.AppendRequest) (*rpc.AppendResponse, *storage.Batch, error) {
 	r.mu.Lock()
+	defer r.mu.Unlock()
 	response := &rpc.AppendResponse{From: r.node.self, CurrentTerm: r.currentTerm}
-	if err := r.checkTerm(request.Term, request.From); err != nil {
-		r.mu.Unlock()
-		return nil, err
+	batch, err := r.acceptLeader(request.Term, request.From)
+	if err != nil {
+		return nil, nil, err
 	}
-	if request.Term.Less(r.currentTerm) {
-		r.mu.Unlock()
-		return response, nil
+	if batch == nil {
+		return response, nil, nil
 	}
-	batch := r.node.store.NewBatch()
-	r.becomeFollower(batch, request.Term)
 	response.CurrentTerm = request.Term
-	last, _ := r.lastEntry()
-	prevTerm, ok := r.termAt(request.PrevIndex)
-	isBelow := request.PrevIndex < r.snapshot.Index
-	if !isBelow && (!ok || prevTerm != request.PrevTerm) {
+	if request.PrevIndex >= r.log.snapshot.Index && !r.log.contains(request.PrevIndex, request.PrevTerm) {
 		r.node.store.Submit(batch)
-		response.MatchIndex = min(r.commitIndex, last)
-		r.mu.Unlock()
-		return response, batch.Wait()
+		last, _ := r.log.last()
+		response.MatchIndex = min(r.log.committed, last)
+		return response, batch, nil
 	}
-	if err := r.mergeEntries(batch, request.Entries); err != nil {
-		r.node.store.Submit(batch)
-		if errcode.Is(err, errcode.Internal) {
+	err = r.mergeEntries(batch, request.Entries)
+	r.node.store.Submit(batch)
+	if err != nil {
+		if conflict := (*committedConflictError)(nil); errors.As(err, &conflict) {
 			r.reportCorruption(err.Error(), "from", string(request.From.Name))
 		} else {
-			r.node.log(eventlog.MessageRefused, "kind", "pact.append", "part", int(r.shard), "from", string(request.From.Name), "cause", err.Error())
+			r.logEvent(eventlog.MessageRefused, "kind", "pact.append", "from", string(request.From.Name), "cause", err.Error())
 		}
-		r.mu.Unlock()
-		return nil, err
+		return nil, nil, err
 	}
-	r.node.store.Submit(batch)
-	response.Success, response.MatchIndex = true, max(request.PrevIndex+ids.Index(len(request.Entries)), r.snapshot.Index)
-	r.leaderMatchIndex = max(r.leaderMatchIndex, response.MatchIndex)
-	r.advanceCommit(min(request.Commit, r.leaderMatchIndex))
-	r.mu.Unlock()
-	r.node.recordLeader(r.shard, request.From.Name, request.Term)
-	return response, batch.Wait()
+	response.Success = true
+	response.MatchIndex = max(request.PrevIndex+ids.Index(len(request.Entries)), r.log.snapshot.Index)
+	r.follower.matchIndex = max(r.follower.matchIndex, response.MatchIndex)
+	r.advanceCommit(min(request.Commit, r.follower.matchIndex))
+	return response, batch, nil
 }
--- a/internal/consensus/trace.go
+++ b/internal/consensus/trace.go
@@ -7,20 +7,20 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// TraceKind is what a Trace tells of.
+// TraceKind is the kind of a TraceEvent.
 type TraceKind string
 
-// The steps of a part that a checker can follow.
+// The steps of a replica that a checker can follow.
 const (
-	TraceTermRaised TraceKind = "raised"    // the member takes nothing below Term any more; not synced yet
-	TraceVoted      TraceKind = "promised"  // Term is promised, and synced
-	TraceElected    TraceKind = "elected"   // Granted made the member the owner under Term
+	TraceTermRaised TraceKind = "raised"    // the member rejects everything below Term from now on; not synced yet
+	TraceVoted      TraceKind = "promised"  // the member voted for Term and has synced that
+	TraceElected    TraceKind = "elected"   // the votes of Granted made the member the leader of Term
 	TraceCommitted  TraceKind = "committed" // the entry at Index, of EntryTerm, is committed here
 	TraceRead       TraceKind = "read"      // a read that began at Since may be answered up to Index
 )
 
-// TraceEvent is one step of one part on one member. The simulator holds these steps
-// against the invariants of the protocol; in a running node nobody listens.
+// TraceEvent is one step of one replica. The simulator checks these steps against the
+// invariants of package model; in a running node nobody listens.
 type TraceEvent struct {
 	Kind               TraceKind
 	Shard              ids.Shard
@@ -33,15 +33,15 @@
 	Voters             Voters
 	Granted            []rpc.Peer
 	Since              time.Time
-	// TermAt is the term of the entry at an index of the new owner's log; false if
-	// the entry lies below its snapshot. It is called at once only.
+	// TermAt returns the term of an entry of the new leader's log; false if the entry is
+	// below its snapshot. It is valid only during the call.
 	TermAt func(ids.Index) (ids.Term, bool)
 }
 
-// CharterEvent is a charter that a node has synced, accepted or open.
+// CharterEvent tells that a node has synced a charter, accepted or open.
 type CharterEvent struct{ IsOpen bool }
 
-// trace tells a listener of a step; the part is locked or its step is over.
+// trace tells the listener, if there is one, of a step.
 func (r *Replica) trace(step TraceEvent) {
 	if r.node.env.Trace == nil {
 		return
--- a/internal/consensus/voters.go
+++ b/internal/consensus/voters.go
@@ -1,6 +1,3 @@
-// Voters are the members that decide for a part. While a change of members is
-// under way there are two lists, and every decision (promises, commits, confirmed
-// terms) needs a majority of both; so no two groups can ever decide apart.
 package consensus
 
 import (
@@ -12,16 +9,23 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// Voters is who decides; Former is empty unless a change is under way.
+// Voters is the members that decide for a shard. While a membership change is under way
+// there are two lists, and every decision (votes, commits, confirmed terms) needs a
+// majority of both, so no two sets of voters can ever decide apart.
 type Voters struct {
 	Current  []rpc.Peer
-	Outgoing []rpc.Peer
+	Outgoing []rpc.Peer // empty unless a change is under way
 }
 
-// IsJoint tells whether a change of members is under way.
+// votersOf returns the voters that a membership change names.
+func votersOf(entry rpc.Entry) Voters {
+	return Voters{Current: entry.Voters, Outgoing: entry.OutgoingVoters}
+}
+
+// IsJoint tells whether a membership change is under way.
 func (v Voters) IsJoint() bool { return len(v.Outgoing) > 0 }
 
-// All is every member with a vote, in the order of the lists.
+// All returns every member with a vote, in the order of the lists.
 func (v Voters) All() []rpc.Peer {
 	all := slices.Clone(v.Current)
 	for _, peer := range v.Outgoing {
@@ -37,13 +41,13 @@
 	return containsPeer(v.Current, peer) || containsPeer(v.Outgoing, peer)
 }
 
-// HasQuorum tells whether some members are enough to decide.
+// HasQuorum tells whether these members are enough to decide.
 func (v Voters) HasQuorum(peers []rpc.Peer) bool {
 	return hasMajority(v.Current, peers) && (!v.IsJoint() || hasMajority(v.Outgoing, peers))
 }
 
-// QuorumValue is the highest value that enough members reach to decide; below zero if
-// there are no voters.
+// QuorumValue returns the highest value that a quorum reaches; below zero if there are no
+// voters.
 func (v Voters) QuorumValue(value func(rpc.Peer) int64) int64 {
 	reached := majorityValue(v.Current, value)
 	if v.IsJoint() {
@@ -52,8 +56,8 @@
 	return reached
 }
 
-// canBecome tells whether voters may follow these in one step: first the new members
-// beside the former, then the new ones alone. Logs of earlier builds hold changes by
+// canBecome tells whether other voters may follow these in one step: first the new ones
+// beside the outgoing ones, then the new ones alone. Logs of earlier builds hold changes by
 // a single member without the joint step, whose majorities meet as well.
 func (v Voters) canBecome(next Voters) bool {
 	switch {
@@ -67,7 +71,7 @@
 	return countAbsent(v.Current, next.Current)+countAbsent(next.Current, v.Current) <= 1
 }
 
-// QuorumsIntersect tells whether every two sets of members that decide for two groups share one.
+// QuorumsIntersect tells whether every quorum of a shares a member with every quorum of b.
 func QuorumsIntersect(a, b Voters) bool {
 	all := Voters{Current: a.All(), Outgoing: b.All()}.All()
 	for set := range 1 << len(all) {
@@ -86,7 +90,7 @@
 	return true
 }
 
-// countAbsent is how many members of one list another lacks.
+// countAbsent returns how many peers of one list another lacks.
 func countAbsent(peers, other []rpc.Peer) (n int) {
 	for _, peer := range peers {
 		if !containsPeer(other, peer) {
@@ -96,6 +100,7 @@
 	return n
 }
 
+// String names the voters, with the beginning of each member id.
 func (v Voters) String() string {
 	if v.IsJoint() {
 		return joinNames(v.Current) + " from " + joinNames(v.Outgoing)
@@ -103,7 +108,7 @@
 	return joinNames(v.Current)
 }
 
-// joinNames tells members by name and the beginning of their birth.
+// joinNames names peers, with the beginning of each member id.
 func joinNames(peers []rpc.Peer) string {
 	var parts []string
 	for _, peer := range peers {
@@ -112,7 +117,7 @@
 	return strings.Join(parts, " ")
 }
 
-// hasMajority tells whether more than half of a list are among some members.
+// hasMajority tells whether more than half of the voters are among peers.
 func hasMajority(voters, peers []rpc.Peer) bool {
 	n := 0
 	for _, peer := range voters {
@@ -123,7 +128,7 @@
 	return n > len(voters)/2
 }
 
-// majorityValue is the value that more than half of a list reach.
+// majorityValue returns the highest value that more than half of the voters reach.
 func majorityValue(voters []rpc.Peer, value func(rpc.Peer) int64) int64 {
 	if len(voters) == 0 {
 		return -1
--- a/internal/consensus/voters_test.go
+++ b/internal/consensus/voters_test.go
@@ -7,6 +7,7 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
+// peers makes core-A, core-B and so on.
 func peers(names string) (list []rpc.Peer) {
 	for _, name := range names {
 		list = append(list, rpc.Peer{Name: ids.NodeName("core-" + string(name)), ID: "b"})
@@ -16,24 +17,24 @@
 
 func TestVoters_JointQuorum(t *testing.T) {
 	joint := Voters{Current: peers("ABD"), Outgoing: peers("ABC")}
-	for some, want := range map[string]bool{"AB": true, "AD": false, "AC": false, "ACD": true, "BCD": true, "CD": false, "ABCD": true, "": false} {
-		if got := joint.HasQuorum(peers(some)); got != want {
-			t.Errorf("%q decides: %v", some, got)
+	for names, want := range map[string]bool{"AB": true, "AD": false, "AC": false, "ACD": true, "BCD": true, "CD": false, "ABCD": true, "": false} {
+		if got := joint.HasQuorum(peers(names)); got != want {
+			t.Errorf("%q decides: %v", names, got)
 		}
 	}
 	value := map[string]int64{"A": 9, "B": 5, "C": 1, "D": 7}
 	if got := joint.QuorumValue(func(p rpc.Peer) int64 { return value[string(p.Name[len(p.Name)-1:])] }); got != 5 {
-		t.Errorf("reached %d, want 5: the former majority is A and B", got)
+		t.Errorf("reached %d, want 5: the outgoing majority is A and B", got)
 	}
-	reborn := rpc.Peer{Name: peers("A")[0].Name, ID: "other"}
-	if joint.HasQuorum([]rpc.Peer{reborn, peers("B")[0]}) {
-		t.Error("another birth of a member has its vote")
+	renewed := rpc.Peer{Name: peers("A")[0].Name, ID: "other"}
+	if joint.HasQuorum([]rpc.Peer{renewed, peers("B")[0]}) {
+		t.Error("another member id of a node has its vote")
 	}
 }
 
 func TestVoters_CanBecome(t *testing.T) {
 	simple := func(names string) Voters { return Voters{Current: peers(names)} }
-	joint := func(names, former string) Voters { return Voters{Current: peers(names), Outgoing: peers(former)} }
+	joint := func(names, outgoing string) Voters { return Voters{Current: peers(names), Outgoing: peers(outgoing)} }
 	for _, step := range []struct {
 		from, to Voters
 		want     bool
@@ -50,8 +51,10 @@
 		{joint("ABD", "ABC"), joint("ABE", "ABD"), false},
 		{simple("ABC"), simple(""), false},
 	} {
-		if got := step.from.canBecome(step.to); got != step.want {
-			t.Errorf("%s to %s: %v", step.from, step.to, got)
-		}
+		t.Run(step.from.String()+" to "+step.to.String(), func(t *testing.T) {
+			if got := step.from.canBecome(step.to); got != step.want {
+				t.Errorf("got %v, want %v", got, step.want)
+			}
+		})
 	}
 }
--- a/internal/node/seat.go
+++ b/internal/node/seat.go
@@ -184,7 +184,7 @@
 	n.Ledger.OnDamage = func(err error) { n.R.Events.Say(eventlog.GroupDamaged, "cause", err.Error()) }
 	machines = append(machines, n.Ledger)
 	var err error
-	if n.Consensus, err = consensus.New(n.R, n.Wire, n.Kin, n.Store, machines); err != nil {
+	if n.Consensus, err = consensus.New(consensus.Config{Environment: n.R, Transport: n.Wire, Members: n.Kin, Store: n.Store, StateMachines: machines}); err != nil {
 		return err
 	}
 	n.Coordination = coordination.NewService(n.R, n.Consensus, n.Stores)
--- a/internal/simulator/prevote_test.go
+++ b/internal/simulator/prevote_test.go
@@ -49,7 +49,7 @@
 type seized struct{ n atomic.Int64 }
 
 func (s *seized) Write(line []byte) (int, error) {
-	if bytes.Contains(line, []byte(`"event":304`)) && !bytes.Contains(line, []byte("handed over")) {
+	if bytes.Contains(line, []byte(`"event":304`)) && !bytes.Contains(line, []byte("leadership transferred")) {
 		s.n.Add(1)
 	}
 	return len(line), nil
