--- a/internal/membership/memberlist_test.go
+++ b/internal/membership/memberlist_test.go
@@ -243,3 +243,76 @@
 	}
 	return maps.Equal(live(a), live(b))
 }
+
+func names(members []rpc.Member) (list []ids.NodeName) {
+	for _, member := range members {
+		list = append(list, member.Name)
+	}
+	return list
+}
+
+func TestCoreMembers_LiveOnesOfTheOwnZoneFirst(t *testing.T) {
+	inCluster(t, func(c *cluster) {
+		m := c.node(testMember(0)) // in zone z0, as members 7 and 14 are
+		members := testMembers(20)
+		for _, index := range []int{1, 2, 3, 7, 14} {
+			members[index].Core = true
+		}
+		m.mergeList(members)
+		cores := names(m.CoreMembers())
+		if len(cores) != 5 || !slices.Contains(cores[:2], "node7") || !slices.Contains(cores[:2], "node14") {
+			c.Fatalf("the order is %v", cores)
+		}
+		if again := names(m.CoreMembers()); !slices.Equal(cores, again) {
+			c.Errorf("the order is %v now, %v before", again, cores)
+		}
+		m.applyUpdates([]rpc.Member{inState(members[7], StateDead), inState(members[1], StateSuspect)})
+		cores = names(m.CoreMembers())
+		if len(cores) != 4 || slices.Contains(cores, "node7") || !slices.Contains(cores, "node1") {
+			c.Errorf("with one dead and one suspect the core is %v", cores)
+		}
+
+		if replicas := names(m.ConfigReplicas()); !slices.Equal(replicas, cores) {
+			c.Errorf("while none is known to hold the configuration, %v are asked", replicas)
+		}
+		holder := members[3]
+		holder.HoldsConfiguration, holder.Incarnation = true, 2
+		m.applyUpdates([]rpc.Member{holder})
+		if replicas := names(m.ConfigReplicas()); !slices.Equal(replicas, []ids.NodeName{"node3"}) {
+			c.Errorf("%v hold the configuration", replicas)
+		}
+	})
+}
+
+func TestInOwnZone(t *testing.T) {
+	inCluster(t, func(c *cluster) {
+		m := c.node(testMember(0))
+		m.mergeList(testMembers(10))
+		near, far := testMember(7), testMember(1)
+		if !m.InOwnZone(near.RPCAddress) || m.InOwnZone(far.RPCAddress) || !m.InOwnZone("10.9.9.9:1") {
+			c.Error("zones are taken for others")
+		}
+		far.Zone, far.Incarnation = m.Self().Zone, 2
+		m.applyUpdates([]rpc.Member{far})
+		if !m.InOwnZone(far.RPCAddress) {
+			c.Error("a member that moved is still taken for far")
+		}
+	})
+}
+
+func TestLeave_OthersHoldTheNodeForLeftNotDead(t *testing.T) {
+	inCluster(t, func(c *cluster) {
+		nodes := probeCluster(c, 3)
+		leaving := nodes[0]
+		leaving.Leave()
+		synctest.Wait()
+		for _, m := range nodes[1:] {
+			if state := m.View()[leaving.Self().Name].State; state != StateLeft {
+				c.Errorf("the node is %s", state)
+			}
+			if dead := m.RecentlyDead(); len(dead) != 0 {
+				c.Errorf("%v are looked for", names(dead))
+			}
+		}
+	})
+}
