--- a/internal/proxy/admit.go
+++ b/internal/proxy/admit.go
@@ -19,7 +19,7 @@
 	if limit := plan.snapshot.Limits[plan.service.Name].MaxInFlight; limit > 0 {
 		if share := p.quotaShare(plan.snapshot, limit); count > share {
 			release()
-			return nil, errcode.New(errcode.Overload, "%s: the share of this proxy is %d", plan.service.Name, share)
+			return nil, errcode.New(errcode.Overload, "%s: the quota share of this proxy is %d", plan.service.Name, share)
 		}
 	}
 	if plan.keyHash != 0 && plan.recordName == "" && !plan.idempotent {
@@ -51,7 +51,7 @@
 		return errcode.New(errcode.Overload, "epoch %d does not name this proxy yet", plan.snapshot.Epoch)
 	}
 	if !p.retryBudget.CoversLosses(plan.service.Name, p.retryLimits(plan)) {
-		return errcode.New(errcode.Overload, "%s: orders were lost of which not all proxies know", plan.service.Name)
+		return errcode.New(errcode.Overload, "%s: lost requests are not known to all proxies yet", plan.service.Name)
 	}
 	return nil
 }
--- a/internal/proxy/body.go
+++ b/internal/proxy/body.go
@@ -34,7 +34,7 @@
 	}
 	uploadDeadline := plan.uploadDeadline(time.Now())
 	if !p.uploads.AwaitTurn(ctx, r.ContentLength, uploadDeadline) {
-		return nil, false, errcode.New(errcode.Overload, "the link has no place for %d bytes in time", r.ContentLength)
+		return nil, false, errcode.New(errcode.Overload, "no turn on the link for %d bytes in time", r.ContentLength)
 	}
 	release, ok := p.uploads.BeginRead(r.ContentLength, uploadDeadline)
 	if !ok {
@@ -45,14 +45,14 @@
 	if r.ContentLength > 0 && (r.ContentLength <= maxReplayableBody || p.opaqueSeals) {
 		buffered := make([]byte, r.ContentLength)
 		if _, err := io.ReadFull(r.Body, buffered); err != nil {
-			return nil, false, errcode.New(errcode.BadRequest, "the body ended early; nothing was handed over")
+			return nil, false, errcode.New(errcode.BadRequest, "the body ended early; nothing was forwarded")
 		}
 		return func() io.Reader { return bytes.NewReader(buffered) }, true, nil
 	}
 	if p.opaqueSeals {
 		buffered, err := io.ReadAll(io.LimitReader(r.Body, maxBytes+1))
 		if err != nil {
-			return nil, false, errcode.New(errcode.BadRequest, "the body ended early; nothing was handed over")
+			return nil, false, errcode.New(errcode.BadRequest, "the body ended early; nothing was forwarded")
 		}
 		if int64(len(buffered)) > maxBytes {
 			return nil, false, errcode.New(errcode.RequestTooLarge, "over %d bytes", maxBytes)
--- a/internal/proxy/forward.go
+++ b/internal/proxy/forward.go
@@ -36,7 +36,7 @@
 	for sent < plan.maxAttempts && misses < defaultMaxAttempts {
 		if r.Context().Err() != nil {
 			if !written {
-				lastErr = errcode.New(errcode.NotWritten, "%s: the caller has gone", plan.service.Name)
+				lastErr = errcode.New(errcode.NotWritten, "%s: the client has gone", plan.service.Name)
 			}
 			break
 		}
--- a/internal/proxy/idempotency/records.go
+++ b/internal/proxy/idempotency/records.go
@@ -67,7 +67,7 @@
 	response, err := r.config.Coordinate(ctx, &rpc.CoordinationRequest{Operation: "claim", Name: name, Holder: r.holder(requestID)})
 	if err != nil {
 		r.config.Environment.Go(func() { r.release(name, requestID) })
-		return errcode.New(errcode.NoOwner, "the order can't be claimed: %v", err)
+		return errcode.New(errcode.NoOwner, "the idempotency record can't be acquired: %v", err)
 	}
 	if response.Code == 0 {
 		return nil
--- a/internal/proxy/plan.go
+++ b/internal/proxy/plan.go
@@ -60,7 +60,7 @@
 func (p *Proxy) plan(r *http.Request, requestID string) (*requestPlan, error) {
 	view := p.epoch.Load()
 	if view == nil {
-		return nil, errcode.New(errcode.NotFresh, "no plan yet")
+		return nil, errcode.New(errcode.NotFresh, "no configuration yet")
 	}
 	plan := &requestPlan{requestID: requestID, snapshot: view.snapshot, route: view.routes.Match(r)}
 	if !p.opaqueSeals {
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -173,7 +173,7 @@
 		return nil, nil, errcode.New(errcode.Stopping, "")
 	}
 	if inFlight > int64(p.environment.Config.GateInflight) {
-		return nil, nil, errcode.New(errcode.Overload, "%d requests are under way", inFlight-1)
+		return nil, nil, errcode.New(errcode.Overload, "%d requests are in flight", inFlight-1)
 	}
 	if r.ContentLength > int64(p.environment.Config.GateRequest) {
 		return nil, nil, errcode.New(errcode.RequestTooLarge, "%d bytes", r.ContentLength)
