--- /dev/null
+++ b/cmd/troupe/upgrade.go
@@ -0,0 +1,38 @@
+package main
+
+import (
+	"context"
+	"os"
+
+	"github.com/urfave/cli/v3"
+
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
+	"github.com/sumactrestle/sumactrestle/internal/harness"
+)
+
+// upgradeCommand is the command that replaces an older build under load.
+func upgradeCommand(folder cli.Flag) *cli.Command {
+	return &cli.Command{Name: "upgrade", Usage: "replace the nodes of an older build one at a time, under load",
+		Description: "Starts a fleet of the older build, puts load on it, and replaces its nodes one at a time, core nodes first, while change sets are submitted. Ends with 1 if the history breaks a rule, a node was not replaced in time, or one build refused what the other sent or wrote. tools/old-sumac.sh builds sumac of a commit.",
+		Flags: []cli.Flag{folder,
+			&cli.StringFlag{Name: "from", Usage: "the older `PROGRAM`", Required: true},
+			&cli.StringFlag{Name: "to", Value: "bin/sumac", Usage: "the `PROGRAM` that takes its place"},
+			&cli.StringFlag{Name: "shape", Value: "small", Usage: "quoteline, municipality or small"},
+			&cli.FloatFlag{Name: "factor", Value: 1, Usage: "the rates are multiplied by this"},
+			&cli.IntFlag{Name: "seconds", Value: 40, Usage: "length of the load; all nodes must be replaced in it"},
+		}, Action: upgrade}
+}
+
+func upgrade(ctx context.Context, cmd *cli.Command) error {
+	shape, err := harness.ShapeOf(cmd.String("shape"))
+	if err != nil {
+		return err
+	}
+	if f := cmd.Float("factor"); f <= 0 || f > 10 || cmd.Int("seconds") < 1 || cmd.Int("seconds") > 600 {
+		return errcode.New(errcode.BadCall, "the factor must be above 0 and at most 10, the seconds 1 to 600")
+	}
+	return inFolder(cmd, func(folder string) error {
+		run := &harness.Run{Factor: cmd.Float("factor"), Seconds: cmd.Int("seconds"), Seed: 1, Eager: -1}
+		return run.Upgrade(ctx, cmd.String("from"), cmd.String("to"), folder, shape, os.Stdout)
+	})
+}
--- a/internal/harness/shape.go
+++ b/internal/harness/shape.go
@@ -60,17 +60,18 @@
 
 // Faults is what can be done to a fleet of real processes while it works.
 var Faults = map[string]func(r *Run, rnd *rand.Rand){
-	"none":   func(r *Run, rnd *rand.Rand) { r.nap(rnd, 1000, 1001) },
-	"kill":   killOne,
-	"herd":   killHerd,
-	"wipe":   wipeOne,
-	"freeze": freezeOne,
-	"stop":   stopOne,
-	"server": serverGoes,
-	"change": changeOne,
-	"cut":    cutSome,
-	"grow":   growSome,
-	"roll":   rollOne,
+	"none":    func(r *Run, rnd *rand.Rand) { r.nap(rnd, 1000, 1001) },
+	"kill":    killOne,
+	"herd":    killHerd,
+	"wipe":    wipeOne,
+	"freeze":  freezeOne,
+	"stop":    stopOne,
+	"server":  serverGoes,
+	"change":  changeOne,
+	"cut":     cutSome,
+	"grow":    growSome,
+	"roll":    rollOne,
+	"upgrade": upgradeOne,
 	"all": func(r *Run, rnd *rand.Rand) {
 		all := []func(*Run, *rand.Rand){killOne, killHerd, wipeOne, cutSome, cutSome, freezeOne, stopOne, serverGoes, serverGoes}
 		all[rnd.IntN(len(all))](r, rnd)
--- /dev/null
+++ b/internal/harness/upgrade.go
@@ -0,0 +1,101 @@
+package harness
+
+import (
+	"bufio"
+	"context"
+	"encoding/json"
+	"io"
+	"math/rand/v2"
+	"os"
+	"time"
+
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
+	"github.com/sumactrestle/sumactrestle/internal/eventlog"
+)
+
+const (
+	// readyTimeout is how long a node that was replaced may take until it works.
+	readyTimeout = 30 * time.Second
+	// mixedChanges is how many change sets, one a second, are submitted to each mix of
+	// the two builds.
+	mixedChanges = 3
+	// refusalsShown is how many refusals of each node are printed.
+	refusalsShown = 3
+)
+
+// refusals are the events by which a node says that it can't read or doesn't believe
+// what another sent or wrote, or that copies of a shard differ.
+var refusals = map[int]bool{
+	eventlog.MessageRefused.No: true,
+	eventlog.StoreDamaged.No:   true,
+	eventlog.StoreFailed.No:    true,
+	eventlog.PartMended.No:     true,
+	eventlog.PartBroken.No:     true,
+	eventlog.GroupDamaged.No:   true,
+}
+
+// Upgrade runs a fleet of the build at from under load and replaces its nodes, core
+// nodes first, one at a time by the build at to. Change sets are submitted throughout.
+// The checkers judge the history; besides, every node must have been replaced, and none
+// may have refused a message of the other build or the data that the other build wrote.
+func (r *Run) Upgrade(ctx context.Context, from, to, folder string, shape Shape, out io.Writer) error {
+	r.Fault, r.Other = "upgrade", to
+	if err := r.Go(ctx, from, folder, shape, out); err != nil {
+		return err
+	}
+	if r.rolled < len(r.f.Machines) {
+		return errcode.New(errcode.Internal, "only %d of %d nodes were replaced in %d s", r.rolled, len(r.f.Machines), r.Seconds)
+	}
+	refused := 0
+	for _, m := range r.f.Machines {
+		n, err := r.showRefusals(m)
+		if err != nil {
+			return err
+		}
+		refused += n
+	}
+	r.say("%d nodes replaced one at a time, %d refusals logged", r.rolled, refused)
+	if refused > 0 {
+		return errcode.New(errcode.Internal, "one build refused what the other sent or wrote")
+	}
+	return nil
+}
+
+// upgradeOne replaces the next node, waits until it works and submits a change set.
+func upgradeOne(r *Run, rnd *rand.Rand) {
+	if r.rolled < len(r.f.Machines) {
+		rollOne(r, rnd)
+		limited, end := context.WithTimeout(r.ctx, readyTimeout)
+		defer end()
+		if err := r.f.AwaitReady(limited); err != nil {
+			r.say("%v", err)
+		}
+	}
+	for range mixedChanges {
+		changeOne(r, rnd)
+	}
+}
+
+// showRefusals counts the lines of a node's log that say that a message or
+// stored data were refused,
+// and prints the first.
+func (r *Run) showRefusals(m *Machine) (count int, err error) {
+	file, err := os.Open(m.Log())
+	if err != nil {
+		return 0, err
+	}
+	defer file.Close()
+	lines := bufio.NewScanner(file)
+	for lines.Scan() {
+		var line struct{ Event int }
+		if err := json.Unmarshal(lines.Bytes(), &line); err != nil {
+			return count, errcode.New(errcode.Internal, "%s: %v", m.Log(), err)
+		}
+		if refusals[line.Event] {
+			if count++; count <= refusalsShown {
+				r.say("%s: %s", m.Name, lines.Text())
+			}
+		}
+	}
+	return count, lines.Err()
+}
