--- a/internal/membership/memberlist.go
+++ b/internal/membership/memberlist.go
@@ -20,6 +20,7 @@
 
 import (
 	"cmp"
+	"context"
 	"net"
 	"slices"
 	"sync"
@@ -90,12 +91,8 @@
 	}
 	m.publishView()
 	m.SetSeeds(env.Config.Seeds)
-	transport.Handle(kindPushPull, func(c *rpc.Request) (any, error) {
-		var request rpc.MembershipSync
-		if err := c.Decode(&request); err != nil {
-			return nil, err
-		}
-		return m.handlePushPull(&request)
+	rpc.Handle(transport, kindPushPull, func(_ context.Context, request *rpc.MembershipSync) (any, error) {
+		return m.handlePushPull(request)
 	})
 	transport.Handle(kindHere, func(*rpc.Request) (any, error) { return m.Self(), nil })
 	return m
--- a/internal/node/seat.go
+++ b/internal/node/seat.go
@@ -198,23 +198,15 @@
 		State:       n.Ledger,
 		Planner:     n.Planner,
 	})
-	n.Wire.Handle("plan.whose", func(c *rpc.Request) (any, error) {
-		var ask rpc.InstanceLookupRequest
-		if err := c.Decode(&ask); err != nil {
-			return nil, err
-		}
-		return &rpc.InstanceLookupResponse{Service: n.Roll.ServiceOf(ask.Instance)}, nil
+	rpc.Handle(n.Wire, "plan.whose", func(_ context.Context, request *rpc.InstanceLookupRequest) (*rpc.InstanceLookupResponse, error) {
+		return &rpc.InstanceLookupResponse{Service: n.Roll.ServiceOf(request.Instance)}, nil
 	})
 	n.Wire.Handle("plan.stir", func(c *rpc.Request) (any, error) {
 		n.Planner.Trigger()
 		return struct{}{}, nil
 	})
-	n.Wire.Handle("plan.news", func(c *rpc.Request) (any, error) {
-		var ask rpc.TargetReportRequest
-		if err := c.Decode(&ask); err != nil {
-			return nil, err
-		}
-		return n.Roll.Report(c, &ask), nil
+	rpc.Handle(n.Wire, "plan.news", func(ctx context.Context, request *rpc.TargetReportRequest) (*rpc.TargetReportResponse, error) {
+		return n.Roll.Report(ctx, request), nil
 	})
 	return nil
 }
--- a/internal/proxy/idempotency/loss_report.go
+++ b/internal/proxy/idempotency/loss_report.go
@@ -51,17 +51,13 @@
 // and starts its task of the environment.
 func NewLossReporter(config LossReporterConfig) *LossReporter {
 	l := &LossReporter{config: config, queue: make(chan loss, maxReportBatch)}
-	config.RPC.Handle(lossReportKind, l.receive)
+	rpc.Handle(config.RPC, lossReportKind, l.receive)
 	config.Environment.Go(l.run)
 	return l
 }
 
 // receive takes the report of another proxy.
-func (l *LossReporter) receive(call *rpc.Request) (any, error) {
-	var request rpc.UnansweredRequests
-	if err := call.Decode(&request); err != nil {
-		return nil, err
-	}
+func (l *LossReporter) receive(_ context.Context, request *rpc.UnansweredRequests) (struct{}, error) {
 	l.config.Budget.RecordPeerLosses(request.Keys)
 	l.config.Tracker.RecordPeerLosses(request.Keys)
 	return struct{}{}, nil
--- a/internal/proxy/outlier/outlier.go
+++ b/internal/proxy/outlier/outlier.go
@@ -50,7 +50,7 @@
 // starts its task of the environment.
 func NewReporter(config Config) *Reporter {
 	r := &Reporter{config: config, failures: map[string]int{}, wake: make(chan struct{}, 1)}
-	config.RPC.Handle(reportKind, r.receive)
+	rpc.Handle(config.RPC, reportKind, r.receive)
 	config.Environment.Go(r.run)
 	return r
 }
@@ -70,11 +70,7 @@
 }
 
 // receive takes the report of another proxy.
-func (r *Reporter) receive(call *rpc.Request) (any, error) {
-	var request rpc.FailureReport
-	if err := call.Decode(&request); err != nil {
-		return nil, err
-	}
+func (r *Reporter) receive(_ context.Context, request *rpc.FailureReport) (struct{}, error) {
 	now := time.Now()
 	for id, count := range request.Failures {
 		if failed := r.config.Lookup(id); failed != nil && count > 0 {
