--- a/internal/distribution/listener.go
+++ b/internal/distribution/listener.go
@@ -45,20 +45,25 @@
 	}
 }
 
-// sources returns the control nodes to listen to, the nearest first: all, or the nearest few
-// (flow.servers), of which the last is in another zone if any control node is.
+// sources returns the control nodes to listen to, the nearest first.
 func (c *Client) sources() []rpc.Member {
-	sources, most := c.members.ConfigReplicas(), c.env.Config.FlowServers
-	if most == 0 || len(sources) <= most {
+	return nearestSources(c.members.ConfigReplicas(), c.env.Config.FlowServers, c.env.Config.Zone)
+}
+
+// nearestSources returns the first few of the control nodes, which are in order of their
+// distance, or all if limit is 0. If these few are all in the given zone and another is not,
+// the nearest such takes the place of the last: the zone may be cut off as a whole.
+func nearestSources(sources []rpc.Member, limit int, zone string) []rpc.Member {
+	if limit == 0 || len(sources) <= limit {
 		return sources
 	}
-	nearest := sources[:most:most]
-	if most > 1 && nearest[most-1].Zone == c.env.Config.Zone {
-		for _, source := range sources[most:] {
-			if source.Zone != c.env.Config.Zone {
-				nearest[most-1] = source
-				break
-			}
+	nearest := sources[:limit:limit]
+	if limit == 1 || nearest[limit-1].Zone != zone {
+		return nearest
+	}
+	for _, source := range sources[limit:] {
+		if source.Zone != zone {
+			return append(slices.Clone(nearest[:limit-1]), source)
 		}
 	}
 	return nearest
