--- a/internal/simulator/address_test.go
+++ b/internal/simulator/address_test.go
@@ -11,7 +11,7 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-func TestAnAddressThatWasLetGoSoonHasItsNewTarget(t *testing.T) {
+func TestPlanner_ReleasedAddressSoonGetsItsNewTarget(t *testing.T) {
 	shape := one()
 	shape.Settings["plan.poll"] = "2s"
 	inFleet(t, shape, func(t *testing.T, f *Fleet) {
@@ -34,7 +34,7 @@
 		}
 		for i := range 4 {
 			address := fmt.Sprintf("10.77.0.%d:8080", i+1)
-			beat := func(service, instance string, seq uint64) {
+			heartbeat := func(service, instance string, seq uint64) {
 				_, err := core.Node().Take(f.ctx, &rpc.TargetHeartbeat{Service: service, Instance: instance, Sequence: seq, Address: address, Zone: "zone1", Weight: 100, State: "serving"})
 				if err != nil {
 					t.Fatal(err)
@@ -43,19 +43,19 @@
 			old, young := fmt.Sprint("old", i), fmt.Sprint("young", i)
 			isIn := false
 			for seq := uint64(1); seq < 20 && !isIn; seq++ {
-				beat("bookings", old, seq)
+				heartbeat("bookings", old, seq)
 				isIn = f.WaitUntil(200*time.Millisecond, func() bool { return holds("bookings", old) })
 			}
 			if !isIn {
 				t.Fatal("the old target did not come in")
 			}
-			var gone time.Time
+			var removed time.Time
 			isIn = false
 			for seq := uint64(1); seq < 40 && !isIn; seq++ {
-				beat("rates", young, seq)
+				heartbeat("rates", young, seq)
 				isIn = f.WaitUntil(200*time.Millisecond, func() bool {
-					if gone.IsZero() && !holds("bookings", old) {
-						gone = time.Now()
+					if removed.IsZero() && !holds("bookings", old) {
+						removed = time.Now()
 					}
 					return holds("rates", young)
 				})
@@ -63,7 +63,7 @@
 			if !isIn {
 				t.Fatal("the young target did not come in")
 			}
-			if late := time.Since(gone); late > 500*time.Millisecond {
+			if late := time.Since(removed); late > 500*time.Millisecond {
 				t.Errorf("round %d: the address was free for %v", i, late)
 			}
 			time.Sleep(3 * time.Second)
--- a/internal/simulator/connectivity.go
+++ b/internal/simulator/connectivity.go
@@ -29,11 +29,11 @@
 		}
 	}
 	var names strings.Builder
-	for no := range ids.ShardCount + 1 {
+	for shard := range ids.ShardCount + 1 {
 		isOwned := false
 		for _, m := range running {
 			if node := m.Node(); node != nil {
-				if term, _, isServing := node.Consensus.Replica(ids.Shard(no)).LeadershipSince(); isServing {
+				if term, _, isServing := node.Consensus.Replica(ids.Shard(shard)).LeadershipSince(); isServing {
 					isOwned = true
 					fmt.Fprint(&names, m.Name, term, " ")
 				}
@@ -54,12 +54,12 @@
 	f.goTask(func(r *rand.Rand) {
 		time.Sleep(connectivityInterval)
 		running := f.filter(func(m *Machine) bool { return m.IsCore && m.Node() != nil })
-		owners := f.leaders(running)
-		isSettled := owners != "" && owners == last
-		last = owners
+		leaders := f.leaders(running)
+		leadersStable := leaders != "" && leaders == last
+		last = leaders
 		for _, proxyNode := range f.Proxies() {
 			node := proxyNode.Node()
-			hasAll := isSettled && node != nil && node == nodes[proxyNode]
+			hasAll := leadersStable && node != nil && node == nodes[proxyNode]
 			nodes[proxyNode] = node
 			for _, m := range running {
 				hasAll = hasAll && f.Network.canReach(proxyNode.IP, m.IP)
--- a/internal/simulator/contact_test.go
+++ b/internal/simulator/contact_test.go
@@ -59,19 +59,19 @@
 			kinds = append(kinds, kind)
 		}
 	}
-	whole := rpc.FetchResponse{}
-	if frame := f.askWire(t, m, "flow.fetch", &rpc.FetchRequest{}); frame.Code == 0 && json.Unmarshal(frame.Body, &whole) == nil && whole.Epoch > 0 {
+	complete := rpc.FetchResponse{}
+	if frame := f.askWire(t, m, "flow.fetch", &rpc.FetchRequest{}); frame.Code == 0 && json.Unmarshal(frame.Body, &complete) == nil && complete.Epoch > 0 {
 		kinds = append(kinds, "full fetch")
 	}
 	return kinds
 }
 
 // calls is one of each kind that callers make at a node's own API.
-func (f *Fleet) calls(client *api.Client, beat *api.Beat, change *api.Change) map[string]func() error {
+func (f *Fleet) calls(client *api.Client, heartbeat *api.Beat, change *api.Change) map[string]func() error {
 	return map[string]func() error{
 		"read the configuration": func() error { _, err := client.Epoch(f.ctx); return err },
 		"submit a change":        func() error { _, err := client.Submit(f.ctx, change); return err },
-		"beat":                   func() error { _, err := client.Beat(f.ctx, beat); return err },
+		"beat":                   func() error { _, err := client.Beat(f.ctx, heartbeat); return err },
 		"put": func() error {
 			_, err := client.PutKey(f.ctx, &api.Call{Name: "app/a", Value: jx.Raw(`"x"`)})
 			return err
@@ -122,8 +122,8 @@
 	}
 	client := standin.NewAPIClient(f.Network.HostAt(f.clientHost(1)), m.APIAddress())
 	server := f.Targets("rates")[0]
-	beat := &api.Beat{Service: server.Service, Instance: server.Instance, Seq: 1 << 40, Address: server.Address, Zone: api.NewOptString(server.Zone), Weight: api.NewOptInt(1), State: "serving"}
-	for name, call := range f.calls(client, beat, f.setChange(f.Rand, "cut off", view)) {
+	heartbeat := &api.Beat{Service: server.Service, Instance: server.Instance, Seq: 1 << 40, Address: server.Address, Zone: api.NewOptString(server.Zone), Weight: api.NewOptInt(1), State: "serving"}
+	for name, call := range f.calls(client, heartbeat, f.setChange(f.Rand, "cut off", view)) {
 		began := time.Now()
 		err := call()
 		if took := time.Since(began); took > atOnce {
--- a/internal/simulator/disk.go
+++ b/internal/simulator/disk.go
@@ -144,11 +144,11 @@
 	return operation()
 }
 
-type noLock struct{}
+type unlocker struct{}
 
-func (noLock) Unlock() {}
+func (unlocker) Unlock() {}
 
-func (d *attachedDisk) Lock() (storage.Locker, error) { return noLock{}, nil }
+func (d *attachedDisk) Lock() (storage.Locker, error) { return unlocker{}, nil }
 func (d *attachedDisk) Log(string)                    {}
 func (d *attachedDisk) Close() error                  { return nil }
 
--- a/internal/simulator/dream_test.go
+++ b/internal/simulator/dream_test.go
@@ -25,10 +25,10 @@
 )
 
 var (
-	seeds    = flag.String("seeds", "1:1", "first and last seed")
-	scenario = flag.String("scenario", "all", "name of a scenario, or all")
-	manner   = flag.String("manner", "both", "manner of fleets: brief, stay or both")
-	keep     = flag.String("keep", "", "folder for the logs and histories of seeds that break a rule")
+	seeds      = flag.String("seeds", "1:1", "first and last seed")
+	scenario   = flag.String("scenario", "all", "name of a scenario, or all")
+	modes      = flag.String("manner", "both", "manner of fleets: brief, stay or both")
+	keepFolder = flag.String("keep", "", "folder for the logs and histories of seeds that break a rule")
 )
 
 func TestSeeds(t *testing.T) {
@@ -36,12 +36,12 @@
 	if n, err := fmt.Sscanf(*seeds, "%d:%d", &first, &last); n != 2 || err != nil || last < first {
 		t.Fatalf("-seeds %q is not FIRST:LAST", *seeds)
 	}
-	isFound := false
-	for _, s := range inManners(*manner) {
-		if *scenario != "all" && *scenario != strings.TrimSuffix(s.Name, staying) {
+	found := false
+	for _, s := range scenariosInModes(*modes) {
+		if *scenario != "all" && *scenario != strings.TrimSuffix(s.Name, platformSuffix) {
 			continue
 		}
-		isFound = true
+		found = true
 		t.Run(s.Name, func(t *testing.T) {
 			t.Parallel()
 			var mu sync.Mutex
@@ -58,10 +58,10 @@
 			for seed := first; seed <= last; seed++ {
 				t.Run(fmt.Sprint(seed), func(t *testing.T) {
 					t.Parallel()
-					if recovery, some, counts, ok := dreamOf(t, s, seed); ok {
+					if recovery, availability, counts, ok := runScenario(t, s, seed); ok {
 						mu.Lock()
 						recoveries = append(recoveries, recovery)
-						served = served.Add(some)
+						served = served.Add(availability)
 						ran, inTouch = ran+counts[string(checker.RequestExecuted)], inTouch+counts["ran in touch"]
 						mu.Unlock()
 					}
@@ -69,20 +69,20 @@
 			}
 		})
 	}
-	if !isFound {
+	if !found {
 		t.Fatalf("no scenario %q", *scenario)
 	}
 }
 
-const staying = "+stay"
+const platformSuffix = "+stay"
 
-// inManners is the scenarios in the manners wanted.
-func inManners(manner string) (list []Scenario) {
+// scenariosInModes is the scenarios in the manners wanted.
+func scenariosInModes(mode string) (list []Scenario) {
 	for _, s := range Scenarios {
-		if manner != "stay" {
+		if mode != "stay" {
 			list = append(list, s)
 		}
-		if s.Name += staying; manner != "brief" {
+		if s.Name += platformSuffix; mode != "brief" {
 			s.PlatformMode = true
 			list = append(list, s)
 		}
@@ -90,11 +90,11 @@
 	return list
 }
 
-func dreamOf(t *testing.T, s Scenario, seed uint64) (recovery time.Duration, served checker.Availability, counts map[string]int, ok bool) {
+func runScenario(t *testing.T, s Scenario, seed uint64) (recovery time.Duration, served checker.Availability, counts map[string]int, ok bool) {
 	var log io.Writer = io.Discard
 	var kept bytes.Buffer
-	if *keep != "" {
-		log = &quietly{w: &kept}
+	if *keepFolder != "" {
+		log = &lockedWriter{w: &kept}
 	}
 	var report strings.Builder
 	var history []byte
@@ -124,22 +124,22 @@
 	}
 	if report.Len() > 0 {
 		t.Error("\n" + report.String())
-		if *keep != "" {
-			os.MkdirAll(*keep, 0o755)
-			os.WriteFile(filepath.Join(*keep, fmt.Sprintf("%s-%d.log", s.Name, seed)), kept.Bytes(), 0o644)
-			os.WriteFile(filepath.Join(*keep, fmt.Sprintf("%s-%d.history", s.Name, seed)), history, 0o644)
+		if *keepFolder != "" {
+			os.MkdirAll(*keepFolder, 0o755)
+			os.WriteFile(filepath.Join(*keepFolder, fmt.Sprintf("%s-%d.log", s.Name, seed)), kept.Bytes(), 0o644)
+			os.WriteFile(filepath.Join(*keepFolder, fmt.Sprintf("%s-%d.history", s.Name, seed)), history, 0o644)
 		}
 		return 0, served, counts, false
 	}
 	return recovery, served, counts, true
 }
 
-type quietly struct {
+type lockedWriter struct {
 	mu sync.Mutex
 	w  io.Writer
 }
 
-func (l *quietly) Write(p []byte) (int, error) {
+func (l *lockedWriter) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.w.Write(p)
--- a/internal/simulator/faults.go
+++ b/internal/simulator/faults.go
@@ -78,15 +78,15 @@
 		me := m.Node().Kin.Self()
 		memberIDs[rpc.Peer{Name: me.Name, ID: me.ID}] = true
 	}
-	for no := range ids.ShardCount + 1 {
+	for shard := range ids.ShardCount + 1 {
 		isOwned := false
 		for _, m := range f.Cores() {
-			part := m.Node().Consensus.Replica(ids.Shard(no))
+			part := m.Node().Consensus.Replica(ids.Shard(shard))
 			if !part.IsServing() {
 				continue
 			}
 			o := part.Status()
-			isOwned = o.LastIndex == o.CommitIndex && len(o.Voters) == consensus.ReplicationFactor(ids.Shard(no), len(f.Cores()), 1)
+			isOwned = o.LastIndex == o.CommitIndex && len(o.Voters) == consensus.ReplicationFactor(ids.Shard(shard), len(f.Cores()), 1)
 			for _, peer := range o.Voters {
 				isOwned = isOwned && memberIDs[peer]
 			}
--- a/internal/simulator/faults_compound.go
+++ b/internal/simulator/faults_compound.go
@@ -136,21 +136,21 @@
 	service := []string{"bookings", "rates"}[f.Rand.IntN(2)]
 	zone := fmt.Sprint("zone", 1+f.Rand.IntN(f.Shape.Zones))
 	isZone := f.Rand.IntN(2) == 0
-	var gone []*standin.Server
+	var removed []*standin.Server
 	for _, name := range []string{"bookings", "rates"} {
 		for _, s := range f.Targets(name) {
 			if isZone && s.Zone == zone || !isZone && name == service {
-				gone = append(gone, s)
+				removed = append(removed, s)
 			}
 		}
 	}
-	f.Logf("a herd of %d servers vanishes (zone %v)", len(gone), isZone)
-	for _, s := range gone {
+	f.Logf("a herd of %d servers vanishes (zone %v)", len(removed), isZone)
+	for _, s := range removed {
 		f.RemoveTarget(s)
 		s.Crash()
 	}
 	f.sleepBetween(0, 3*time.Second)
-	for _, s := range gone {
+	for _, s := range removed {
 		f.StartTarget(s.Service, "", f.Rand.IntN(f.Shape.Zones))
 	}
 	f.sleepBetween(time.Second, 2*time.Second)
@@ -243,13 +243,13 @@
 				return
 			}
 			defer conn.Close()
-			call, isWhole := ids.NewID(), r.IntN(2) == 0
+			call, complete := ids.NewID(), r.IntN(2) == 0
 			rec := checker.Record{Kind: checker.RequestCompleted, Start: f.History.Now(), CallID: call, Proxy: proxyNode, Service: "bookings", Path: "/bookings", Digest: standin.Digest([]byte(body)), Outcome: "gone"}
 			if f.Shape.PlatformMode {
 				rec.PerAttempt, rec.RequestID = true, ids.NewID()
 			}
 			fmt.Fprintf(conn, "POST /bookings HTTP/1.1\r\nHost: x\r\n%s: %s\r\n%s: %s\r\nContent-Length: %d\r\n\r\n", standin.HeaderCall, call, proxy.HeaderRequestID, rec.RequestID, len(body))
-			for at := 0; at < len(body) && (isWhole || at < len(body)/2); at += 16000 {
+			for at := 0; at < len(body) && (complete || at < len(body)/2); at += 16000 {
 				io.WriteString(conn, body[at:min(at+16000, len(body))])
 				pause(r, 40*time.Millisecond)
 			}
--- a/internal/simulator/faults_membership.go
+++ b/internal/simulator/faults_membership.go
@@ -14,9 +14,9 @@
 // takes the power of others meanwhile and at its return.
 func replaceMembers(f *Fleet) {
 	f.sleepBetween(500*time.Millisecond, 2*time.Second)
-	gone := f.pick(f.Cores())
-	f.Logf("cut %s off", gone.Name)
-	f.isolate([]*Machine{gone})
+	removed := f.pick(f.Cores())
+	f.Logf("cut %s off", removed.Name)
+	f.isolate([]*Machine{removed})
 	f.sleepBetween(time.Second, 5*time.Second)
 	for range f.Rand.IntN(3) {
 		other := f.pick(f.Cores())
--- a/internal/simulator/faults_targets.go
+++ b/internal/simulator/faults_targets.go
@@ -133,20 +133,20 @@
 		list := f.Targets(service)
 		s := list[f.Rand.IntN(len(list))]
 		f.RemoveTarget(s)
-		mend := func() {}
+		restore := func() {}
 		isFirst := f.Rand.IntN(2) == 0
 		if isFirst {
-			mend = fault(f)
+			restore = fault(f)
 		}
 		f.Logf("%s %s drains", service, s.Instance)
 		ctx, end := context.WithTimeout(f.ctx, 8*time.Second)
 		s.Announce(ctx, "draining")
 		end()
 		if !isFirst {
-			mend = fault(f)
+			restore = fault(f)
 		}
 		f.sleepBetween(2500*time.Millisecond, 4*time.Second)
-		mend()
+		restore()
 		s.Close()
 		f.StartTarget(service, "", f.Rand.IntN(f.Shape.Zones))
 		f.sleepBetween(time.Second, 2*time.Second)
--- a/internal/simulator/follow_test.go
+++ b/internal/simulator/follow_test.go
@@ -13,10 +13,10 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-func TestAFollowerPassedToAnOwnerThatWentHearsOfTheNextSet(t *testing.T) {
+func TestWatch_ForwardedToLostLeaderHearsOfNextPut(t *testing.T) {
 	inFleet(t, one(), func(t *testing.T, f *Fleet) {
 		const key = "group/k"
-		no := ids.ShardOf(key)
+		shard := ids.ShardOf(key)
 		set := func(m *Machine, value string) (*rpc.CoordinationResponse, error) {
 			raw, _ := json.Marshal(value)
 			ctx, end := context.WithTimeout(f.ctx, 4*time.Second)
@@ -26,7 +26,7 @@
 		for i := range 5 {
 			var owner *Machine
 			if !f.WaitUntil(20*time.Second, func() bool {
-				owner = leaderOf(f, no, nil)
+				owner = leaderOf(f, shard, nil)
 				return owner != nil && f.IsUsable()
 			}) {
 				t.Fatal("the fleet did not come back")
@@ -41,7 +41,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			heard := make(chan time.Time, len(rest))
+			answered := make(chan time.Time, len(rest))
 			for _, m := range rest {
 				go func() {
 					got, err := m.Node().Bond(f.ctx, &rpc.CoordinationRequest{Operation: "follow", Name: "group/", FromIndex: first.Revision, Wait: 30000})
@@ -49,7 +49,7 @@
 						t.Errorf("round %d: %+v %v", i, got, err)
 						return
 					}
-					heard <- time.Now()
+					answered <- time.Now()
 				}()
 			}
 			time.Sleep(100 * time.Millisecond)
@@ -60,7 +60,7 @@
 				}
 			}
 			cut := time.Now()
-			if !f.WaitUntil(5*time.Second, func() bool { return leaderOf(f, no, owner) != nil }) {
+			if !f.WaitUntil(5*time.Second, func() bool { return leaderOf(f, shard, owner) != nil }) {
 				t.Fatal("nobody took the part over")
 			}
 			if _, err := set(rest[0], fmt.Sprint("after", i)); err != nil {
@@ -69,7 +69,7 @@
 			done := time.Now()
 			for range rest {
 				select {
-				case at := <-heard:
+				case at := <-answered:
 					if late := at.Sub(done); late > 300*time.Millisecond {
 						t.Errorf("taken over and set %v after the cut, heard %v later", done.Sub(cut), late)
 					}
--- a/internal/simulator/hedge_test.go
+++ b/internal/simulator/hedge_test.go
@@ -9,9 +9,9 @@
 	"github.com/sumactrestle/sumactrestle/internal/standin"
 )
 
-// withOneIll has three servers of each service, callers that the proxy has learnt
+// withUnhealthyTarget has three servers of each service, callers that the proxy has learnt
 // from, and one server that then misbehaves.
-func withOneIll(t *testing.T, service, way string, play func(f *Fleet, call func(method, path string) (int, time.Duration))) {
+func withUnhealthyTarget(t *testing.T, service, way string, play func(f *Fleet, call func(method, path string) (int, time.Duration))) {
 	shape := one()
 	shape.Targets = map[string]int{"rates": 3, "bookings": 3}
 	shape.Settings["gate.doubles"] = "6"
@@ -40,7 +40,7 @@
 }
 
 func TestProxy_OverdueReadIsHedged(t *testing.T) {
-	withOneIll(t, "rates", standin.Slow, func(f *Fleet, call func(method, path string) (int, time.Duration)) {
+	withUnhealthyTarget(t, "rates", standin.Slow, func(f *Fleet, call func(method, path string) (int, time.Duration)) {
 		for i := range 12 {
 			if status, took := call("GET", "/rates"); status != 200 || took > time.Second {
 				t.Errorf("read %d: %d after %s", i, status, took)
@@ -50,7 +50,7 @@
 }
 
 func TestProxy_FailedReadIsRetriedAtAnotherTarget(t *testing.T) {
-	withOneIll(t, "rates", standin.Failing, func(f *Fleet, call func(method, path string) (int, time.Duration)) {
+	withUnhealthyTarget(t, "rates", standin.Failing, func(f *Fleet, call func(method, path string) (int, time.Duration)) {
 		for i := range 12 {
 			if status, _ := call("GET", "/rates"); status != 200 {
 				t.Errorf("read %d: %d", i, status)
@@ -60,7 +60,7 @@
 }
 
 func TestProxy_OverdueOrderGoesToOneTarget(t *testing.T) {
-	withOneIll(t, "bookings", standin.Slow, func(f *Fleet, call func(method, path string) (int, time.Duration)) {
+	withUnhealthyTarget(t, "bookings", standin.Slow, func(f *Fleet, call func(method, path string) (int, time.Duration)) {
 		before := len(f.History.Records())
 		for range 12 {
 			call("POST", "/bookings")
@@ -84,7 +84,7 @@
 }
 
 func TestProxy_OrdersAvoidAFailingTarget(t *testing.T) {
-	withOneIll(t, "bookings", standin.Failing, func(f *Fleet, call func(method, path string) (int, time.Duration)) {
+	withUnhealthyTarget(t, "bookings", standin.Failing, func(f *Fleet, call func(method, path string) (int, time.Duration)) {
 		failed := 0
 		for range 40 {
 			if status, _ := call("POST", "/bookings"); status != 200 {
--- a/internal/simulator/hold_test.go
+++ b/internal/simulator/hold_test.go
@@ -10,14 +10,14 @@
 	"github.com/sumactrestle/sumactrestle/internal/standin"
 )
 
-func TestWordOfADrainComesAfterTheProxiesHaveIt(t *testing.T) {
+func TestDrain_IsAcknowledgedAfterProxiesApplyIt(t *testing.T) {
 	shape := one()
 	shape.Settings["plan.hold"] = "500ms"
 	inFleet(t, shape, func(t *testing.T, f *Fleet) {
 		server, proxyNode := f.Targets("rates")[0], f.Machine("proxy1").Node()
 		began := time.Now()
-		beat := &rpc.TargetHeartbeat{Service: "rates", Instance: server.Instance, Sequence: 1 << 30, Address: server.Address, Zone: "zone1", Weight: 100, State: "draining"}
-		if _, err := f.Cores()[0].Node().Take(f.ctx, beat); err != nil {
+		heartbeat := &rpc.TargetHeartbeat{Service: "rates", Instance: server.Instance, Sequence: 1 << 30, Address: server.Address, Zone: "zone1", Weight: 100, State: "draining"}
+		if _, err := f.Cores()[0].Node().Take(f.ctx, heartbeat); err != nil {
 			t.Fatal(err)
 		}
 		if took := time.Since(began); took < 500*time.Millisecond || took > 950*time.Millisecond {
@@ -35,8 +35,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if chart := proxyNode.Flow.Cache.Snapshot(); chart.Epoch < ids.Epoch(receipt.Epoch) {
-			t.Error("acknowledged in epoch", receipt.Epoch, "the proxy has", chart.Epoch)
+		if snapshot := proxyNode.Flow.Cache.Snapshot(); snapshot.Epoch < ids.Epoch(receipt.Epoch) {
+			t.Error("acknowledged in epoch", receipt.Epoch, "the proxy has", snapshot.Epoch)
 		}
 	})
 }
--- a/internal/simulator/keepers_test.go
+++ b/internal/simulator/keepers_test.go
@@ -11,7 +11,7 @@
 	"github.com/sumactrestle/sumactrestle/internal/standin"
 )
 
-func TestAProxyAmongCoreNodesWithoutTheConfigurationHearsOfChanges(t *testing.T) {
+func TestDistribution_ProxyNearNodesWithoutConfigurationHearsOfChanges(t *testing.T) {
 	shape := one()
 	shape.Settings["flow.servers"] = "2"
 	shape.Settings["flow.stay"] = "1h"
@@ -25,7 +25,7 @@
 			late = append(late, f.Add(fmt.Sprint("late", i), i%3, false, true))
 			f.startMachine(late[i])
 		}
-		chart := func() ids.Epoch {
+		snapshot := func() ids.Epoch {
 			least := ids.Epoch(1 << 40)
 			for _, proxyNode := range late {
 				if proxyNode.Node() == nil || proxyNode.Node().Flow.Cache.Snapshot() == nil {
@@ -35,7 +35,7 @@
 			}
 			return least
 		}
-		if !f.WaitUntil(5*time.Second, func() bool { return chart() > 0 }) {
+		if !f.WaitUntil(5*time.Second, func() bool { return snapshot() > 0 }) {
 			t.Fatal("a proxy got no plan")
 		}
 		client := standin.NewAPIClient(f.Network.HostAt(f.clientHost(1)), f.Machine("proxy1").APIAddress())
@@ -49,8 +49,8 @@
 			if err != nil {
 				continue
 			}
-			if !f.WaitUntil(2*time.Second, func() bool { return chart() >= ids.Epoch(receipt.Epoch) }) {
-				t.Fatalf("change %d: a proxy is at epoch %d, %d is in force", i, chart(), receipt.Epoch)
+			if !f.WaitUntil(2*time.Second, func() bool { return snapshot() >= ids.Epoch(receipt.Epoch) }) {
+				t.Fatalf("change %d: a proxy is at epoch %d, %d is in force", i, snapshot(), receipt.Epoch)
 			}
 		}
 	})
--- a/internal/simulator/late_test.go
+++ b/internal/simulator/late_test.go
@@ -150,8 +150,8 @@
 		if err := c.Decode(&ask); err != nil {
 			return nil, err
 		}
-		no := s.listens.Add(1)
-		for ids.Epoch(s.gives.Load()) <= ask.Epoch || no <= s.stuck.Load() {
+		shard := s.listens.Add(1)
+		for ids.Epoch(s.gives.Load()) <= ask.Epoch || shard <= s.stuck.Load() {
 			if c.Err() != nil || !r.Sleep(5*time.Millisecond) {
 				return &rpc.ListenResponse{Epoch: ask.Epoch}, nil
 			}
@@ -207,8 +207,8 @@
 		time.Sleep(2 * time.Second)
 		client.Start()
 		time.Sleep(3 * time.Second)
-		if chart := client.Cache.Snapshot(); chart == nil || chart.Epoch != 1 || len(who.CoreMembers()) != n {
-			t.Fatalf("the proxy has %+v and knows %d core nodes", chart, len(who.CoreMembers()))
+		if snapshot := client.Cache.Snapshot(); snapshot == nil || snapshot.Epoch != 1 || len(who.CoreMembers()) != n {
+			t.Fatalf("the proxy has %+v and knows %d core nodes", snapshot, len(who.CoreMembers()))
 		}
 		play(t, client, cores)
 		for _, r := range realms {
--- a/internal/simulator/load_coordination.go
+++ b/internal/simulator/load_coordination.go
@@ -93,7 +93,7 @@
 
 // compareAndSet reads a key and puts it back, if nobody else did meanwhile.
 func (f *Fleet) compareAndSet(r *rand.Rand, clients []*api.Client, key string) {
-	stamp, isRead := uint64(0), false
+	index, isRead := uint64(0), false
 	f.recordCoordination(checker.Record{Op: "get", Name: key}, func(ctx context.Context, rec *checker.Record) error {
 		receipt, err := clients[r.IntN(len(clients))].GetKey(ctx, api.GetKeyParams{Name: key})
 		if standin.CodeOf(err) == errcode.NoKey.No {
@@ -101,7 +101,7 @@
 			return nil
 		}
 		if err == nil {
-			stamp, isRead = receipt.Stamp, true
+			index, isRead = receipt.Stamp, true
 			rec.Revision, rec.Digest = receipt.Stamp, string(receipt.Value)
 		}
 		return err
@@ -110,8 +110,8 @@
 		return
 	}
 	value, _ := json.Marshal(r.Uint32())
-	f.repeatUnknown(r, clients, checker.Record{Op: "put", Name: key, IsConditional: true, From: stamp, Digest: string(value)}, func(ctx context.Context, client *api.Client, id string, rec *checker.Record) error {
-		receipt, err := client.PutKey(ctx, &api.Call{Name: key, Value: jx.Raw(value), If: api.NewOptUint64(stamp), ID: api.NewOptString(id)})
+	f.repeatUnknown(r, clients, checker.Record{Op: "put", Name: key, IsConditional: true, From: index, Digest: string(value)}, func(ctx context.Context, client *api.Client, id string, rec *checker.Record) error {
+		receipt, err := client.PutKey(ctx, &api.Call{Name: key, Value: jx.Raw(value), If: api.NewOptUint64(index), ID: api.NewOptString(id)})
 		return recordResponse(rec, receipt, err)
 	})
 }
--- a/internal/simulator/metrics_test.go
+++ b/internal/simulator/metrics_test.go
@@ -56,7 +56,7 @@
 		case owned.MatchString(name):
 			continue // which core node owns what differs; see the sums
 		case early.MatchString(line):
-			continue // which service was asked for before the fleet was up differs; see TestRefusalsAreToldByService
+			continue // which service was asked for before the fleet was up differs; see TestMetrics_RejectionsAreCountedByService
 		case strings.HasPrefix(line, "#"):
 		case varied.MatchString(line):
 			line = line[:strings.IndexByte(line, '{')] + "{...} <value>"
@@ -127,7 +127,7 @@
 	fmt.Fprintln(&s.out, strings.Join(lines, ""))
 }
 
-func TestTranscriptMetrics(t *testing.T) {
+func TestMetrics_Transcript(t *testing.T) {
 	shape := one()
 	shape.Settings = map[string]string{"metrics.serve": "true"}
 	transcript(t, "metrics", shape, func(s *script) {
@@ -151,7 +151,7 @@
 	})
 }
 
-func TestMetricsAreOffByDefault(t *testing.T) {
+func TestMetrics_OffByDefault(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := NewFleet(1, one(), io.Discard)
 		defer f.Close()
@@ -171,7 +171,7 @@
 	})
 }
 
-func TestMetricsKeepTheConventions(t *testing.T) {
+func TestMetrics_FollowConventions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := NewFleet(1, one(), io.Discard)
 		defer f.Close()
@@ -212,7 +212,7 @@
 }
 
 // A request that is refused for want of a target has a service all the same.
-func TestRefusalsAreToldByService(t *testing.T) {
+func TestMetrics_RejectionsAreCountedByService(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := NewFleet(1, one(), io.Discard)
 		defer f.Close()
@@ -260,7 +260,7 @@
 
 // A server works for two milliseconds, and nothing else takes that long but the way
 // there: the gate's own part must be told from it.
-func TestLatencyIsShown(t *testing.T) {
+func TestShell_ShowsLatency(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := NewFleet(1, one(), io.Discard)
 		defer f.Close()
@@ -283,9 +283,9 @@
 		for i := range 10 {
 			s.send(proxyNode.ProxyAddress(), "GET", "/rates", "", fmt.Sprint("X-Call: c", i))
 		}
-		whole := count(metrics.GateRequest, "rates", "ran")
-		if whole.Count != before+10 || whole.Median < 2*time.Millisecond {
-			t.Errorf("of 10 requests to a server that works for 2 ms: %+v", whole)
+		complete := count(metrics.GateRequest, "rates", "ran")
+		if complete.Count != before+10 || complete.Median < 2*time.Millisecond {
+			t.Errorf("of 10 requests to a server that works for 2 ms: %+v", complete)
 		}
 		if own := count(metrics.GateAdded); own.Count != added+10 || own.Median >= time.Millisecond {
 			t.Errorf("added by the gate: %+v", own)
@@ -301,7 +301,7 @@
 		for _, row := range rows.Rows {
 			shown[strings.Join(row[:3], " ")] = row[3]
 		}
-		if shown["gate_request rates ran"] != fmt.Sprint(whole.Count) || len(rows.Columns) != 8 {
+		if shown["gate_request rates ran"] != fmt.Sprint(complete.Count) || len(rows.Columns) != 8 {
 			t.Errorf("%v: %v", rows.Columns, shown)
 		}
 	})
--- a/internal/simulator/prevote_test.go
+++ b/internal/simulator/prevote_test.go
@@ -13,8 +13,8 @@
 
 // served is how many parts have an owner that serves.
 func served(f *Fleet) (n int) {
-	for no := range ids.ShardCount + 1 {
-		if leaderOf(f, ids.Shard(no), nil) != nil {
+	for shard := range ids.ShardCount + 1 {
+		if leaderOf(f, ids.Shard(shard), nil) != nil {
 			n++
 		}
 	}
--- a/internal/simulator/repair_test.go
+++ b/internal/simulator/repair_test.go
@@ -20,9 +20,9 @@
 )
 
 // follower is a core node that does not own a part.
-func follower(f *Fleet, no ids.Shard) *Machine {
+func follower(f *Fleet, shard ids.Shard) *Machine {
 	for _, m := range f.Cores() {
-		if !m.Node().Consensus.Replica(no).IsServing() {
+		if !m.Node().Consensus.Replica(shard).IsServing() {
 			return m
 		}
 	}
@@ -43,13 +43,13 @@
 			}
 		}
 		put(`"right"`)
-		no := ids.ShardOf("app/a")
+		shard := ids.ShardOf("app/a")
 		time.Sleep(time.Second)
-		m := follower(f, no)
-		book := m.Node().Stores[no]
-		for name := range book.RangeDigests() {
+		m := follower(f, shard)
+		store := m.Node().Stores[shard]
+		for name := range store.RangeDigests() {
 			if name != "receipts" {
-				if err := book.Repair(name, json.RawMessage(`[{"name":"app/forged","kind":"key","stamp":1}]`)); err != nil {
+				if err := store.Repair(name, json.RawMessage(`[{"name":"app/forged","kind":"key","stamp":1}]`)); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -64,16 +64,16 @@
 		if err := c.Node().Ledger.Repair("group/"+routes, json.RawMessage(`{"digest":"x","stamp":1,"data":[]}`)); err != nil {
 			t.Fatal(err)
 		}
-		isMended := func() bool {
-			record, ok := m.Node().Stores[no].Get("key", "app/a")
-			_, isForged := m.Node().Stores[no].Get("key", "app/forged")
+		isRepaired := func() bool {
+			record, ok := m.Node().Stores[shard].Get("key", "app/a")
+			_, isForged := m.Node().Stores[shard].Get("key", "app/forged")
 			config, err := c.Node().Ledger.Current().Config()
 			return ok && !isForged && string(record.Value) == `"right"` && err == nil && len(config.Routes) == 2
 		}
-		if isMended() {
+		if isRepaired() {
 			t.Fatal("nothing was spoilt")
 		}
-		if !f.WaitUntil(30*time.Second, isMended) {
+		if !f.WaitUntil(30*time.Second, isRepaired) {
 			t.Fatal("the copies are not mended")
 		}
 		if m.Node().R.Events.Counts()["PartMended"] == 0 {
@@ -82,7 +82,7 @@
 		m.Kill(true)
 		f.startMachine(m)
 		if !f.WaitUntil(10*time.Second, func() bool {
-			record, ok := m.Node().Stores[no].Get("key", "app/a")
+			record, ok := m.Node().Stores[shard].Get("key", "app/a")
 			return ok && string(record.Value) == `"right"`
 		}) {
 			t.Fatal("the restart brought the fault back")
--- a/internal/simulator/replaced_test.go
+++ b/internal/simulator/replaced_test.go
@@ -19,9 +19,9 @@
 )
 
 // owner is the core node that serves a part, or nil.
-func (f *Fleet) owner(no ids.Shard) *Machine {
+func (f *Fleet) owner(shard ids.Shard) *Machine {
 	for _, m := range f.Cores() {
-		if m.Node() != nil && m.Node().Consensus.Replica(no).IsServing() {
+		if m.Node() != nil && m.Node().Consensus.Replica(shard).IsServing() {
 			return m
 		}
 	}
@@ -29,8 +29,8 @@
 }
 
 // groupOf is a part's group as one member has it.
-func (f *Fleet) groupOf(m *Machine, no ids.Shard) (group []*Machine) {
-	for _, peer := range m.Node().Consensus.Replica(no).Status().Voters {
+func (f *Fleet) groupOf(m *Machine, shard ids.Shard) (group []*Machine) {
+	for _, peer := range m.Node().Consensus.Replica(shard).Status().Voters {
 		group = append(group, f.Machine(string(peer.Name)))
 	}
 	return group
@@ -57,10 +57,10 @@
 
 // replaceOne cuts one member of a part off until a spare has its place, and
 // returns the owner, the member replaced, the one that stayed and the spare.
-func (f *Fleet) replaceOne(t *testing.T, no ids.Shard) (owner, replaced, stayed, spare *Machine) {
+func (f *Fleet) replaceOne(t *testing.T, shard ids.Shard) (owner, replaced, stayed, spare *Machine) {
 	t.Helper()
-	owner = f.owner(no)
-	before := f.groupOf(owner, no)
+	owner = f.owner(shard)
+	before := f.groupOf(owner, shard)
 	for _, m := range before {
 		if m != owner && replaced == nil {
 			replaced = m
@@ -70,12 +70,12 @@
 	}
 	f.cutFrom(replaced, f.Machines...)
 	if !f.WaitUntil(40*time.Second, func() bool {
-		group := f.groupOf(owner, no)
-		return f.owner(no) == owner && len(group) == 3 && !isIn(replaced, group)
+		group := f.groupOf(owner, shard)
+		return f.owner(shard) == owner && len(group) == 3 && !isIn(replaced, group)
 	}) {
 		t.Fatal("the member that was cut off is not replaced")
 	}
-	for _, m := range f.groupOf(owner, no) {
+	for _, m := range f.groupOf(owner, shard) {
 		if !isIn(m, before) {
 			spare = m
 		}
@@ -97,12 +97,12 @@
 
 // killAtJointStep takes the power of the owner at the moment at which the first step
 // of a change of a part's voters is committed there.
-func (f *Fleet) killAtJointStep(no ids.Shard) <-chan *Machine {
+func (f *Fleet) killAtJointStep(shard ids.Shard) <-chan *Machine {
 	killed := make(chan *Machine, 1)
 	var once sync.Once
 	f.observeSteps(func(m *Machine, step any) {
 		trace, ok := step.(consensus.TraceEvent)
-		if !ok || trace.Shard != no || !trace.IsLeader || !trace.IsMembershipChange || !trace.Voters.IsJoint() {
+		if !ok || trace.Shard != shard || !trace.IsLeader || !trace.IsMembershipChange || !trace.Voters.IsJoint() {
 			return
 		}
 		once.Do(func() {
@@ -117,16 +117,16 @@
 
 func TestMembershipChange_NextLeaderFinishesJointStep(t *testing.T) {
 	inFleet(t, fiveCores(), func(t *testing.T, f *Fleet) {
-		no := ids.ShardOf("app/a")
+		shard := ids.ShardOf("app/a")
 		time.Sleep(3 * time.Second)
-		owner := f.owner(no)
+		owner := f.owner(shard)
 		var lost *Machine
-		for _, m := range f.groupOf(owner, no) {
+		for _, m := range f.groupOf(owner, shard) {
 			if m != owner {
 				lost = m
 			}
 		}
-		killed := f.killAtJointStep(no)
+		killed := f.killAtJointStep(shard)
 		f.cutFrom(lost, f.Machines...)
 		select {
 		case m := <-killed:
@@ -140,8 +140,8 @@
 		// former and one of the new members are left with it.
 		f.Network.Heal()
 		if !f.WaitUntil(10*time.Second, func() bool {
-			m := f.owner(no)
-			return m != nil && len(m.status(no).Voters) == 3 && len(m.status(no).OutgoingVoters) == 0
+			m := f.owner(shard)
+			return m != nil && len(m.status(shard).Voters) == 3 && len(m.status(shard).OutgoingVoters) == 0
 		}) {
 			t.Error("the change is not finished by the next owner")
 		}
@@ -173,8 +173,8 @@
 		}
 		put(`"old"`)
 		time.Sleep(3 * time.Second)
-		no := ids.ShardOf("app/a")
-		owner, replaced, stayed, spare := f.replaceOne(t, no)
+		shard := ids.ShardOf("app/a")
+		owner, replaced, stayed, spare := f.replaceOne(t, shard)
 		f.cutFrom(stayed, owner, spare)
 		time.Sleep(700 * time.Millisecond)
 		put(`"new"`)
@@ -183,7 +183,7 @@
 		f.cutFrom(spare, f.Machines...)
 		for range 60 {
 			time.Sleep(100 * time.Millisecond)
-			if m := f.owner(no); m == replaced || m == stayed {
+			if m := f.owner(shard); m == replaced || m == stayed {
 				t.Fatalf("%s owns the part without the member that has the last write", m.Name)
 			}
 		}
@@ -201,8 +201,8 @@
 }
 
 // status is a part as a machine has it.
-func (m *Machine) status(no ids.Shard) consensus.Status {
-	return m.Node().Consensus.Replica(no).Status()
+func (m *Machine) status(shard ids.Shard) consensus.Status {
+	return m.Node().Consensus.Replica(shard).Status()
 }
 
 // checkConformance fails where a step of a replicated part broke an invariant.
--- a/internal/simulator/rivals_test.go
+++ b/internal/simulator/rivals_test.go
@@ -11,9 +11,9 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// TestAnOrderSentAgainAfterHundredsOfChanges: it is answered as the first time, through
+// TestChangeSet_RepeatedAfterHundredsOfOthers: it is answered as the first time, through
 // snapshots, takeovers and a lost disk, wherever it comes in.
-func TestAnOrderSentAgainAfterHundredsOfChanges(t *testing.T) {
+func TestChangeSet_RepeatedAfterHundredsOfOthers(t *testing.T) {
 	shape := one()
 	shape.Settings["pact.snapshot"] = "60"
 	inFleet(t, shape, func(t *testing.T, f *Fleet) {
--- a/internal/simulator/sleep_test.go
+++ b/internal/simulator/sleep_test.go
@@ -41,7 +41,7 @@
 }
 
 // An owner that was suspended vouches for nothing until a majority has spoken anew.
-func TestASuspendedOwnerVouchesForNothing(t *testing.T) {
+func TestReplica_SuspendedLeaderConfirmsNothing(t *testing.T) {
 	inFleet(t, one(), func(t *testing.T, f *Fleet) {
 		var owner *Machine
 		for range 5 {
--- a/internal/simulator/snapshot_test.go
+++ b/internal/simulator/snapshot_test.go
@@ -134,8 +134,8 @@
 	shape.Settings["pact.tail"] = "5"
 	inFleet(t, shape, func(t *testing.T, f *Fleet) {
 		client := standin.NewAPIClient(f.Network.HostAt(f.clientHost(1)), f.Machine("proxy1").APIAddress())
-		no := ids.ShardOf("app/a")
-		behind := follower(f, no)
+		shard := ids.ShardOf("app/a")
+		behind := follower(f, shard)
 		behind.Kill(true)
 		time.Sleep(2 * time.Second)
 		for i := range 60 {
@@ -144,7 +144,7 @@
 				return err == nil
 			})
 		}
-		owner := f.owner(no)
+		owner := f.owner(shard)
 		owner.Kill(true)
 		f.startMachine(behind)
 		if !f.WaitUntil(10*time.Second, func() bool {
--- a/internal/simulator/spare_test.go
+++ b/internal/simulator/spare_test.go
@@ -28,19 +28,19 @@
 		lost.Kill(true)
 		f.Network.Disk(lost.IP).Wipe()
 		isReplaced := func() bool {
-			for no := range ids.ShardCount + 1 {
-				isWhole := false
+			for shard := range ids.ShardCount + 1 {
+				complete := false
 				for _, m := range f.Cores() {
-					if m.Node() == nil || !m.Node().Consensus.Replica(ids.Shard(no)).IsServing() {
+					if m.Node() == nil || !m.Node().Consensus.Replica(ids.Shard(shard)).IsServing() {
 						continue
 					}
-					o := m.Node().Consensus.Replica(ids.Shard(no)).Status()
-					isWhole = len(o.Voters) == 3 && o.LastIndex == o.CommitIndex
+					o := m.Node().Consensus.Replica(ids.Shard(shard)).Status()
+					complete = len(o.Voters) == 3 && o.LastIndex == o.CommitIndex
 					for _, peer := range o.Voters {
-						isWhole = isWhole && peer.Name != "core1"
+						complete = complete && peer.Name != "core1"
 					}
 				}
-				if !isWhole {
+				if !complete {
 					return false
 				}
 			}
--- a/internal/simulator/transcript_test.go
+++ b/internal/simulator/transcript_test.go
@@ -130,7 +130,7 @@
 	return s
 }
 
-func TestTranscriptCallers(t *testing.T) {
+func TestTranscript_Clients(t *testing.T) {
 	transcript(t, "callers", one(), func(s *script) {
 		gate := s.f.Machine("proxy1").ProxyAddress()
 		s.say("a look-up and an order")
@@ -150,7 +150,7 @@
 	})
 }
 
-func TestTranscriptWrongServers(t *testing.T) {
+func TestTranscript_MisbehavingTargets(t *testing.T) {
 	transcript(t, "wrong-servers", one(), func(s *script) {
 		gate := s.f.Machine("proxy1").ProxyAddress()
 		for _, way := range []string{standin.CloseUnanswered, standin.Garbage, standin.TruncatedBody, standin.Unsealed} {
@@ -168,7 +168,7 @@
 	})
 }
 
-func TestTranscriptRepeats(t *testing.T) {
+func TestTranscript_RepeatedRequests(t *testing.T) {
 	shape := one()
 	shape.AllowsDuplicates = true
 	transcript(t, "repeats", shape, func(s *script) {
@@ -189,7 +189,7 @@
 	})
 }
 
-func TestTranscriptOnce(t *testing.T) {
+func TestTranscript_IdempotencyKeys(t *testing.T) {
 	transcript(t, "once", one(), func(s *script) {
 		gate := s.f.Machine("proxy1").ProxyAddress()
 		s.say("an order, and its repeat")
@@ -205,7 +205,7 @@
 	})
 }
 
-func TestTranscriptOperators(t *testing.T) {
+func TestTranscript_Operators(t *testing.T) {
 	transcript(t, "operators", one(), func(s *script) {
 		api := s.f.Machine("proxy1").APIAddress()
 		s.say("a change set against an epoch that is past")
@@ -228,7 +228,7 @@
 	})
 }
 
-func TestTranscriptApplications(t *testing.T) {
+func TestTranscript_Applications(t *testing.T) {
 	transcript(t, "applications", one(), func(s *script) {
 		api := s.f.Machine("proxy1").APIAddress()
 		s.say("keys, by stamp")
--- a/internal/simulator/wire_test.go
+++ b/internal/simulator/wire_test.go
@@ -12,7 +12,7 @@
 	"github.com/sumactrestle/sumactrestle/internal/errcode"
 )
 
-func TestMessagesThatCantBeReadAreRefused(t *testing.T) {
+func TestRPC_UnreadableMessagesAreRejected(t *testing.T) {
 	shape := one()
 	shape.Settings["wire.line"] = "65536"
 	inFleet(t, shape, func(t *testing.T, f *Fleet) {
