--- a/internal/membership/memberlist_test.go
+++ b/internal/membership/memberlist_test.go
@@ -223,8 +223,8 @@
 
 func bytesSent(nodes ...*Memberlist) (bytes int64) {
 	for _, m := range nodes {
-		for _, count := range m.transport.Traffic() {
-			bytes += count[1]
+		for _, sent := range m.transport.Traffic() {
+			bytes += sent.Bytes
 		}
 	}
 	return bytes
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -17,6 +17,7 @@
 	"github.com/sumactrestle/sumactrestle/internal/eventlog"
 	"github.com/sumactrestle/sumactrestle/internal/ids"
 	"github.com/sumactrestle/sumactrestle/internal/metrics"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
 // called notes how long a coordination call took.
@@ -135,18 +136,18 @@
 
 func (s sheet) traffic() {
 	for kind, sent := range s.n.Wire.Traffic() {
-		kind, isFar := strings.CutSuffix(kind, " between")
+		kind, isFar := strings.CutSuffix(kind, rpc.OtherZoneSuffix)
 		zone := "own"
 		if isFar {
 			zone = "other"
 		}
 		if kind == triesKind {
-			s.add(metrics.GateTries, float64(sent[0]), zone)
-			s.add(metrics.GateTryBytes, float64(sent[1]), zone)
+			s.add(metrics.GateTries, float64(sent.Messages), zone)
+			s.add(metrics.GateTryBytes, float64(sent.Bytes), zone)
 			continue
 		}
-		s.add(metrics.WireMessages, float64(sent[0]), kind, zone)
-		s.add(metrics.WireBytes, float64(sent[1]), kind, zone)
+		s.add(metrics.WireMessages, float64(sent.Messages), kind, zone)
+		s.add(metrics.WireBytes, float64(sent.Bytes), kind, zone)
 	}
 }
 
--- a/internal/node/show.go
+++ b/internal/node/show.go
@@ -80,8 +80,8 @@
 		}
 	case api.ShowWhatTraffic:
 		columns("kind", "messages", "bytes")
-		for kind, c := range n.Wire.Traffic() {
-			add(kind, c[0], c[1])
+		for kind, sent := range n.Wire.Traffic() {
+			add(kind, sent.Messages, sent.Bytes)
 		}
 	case api.ShowWhatLatency:
 		columns("what", "service", "outcome", "count", "median", "99", "99.9", "most")
--- a/internal/rpc/traffic.go
+++ b/internal/rpc/traffic.go
@@ -2,11 +2,14 @@
 
 import "sync/atomic"
 
-// Suffixes of the kinds that Traffic counts apart.
-const (
-	responseSuffix    = ".receipt"
-	betweenZoneSuffix = " between"
-)
+// OtherZoneSuffix ends the kinds of messages that Traffic counts as sent to another zone.
+const OtherZoneSuffix = " between"
+
+// responseSuffix ends the kinds that Traffic counts responses under.
+const responseSuffix = ".receipt"
+
+// Traffic is what was sent of one kind of messages.
+type Traffic struct{ Messages, Bytes int64 }
 
 // trafficCounter counts the messages of one kind that were sent.
 type trafficCounter struct {
@@ -17,7 +20,7 @@
 // send by themselves, such as datagrams.
 func (t *Transport) RecordSent(kind, address string, bytes int) {
 	if t.IsSameZone != nil && !t.IsSameZone(address) {
-		kind += betweenZoneSuffix
+		kind += OtherZoneSuffix
 	}
 	counter, ok := t.traffic.Load(kind)
 	if !ok {
@@ -27,13 +30,13 @@
 	counter.(*trafficCounter).bytes.Add(int64(bytes))
 }
 
-// Traffic returns the messages and the bytes sent so far, by kind. A kind that ends in
-// ".receipt" counts responses, one that ends in " between" what went to another zone.
-func (t *Transport) Traffic() map[string][2]int64 {
-	sent := map[string][2]int64{}
+// Traffic returns what was sent so far, by kind. A kind that ends in ".receipt" counts
+// responses, one that ends in OtherZoneSuffix what went to another zone.
+func (t *Transport) Traffic() map[string]Traffic {
+	sent := map[string]Traffic{}
 	t.traffic.Range(func(kind, counter any) bool {
 		c := counter.(*trafficCounter)
-		sent[kind.(string)] = [2]int64{c.messages.Load(), c.bytes.Load()}
+		sent[kind.(string)] = Traffic{Messages: c.messages.Load(), Bytes: c.bytes.Load()}
 		return true
 	})
 	return sent
