--- a/internal/node/desk.go
+++ b/internal/node/desk.go
@@ -85,12 +85,12 @@
 
 // told is a problem that says more: the stamp, fence and holder in force.
 type told struct {
-	errcode.Problem
+	problem errcode.Problem
 	receipt rpc.CoordinationResponse
 }
 
-func (t *told) Error() string { return t.Problem.Error() }
-func (t *told) Unwrap() error { return &t.Problem }
+func (t *told) Error() string { return t.problem.Error() }
+func (t *told) Unwrap() error { return &t.problem }
 
 func callOf(op string, req *api.Call) *rpc.CoordinationRequest {
 	call := &rpc.CoordinationRequest{Operation: op, ID: req.ID.Or(""), Name: req.Name, Value: json.RawMessage(req.Value), Delta: req.Delta.Or(1), Holder: req.Holder.Or(""), TTL: req.TTL.Or(0), FencingToken: ids.Index(req.Fence.Or(0))}
