--- a/cmd/sumac/calls.go
+++ b/cmd/sumac/calls.go
@@ -34,11 +34,11 @@
 
 func client(cmd *cli.Command) (*api.Client, error) {
 	if cmd.String("api") == "" {
-		return nil, errcode.New(errcode.BadCall, "--api names no address; see %s --help", cmd.FullName())
+		return nil, errcode.New(errcode.InvalidCall, "--api names no address; see %s --help", cmd.FullName())
 	}
 	c, err := api.NewClient("http://" + cmd.String("api"))
 	if err != nil {
-		return nil, errcode.New(errcode.BadCall, "--api: %v", err)
+		return nil, errcode.New(errcode.InvalidCall, "--api: %v", err)
 	}
 	return c, nil
 }
@@ -51,10 +51,10 @@
 		if !ok {
 			code = errcode.Internal
 		}
-		return &errcode.Problem{Code: code, Note: p.Response.Note.Or(""), Paths: p.Response.Paths}
+		return &errcode.Error{Code: code, Note: p.Response.Note.Or(""), Paths: p.Response.Paths}
 	}
 	if err != nil {
-		return errcode.New(errcode.Unreached, "%v", err)
+		return errcode.New(errcode.Unreachable, "%v", err)
 	}
 	return nil
 }
@@ -70,7 +70,7 @@
 		parser = koanfjson.Parser()
 	}
 	if err := k.Load(file.Provider(path), parser); err != nil {
-		return nil, errcode.New(errcode.BadChange, "%s: %v", path, err)
+		return nil, errcode.New(errcode.InvalidChange, "%s: %v", path, err)
 	}
 	tree := k.Raw()
 	if _, ok := tree["id"]; !ok {
@@ -81,11 +81,11 @@
 	}
 	raw, err := json.Marshal(tree)
 	if err != nil {
-		return nil, errcode.New(errcode.BadChange, "%s: %v", path, err)
+		return nil, errcode.New(errcode.InvalidChange, "%s: %v", path, err)
 	}
 	change := &api.Change{}
 	if err := change.UnmarshalJSON(raw); err != nil {
-		return nil, errcode.New(errcode.BadChange, "%s: %v", path, err)
+		return nil, errcode.New(errcode.InvalidChange, "%s: %v", path, err)
 	}
 	return change, nil
 }
@@ -94,7 +94,7 @@
 func readObjects(path string) (*api.Change, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return nil, errcode.New(errcode.BadChange, "%v", err)
+		return nil, errcode.New(errcode.InvalidChange, "%v", err)
 	}
 	set, err := gatewayapi.Read(raw)
 	if err != nil {
@@ -108,10 +108,10 @@
 	change, settings := cmd.String("change"), cmd.String("settings")
 	isProps := cmd.IsSet("props") || cmd.IsSet("set")
 	if change != "" && settings != "" || isProps && change+settings != "" {
-		return errcode.New(errcode.BadCall, "--change, --settings and --props with --set are checked one at a time; see sumac check --help")
+		return errcode.New(errcode.InvalidCall, "--change, --settings and --props with --set are checked one at a time; see sumac check --help")
 	}
 	if change == "" && cmd.Bool("objects") {
-		return errcode.New(errcode.BadCall, "--objects is of --change, which is missing; see sumac check --help")
+		return errcode.New(errcode.InvalidCall, "--objects is of --change, which is missing; see sumac check --help")
 	}
 	switch {
 	case change != "":
@@ -156,7 +156,7 @@
 	}
 	next, paths := controlplane.MergeChange(config, &set)
 	if len(paths) > 0 {
-		return errcode.At(errcode.BadChange, paths)
+		return errcode.NewPaths(errcode.InvalidChange, paths)
 	}
 	fmt.Printf("%s: the change set is in order; with it there are %d mappings and %d services\n", path, len(next.Routes), len(next.Services))
 	return nil
@@ -168,7 +168,7 @@
 		err = json.Unmarshal(raw, into)
 	}
 	if err != nil {
-		return errcode.New(errcode.BadCall, "%v", err)
+		return errcode.New(errcode.InvalidCall, "%v", err)
 	}
 	return nil
 }
@@ -208,7 +208,7 @@
 	receipt, err := c.Submit(limited, change)
 	if err != nil {
 		problem := clear(err)
-		if p := errcode.Of(problem); p.Code.No == errcode.ChangeUnknown.No || p.Code.No == errcode.Unreached.No {
+		if p := errcode.From(problem); p.Code.Number == errcode.ChangeUnknown.Number || p.Code.Number == errcode.Unreachable.Number {
 			fmt.Fprintf(os.Stderr, "sumac: ask with: sumac ask %s\n", change.ID)
 		}
 		return problem
@@ -324,7 +324,7 @@
 	}
 	what := api.ShowWhat(words[0])
 	if what.Validate() != nil {
-		return errcode.New(errcode.BadCall, "no query %q; try help", words[0])
+		return errcode.New(errcode.InvalidCall, "no query %q; try help", words[0])
 	}
 	rows, err := c.Show(limited, api.ShowParams{What: what})
 	if err != nil {
@@ -352,7 +352,7 @@
 	verdict := checker.Check(records)
 	fmt.Print(verdict)
 	if !verdict.IsValid() {
-		return errcode.New(errcode.BadCall, "the history breaks a rule")
+		return errcode.New(errcode.InvalidCall, "the history breaks a rule")
 	}
 	return nil
 }
--- a/cmd/sumac/main.go
+++ b/cmd/sumac/main.go
@@ -75,12 +75,12 @@
 	return &cli.BoolFlag{Name: "objects", Usage: "the file holds Kubernetes-style objects (HTTPRoute)"}
 }
 
-func readProps(cmd *cli.Command) (*config.Props, error) {
+func readProps(cmd *cli.Command) (*config.Settings, error) {
 	flags := map[string]string{}
 	for _, pair := range cmd.StringSlice("set") {
 		key, value, ok := strings.Cut(pair, "=")
 		if !ok {
-			return nil, errcode.New(errcode.BadProps, "--set %q is not KEY=VALUE", pair)
+			return nil, errcode.New(errcode.InvalidSettings, "--set %q is not KEY=VALUE", pair)
 		}
 		flags[key] = value
 	}
@@ -96,20 +96,20 @@
 	if p.LogFile != "" {
 		file, err := os.OpenFile(p.LogFile, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o644)
 		if err != nil {
-			return errcode.New(errcode.BadProps, "log.file: %v", err)
+			return errcode.New(errcode.InvalidSettings, "log.file: %v", err)
 		}
 		defer file.Close()
 		out = file
 	}
 	if p.DataFolder != "" {
 		if err := os.MkdirAll(p.DataFolder, 0o755); err != nil {
-			return errcode.New(errcode.BadProps, "data.folder: %v", err)
+			return errcode.New(errcode.InvalidSettings, "data.folder: %v", err)
 		}
 	}
-	r := environment.New(ctx, p, eventlog.New(out, p.LogLevel, p.Name), environment.NewHost(p.WireAddress))
+	r := environment.New(ctx, p, eventlog.New(out, p.LogLevel, p.Name), environment.NewHost(p.PeerAddress))
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
-	node, err := node.StartUnless(signals, r)
+	node, err := node.StartUntilSignal(signals, r)
 	if err != nil || node == nil {
 		return err
 	}
--- a/cmd/troupe/main.go
+++ b/cmd/troupe/main.go
@@ -81,13 +81,13 @@
 		return err
 	}
 	if f := cmd.Float("factor"); f <= 0 || f > 10 || cmd.Int("seconds") < 1 || cmd.Int("seconds") > 3600 {
-		return errcode.New(errcode.BadCall, "the factor must be above 0 and at most 10, the seconds 1 to 3600")
+		return errcode.New(errcode.InvalidCall, "the factor must be above 0 and at most 10, the seconds 1 to 3600")
 	}
 	if cmd.Duration("work") < 0 || cmd.Duration("work") > time.Minute || cmd.Float("eager") > 1 {
-		return errcode.New(errcode.BadCall, "the work must be 0 to 1m, the eager share at most 1")
+		return errcode.New(errcode.InvalidCall, "the work must be 0 to 1m, the eager share at most 1")
 	}
 	if _, ok := harness.Faults[cmd.String("faults")]; !ok {
-		return errcode.New(errcode.BadCall, "there are no faults %q", cmd.String("faults"))
+		return errcode.New(errcode.InvalidCall, "there are no faults %q", cmd.String("faults"))
 	}
 	first, last, err := seedsOf(cmd.String("seeds"))
 	if err != nil {
@@ -96,7 +96,7 @@
 	var history io.Writer
 	if path := cmd.String("history"); path != "" {
 		if first != last {
-			return errcode.New(errcode.BadCall, "a history is of one seed")
+			return errcode.New(errcode.InvalidCall, "a history is of one seed")
 		}
 		file, err := os.Create(path)
 		if err != nil {
@@ -137,7 +137,7 @@
 		last, err = strconv.ParseUint(other, 10, 64)
 	}
 	if err != nil || last < first || last-first > 10000 {
-		return 0, 0, errcode.New(errcode.BadCall, "--seeds %q is neither a number nor FIRST:LAST", text)
+		return 0, 0, errcode.New(errcode.InvalidCall, "--seeds %q is neither a number nor FIRST:LAST", text)
 	}
 	return first, last, nil
 }
--- a/cmd/troupe/report.go
+++ b/cmd/troupe/report.go
@@ -28,7 +28,7 @@
 	for _, path := range cmd.Args().Slice() {
 		records, err := checker.ReadHistory(path)
 		if err != nil {
-			return errcode.New(errcode.BadCall, "%s: not a history: %v", path, err)
+			return errcode.New(errcode.InvalidCall, "%s: not a history: %v", path, err)
 		}
 		section, err := report.History(filepath.Base(path), records)
 		if err != nil {
@@ -41,7 +41,7 @@
 		return errcode.New(errcode.Internal, "%v", err)
 	}
 	if err := os.WriteFile(cmd.String("out"), page.Bytes(), 0o644); err != nil {
-		return errcode.New(errcode.BadCall, "--out: %v", err)
+		return errcode.New(errcode.InvalidCall, "--out: %v", err)
 	}
 	_, err := cmd.Root().Writer.Write([]byte(cmd.String("out") + "\n"))
 	return err
--- a/cmd/troupe/usage_test.go
+++ b/cmd/troupe/usage_test.go
@@ -35,7 +35,7 @@
 
 func TestTranscriptHelp(t *testing.T) {
 	var out bytes.Buffer
-	if err := commandline.Helps(app, &out); err != nil {
+	if err := commandline.WriteHelp(app, &out); err != nil {
 		t.Fatal(err)
 	}
 	approved(t, "help.txt", out.String())
--- a/internal/approved/folder_test.go
+++ b/internal/approved/folder_test.go
@@ -60,7 +60,7 @@
 
 func openFolder(t *testing.T, folder string) *storage.Store {
 	t.Helper()
-	settings := &config.Props{Name: "n", DataFolder: folder, LogLevel: "error"}
+	settings := &config.Settings{Name: "n", DataFolder: folder, LogLevel: "error"}
 	r := environment.New(context.Background(), settings, eventlog.New(io.Discard, "error", "n"), environment.NewHost(""))
 	t.Cleanup(r.Shutdown)
 	store, err := storage.Open(r)
--- a/internal/approved/node_test.go
+++ b/internal/approved/node_test.go
@@ -44,7 +44,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := environment.New(context.Background(), props, eventlog.New(io.Discard, "error", "n1"), environment.NewHost(props.WireAddress))
+	r := environment.New(context.Background(), props, eventlog.New(io.Discard, "error", "n1"), environment.NewHost(props.PeerAddress))
 	t.Cleanup(r.Shutdown)
 	if n, err = node.Start(r); err != nil {
 		t.Fatal(err)
@@ -79,7 +79,7 @@
 // kindsOf is the kinds of messages that a node has handlers for.
 func kindsOf(t *testing.T, n *node.Node) []string {
 	t.Helper()
-	w := reflect.ValueOf(n.Wire).Elem()
+	w := reflect.ValueOf(n.RPC).Elem()
 	for i := range w.NumField() {
 		if w.Field(i).Type() == reflect.TypeFor[map[string]rpc.Handler]() {
 			var kinds []string
--- a/internal/approved/records_test.go
+++ b/internal/approved/records_test.go
@@ -23,7 +23,7 @@
 	{"term", ids.Term{}},
 	{"history-record", checker.Record{}},
 	{"stand-in-answer", standin.Response{}},
-	{"settings", config.Props{}},
+	{"settings", config.Settings{}},
 }
 
 func TestRecordsAreAsApproved(t *testing.T) {
--- a/internal/checker/history.go
+++ b/internal/checker/history.go
@@ -168,7 +168,7 @@
 func ReadHistory(path string) ([]Record, error) {
 	file, err := os.Open(path)
 	if err != nil {
-		return nil, errcode.New(errcode.BadCall, "%v", err)
+		return nil, errcode.New(errcode.InvalidCall, "%v", err)
 	}
 	defer file.Close()
 	var records []Record
@@ -177,7 +177,7 @@
 	for lines.Scan() {
 		var r Record
 		if err := json.Unmarshal(lines.Bytes(), &r); err != nil {
-			return nil, errcode.New(errcode.BadCall, "line %d: %v", len(records)+1, err)
+			return nil, errcode.New(errcode.InvalidCall, "line %d: %v", len(records)+1, err)
 		}
 		records = append(records, r)
 	}
--- a/internal/checker/history_test.go
+++ b/internal/checker/history_test.go
@@ -36,10 +36,10 @@
 	if err := os.WriteFile(path, []byte("{\"kind\":\"began\",\"at\":1}\n{\"kind\":"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := ReadHistory(path); !errcode.Is(err, errcode.BadCall) || !strings.Contains(err.Error(), "line 2") {
+	if _, err := ReadHistory(path); !errcode.Is(err, errcode.InvalidCall) || !strings.Contains(err.Error(), "line 2") {
 		t.Fatal(err)
 	}
-	if _, err := ReadHistory(path + "-absent"); !errcode.Is(err, errcode.BadCall) {
+	if _, err := ReadHistory(path + "-absent"); !errcode.Is(err, errcode.InvalidCall) {
 		t.Fatal(err)
 	}
 }
--- a/internal/commandline/usage.go
+++ b/internal/commandline/usage.go
@@ -20,19 +20,19 @@
 func Strict(root *cli.Command) *cli.Command {
 	root.DisableSliceFlagSeparator = true
 	root.ExitErrHandler = func(context.Context, *cli.Command, error) {}
-	root.OnUsageError = refuse
+	root.OnUsageError = usageError
 	root.Action = func(_ context.Context, cmd *cli.Command) error {
 		if cmd.Args().Present() {
-			return errcode.New(errcode.BadCall, "no command %q; see %s --help", cmd.Args().First(), cmd.FullName())
+			return errcode.New(errcode.InvalidCall, "no command %q; see %s --help", cmd.Args().First(), cmd.FullName())
 		}
 		return cli.ShowRootCommandHelp(cmd)
 	}
 	for _, cmd := range root.Commands {
 		cmd.DisableSliceFlagSeparator = true
-		cmd.OnUsageError = refuse
+		cmd.OnUsageError = usageError
 		action := cmd.Action
 		cmd.Action = func(ctx context.Context, cmd *cli.Command) error {
-			if err := count(cmd); err != nil {
+			if err := checkArguments(cmd); err != nil {
 				return err
 			}
 			return action(ctx, cmd)
@@ -41,13 +41,13 @@
 	return root
 }
 
-func refuse(_ context.Context, cmd *cli.Command, err error, _ bool) error {
-	return errcode.New(errcode.BadCall, "%v; see %s --help", err, cmd.FullName())
+func usageError(_ context.Context, cmd *cli.Command, err error, _ bool) error {
+	return errcode.New(errcode.InvalidCall, "%v; see %s --help", err, cmd.FullName())
 }
 
-// count holds the arguments against what the command's help says of them: none,
+// checkArguments holds the arguments against what the command's help says of them: none,
 // NAME for just one, NAME... for one at least, and anything in brackets.
-func count(cmd *cli.Command) error {
+func checkArguments(cmd *cli.Command) error {
 	n, says := cmd.Args().Len(), cmd.ArgsUsage
 	isEnough, need := true, ""
 	switch {
@@ -64,7 +64,7 @@
 		if n > 0 {
 			given = fmt.Sprintf(", not %s", strings.Join(cmd.Args().Slice(), " "))
 		}
-		return errcode.New(errcode.BadCall, "%s%s; see %s --help", need, given, cmd.FullName())
+		return errcode.New(errcode.InvalidCall, "%s%s; see %s --help", need, given, cmd.FullName())
 	}
 	return nil
 }
@@ -75,8 +75,8 @@
 	if errors.As(err, &unknown) {
 		return 2
 	}
-	switch errcode.Of(err).Code.No {
-	case errcode.BadProps.No, errcode.BadCall.No, errcode.BadChange.No:
+	switch errcode.From(err).Code.Number {
+	case errcode.InvalidSettings.Number, errcode.InvalidCall.Number, errcode.InvalidChange.Number:
 		return 2
 	}
 	return 1
@@ -85,11 +85,11 @@
 // Describe is a problem as an operator reads it: its number, its text, and a line
 // for each path.
 func Describe(err error) string {
-	p := errcode.Of(err)
-	if p.Code.No == errcode.Internal.No {
+	p := errcode.From(err)
+	if p.Code.Number == errcode.Internal.Number {
 		return err.Error()
 	}
-	text := fmt.Sprintf("%d %s", p.Code.No, p.Code.Text)
+	text := fmt.Sprintf("%d %s", p.Code.Number, p.Code.Text)
 	if p.Note != "" {
 		text += ": " + p.Note
 	}
@@ -99,8 +99,8 @@
 	return text
 }
 
-// Helps writes the help of a program and of all its commands that are not hidden.
-func Helps(app func() *cli.Command, out io.Writer) error {
+// WriteHelp writes the help of a program and of all its commands that are not hidden.
+func WriteHelp(app func() *cli.Command, out io.Writer) error {
 	show := func(words ...string) error {
 		root := app()
 		root.Writer = out
--- a/internal/config/props.go
+++ b/internal/config/props.go
@@ -24,13 +24,13 @@
 	"github.com/sumactrestle/sumactrestle/internal/errcode"
 )
 
-type entry struct {
+type setting struct {
 	key, kind, fallback, low, high, doc string
-	set                                 func(*Props, any)
+	set                                 func(*Settings, any)
 }
 
 // Load reads the settings and checks them.
-func Load(path string, flags map[string]string) (*Props, error) {
+func Load(path string, flags map[string]string) (*Settings, error) {
 	k := koanf.New(".")
 	fallbacks := map[string]any{}
 	known := map[string]bool{}
@@ -41,7 +41,7 @@
 		}
 	}
 	if err := k.Load(confmap.Provider(fallbacks, "."), nil); err != nil {
-		return nil, errcode.New(errcode.BadProps, "%v", err)
+		return nil, errcode.New(errcode.InvalidSettings, "%v", err)
 	}
 	if path != "" {
 		var parser koanf.Parser = yaml.Parser()
@@ -52,11 +52,11 @@
 		// to one form first, for else which one is found is a matter of luck.
 		raw := koanf.New("\x00")
 		if err := raw.Load(file.Provider(path), parser); err != nil {
-			return nil, errcode.New(errcode.BadProps, "%s: %v", path, err)
+			return nil, errcode.New(errcode.InvalidSettings, "%s: %v", path, err)
 		}
 		flat, _ := maps.Flatten(raw.Raw(), nil, ".")
 		if err := k.Load(confmap.Provider(flat, "."), nil); err != nil {
-			return nil, errcode.New(errcode.BadProps, "%s: %v", path, err)
+			return nil, errcode.New(errcode.InvalidSettings, "%s: %v", path, err)
 		}
 	}
 	rename := func(name string) string {
@@ -67,16 +67,16 @@
 		return key
 	}
 	if err := k.Load(env.Provider("SUMAC_", ".", rename), nil); err != nil {
-		return nil, errcode.New(errcode.BadProps, "%v", err)
+		return nil, errcode.New(errcode.InvalidSettings, "%v", err)
 	}
 	given := map[string]any{}
 	for key, value := range flags {
 		given[key] = value
 	}
 	if err := k.Load(confmap.Provider(given, "."), nil); err != nil {
-		return nil, errcode.New(errcode.BadProps, "%v", err)
+		return nil, errcode.New(errcode.InvalidSettings, "%v", err)
 	}
-	p := &Props{}
+	p := &Settings{}
 	var faults []string
 	for _, key := range k.Keys() {
 		if !known[key] {
@@ -94,12 +94,12 @@
 	faults = append(faults, p.check()...)
 	if len(faults) > 0 {
 		sort.Strings(faults)
-		return nil, errcode.At(errcode.BadProps, faults)
+		return nil, errcode.NewPaths(errcode.InvalidSettings, faults)
 	}
 	return p, nil
 }
 
-func (e entry) parse(k *koanf.Koanf) (any, error) {
+func (e setting) parse(k *koanf.Koanf) (any, error) {
 	text := strings.TrimSpace(k.String(e.key))
 	switch e.kind {
 	case "strings":
@@ -143,20 +143,20 @@
 	return text, nil
 }
 
-func (p *Props) check() (faults []string) {
+func (p *Settings) check() (faults []string) {
 	if p.Name == "" {
 		faults = append(faults, "name: is missing")
 	}
 	if strings.ContainsAny(p.Name, " /\t\n") {
 		faults = append(faults, "name: holds a space or a slash")
 	}
-	if p.WireAddress == "" {
+	if p.PeerAddress == "" {
 		faults = append(faults, "wire.address: is missing")
 	}
 	if p.APIAddress == "" {
 		faults = append(faults, "api.address: is missing")
 	}
-	if p.GateAddress == "" && p.DataFolder == "" {
+	if p.ProxyAddress == "" && p.DataFolder == "" {
 		faults = append(faults, "gate.address: is missing, and so is data.folder: the node would do nothing")
 	}
 	for i, seed := range p.Seeds {
--- a/internal/config/props_gen.go
+++ b/internal/config/props_gen.go
@@ -4,167 +4,167 @@
 
 import "time"
 
-// Props are the checked settings of one node.
-type Props struct {
-	Name            string        `json:"Name"`            // the node's name, lasting and unique in the fleet
-	Zone            string        `json:"Zone"`            // the zone or room the machine stands in
-	Seeds           []string      `json:"Seeds"`           // wire addresses of other processes, three at best
-	WireAddress     string        `json:"WireAddress"`     // address for the other processes, TCP and UDP
-	WireAdvertise   string        `json:"WireAdvertise"`   // address that the others are told for this node, if it is not wire.address
-	APIAddress      string        `json:"ApiAddress"`      // address for back ends, applications and operators (HTTP)
-	APIAdvertise    string        `json:"ApiAdvertise"`    // address that the others are told for calls to this node, if it is not api.address
-	GateAddress     string        `json:"GateAddress"`     // address for callers (HTTP); a node that has one is a proxy
-	DataFolder      string        `json:"DataFolder"`      // folder for the state; a node that has one is a core node
-	FoundCores      int           `json:"FoundCores"`      // how many empty core nodes found a fleet; 0 is for one that only joins
-	Strength        int           `json:"Strength"`        // the machine's strength; shares follow it
-	LogLevel        string        `json:"LogLevel"`        // debug, info, warn or error
-	LogFile         string        `json:"LogFile"`         // file for the log; standard error if empty
-	KinProbe        time.Duration `json:"KinProbe"`        // pause between two probes
-	KinReply        time.Duration `json:"KinReply"`        // how long a probe waits before third parties are asked
-	KinSuspect      time.Duration `json:"KinSuspect"`      // how long a suspected member may refute
-	PactRound       time.Duration `json:"PactRound"`       // pause between two confirmations of a term
-	PactSilence     time.Duration `json:"PactSilence"`     // silence of an owner after which the next in order stands
-	PactLosses      int           `json:"PactLosses"`      // how many core nodes may be lost at once; a data part has twice as many members and one
-	PactGone        time.Duration `json:"PactGone"`        // how long a core node may be gone before a spare replaces it
-	PactChunk       int           `json:"PactChunk"`       // bytes of a snapshot, packed, in one message to a member that lacks it; each has three seconds to arrive
-	PactTail        int           `json:"PactTail"`        // entries before a snapshot that are kept in memory for members a little behind
-	PactTailBytes   int           `json:"PactTailBytes"`   // how many bytes these entries may take, for each part
-	PactContact     time.Duration `json:"PactContact"`     // how long a core node that has no word of a part's owner, or an owner that has none of a majority, still takes calls for it and gives out what it holds
-	PactSnapshot    int           `json:"PactSnapshot"`    // entries between two snapshots of a part
-	PlanSilence     time.Duration `json:"PlanSilence"`     // silence after which a target is taken out; about three beats
-	PlanSettle      time.Duration `json:"PlanSettle"`      // how long a new owner of a part listens to beats before its word counts
-	PlanKeep        bool          `json:"PlanKeep"`        // while a new owner listens, the targets of the epoch in force stay in, but for those known to drain, to leave or to have lost their address
-	PlanStrangers   bool          `json:"PlanStrangers"`   // keep the beats of services that no configuration names yet
-	PlanBeat        time.Duration `json:"PlanBeat"`        // pause between two beats of a server, as servers are told
-	PlanGather      time.Duration `json:"PlanGather"`      // how long news of targets is gathered before an epoch is made of it
-	PlanHold        time.Duration `json:"PlanHold"`        // how long the word of a drain, a sign-off or a change set waits after it is in force, so that proxies on full links have heard
-	PlanLinger      time.Duration `json:"PlanLinger"`      // how long a proxy that went keeps its share
-	PlanMemory      int           `json:"PlanMemory"`      // how many change sets are remembered with what became of them; one that is sent again within them is answered as the first time. Each takes some 150 bytes of the configuration's state
-	PlanPoll        time.Duration `json:"PlanPoll"`        // pause between two collections of the parts' news
-	FlowHold        time.Duration `json:"FlowHold"`        // how long a listener request is held
-	FlowBehind      time.Duration `json:"FlowBehind"`      // with flow.stay: how long a proxy goes on once it can't tell that its epoch is still the newest; 0 is as long as it stays
-	FlowServers     int           `json:"FlowServers"`     // how many control nodes a proxy listens to, the nearest first and one of another zone at least; 0 is for all
-	FlowFetches     int           `json:"FlowFetches"`     // how many full fetches a control node answers at once; who comes beside them is told when to ask again
-	FlowPause       time.Duration `json:"FlowPause"`       // pause after a fetch that brought nothing newer
-	FlowRetry       time.Duration `json:"FlowRetry"`       // pause between tries after an error
-	FlowTries       int           `json:"FlowTries"`       // tries before the long pause
-	FlowCool        time.Duration `json:"FlowCool"`        // the long pause
-	FlowPulse       time.Duration `json:"FlowPulse"`       // pause between two renewals of freshness
-	FlowFresh       time.Duration `json:"FlowFresh"`       // age above which a proxy hands nothing over
-	FlowStay        time.Duration `json:"FlowStay"`        // how long a proxy that is out of touch goes on with its last epoch all the same; above 0 what is promised of older plans holds only for proxies in touch, and targets must tell instances apart
-	GateDeadline    time.Duration `json:"GateDeadline"`    // deadline of a request whose mapping names none
-	GateBody        int           `json:"GateBody"`        // largest answer that is buffered, in bytes
-	GateRequest     int           `json:"GateRequest"`     // largest request body, in bytes
-	GateInflight    int           `json:"GateInflight"`    // requests under way at once in this proxy
-	GateConnect     time.Duration `json:"GateConnect"`     // time for a connection to a target
-	WireLine        int           `json:"WireLine"`        // longest message between processes, in bytes
-	StopGrace       time.Duration `json:"StopGrace"`       // time for a planned stop
-	DebugAddress    string        `json:"DebugAddress"`    // address for profiles (pprof); none if empty; keep it inside
-	GateSeal        string        `json:"GateSeal"`        // keyed: an answer bears the server's seal under the service's key; opaque: a success bears a mark that only the caller can judge, and every answer names its request
-	GateIds         string        `json:"GateIds"`         // own: a request gets an id here; caller: it bears one, and the answer names it
-	GateLinger      time.Duration `json:"GateLinger"`      // how long a stopping proxy still takes new requests, while those who ask are told that it is not ready
-	GateIdle        time.Duration `json:"GateIdle"`        // how long a pipe to a target is kept idle, unless the target names less
-	GateSpill       int           `json:"GateSpill"`       // by how many hundredths of its aim a request may be slower before it goes to another zone
-	ExtraPercent    int           `json:"ExtraPercent"`    // extra tries that a hundred first requests of a service pay for
-	ExtraBase       int           `json:"ExtraBase"`       // extra tries of a service beside these, in any extra.window, of all proxies together
-	ExtraWindow     time.Duration `json:"ExtraWindow"`     // the window of the budget of extra tries
-	HeaderRequest   string        `json:"HeaderRequest"`   // header that names the request, both ways
-	HeaderDeadline  string        `json:"HeaderDeadline"`  // header with the milliseconds that the caller will wait, and that are left for the target
-	HeaderExpect    string        `json:"HeaderExpect"`    // header to the target that names the instance meant
-	HeaderSeal      string        `json:"HeaderSeal"`      // header with the server's seal
-	HeaderUnrun     string        `json:"HeaderUnrun"`     // header by which a target says that it did not run the request
-	HeaderWeight    string        `json:"HeaderWeight"`    // header by which a target tells what it has to do: requests running, waiting, and its slots
-	GateReturn      time.Duration `json:"GateReturn"`      // the least that Retry-After asks for, spread over three times that; below a second it is told in fractions
-	GateRate        int           `json:"GateRate"`        // kilobytes a second of the link, in each direction, that large request bodies may take together; 0 is no bound
-	GateBodies      int           `json:"GateBodies"`      // how many large request bodies are read at once; 0 is no bound
-	GateWait        time.Duration `json:"GateWait"`        // how long a starting proxy waits for its first plan before it takes connections of callers; on a narrow link what is sent to be refused would keep the plan out
-	WireDial        time.Duration `json:"WireDial"`        // time for a connection to another process
-	WireIdle        time.Duration `json:"WireIdle"`        // how long a connection to another process is kept on which nothing is asked
-	WireDeaf        time.Duration `json:"WireDeaf"`        // for how long nothing may come over a connection to another process while an ask waits, before it is given up
-	GateWindow      int           `json:"GateWindow"`      // receive buffer of each connection of a caller, in bytes, so that bodies that wait to be read stay out of a narrow link; 0 is the system's own
-	MetricsServe    bool          `json:"MetricsServe"`    // show metrics for scraping under /metrics on api.address
-	MetricsServices int           `json:"MetricsServices"` // services whose request times a proxy keeps apart since it started, at up to 8 kB each; the others share one without a name
-	GateDoubles     int           `json:"GateDoubles"`     // how many of a hundred repeatable requests of a service may be sent to a second target once their answer is overdue, paid from the budget of extra tries
+// Settings are the checked settings of one node.
+type Settings struct {
+	Name                              string        `json:"Name"`            // the node's name, lasting and unique in the fleet
+	Zone                              string        `json:"Zone"`            // the zone or room the machine stands in
+	Seeds                             []string      `json:"Seeds"`           // wire addresses of other processes, three at best
+	PeerAddress                       string        `json:"WireAddress"`     // address for the other processes, TCP and UDP
+	PeerAdvertise                     string        `json:"WireAdvertise"`   // address that the others are told for this node, if it is not wire.address
+	APIAddress                        string        `json:"ApiAddress"`      // address for back ends, applications and operators (HTTP)
+	APIAdvertise                      string        `json:"ApiAdvertise"`    // address that the others are told for calls to this node, if it is not api.address
+	ProxyAddress                      string        `json:"GateAddress"`     // address for callers (HTTP); a node that has one is a proxy
+	DataFolder                        string        `json:"DataFolder"`      // folder for the state; a node that has one is a core node
+	BootstrapCores                    int           `json:"FoundCores"`      // how many empty core nodes found a fleet; 0 is for one that only joins
+	Strength                          int           `json:"Strength"`        // the machine's strength; shares follow it
+	LogLevel                          string        `json:"LogLevel"`        // debug, info, warn or error
+	LogFile                           string        `json:"LogFile"`         // file for the log; standard error if empty
+	MembershipProbeInterval           time.Duration `json:"KinProbe"`        // pause between two probes
+	MembershipProbeTimeout            time.Duration `json:"KinReply"`        // how long a probe waits before third parties are asked
+	MembershipSuspicionTimeout        time.Duration `json:"KinSuspect"`      // how long a suspected member may refute
+	ConsensusHeartbeatInterval        time.Duration `json:"PactRound"`       // pause between two confirmations of a term
+	ConsensusElectionTimeout          time.Duration `json:"PactSilence"`     // silence of an owner after which the next in order stands
+	ConsensusFaultTolerance           int           `json:"PactLosses"`      // how many core nodes may be lost at once; a data part has twice as many members and one
+	ConsensusReplacementDelay         time.Duration `json:"PactGone"`        // how long a core node may be gone before a spare replaces it
+	ConsensusSnapshotChunkBytes       int           `json:"PactChunk"`       // bytes of a snapshot, packed, in one message to a member that lacks it; each has three seconds to arrive
+	ConsensusRetainedEntries          int           `json:"PactTail"`        // entries before a snapshot that are kept in memory for members a little behind
+	ConsensusRetainedBytes            int           `json:"PactTailBytes"`   // how many bytes these entries may take, for each part
+	ConsensusContactTimeout           time.Duration `json:"PactContact"`     // how long a core node that has no word of a part's owner, or an owner that has none of a majority, still takes calls for it and gives out what it holds
+	ConsensusSnapshotEntries          int           `json:"PactSnapshot"`    // entries between two snapshots of a part
+	ControlplaneHeartbeatTimeout      time.Duration `json:"PlanSilence"`     // silence after which a target is taken out; about three beats
+	ControlplaneTakeoverDelay         time.Duration `json:"PlanSettle"`      // how long a new owner of a part listens to beats before its word counts
+	ControlplaneKeepTargetsOnTakeover bool          `json:"PlanKeep"`        // while a new owner listens, the targets of the epoch in force stay in, but for those known to drain, to leave or to have lost their address
+	ControlplaneAcceptUnknownServices bool          `json:"PlanStrangers"`   // keep the beats of services that no configuration names yet
+	ControlplaneHeartbeatInterval     time.Duration `json:"PlanBeat"`        // pause between two beats of a server, as servers are told
+	ControlplaneBatchDelay            time.Duration `json:"PlanGather"`      // how long news of targets is gathered before an epoch is made of it
+	ControlplaneAcknowledgeDelay      time.Duration `json:"PlanHold"`        // how long the word of a drain, a sign-off or a change set waits after it is in force, so that proxies on full links have heard
+	ControlplaneShareRetention        time.Duration `json:"PlanLinger"`      // how long a proxy that went keeps its share
+	ControlplaneChangeHistory         int           `json:"PlanMemory"`      // how many change sets are remembered with what became of them; one that is sent again within them is answered as the first time. Each takes some 150 bytes of the configuration's state
+	ControlplanePollInterval          time.Duration `json:"PlanPoll"`        // pause between two collections of the parts' news
+	DistributionLongPollTimeout       time.Duration `json:"FlowHold"`        // how long a listener request is held
+	DistributionUnconfirmedGrace      time.Duration `json:"FlowBehind"`      // with flow.stay: how long a proxy goes on once it can't tell that its epoch is still the newest; 0 is as long as it stays
+	DistributionMaxServers            int           `json:"FlowServers"`     // how many control nodes a proxy listens to, the nearest first and one of another zone at least; 0 is for all
+	DistributionMaxConcurrentFetches  int           `json:"FlowFetches"`     // how many full fetches a control node answers at once; who comes beside them is told when to ask again
+	DistributionUnchangedDelay        time.Duration `json:"FlowPause"`       // pause after a fetch that brought nothing newer
+	DistributionRetryDelay            time.Duration `json:"FlowRetry"`       // pause between tries after an error
+	DistributionRetryAttempts         int           `json:"FlowTries"`       // tries before the long pause
+	DistributionRetryCooldown         time.Duration `json:"FlowCool"`        // the long pause
+	DistributionRenewalInterval       time.Duration `json:"FlowPulse"`       // pause between two renewals of freshness
+	DistributionMaxAge                time.Duration `json:"FlowFresh"`       // age above which a proxy hands nothing over
+	DistributionOfflineGrace          time.Duration `json:"FlowStay"`        // how long a proxy that is out of touch goes on with its last epoch all the same; above 0 what is promised of older plans holds only for proxies in touch, and targets must tell instances apart
+	ProxyDefaultDeadline              time.Duration `json:"GateDeadline"`    // deadline of a request whose mapping names none
+	ProxyMaxResponseBytes             int           `json:"GateBody"`        // largest answer that is buffered, in bytes
+	ProxyMaxRequestBytes              int           `json:"GateRequest"`     // largest request body, in bytes
+	ProxyMaxInflight                  int           `json:"GateInflight"`    // requests under way at once in this proxy
+	ProxyConnectTimeout               time.Duration `json:"GateConnect"`     // time for a connection to a target
+	PeerMaxMessageBytes               int           `json:"WireLine"`        // longest message between processes, in bytes
+	ShutdownGracePeriod               time.Duration `json:"StopGrace"`       // time for a planned stop
+	DebugAddress                      string        `json:"DebugAddress"`    // address for profiles (pprof); none if empty; keep it inside
+	ProxySealMode                     string        `json:"GateSeal"`        // keyed: an answer bears the server's seal under the service's key; opaque: a success bears a mark that only the caller can judge, and every answer names its request
+	ProxyRequestIDSource              string        `json:"GateIds"`         // own: a request gets an id here; caller: it bears one, and the answer names it
+	ProxyDrainDelay                   time.Duration `json:"GateLinger"`      // how long a stopping proxy still takes new requests, while those who ask are told that it is not ready
+	ProxyIdleTimeout                  time.Duration `json:"GateIdle"`        // how long a pipe to a target is kept idle, unless the target names less
+	ProxyZoneSpillPercent             int           `json:"GateSpill"`       // by how many hundredths of its aim a request may be slower before it goes to another zone
+	RetryBudgetPercent                int           `json:"ExtraPercent"`    // extra tries that a hundred first requests of a service pay for
+	RetryBudgetBase                   int           `json:"ExtraBase"`       // extra tries of a service beside these, in any extra.window, of all proxies together
+	RetryBudgetWindow                 time.Duration `json:"ExtraWindow"`     // the window of the budget of extra tries
+	HeaderRequestID                   string        `json:"HeaderRequest"`   // header that names the request, both ways
+	HeaderDeadline                    string        `json:"HeaderDeadline"`  // header with the milliseconds that the caller will wait, and that are left for the target
+	HeaderExpectedInstance            string        `json:"HeaderExpect"`    // header to the target that names the instance meant
+	HeaderSeal                        string        `json:"HeaderSeal"`      // header with the server's seal
+	HeaderNotExecuted                 string        `json:"HeaderUnrun"`     // header by which a target says that it did not run the request
+	HeaderLoad                        string        `json:"HeaderWeight"`    // header by which a target tells what it has to do: requests running, waiting, and its slots
+	ProxyRetryAfter                   time.Duration `json:"GateReturn"`      // the least that Retry-After asks for, spread over three times that; below a second it is told in fractions
+	ProxyLargeBodyRate                int           `json:"GateRate"`        // kilobytes a second of the link, in each direction, that large request bodies may take together; 0 is no bound
+	ProxyMaxLargeBodies               int           `json:"GateBodies"`      // how many large request bodies are read at once; 0 is no bound
+	ProxyStartupWait                  time.Duration `json:"GateWait"`        // how long a starting proxy waits for its first plan before it takes connections of callers; on a narrow link what is sent to be refused would keep the plan out
+	PeerDialTimeout                   time.Duration `json:"WireDial"`        // time for a connection to another process
+	PeerIdleTimeout                   time.Duration `json:"WireIdle"`        // how long a connection to another process is kept on which nothing is asked
+	PeerSilenceTimeout                time.Duration `json:"WireDeaf"`        // for how long nothing may come over a connection to another process while an ask waits, before it is given up
+	ProxyReceiveBufferBytes           int           `json:"GateWindow"`      // receive buffer of each connection of a caller, in bytes, so that bodies that wait to be read stay out of a narrow link; 0 is the system's own
+	MetricsServe                      bool          `json:"MetricsServe"`    // show metrics for scraping under /metrics on api.address
+	MetricsServices                   int           `json:"MetricsServices"` // services whose request times a proxy keeps apart since it started, at up to 8 kB each; the others share one without a name
+	ProxyHedgePercent                 int           `json:"GateDoubles"`     // how many of a hundred repeatable requests of a service may be sent to a second target once their answer is overdue, paid from the budget of extra tries
 }
 
-var table = []entry{
-	{key: "name", kind: "string", fallback: "", low: "", high: "", doc: "the node's name, lasting and unique in the fleet", set: func(p *Props, v any) { p.Name = v.(string) }},
-	{key: "zone", kind: "string", fallback: "z1", low: "", high: "", doc: "the zone or room the machine stands in", set: func(p *Props, v any) { p.Zone = v.(string) }},
-	{key: "seeds", kind: "strings", fallback: "", low: "", high: "", doc: "wire addresses of other processes, three at best", set: func(p *Props, v any) { p.Seeds = v.([]string) }},
-	{key: "wire.address", kind: "address", fallback: "", low: "", high: "", doc: "address for the other processes, TCP and UDP", set: func(p *Props, v any) { p.WireAddress = v.(string) }},
-	{key: "wire.advertise", kind: "address", fallback: "", low: "", high: "", doc: "address that the others are told for this node, if it is not wire.address", set: func(p *Props, v any) { p.WireAdvertise = v.(string) }},
-	{key: "api.address", kind: "address", fallback: "", low: "", high: "", doc: "address for back ends, applications and operators (HTTP)", set: func(p *Props, v any) { p.APIAddress = v.(string) }},
-	{key: "api.advertise", kind: "address", fallback: "", low: "", high: "", doc: "address that the others are told for calls to this node, if it is not api.address", set: func(p *Props, v any) { p.APIAdvertise = v.(string) }},
-	{key: "gate.address", kind: "address", fallback: "", low: "", high: "", doc: "address for callers (HTTP); a node that has one is a proxy", set: func(p *Props, v any) { p.GateAddress = v.(string) }},
-	{key: "data.folder", kind: "string", fallback: "", low: "", high: "", doc: "folder for the state; a node that has one is a core node", set: func(p *Props, v any) { p.DataFolder = v.(string) }},
-	{key: "found.cores", kind: "int", fallback: "3", low: "0", high: "9", doc: "how many empty core nodes found a fleet; 0 is for one that only joins", set: func(p *Props, v any) { p.FoundCores = v.(int) }},
-	{key: "strength", kind: "int", fallback: "100", low: "1", high: "100000", doc: "the machine's strength; shares follow it", set: func(p *Props, v any) { p.Strength = v.(int) }},
-	{key: "log.level", kind: "string", fallback: "info", low: "", high: "", doc: "debug, info, warn or error", set: func(p *Props, v any) { p.LogLevel = v.(string) }},
-	{key: "log.file", kind: "string", fallback: "", low: "", high: "", doc: "file for the log; standard error if empty", set: func(p *Props, v any) { p.LogFile = v.(string) }},
-	{key: "kin.probe", kind: "duration", fallback: "250ms", low: "20ms", high: "10s", doc: "pause between two probes", set: func(p *Props, v any) { p.KinProbe = v.(time.Duration) }},
-	{key: "kin.reply", kind: "duration", fallback: "200ms", low: "10ms", high: "5s", doc: "how long a probe waits before third parties are asked", set: func(p *Props, v any) { p.KinReply = v.(time.Duration) }},
-	{key: "kin.suspect", kind: "duration", fallback: "1500ms", low: "100ms", high: "1m", doc: "how long a suspected member may refute", set: func(p *Props, v any) { p.KinSuspect = v.(time.Duration) }},
-	{key: "pact.round", kind: "duration", fallback: "250ms", low: "20ms", high: "500ms", doc: "pause between two confirmations of a term", set: func(p *Props, v any) { p.PactRound = v.(time.Duration) }},
-	{key: "pact.silence", kind: "duration", fallback: "700ms", low: "100ms", high: "10s", doc: "silence of an owner after which the next in order stands", set: func(p *Props, v any) { p.PactSilence = v.(time.Duration) }},
-	{key: "pact.losses", kind: "int", fallback: "1", low: "1", high: "4", doc: "how many core nodes may be lost at once; a data part has twice as many members and one", set: func(p *Props, v any) { p.PactLosses = v.(int) }},
-	{key: "pact.gone", kind: "duration", fallback: "30s", low: "1s", high: "24h", doc: "how long a core node may be gone before a spare replaces it", set: func(p *Props, v any) { p.PactGone = v.(time.Duration) }},
-	{key: "pact.chunk", kind: "int", fallback: "16384", low: "1024", high: "4194304", doc: "bytes of a snapshot, packed, in one message to a member that lacks it; each has three seconds to arrive", set: func(p *Props, v any) { p.PactChunk = v.(int) }},
-	{key: "pact.tail", kind: "int", fallback: "500", low: "0", high: "100000", doc: "entries before a snapshot that are kept in memory for members a little behind", set: func(p *Props, v any) { p.PactTail = v.(int) }},
-	{key: "pact.tail_bytes", kind: "int", fallback: "131072", low: "0", high: "67108864", doc: "how many bytes these entries may take, for each part", set: func(p *Props, v any) { p.PactTailBytes = v.(int) }},
-	{key: "pact.contact", kind: "duration", fallback: "2s", low: "500ms", high: "1h", doc: "how long a core node that has no word of a part's owner, or an owner that has none of a majority, still takes calls for it and gives out what it holds", set: func(p *Props, v any) { p.PactContact = v.(time.Duration) }},
-	{key: "pact.snapshot", kind: "int", fallback: "2000", low: "10", high: "1000000", doc: "entries between two snapshots of a part", set: func(p *Props, v any) { p.PactSnapshot = v.(int) }},
-	{key: "plan.silence", kind: "duration", fallback: "900ms", low: "200ms", high: "5m", doc: "silence after which a target is taken out; about three beats", set: func(p *Props, v any) { p.PlanSilence = v.(time.Duration) }},
-	{key: "plan.settle", kind: "duration", fallback: "450ms", low: "50ms", high: "5m", doc: "how long a new owner of a part listens to beats before its word counts", set: func(p *Props, v any) { p.PlanSettle = v.(time.Duration) }},
-	{key: "plan.keep", kind: "bool", fallback: "false", low: "", high: "", doc: "while a new owner listens, the targets of the epoch in force stay in, but for those known to drain, to leave or to have lost their address", set: func(p *Props, v any) { p.PlanKeep = v.(bool) }},
-	{key: "plan.strangers", kind: "bool", fallback: "false", low: "", high: "", doc: "keep the beats of services that no configuration names yet", set: func(p *Props, v any) { p.PlanStrangers = v.(bool) }},
-	{key: "plan.beat", kind: "duration", fallback: "300ms", low: "50ms", high: "1m", doc: "pause between two beats of a server, as servers are told", set: func(p *Props, v any) { p.PlanBeat = v.(time.Duration) }},
-	{key: "plan.gather", kind: "duration", fallback: "0s", low: "0s", high: "1s", doc: "how long news of targets is gathered before an epoch is made of it", set: func(p *Props, v any) { p.PlanGather = v.(time.Duration) }},
-	{key: "plan.hold", kind: "duration", fallback: "0s", low: "0s", high: "1s", doc: "how long the word of a drain, a sign-off or a change set waits after it is in force, so that proxies on full links have heard", set: func(p *Props, v any) { p.PlanHold = v.(time.Duration) }},
-	{key: "plan.linger", kind: "duration", fallback: "0s", low: "0s", high: "1h", doc: "how long a proxy that went keeps its share", set: func(p *Props, v any) { p.PlanLinger = v.(time.Duration) }},
-	{key: "plan.memory", kind: "int", fallback: "4096", low: "256", high: "65536", doc: "how many change sets are remembered with what became of them; one that is sent again within them is answered as the first time. Each takes some 150 bytes of the configuration's state", set: func(p *Props, v any) { p.PlanMemory = v.(int) }},
-	{key: "plan.poll", kind: "duration", fallback: "250ms", low: "20ms", high: "5s", doc: "pause between two collections of the parts' news", set: func(p *Props, v any) { p.PlanPoll = v.(time.Duration) }},
-	{key: "flow.hold", kind: "duration", fallback: "60s", low: "1s", high: "10m", doc: "how long a listener request is held", set: func(p *Props, v any) { p.FlowHold = v.(time.Duration) }},
-	{key: "flow.behind", kind: "duration", fallback: "0s", low: "0s", high: "1h", doc: "with flow.stay: how long a proxy goes on once it can't tell that its epoch is still the newest; 0 is as long as it stays", set: func(p *Props, v any) { p.FlowBehind = v.(time.Duration) }},
-	{key: "flow.servers", kind: "int", fallback: "0", low: "0", high: "100", doc: "how many control nodes a proxy listens to, the nearest first and one of another zone at least; 0 is for all", set: func(p *Props, v any) { p.FlowServers = v.(int) }},
-	{key: "flow.fetches", kind: "int", fallback: "8", low: "1", high: "1000", doc: "how many full fetches a control node answers at once; who comes beside them is told when to ask again", set: func(p *Props, v any) { p.FlowFetches = v.(int) }},
-	{key: "flow.pause", kind: "duration", fallback: "200ms", low: "10ms", high: "30s", doc: "pause after a fetch that brought nothing newer", set: func(p *Props, v any) { p.FlowPause = v.(time.Duration) }},
-	{key: "flow.retry", kind: "duration", fallback: "200ms", low: "10ms", high: "5s", doc: "pause between tries after an error", set: func(p *Props, v any) { p.FlowRetry = v.(time.Duration) }},
-	{key: "flow.tries", kind: "int", fallback: "3", low: "1", high: "100", doc: "tries before the long pause", set: func(p *Props, v any) { p.FlowTries = v.(int) }},
-	{key: "flow.cool", kind: "duration", fallback: "2s", low: "100ms", high: "5m", doc: "the long pause", set: func(p *Props, v any) { p.FlowCool = v.(time.Duration) }},
-	{key: "flow.pulse", kind: "duration", fallback: "250ms", low: "20ms", high: "10s", doc: "pause between two renewals of freshness", set: func(p *Props, v any) { p.FlowPulse = v.(time.Duration) }},
-	{key: "flow.fresh", kind: "duration", fallback: "900ms", low: "100ms", high: "900ms", doc: "age above which a proxy hands nothing over", set: func(p *Props, v any) { p.FlowFresh = v.(time.Duration) }},
-	{key: "flow.stay", kind: "duration", fallback: "0s", low: "0s", high: "24h", doc: "how long a proxy that is out of touch goes on with its last epoch all the same; above 0 what is promised of older plans holds only for proxies in touch, and targets must tell instances apart", set: func(p *Props, v any) { p.FlowStay = v.(time.Duration) }},
-	{key: "gate.deadline", kind: "duration", fallback: "10s", low: "100ms", high: "10m", doc: "deadline of a request whose mapping names none", set: func(p *Props, v any) { p.GateDeadline = v.(time.Duration) }},
-	{key: "gate.body", kind: "int", fallback: "4194304", low: "1024", high: "1073741824", doc: "largest answer that is buffered, in bytes", set: func(p *Props, v any) { p.GateBody = v.(int) }},
-	{key: "gate.request", kind: "int", fallback: "67108864", low: "1024", high: "1073741824", doc: "largest request body, in bytes", set: func(p *Props, v any) { p.GateRequest = v.(int) }},
-	{key: "gate.inflight", kind: "int", fallback: "512", low: "1", high: "100000", doc: "requests under way at once in this proxy", set: func(p *Props, v any) { p.GateInflight = v.(int) }},
-	{key: "gate.connect", kind: "duration", fallback: "500ms", low: "10ms", high: "10s", doc: "time for a connection to a target", set: func(p *Props, v any) { p.GateConnect = v.(time.Duration) }},
-	{key: "wire.line", kind: "int", fallback: "33554432", low: "65536", high: "1073741824", doc: "longest message between processes, in bytes", set: func(p *Props, v any) { p.WireLine = v.(int) }},
-	{key: "stop.grace", kind: "duration", fallback: "5s", low: "100ms", high: "60s", doc: "time for a planned stop", set: func(p *Props, v any) { p.StopGrace = v.(time.Duration) }},
-	{key: "debug.address", kind: "address", fallback: "", low: "", high: "", doc: "address for profiles (pprof); none if empty; keep it inside", set: func(p *Props, v any) { p.DebugAddress = v.(string) }},
-	{key: "gate.seal", kind: "string", fallback: "keyed", low: "", high: "", doc: "keyed: an answer bears the server's seal under the service's key; opaque: a success bears a mark that only the caller can judge, and every answer names its request", set: func(p *Props, v any) { p.GateSeal = v.(string) }},
-	{key: "gate.ids", kind: "string", fallback: "own", low: "", high: "", doc: "own: a request gets an id here; caller: it bears one, and the answer names it", set: func(p *Props, v any) { p.GateIds = v.(string) }},
-	{key: "gate.linger", kind: "duration", fallback: "0s", low: "0s", high: "60s", doc: "how long a stopping proxy still takes new requests, while those who ask are told that it is not ready", set: func(p *Props, v any) { p.GateLinger = v.(time.Duration) }},
-	{key: "gate.idle", kind: "duration", fallback: "20s", low: "100ms", high: "10m", doc: "how long a pipe to a target is kept idle, unless the target names less", set: func(p *Props, v any) { p.GateIdle = v.(time.Duration) }},
-	{key: "gate.spill", kind: "int", fallback: "30", low: "0", high: "100", doc: "by how many hundredths of its aim a request may be slower before it goes to another zone", set: func(p *Props, v any) { p.GateSpill = v.(int) }},
-	{key: "extra.percent", kind: "int", fallback: "19", low: "0", high: "100", doc: "extra tries that a hundred first requests of a service pay for", set: func(p *Props, v any) { p.ExtraPercent = v.(int) }},
-	{key: "extra.base", kind: "int", fallback: "50", low: "0", high: "100000", doc: "extra tries of a service beside these, in any extra.window, of all proxies together", set: func(p *Props, v any) { p.ExtraBase = v.(int) }},
-	{key: "extra.window", kind: "duration", fallback: "10s", low: "1s", high: "10m", doc: "the window of the budget of extra tries", set: func(p *Props, v any) { p.ExtraWindow = v.(time.Duration) }},
-	{key: "header.request", kind: "string", fallback: "Sumac-Request", low: "", high: "", doc: "header that names the request, both ways", set: func(p *Props, v any) { p.HeaderRequest = v.(string) }},
-	{key: "header.deadline", kind: "string", fallback: "Sumac-Deadline", low: "", high: "", doc: "header with the milliseconds that the caller will wait, and that are left for the target", set: func(p *Props, v any) { p.HeaderDeadline = v.(string) }},
-	{key: "header.expect", kind: "string", fallback: "Sumac-Instance", low: "", high: "", doc: "header to the target that names the instance meant", set: func(p *Props, v any) { p.HeaderExpect = v.(string) }},
-	{key: "header.seal", kind: "string", fallback: "Sumac-Seal", low: "", high: "", doc: "header with the server's seal", set: func(p *Props, v any) { p.HeaderSeal = v.(string) }},
-	{key: "header.unrun", kind: "string", fallback: "Sumac-Not-Run", low: "", high: "", doc: "header by which a target says that it did not run the request", set: func(p *Props, v any) { p.HeaderUnrun = v.(string) }},
-	{key: "header.weight", kind: "string", fallback: "Sumac-Weight", low: "", high: "", doc: "header by which a target tells what it has to do: requests running, waiting, and its slots", set: func(p *Props, v any) { p.HeaderWeight = v.(string) }},
-	{key: "gate.return", kind: "duration", fallback: "1s", low: "10ms", high: "1m", doc: "the least that Retry-After asks for, spread over three times that; below a second it is told in fractions", set: func(p *Props, v any) { p.GateReturn = v.(time.Duration) }},
-	{key: "gate.rate", kind: "int", fallback: "0", low: "0", high: "100000000", doc: "kilobytes a second of the link, in each direction, that large request bodies may take together; 0 is no bound", set: func(p *Props, v any) { p.GateRate = v.(int) }},
-	{key: "gate.bodies", kind: "int", fallback: "0", low: "0", high: "100000", doc: "how many large request bodies are read at once; 0 is no bound", set: func(p *Props, v any) { p.GateBodies = v.(int) }},
-	{key: "gate.wait", kind: "duration", fallback: "0s", low: "0s", high: "10m", doc: "how long a starting proxy waits for its first plan before it takes connections of callers; on a narrow link what is sent to be refused would keep the plan out", set: func(p *Props, v any) { p.GateWait = v.(time.Duration) }},
-	{key: "wire.dial", kind: "duration", fallback: "500ms", low: "50ms", high: "30s", doc: "time for a connection to another process", set: func(p *Props, v any) { p.WireDial = v.(time.Duration) }},
-	{key: "wire.idle", kind: "duration", fallback: "20s", low: "1s", high: "1h", doc: "how long a connection to another process is kept on which nothing is asked", set: func(p *Props, v any) { p.WireIdle = v.(time.Duration) }},
-	{key: "wire.deaf", kind: "duration", fallback: "300ms", low: "50ms", high: "30s", doc: "for how long nothing may come over a connection to another process while an ask waits, before it is given up", set: func(p *Props, v any) { p.WireDeaf = v.(time.Duration) }},
-	{key: "gate.window", kind: "int", fallback: "0", low: "0", high: "1073741824", doc: "receive buffer of each connection of a caller, in bytes, so that bodies that wait to be read stay out of a narrow link; 0 is the system's own", set: func(p *Props, v any) { p.GateWindow = v.(int) }},
-	{key: "metrics.serve", kind: "bool", fallback: "false", low: "", high: "", doc: "show metrics for scraping under /metrics on api.address", set: func(p *Props, v any) { p.MetricsServe = v.(bool) }},
-	{key: "metrics.services", kind: "int", fallback: "512", low: "0", high: "65536", doc: "services whose request times a proxy keeps apart since it started, at up to 8 kB each; the others share one without a name", set: func(p *Props, v any) { p.MetricsServices = v.(int) }},
-	{key: "gate.doubles", kind: "int", fallback: "0", low: "0", high: "100", doc: "how many of a hundred repeatable requests of a service may be sent to a second target once their answer is overdue, paid from the budget of extra tries", set: func(p *Props, v any) { p.GateDoubles = v.(int) }},
+var table = []setting{
+	{key: "name", kind: "string", fallback: "", low: "", high: "", doc: "the node's name, lasting and unique in the fleet", set: func(s *Settings, v any) { s.Name = v.(string) }},
+	{key: "zone", kind: "string", fallback: "z1", low: "", high: "", doc: "the zone or room the machine stands in", set: func(s *Settings, v any) { s.Zone = v.(string) }},
+	{key: "seeds", kind: "strings", fallback: "", low: "", high: "", doc: "wire addresses of other processes, three at best", set: func(s *Settings, v any) { s.Seeds = v.([]string) }},
+	{key: "wire.address", kind: "address", fallback: "", low: "", high: "", doc: "address for the other processes, TCP and UDP", set: func(s *Settings, v any) { s.PeerAddress = v.(string) }},
+	{key: "wire.advertise", kind: "address", fallback: "", low: "", high: "", doc: "address that the others are told for this node, if it is not wire.address", set: func(s *Settings, v any) { s.PeerAdvertise = v.(string) }},
+	{key: "api.address", kind: "address", fallback: "", low: "", high: "", doc: "address for back ends, applications and operators (HTTP)", set: func(s *Settings, v any) { s.APIAddress = v.(string) }},
+	{key: "api.advertise", kind: "address", fallback: "", low: "", high: "", doc: "address that the others are told for calls to this node, if it is not api.address", set: func(s *Settings, v any) { s.APIAdvertise = v.(string) }},
+	{key: "gate.address", kind: "address", fallback: "", low: "", high: "", doc: "address for callers (HTTP); a node that has one is a proxy", set: func(s *Settings, v any) { s.ProxyAddress = v.(string) }},
+	{key: "data.folder", kind: "string", fallback: "", low: "", high: "", doc: "folder for the state; a node that has one is a core node", set: func(s *Settings, v any) { s.DataFolder = v.(string) }},
+	{key: "found.cores", kind: "int", fallback: "3", low: "0", high: "9", doc: "how many empty core nodes found a fleet; 0 is for one that only joins", set: func(s *Settings, v any) { s.BootstrapCores = v.(int) }},
+	{key: "strength", kind: "int", fallback: "100", low: "1", high: "100000", doc: "the machine's strength; shares follow it", set: func(s *Settings, v any) { s.Strength = v.(int) }},
+	{key: "log.level", kind: "string", fallback: "info", low: "", high: "", doc: "debug, info, warn or error", set: func(s *Settings, v any) { s.LogLevel = v.(string) }},
+	{key: "log.file", kind: "string", fallback: "", low: "", high: "", doc: "file for the log; standard error if empty", set: func(s *Settings, v any) { s.LogFile = v.(string) }},
+	{key: "kin.probe", kind: "duration", fallback: "250ms", low: "20ms", high: "10s", doc: "pause between two probes", set: func(s *Settings, v any) { s.MembershipProbeInterval = v.(time.Duration) }},
+	{key: "kin.reply", kind: "duration", fallback: "200ms", low: "10ms", high: "5s", doc: "how long a probe waits before third parties are asked", set: func(s *Settings, v any) { s.MembershipProbeTimeout = v.(time.Duration) }},
+	{key: "kin.suspect", kind: "duration", fallback: "1500ms", low: "100ms", high: "1m", doc: "how long a suspected member may refute", set: func(s *Settings, v any) { s.MembershipSuspicionTimeout = v.(time.Duration) }},
+	{key: "pact.round", kind: "duration", fallback: "250ms", low: "20ms", high: "500ms", doc: "pause between two confirmations of a term", set: func(s *Settings, v any) { s.ConsensusHeartbeatInterval = v.(time.Duration) }},
+	{key: "pact.silence", kind: "duration", fallback: "700ms", low: "100ms", high: "10s", doc: "silence of an owner after which the next in order stands", set: func(s *Settings, v any) { s.ConsensusElectionTimeout = v.(time.Duration) }},
+	{key: "pact.losses", kind: "int", fallback: "1", low: "1", high: "4", doc: "how many core nodes may be lost at once; a data part has twice as many members and one", set: func(s *Settings, v any) { s.ConsensusFaultTolerance = v.(int) }},
+	{key: "pact.gone", kind: "duration", fallback: "30s", low: "1s", high: "24h", doc: "how long a core node may be gone before a spare replaces it", set: func(s *Settings, v any) { s.ConsensusReplacementDelay = v.(time.Duration) }},
+	{key: "pact.chunk", kind: "int", fallback: "16384", low: "1024", high: "4194304", doc: "bytes of a snapshot, packed, in one message to a member that lacks it; each has three seconds to arrive", set: func(s *Settings, v any) { s.ConsensusSnapshotChunkBytes = v.(int) }},
+	{key: "pact.tail", kind: "int", fallback: "500", low: "0", high: "100000", doc: "entries before a snapshot that are kept in memory for members a little behind", set: func(s *Settings, v any) { s.ConsensusRetainedEntries = v.(int) }},
+	{key: "pact.tail_bytes", kind: "int", fallback: "131072", low: "0", high: "67108864", doc: "how many bytes these entries may take, for each part", set: func(s *Settings, v any) { s.ConsensusRetainedBytes = v.(int) }},
+	{key: "pact.contact", kind: "duration", fallback: "2s", low: "500ms", high: "1h", doc: "how long a core node that has no word of a part's owner, or an owner that has none of a majority, still takes calls for it and gives out what it holds", set: func(s *Settings, v any) { s.ConsensusContactTimeout = v.(time.Duration) }},
+	{key: "pact.snapshot", kind: "int", fallback: "2000", low: "10", high: "1000000", doc: "entries between two snapshots of a part", set: func(s *Settings, v any) { s.ConsensusSnapshotEntries = v.(int) }},
+	{key: "plan.silence", kind: "duration", fallback: "900ms", low: "200ms", high: "5m", doc: "silence after which a target is taken out; about three beats", set: func(s *Settings, v any) { s.ControlplaneHeartbeatTimeout = v.(time.Duration) }},
+	{key: "plan.settle", kind: "duration", fallback: "450ms", low: "50ms", high: "5m", doc: "how long a new owner of a part listens to beats before its word counts", set: func(s *Settings, v any) { s.ControlplaneTakeoverDelay = v.(time.Duration) }},
+	{key: "plan.keep", kind: "bool", fallback: "false", low: "", high: "", doc: "while a new owner listens, the targets of the epoch in force stay in, but for those known to drain, to leave or to have lost their address", set: func(s *Settings, v any) { s.ControlplaneKeepTargetsOnTakeover = v.(bool) }},
+	{key: "plan.strangers", kind: "bool", fallback: "false", low: "", high: "", doc: "keep the beats of services that no configuration names yet", set: func(s *Settings, v any) { s.ControlplaneAcceptUnknownServices = v.(bool) }},
+	{key: "plan.beat", kind: "duration", fallback: "300ms", low: "50ms", high: "1m", doc: "pause between two beats of a server, as servers are told", set: func(s *Settings, v any) { s.ControlplaneHeartbeatInterval = v.(time.Duration) }},
+	{key: "plan.gather", kind: "duration", fallback: "0s", low: "0s", high: "1s", doc: "how long news of targets is gathered before an epoch is made of it", set: func(s *Settings, v any) { s.ControlplaneBatchDelay = v.(time.Duration) }},
+	{key: "plan.hold", kind: "duration", fallback: "0s", low: "0s", high: "1s", doc: "how long the word of a drain, a sign-off or a change set waits after it is in force, so that proxies on full links have heard", set: func(s *Settings, v any) { s.ControlplaneAcknowledgeDelay = v.(time.Duration) }},
+	{key: "plan.linger", kind: "duration", fallback: "0s", low: "0s", high: "1h", doc: "how long a proxy that went keeps its share", set: func(s *Settings, v any) { s.ControlplaneShareRetention = v.(time.Duration) }},
+	{key: "plan.memory", kind: "int", fallback: "4096", low: "256", high: "65536", doc: "how many change sets are remembered with what became of them; one that is sent again within them is answered as the first time. Each takes some 150 bytes of the configuration's state", set: func(s *Settings, v any) { s.ControlplaneChangeHistory = v.(int) }},
+	{key: "plan.poll", kind: "duration", fallback: "250ms", low: "20ms", high: "5s", doc: "pause between two collections of the parts' news", set: func(s *Settings, v any) { s.ControlplanePollInterval = v.(time.Duration) }},
+	{key: "flow.hold", kind: "duration", fallback: "60s", low: "1s", high: "10m", doc: "how long a listener request is held", set: func(s *Settings, v any) { s.DistributionLongPollTimeout = v.(time.Duration) }},
+	{key: "flow.behind", kind: "duration", fallback: "0s", low: "0s", high: "1h", doc: "with flow.stay: how long a proxy goes on once it can't tell that its epoch is still the newest; 0 is as long as it stays", set: func(s *Settings, v any) { s.DistributionUnconfirmedGrace = v.(time.Duration) }},
+	{key: "flow.servers", kind: "int", fallback: "0", low: "0", high: "100", doc: "how many control nodes a proxy listens to, the nearest first and one of another zone at least; 0 is for all", set: func(s *Settings, v any) { s.DistributionMaxServers = v.(int) }},
+	{key: "flow.fetches", kind: "int", fallback: "8", low: "1", high: "1000", doc: "how many full fetches a control node answers at once; who comes beside them is told when to ask again", set: func(s *Settings, v any) { s.DistributionMaxConcurrentFetches = v.(int) }},
+	{key: "flow.pause", kind: "duration", fallback: "200ms", low: "10ms", high: "30s", doc: "pause after a fetch that brought nothing newer", set: func(s *Settings, v any) { s.DistributionUnchangedDelay = v.(time.Duration) }},
+	{key: "flow.retry", kind: "duration", fallback: "200ms", low: "10ms", high: "5s", doc: "pause between tries after an error", set: func(s *Settings, v any) { s.DistributionRetryDelay = v.(time.Duration) }},
+	{key: "flow.tries", kind: "int", fallback: "3", low: "1", high: "100", doc: "tries before the long pause", set: func(s *Settings, v any) { s.DistributionRetryAttempts = v.(int) }},
+	{key: "flow.cool", kind: "duration", fallback: "2s", low: "100ms", high: "5m", doc: "the long pause", set: func(s *Settings, v any) { s.DistributionRetryCooldown = v.(time.Duration) }},
+	{key: "flow.pulse", kind: "duration", fallback: "250ms", low: "20ms", high: "10s", doc: "pause between two renewals of freshness", set: func(s *Settings, v any) { s.DistributionRenewalInterval = v.(time.Duration) }},
+	{key: "flow.fresh", kind: "duration", fallback: "900ms", low: "100ms", high: "900ms", doc: "age above which a proxy hands nothing over", set: func(s *Settings, v any) { s.DistributionMaxAge = v.(time.Duration) }},
+	{key: "flow.stay", kind: "duration", fallback: "0s", low: "0s", high: "24h", doc: "how long a proxy that is out of touch goes on with its last epoch all the same; above 0 what is promised of older plans holds only for proxies in touch, and targets must tell instances apart", set: func(s *Settings, v any) { s.DistributionOfflineGrace = v.(time.Duration) }},
+	{key: "gate.deadline", kind: "duration", fallback: "10s", low: "100ms", high: "10m", doc: "deadline of a request whose mapping names none", set: func(s *Settings, v any) { s.ProxyDefaultDeadline = v.(time.Duration) }},
+	{key: "gate.body", kind: "int", fallback: "4194304", low: "1024", high: "1073741824", doc: "largest answer that is buffered, in bytes", set: func(s *Settings, v any) { s.ProxyMaxResponseBytes = v.(int) }},
+	{key: "gate.request", kind: "int", fallback: "67108864", low: "1024", high: "1073741824", doc: "largest request body, in bytes", set: func(s *Settings, v any) { s.ProxyMaxRequestBytes = v.(int) }},
+	{key: "gate.inflight", kind: "int", fallback: "512", low: "1", high: "100000", doc: "requests under way at once in this proxy", set: func(s *Settings, v any) { s.ProxyMaxInflight = v.(int) }},
+	{key: "gate.connect", kind: "duration", fallback: "500ms", low: "10ms", high: "10s", doc: "time for a connection to a target", set: func(s *Settings, v any) { s.ProxyConnectTimeout = v.(time.Duration) }},
+	{key: "wire.line", kind: "int", fallback: "33554432", low: "65536", high: "1073741824", doc: "longest message between processes, in bytes", set: func(s *Settings, v any) { s.PeerMaxMessageBytes = v.(int) }},
+	{key: "stop.grace", kind: "duration", fallback: "5s", low: "100ms", high: "60s", doc: "time for a planned stop", set: func(s *Settings, v any) { s.ShutdownGracePeriod = v.(time.Duration) }},
+	{key: "debug.address", kind: "address", fallback: "", low: "", high: "", doc: "address for profiles (pprof); none if empty; keep it inside", set: func(s *Settings, v any) { s.DebugAddress = v.(string) }},
+	{key: "gate.seal", kind: "string", fallback: "keyed", low: "", high: "", doc: "keyed: an answer bears the server's seal under the service's key; opaque: a success bears a mark that only the caller can judge, and every answer names its request", set: func(s *Settings, v any) { s.ProxySealMode = v.(string) }},
+	{key: "gate.ids", kind: "string", fallback: "own", low: "", high: "", doc: "own: a request gets an id here; caller: it bears one, and the answer names it", set: func(s *Settings, v any) { s.ProxyRequestIDSource = v.(string) }},
+	{key: "gate.linger", kind: "duration", fallback: "0s", low: "0s", high: "60s", doc: "how long a stopping proxy still takes new requests, while those who ask are told that it is not ready", set: func(s *Settings, v any) { s.ProxyDrainDelay = v.(time.Duration) }},
+	{key: "gate.idle", kind: "duration", fallback: "20s", low: "100ms", high: "10m", doc: "how long a pipe to a target is kept idle, unless the target names less", set: func(s *Settings, v any) { s.ProxyIdleTimeout = v.(time.Duration) }},
+	{key: "gate.spill", kind: "int", fallback: "30", low: "0", high: "100", doc: "by how many hundredths of its aim a request may be slower before it goes to another zone", set: func(s *Settings, v any) { s.ProxyZoneSpillPercent = v.(int) }},
+	{key: "extra.percent", kind: "int", fallback: "19", low: "0", high: "100", doc: "extra tries that a hundred first requests of a service pay for", set: func(s *Settings, v any) { s.RetryBudgetPercent = v.(int) }},
+	{key: "extra.base", kind: "int", fallback: "50", low: "0", high: "100000", doc: "extra tries of a service beside these, in any extra.window, of all proxies together", set: func(s *Settings, v any) { s.RetryBudgetBase = v.(int) }},
+	{key: "extra.window", kind: "duration", fallback: "10s", low: "1s", high: "10m", doc: "the window of the budget of extra tries", set: func(s *Settings, v any) { s.RetryBudgetWindow = v.(time.Duration) }},
+	{key: "header.request", kind: "string", fallback: "Sumac-Request", low: "", high: "", doc: "header that names the request, both ways", set: func(s *Settings, v any) { s.HeaderRequestID = v.(string) }},
+	{key: "header.deadline", kind: "string", fallback: "Sumac-Deadline", low: "", high: "", doc: "header with the milliseconds that the caller will wait, and that are left for the target", set: func(s *Settings, v any) { s.HeaderDeadline = v.(string) }},
+	{key: "header.expect", kind: "string", fallback: "Sumac-Instance", low: "", high: "", doc: "header to the target that names the instance meant", set: func(s *Settings, v any) { s.HeaderExpectedInstance = v.(string) }},
+	{key: "header.seal", kind: "string", fallback: "Sumac-Seal", low: "", high: "", doc: "header with the server's seal", set: func(s *Settings, v any) { s.HeaderSeal = v.(string) }},
+	{key: "header.unrun", kind: "string", fallback: "Sumac-Not-Run", low: "", high: "", doc: "header by which a target says that it did not run the request", set: func(s *Settings, v any) { s.HeaderNotExecuted = v.(string) }},
+	{key: "header.weight", kind: "string", fallback: "Sumac-Weight", low: "", high: "", doc: "header by which a target tells what it has to do: requests running, waiting, and its slots", set: func(s *Settings, v any) { s.HeaderLoad = v.(string) }},
+	{key: "gate.return", kind: "duration", fallback: "1s", low: "10ms", high: "1m", doc: "the least that Retry-After asks for, spread over three times that; below a second it is told in fractions", set: func(s *Settings, v any) { s.ProxyRetryAfter = v.(time.Duration) }},
+	{key: "gate.rate", kind: "int", fallback: "0", low: "0", high: "100000000", doc: "kilobytes a second of the link, in each direction, that large request bodies may take together; 0 is no bound", set: func(s *Settings, v any) { s.ProxyLargeBodyRate = v.(int) }},
+	{key: "gate.bodies", kind: "int", fallback: "0", low: "0", high: "100000", doc: "how many large request bodies are read at once; 0 is no bound", set: func(s *Settings, v any) { s.ProxyMaxLargeBodies = v.(int) }},
+	{key: "gate.wait", kind: "duration", fallback: "0s", low: "0s", high: "10m", doc: "how long a starting proxy waits for its first plan before it takes connections of callers; on a narrow link what is sent to be refused would keep the plan out", set: func(s *Settings, v any) { s.ProxyStartupWait = v.(time.Duration) }},
+	{key: "wire.dial", kind: "duration", fallback: "500ms", low: "50ms", high: "30s", doc: "time for a connection to another process", set: func(s *Settings, v any) { s.PeerDialTimeout = v.(time.Duration) }},
+	{key: "wire.idle", kind: "duration", fallback: "20s", low: "1s", high: "1h", doc: "how long a connection to another process is kept on which nothing is asked", set: func(s *Settings, v any) { s.PeerIdleTimeout = v.(time.Duration) }},
+	{key: "wire.deaf", kind: "duration", fallback: "300ms", low: "50ms", high: "30s", doc: "for how long nothing may come over a connection to another process while an ask waits, before it is given up", set: func(s *Settings, v any) { s.PeerSilenceTimeout = v.(time.Duration) }},
+	{key: "gate.window", kind: "int", fallback: "0", low: "0", high: "1073741824", doc: "receive buffer of each connection of a caller, in bytes, so that bodies that wait to be read stay out of a narrow link; 0 is the system's own", set: func(s *Settings, v any) { s.ProxyReceiveBufferBytes = v.(int) }},
+	{key: "metrics.serve", kind: "bool", fallback: "false", low: "", high: "", doc: "show metrics for scraping under /metrics on api.address", set: func(s *Settings, v any) { s.MetricsServe = v.(bool) }},
+	{key: "metrics.services", kind: "int", fallback: "512", low: "0", high: "65536", doc: "services whose request times a proxy keeps apart since it started, at up to 8 kB each; the others share one without a name", set: func(s *Settings, v any) { s.MetricsServices = v.(int) }},
+	{key: "gate.doubles", kind: "int", fallback: "0", low: "0", high: "100", doc: "how many of a hundred repeatable requests of a service may be sent to a second target once their answer is overdue, paid from the budget of extra tries", set: func(s *Settings, v any) { s.ProxyHedgePercent = v.(int) }},
 }
--- a/internal/config/props_test.go
+++ b/internal/config/props_test.go
@@ -23,7 +23,7 @@
 pact: {snapshot: many}
 `), 0o644)
 	_, err := Load(path, map[string]string{"strength": "0"})
-	if !errcode.Is(err, errcode.BadProps) {
+	if !errcode.Is(err, errcode.InvalidSettings) {
 		t.Fatal(err)
 	}
 	want := []string{
@@ -39,7 +39,7 @@
 		`wire.address: "10.0.0.1" is not an IP number with a port`,
 		`wire.address: is missing`,
 	}
-	if diff := cmp.Diff(want, errcode.Of(err).Paths); diff != "" {
+	if diff := cmp.Diff(want, errcode.From(err).Paths); diff != "" {
 		t.Fatal(diff)
 	}
 }
@@ -53,7 +53,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if p.Zone != "variable" || p.Strength != 9 || p.Name != "n" || p.GateInflight != 9 {
+	if p.Zone != "variable" || p.Strength != 9 || p.Name != "n" || p.ProxyMaxInflight != 9 {
 		t.Fatalf("%+v", p)
 	}
 }
--- a/internal/consensus/antientropy.go
+++ b/internal/consensus/antientropy.go
@@ -99,7 +99,7 @@
 func (r *Replica) requestDigests(m rpc.Member, request *rpc.RangeDigestRequest) (response rpc.RangeDigestResponse) {
 	for range compareAttempts {
 		err := r.node.call(r.node.env, compareTimeout, m.RPCAddress, "pact.compare", request, &response)
-		if err != nil || response.AtIndex || !r.node.env.Sleep(r.node.env.Config.PactRound) {
+		if err != nil || response.AtIndex || !r.node.env.Sleep(r.node.env.Config.ConsensusHeartbeatInterval) {
 			break
 		}
 	}
@@ -158,7 +158,7 @@
 			}
 		}
 		r.compactNow()
-		r.logEvent(eventlog.PartMended, "index", uint64(request.Index), "ranges", len(request.Ranges))
+		r.logEvent(eventlog.ReplicaRepaired, "index", uint64(request.Index), "ranges", len(request.Ranges))
 	})
 	return struct{}{}, err
 }
--- a/internal/consensus/bootstrap.go
+++ b/internal/consensus/bootstrap.go
@@ -180,7 +180,7 @@
 	isLower := request.Term.Less(n.bootstrapTerm)
 	n.mu.Unlock()
 	if request.Step != stepPromise && request.Charter == nil {
-		return nil, errcode.New(errcode.BadMessage, "no charter in step %q", request.Step)
+		return nil, errcode.New(errcode.InvalidMessage, "no charter in step %q", request.Step)
 	}
 	if isOpen || isLower && request.Step != stepOpen {
 		return response, nil
@@ -198,7 +198,7 @@
 			n.logEvent(eventlog.FleetFounded, "fleet", request.Charter.Fleet, "members", len(request.Charter.Members))
 		}
 	default:
-		return nil, errcode.New(errcode.BadMessage, "no step %q", request.Step)
+		return nil, errcode.New(errcode.InvalidMessage, "no step %q", request.Step)
 	}
 	response.Accepted, response.CurrentTerm = true, request.Term
 	return response, nil
@@ -225,7 +225,7 @@
 	}
 	if term.Less(n.bootstrapTerm) && !charter.Open {
 		n.mu.Unlock()
-		return errcode.New(errcode.NotOwner, "a higher term of bootstrap was promised")
+		return errcode.New(errcode.NotLeader, "a higher term of bootstrap was promised")
 	}
 	n.charter, n.bootstrapTerm = charter, term
 	batch := n.store.NewBatch()
@@ -249,7 +249,7 @@
 	for _, r := range n.replicas {
 		r.mu.Lock()
 		if r.log.snapshot.Index == 0 && len(r.log.snapshot.Voters) == 0 {
-			r.log.snapshot.Voters = SelectVoters(r.shard, charter.Members, n.env.Config.PactLosses)
+			r.log.snapshot.Voters = SelectVoters(r.shard, charter.Members, n.env.Config.ConsensusFaultTolerance)
 			r.updateVoters()
 		}
 		r.election.timerStart = n.env.Now()
@@ -282,5 +282,5 @@
 	if charter := n.Charter(); charter != nil {
 		return charter, nil
 	}
-	return nil, errcode.New(errcode.NoOwner, "no charter here")
+	return nil, errcode.New(errcode.NoLeader, "no charter here")
 }
--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -30,11 +30,11 @@
 	if !r.canCampaign() {
 		return false
 	}
-	timeout := r.node.env.Config.PactSilence
+	timeout := r.node.env.Config.ConsensusElectionTimeout
 	if r.election.lastLeaderContact.IsZero() {
 		// After a start, one heartbeat of a working leader is waited for; a member that
 		// hears one votes for nobody else.
-		timeout = min(timeout, r.node.env.Config.PactRound*3/2)
+		timeout = min(timeout, r.node.env.Config.ConsensusHeartbeatInterval*3/2)
 	}
 	start := r.election.lastLeaderContact
 	if start.Before(r.election.timerStart) {
@@ -66,7 +66,7 @@
 	sent := r.node.env.Now()
 	best, granted := r.collectVotes(request, own)
 	if best == nil || !votersNamedBy(best).Contains(r.node.self) {
-		r.logEvent(eventlog.StandFailed, "term", request.Term.String())
+		r.logEvent(eventlog.ElectionFailed, "term", request.Term.String())
 		return
 	}
 	r.mu.Lock()
@@ -197,7 +197,7 @@
 		r.log.truncateAfter(batch, max(best.LastIndex, r.log.committed))
 	}
 	if err := r.mergeEntries(batch, best.Entries); err != nil {
-		r.logEvent(eventlog.StandFailed, "cause", err.Error())
+		r.logEvent(eventlog.ElectionFailed, "cause", err.Error())
 		if conflict := (*committedConflictError)(nil); errors.As(err, &conflict) {
 			r.reportCorruption(err.Error(), "from", string(best.From.Name))
 		}
--- a/internal/consensus/heartbeat.go
+++ b/internal/consensus/heartbeat.go
@@ -95,7 +95,7 @@
 	timer := time.NewTimer(1)
 	defer timer.Stop()
 	for {
-		pause := n.env.Config.PactRound
+		pause := n.env.Config.ConsensusHeartbeatInterval
 		select {
 		case <-ctx.Done():
 			return
@@ -106,7 +106,7 @@
 		case <-timer.C:
 		}
 		if !n.isVoterOfLedShard(peer) {
-			pause = n.env.Config.PactRound * idleHeartbeatFactor
+			pause = n.env.Config.ConsensusHeartbeatInterval * idleHeartbeatFactor
 		}
 		timer.Reset(pause)
 		n.sendHeartbeat(ctx, peer, h)
--- a/internal/consensus/leaders.go
+++ b/internal/consensus/leaders.go
@@ -30,7 +30,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	leader, ok := n.leaders[shard]
-	return leader.name, ok && n.env.Since(leader.at) < n.env.Config.PactContact
+	return leader.name, ok && n.env.Since(leader.at) < n.env.Config.ConsensusContactTimeout
 }
 
 // HasQuorumContact tells whether this node knows that a quorum followed a shard's leader
@@ -39,7 +39,7 @@
 // know it, so it gives nothing out.
 func (n *Node) HasQuorumContact(shard ids.Shard) bool {
 	if age, isServing := n.replicas[shard].ConfirmationAge(); isServing {
-		return age < n.env.Config.PactContact
+		return age < n.env.Config.ConsensusContactTimeout
 	}
 	name, ok := n.Leader(shard)
 	return ok && name != n.env.Name
@@ -57,5 +57,5 @@
 	if last.Before(n.started) {
 		last = n.started
 	}
-	return n.env.Since(last) > n.env.Config.PactContact
+	return n.env.Since(last) > n.env.Config.ConsensusContactTimeout
 }
--- a/internal/consensus/leadership.go
+++ b/internal/consensus/leadership.go
@@ -78,7 +78,7 @@
 	l.cancel()
 	r.failProposals(0)
 	r.election.timerStart = r.node.env.Now()
-	r.logEvent(eventlog.PartLost, "term", r.currentTerm.String(), "cause", cause)
+	r.logEvent(eventlog.LeadershipLost, "term", r.currentTerm.String(), "cause", cause)
 	r.notifyChanged()
 }
 
@@ -93,7 +93,7 @@
 // reportCorruption is for what the protocol rules out: it is logged, and this member steps
 // down rather than write to the log.
 func (r *Replica) reportCorruption(cause string, fields ...any) {
-	r.logEvent(eventlog.PartBroken, append([]any{"term", r.currentTerm.String(), "cause", cause}, fields...)...)
+	r.logEvent(eventlog.ReplicasDiverged, append([]any{"term", r.currentTerm.String(), "cause", cause}, fields...)...)
 	r.stepDown("replicas contradict one another")
 }
 
@@ -108,7 +108,7 @@
 func (r *Replica) checkQuorum() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.leadership.isLeader && r.node.env.Since(r.confirmedAt()) > 2*r.node.env.Config.PactSilence {
+	if r.leadership.isLeader && r.node.env.Since(r.confirmedAt()) > 2*r.node.env.Config.ConsensusElectionTimeout {
 		r.stepDown("no quorum in reach")
 	}
 }
@@ -145,7 +145,7 @@
 // handleTransfer has this member campaign because the leader asks it to.
 func (r *Replica) handleTransfer(request *rpc.CampaignRequest) (struct{}, error) {
 	if !r.isTransferFromLeader(request) {
-		return struct{}{}, errcode.New(errcode.NotOwner, "shard %d: the transfer is of an old term", r.shard)
+		return struct{}{}, errcode.New(errcode.NotLeader, "shard %d: the transfer is of an old term", r.shard)
 	}
 	r.node.env.Go(func() { r.campaign(true) })
 	return struct{}{}, nil
--- a/internal/consensus/log.go
+++ b/internal/consensus/log.go
@@ -69,7 +69,7 @@
 
 // rejected is the error for a message whose content can't be right.
 func rejected(shard ids.Shard, format string, args ...any) error {
-	return errcode.New(errcode.BadMessage, "shard %d: %s", shard, fmt.Sprintf(format, args...))
+	return errcode.New(errcode.InvalidMessage, "shard %d: %s", shard, fmt.Sprintf(format, args...))
 }
 
 // committedConflictError says that a leader sent an entry that differs from one that is
--- a/internal/consensus/membership_change.go
+++ b/internal/consensus/membership_change.go
@@ -60,7 +60,7 @@
 // lostVoters returns the voters that came back under another member id, or are dead for
 // pact.gone.
 func (r *Replica) lostVoters(voters []rpc.Peer) (lost []rpc.Peer) {
-	view, deadAfter := r.node.members.View(), r.node.env.Config.PactGone
+	view, deadAfter := r.node.members.View(), r.node.env.Config.ConsensusReplacementDelay
 	for _, peer := range voters {
 		m, isKnown := view[peer.Name]
 		hasNewID := isKnown && m.ID != peer.ID
@@ -86,11 +86,11 @@
 	p := r.newReplacementPlan(voters, lost)
 	for _, out := range lost {
 		isBack := p.assign(out, func(m rpc.Member) bool { return m.Name == out.Name })
-		if !isBack && isDeadFor(p.view, out, r.node.env.Config.PactGone) {
+		if !isBack && isDeadFor(p.view, out, r.node.env.Config.ConsensusReplacementDelay) {
 			p.assign(out, func(m rpc.Member) bool { return !p.isLost[m.Name] })
 		}
 	}
-	if size := ReplicationFactor(r.shard, len(p.cores), r.node.env.Config.PactLosses); len(lost) == 0 && len(voters) < size {
+	if size := ReplicationFactor(r.shard, len(p.cores), r.node.env.Config.ConsensusFaultTolerance); len(lost) == 0 && len(voters) < size {
 		p.assign(rpc.Peer{}, func(rpc.Member) bool { return true })
 	}
 	return p.replacements
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -199,7 +199,7 @@
 // replica returns the replica of a shard that somebody else named.
 func (n *Node) replica(shard ids.Shard) (*Replica, error) {
 	if shard < 0 || int(shard) >= len(n.replicas) {
-		return nil, errcode.New(errcode.BadMessage, "no shard %d", shard)
+		return nil, errcode.New(errcode.InvalidMessage, "no shard %d", shard)
 	}
 	return n.replicas[shard], nil
 }
@@ -218,7 +218,7 @@
 	case err != nil:
 		return nil, err
 	case n.Charter() == nil:
-		return nil, errcode.New(errcode.NotOwner, "shard %d: no charter is open here", shard)
+		return nil, errcode.New(errcode.NotLeader, "shard %d: no charter is open here", shard)
 	case n.isDiskStalled():
 		return nil, errcode.New(errcode.StorageBroken, "shard %d: the disk takes nothing", shard)
 	}
@@ -267,4 +267,4 @@
 	return n.transport.Call(limited, address, kind, request, response)
 }
 
-func (n *Node) logEvent(event eventlog.Event, fields ...any) { n.env.Events.Say(event, fields...) }
+func (n *Node) logEvent(event eventlog.Event, fields ...any) { n.env.Events.Emit(event, fields...) }
--- a/internal/consensus/prevote.go
+++ b/internal/consensus/prevote.go
@@ -29,7 +29,7 @@
 func (r *Replica) knowsLeader() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	hasVoted := r.follower.matchTerm != ids.Term{} && r.node.env.Since(r.election.timerStart) < r.node.env.Config.PactSilence/2
+	hasVoted := r.follower.matchTerm != ids.Term{} && r.node.env.Since(r.election.timerStart) < r.node.env.Config.ConsensusElectionTimeout/2
 	return r.leadership.isLeader || r.hasLeaderContact() || hasVoted
 }
 
--- a/internal/consensus/proposal.go
+++ b/internal/consensus/proposal.go
@@ -44,13 +44,13 @@
 	select {
 	case response, ok := <-proposed.done:
 		if !ok {
-			return index, nil, errcode.New(errcode.Unsure, "shard %d: the leader changed", r.shard)
+			return index, nil, errcode.New(errcode.WriteUnknown, "shard %d: the leader changed", r.shard)
 		}
 		return index, response, nil
 	case <-ctx.Done():
-		return index, nil, errcode.New(errcode.Unsure, "shard %d: %v", r.shard, ctx.Err())
+		return index, nil, errcode.New(errcode.WriteUnknown, "shard %d: %v", r.shard, ctx.Err())
 	case <-r.node.env.Done():
-		return index, nil, errcode.New(errcode.Unsure, "shard %d: stopping", r.shard)
+		return index, nil, errcode.New(errcode.WriteUnknown, "shard %d: stopping", r.shard)
 	}
 }
 
@@ -59,10 +59,10 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.leadership.isServing {
-		return 0, proposal{}, errcode.New(errcode.NotOwner, "shard %d", r.shard)
+		return 0, proposal{}, errcode.New(errcode.NotLeader, "shard %d", r.shard)
 	}
 	if entry.Kind == entryMembershipChange && !(r.hasStableVoters() && r.voters.canBecome(votersOf(entry))) {
-		return 0, proposal{}, errcode.New(errcode.NotOwner, "shard %d: the voters have changed meanwhile", r.shard)
+		return 0, proposal{}, errcode.New(errcode.NotLeader, "shard %d: the voters have changed meanwhile", r.shard)
 	}
 	batch := r.node.store.NewBatch()
 	proposed := proposal{term: r.currentTerm, done: make(chan any, 1)}
--- a/internal/consensus/read.go
+++ b/internal/consensus/read.go
@@ -22,7 +22,7 @@
 		r.mu.Lock()
 		if !r.leadership.isServing {
 			r.mu.Unlock()
-			return errcode.New(errcode.NotOwner, "shard %d", r.shard)
+			return errcode.New(errcode.NotLeader, "shard %d", r.shard)
 		}
 		if !r.confirmedAt().Before(since) {
 			r.trace(TraceEvent{Kind: TraceRead, Term: r.currentTerm, Index: r.log.applied, Since: time.Now().Add(-r.node.env.Since(since))})
@@ -44,7 +44,7 @@
 			fallback = nil
 			r.node.kickHeartbeats(voters.All())
 		case <-ctx.Done():
-			return errcode.New(errcode.NoOwner, "shard %d can't be confirmed: %v", r.shard, ctx.Err())
+			return errcode.New(errcode.NoLeader, "shard %d can't be confirmed: %v", r.shard, ctx.Err())
 		}
 	}
 }
--- a/internal/consensus/replica.go
+++ b/internal/consensus/replica.go
@@ -100,7 +100,7 @@
 	last, _ := r.log.last()
 	r.voters, r.votersIndex = r.log.votersAt(last)
 	if before != r.votersIndex {
-		r.logEvent(eventlog.GroupChanged, "members", r.voters.String(), "index", uint64(r.votersIndex))
+		r.logEvent(eventlog.ReplicasChanged, "members", r.voters.String(), "index", uint64(r.votersIndex))
 	}
 }
 
@@ -154,7 +154,7 @@
 	}
 	if r.leadership.isLeader && !r.leadership.isServing && r.log.committed >= r.leadership.firstIndex {
 		r.leadership.isServing, r.leadership.servingSince = true, r.node.env.Now()
-		r.logEvent(eventlog.PartOwned, "term", r.currentTerm.String(), "commit", uint64(r.log.committed))
+		r.logEvent(eventlog.LeadershipAcquired, "term", r.currentTerm.String(), "commit", uint64(r.log.committed))
 	}
 	r.notifyChanged()
 	r.maybeCompact()
--- a/internal/consensus/replication.go
+++ b/internal/consensus/replication.go
@@ -265,7 +265,7 @@
 		if conflict := (*committedConflictError)(nil); errors.As(err, &conflict) {
 			r.reportCorruption(err.Error(), "from", string(request.From.Name))
 		} else {
-			r.logEvent(eventlog.MessageRefused, "kind", "pact.append", "from", string(request.From.Name), "cause", err.Error())
+			r.logEvent(eventlog.MessageRejected, "kind", "pact.append", "from", string(request.From.Name), "cause", err.Error())
 		}
 		return nil, nil, err
 	}
--- a/internal/consensus/shutdown.go
+++ b/internal/consensus/shutdown.go
@@ -46,7 +46,7 @@
 // awaitQuorumWithoutSelf waits until the other live voters of every shard are a quorum, or
 // until the time for it is over.
 func (n *Node) awaitQuorumWithoutSelf(ctx context.Context) {
-	start, longest := n.env.Now(), time.Duration(quorumWaitShare*float64(n.env.Config.StopGrace))
+	start, longest := n.env.Now(), time.Duration(quorumWaitShare*float64(n.env.Config.ShutdownGracePeriod))
 	for ctx.Err() == nil && n.env.Since(start) < longest && n.isNeededForQuorum() {
 		if !n.env.Sleep(quorumWaitPause) {
 			return
--- a/internal/consensus/snapshot.go
+++ b/internal/consensus/snapshot.go
@@ -14,7 +14,7 @@
 // maybeCompact takes a snapshot when the log has grown long. The state is captured at
 // once, and encoded while further entries are applied.
 func (r *Replica) maybeCompact() {
-	threshold := r.node.env.Config.PactSnapshot
+	threshold := r.node.env.Config.ConsensusSnapshotEntries
 	if r.transfer.inFlight > 0 {
 		threshold *= logGrowthWhileSending
 	}
@@ -45,7 +45,7 @@
 func (r *Replica) compactTo(index ids.Index, state json.RawMessage) {
 	config := r.node.env.Config
 	batch := r.node.store.NewBatch()
-	r.log.compact(batch, index, state, config.PactTail, config.PactTailBytes)
+	r.log.compact(batch, index, state, config.ConsensusRetainedEntries, config.ConsensusRetainedBytes)
 	r.votersIndex = max(r.votersIndex, index)
 	r.node.store.Submit(batch)
 }
--- a/internal/consensus/snapshot_transfer.go
+++ b/internal/consensus/snapshot_transfer.go
@@ -56,18 +56,18 @@
 // unpack checks a snapshot that is complete, and decodes it.
 func (p *packedSnapshot) unpack() (*rpc.Snapshot, error) {
 	if digest := digestOf(p.data); digest != p.digest {
-		return nil, errcode.New(errcode.BadMessage, "snapshot %d is damaged: its digest is %.8s, not %.8s", p.index, digest, p.digest)
+		return nil, errcode.New(errcode.InvalidMessage, "snapshot %d is damaged: its digest is %.8s, not %.8s", p.index, digest, p.digest)
 	}
 	raw, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(p.data)), maxSnapshot))
 	if err != nil {
-		return nil, errcode.New(errcode.BadMessage, "snapshot %d: %v", p.index, err)
+		return nil, errcode.New(errcode.InvalidMessage, "snapshot %d: %v", p.index, err)
 	}
 	snapshot := &rpc.Snapshot{}
 	if err := json.Unmarshal(raw, snapshot); err != nil {
-		return nil, errcode.New(errcode.BadMessage, "snapshot %d: %v", p.index, err)
+		return nil, errcode.New(errcode.InvalidMessage, "snapshot %d: %v", p.index, err)
 	}
 	if snapshot.Index != p.index || snapshot.Term != p.term || len(snapshot.Voters) == 0 {
-		return nil, errcode.New(errcode.BadMessage, "snapshot %d of %s is another's: %d of %s", p.index, p.term, snapshot.Index, snapshot.Term)
+		return nil, errcode.New(errcode.InvalidMessage, "snapshot %d of %s is another's: %d of %s", p.index, p.term, snapshot.Index, snapshot.Term)
 	}
 	return snapshot, nil
 }
@@ -105,11 +105,11 @@
 	for ctx.Err() == nil {
 		address, ok := r.node.addressOf(peer)
 		if !ok {
-			return 0, errcode.New(errcode.Unreached, "%s", peer.Name)
+			return 0, errcode.New(errcode.Unreachable, "%s", peer.Name)
 		}
 		request := &rpc.SnapshotChunkRequest{
 			Shard: r.shard, Term: term, From: r.node.self, Index: snapshot.index, SnapshotTerm: snapshot.term, Digest: snapshot.digest, Size: size,
-			Offset: offset, Data: snapshot.data[offset:min(size, offset+int64(r.node.env.Config.PactChunk))],
+			Offset: offset, Data: snapshot.data[offset:min(size, offset+int64(r.node.env.Config.ConsensusSnapshotChunkBytes))],
 		}
 		var response rpc.SnapshotChunkResponse
 		err := r.node.call(ctx, appendTimeout, address, "pact.chunk", request, &response)
@@ -117,16 +117,16 @@
 		case err != nil:
 			return 0, err
 		case response.From != peer:
-			return 0, errcode.New(errcode.Unreached, "%s is %s now", peer.Name, response.From.Name)
+			return 0, errcode.New(errcode.Unreachable, "%s is %s now", peer.Name, response.From.Name)
 		case term.Less(response.CurrentTerm):
 			r.mu.Lock()
 			r.stepDownForTerm(term, response.CurrentTerm)
 			r.mu.Unlock()
-			return 0, errcode.New(errcode.NotOwner, "shard %d", r.shard)
+			return 0, errcode.New(errcode.NotLeader, "shard %d", r.shard)
 		case response.MatchIndex > 0:
 			return response.MatchIndex, nil
 		case response.Received < 0 || response.Received > size:
-			return 0, errcode.New(errcode.BadMessage, "%d bytes of %d", response.Received, size)
+			return 0, errcode.New(errcode.InvalidMessage, "%d bytes of %d", response.Received, size)
 		}
 		if offset = response.Received; offset > 0 {
 			r.recordAdvance(peer)
@@ -186,7 +186,7 @@
 	r.node.store.Submit(batch)
 	if err != nil {
 		r.transfer.incoming = nil
-		r.logEvent(eventlog.MessageRefused, "kind", "pact.chunk", "from", string(request.From.Name), "cause", err.Error())
+		r.logEvent(eventlog.MessageRejected, "kind", "pact.chunk", "from", string(request.From.Name), "cause", err.Error())
 		return nil, nil, err
 	}
 	return response, batch, nil
--- a/internal/consensus/vote.go
+++ b/internal/consensus/vote.go
@@ -23,7 +23,7 @@
 		return nil
 	}
 	err := rejected(r.shard, "term %s is out of all order after %s", term, r.currentTerm)
-	r.logEvent(eventlog.MessageRefused, "code", errcode.BadMessage.No, "from", string(from.Name), "cause", err.Error())
+	r.logEvent(eventlog.MessageRejected, "code", errcode.InvalidMessage.Number, "from", string(from.Name), "cause", err.Error())
 	return err
 }
 
@@ -88,13 +88,13 @@
 // hasLeaderContact tells whether a leader was heard of late.
 func (r *Replica) hasLeaderContact() bool {
 	last := r.election.lastLeaderContact
-	return !last.IsZero() && r.node.env.Since(last) < r.node.env.Config.PactSilence*3/4
+	return !last.IsZero() && r.node.env.Since(last) < r.node.env.Config.ConsensusElectionTimeout*3/4
 }
 
 // knowsWorkingLeader tells whether this member heard a leader of late, or leads itself and
 // was confirmed by a quorum of late.
 func (r *Replica) knowsWorkingLeader() bool {
-	return r.hasLeaderContact() || r.leadership.isLeader && r.node.env.Since(r.confirmedAt()) < r.node.env.Config.PactSilence*3/4
+	return r.hasLeaderContact() || r.leadership.isLeader && r.node.env.Since(r.confirmedAt()) < r.node.env.Config.ConsensusElectionTimeout*3/4
 }
 
 // isRemovedCandidate tells whether a candidate has no vote among voters that are known to
--- a/internal/controlplane/change.go
+++ b/internal/controlplane/change.go
@@ -39,7 +39,7 @@
 // first result if the set was accepted before, and no result if it is a new one. A new one
 // is refused with errcode.ChangeReused if its id was used for another set, with
 // errcode.ChangeConflict if the epoch or version that it names is not in force any more,
-// and with errcode.BadChange if its own version is not above the one in force.
+// and with errcode.InvalidChange if its own version is not above the one in force.
 func (e *EpochState) CheckPrecondition(change *rpc.ChangeSet, digest string) (*rpc.ChangeResult, error) {
 	if first, ok := e.FindChange(change.ID); ok {
 		if first.Digest != digest {
@@ -51,7 +51,7 @@
 		return nil, errcode.New(errcode.ChangeConflict, "version %d was named, version %d is in force", *change.ExpectedVersion, e.Version)
 	}
 	if change.Version > 0 && change.Version <= e.Version {
-		return nil, errcode.At(errcode.BadChange, []string{fmt.Sprintf("version: is not above %d, which is in force", e.Version)})
+		return nil, errcode.NewPaths(errcode.InvalidChange, []string{fmt.Sprintf("version: is not above %d, which is in force", e.Version)})
 	}
 	if change.ExpectedVersion == nil && (change.BaseEpoch < e.LastChange || change.BaseEpoch > e.Epoch) {
 		return nil, errcode.New(errcode.ChangeConflict, "epoch %d was named, the last change set was accepted in epoch %d, epoch %d is in force", change.BaseEpoch, e.LastChange, e.Epoch)
--- a/internal/controlplane/change_test.go
+++ b/internal/controlplane/change_test.go
@@ -28,19 +28,19 @@
 		"over what is past":             {rpc.ChangeSet{ID: "a", BaseEpoch: 9, Version: 6, ExpectedVersion: version(4)}, "x", errcode.ChangeConflict, false},
 		"over what is to come":          {rpc.ChangeSet{ID: "a", BaseEpoch: 9, Version: 7, ExpectedVersion: version(6)}, "x", errcode.ChangeConflict, false},
 		"over none":                     {rpc.ChangeSet{ID: "a", Version: 6, ExpectedVersion: version(0)}, "x", errcode.ChangeConflict, false},
-		"version that is there":         {rpc.ChangeSet{ID: "a", BaseEpoch: 9, Version: 5}, "x", errcode.BadChange, false},
-		"version below":                 {rpc.ChangeSet{ID: "a", BaseEpoch: 9, Version: 4}, "x", errcode.BadChange, false},
-		"version below, over it":        {rpc.ChangeSet{ID: "a", Version: 5, ExpectedVersion: version(5)}, "x", errcode.BadChange, false},
+		"version that is there":         {rpc.ChangeSet{ID: "a", BaseEpoch: 9, Version: 5}, "x", errcode.InvalidChange, false},
+		"version below":                 {rpc.ChangeSet{ID: "a", BaseEpoch: 9, Version: 4}, "x", errcode.InvalidChange, false},
+		"version below, over it":        {rpc.ChangeSet{ID: "a", Version: 5, ExpectedVersion: version(5)}, "x", errcode.InvalidChange, false},
 		"version below, over past":      {rpc.ChangeSet{ID: "a", Version: 5, ExpectedVersion: version(4)}, "x", errcode.ChangeConflict, false},
 		"version above":                 {rpc.ChangeSet{ID: "a", BaseEpoch: 9, Version: 60}, "x", errcode.Code{}, false},
 		"version above, base too old":   {rpc.ChangeSet{ID: "a", BaseEpoch: 6, Version: 6}, "x", errcode.ChangeConflict, false},
-		"version below, base too old":   {rpc.ChangeSet{ID: "a", BaseEpoch: 6, Version: 5}, "x", errcode.BadChange, false},
+		"version below, base too old":   {rpc.ChangeSet{ID: "a", BaseEpoch: 6, Version: 5}, "x", errcode.InvalidChange, false},
 		"over, and base isn't asked of": {rpc.ChangeSet{ID: "a", BaseEpoch: 99, ExpectedVersion: version(5)}, "x", errcode.Code{}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			first, err := epoch.CheckPrecondition(&c.change, c.digest)
-			if (c.code.No == 0) != (err == nil) || err != nil && !errcode.Is(err, c.code) {
-				t.Errorf("%v, want code %d", err, c.code.No)
+			if (c.code.Number == 0) != (err == nil) || err != nil && !errcode.Is(err, c.code) {
+				t.Errorf("%v, want code %d", err, c.code.Number)
 			}
 			if (first != nil) != c.repeat || c.repeat && (first.Epoch != 7 || first.Version != 5) {
 				t.Errorf("first result %+v", first)
@@ -48,7 +48,7 @@
 		})
 	}
 	_, err := epoch.CheckPrecondition(&rpc.ChangeSet{ID: "a", Version: 5, ExpectedVersion: version(5)}, "x")
-	if paths := errcode.Of(err).Paths; len(paths) != 1 || paths[0] != "version: is not above 5, which is in force" {
+	if paths := errcode.From(err).Paths; len(paths) != 1 || paths[0] != "version: is not above 5, which is in force" {
 		t.Errorf("%v", err)
 	}
 }
--- a/internal/controlplane/fixture_test.go
+++ b/internal/controlplane/fixture_test.go
@@ -85,7 +85,7 @@
 // newEnvironment is that of a node without network and disk.
 func newEnvironment(t *testing.T) *environment.Environment {
 	t.Helper()
-	settings := &config.Props{Name: "n", PlanSilence: time.Hour}
+	settings := &config.Settings{Name: "n", ControlplaneHeartbeatTimeout: time.Hour}
 	return environment.New(t.Context(), settings, eventlog.New(io.Discard, "info", "n"), environment.Host{})
 }
 
--- a/internal/controlplane/heartbeat.go
+++ b/internal/controlplane/heartbeat.go
@@ -17,7 +17,7 @@
 	StateTimedOut = "silent"
 )
 
-// ValidateHeartbeat checks a heartbeat; the error is an errcode.BadBeat that names the
+// ValidateHeartbeat checks a heartbeat; the error is an errcode.InvalidHeartbeat that names the
 // path of each fault.
 func ValidateHeartbeat(heartbeat *rpc.TargetHeartbeat) error {
 	var v validator
@@ -38,7 +38,7 @@
 		v.fail("state: is none of serving, draining, leaving")
 	}
 	if len(v.faults) > 0 {
-		return errcode.At(errcode.BadBeat, v.faults)
+		return errcode.NewPaths(errcode.InvalidHeartbeat, v.faults)
 	}
 	return nil
 }
--- a/internal/controlplane/heartbeat_test.go
+++ b/internal/controlplane/heartbeat_test.go
@@ -38,10 +38,10 @@
 				}
 				return
 			}
-			if !errcode.Is(err, errcode.BadBeat) {
+			if !errcode.Is(err, errcode.InvalidHeartbeat) {
 				t.Fatal(err)
 			}
-			faults := errcode.Of(err).Paths
+			faults := errcode.From(err).Paths
 			if len(faults) != len(c.paths) {
 				t.Fatalf("%q, want %q", faults, c.paths)
 			}
--- a/internal/controlplane/plan.go
+++ b/internal/controlplane/plan.go
@@ -28,12 +28,12 @@
 }
 
 // commitEpoch is planEpoch while planning is held. A change set is committed in any case.
-// The error is errcode.NotOwner if this node does not lead the configuration shard any
+// The error is errcode.NotLeader if this node does not lead the configuration shard any
 // more, a *DamagedGroupError, which was reported, or that of the proposal.
 func (p *Planner) commitEpoch(ctx context.Context, change *acceptedChange) error {
 	term, _, isServing := p.replica.LeadershipSince()
 	if !isServing {
-		return errcode.New(errcode.NotOwner, "configuration shard")
+		return errcode.New(errcode.NotLeader, "configuration shard")
 	}
 	planned, asOf, err := p.nextEpoch(term, change)
 	if err != nil {
@@ -47,7 +47,7 @@
 		}
 		if err, isError := result.(error); isError {
 			if errors.Is(err, ErrEpochOutOfOrder) {
-				return errcode.New(errcode.NotOwner, "epoch %d was planned by another", planned.Epoch)
+				return errcode.New(errcode.NotLeader, "epoch %d was planned by another", planned.Epoch)
 			}
 			return err
 		}
@@ -74,7 +74,7 @@
 	planned = &rpc.EpochEntry{Epoch: epoch.Epoch + 1, Put: map[string]json.RawMessage{}}
 	if change != nil {
 		change.result.Epoch = planned.Epoch
-		planned.Change, planned.ResultsKept = change.result, p.env.Config.PlanMemory
+		planned.Change, planned.ResultsKept = change.result, p.env.Config.ControlplaneChangeHistory
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -126,11 +126,11 @@
 	shares := map[ids.NodeName]int{}
 	for name, member := range members {
 		isHere := member.IsLive()
-		if member.ProxyAddress != "" && (isHere || time.Since(member.StateChange) < p.env.Config.PlanLinger) {
+		if member.ProxyAddress != "" && (isHere || time.Since(member.StateChange) < p.env.Config.ControlplaneShareRetention) {
 			shares[name] = member.Strength
 		}
 	}
-	if p.env.Since(p.startedAt) < p.env.Config.PlanLinger {
+	if p.env.Since(p.startedAt) < p.env.Config.ControlplaneShareRetention {
 		var inForce map[ids.NodeName]int
 		if err := epoch.decode(SharesGroup, &inForce); err != nil {
 			return nil, err
@@ -191,7 +191,7 @@
 	for _, conflict := range conflicts {
 		if !p.loggedConflicts[conflict] {
 			p.loggedConflicts[conflict] = true
-			p.env.Events.Say(eventlog.AddressClash, "address", conflict.address, "first", conflict.first, "second", conflict.second)
+			p.env.Events.Emit(eventlog.AddressConflict, "address", conflict.address, "first", conflict.first, "second", conflict.second)
 		}
 	}
 }
--- a/internal/controlplane/planner.go
+++ b/internal/controlplane/planner.go
@@ -109,14 +109,14 @@
 		case <-wakeup.C:
 		}
 		// What is triggered together is planned together.
-		if !p.env.Sleep(p.env.Config.PlanGather) {
+		if !p.env.Sleep(p.env.Config.ControlplaneBatchDelay) {
 			return
 		}
 		select {
 		case <-p.trigger:
 		default:
 		}
-		wakeup.Reset(p.env.Config.PlanPoll)
+		wakeup.Reset(p.env.Config.ControlplanePollInterval)
 		if term, _, isServing := p.replica.LeadershipSince(); isServing {
 			p.collectReports(term)
 			// What keeps an epoch from being planned now may be over by the next round; until
--- a/internal/controlplane/planner_test.go
+++ b/internal/controlplane/planner_test.go
@@ -110,7 +110,7 @@
 	one, two := addressConflict{"A", "s/a", "s/b"}, addressConflict{"B", "s/a", "s/b"}
 	p.logConflicts([]addressConflict{one, two, one})
 	p.logConflicts([]addressConflict{two})
-	if got := p.env.Events.Counts()[eventlog.AddressClash.Name]; got != 2 {
+	if got := p.env.Events.Counts()[eventlog.AddressConflict.Name]; got != 2 {
 		t.Errorf("%d events, want 2", got)
 	}
 }
--- a/internal/controlplane/read.go
+++ b/internal/controlplane/read.go
@@ -43,7 +43,7 @@
 func (p *Planner) Freshness() (*rpc.FreshnessResponse, error) {
 	age, isServing := p.replica.ConfirmationAge()
 	if !isServing {
-		return nil, errcode.New(errcode.NotOwner, "configuration shard")
+		return nil, errcode.New(errcode.NotLeader, "configuration shard")
 	}
 	began := p.env.Now()
 	term, _, _ := p.replica.LeadershipSince()
--- a/internal/controlplane/registry.go
+++ b/internal/controlplane/registry.go
@@ -70,7 +70,7 @@
 }
 
 // HandleHeartbeat takes a heartbeat of a target whose service lies in a shard led here;
-// otherwise the error is errcode.NotOwner. It returns once the heartbeat is in force: a
+// otherwise the error is errcode.NotLeader. It returns once the heartbeat is in force: a
 // target that drains or leaves may then count on getting nothing more.
 func (r *TargetRegistry) HandleHeartbeat(ctx context.Context, heartbeat *rpc.TargetHeartbeat) error {
 	if err := ValidateHeartbeat(heartbeat); err != nil {
@@ -81,9 +81,9 @@
 	replica := r.consensus.Replica(shard)
 	term, _, isServing := replica.LeadershipSince()
 	if !isServing {
-		return errcode.New(errcode.NotOwner, "shard %d", shard)
+		return errcode.New(errcode.NotLeader, "shard %d", shard)
 	}
-	if epoch := r.state.Current(); !r.env.Config.PlanStrangers && epoch.Epoch > 0 && !epoch.HasService(heartbeat.Service) {
+	if epoch := r.state.Current(); !r.env.Config.ControlplaneAcceptUnknownServices && epoch.Epoch > 0 && !epoch.HasService(heartbeat.Service) {
 		r.logRefusal(heartbeat, "no such service")
 		return errcode.New(errcode.UnknownService, "%q", heartbeat.Service)
 	}
@@ -138,7 +138,7 @@
 	if outdated && heartbeat.State == StateServing {
 		return true, false
 	}
-	changed = target == nil || r.env.Since(target.lastSeen) >= r.env.Config.PlanSilence || !outdated && changesTarget(&target.heartbeat, heartbeat)
+	changed = target == nil || r.env.Since(target.lastSeen) >= r.env.Config.ControlplaneHeartbeatTimeout || !outdated && changesTarget(&target.heartbeat, heartbeat)
 	if target == nil {
 		target = &targetRecord{firstSeen: r.env.Now(), warmUp: heartbeat.SlowStartMillis}
 		instances[heartbeat.Instance] = target
@@ -170,7 +170,7 @@
 }
 
 func (r *TargetRegistry) logRefusal(heartbeat *rpc.TargetHeartbeat, cause string) {
-	r.env.Events.Say(eventlog.BeatRefused, "service", heartbeat.Service, "instance", heartbeat.Instance, "cause", cause)
+	r.env.Events.Emit(eventlog.HeartbeatRejected, "service", heartbeat.Service, "instance", heartbeat.Instance, "cause", cause)
 }
 
 // notifyChange calls OnChange in a goroutine of its own, once for all changes that come
@@ -187,10 +187,10 @@
 // waitForPropagation lets the time of the setting plan.hold pass between something being in
 // force and the word that it is, so that proxies on busy links have heard of it.
 func waitForPropagation(ctx context.Context, env *environment.Environment) {
-	if env.Config.PlanHold == 0 {
+	if env.Config.ControlplaneAcknowledgeDelay == 0 {
 		return
 	}
-	wakeup := time.NewTimer(env.Config.PlanHold)
+	wakeup := time.NewTimer(env.Config.ControlplaneAcknowledgeDelay)
 	defer wakeup.Stop()
 	select {
 	case <-wakeup.C:
--- a/internal/controlplane/registry_report.go
+++ b/internal/controlplane/registry_report.go
@@ -35,8 +35,8 @@
 		shard := ids.Shard(i)
 		replica := r.consensus.Replica(shard)
 		term, since, isServing := replica.LeadershipSince()
-		provisional := r.env.Since(since) < r.env.Config.PlanSettle
-		if !isServing || provisional && !r.env.Config.PlanKeep || replica.ConfirmLeadership(ctx, began) != nil {
+		provisional := r.env.Since(since) < r.env.Config.ControlplaneTakeoverDelay
+		if !isServing || provisional && !r.env.Config.ControlplaneKeepTargetsOnTakeover || replica.ConfirmLeadership(ctx, began) != nil {
 			continue
 		}
 		lists := r.listTargets(shard, term, provisional)
@@ -70,7 +70,7 @@
 				outState = departure.Holder
 			case target.heartbeat.State != StateServing:
 				outState = target.heartbeat.State
-			case sinceLastSeen >= r.env.Config.PlanSilence:
+			case sinceLastSeen >= r.env.Config.ControlplaneHeartbeatTimeout:
 				outState = StateTimedOut
 			}
 			r.logRotation(service, instance, target, outState)
@@ -130,7 +130,7 @@
 	if inRotation {
 		event = eventlog.TargetIn
 	}
-	r.env.Events.Say(event, "service", service, "instance", instance, "address", target.heartbeat.Address, "reason", outState)
+	r.env.Events.Emit(event, "service", service, "instance", instance, "address", target.heartbeat.Address, "reason", outState)
 }
 
 // listed is a target as it is reported.
--- a/internal/controlplane/submit.go
+++ b/internal/controlplane/submit.go
@@ -14,7 +14,7 @@
 
 // Submit accepts a change set as a whole, or refuses it. A set that was accepted before is
 // answered with the first result. A refusal is one of CheckPrecondition's or an
-// errcode.BadChange with the paths of the faults; errcode.NotOwner tells that this node does
+// errcode.InvalidChange with the paths of the faults; errcode.NotLeader tells that this node does
 // not lead the configuration shard, and errcode.ChangeUnknown that the set may or may not
 // have been accepted: ChangeStatus will tell.
 func (p *Planner) Submit(ctx context.Context, change *rpc.ChangeSet) (*rpc.ChangeResult, error) {
@@ -33,7 +33,7 @@
 	}
 	encoded, err := json.Marshal(change)
 	if err != nil {
-		return nil, false, errcode.New(errcode.BadCall, "%v", err)
+		return nil, false, errcode.New(errcode.InvalidCall, "%v", err)
 	}
 	digest := Digest(encoded)
 	first, merged, err := p.checkChange(change, digest)
@@ -42,18 +42,18 @@
 	}
 	if err != nil {
 		if !errcode.Is(err, errcode.ChangeReused) {
-			p.env.Events.Say(eventlog.ChangeRefused, "id", change.ID, "code", errcode.Of(err).Code.No)
+			p.env.Events.Emit(eventlog.ChangeRejected, "id", change.ID, "code", errcode.From(err).Code.Number)
 		}
 		return nil, false, err
 	}
 	result = &rpc.ChangeResult{ID: change.ID, State: stateAccepted, Digest: digest, Version: change.Version}
 	if err := p.commitEpoch(ctx, &acceptedChange{result: result, config: merged}); err != nil {
-		if errcode.Is(err, errcode.NotOwner) {
+		if errcode.Is(err, errcode.NotLeader) {
 			return nil, false, err
 		}
 		return nil, false, errcode.New(errcode.ChangeUnknown, "%v", err)
 	}
-	p.env.Events.Say(eventlog.ChangeAccepted, "id", change.ID, "epoch", uint64(result.Epoch))
+	p.env.Events.Emit(eventlog.ChangeAccepted, "id", change.ID, "epoch", uint64(result.Epoch))
 	return result, true, nil
 }
 
@@ -71,7 +71,7 @@
 	}
 	merged, faults := MergeChange(inForce, change)
 	if len(faults) > 0 {
-		return nil, rpc.Configuration{}, errcode.At(errcode.BadChange, faults)
+		return nil, rpc.Configuration{}, errcode.NewPaths(errcode.InvalidChange, faults)
 	}
 	return nil, merged, nil
 }
--- a/internal/coordination/instance_state.go
+++ b/internal/coordination/instance_state.go
@@ -15,7 +15,7 @@
 func (s *Store) setInstanceState(index ids.Index, request *rpc.CoordinationRequest) *rpc.CoordinationResponse {
 	current, ok := s.records[KindInstanceState][request.Name]
 	if ok && (current.Sequence > request.Sequence || current.Holder == stateLeaving) {
-		return reject(errcode.StampDiffers, current)
+		return reject(errcode.RevisionMismatch, current)
 	}
 	s.records.put(rpc.CoordinationRecord{Name: request.Name, Kind: KindInstanceState, Holder: request.Holder, Sequence: request.Sequence, Index: index})
 	return &rpc.CoordinationResponse{Index: index, Holder: request.Holder}
@@ -26,7 +26,7 @@
 func (s *Store) clearInstanceState(index ids.Index, request *rpc.CoordinationRequest) *rpc.CoordinationResponse {
 	current, ok := s.records[KindInstanceState][request.Name]
 	if !ok || current.Sequence > request.Sequence {
-		return reject(errcode.NoKey, current)
+		return reject(errcode.KeyNotFound, current)
 	}
 	delete(s.records[KindInstanceState], request.Name)
 	return &rpc.CoordinationResponse{Index: index}
--- a/internal/coordination/key.go
+++ b/internal/coordination/key.go
@@ -11,7 +11,7 @@
 func (s *Store) put(index ids.Index, request *rpc.CoordinationRequest) *rpc.CoordinationResponse {
 	current := s.records[KindKey][request.Name]
 	if request.IfIndex != nil && *request.IfIndex != current.Index {
-		return reject(errcode.StampDiffers, current)
+		return reject(errcode.RevisionMismatch, current)
 	}
 	s.putRecord(rpc.CoordinationRecord{Name: request.Name, Kind: KindKey, Value: request.Value, Index: index}, request.Value)
 	return &rpc.CoordinationResponse{Index: index, Value: request.Value}
@@ -21,10 +21,10 @@
 func (s *Store) delete(index ids.Index, request *rpc.CoordinationRequest) *rpc.CoordinationResponse {
 	current, ok := s.records[KindKey][request.Name]
 	if request.IfIndex != nil && *request.IfIndex != current.Index {
-		return reject(errcode.StampDiffers, current)
+		return reject(errcode.RevisionMismatch, current)
 	}
 	if !ok {
-		return reject(errcode.NoKey, current)
+		return reject(errcode.KeyNotFound, current)
 	}
 	s.removeRecord(index, current)
 	return &rpc.CoordinationResponse{Index: index}
--- a/internal/coordination/lease.go
+++ b/internal/coordination/lease.go
@@ -82,7 +82,7 @@
 		case <-ctx.Done():
 		}
 		if ctx.Err() != nil || s.env.IsStopping() {
-			return nil, errcode.New(errcode.NoOwner, "shard %d: the old lease can't be revoked", s.id)
+			return nil, errcode.New(errcode.NoLeader, "shard %d: the old lease can't be revoked", s.id)
 		}
 	}
 	granted, err := s.propose(ctx, request)
@@ -109,7 +109,7 @@
 	if l := s.leaseOf(leases, lock); s.hasEnded(l) {
 		return nil, s.revoke(term, lock, l)
 	}
-	return &rpc.CoordinationResponse{Code: errcode.Held.No, Index: lock.Index, Holder: lock.Holder, FencingToken: lock.FencingToken, TTL: lock.TTL}, nil
+	return &rpc.CoordinationResponse{Code: errcode.LockHeld.Number, Index: lock.Index, Holder: lock.Holder, FencingToken: lock.FencingToken, TTL: lock.TTL}, nil
 }
 
 // renew extends the holder's lease, by the lock's own time if the request names none. A
@@ -167,7 +167,7 @@
 }
 
 func notHeld(token ids.Index) *rpc.CoordinationResponse {
-	return &rpc.CoordinationResponse{Code: errcode.NotHeld.No, FencingToken: token}
+	return &rpc.CoordinationResponse{Code: errcode.NotLockHolder.Number, FencingToken: token}
 }
 
 // revoke proposes the entry that releases a lock whose lease has run out, one entry at a
--- a/internal/coordination/lock.go
+++ b/internal/coordination/lock.go
@@ -12,7 +12,7 @@
 func (s *Store) acquire(index ids.Index, request *rpc.CoordinationRequest) *rpc.CoordinationResponse {
 	lock, ok := s.records[KindLock][request.Name]
 	if ok && lock.Holder != request.Holder {
-		return reject(errcode.Held, lock)
+		return reject(errcode.LockHeld, lock)
 	}
 	if ok {
 		s.extendTTL(lock, request.TTL)
@@ -26,7 +26,7 @@
 func (s *Store) extend(_ ids.Index, request *rpc.CoordinationRequest) *rpc.CoordinationResponse {
 	lock, ok := s.records[KindLock][request.Name]
 	if !ok || lock.FencingToken != request.FencingToken || lock.Holder != request.Holder {
-		return reject(errcode.NotHeld, lock)
+		return reject(errcode.NotLockHolder, lock)
 	}
 	s.extendTTL(lock, request.TTL)
 	return &rpc.CoordinationResponse{Index: lock.Index, Holder: lock.Holder, FencingToken: lock.FencingToken, TTL: request.TTL}
@@ -44,7 +44,7 @@
 func (s *Store) release(index ids.Index, request *rpc.CoordinationRequest) *rpc.CoordinationResponse {
 	lock, ok := s.records[KindLock][request.Name]
 	if !ok || lock.FencingToken != request.FencingToken || request.Operation == OpRelease && lock.Holder != request.Holder {
-		return reject(errcode.NotHeld, lock)
+		return reject(errcode.NotLockHolder, lock)
 	}
 	s.removeRecord(index, lock)
 	return &rpc.CoordinationResponse{Index: index}
--- a/internal/coordination/lock_test.go
+++ b/internal/coordination/lock_test.go
@@ -10,13 +10,13 @@
 func TestLock_TokensGrowAndOnlyTheHolderReleases(t *testing.T) {
 	store := NewStore()
 	one := apply(store, 5, rpc.CoordinationRequest{Operation: "acquire", Name: "l", Holder: "a", TTL: 1000})
-	if held := apply(store, 6, rpc.CoordinationRequest{Operation: "acquire", Name: "l", Holder: "b", TTL: 1000}); held.Code != errcode.Held.No || held.Holder != "a" {
+	if held := apply(store, 6, rpc.CoordinationRequest{Operation: "acquire", Name: "l", Holder: "b", TTL: 1000}); held.Code != errcode.LockHeld.Number || held.Holder != "a" {
 		t.Fatal(held)
 	}
-	if rejected := apply(store, 7, rpc.CoordinationRequest{Operation: "release", Name: "l", Holder: "b", FencingToken: one.FencingToken}); rejected.Code != errcode.NotHeld.No {
+	if rejected := apply(store, 7, rpc.CoordinationRequest{Operation: "release", Name: "l", Holder: "b", FencingToken: one.FencingToken}); rejected.Code != errcode.NotLockHolder.Number {
 		t.Fatal(rejected)
 	}
-	if rejected := apply(store, 8, rpc.CoordinationRequest{Operation: "expire", Name: "l", FencingToken: one.FencingToken - 1}); rejected.Code != errcode.NotHeld.No {
+	if rejected := apply(store, 8, rpc.CoordinationRequest{Operation: "expire", Name: "l", FencingToken: one.FencingToken - 1}); rejected.Code != errcode.NotLockHolder.Number {
 		t.Fatal("an old lease's end took the new one", rejected)
 	}
 	apply(store, 9, rpc.CoordinationRequest{Operation: "release", Name: "l", Holder: "a", FencingToken: one.FencingToken})
@@ -44,12 +44,12 @@
 	expect(2000)
 	for _, op := range []rpc.CoordinationRequest{{Holder: "b", FencingToken: 5}, {Holder: "a", FencingToken: 4}} {
 		op.Operation, op.Name, op.TTL = "stretch", "l", 9000
-		if rejected := apply(store, 8, op); rejected.Code != errcode.NotHeld.No {
+		if rejected := apply(store, 8, op); rejected.Code != errcode.NotLockHolder.Number {
 			t.Fatal(rejected)
 		}
 	}
 	expect(2000)
-	if held := apply(store, 9, rpc.CoordinationRequest{Operation: "acquire", Name: "l", Holder: "b", TTL: 9000}); held.Code != errcode.Held.No || held.TTL != 2000 {
+	if held := apply(store, 9, rpc.CoordinationRequest{Operation: "acquire", Name: "l", Holder: "b", TTL: 9000}); held.Code != errcode.LockHeld.Number || held.TTL != 2000 {
 		t.Fatal(held)
 	}
 	for _, ttl := range []int64{3000, 100} {
--- a/internal/coordination/operation.go
+++ b/internal/coordination/operation.go
@@ -107,7 +107,7 @@
 		faults = append(faults, operation.validate(request)...)
 	}
 	if len(faults) > 0 {
-		return errcode.At(errcode.BadCall, faults)
+		return errcode.NewPaths(errcode.InvalidCall, faults)
 	}
 	return nil
 }
--- a/internal/coordination/operation_test.go
+++ b/internal/coordination/operation_test.go
@@ -41,10 +41,10 @@
 				}
 				return
 			}
-			if !errcode.Is(err, errcode.BadCall) {
+			if !errcode.Is(err, errcode.InvalidCall) {
 				t.Fatal(err)
 			}
-			if got := errcode.Of(err).Paths; strings.Join(got, "; ") != strings.Join(test.faults, "; ") {
+			if got := errcode.From(err).Paths; strings.Join(got, "; ") != strings.Join(test.faults, "; ") {
 				t.Fatalf("got %q, want %q", got, test.faults)
 			}
 		})
--- a/internal/coordination/reservation.go
+++ b/internal/coordination/reservation.go
@@ -34,7 +34,7 @@
 	select {
 	case <-batch.done:
 	case <-ctx.Done():
-		return nil, errcode.New(errcode.Unsure, "shard %d: %v", s.id, ctx.Err())
+		return nil, errcode.New(errcode.WriteUnknown, "shard %d: %v", s.id, ctx.Err())
 	}
 	if batch.err != nil {
 		return nil, batch.err
@@ -45,7 +45,7 @@
 	record := batch.response.Records[position]
 	response := &rpc.CoordinationResponse{Index: batch.response.Index, Holder: record.Holder, Value: record.Value}
 	if record.Kind == kindReserved {
-		response.Code = errcode.Held.No
+		response.Code = errcode.LockHeld.Number
 	}
 	return response, nil
 }
--- a/internal/coordination/service.go
+++ b/internal/coordination/service.go
@@ -113,9 +113,9 @@
 	return response, nil
 }
 
-func (s *shard) notLeader() error { return errcode.New(errcode.NotOwner, "shard %d", s.id) }
+func (s *shard) notLeader() error { return errcode.New(errcode.NotLeader, "shard %d", s.id) }
 
-func (s *shard) unsure() error { return errcode.New(errcode.Unsure, "shard %d", s.id) }
+func (s *shard) unsure() error { return errcode.New(errcode.WriteUnknown, "shard %d", s.id) }
 
 // get reads one record. The holder of the request names its kind, a key if it is empty. A
 // counter that was never added to is zero.
@@ -129,7 +129,7 @@
 		return &rpc.CoordinationResponse{}, nil
 	}
 	if !ok {
-		return &rpc.CoordinationResponse{Code: errcode.NoKey.No}, nil
+		return &rpc.CoordinationResponse{Code: errcode.KeyNotFound.Number}, nil
 	}
 	return &rpc.CoordinationResponse{Index: record.Index, Revision: record.Revision, Value: record.Value, Count: record.Count, Holder: record.Holder, FencingToken: record.FencingToken, TTL: record.TTL}, nil
 }
--- a/internal/coordination/service_test.go
+++ b/internal/coordination/service_test.go
@@ -57,7 +57,7 @@
 
 func (s *serviceTest) expect(got *rpc.CoordinationResponse, code errcode.Code) *rpc.CoordinationResponse {
 	s.Helper()
-	if got.Code != code.No {
+	if got.Code != code.Number {
 		s.Fatalf("%+v; wanted %s", got, code.Name)
 	}
 	return got
@@ -90,7 +90,7 @@
 		one := s.expect(acquire("a", 1000), done)
 		before := s.lastIndex("l")
 		for range 10 {
-			if held := s.expect(acquire("b", 1000), errcode.Held); held.Holder != "a" || held.FencingToken != one.FencingToken {
+			if held := s.expect(acquire("b", 1000), errcode.LockHeld); held.Holder != "a" || held.FencingToken != one.FencingToken {
 				s.Fatal(held)
 			}
 		}
@@ -103,25 +103,25 @@
 			s.Fatal(got)
 		}
 		time.Sleep(800 * time.Millisecond)
-		s.expect(acquire("b", 1000), errcode.Held)
+		s.expect(acquire("b", 1000), errcode.LockHeld)
 		if got := s.expect(renew(one.FencingToken, 5000), done); got.TTL != 5000 {
 			s.Fatal(got)
 		}
 		time.Sleep(4800 * time.Millisecond)
-		s.expect(acquire("b", 1000), errcode.Held)
+		s.expect(acquire("b", 1000), errcode.LockHeld)
 		time.Sleep(300 * time.Millisecond)
 		two := s.expect(acquire("b", 10), done)
 		if two.FencingToken <= one.FencingToken {
 			s.Fatal(one, two)
 		}
-		s.expect(renew(one.FencingToken, 0), errcode.NotHeld)
-		s.expect(s.do(rpc.CoordinationRequest{Operation: "release", Name: "l", Holder: "a", FencingToken: one.FencingToken}), errcode.NotHeld)
+		s.expect(renew(one.FencingToken, 0), errcode.NotLockHolder)
+		s.expect(s.do(rpc.CoordinationRequest{Operation: "release", Name: "l", Holder: "a", FencingToken: one.FencingToken}), errcode.NotLockHolder)
 		time.Sleep(10 * time.Millisecond)
 		if three := s.expect(acquire("a", 50), done); three.FencingToken <= two.FencingToken {
 			s.Fatal(two, three)
 		}
 		time.Sleep(time.Second)
-		s.expect(s.do(rpc.CoordinationRequest{Operation: "get", Name: "l", Holder: "lock"}), errcode.NoKey)
+		s.expect(s.do(rpc.CoordinationRequest{Operation: "get", Name: "l", Holder: "lock"}), errcode.KeyNotFound)
 	})
 }
 
@@ -181,7 +181,7 @@
 		old := s.leader("l")
 		old.Kill(false)
 		for time.Since(sent) < 59*time.Second {
-			s.expect(s.do(rpc.CoordinationRequest{Operation: "acquire", Name: "l", Holder: "b", TTL: 100}), errcode.Held)
+			s.expect(s.do(rpc.CoordinationRequest{Operation: "acquire", Name: "l", Holder: "b", TTL: 100}), errcode.LockHeld)
 			time.Sleep(3 * time.Second)
 		}
 		if s.leader("l") == old {
@@ -246,7 +246,7 @@
 			{Operation: "renew", Name: "l", Holder: "a", FencingToken: 1, TTL: 9},
 			{Operation: "stretch", Name: "l", Holder: "a", FencingToken: 1, TTL: 100},
 		} {
-			if _, err := s.leader(request.Name).Node().Coordination.Handle(context.Background(), &request); !errcode.Is(err, errcode.BadCall) {
+			if _, err := s.leader(request.Name).Node().Coordination.Handle(context.Background(), &request); !errcode.Is(err, errcode.InvalidCall) {
 				s.Error(request, err)
 			}
 		}
--- a/internal/coordination/space.go
+++ b/internal/coordination/space.go
@@ -30,7 +30,7 @@
 func (s *Store) set(index ids.Index, request *rpc.CoordinationRequest) *rpc.CoordinationResponse {
 	current, ok := s.records[KindKey][request.Name]
 	if request.IfRevision != nil && (*request.IfRevision != current.Revision || ok && *request.IfRevision == 0) {
-		return reject(errcode.StampDiffers, current)
+		return reject(errcode.RevisionMismatch, current)
 	}
 	revision := s.nextRevision(index, spaceOf(request.Name))
 	s.putRecord(rpc.CoordinationRecord{Name: request.Name, Kind: KindKey, Value: request.Value, Revision: revision, Index: index}, request.Value)
--- a/internal/coordination/space_test.go
+++ b/internal/coordination/space_test.go
@@ -30,13 +30,13 @@
 	}
 	expect(set(store, 10, "s/a", "1", 0), 0, 1)
 	expect(set(store, 11, "s/b", "1"), 0, 2)
-	expect(set(store, 12, "s/a", "2", 0), errcode.StampDiffers.No, 1)
-	expect(set(store, 13, "s/a", "2", 2), errcode.StampDiffers.No, 1)
-	expect(set(store, 14, "s/c", "1", 1), errcode.StampDiffers.No, 0)
+	expect(set(store, 12, "s/a", "2", 0), errcode.RevisionMismatch.Number, 1)
+	expect(set(store, 13, "s/a", "2", 2), errcode.RevisionMismatch.Number, 1)
+	expect(set(store, 14, "s/c", "1", 1), errcode.RevisionMismatch.Number, 0)
 	expect(set(store, 15, "s/a", "2", 1), 0, 3)
 	expect(set(store, 16, "other/a", "1"), 0, 1)
 	apply(store, 17, rpc.CoordinationRequest{Operation: "put", Name: "s/put", Value: json.RawMessage("1")})
-	expect(set(store, 18, "s/put", "2", 0), errcode.StampDiffers.No, 0)
+	expect(set(store, 18, "s/put", "2", 0), errcode.RevisionMismatch.Number, 0)
 	expect(set(store, 19, "s/c", "1", 0), 0, 4)
 	if record, ok := store.Get(KindKey, "s/a"); !ok || record.Revision != 3 || record.Index != 15 || string(record.Value) != "2" {
 		t.Fatal(record)
@@ -71,7 +71,7 @@
 	if record, _ := store.Get(KindKey, "s/a"); string(record.Value) != `"y"` || record.Revision != 2 {
 		t.Fatal("a repeat wrote", record)
 	}
-	if rejected := set(store, 6, "s/a", `"z"`, 1); rejected.Code != errcode.StampDiffers.No || rejected.Revision != 2 {
+	if rejected := set(store, 6, "s/a", `"z"`, 1); rejected.Code != errcode.RevisionMismatch.Number || rejected.Revision != 2 {
 		t.Fatal(rejected)
 	}
 	if yes := set(store, 7, "s/a", `"z"`, 2); yes.Code != 0 || yes.Revision != 3 {
--- a/internal/coordination/store.go
+++ b/internal/coordination/store.go
@@ -60,7 +60,7 @@
 func (s *Store) Apply(index ids.Index, body json.RawMessage) any {
 	var request rpc.CoordinationRequest
 	if err := json.Unmarshal(body, &request); err != nil {
-		return &rpc.CoordinationResponse{Code: errcode.BadCall.No, Note: err.Error()}
+		return &rpc.CoordinationResponse{Code: errcode.InvalidCall.Number, Note: err.Error()}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -83,14 +83,14 @@
 func (s *Store) transition(index ids.Index, request *rpc.CoordinationRequest) *rpc.CoordinationResponse {
 	apply, ok := transitions[request.Operation]
 	if !ok {
-		return &rpc.CoordinationResponse{Code: errcode.BadCall.No, Note: request.Operation}
+		return &rpc.CoordinationResponse{Code: errcode.InvalidCall.Number, Note: request.Operation}
 	}
 	return apply(s, index, request)
 }
 
 // reject is the response to a request that the record in force does not allow.
 func reject(code errcode.Code, current rpc.CoordinationRecord) *rpc.CoordinationResponse {
-	return &rpc.CoordinationResponse{Code: code.No, Index: current.Index, Revision: current.Revision, Holder: current.Holder, FencingToken: current.FencingToken, TTL: current.TTL}
+	return &rpc.CoordinationResponse{Code: code.Number, Index: current.Index, Revision: current.Revision, Holder: current.Holder, FencingToken: current.FencingToken, TTL: current.TTL}
 }
 
 // putRecord stores a record and publishes its value to watches.
--- a/internal/coordination/watch.go
+++ b/internal/coordination/watch.go
@@ -21,7 +21,7 @@
 	return s.longPoll(ctx, request.Wait, func() (*rpc.CoordinationResponse, bool) {
 		events, next, complete := s.store.EventsSince(request.Name, request.FromIndex, maxEventsPerResponse)
 		if !complete {
-			return &rpc.CoordinationResponse{Code: errcode.StampTooOld.No, Index: next}, true
+			return &rpc.CoordinationResponse{Code: errcode.RevisionCompacted.Number, Index: next}, true
 		}
 		return &rpc.CoordinationResponse{Index: next, Events: events}, len(events) > 0
 	})
@@ -33,7 +33,7 @@
 	return s.longPoll(ctx, request.Wait, func() (*rpc.CoordinationResponse, bool) {
 		events, revision, complete := s.store.RevisionsSince(spaceOf(request.Name), request.FromIndex, maxEventsPerResponse)
 		if !complete {
-			return &rpc.CoordinationResponse{Code: errcode.StampTooOld.No, Revision: revision}, true
+			return &rpc.CoordinationResponse{Code: errcode.RevisionCompacted.Number, Revision: revision}, true
 		}
 		return &rpc.CoordinationResponse{Revision: revision, Events: events}, len(events) > 0 || request.FromIndex == 0
 	})
@@ -52,7 +52,7 @@
 			return response, nil
 		}
 		if !s.replica.IsServing() {
-			return nil, errcode.New(errcode.NotOwner, "shard %d changed its leader", s.id)
+			return nil, errcode.New(errcode.NotLeader, "shard %d changed its leader", s.id)
 		}
 		select {
 		case <-changed:
--- a/internal/distribution/cache.go
+++ b/internal/distribution/cache.go
@@ -16,7 +16,7 @@
 // comes into use only as a whole, when all groups of its manifest are there, and only if it
 // is greater than the one in use.
 type Cache struct {
-	events   *eventlog.Sign
+	events   *eventlog.Log
 	snapshot atomic.Pointer[Snapshot] // written under mu
 
 	// mu guards all below and makes the steps of Activate one.
@@ -26,7 +26,7 @@
 }
 
 // NewCache returns an empty cache.
-func NewCache(events *eventlog.Sign) *Cache {
+func NewCache(events *eventlog.Log) *Cache {
 	return &Cache{events: events, staged: map[string]rpc.Group{}}
 }
 
@@ -138,7 +138,7 @@
 	if snapshot == nil {
 		return false, err
 	}
-	c.events.Say(eventlog.EpochServed, "epoch", uint64(epoch), "groups", len(snapshot.groups))
+	c.events.Emit(eventlog.EpochApplied, "epoch", uint64(epoch), "groups", len(snapshot.groups))
 	return true, nil
 }
 
--- a/internal/distribution/compression.go
+++ b/internal/distribution/compression.go
@@ -67,14 +67,14 @@
 }
 
 // inflate returns the groups of a response's Packed. More than limit bytes of them are an
-// errcode.LineTooLong.
+// errcode.MessageTooLong.
 func inflate(packed []byte, limit int64) (map[string]rpc.Group, error) {
 	data, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), limit+1))
 	if err != nil {
 		return nil, err
 	}
 	if int64(len(data)) > limit {
-		return nil, errcode.New(errcode.LineTooLong, "over %d bytes", limit)
+		return nil, errcode.New(errcode.MessageTooLong, "over %d bytes", limit)
 	}
 	var groups map[string]rpc.Group
 	if err := json.Unmarshal(data, &groups); err != nil {
@@ -93,9 +93,9 @@
 	if len(response.Packed) == 0 {
 		return response, nil
 	}
-	groups, err := inflate(response.Packed, int64(c.env.Config.WireLine))
+	groups, err := inflate(response.Packed, int64(c.env.Config.PeerMaxMessageBytes))
 	if err != nil {
-		return nil, errcode.New(errcode.BadMessage, "flow.fetch from %s: %v", address, err)
+		return nil, errcode.New(errcode.InvalidMessage, "flow.fetch from %s: %v", address, err)
 	}
 	response.Groups, response.Packed = groups, nil
 	return response, nil
--- a/internal/distribution/freshness.go
+++ b/internal/distribution/freshness.go
@@ -109,16 +109,16 @@
 	if snapshot == nil {
 		return false
 	}
-	if stay := f.env.Config.FlowStay; stay > 0 {
+	if stay := f.env.Config.DistributionOfflineGrace; stay > 0 {
 		lastContact := f.lastContact.Load()
 		if lastContact == nil || f.env.Since(*lastContact) >= stay {
 			return false
 		}
-		behind := f.env.Config.FlowBehind
+		behind := f.env.Config.DistributionUnconfirmedGrace
 		return behind == 0 || f.holdsBindingEpoch(snapshot, behind)
 	}
 	held := f.confirmations.Load()
-	shard, bound := ids.ShardOf(service), f.env.Config.FlowFresh
+	shard, bound := ids.ShardOf(service), f.env.Config.DistributionMaxAge
 	for _, c := range []*Confirmation{&held.latest, &held.previous} {
 		if c.Epoch <= snapshot.Epoch && f.env.Since(c.ConfigAsOf) < bound && c.ConfigAsOf.After(f.startedAt) && (service == "" || f.env.Since(c.ShardsAsOf[shard]) < bound) {
 			return true
@@ -144,15 +144,15 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	snapshot, latest := f.cache.Snapshot(), f.latest()
-	bound := max(f.env.Config.FlowFresh, 3*f.env.Config.FlowPulse)
+	bound := max(f.env.Config.DistributionMaxAge, 3*f.env.Config.DistributionRenewalInterval)
 	isFresh := snapshot != nil && snapshot.Epoch >= latest.Epoch && f.env.Since(latest.ConfigAsOf) < bound
 	if isFresh == f.wasFresh {
 		return
 	}
 	f.wasFresh = isFresh
-	event := eventlog.FreshLost
+	event := eventlog.FreshnessLost
 	if isFresh {
-		event = eventlog.FreshAgain
+		event = eventlog.FreshnessRegained
 	}
-	f.env.Events.Say(event, "epoch", uint64(latest.Epoch))
+	f.env.Events.Emit(event, "epoch", uint64(latest.Epoch))
 }
--- a/internal/distribution/freshness_test.go
+++ b/internal/distribution/freshness_test.go
@@ -15,7 +15,7 @@
 // A proxy that is one epoch behind serves on unless that epoch is a binding test.
 func TestFreshness_OnlyABindingEpochMakesASnapshotOld(t *testing.T) {
 	const bound = time.Hour
-	env := environment.New(t.Context(), &config.Props{FlowStay: 24 * time.Hour, FlowBehind: bound}, eventlog.New(io.Discard, "info", "n"), environment.Host{SuspendedTime: func() time.Duration { return 0 }})
+	env := environment.New(t.Context(), &config.Settings{DistributionOfflineGrace: 24 * time.Hour, DistributionUnconfirmedGrace: bound}, eventlog.New(io.Discard, "info", "n"), environment.Host{SuspendedTime: func() time.Duration { return 0 }})
 	for _, test := range []struct {
 		epoch, binding ids.Epoch
 		age            time.Duration
--- a/internal/distribution/full_fetch_test.go
+++ b/internal/distribution/full_fetch_test.go
@@ -13,7 +13,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx := t.Context()
 		settings := newFakeNetwork().environment(t, ctx, "core", "10.0.0.1:1").Config
-		h := newFullFetchHandler(&groupEncoder{}, settings.FlowFetches, settings.FlowCool)
+		h := newFullFetchHandler(&groupEncoder{}, settings.DistributionMaxConcurrentFetches, settings.DistributionRetryCooldown)
 		epoch := newEpochs(t, 1)[0]
 		fetch := func(ctx context.Context) (*rpc.EncodedResponse, int64) {
 			got, err := h.answer(ctx, epoch, false)
@@ -56,7 +56,7 @@
 			}
 		}
 		for range 1000 {
-			if _, retryAfter := fetch(ctx); retryAfter > settings.FlowCool.Milliseconds() {
+			if _, retryAfter := fetch(ctx); retryAfter > settings.DistributionRetryCooldown.Milliseconds() {
 				t.Fatal("told to wait", retryAfter)
 			}
 		}
--- a/internal/distribution/initial_fetch.go
+++ b/internal/distribution/initial_fetch.go
@@ -23,7 +23,7 @@
 // jitter, and is no shorter than they asked for.
 func (c *Client) fetchInitial() bool {
 	settings := c.env.Config
-	shortest := min(settings.FlowRetry, initialFetchRetry)
+	shortest := min(settings.DistributionRetryDelay, initialFetchRetry)
 	pause := shortest
 	for {
 		result := c.fetchAll()
@@ -31,7 +31,7 @@
 			return true
 		}
 		if result.overloaded {
-			pause = min(2*max(pause, settings.FlowRetry), max(settings.FlowCool, settings.FlowRetry))
+			pause = min(2*max(pause, settings.DistributionRetryDelay), max(settings.DistributionRetryCooldown, settings.DistributionRetryDelay))
 		} else {
 			pause = shortest
 		}
@@ -57,7 +57,7 @@
 		cancel()
 		if err != nil {
 			result.overloaded = result.overloaded || errcode.Is(err, errcode.ReplyLost)
-			c.env.Events.Say(eventlog.FetchFailed, "node", string(source.Name), "cause", err.Error())
+			c.env.Events.Emit(eventlog.FetchFailed, "node", string(source.Name), "cause", err.Error())
 			continue
 		}
 		if response.RetryAfterMillis > 0 {
--- a/internal/distribution/listener.go
+++ b/internal/distribution/listener.go
@@ -47,7 +47,7 @@
 
 // sources returns the control nodes to listen to, the nearest first.
 func (c *Client) sources() []rpc.Member {
-	return nearestSources(c.members.ConfigReplicas(), c.env.Config.FlowServers, c.env.Config.Zone)
+	return nearestSources(c.members.ConfigReplicas(), c.env.Config.DistributionMaxServers, c.env.Config.Zone)
 }
 
 // nearestSources returns the first few of the control nodes, which are in order of their
@@ -82,13 +82,13 @@
 		switch {
 		case err != nil:
 			failures++
-			c.env.Events.Say(eventlog.ListenFailed, "node", string(name), "tries", failures, "cause", err.Error())
-			pause = c.env.Config.FlowRetry
-			if failures >= c.env.Config.FlowTries {
-				failures, pause = 0, c.env.Config.FlowCool
+			c.env.Events.Emit(eventlog.LongPollFailed, "node", string(name), "tries", failures, "cause", err.Error())
+			pause = c.env.Config.DistributionRetryDelay
+			if failures >= c.env.Config.DistributionRetryAttempts {
+				failures, pause = 0, c.env.Config.DistributionRetryCooldown
 			}
 		case !changed:
-			failures, pause = 0, c.env.Config.FlowPause
+			failures, pause = 0, c.env.Config.DistributionUnchangedDelay
 		default:
 			failures = 0
 		}
@@ -110,7 +110,7 @@
 // that changed, fetches these and brings the epoch into use. It reports false if the fetch
 // brought nothing newer, upon which its caller should pause.
 func (c *Client) poll(ctx context.Context, address string) (changed bool, err error) {
-	ctx, cancel := context.WithTimeout(ctx, c.env.Config.FlowHold+listenGrace)
+	ctx, cancel := context.WithTimeout(ctx, c.env.Config.DistributionLongPollTimeout+listenGrace)
 	defer cancel()
 	snapshot := c.Cache.Snapshot()
 	if snapshot == nil {
@@ -143,7 +143,7 @@
 	}
 	activated, err := c.Cache.Activate(response.Epoch, manifest)
 	if activated && err == nil {
-		c.env.Latencies.Epoch.Take(time.Since(createdAt))
+		c.env.Latencies.EpochAge.Observe(time.Since(createdAt))
 	}
 	return activated || changed, err
 }
@@ -157,7 +157,7 @@
 		err := c.transport.Call(ctx, address, "flow.listen", &rpc.ListenRequest{
 			Epoch:          held.Epoch,
 			CombinedDigest: held.manifestDigest,
-			AcceptsDeltas:  c.env.Config.FlowServers > 0 && len(sources) > 0 && sources[0].RPCAddress == address,
+			AcceptsDeltas:  c.env.Config.DistributionMaxServers > 0 && len(sources) > 0 && sources[0].RPCAddress == address,
 		}, response)
 		if err != nil || !response.UnknownDigest {
 			return response, err
--- a/internal/distribution/pulse.go
+++ b/internal/distribution/pulse.go
@@ -57,11 +57,11 @@
 			sources = append(sources[:len(sources):len(sources)], c.deadSources()...)
 		}
 		c.returnToNearest()
-		if behind := c.env.Config.FlowBehind; behind > 0 {
+		if behind := c.env.Config.DistributionUnconfirmedGrace; behind > 0 {
 			c.sendPulseAside(sources, behind)
 			continue
 		}
-		timeout := min(c.env.Config.FlowPulse, maxPulseWait) + pulseGrace
+		timeout := min(c.env.Config.DistributionRenewalInterval, maxPulseWait) + pulseGrace
 		answered := false
 		for range min(pulseAttempts, len(sources)) {
 			if answered = c.sendPulse(sources, timeout); answered {
@@ -78,11 +78,11 @@
 func (c *Client) pulseInterval() time.Duration {
 	switch {
 	case c.freshness.latest().Epoch == 0:
-		return min(c.env.Config.FlowPulse, firstPulseInterval)
+		return min(c.env.Config.DistributionRenewalInterval, firstPulseInterval)
 	case !c.pulse.answered.Load():
-		return min(c.env.Config.FlowPulse, retryPulseInterval)
+		return min(c.env.Config.DistributionRenewalInterval, retryPulseInterval)
 	}
-	return c.env.Config.FlowPulse
+	return c.env.Config.DistributionRenewalInterval
 }
 
 // sendPulseAside sends a pulse without waiting for those before it. With the setting
@@ -140,7 +140,7 @@
 // request depends on each single pulse.
 func (c *Client) returnToNearest() {
 	skippedAt := c.pulse.skippedAt.Load()
-	if c.env.Config.FlowStay > 0 && skippedAt != nil && c.env.Since(*skippedAt) > returnToNearestAfter {
+	if c.env.Config.DistributionOfflineGrace > 0 && skippedAt != nil && c.env.Since(*skippedAt) > returnToNearestAfter {
 		c.pulse.choice.Store(0)
 		c.pulse.skippedAt.Store(nil)
 	}
--- a/internal/distribution/pulse_relay.go
+++ b/internal/distribution/pulse_relay.go
@@ -52,7 +52,7 @@
 	select {
 	case <-pulse.done:
 	case <-ctx.Done():
-		return nil, errcode.New(errcode.NoOwner, "%v", ctx.Err())
+		return nil, errcode.New(errcode.NoLeader, "%v", ctx.Err())
 	}
 	if pulse.err != nil {
 		return nil, pulse.err
@@ -95,7 +95,7 @@
 			r.mu.Unlock()
 			return
 		}
-		pause := r.env.Config.FlowPulse/relayShare - r.env.Since(r.lastSent)
+		pause := r.env.Config.DistributionRenewalInterval/relayShare - r.env.Since(r.lastSent)
 		r.mu.Unlock()
 		isStopping := pause > 0 && !r.env.Sleep(pause)
 		r.mu.Lock()
--- a/internal/distribution/pulse_relay_test.go
+++ b/internal/distribution/pulse_relay_test.go
@@ -29,7 +29,7 @@
 			}
 			return &rpc.FreshnessResponse{Epoch: 3, AgeMicros: 1000, ShardAgeMicros: []int64{-1, 2000}}, nil
 		})
-		least := env.Config.FlowPulse / relayShare
+		least := env.Config.DistributionRenewalInterval / relayShare
 		one := func() {
 			asked := time.Now()
 			response, err := relay.get(ctx)
@@ -53,7 +53,7 @@
 			all.Go(func() {
 				for range 4 {
 					one()
-					time.Sleep(env.Config.FlowPulse - way)
+					time.Sleep(env.Config.DistributionRenewalInterval - way)
 				}
 			})
 			time.Sleep(time.Millisecond)
--- a/internal/distribution/server.go
+++ b/internal/distribution/server.go
@@ -58,7 +58,7 @@
 		compressor: newCompressor(),
 		encoder:    &groupEncoder{},
 	}
-	s.fullFetch = newFullFetchHandler(s.encoder, s.env.Config.FlowFetches, s.env.Config.FlowCool)
+	s.fullFetch = newFullFetchHandler(s.encoder, s.env.Config.DistributionMaxConcurrentFetches, s.env.Config.DistributionRetryCooldown)
 	s.relay = newPulseRelay(s.env, s.pulseLeader)
 	rpc.Handle(s.transport, "flow.listen", s.listen)
 	rpc.Handle(s.transport, "flow.fetch", s.fetch)
@@ -72,14 +72,14 @@
 	if s.consensus.HasQuorumContact(ids.ConfigShard) {
 		return nil
 	}
-	return errcode.New(errcode.NoOwner, "no word of a majority of the configuration part")
+	return errcode.New(errcode.NoLeader, "no word of a majority of the configuration part")
 }
 
 // listen holds a listener request (the paper's doLongPolling on the server) until there is an
 // epoch greater than the listener's, and then answers with what changed; or until the hold
 // time, the setting flow.hold, is over.
 func (s *Server) listen(ctx context.Context, request *rpc.ListenRequest) (*rpc.ListenResponse, error) {
-	hold := time.NewTimer(s.env.Config.FlowHold)
+	hold := time.NewTimer(s.env.Config.DistributionLongPollTimeout)
 	defer hold.Stop()
 	held := request.Versions
 	if request.CombinedDigest != "" {
@@ -182,11 +182,11 @@
 func (s *Server) pulseLeader() (*rpc.FreshnessResponse, error) {
 	name, ok := s.consensus.Leader(ids.ConfigShard)
 	if !ok || name == s.env.Name {
-		return nil, errcode.New(errcode.NoOwner, "configuration part")
+		return nil, errcode.New(errcode.NoLeader, "configuration part")
 	}
 	leader, ok := s.members.Lookup(name)
 	if !ok {
-		return nil, errcode.New(errcode.NoOwner, "configuration part: %s is down", name)
+		return nil, errcode.New(errcode.NoLeader, "configuration part: %s is down", name)
 	}
 	ctx, cancel := context.WithTimeout(s.env, leaderPulseTimeout)
 	defer cancel()
--- a/internal/distribution/snapshot.go
+++ b/internal/distribution/snapshot.go
@@ -30,7 +30,7 @@
 
 // newSnapshot decodes the groups of an epoch. What did not change since the previous
 // snapshot, which may be nil, is taken over. A group that cannot be decoded is an
-// errcode.BadMessage.
+// errcode.InvalidMessage.
 func newSnapshot(epoch ids.Epoch, manifest map[string]rpc.GroupVersion, groups map[string]rpc.Group, previous *Snapshot) (*Snapshot, error) {
 	if previous == nil {
 		previous = &Snapshot{}
@@ -95,7 +95,7 @@
 		return nil
 	}
 	if err := json.Unmarshal(group.Data, into); err != nil {
-		return errcode.New(errcode.BadMessage, "group %s: %v", name, err)
+		return errcode.New(errcode.InvalidMessage, "group %s: %v", name, err)
 	}
 	return nil
 }
--- a/internal/distribution/snapshot_test.go
+++ b/internal/distribution/snapshot_test.go
@@ -40,7 +40,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			groups := map[string]rpc.Group{name: group(`"damaged"`, 1)}
-			if snapshot, err := newSnapshot(1, manifest(groups), groups, nil); snapshot != nil || !errcode.Is(err, errcode.BadMessage) {
+			if snapshot, err := newSnapshot(1, manifest(groups), groups, nil); snapshot != nil || !errcode.Is(err, errcode.InvalidMessage) {
 				t.Errorf("%+v, %v", snapshot, err)
 			}
 		})
--- a/internal/environment/environment.go
+++ b/internal/environment/environment.go
@@ -20,11 +20,11 @@
 // Shutdown is called or its parent is done.
 type Environment struct {
 	context.Context
-	Config    *config.Props
-	Events    *eventlog.Sign
+	Config    *config.Settings
+	Events    *eventlog.Log
 	Host      Host
 	Name      ids.NodeName
-	Latencies *metrics.Times
+	Latencies *metrics.Latencies
 	// Trace is called with each step of the replicated shards, if it is set; the simulator
 	// holds the steps against the model of the protocol.
 	Trace func(step any)
@@ -34,7 +34,7 @@
 }
 
 // New returns the environment of a node with these settings.
-func New(parent context.Context, settings *config.Props, events *eventlog.Sign, host Host) *Environment {
+func New(parent context.Context, settings *config.Settings, events *eventlog.Log, host Host) *Environment {
 	ctx, cancel := context.WithCancel(parent)
 	return &Environment{
 		Context:   ctx,
@@ -42,7 +42,7 @@
 		Events:    events,
 		Host:      host,
 		Name:      ids.NodeName(settings.Name),
-		Latencies: &metrics.Times{Services: settings.MetricsServices},
+		Latencies: &metrics.Latencies{MaxServices: settings.MetricsServices},
 		cancel:    cancel,
 		tasks:     newTaskGroup(),
 	}
--- a/internal/environment/environment_test.go
+++ b/internal/environment/environment_test.go
@@ -14,7 +14,7 @@
 
 func newEnvironment(t *testing.T, host Host) *Environment {
 	t.Helper()
-	return New(t.Context(), &config.Props{}, eventlog.New(io.Discard, "info", "n"), host)
+	return New(t.Context(), &config.Settings{}, eventlog.New(io.Discard, "info", "n"), host)
 }
 
 // Under the race detector a timer for a pause of nothing ends the process; see Sleep.
--- a/internal/errcode/codes_gen.go
+++ b/internal/errcode/codes_gen.go
@@ -3,98 +3,98 @@
 package errcode
 
 var (
-	NoMapping       = Code{No: 1001, Name: "NoMapping", Status: 404, Outcome: "not run", Text: "no mapping fits the request"}
-	NotFresh        = Code{No: 1002, Name: "NotFresh", Status: 503, Outcome: "not run", Text: "the proxy's plan is not freshly confirmed"}
-	NoTarget        = Code{No: 1003, Name: "NoTarget", Status: 503, Outcome: "not run", Text: "the service has no live target"}
-	Overload        = Code{No: 1004, Name: "Overload", Status: 503, Outcome: "not run", Text: "the proxy's share is used up"}
-	BudgetSpent     = Code{No: 1005, Name: "BudgetSpent", Status: 429, Outcome: "unknown", Text: "a repeat of an order that was handed over; the service's budget of extra tries is spent"}
-	NotWritten      = Code{No: 1006, Name: "NotWritten", Status: 503, Outcome: "not run", Text: "no target could be reached; nothing was written"}
-	AnswerLost      = Code{No: 1007, Name: "AnswerLost", Status: 502, Outcome: "unknown", Text: "the request was handed over and no whole answer came back"}
-	SealBroken      = Code{No: 1008, Name: "SealBroken", Status: 502, Outcome: "unknown", Text: "the answer does not bear the server's seal"}
-	AnswerTooLarge  = Code{No: 1009, Name: "AnswerTooLarge", Status: 502, Outcome: "unknown", Text: "the answer is larger than the proxy may hold"}
-	RequestTooLarge = Code{No: 1010, Name: "RequestTooLarge", Status: 413, Outcome: "not run", Text: "the request body is too large"}
-	BadRequest      = Code{No: 1011, Name: "BadRequest", Status: 400, Outcome: "not run", Text: "the request can't be read"}
-	Stopping        = Code{No: 1012, Name: "Stopping", Status: 503, Outcome: "not run", Text: "the proxy is stopping"}
-	BodyCut         = Code{No: 1013, Name: "BodyCut", Status: 400, Outcome: "unknown", Text: "the caller's body ended early; the server never got it whole"}
-	DeadlinePassed  = Code{No: 1014, Name: "DeadlinePassed", Status: 504, Outcome: "unknown", Text: "the deadline passed after hand-over"}
-	CallerGone      = Code{No: 1015, Name: "CallerGone", Status: 499, Outcome: "unknown", Text: "the caller went away after hand-over"}
-	BadChange       = Code{No: 2001, Name: "BadChange", Status: 422, Outcome: "", Text: "the change set is invalid"}
-	ChangeConflict  = Code{No: 2002, Name: "ChangeConflict", Status: 409, Outcome: "", Text: "another change set was accepted after the epoch named"}
-	ChangeUnknown   = Code{No: 2003, Name: "ChangeUnknown", Status: 503, Outcome: "unknown", Text: "it is not known whether the change was accepted"}
-	ChangeAbsent    = Code{No: 2004, Name: "ChangeAbsent", Status: 404, Outcome: "", Text: "no change of that id was accepted"}
-	ChangeReused    = Code{No: 2005, Name: "ChangeReused", Status: 409, Outcome: "", Text: "the id was used for another change set"}
-	BadBeat         = Code{No: 2006, Name: "BadBeat", Status: 400, Outcome: "", Text: "the beat is invalid"}
-	UnknownService  = Code{No: 2007, Name: "UnknownService", Status: 404, Outcome: "", Text: "no such service in the configuration"}
-	BadCall         = Code{No: 2008, Name: "BadCall", Status: 400, Outcome: "", Text: "the call can't be read"}
-	NoOwner         = Code{No: 3001, Name: "NoOwner", Status: 503, Outcome: "not run", Text: "the part has no owner in reach"}
-	NotOwner        = Code{No: 3002, Name: "NotOwner", Status: 503, Outcome: "not run", Text: "this node does not own the part"}
-	Unsure          = Code{No: 3003, Name: "Unsure", Status: 503, Outcome: "unknown", Text: "it is not known whether the write was accepted"}
-	TooManyHops     = Code{No: 3004, Name: "TooManyHops", Status: 503, Outcome: "not run", Text: "the call was passed on too often"}
-	Held            = Code{No: 3005, Name: "Held", Status: 409, Outcome: "", Text: "the lock is held by another"}
-	NotHeld         = Code{No: 3006, Name: "NotHeld", Status: 409, Outcome: "", Text: "the caller does not hold the grant"}
-	StampDiffers    = Code{No: 3007, Name: "StampDiffers", Status: 409, Outcome: "", Text: "the key's stamp is not the one named"}
-	NoKey           = Code{No: 3008, Name: "NoKey", Status: 404, Outcome: "", Text: "no such name"}
-	StampTooOld     = Code{No: 3009, Name: "StampTooOld", Status: 410, Outcome: "", Text: "the events after that stamp are no longer kept"}
-	StorageBroken   = Code{No: 3010, Name: "StorageBroken", Status: 503, Outcome: "unknown", Text: "the node's storage failed"}
-	BadMessage      = Code{No: 4001, Name: "BadMessage", Status: 400, Outcome: "", Text: "a message between processes can't be read"}
-	LineTooLong     = Code{No: 4002, Name: "LineTooLong", Status: 413, Outcome: "", Text: "a message between processes is too long"}
-	Unreached       = Code{No: 4003, Name: "Unreached", Status: 503, Outcome: "not run", Text: "the peer can't be reached"}
-	ReplyLost       = Code{No: 4004, Name: "ReplyLost", Status: 503, Outcome: "unknown", Text: "the peer's reply did not come"}
-	UnknownKind     = Code{No: 4005, Name: "UnknownKind", Status: 400, Outcome: "", Text: "no such kind of message"}
-	WrongVersion    = Code{No: 4006, Name: "WrongVersion", Status: 400, Outcome: "not run", Text: "the peer speaks another version of the wire"}
-	BadProps        = Code{No: 5001, Name: "BadProps", Status: 400, Outcome: "", Text: "the settings are faulty"}
-	Internal        = Code{No: 5002, Name: "Internal", Status: 500, Outcome: "unknown", Text: "a fault of the program"}
-	OrderRan        = Code{No: 1016, Name: "OrderRan", Status: 409, Outcome: "ran", Text: "an order under this key ran already"}
-	OrderUnknown    = Code{No: 1017, Name: "OrderUnknown", Status: 409, Outcome: "unknown", Text: "an order under this key was handed over, and it is not known how it ended"}
-	OrderUnderWay   = Code{No: 1018, Name: "OrderUnderWay", Status: 409, Outcome: "unknown", Text: "an order under this key is under way"}
-	TargetRefused   = Code{No: 1019, Name: "TargetRefused", Status: 503, Outcome: "not run", Text: "every target that was asked turned the request away without running it"}
+	NoRoute           = Code{Number: 1001, Name: "NoMapping", Status: 404, Outcome: "not run", Text: "no mapping fits the request"}
+	NotFresh          = Code{Number: 1002, Name: "NotFresh", Status: 503, Outcome: "not run", Text: "the proxy's plan is not freshly confirmed"}
+	NoTarget          = Code{Number: 1003, Name: "NoTarget", Status: 503, Outcome: "not run", Text: "the service has no live target"}
+	Overload          = Code{Number: 1004, Name: "Overload", Status: 503, Outcome: "not run", Text: "the proxy's share is used up"}
+	BudgetExhausted   = Code{Number: 1005, Name: "BudgetSpent", Status: 429, Outcome: "unknown", Text: "a repeat of an order that was handed over; the service's budget of extra tries is spent"}
+	NotWritten        = Code{Number: 1006, Name: "NotWritten", Status: 503, Outcome: "not run", Text: "no target could be reached; nothing was written"}
+	ResponseLost      = Code{Number: 1007, Name: "AnswerLost", Status: 502, Outcome: "unknown", Text: "the request was handed over and no whole answer came back"}
+	SealBroken        = Code{Number: 1008, Name: "SealBroken", Status: 502, Outcome: "unknown", Text: "the answer does not bear the server's seal"}
+	ResponseTooLarge  = Code{Number: 1009, Name: "AnswerTooLarge", Status: 502, Outcome: "unknown", Text: "the answer is larger than the proxy may hold"}
+	RequestTooLarge   = Code{Number: 1010, Name: "RequestTooLarge", Status: 413, Outcome: "not run", Text: "the request body is too large"}
+	BadRequest        = Code{Number: 1011, Name: "BadRequest", Status: 400, Outcome: "not run", Text: "the request can't be read"}
+	Stopping          = Code{Number: 1012, Name: "Stopping", Status: 503, Outcome: "not run", Text: "the proxy is stopping"}
+	BodyCut           = Code{Number: 1013, Name: "BodyCut", Status: 400, Outcome: "unknown", Text: "the caller's body ended early; the server never got it whole"}
+	DeadlinePassed    = Code{Number: 1014, Name: "DeadlinePassed", Status: 504, Outcome: "unknown", Text: "the deadline passed after hand-over"}
+	ClientGone        = Code{Number: 1015, Name: "CallerGone", Status: 499, Outcome: "unknown", Text: "the caller went away after hand-over"}
+	InvalidChange     = Code{Number: 2001, Name: "BadChange", Status: 422, Outcome: "", Text: "the change set is invalid"}
+	ChangeConflict    = Code{Number: 2002, Name: "ChangeConflict", Status: 409, Outcome: "", Text: "another change set was accepted after the epoch named"}
+	ChangeUnknown     = Code{Number: 2003, Name: "ChangeUnknown", Status: 503, Outcome: "unknown", Text: "it is not known whether the change was accepted"}
+	ChangeAbsent      = Code{Number: 2004, Name: "ChangeAbsent", Status: 404, Outcome: "", Text: "no change of that id was accepted"}
+	ChangeReused      = Code{Number: 2005, Name: "ChangeReused", Status: 409, Outcome: "", Text: "the id was used for another change set"}
+	InvalidHeartbeat  = Code{Number: 2006, Name: "BadBeat", Status: 400, Outcome: "", Text: "the beat is invalid"}
+	UnknownService    = Code{Number: 2007, Name: "UnknownService", Status: 404, Outcome: "", Text: "no such service in the configuration"}
+	InvalidCall       = Code{Number: 2008, Name: "BadCall", Status: 400, Outcome: "", Text: "the call can't be read"}
+	NoLeader          = Code{Number: 3001, Name: "NoOwner", Status: 503, Outcome: "not run", Text: "the part has no owner in reach"}
+	NotLeader         = Code{Number: 3002, Name: "NotOwner", Status: 503, Outcome: "not run", Text: "this node does not own the part"}
+	WriteUnknown      = Code{Number: 3003, Name: "Unsure", Status: 503, Outcome: "unknown", Text: "it is not known whether the write was accepted"}
+	TooManyHops       = Code{Number: 3004, Name: "TooManyHops", Status: 503, Outcome: "not run", Text: "the call was passed on too often"}
+	LockHeld          = Code{Number: 3005, Name: "Held", Status: 409, Outcome: "", Text: "the lock is held by another"}
+	NotLockHolder     = Code{Number: 3006, Name: "NotHeld", Status: 409, Outcome: "", Text: "the caller does not hold the grant"}
+	RevisionMismatch  = Code{Number: 3007, Name: "StampDiffers", Status: 409, Outcome: "", Text: "the key's stamp is not the one named"}
+	KeyNotFound       = Code{Number: 3008, Name: "NoKey", Status: 404, Outcome: "", Text: "no such name"}
+	RevisionCompacted = Code{Number: 3009, Name: "StampTooOld", Status: 410, Outcome: "", Text: "the events after that stamp are no longer kept"}
+	StorageBroken     = Code{Number: 3010, Name: "StorageBroken", Status: 503, Outcome: "unknown", Text: "the node's storage failed"}
+	InvalidMessage    = Code{Number: 4001, Name: "BadMessage", Status: 400, Outcome: "", Text: "a message between processes can't be read"}
+	MessageTooLong    = Code{Number: 4002, Name: "LineTooLong", Status: 413, Outcome: "", Text: "a message between processes is too long"}
+	Unreachable       = Code{Number: 4003, Name: "Unreached", Status: 503, Outcome: "not run", Text: "the peer can't be reached"}
+	ReplyLost         = Code{Number: 4004, Name: "ReplyLost", Status: 503, Outcome: "unknown", Text: "the peer's reply did not come"}
+	UnknownKind       = Code{Number: 4005, Name: "UnknownKind", Status: 400, Outcome: "", Text: "no such kind of message"}
+	WrongVersion      = Code{Number: 4006, Name: "WrongVersion", Status: 400, Outcome: "not run", Text: "the peer speaks another version of the wire"}
+	InvalidSettings   = Code{Number: 5001, Name: "BadProps", Status: 400, Outcome: "", Text: "the settings are faulty"}
+	Internal          = Code{Number: 5002, Name: "Internal", Status: 500, Outcome: "unknown", Text: "a fault of the program"}
+	OrderRan          = Code{Number: 1016, Name: "OrderRan", Status: 409, Outcome: "ran", Text: "an order under this key ran already"}
+	OrderUnknown      = Code{Number: 1017, Name: "OrderUnknown", Status: 409, Outcome: "unknown", Text: "an order under this key was handed over, and it is not known how it ended"}
+	OrderInFlight     = Code{Number: 1018, Name: "OrderUnderWay", Status: 409, Outcome: "unknown", Text: "an order under this key is under way"}
+	TargetRejected    = Code{Number: 1019, Name: "TargetRefused", Status: 503, Outcome: "not run", Text: "every target that was asked turned the request away without running it"}
 )
 
 // Codes holds every code by its number.
 var Codes = map[int]Code{
-	1001: NoMapping,
+	1001: NoRoute,
 	1002: NotFresh,
 	1003: NoTarget,
 	1004: Overload,
-	1005: BudgetSpent,
+	1005: BudgetExhausted,
 	1006: NotWritten,
-	1007: AnswerLost,
+	1007: ResponseLost,
 	1008: SealBroken,
-	1009: AnswerTooLarge,
+	1009: ResponseTooLarge,
 	1010: RequestTooLarge,
 	1011: BadRequest,
 	1012: Stopping,
 	1013: BodyCut,
 	1014: DeadlinePassed,
-	1015: CallerGone,
-	2001: BadChange,
+	1015: ClientGone,
+	2001: InvalidChange,
 	2002: ChangeConflict,
 	2003: ChangeUnknown,
 	2004: ChangeAbsent,
 	2005: ChangeReused,
-	2006: BadBeat,
+	2006: InvalidHeartbeat,
 	2007: UnknownService,
-	2008: BadCall,
-	3001: NoOwner,
-	3002: NotOwner,
-	3003: Unsure,
+	2008: InvalidCall,
+	3001: NoLeader,
+	3002: NotLeader,
+	3003: WriteUnknown,
 	3004: TooManyHops,
-	3005: Held,
-	3006: NotHeld,
-	3007: StampDiffers,
-	3008: NoKey,
-	3009: StampTooOld,
+	3005: LockHeld,
+	3006: NotLockHolder,
+	3007: RevisionMismatch,
+	3008: KeyNotFound,
+	3009: RevisionCompacted,
 	3010: StorageBroken,
-	4001: BadMessage,
-	4002: LineTooLong,
-	4003: Unreached,
+	4001: InvalidMessage,
+	4002: MessageTooLong,
+	4003: Unreachable,
 	4004: ReplyLost,
 	4005: UnknownKind,
 	4006: WrongVersion,
-	5001: BadProps,
+	5001: InvalidSettings,
 	5002: Internal,
 	1016: OrderRan,
 	1017: OrderUnknown,
-	1018: OrderUnderWay,
-	1019: TargetRefused,
+	1018: OrderInFlight,
+	1019: TargetRejected,
 }
--- a/internal/errcode/fault.go
+++ b/internal/errcode/fault.go
@@ -13,22 +13,22 @@
 
 // Code is one line of the table in docs/codes.md.
 type Code struct {
-	No      int
+	Number  int
 	Name    string
 	Status  int
 	Outcome string
 	Text    string
 }
 
-// Problem is a code with what is to be said about this one case.
-type Problem struct {
+// Error is a code with what is to be said about this one case.
+type Error struct {
 	Code  Code
 	Note  string
 	Paths []string
 }
 
-func (p *Problem) Error() string {
-	text := fmt.Sprintf("%d %s", p.Code.No, p.Code.Text)
+func (p *Error) Error() string {
+	text := fmt.Sprintf("%d %s", p.Code.Number, p.Code.Text)
 	if p.Note != "" {
 		text += ": " + p.Note
 	}
@@ -40,24 +40,24 @@
 
 // New makes a problem, wrapped so that it knows where it came from.
 func New(code Code, format string, args ...any) error {
-	return trace.Wrap(&Problem{Code: code, Note: fmt.Sprintf(format, args...)})
+	return trace.Wrap(&Error{Code: code, Note: fmt.Sprintf(format, args...)})
 }
 
-// At makes a problem that names paths.
-func At(code Code, paths []string) error {
-	return trace.Wrap(&Problem{Code: code, Paths: paths})
+// NewPaths makes a problem that names paths.
+func NewPaths(code Code, paths []string) error {
+	return trace.Wrap(&Error{Code: code, Paths: paths})
 }
 
-// Of finds the problem in an error; anything else is Internal.
-func Of(err error) *Problem {
-	var p *Problem
+// From finds the problem in an error; anything else is Internal.
+func From(err error) *Error {
+	var p *Error
 	if errors.As(err, &p) {
 		return p
 	}
-	return &Problem{Code: Internal, Note: err.Error()}
+	return &Error{Code: Internal, Note: err.Error()}
 }
 
 // Is tells whether the error carries the code.
 func Is(err error, code Code) bool {
-	return err != nil && Of(err).Code.No == code.No
+	return err != nil && From(err).Code.Number == code.Number
 }
--- a/internal/eventlog/events_gen.go
+++ b/internal/eventlog/events_gen.go
@@ -3,45 +3,45 @@
 package eventlog
 
 var (
-	NodeStarted    = Event{No: 101, Name: "NodeStarted", Level: "info", Text: "node started"}
-	NodeStopping   = Event{No: 102, Name: "NodeStopping", Level: "info", Text: "node is stopping"}
-	NodeStopped    = Event{No: 103, Name: "NodeStopped", Level: "info", Text: "node stopped"}
-	MemberUp       = Event{No: 201, Name: "MemberUp", Level: "info", Text: "member is up"}
-	MemberSuspect  = Event{No: 202, Name: "MemberSuspect", Level: "info", Text: "member is suspected"}
-	MemberDown     = Event{No: 203, Name: "MemberDown", Level: "warn", Text: "member is down"}
-	MemberReborn   = Event{No: 204, Name: "MemberReborn", Level: "warn", Text: "member came back with another birth"}
-	FleetFounded   = Event{No: 301, Name: "FleetFounded", Level: "info", Text: "the fleet's charter is in force"}
-	FleetJoined    = Event{No: 302, Name: "FleetJoined", Level: "info", Text: "node joined the fleet"}
-	PartOwned      = Event{No: 303, Name: "PartOwned", Level: "info", Text: "part owned"}
-	PartLost       = Event{No: 304, Name: "PartLost", Level: "info", Text: "part no longer owned"}
-	GroupChanged   = Event{No: 305, Name: "GroupChanged", Level: "info", Text: "members of a part changed"}
-	StoreDamaged   = Event{No: 306, Name: "StoreDamaged", Level: "error", Text: "the data folder is damaged and was set aside"}
-	StoreFailed    = Event{No: 307, Name: "StoreFailed", Level: "error", Text: "the data folder takes no writes; they are tried again"}
-	StandFailed    = Event{No: 308, Name: "StandFailed", Level: "debug", Text: "standing for a part failed"}
-	PartMended     = Event{No: 309, Name: "PartMended", Level: "warn", Text: "a part's copy differed and was mended"}
-	PartBroken     = Event{No: 310, Name: "PartBroken", Level: "error", Text: "copies of a part contradict one another; the part is given up"}
-	MemberRemoved  = Event{No: 311, Name: "MemberRemoved", Level: "info", Text: "this node is no member of a part any more and rests; its copy is kept"}
-	StoreBack      = Event{No: 312, Name: "StoreBack", Level: "warn", Text: "the data folder takes writes again"}
-	EpochCommitted = Event{No: 401, Name: "EpochCommitted", Level: "info", Text: "epoch committed"}
-	ChangeAccepted = Event{No: 402, Name: "ChangeAccepted", Level: "info", Text: "change set accepted"}
-	ChangeRefused  = Event{No: 403, Name: "ChangeRefused", Level: "warn", Text: "change set refused"}
-	TargetIn       = Event{No: 404, Name: "TargetIn", Level: "info", Text: "target in"}
-	TargetOut      = Event{No: 405, Name: "TargetOut", Level: "info", Text: "target out"}
-	AddressClash   = Event{No: 406, Name: "AddressClash", Level: "warn", Text: "two instances claim one address"}
-	TargetGoing    = Event{No: 407, Name: "TargetGoing", Level: "info", Text: "a server says that it drains or leaves"}
-	GroupDamaged   = Event{No: 408, Name: "GroupDamaged", Level: "error", Text: "a group or an entry of the configuration can't be decoded; nothing is planned from it"}
-	EpochServed    = Event{No: 501, Name: "EpochServed", Level: "info", Text: "epoch swapped in"}
-	FetchFailed    = Event{No: 502, Name: "FetchFailed", Level: "warn", Text: "fetch failed, trying the next control node"}
-	ListenFailed   = Event{No: 503, Name: "ListenFailed", Level: "warn", Text: "listener request failed"}
-	FreshLost      = Event{No: 504, Name: "FreshLost", Level: "warn", Text: "plan no longer freshly confirmed"}
-	FreshAgain     = Event{No: 505, Name: "FreshAgain", Level: "info", Text: "plan freshly confirmed"}
-	SealRefused    = Event{No: 601, Name: "SealRefused", Level: "warn", Text: "an answer without a right seal was refused"}
-	TryFailed      = Event{No: 602, Name: "TryFailed", Level: "debug", Text: "a try failed"}
-	MessageRefused = Event{No: 701, Name: "MessageRefused", Level: "warn", Text: "a message was refused"}
-	BeatRefused    = Event{No: 702, Name: "BeatRefused", Level: "warn", Text: "a beat was refused"}
-	PropsReread    = Event{No: 801, Name: "PropsReread", Level: "info", Text: "the settings were read again"}
-	PropsRefused   = Event{No: 802, Name: "PropsRefused", Level: "warn", Text: "changed settings are faulty; the old ones stay"}
-	GateFailed     = Event{No: 803, Name: "GateFailed", Level: "error", Text: "the address for callers can't be taken"}
+	NodeStarted        = Event{Number: 101, Name: "NodeStarted", Level: "info", Text: "node started"}
+	NodeStopping       = Event{Number: 102, Name: "NodeStopping", Level: "info", Text: "node is stopping"}
+	NodeStopped        = Event{Number: 103, Name: "NodeStopped", Level: "info", Text: "node stopped"}
+	MemberUp           = Event{Number: 201, Name: "MemberUp", Level: "info", Text: "member is up"}
+	MemberSuspect      = Event{Number: 202, Name: "MemberSuspect", Level: "info", Text: "member is suspected"}
+	MemberDown         = Event{Number: 203, Name: "MemberDown", Level: "warn", Text: "member is down"}
+	MemberIDChanged    = Event{Number: 204, Name: "MemberReborn", Level: "warn", Text: "member came back with another birth"}
+	FleetFounded       = Event{Number: 301, Name: "FleetFounded", Level: "info", Text: "the fleet's charter is in force"}
+	FleetJoined        = Event{Number: 302, Name: "FleetJoined", Level: "info", Text: "node joined the fleet"}
+	LeadershipAcquired = Event{Number: 303, Name: "PartOwned", Level: "info", Text: "part owned"}
+	LeadershipLost     = Event{Number: 304, Name: "PartLost", Level: "info", Text: "part no longer owned"}
+	ReplicasChanged    = Event{Number: 305, Name: "GroupChanged", Level: "info", Text: "members of a part changed"}
+	StoreDamaged       = Event{Number: 306, Name: "StoreDamaged", Level: "error", Text: "the data folder is damaged and was set aside"}
+	StoreFailed        = Event{Number: 307, Name: "StoreFailed", Level: "error", Text: "the data folder takes no writes; they are tried again"}
+	ElectionFailed     = Event{Number: 308, Name: "StandFailed", Level: "debug", Text: "standing for a part failed"}
+	ReplicaRepaired    = Event{Number: 309, Name: "PartMended", Level: "warn", Text: "a part's copy differed and was mended"}
+	ReplicasDiverged   = Event{Number: 310, Name: "PartBroken", Level: "error", Text: "copies of a part contradict one another; the part is given up"}
+	MemberRemoved      = Event{Number: 311, Name: "MemberRemoved", Level: "info", Text: "this node is no member of a part any more and rests; its copy is kept"}
+	StoreRecovered     = Event{Number: 312, Name: "StoreBack", Level: "warn", Text: "the data folder takes writes again"}
+	EpochCommitted     = Event{Number: 401, Name: "EpochCommitted", Level: "info", Text: "epoch committed"}
+	ChangeAccepted     = Event{Number: 402, Name: "ChangeAccepted", Level: "info", Text: "change set accepted"}
+	ChangeRejected     = Event{Number: 403, Name: "ChangeRefused", Level: "warn", Text: "change set refused"}
+	TargetIn           = Event{Number: 404, Name: "TargetIn", Level: "info", Text: "target in"}
+	TargetOut          = Event{Number: 405, Name: "TargetOut", Level: "info", Text: "target out"}
+	AddressConflict    = Event{Number: 406, Name: "AddressClash", Level: "warn", Text: "two instances claim one address"}
+	TargetLeaving      = Event{Number: 407, Name: "TargetGoing", Level: "info", Text: "a server says that it drains or leaves"}
+	GroupDamaged       = Event{Number: 408, Name: "GroupDamaged", Level: "error", Text: "a group or an entry of the configuration can't be decoded; nothing is planned from it"}
+	EpochApplied       = Event{Number: 501, Name: "EpochServed", Level: "info", Text: "epoch swapped in"}
+	FetchFailed        = Event{Number: 502, Name: "FetchFailed", Level: "warn", Text: "fetch failed, trying the next control node"}
+	LongPollFailed     = Event{Number: 503, Name: "ListenFailed", Level: "warn", Text: "listener request failed"}
+	FreshnessLost      = Event{Number: 504, Name: "FreshLost", Level: "warn", Text: "plan no longer freshly confirmed"}
+	FreshnessRegained  = Event{Number: 505, Name: "FreshAgain", Level: "info", Text: "plan freshly confirmed"}
+	SealRejected       = Event{Number: 601, Name: "SealRefused", Level: "warn", Text: "an answer without a right seal was refused"}
+	AttemptFailed      = Event{Number: 602, Name: "TryFailed", Level: "debug", Text: "a try failed"}
+	MessageRejected    = Event{Number: 701, Name: "MessageRefused", Level: "warn", Text: "a message was refused"}
+	HeartbeatRejected  = Event{Number: 702, Name: "BeatRefused", Level: "warn", Text: "a beat was refused"}
+	SettingsReloaded   = Event{Number: 801, Name: "PropsReread", Level: "info", Text: "the settings were read again"}
+	SettingsRejected   = Event{Number: 802, Name: "PropsRefused", Level: "warn", Text: "changed settings are faulty; the old ones stay"}
+	ProxyListenFailed  = Event{Number: 803, Name: "GateFailed", Level: "error", Text: "the address for callers can't be taken"}
 )
 
 // Events is the whole table.
@@ -52,37 +52,37 @@
 	MemberUp,
 	MemberSuspect,
 	MemberDown,
-	MemberReborn,
+	MemberIDChanged,
 	FleetFounded,
 	FleetJoined,
-	PartOwned,
-	PartLost,
-	GroupChanged,
+	LeadershipAcquired,
+	LeadershipLost,
+	ReplicasChanged,
 	StoreDamaged,
 	StoreFailed,
-	StandFailed,
-	PartMended,
-	PartBroken,
+	ElectionFailed,
+	ReplicaRepaired,
+	ReplicasDiverged,
 	MemberRemoved,
-	StoreBack,
+	StoreRecovered,
 	EpochCommitted,
 	ChangeAccepted,
-	ChangeRefused,
+	ChangeRejected,
 	TargetIn,
 	TargetOut,
-	AddressClash,
-	TargetGoing,
+	AddressConflict,
+	TargetLeaving,
 	GroupDamaged,
-	EpochServed,
+	EpochApplied,
 	FetchFailed,
-	ListenFailed,
-	FreshLost,
-	FreshAgain,
-	SealRefused,
-	TryFailed,
-	MessageRefused,
-	BeatRefused,
-	PropsReread,
-	PropsRefused,
-	GateFailed,
+	LongPollFailed,
+	FreshnessLost,
+	FreshnessRegained,
+	SealRejected,
+	AttemptFailed,
+	MessageRejected,
+	HeartbeatRejected,
+	SettingsReloaded,
+	SettingsRejected,
+	ProxyListenFailed,
 }
--- a/internal/eventlog/sign.go
+++ b/internal/eventlog/sign.go
@@ -12,55 +12,55 @@
 )
 
 type Event struct {
-	No    int
-	Name  string
-	Level string
-	Text  string
+	Number int
+	Name   string
+	Level  string
+	Text   string
 }
 
 // Entry is one event in the journal.
 type Entry struct {
-	Seq   uint64
-	At    time.Time
-	Event Event
-	Pairs []any
+	Seq    uint64
+	At     time.Time
+	Event  Event
+	Fields []any
 }
 
-const keep = 2048
+const capacity = 2048
 
-// Sign is the journal of one process with its views.
-type Sign struct {
-	mu     sync.Mutex
-	seq    uint64
-	ring   []Entry
-	counts map[string]uint64
-	logger *log.Logger
-	// Told is called with every event, if it is set before the first.
-	Told func(Entry)
+// Log is the journal of one process with its views.
+type Log struct {
+	mu      sync.Mutex
+	seq     uint64
+	entries []Entry
+	counts  map[string]uint64
+	logger  *log.Logger
+	// Observer is called with every event, if it is set before the first.
+	Observer func(Entry)
 }
 
-func New(out io.Writer, level string, node string) *Sign {
+func New(out io.Writer, level string, node string) *Log {
 	logger := &log.Logger{Level: log.ParseLevel(level), TimeFormat: time.RFC3339Nano, Writer: &log.IOWriter{Writer: out}}
 	logger.Context = log.NewContext(nil).Str("node", node).Value()
-	return &Sign{counts: map[string]uint64{}, logger: logger}
+	return &Log{counts: map[string]uint64{}, logger: logger}
 }
 
-// Say appends an event; pairs are keys and values.
-func (s *Sign) Say(e Event, pairs ...any) {
+// Emit appends an event; pairs are keys and values.
+func (s *Log) Emit(e Event, pairs ...any) {
 	s.mu.Lock()
 	s.seq++
-	entry := Entry{Seq: s.seq, At: time.Now(), Event: e, Pairs: pairs}
-	if len(s.ring) >= keep {
-		s.ring = append(s.ring[:0:0], s.ring[keep/2:]...)
+	entry := Entry{Seq: s.seq, At: time.Now(), Event: e, Fields: pairs}
+	if len(s.entries) >= capacity {
+		s.entries = append(s.entries[:0:0], s.entries[capacity/2:]...)
 	}
-	s.ring = append(s.ring, entry)
+	s.entries = append(s.entries, entry)
 	s.counts[e.Name]++
 	s.mu.Unlock()
-	if s.Told != nil {
-		s.Told(entry)
+	if s.Observer != nil {
+		s.Observer(entry)
 	}
 	line := s.logger.WithLevel(log.ParseLevel(e.Level))
-	line.Int("event", e.No)
+	line.Int("event", e.Number)
 	for i := 0; i+1 < len(pairs); i += 2 {
 		line.Any(pairs[i].(string), pairs[i+1])
 	}
@@ -68,7 +68,7 @@
 }
 
 // Counts is how often each event was said.
-func (s *Sign) Counts() map[string]uint64 {
+func (s *Log) Counts() map[string]uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	view := make(map[string]uint64, len(s.counts))
@@ -79,11 +79,11 @@
 }
 
 // Recent is the newest events, oldest first.
-func (s *Sign) Recent(n int) []Entry {
+func (s *Log) Recent(n int) []Entry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if n > len(s.ring) {
-		n = len(s.ring)
+	if n > len(s.entries) {
+		n = len(s.entries)
 	}
-	return append([]Entry(nil), s.ring[len(s.ring)-n:]...)
+	return append([]Entry(nil), s.entries[len(s.entries)-n:]...)
 }
--- a/internal/gatewayapi/gatewayapi.go
+++ b/internal/gatewayapi/gatewayapi.go
@@ -36,7 +36,7 @@
 }
 
 // Read converts a file of YAML documents, one object each, to a change set without ID and
-// base. An error is errcode.BadChange and names all problems by the paths of their fields.
+// base. An error is errcode.InvalidChange and names all problems by the paths of their fields.
 func Read(raw []byte) (*rpc.ChangeSet, error) {
 	c := &converter{services: map[string]bool{}}
 	for i, document := range bytes.Split(raw, []byte("\n---")) {
@@ -53,7 +53,7 @@
 		c.reject("objects", "there is none")
 	}
 	if len(c.problems) > 0 {
-		return nil, errcode.At(errcode.BadChange, c.problems)
+		return nil, errcode.NewPaths(errcode.InvalidChange, c.problems)
 	}
 	return &c.changeSet, nil
 }
--- a/internal/gatewayapi/gatewayapi_test.go
+++ b/internal/gatewayapi/gatewayapi_test.go
@@ -82,7 +82,7 @@
 	if err == nil {
 		t.Fatal("taken")
 	}
-	if diff := cmp.Diff(want, errcode.Of(err).Paths); diff != "" {
+	if diff := cmp.Diff(want, errcode.From(err).Paths); diff != "" {
 		t.Fatal(diff)
 	}
 }
--- a/internal/harness/fleet.go
+++ b/internal/harness/fleet.go
@@ -270,7 +270,7 @@
 				break
 			}
 			if ctx.Err() != nil {
-				return errcode.New(errcode.Unreached, "%s is not ready: %v", m.Name, err)
+				return errcode.New(errcode.Unreachable, "%s is not ready: %v", m.Name, err)
 			}
 			select {
 			case <-ctx.Done():
--- a/internal/harness/run.go
+++ b/internal/harness/run.go
@@ -101,7 +101,7 @@
 func (r *Run) Go(ctx context.Context, binary, folder string, shape Shape, out io.Writer) error {
 	hurt, ok := Faults[r.Fault]
 	if !ok {
-		return errcode.New(errcode.BadCall, "no fault %q", r.Fault)
+		return errcode.New(errcode.InvalidCall, "no fault %q", r.Fault)
 	}
 	port, err := FreePort()
 	if err != nil {
@@ -112,7 +112,7 @@
 	r.f.IsDebugged = r.Profile != ""
 	r.f.isSmall, r.f.Other = r.IsSmall, r.Other
 	if r.Fault == "roll" && r.Other == "" {
-		return errcode.New(errcode.BadCall, "a roll needs another build (--other)")
+		return errcode.New(errcode.InvalidCall, "a roll needs another build (--other)")
 	}
 	if r.Eager >= 0 {
 		r.shape.Impatient = r.Eager
@@ -311,7 +311,7 @@
 	switch {
 	case err == nil:
 		rec.Revision, rec.Count = receipt.Stamp, receipt.Count.Or(0)
-	case rec.Op == "get" && rec.Code == errcode.NoKey.No:
+	case rec.Op == "get" && rec.Code == errcode.KeyNotFound.Number:
 	default:
 		rec.Outcome = "unknown"
 	}
--- a/internal/harness/shape.go
+++ b/internal/harness/shape.go
@@ -53,7 +53,7 @@
 			names = append(names, name)
 		}
 		sort.Strings(names)
-		return s, errcode.New(errcode.BadCall, "no shape %q; there are %v", name, names)
+		return s, errcode.New(errcode.InvalidCall, "no shape %q; there are %v", name, names)
 	}
 	return s, nil
 }
--- a/internal/harness/upgrade.go
+++ b/internal/harness/upgrade.go
@@ -26,12 +26,12 @@
 // refusals are the events by which a node says that it can't read or doesn't believe
 // what another sent or wrote, or that copies of a shard differ.
 var refusals = map[int]bool{
-	eventlog.MessageRefused.No: true,
-	eventlog.StoreDamaged.No:   true,
-	eventlog.StoreFailed.No:    true,
-	eventlog.PartMended.No:     true,
-	eventlog.PartBroken.No:     true,
-	eventlog.GroupDamaged.No:   true,
+	eventlog.MessageRejected.Number:  true,
+	eventlog.StoreDamaged.Number:     true,
+	eventlog.StoreFailed.Number:      true,
+	eventlog.ReplicaRepaired.Number:  true,
+	eventlog.ReplicasDiverged.Number: true,
+	eventlog.GroupDamaged.Number:     true,
 }
 
 // Upgrade runs a fleet of the build at from under load and replaces its nodes, core
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -27,11 +27,11 @@
 	settings := env.Config
 	return protocolConfig{
 		zone:             settings.Zone,
-		bindAddress:      settings.WireAddress,
-		advertiseAddress: settings.WireAdvertise,
-		probeInterval:    settings.KinProbe,
-		probeTimeout:     settings.KinReply,
-		suspicionTimeout: settings.KinSuspect,
+		bindAddress:      settings.PeerAddress,
+		advertiseAddress: settings.PeerAdvertise,
+		probeInterval:    settings.MembershipProbeInterval,
+		probeTimeout:     settings.MembershipProbeTimeout,
+		suspicionTimeout: settings.MembershipSuspicionTimeout,
 	}
 }
 
--- a/internal/membership/packet.go
+++ b/internal/membership/packet.go
@@ -59,7 +59,7 @@
 		}
 		var packet rpc.Probe
 		if err := json.Unmarshal(buffer[:n], &packet); err != nil {
-			m.env.Events.Say(eventlog.MessageRefused, "kind", packetKind, "from", from.String())
+			m.env.Events.Emit(eventlog.MessageRejected, "kind", packetKind, "from", from.String())
 			continue
 		}
 		m.handlePacket(from.String(), packet)
--- a/internal/membership/state.go
+++ b/internal/membership/state.go
@@ -187,13 +187,13 @@
 	name := string(update.Name)
 	switch {
 	case isKnown && known.ID != update.ID:
-		m.env.Events.Say(eventlog.MemberReborn, "member", name, "member_id", string(update.ID), "address", update.RPCAddress)
+		m.env.Events.Emit(eventlog.MemberIDChanged, "member", name, "member_id", string(update.ID), "address", update.RPCAddress)
 	case isKnown && known.State == update.State:
 	case update.State == StateAlive || !isKnown:
-		m.env.Events.Say(eventlog.MemberUp, "member", name, "address", update.RPCAddress, "zone", update.Zone)
+		m.env.Events.Emit(eventlog.MemberUp, "member", name, "address", update.RPCAddress, "zone", update.Zone)
 	case update.State == StateSuspect:
-		m.env.Events.Say(eventlog.MemberSuspect, "member", name)
+		m.env.Events.Emit(eventlog.MemberSuspect, "member", name)
 	default:
-		m.env.Events.Say(eventlog.MemberDown, "member", name, "state", update.State)
+		m.env.Events.Emit(eventlog.MemberDown, "member", name, "state", update.State)
 	}
 }
--- a/internal/metrics/gauge.go
+++ b/internal/metrics/gauge.go
@@ -16,70 +16,70 @@
 )
 
 const (
-	unit    = 10 * time.Microsecond
-	longest = time.Minute
-	fine    = 2 // digits of a histogram of the whole node
-	coarse  = 1 // digits of one of a service
+	resolution    = 10 * time.Microsecond
+	longest       = time.Minute
+	nodeDigits    = 2 // digits of a histogram of the whole node
+	serviceDigits = 1 // digits of one of a service
 )
 
 // Bounds are the upper bounds, in seconds, under which times are shown as counts.
 var Bounds = []float64{0.0001, 0.00025, 0.0005, 0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 5, 10}
 
-// Time is one histogram; its zero value is ready.
-type Time struct {
+// Histogram is one histogram; its zero value is ready.
+type Histogram struct {
 	mu     sync.Mutex
 	counts *hdrhistogram.Histogram
-	whole  time.Duration
+	total  time.Duration
 }
 
-// Take counts one time; one outside the range counts as the nearest within.
-func (t *Time) Take(d time.Duration) { t.take(d, fine) }
+// Observe counts one time; one outside the range counts as the nearest within.
+func (t *Histogram) Observe(d time.Duration) { t.observe(d, nodeDigits) }
 
-func (t *Time) take(d time.Duration, digits int) {
+func (t *Histogram) observe(d time.Duration, digits int) {
 	d = min(max(d, 0), longest)
 	t.mu.Lock()
 	if t.counts == nil {
-		t.counts = hdrhistogram.New(1, int64(longest/unit), digits)
+		t.counts = hdrhistogram.New(1, int64(longest/resolution), digits)
 	}
-	t.counts.RecordValue(int64(d / unit))
-	t.whole += d
+	t.counts.RecordValue(int64(d / resolution))
+	t.total += d
 	t.mu.Unlock()
 }
 
-// Sum is what a histogram holds at one moment.
-type Sum struct {
+// Summary is what a histogram holds at one moment.
+type Summary struct {
 	Count             uint64
 	Seconds           float64
 	Median, P99, P999 time.Duration
-	Most              time.Duration
-	Under             map[float64]uint64 // times at or below each bound
+	Max               time.Duration
+	Buckets           map[float64]uint64 // times at or below each bound
 }
 
-// Sum folds the counts; without any time it is zero.
-func (t *Time) Sum() Sum {
+// Summary folds the counts; without any time it is zero.
+func (t *Histogram) Summary() Summary {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s := Sum{Under: make(map[float64]uint64, len(Bounds))}
+	s := Summary{Buckets: make(map[float64]uint64, len(Bounds))}
 	if t.counts == nil {
 		return s
 	}
-	s.Count, s.Seconds = uint64(t.counts.TotalCount()), t.whole.Seconds()
+	s.Count, s.Seconds = uint64(t.counts.TotalCount()), t.total.Seconds()
 	at := t.counts.ValueAtQuantile
-	s.Median, s.P99, s.P999 = time.Duration(at(50))*unit, time.Duration(at(99))*unit, time.Duration(at(99.9))*unit
-	s.Most = time.Duration(t.counts.Max()) * unit
+	s.Median, s.P99, s.P999 = time.Duration(at(50))*resolution, time.Duration(at(99))*resolution, time.Duration(at(99.9))*resolution
+	s.Max = time.Duration(t.counts.Max()) * resolution
 	next, below := 0, uint64(0)
 	for _, bar := range t.counts.Distribution() {
 		if bar.Count == 0 {
 			continue
 		}
-		for next < len(Bounds) && (time.Duration(bar.To)*unit).Seconds() > Bounds[next] {
-			s.Under[Bounds[next]] = below
+		for next < len(Bounds) && (time.Duration(bar.To)*resolution).Seconds() > Bounds[next] {
+			s.Buckets[Bounds[next]] = below
 			next++
 		}
 		below += uint64(bar.Count)
 	}
 	for ; next < len(Bounds); next++ {
-		s.Under[Bounds[next]] = below
+		s.Buckets[Bounds[next]] = below
 	}
 	return s
 }
@@ -88,77 +88,79 @@
 type Outcome int
 
 const (
-	Ran Outcome = iota
-	NotRun
-	Unknown
+	OutcomeRan Outcome = iota
+	OutcomeNotRun
+	OutcomeUnknown
 	outcomes
 )
 
 func (o Outcome) String() string { return [...]string{"ran", "not run", "unknown"}[o] }
 
-// OutcomeOf is the outcome by its word; what says nothing did not run.
-func OutcomeOf(word string) Outcome {
+// ParseOutcome is the outcome by its word; what says nothing did not run.
+func ParseOutcome(word string) Outcome {
 	switch word {
 	case "ran":
-		return Ran
+		return OutcomeRan
 	case "unknown":
-		return Unknown
+		return OutcomeUnknown
 	}
-	return NotRun
+	return OutcomeNotRun
 }
 
-// Service is the whole times of one service's requests, by outcome.
-type Service struct{ by [outcomes]Time }
+// ServiceLatency is the whole times of one service's requests, by outcome.
+type ServiceLatency struct{ byOutcome [outcomes]Histogram }
 
-func (s *Service) Take(o Outcome, d time.Duration) { s.by[o].take(d, coarse) }
+func (s *ServiceLatency) Observe(o Outcome, d time.Duration) {
+	s.byOutcome[o].observe(d, serviceDigits)
+}
 
-// Times is all histograms of one node.
-type Times struct {
-	Added Time // by the gate: the whole time less the targets'
-	Call  Time // of a coordination call
-	Sync  Time // of a sync of the disk
-	Epoch Time // the age of an epoch when it came into use
+// Latencies is all histograms of one node.
+type Latencies struct {
+	ProxyOverhead    Histogram // by the gate: the whole time less the targets'
+	CoordinationCall Histogram // of a coordination call
+	StoreSync        Histogram // of a sync of the disk
+	EpochAge         Histogram // the age of an epoch when it came into use
 
-	Services int // so many services are told apart; the rest share one
+	MaxServices int // so many services are told apart; the rest share one
 
 	services sync.Map
-	rest     Service
-	size     atomic.Int64
+	other    ServiceLatency
+	count    atomic.Int64
 }
 
 // Service is the place of a service's times, to be kept by who takes many.
-func (t *Times) Service(name string) *Service {
+func (t *Latencies) Service(name string) *ServiceLatency {
 	if found, ok := t.services.Load(name); ok {
-		return found.(*Service)
+		return found.(*ServiceLatency)
 	}
-	if name == "" || t.size.Load() >= int64(t.Services) {
-		return &t.rest
+	if name == "" || t.count.Load() >= int64(t.MaxServices) {
+		return &t.other
 	}
-	found, isOld := t.services.LoadOrStore(name, &Service{})
+	found, isOld := t.services.LoadOrStore(name, &ServiceLatency{})
 	if !isOld {
-		t.size.Add(1)
+		t.count.Add(1)
 	}
-	return found.(*Service)
+	return found.(*ServiceLatency)
 }
 
 // Each visits every histogram that holds a time, by metric, service and outcome.
-func (t *Times) Each(visit func(m Metric, labels []string, s Sum)) {
-	one := func(m Metric, from *Time, labels ...string) {
-		if s := from.Sum(); s.Count > 0 {
+func (t *Latencies) Each(visit func(m Metric, labels []string, s Summary)) {
+	one := func(m Metric, from *Histogram, labels ...string) {
+		if s := from.Summary(); s.Count > 0 {
 			visit(m, labels, s)
 		}
 	}
-	one(GateAdded, &t.Added)
-	one(BondCall, &t.Call)
-	one(StoreSync, &t.Sync)
-	one(EpochAge, &t.Epoch)
-	all := func(name string, s *Service) {
-		for o := Ran; o < outcomes; o++ {
-			one(GateRequest, &s.by[o], name, o.String())
+	one(ProxyOverhead, &t.ProxyOverhead)
+	one(CoordinationCallDuration, &t.CoordinationCall)
+	one(StoreSyncDuration, &t.StoreSync)
+	one(EpochAgeAtUse, &t.EpochAge)
+	all := func(name string, s *ServiceLatency) {
+		for o := OutcomeRan; o < outcomes; o++ {
+			one(ProxyRequestDuration, &s.byOutcome[o], name, o.String())
 		}
 	}
-	t.services.Range(func(name, s any) bool { all(name.(string), s.(*Service)); return true })
-	all("", &t.rest)
+	t.services.Range(func(name, s any) bool { all(name.(string), s.(*ServiceLatency)); return true })
+	all("", &t.other)
 }
 
 // Metric is one line of the table in schema/metrics.yaml.
