--- a/internal/metrics/metrics_gen.go
+++ b/internal/metrics/metrics_gen.go
@@ -3,84 +3,84 @@
 package metrics
 
 var (
-	Node           = Metric{Name: "sumac_node_info", Kind: "gauge", Help: "Always 1; what the node is.", Labels: []string{"name", "zone", "core", "gate"}}
-	Ready          = Metric{Name: "sumac_node_ready", Kind: "gauge", Help: "1 while the node can do its work.", Labels: []string(nil)}
-	Events         = Metric{Name: "sumac_events_total", Kind: "counter", Help: "Events logged, by number.", Labels: []string{"event", "name"}}
-	Members        = Metric{Name: "sumac_members", Kind: "gauge", Help: "Members as this node sees them.", Labels: []string{"state", "role"}}
-	WireMessages   = Metric{Name: "sumac_wire_messages_total", Kind: "counter", Help: "Messages sent to other processes, by kind, to the own zone or another.", Labels: []string{"kind", "zone"}}
-	WireBytes      = Metric{Name: "sumac_wire_sent_bytes_total", Kind: "counter", Help: "Bytes sent to other processes, by kind, to the own zone or another.", Labels: []string{"kind", "zone"}}
-	GateAnswers    = Metric{Name: "sumac_gate_requests_total", Kind: "counter", Help: "Requests answered, by what is known of the order: ran, not run or unknown.", Labels: []string{"outcome"}}
-	GateRefusals   = Metric{Name: "sumac_gate_refusals_total", Kind: "counter", Help: "Requests answered with a numbered code.", Labels: []string{"code", "name"}}
-	GateInflight   = Metric{Name: "sumac_gate_requests_inflight", Kind: "gauge", Help: "Requests under way.", Labels: []string(nil)}
-	GateTries      = Metric{Name: "sumac_gate_tries_answered_total", Kind: "counter", Help: "Tries that a target answered with a right seal, be it that it did not run the request.", Labels: []string{"zone"}}
-	GateTryBytes   = Metric{Name: "sumac_gate_try_bytes_total", Kind: "counter", Help: "Bytes of these tries, both ways, without the answer's head.", Labels: []string{"zone"}}
-	GateFailed     = Metric{Name: "sumac_gate_tries_failed_total", Kind: "counter", Help: "Tries that did not end in an answer that ran; those with a target's word that it did not run the request are answered ones too.", Labels: []string(nil)}
-	GateAdded      = Metric{Name: "sumac_gate_added_seconds", Kind: "histogram", Help: "Time that the gate adds to a request that ran: the whole time less the targets'.", Labels: []string(nil)}
-	GateRequest    = Metric{Name: "sumac_gate_request_seconds", Kind: "histogram", Help: "Whole time of a request; without a service if none was found.", Labels: []string{"service", "outcome"}}
-	GatePosts      = Metric{Name: "sumac_gate_targets", Kind: "gauge", Help: "Targets of the epoch in use: in, out on this gate's own evidence, or barred because another instance has the address.", Labels: []string{"service", "state"}}
-	GatePipes      = Metric{Name: "sumac_gate_idle_connections", Kind: "gauge", Help: "Idle connections to targets.", Labels: []string(nil)}
-	BudgetTries    = Metric{Name: "sumac_gate_budget_tries", Kind: "gauge", Help: "Further tries that the service's budget held here when it was last looked at.", Labels: []string{"service"}}
-	BudgetDebt     = Metric{Name: "sumac_gate_budget_debt", Kind: "gauge", Help: "Lost orders that the service's budget has still to pay for.", Labels: []string{"service"}}
-	EpochUsed      = Metric{Name: "sumac_epoch_used", Kind: "gauge", Help: "The epoch in use at this gate.", Labels: []string(nil)}
-	EpochHeard     = Metric{Name: "sumac_epoch_heard", Kind: "gauge", Help: "The newest epoch this gate heard of.", Labels: []string(nil)}
-	EpochConfirmed = Metric{Name: "sumac_epoch_confirmation_age_seconds", Kind: "gauge", Help: "Time since that epoch was known to be in force.", Labels: []string(nil)}
-	EpochAge       = Metric{Name: "sumac_epoch_age_at_use_seconds", Kind: "histogram", Help: "Age of an epoch when this gate took it into use, counted from when the core node that told of it had it.", Labels: []string(nil)}
-	EpochFolded    = Metric{Name: "sumac_epoch_folded", Kind: "gauge", Help: "The newest epoch that this core node holds.", Labels: []string(nil)}
-	PartsOwned     = Metric{Name: "sumac_parts_owned", Kind: "gauge", Help: "Replicated parts that this node owns and serves.", Labels: []string(nil)}
-	PartTerm       = Metric{Name: "sumac_part_term", Kind: "gauge", Help: "The term promised, by part.", Labels: []string{"part"}}
-	PartCommit     = Metric{Name: "sumac_part_commit_index", Kind: "gauge", Help: "The index up to which the part is committed; a member without the part shows none.", Labels: []string{"part"}}
-	PartLast       = Metric{Name: "sumac_part_last_index", Kind: "gauge", Help: "The last index of the part's log here.", Labels: []string{"part"}}
-	PartServing    = Metric{Name: "sumac_part_serving", Kind: "gauge", Help: "1 if this node owns the part and serves it.", Labels: []string{"part"}}
-	PartAge        = Metric{Name: "sumac_part_confirmation_age_seconds", Kind: "gauge", Help: "Time since a majority confirmed this node's term, for parts that it owns.", Labels: []string{"part"}}
-	BondCall       = Metric{Name: "sumac_bond_call_seconds", Kind: "histogram", Help: "Time of a coordination call that came to this node, watches apart.", Labels: []string(nil)}
-	StoreSyncs     = Metric{Name: "sumac_store_syncs_total", Kind: "counter", Help: "Batches written and synced to the disk.", Labels: []string(nil)}
-	StoreSync      = Metric{Name: "sumac_store_sync_seconds", Kind: "histogram", Help: "Time of one batch's write and sync.", Labels: []string(nil)}
-	StoreStalled   = Metric{Name: "sumac_store_stalled_seconds", Kind: "gauge", Help: "For how long the write under way has waited on the disk.", Labels: []string(nil)}
-	Beats          = Metric{Name: "sumac_beats_total", Kind: "counter", Help: "Beats of targets that came to this node.", Labels: []string(nil)}
-	Targets        = Metric{Name: "sumac_targets", Kind: "gauge", Help: "Targets heard by this node as the owner of their part: in or out, and their own word.", Labels: []string{"service", "state", "word"}}
-	PlannerParts   = Metric{Name: "sumac_planner_parts_heard", Kind: "gauge", Help: "Parts of whose targets the planner has news.", Labels: []string(nil)}
-	PlannerOldest  = Metric{Name: "sumac_planner_news_age_seconds", Kind: "gauge", Help: "Age of the oldest of that news.", Labels: []string(nil)}
-	PlannerClashes = Metric{Name: "sumac_planner_address_clashes", Kind: "gauge", Help: "Pairs of targets that claimed one address since the start.", Labels: []string(nil)}
+	NodeInfo                 = Metric{Name: "sumac_node_info", Kind: "gauge", Help: "Always 1; what the node is.", Labels: []string{"name", "zone", "core", "gate"}}
+	NodeReady                = Metric{Name: "sumac_node_ready", Kind: "gauge", Help: "1 while the node can do its work.", Labels: []string(nil)}
+	EventsLogged             = Metric{Name: "sumac_events_total", Kind: "counter", Help: "Events logged, by number.", Labels: []string{"event", "name"}}
+	Members                  = Metric{Name: "sumac_members", Kind: "gauge", Help: "Members as this node sees them.", Labels: []string{"state", "role"}}
+	RPCMessages              = Metric{Name: "sumac_wire_messages_total", Kind: "counter", Help: "Messages sent to other processes, by kind, to the own zone or another.", Labels: []string{"kind", "zone"}}
+	RPCBytes                 = Metric{Name: "sumac_wire_sent_bytes_total", Kind: "counter", Help: "Bytes sent to other processes, by kind, to the own zone or another.", Labels: []string{"kind", "zone"}}
+	ProxyResponses           = Metric{Name: "sumac_gate_requests_total", Kind: "counter", Help: "Requests answered, by what is known of the order: ran, not run or unknown.", Labels: []string{"outcome"}}
+	ProxyRejections          = Metric{Name: "sumac_gate_refusals_total", Kind: "counter", Help: "Requests answered with a numbered code.", Labels: []string{"code", "name"}}
+	ProxyInflight            = Metric{Name: "sumac_gate_requests_inflight", Kind: "gauge", Help: "Requests under way.", Labels: []string(nil)}
+	ProxyAttempts            = Metric{Name: "sumac_gate_tries_answered_total", Kind: "counter", Help: "Tries that a target answered with a right seal, be it that it did not run the request.", Labels: []string{"zone"}}
+	ProxyAttemptBytes        = Metric{Name: "sumac_gate_try_bytes_total", Kind: "counter", Help: "Bytes of these tries, both ways, without the answer's head.", Labels: []string{"zone"}}
+	ProxyFailedAttempts      = Metric{Name: "sumac_gate_tries_failed_total", Kind: "counter", Help: "Tries that did not end in an answer that ran; those with a target's word that it did not run the request are answered ones too.", Labels: []string(nil)}
+	ProxyOverhead            = Metric{Name: "sumac_gate_added_seconds", Kind: "histogram", Help: "Time that the gate adds to a request that ran: the whole time less the targets'.", Labels: []string(nil)}
+	ProxyRequestDuration     = Metric{Name: "sumac_gate_request_seconds", Kind: "histogram", Help: "Whole time of a request; without a service if none was found.", Labels: []string{"service", "outcome"}}
+	ProxyEndpoints           = Metric{Name: "sumac_gate_targets", Kind: "gauge", Help: "Targets of the epoch in use: in, out on this gate's own evidence, or barred because another instance has the address.", Labels: []string{"service", "state"}}
+	ProxyIdleConnections     = Metric{Name: "sumac_gate_idle_connections", Kind: "gauge", Help: "Idle connections to targets.", Labels: []string(nil)}
+	RetryBudget              = Metric{Name: "sumac_gate_budget_tries", Kind: "gauge", Help: "Further tries that the service's budget held here when it was last looked at.", Labels: []string{"service"}}
+	RetryBudgetDebt          = Metric{Name: "sumac_gate_budget_debt", Kind: "gauge", Help: "Lost orders that the service's budget has still to pay for.", Labels: []string{"service"}}
+	EpochUsed                = Metric{Name: "sumac_epoch_used", Kind: "gauge", Help: "The epoch in use at this gate.", Labels: []string(nil)}
+	EpochLatest              = Metric{Name: "sumac_epoch_heard", Kind: "gauge", Help: "The newest epoch this gate heard of.", Labels: []string(nil)}
+	EpochConfirmationAge     = Metric{Name: "sumac_epoch_confirmation_age_seconds", Kind: "gauge", Help: "Time since that epoch was known to be in force.", Labels: []string(nil)}
+	EpochAgeAtUse            = Metric{Name: "sumac_epoch_age_at_use_seconds", Kind: "histogram", Help: "Age of an epoch when this gate took it into use, counted from when the core node that told of it had it.", Labels: []string(nil)}
+	EpochCommitted           = Metric{Name: "sumac_epoch_folded", Kind: "gauge", Help: "The newest epoch that this core node holds.", Labels: []string(nil)}
+	ShardsLed                = Metric{Name: "sumac_parts_owned", Kind: "gauge", Help: "Replicated parts that this node owns and serves.", Labels: []string(nil)}
+	ShardTerm                = Metric{Name: "sumac_part_term", Kind: "gauge", Help: "The term promised, by part.", Labels: []string{"part"}}
+	ShardCommitIndex         = Metric{Name: "sumac_part_commit_index", Kind: "gauge", Help: "The index up to which the part is committed; a member without the part shows none.", Labels: []string{"part"}}
+	ShardLastIndex           = Metric{Name: "sumac_part_last_index", Kind: "gauge", Help: "The last index of the part's log here.", Labels: []string{"part"}}
+	ShardServing             = Metric{Name: "sumac_part_serving", Kind: "gauge", Help: "1 if this node owns the part and serves it.", Labels: []string{"part"}}
+	ShardConfirmationAge     = Metric{Name: "sumac_part_confirmation_age_seconds", Kind: "gauge", Help: "Time since a majority confirmed this node's term, for parts that it owns.", Labels: []string{"part"}}
+	CoordinationCallDuration = Metric{Name: "sumac_bond_call_seconds", Kind: "histogram", Help: "Time of a coordination call that came to this node, watches apart.", Labels: []string(nil)}
+	StoreSyncs               = Metric{Name: "sumac_store_syncs_total", Kind: "counter", Help: "Batches written and synced to the disk.", Labels: []string(nil)}
+	StoreSyncDuration        = Metric{Name: "sumac_store_sync_seconds", Kind: "histogram", Help: "Time of one batch's write and sync.", Labels: []string(nil)}
+	StoreStalled             = Metric{Name: "sumac_store_stalled_seconds", Kind: "gauge", Help: "For how long the write under way has waited on the disk.", Labels: []string(nil)}
+	Heartbeats               = Metric{Name: "sumac_beats_total", Kind: "counter", Help: "Beats of targets that came to this node.", Labels: []string(nil)}
+	Targets                  = Metric{Name: "sumac_targets", Kind: "gauge", Help: "Targets heard by this node as the owner of their part: in or out, and their own word.", Labels: []string{"service", "state", "word"}}
+	PlannerShards            = Metric{Name: "sumac_planner_parts_heard", Kind: "gauge", Help: "Parts of whose targets the planner has news.", Labels: []string(nil)}
+	PlannerOldestReport      = Metric{Name: "sumac_planner_news_age_seconds", Kind: "gauge", Help: "Age of the oldest of that news.", Labels: []string(nil)}
+	PlannerAddressConflicts  = Metric{Name: "sumac_planner_address_clashes", Kind: "gauge", Help: "Pairs of targets that claimed one address since the start.", Labels: []string(nil)}
 )
 
 // Metrics is the whole table.
 var Metrics = []Metric{
-	Node,
-	Ready,
-	Events,
+	NodeInfo,
+	NodeReady,
+	EventsLogged,
 	Members,
-	WireMessages,
-	WireBytes,
-	GateAnswers,
-	GateRefusals,
-	GateInflight,
-	GateTries,
-	GateTryBytes,
-	GateFailed,
-	GateAdded,
-	GateRequest,
-	GatePosts,
-	GatePipes,
-	BudgetTries,
-	BudgetDebt,
+	RPCMessages,
+	RPCBytes,
+	ProxyResponses,
+	ProxyRejections,
+	ProxyInflight,
+	ProxyAttempts,
+	ProxyAttemptBytes,
+	ProxyFailedAttempts,
+	ProxyOverhead,
+	ProxyRequestDuration,
+	ProxyEndpoints,
+	ProxyIdleConnections,
+	RetryBudget,
+	RetryBudgetDebt,
 	EpochUsed,
-	EpochHeard,
-	EpochConfirmed,
-	EpochAge,
-	EpochFolded,
-	PartsOwned,
-	PartTerm,
-	PartCommit,
-	PartLast,
-	PartServing,
-	PartAge,
-	BondCall,
+	EpochLatest,
+	EpochConfirmationAge,
+	EpochAgeAtUse,
+	EpochCommitted,
+	ShardsLed,
+	ShardTerm,
+	ShardCommitIndex,
+	ShardLastIndex,
+	ShardServing,
+	ShardConfirmationAge,
+	CoordinationCallDuration,
 	StoreSyncs,
-	StoreSync,
+	StoreSyncDuration,
 	StoreStalled,
-	Beats,
+	Heartbeats,
 	Targets,
-	PlannerParts,
-	PlannerOldest,
-	PlannerClashes,
+	PlannerShards,
+	PlannerOldestReport,
+	PlannerAddressConflicts,
 }
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -20,12 +20,14 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// called notes how long a coordination call took.
-func (n *Node) called(began time.Time) { n.R.Latencies.Call.Take(time.Since(began)) }
+// observeCall notes how long a coordination call took.
+func (n *Node) observeCall(began time.Time) {
+	n.Env.Latencies.CoordinationCall.Observe(time.Since(began))
+}
 
 // withMetrics puts /metrics before the API, if the settings say so.
 func (n *Node) withMetrics(api http.Handler) http.Handler {
-	if !n.R.Config.MetricsServe {
+	if !n.Env.Config.MetricsServe {
 		return api
 	}
 	registry := prometheus.NewRegistry()
@@ -60,30 +62,30 @@
 	}
 }
 
-// sheet is one collection under way.
-type sheet struct {
+// collection is one collection under way.
+type collection struct {
 	*Collector
 	out chan<- prometheus.Metric
 }
 
-func (s sheet) add(m metrics.Metric, value float64, labels ...string) {
+func (s collection) add(m metrics.Metric, value float64, labels ...string) {
 	kind := prometheus.GaugeValue
 	if m.Kind == "counter" {
 		kind = prometheus.CounterValue
 	}
 	one, err := prometheus.NewConstMetric(s.descs[m.Name], kind, value, labels...)
-	s.pass(m, one, err)
+	s.send(m, one, err)
 }
 
-// pass hands a metric on; one that can't be made is an error of the scrape alone.
-func (s sheet) pass(m metrics.Metric, one prometheus.Metric, err error) {
+// send hands a metric on; one that can't be made is an error of the scrape alone.
+func (s collection) send(m metrics.Metric, one prometheus.Metric, err error) {
 	if err != nil {
 		one = prometheus.NewInvalidMetric(s.descs[m.Name], err)
 	}
 	s.out <- one
 }
 
-func truth(is bool) float64 {
+func boolValue(is bool) float64 {
 	if is {
 		return 1
 	}
@@ -91,33 +93,33 @@
 }
 
 func (c *Collector) Collect(out chan<- prometheus.Metric) {
-	s, n := sheet{c, out}, c.n
-	s.add(metrics.Node, 1, string(n.R.Name), n.R.Config.Zone, strconv.FormatBool(n.Consensus != nil), strconv.FormatBool(n.Gate != nil))
-	s.add(metrics.Ready, truth(n.Ready() == nil))
-	s.add(metrics.Beats, float64(n.beats.Load()))
-	counts := n.R.Events.Counts()
+	s, n := collection{c, out}, c.n
+	s.add(metrics.NodeInfo, 1, string(n.Env.Name), n.Env.Config.Zone, strconv.FormatBool(n.Consensus != nil), strconv.FormatBool(n.Proxy != nil))
+	s.add(metrics.NodeReady, boolValue(n.Ready() == nil))
+	s.add(metrics.Heartbeats, float64(n.heartbeats.Load()))
+	counts := n.Env.Events.Counts()
 	for _, e := range eventlog.Events {
 		if counts[e.Name] > 0 {
-			s.add(metrics.Events, float64(counts[e.Name]), strconv.Itoa(e.No), e.Name)
+			s.add(metrics.EventsLogged, float64(counts[e.Name]), strconv.Itoa(e.Number), e.Name)
 		}
 	}
 	members := map[[2]string]int{}
-	for _, m := range n.Kin.View() {
+	for _, m := range n.Members.View() {
 		members[[2]string{m.State, roleOf(m.Core, m.ProxyAddress)}]++
 	}
 	for at, count := range members {
 		s.add(metrics.Members, float64(count), at[0], at[1])
 	}
 	s.traffic()
-	if n.Gate != nil {
-		s.gate()
+	if n.Proxy != nil {
+		s.proxy()
 	}
 	if n.Consensus != nil {
 		s.core()
 	}
-	n.R.Latencies.Each(func(m metrics.Metric, labels []string, sum metrics.Sum) {
-		one, err := prometheus.NewConstHistogram(c.descs[m.Name], sum.Count, sum.Seconds, sum.Under, labels...)
-		s.pass(m, one, err)
+	n.Env.Latencies.Each(func(m metrics.Metric, labels []string, sum metrics.Summary) {
+		one, err := prometheus.NewConstHistogram(c.descs[m.Name], sum.Count, sum.Seconds, sum.Buckets, labels...)
+		s.send(m, one, err)
 	})
 }
 
@@ -132,61 +134,61 @@
 	return "proxy"
 }
 
-const triesKind = "gate.try"
+const attemptKind = "gate.try"
 
-func (s sheet) traffic() {
-	for kind, sent := range s.n.Wire.Traffic() {
+func (s collection) traffic() {
+	for kind, sent := range s.n.RPC.Traffic() {
 		kind, isFar := strings.CutSuffix(kind, rpc.OtherZoneSuffix)
 		zone := "own"
 		if isFar {
 			zone = "other"
 		}
-		if kind == triesKind {
-			s.add(metrics.GateTries, float64(sent.Messages), zone)
-			s.add(metrics.GateTryBytes, float64(sent.Bytes), zone)
+		if kind == attemptKind {
+			s.add(metrics.ProxyAttempts, float64(sent.Messages), zone)
+			s.add(metrics.ProxyAttemptBytes, float64(sent.Bytes), zone)
 			continue
 		}
-		s.add(metrics.WireMessages, float64(sent.Messages), kind, zone)
-		s.add(metrics.WireBytes, float64(sent.Bytes), kind, zone)
+		s.add(metrics.RPCMessages, float64(sent.Messages), kind, zone)
+		s.add(metrics.RPCBytes, float64(sent.Bytes), kind, zone)
 	}
 }
 
-func (s sheet) gate() {
-	g := s.n.Gate
-	s.add(metrics.GateInflight, float64(g.InFlight()))
-	s.add(metrics.GatePipes, float64(g.IdleConnections()))
-	s.add(metrics.GateFailed, float64(s.n.R.Events.Counts()[eventlog.TryFailed.Name]))
-	answers := map[metrics.Outcome]int64{metrics.Ran: 0, metrics.NotRun: 0, metrics.Unknown: 0}
+func (s collection) proxy() {
+	g := s.n.Proxy
+	s.add(metrics.ProxyInflight, float64(g.InFlight()))
+	s.add(metrics.ProxyIdleConnections, float64(g.IdleConnections()))
+	s.add(metrics.ProxyFailedAttempts, float64(s.n.Env.Events.Counts()[eventlog.AttemptFailed.Name]))
+	answers := map[metrics.Outcome]int64{metrics.OutcomeRan: 0, metrics.OutcomeNotRun: 0, metrics.OutcomeUnknown: 0}
 	g.VisitOutcomes(func(name string, count int64) {
 		code, isCode := s.codes[name]
 		if !isCode {
-			answers[metrics.Ran] += count
+			answers[metrics.OutcomeRan] += count
 			return
 		}
-		answers[metrics.OutcomeOf(code.Outcome)] += count
-		s.add(metrics.GateRefusals, float64(count), strconv.Itoa(code.No), code.Name)
+		answers[metrics.ParseOutcome(code.Outcome)] += count
+		s.add(metrics.ProxyRejections, float64(count), strconv.Itoa(code.Number), code.Name)
 	})
 	for outcome, count := range answers {
-		s.add(metrics.GateAnswers, float64(count), outcome.String())
+		s.add(metrics.ProxyResponses, float64(count), outcome.String())
 	}
 	for _, p := range g.EndpointCounts() {
-		s.add(metrics.GatePosts, float64(p.Available), p.Service, "in")
-		s.add(metrics.GatePosts, float64(p.Ejected), p.Service, "out")
-		s.add(metrics.GatePosts, float64(p.Barred), p.Service, "barred")
+		s.add(metrics.ProxyEndpoints, float64(p.Available), p.Service, "in")
+		s.add(metrics.ProxyEndpoints, float64(p.Ejected), p.Service, "out")
+		s.add(metrics.ProxyEndpoints, float64(p.Barred), p.Service, "barred")
 	}
 	g.VisitRetryBudgets(func(service string, tries, debt float64) {
-		s.add(metrics.BudgetTries, tries, service)
-		s.add(metrics.BudgetDebt, debt, service)
+		s.add(metrics.RetryBudget, tries, service)
+		s.add(metrics.RetryBudgetDebt, debt, service)
 	})
-	epoch := s.n.Flow.Cache.Epoch()
+	epoch := s.n.Distribution.Cache.Epoch()
 	s.add(metrics.EpochUsed, float64(epoch))
-	if ages := s.n.Flow.LatestConfirmation(); ages.Epoch > 0 {
-		s.add(metrics.EpochHeard, float64(ages.Epoch))
-		s.add(metrics.EpochConfirmed, s.n.R.Since(ages.ConfigAsOf).Seconds())
+	if ages := s.n.Distribution.LatestConfirmation(); ages.Epoch > 0 {
+		s.add(metrics.EpochLatest, float64(ages.Epoch))
+		s.add(metrics.EpochConfirmationAge, s.n.Env.Since(ages.ConfigAsOf).Seconds())
 	}
 }
 
-func (s sheet) core() {
+func (s collection) core() {
 	n, owned := s.n, 0
 	for _, part := range n.Consensus.Replicas() {
 		o := part.Status()
@@ -194,28 +196,28 @@
 		if o.Shard == ids.ConfigShard {
 			no = "config"
 		}
-		s.add(metrics.PartTerm, float64(o.CurrentTerm.Number), no)
-		s.add(metrics.PartCommit, float64(o.CommitIndex), no)
-		s.add(metrics.PartLast, float64(o.LastIndex), no)
-		s.add(metrics.PartServing, truth(o.IsServing), no)
+		s.add(metrics.ShardTerm, float64(o.CurrentTerm.Number), no)
+		s.add(metrics.ShardCommitIndex, float64(o.CommitIndex), no)
+		s.add(metrics.ShardLastIndex, float64(o.LastIndex), no)
+		s.add(metrics.ShardServing, boolValue(o.IsServing), no)
 		if o.IsLeader {
-			s.add(metrics.PartAge, o.ConfirmationAge.Seconds(), no)
+			s.add(metrics.ShardConfirmationAge, o.ConfirmationAge.Seconds(), no)
 		}
 		if o.IsServing {
 			owned++
 		}
 	}
-	s.add(metrics.PartsOwned, float64(owned))
-	s.add(metrics.EpochFolded, float64(n.Ledger.Current().Epoch))
+	s.add(metrics.ShardsLed, float64(owned))
+	s.add(metrics.EpochCommitted, float64(n.Plan.Current().Epoch))
 	s.add(metrics.StoreSyncs, float64(n.Store.SyncCount()))
 	s.add(metrics.StoreStalled, n.Store.StallTime().Seconds())
-	for at, count := range n.Roll.TargetCounts() {
+	for at, count := range n.Targets.TargetCounts() {
 		s.add(metrics.Targets, float64(count), at.Service, at.State, at.Reported)
 	}
 	if n.Consensus.Replica(ids.ConfigShard).IsServing() {
 		v := n.Planner.Stats()
-		s.add(metrics.PlannerParts, float64(v.Shards))
-		s.add(metrics.PlannerOldest, v.OldestReport.Seconds())
-		s.add(metrics.PlannerClashes, float64(v.Conflicts))
+		s.add(metrics.PlannerShards, float64(v.Shards))
+		s.add(metrics.PlannerOldestReport, v.OldestReport.Seconds())
+		s.add(metrics.PlannerAddressConflicts, float64(v.Conflicts))
 	}
 }
--- a/internal/node/pass.go
+++ b/internal/node/pass.go
@@ -13,58 +13,58 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// op is one call that belongs to a part.
-type op struct {
+// operation is one call that belongs to a part.
+type operation struct {
 	part ids.Shard
 	name string
 	body any
 }
 
-// pass carries an op out here, if the part is owned here, or passes it on.
+// forward carries an op out here, if the part is owned here, or passes it on.
 // Until the deadline it looks for the owner again, as long as the op is known
 // not to have run.
-func (n *Node) pass(ctx context.Context, o op, hops int, into any) error {
+func (n *Node) forward(ctx context.Context, o operation, hops int, into any) error {
 	raw, err := json.Marshal(o.body)
 	if err != nil {
 		return errcode.New(errcode.Internal, "%v", err)
 	}
-	held, began := heldCall(o), n.R.Now()
+	held, began := longPollOf(o), n.Env.Now()
 	var problem error
 	for try := 0; ctx.Err() == nil; try++ {
 		if n.Consensus != nil && n.Consensus.HasLostQuorum(o.part) {
-			return errcode.New(errcode.NoOwner, "part %d: no word of a majority here; ask another node", o.part)
+			return errcode.New(errcode.NoLeader, "part %d: no word of a majority here; ask another node", o.part)
 		}
 		if held != nil && try > 0 {
 			rest := *held
-			rest.Wait = max(0, held.Wait-n.R.Since(began).Milliseconds())
+			rest.Wait = max(0, held.Wait-n.Env.Since(began).Milliseconds())
 			raw, _ = json.Marshal(&rest)
 		}
 		if n.Consensus != nil && n.Consensus.Replica(o.part).IsServing() {
-			got, err := n.do(ctx, o.part, o.name, raw)
+			got, err := n.execute(ctx, o.part, o.name, raw)
 			if err == nil {
-				return recast(got, into)
+				return convert(got, into)
 			}
 			problem = err
-		} else if address := n.ownerOf(o.part, try); address != "" {
+		} else if address := n.leaderAddress(o.part, try); address != "" {
 			var receipt rpc.ForwardResponse
 			limited, end := ctx, context.CancelFunc(func() {})
 			if held != nil {
-				limited, end = n.whileOwnedAt(ctx, o.part, address)
+				limited, end = n.whileLedAt(ctx, o.part, address)
 			}
-			err := n.Wire.Forward(limited, address, "seat.pass", hops+1, &rpc.ForwardRequest{Shard: o.part, Operation: o.name, Body: raw}, &receipt)
-			if err != nil && held != nil && (context.Cause(limited) == errMoved || errcode.Is(err, errcode.ReplyLost)) {
-				err = errcode.New(errcode.NoOwner, "part %d: %v", o.part, err)
+			err := n.RPC.Forward(limited, address, "seat.pass", hops+1, &rpc.ForwardRequest{Shard: o.part, Operation: o.name, Body: raw}, &receipt)
+			if err != nil && held != nil && (context.Cause(limited) == errLeaderMoved || errcode.Is(err, errcode.ReplyLost)) {
+				err = errcode.New(errcode.NoLeader, "part %d: %v", o.part, err)
 			}
 			end()
 			if err == nil {
-				n.owners[o.part].Store(&address)
+				n.leaders[o.part].Store(&address)
 				return json.Unmarshal(receipt.Body, into)
 			}
-			n.owners[o.part].Store(nil)
+			n.leaders[o.part].Store(nil)
 			problem = err
 		}
 		if problem == nil {
-			problem = errcode.New(errcode.NoOwner, "part %d", o.part)
+			problem = errcode.New(errcode.NoLeader, "part %d", o.part)
 		}
 		if hops > 0 || !isRetryable(problem) {
 			return problem
@@ -75,20 +75,20 @@
 		}
 	}
 	if problem == nil {
-		problem = errcode.New(errcode.NoOwner, "part %d", o.part)
+		problem = errcode.New(errcode.NoLeader, "part %d", o.part)
 	}
 	return problem
 }
 
-// errMoved ends the wait of a held call for a node that no longer owns the part.
-var errMoved = errors.New("part has another owner")
+// errLeaderMoved ends the wait of a held call for a node that no longer owns the part.
+var errLeaderMoved = errors.New("part has another owner")
 
-// movedLook is how often whoever passed a held call on looks who owns the part.
-const movedLook = 200 * time.Millisecond
+// leaderCheckInterval is how often whoever passed a held call on looks who owns the part.
+const leaderCheckInterval = 200 * time.Millisecond
 
-// heldCall is the call if it is held until something happens: it only reads, so that
+// longPollOf is the call if it is held until something happens: it only reads, so that
 // it may be asked for again at another owner.
-func heldCall(o op) *rpc.CoordinationRequest {
+func longPollOf(o operation) *rpc.CoordinationRequest {
 	if o.name != "bond" {
 		return nil
 	}
@@ -103,13 +103,13 @@
 	return call
 }
 
-// whileOwnedAt ends once the part is owned elsewhere: an owner that lost its power
+// whileLedAt ends once the part is owned elsewhere: an owner that lost its power
 // answers nothing, and a held call is silent for so long that silence says nothing.
-func (n *Node) whileOwnedAt(ctx context.Context, no ids.Shard, address string) (context.Context, context.CancelFunc) {
+func (n *Node) whileLedAt(ctx context.Context, no ids.Shard, address string) (context.Context, context.CancelFunc) {
 	limited, end := context.WithCancelCause(ctx)
 	if n.Consensus != nil {
-		n.R.Go(func() {
-			look := time.NewTicker(movedLook)
+		n.Env.Go(func() {
+			look := time.NewTicker(leaderCheckInterval)
 			defer look.Stop()
 			for {
 				select {
@@ -117,8 +117,8 @@
 					return
 				case <-look.C:
 				}
-				if n.isOwnedElsewhere(no, address) {
-					end(errMoved)
+				if n.isLedElsewhere(no, address) {
+					end(errLeaderMoved)
 					return
 				}
 			}
@@ -127,21 +127,21 @@
 	return limited, func() { end(nil) }
 }
 
-func (n *Node) isOwnedElsewhere(no ids.Shard, address string) bool {
+func (n *Node) isLedElsewhere(no ids.Shard, address string) bool {
 	name, ok := n.Consensus.Leader(no)
 	if !ok {
 		return false
 	}
-	if name == n.R.Name {
+	if name == n.Env.Name {
 		return n.Consensus.Replica(no).IsServing()
 	}
-	m, ok := n.Kin.Lookup(name)
+	m, ok := n.Members.Lookup(name)
 	return ok && m.RPCAddress != address
 }
 
 // isRetryable is true only for what certainly did not run.
 func isRetryable(err error) bool {
-	for _, code := range []errcode.Code{errcode.NotOwner, errcode.NoOwner, errcode.Unreached, errcode.TooManyHops, errcode.Stopping} {
+	for _, code := range []errcode.Code{errcode.NotLeader, errcode.NoLeader, errcode.Unreachable, errcode.TooManyHops, errcode.Stopping} {
 		if errcode.Is(err, code) {
 			return true
 		}
@@ -149,21 +149,21 @@
 	return false
 }
 
-// ownerOf is where to send an op: the known owner, or a core node in turn.
-func (n *Node) ownerOf(no ids.Shard, try int) string {
+// leaderAddress is where to send an op: the known owner, or a core node in turn.
+func (n *Node) leaderAddress(no ids.Shard, try int) string {
 	if n.Consensus != nil {
-		if name, ok := n.Consensus.Leader(no); ok && name != n.R.Name {
-			if m, ok := n.Kin.Lookup(name); ok {
+		if name, ok := n.Consensus.Leader(no); ok && name != n.Env.Name {
+			if m, ok := n.Members.Lookup(name); ok {
 				return m.RPCAddress
 			}
 		}
 	}
-	if known := n.owners[no].Load(); known != nil {
+	if known := n.leaders[no].Load(); known != nil {
 		return *known
 	}
 	var cores []rpc.Member
-	for _, m := range n.Kin.CoreMembers() {
-		if m.Name != n.R.Name {
+	for _, m := range n.Members.CoreMembers() {
+		if m.Name != n.Env.Name {
 			cores = append(cores, m)
 		}
 	}
@@ -173,29 +173,29 @@
 	return cores[try%len(cores)].RPCAddress
 }
 
-func (n *Node) passed(c *rpc.Request) (any, error) {
+func (n *Node) handleForward(c *rpc.Request) (any, error) {
 	var ask rpc.ForwardRequest
 	if err := c.Decode(&ask); err != nil {
 		return nil, err
 	}
 	if ask.Shard < 0 || ask.Shard > ids.ConfigShard {
-		return nil, errcode.New(errcode.BadMessage, "no part %d", ask.Shard)
+		return nil, errcode.New(errcode.InvalidMessage, "no part %d", ask.Shard)
 	}
 	if c.Hops > rpc.MaxHops {
 		return nil, errcode.New(errcode.TooManyHops, "%d", c.Hops)
 	}
 	var body json.RawMessage
-	if err := n.pass(c, op{ask.Shard, ask.Operation, ask.Body}, c.Hops, &body); err != nil {
+	if err := n.forward(c, operation{ask.Shard, ask.Operation, ask.Body}, c.Hops, &body); err != nil {
 		return nil, err
 	}
 	return &rpc.ForwardResponse{Body: body}, nil
 }
 
-// do carries an op out at the owner.
-func (n *Node) do(ctx context.Context, no ids.Shard, name string, raw json.RawMessage) (any, error) {
+// execute carries an op out at the owner.
+func (n *Node) execute(ctx context.Context, no ids.Shard, name string, raw json.RawMessage) (any, error) {
 	read := func(into any) error {
 		if err := json.Unmarshal(raw, into); err != nil {
-			return errcode.New(errcode.BadMessage, "%s: %v", name, err)
+			return errcode.New(errcode.InvalidMessage, "%s: %v", name, err)
 		}
 		return nil
 	}
@@ -205,7 +205,7 @@
 		if err := read(&beat); err != nil {
 			return nil, err
 		}
-		return struct{}{}, n.Roll.HandleHeartbeat(ctx, &beat)
+		return struct{}{}, n.Targets.HandleHeartbeat(ctx, &beat)
 	case "bond":
 		var call rpc.CoordinationRequest
 		if err := read(&call); err != nil {
@@ -232,8 +232,8 @@
 	return nil, errcode.New(errcode.UnknownKind, "%q", name)
 }
 
-// recast turns one shape of data into another that is written the same.
-func recast(from, into any) error {
+// convert turns one shape of data into another that is written the same.
+func convert(from, into any) error {
 	raw, err := json.Marshal(from)
 	if err == nil {
 		err = json.Unmarshal(raw, into)
--- a/internal/node/seat.go
+++ b/internal/node/seat.go
@@ -28,46 +28,46 @@
 	"github.com/sumactrestle/sumactrestle/internal/storage"
 )
 
-// apiMost is the largest body of a call, in bytes.
-const apiMost = 32 << 20
+// maxAPIBody is the largest body of a call, in bytes.
+const maxAPIBody = 32 << 20
 
 // Node is one running node.
 type Node struct {
-	R            *environment.Environment
-	Wire         *rpc.Transport
-	Kin          *membership.Memberlist
+	Env          *environment.Environment
+	RPC          *rpc.Transport
+	Members      *membership.Memberlist
 	Store        *storage.Store
 	Consensus    *consensus.Node
 	Stores       []*coordination.Store
 	Coordination *coordination.Service
-	Ledger       *controlplane.ConfigState
-	Roll         *controlplane.TargetRegistry
+	Plan         *controlplane.ConfigState
+	Targets      *controlplane.TargetRegistry
 	Planner      *controlplane.Planner
-	Flow         *distribution.Client
-	Gate         *proxy.Proxy
+	Distribution *distribution.Client
+	Proxy        *proxy.Proxy
 
-	mu      sync.Mutex
-	servers []*http.Server
-	owners  [ids.ShardCount + 1]atomic.Pointer[string]
-	isGoing atomic.Bool
+	mu       sync.Mutex
+	servers  []*http.Server
+	leaders  [ids.ShardCount + 1]atomic.Pointer[string]
+	stopping atomic.Bool
 
-	isStirring atomic.Bool
-	beats      atomic.Int64
+	notifyingPlanner atomic.Bool
+	heartbeats       atomic.Int64
 }
 
-// Face is a handler of a node's calls, at an address of its own.
-type Face struct {
+// Listener is a handler of a node's calls, at an address of its own.
+type Listener struct {
 	Address string
 	Handler func(*Node) http.Handler
 }
 
 // Start brings a node up, with faces beside its own API.
-func Start(r *environment.Environment, faces ...Face) (*Node, error) {
-	n := &Node{R: r, Wire: rpc.New(r)}
+func Start(r *environment.Environment, faces ...Listener) (*Node, error) {
+	n := &Node{Env: r, RPC: rpc.New(r)}
 	p := r.Config
-	me := rpc.Member{Name: r.Name, ID: ids.NewMemberID(), RPCAddress: p.WireAddress, APIAddress: p.APIAddress, ProxyAddress: p.GateAddress, Zone: p.Zone, Strength: p.Strength}
-	if p.WireAdvertise != "" {
-		me.RPCAddress = p.WireAdvertise
+	me := rpc.Member{Name: r.Name, ID: ids.NewMemberID(), RPCAddress: p.PeerAddress, APIAddress: p.APIAddress, ProxyAddress: p.ProxyAddress, Zone: p.Zone, Strength: p.Strength}
+	if p.PeerAdvertise != "" {
+		me.RPCAddress = p.PeerAdvertise
 	}
 	if p.APIAdvertise != "" {
 		me.APIAddress = p.APIAdvertise
@@ -80,39 +80,39 @@
 		if me.ID, err = consensus.LoadOrCreateMemberID(n.Store); err != nil {
 			return nil, err
 		}
-		me.Core, me.Founders = true, p.FoundCores
+		me.Core, me.Founders = true, p.BootstrapCores
 		if n.Store.ReplacesCorrupt() {
 			me.Founders = 0
 		}
 	}
-	n.Kin = membership.New(r, n.Wire, me)
-	n.Wire.IsSameZone = n.Kin.InOwnZone
+	n.Members = membership.New(r, n.RPC, me)
+	n.RPC.IsSameZone = n.Members.InOwnZone
 	if me.Core {
-		if err := n.openCore(); err != nil {
+		if err := n.startCore(); err != nil {
 			return nil, err
 		}
 	}
-	if p.GateAddress != "" {
-		n.Flow = distribution.NewClient(r, n.Wire, n.Kin)
-		n.Gate = proxy.New(proxy.Config{Environment: r, Configuration: n.Flow, RPC: n.Wire, Membership: n.Kin, Coordinate: func(ctx context.Context, call *rpc.CoordinationRequest) (*rpc.CoordinationResponse, error) {
+	if p.ProxyAddress != "" {
+		n.Distribution = distribution.NewClient(r, n.RPC, n.Members)
+		n.Proxy = proxy.New(proxy.Config{Environment: r, Configuration: n.Distribution, RPC: n.RPC, Membership: n.Members, Coordinate: func(ctx context.Context, call *rpc.CoordinationRequest) (*rpc.CoordinationResponse, error) {
 			var receipt rpc.CoordinationResponse
-			err := n.pass(ctx, op{ids.ShardOf(call.Name), "bond", call}, 0, &receipt)
+			err := n.forward(ctx, operation{ids.ShardOf(call.Name), "bond", call}, 0, &receipt)
 			return &receipt, err
 		}})
 	}
-	n.Wire.Handle("seat.pass", n.passed)
-	if err := n.Wire.Start(); err != nil {
+	n.RPC.Handle("seat.pass", n.handleForward)
+	if err := n.RPC.Start(); err != nil {
 		return nil, err
 	}
-	if err := n.Kin.Start(); err != nil {
-		return nil, errcode.New(errcode.BadProps, "wire.address: %v", err)
+	if err := n.Members.Start(); err != nil {
+		return nil, errcode.New(errcode.InvalidSettings, "wire.address: %v", err)
 	}
 	if me.Core {
 		n.Consensus.Start()
 		n.Coordination.Start()
 		n.Planner.Start()
 	}
-	if err := n.serveApi(); err != nil {
+	if err := n.serveAPI(); err != nil {
 		return nil, err
 	}
 	if p.DebugAddress != "" {
@@ -123,12 +123,12 @@
 			return nil, err
 		}
 	}
-	if n.Gate != nil {
+	if n.Proxy != nil {
 		planned := make(chan struct{})
 		tell := sync.OnceFunc(func() { close(planned) })
-		n.Flow.Cache.Subscribe(func(*distribution.Snapshot) { tell() })
-		n.Flow.Start()
-		if err := n.openGate(p.GateAddress, planned); err != nil {
+		n.Distribution.Cache.Subscribe(func(*distribution.Snapshot) { tell() })
+		n.Distribution.Start()
+		if err := n.startProxy(p.ProxyAddress, planned); err != nil {
 			return nil, err
 		}
 	}
@@ -137,90 +137,90 @@
 			return nil, err
 		}
 	}
-	r.Events.Say(eventlog.NodeStarted, "birth", string(me.ID), "core", me.Core, "gate", p.GateAddress)
+	r.Events.Emit(eventlog.NodeStarted, "birth", string(me.ID), "core", me.Core, "gate", p.ProxyAddress)
 	return n, nil
 }
 
-// openGate takes callers' connections: at once, or when there is a first plan.
-func (n *Node) openGate(address string, planned <-chan struct{}) error {
-	wait := n.R.Config.GateWait
+// startProxy takes callers' connections: at once, or when there is a first plan.
+func (n *Node) startProxy(address string, planned <-chan struct{}) error {
+	wait := n.Env.Config.ProxyStartupWait
 	if wait == 0 {
-		return n.serve(address, "gate.address", n.Gate)
+		return n.serve(address, "gate.address", n.Proxy)
 	}
-	n.R.Go(func() {
+	n.Env.Go(func() {
 		late := time.NewTimer(wait)
 		defer late.Stop()
 		select {
 		case <-planned:
 		case <-late.C:
-		case <-n.R.Done():
+		case <-n.Env.Done():
 			return
 		}
-		if n.isGoing.Load() {
+		if n.stopping.Load() {
 			return
 		}
-		if err := n.serve(address, "gate.address", n.Gate); err != nil {
-			n.R.Events.Say(eventlog.GateFailed, "cause", err.Error())
+		if err := n.serve(address, "gate.address", n.Proxy); err != nil {
+			n.Env.Events.Emit(eventlog.ProxyListenFailed, "cause", err.Error())
 		}
 	})
 	return nil
 }
 
-func (n *Node) openCore() error {
+func (n *Node) startCore() error {
 	var machines []consensus.StateMachine
 	for range ids.ShardCount {
 		book := coordination.NewStore()
 		n.Stores = append(n.Stores, book)
 		machines = append(machines, book)
 	}
-	n.Ledger = controlplane.NewConfigState()
-	n.Ledger.OnCommit = func(sheet *controlplane.EpochState, planned *rpc.EpochEntry) {
+	n.Plan = controlplane.NewConfigState()
+	n.Plan.OnCommit = func(sheet *controlplane.EpochState, planned *rpc.EpochEntry) {
 		change := ""
 		if planned.Change != nil {
 			change = planned.Change.ID
 		}
-		n.R.Events.Say(eventlog.EpochCommitted, "epoch", uint64(sheet.Epoch), "change", change, "groups", len(planned.Put)+len(planned.Remove))
+		n.Env.Events.Emit(eventlog.EpochCommitted, "epoch", uint64(sheet.Epoch), "change", change, "groups", len(planned.Put)+len(planned.Remove))
 	}
-	n.Ledger.OnDamage = func(err error) { n.R.Events.Say(eventlog.GroupDamaged, "cause", err.Error()) }
-	machines = append(machines, n.Ledger)
+	n.Plan.OnDamage = func(err error) { n.Env.Events.Emit(eventlog.GroupDamaged, "cause", err.Error()) }
+	machines = append(machines, n.Plan)
 	var err error
-	if n.Consensus, err = consensus.New(consensus.Config{Environment: n.R, Transport: n.Wire, Members: n.Kin, Store: n.Store, StateMachines: machines}); err != nil {
+	if n.Consensus, err = consensus.New(consensus.Config{Environment: n.Env, Transport: n.RPC, Members: n.Members, Store: n.Store, StateMachines: machines}); err != nil {
 		return err
 	}
-	n.Coordination = coordination.NewService(n.R, n.Consensus, n.Stores)
-	n.Roll = controlplane.NewTargetRegistry(controlplane.RegistryConfig{Env: n.R, Consensus: n.Consensus, Stores: n.Stores, State: n.Ledger, OnChange: n.stir})
-	n.Planner = controlplane.NewPlanner(controlplane.PlannerConfig{Env: n.R, Transport: n.Wire, Members: n.Kin, Consensus: n.Consensus, State: n.Ledger})
+	n.Coordination = coordination.NewService(n.Env, n.Consensus, n.Stores)
+	n.Targets = controlplane.NewTargetRegistry(controlplane.RegistryConfig{Env: n.Env, Consensus: n.Consensus, Stores: n.Stores, State: n.Plan, OnChange: n.notifyPlanner})
+	n.Planner = controlplane.NewPlanner(controlplane.PlannerConfig{Env: n.Env, Transport: n.RPC, Members: n.Members, Consensus: n.Consensus, State: n.Plan})
 	distribution.NewServer(distribution.ServerConfig{
-		Environment: n.R,
-		Transport:   n.Wire,
-		Members:     n.Kin,
+		Environment: n.Env,
+		Transport:   n.RPC,
+		Members:     n.Members,
 		Consensus:   n.Consensus,
-		State:       n.Ledger,
+		State:       n.Plan,
 		Planner:     n.Planner,
 	})
-	rpc.Handle(n.Wire, "plan.whose", func(_ context.Context, request *rpc.InstanceLookupRequest) (*rpc.InstanceLookupResponse, error) {
-		return &rpc.InstanceLookupResponse{Service: n.Roll.ServiceOf(request.Instance)}, nil
+	rpc.Handle(n.RPC, "plan.whose", func(_ context.Context, request *rpc.InstanceLookupRequest) (*rpc.InstanceLookupResponse, error) {
+		return &rpc.InstanceLookupResponse{Service: n.Targets.ServiceOf(request.Instance)}, nil
 	})
-	n.Wire.Handle("plan.stir", func(c *rpc.Request) (any, error) {
+	n.RPC.Handle("plan.notifyPlanner", func(c *rpc.Request) (any, error) {
 		n.Planner.Trigger()
 		return struct{}{}, nil
 	})
-	rpc.Handle(n.Wire, "plan.news", func(ctx context.Context, request *rpc.TargetReportRequest) (*rpc.TargetReportResponse, error) {
-		return n.Roll.Report(ctx, request), nil
+	rpc.Handle(n.RPC, "plan.news", func(ctx context.Context, request *rpc.TargetReportRequest) (*rpc.TargetReportResponse, error) {
+		return n.Targets.Report(ctx, request), nil
 	})
 	return nil
 }
 
 func (n *Node) serve(address, key string, handler http.Handler) error {
-	listener, err := n.R.Host.Listen(address)
+	listener, err := n.Env.Host.Listen(address)
 	if err != nil {
-		return errcode.New(errcode.BadProps, "%s: %v", key, err)
+		return errcode.New(errcode.InvalidSettings, "%s: %v", key, err)
 	}
-	server := &http.Server{Handler: handler, ReadHeaderTimeout: 10 * time.Second, IdleTimeout: 60 * time.Second, BaseContext: func(net.Listener) context.Context { return n.R }}
-	if key == "gate.address" && n.R.Config.GateWindow > 0 {
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: 10 * time.Second, IdleTimeout: 60 * time.Second, BaseContext: func(net.Listener) context.Context { return n.Env }}
+	if key == "gate.address" && n.Env.Config.ProxyReceiveBufferBytes > 0 {
 		server.ConnContext = func(ctx context.Context, conn net.Conn) context.Context {
 			if c, ok := conn.(interface{ SetReadBuffer(int) error }); ok {
-				c.SetReadBuffer(n.R.Config.GateWindow)
+				c.SetReadBuffer(n.Env.Config.ProxyReceiveBufferBytes)
 			}
 			return ctx
 		}
@@ -228,24 +228,24 @@
 	n.mu.Lock()
 	n.servers = append(n.servers, server)
 	n.mu.Unlock()
-	n.R.Go(func() {
-		if err := server.Serve(listener); err != nil && !errors.Is(err, http.ErrServerClosed) && !n.R.IsStopping() {
-			n.R.Events.Say(eventlog.MessageRefused, "cause", err.Error())
+	n.Env.Go(func() {
+		if err := server.Serve(listener); err != nil && !errors.Is(err, http.ErrServerClosed) && !n.Env.IsStopping() {
+			n.Env.Events.Emit(eventlog.MessageRejected, "cause", err.Error())
 		}
 	})
-	n.R.Go(func() {
-		<-n.R.Done()
+	n.Env.Go(func() {
+		<-n.Env.Done()
 		server.Close()
 	})
 	return nil
 }
 
-func (n *Node) serveApi() error {
-	server, err := api.NewServer(&desk{n}, api.WithErrorHandler(badCall), api.WithNotFound(notFound))
+func (n *Node) serveAPI() error {
+	server, err := api.NewServer(&apiHandler{n}, api.WithErrorHandler(writeInvalidCall), api.WithNotFound(writeNotFound))
 	if err != nil {
 		return errcode.New(errcode.Internal, "%v", err)
 	}
-	return n.serve(n.R.Config.APIAddress, "api.address", http.MaxBytesHandler(n.withMetrics(server), apiMost))
+	return n.serve(n.Env.Config.APIAddress, "api.address", http.MaxBytesHandler(n.withMetrics(server), maxAPIBody))
 }
 
 // Stop is the planned stop: this node says that it is not ready, and, if it is a
@@ -253,50 +253,50 @@
 // what was handed over is finished, owned parts are passed on, and the others are
 // told.
 func (n *Node) Stop() {
-	n.R.Events.Say(eventlog.NodeStopping)
-	n.isGoing.Store(true)
-	ctx, end := context.WithTimeout(n.R, n.R.Config.StopGrace)
+	n.Env.Events.Emit(eventlog.NodeStopping)
+	n.stopping.Store(true)
+	ctx, end := context.WithTimeout(n.Env, n.Env.Config.ShutdownGracePeriod)
 	defer end()
 	if n.Consensus != nil {
 		n.Consensus.TransferLeadership(ctx)
 	}
-	if n.Gate != nil {
-		n.Gate.Drain()
-		n.R.Sleep(n.R.Config.GateLinger)
-		n.Gate.Stop()
+	if n.Proxy != nil {
+		n.Proxy.Drain()
+		n.Env.Sleep(n.Env.Config.ProxyDrainDelay)
+		n.Proxy.Stop()
 	}
-	n.Kin.Leave()
+	n.Members.Leave()
 	var all sync.WaitGroup
 	n.mu.Lock()
 	servers := n.servers
 	n.mu.Unlock()
 	for _, server := range servers {
 		all.Add(1)
-		n.R.Go(func() { defer all.Done(); server.Shutdown(ctx) })
+		n.Env.Go(func() { defer all.Done(); server.Shutdown(ctx) })
 	}
 	all.Wait()
-	if n.Gate != nil {
-		n.Gate.Close()
+	if n.Proxy != nil {
+		n.Proxy.Close()
 	}
-	n.R.Events.Say(eventlog.NodeStopped)
-	n.R.Shutdown()
+	n.Env.Events.Emit(eventlog.NodeStopped)
+	n.Env.Shutdown()
 }
 
-// stir tells the owner of the configuration part that there is news of targets.
-func (n *Node) stir() {
+// notifyPlanner tells the owner of the configuration part that there is news of targets.
+func (n *Node) notifyPlanner() {
 	if n.Consensus.Replica(ids.ConfigShard).IsServing() {
 		n.Planner.Trigger()
 		return
 	}
-	if !n.isStirring.CompareAndSwap(false, true) {
+	if !n.notifyingPlanner.CompareAndSwap(false, true) {
 		return
 	}
-	n.R.Go(func() {
-		defer n.isStirring.Store(false)
-		if address := n.ownerOf(ids.ConfigShard, 0); address != "" {
-			ctx, end := context.WithTimeout(n.R, 500*time.Millisecond)
+	n.Env.Go(func() {
+		defer n.notifyingPlanner.Store(false)
+		if address := n.leaderAddress(ids.ConfigShard, 0); address != "" {
+			ctx, end := context.WithTimeout(n.Env, 500*time.Millisecond)
 			defer end()
-			n.Wire.Call(ctx, address, "plan.stir", struct{}{}, nil)
+			n.RPC.Call(ctx, address, "plan.notifyPlanner", struct{}{}, nil)
 		}
 	})
 }
--- a/internal/node/start.go
+++ b/internal/node/start.go
@@ -7,9 +7,9 @@
 	"github.com/sumactrestle/sumactrestle/internal/environment"
 )
 
-// StartUnless brings a node up as Start does, unless a signal tells it to stop before it
+// StartUntilSignal brings a node up as Start does, unless a signal tells it to stop before it
 // is up, for a start may wait for room on the disk: then the node is nil.
-func StartUnless(signals <-chan os.Signal, r *environment.Environment, faces ...Face) (*Node, error) {
+func StartUntilSignal(signals <-chan os.Signal, r *environment.Environment, faces ...Listener) (*Node, error) {
 	type result struct {
 		node *Node
 		err  error
--- a/internal/proxy/admit.go
+++ b/internal/proxy/admit.go
@@ -37,7 +37,7 @@
 	if plan.clientRetry && !p.withdrawRetry(plan) {
 		p.keyed.tracker.End(plan.keyHash, idempotency.Unheard)
 		release()
-		return nil, errcode.New(errcode.BudgetSpent, "%s: a repeat of a request", plan.service.Name)
+		return nil, errcode.New(errcode.BudgetExhausted, "%s: a repeat of a request", plan.service.Name)
 	}
 	return release, nil
 }
@@ -81,7 +81,7 @@
 
 // retryLimits is the limits of the settings, or the service's where these are lower.
 func (p *Proxy) retryLimits(plan *requestPlan) retry.Limits {
-	limits := retry.Limits{Percent: p.environment.Config.ExtraPercent, Base: p.environment.Config.ExtraBase}
+	limits := retry.Limits{Percent: p.environment.Config.RetryBudgetPercent, Base: p.environment.Config.RetryBudgetBase}
 	quota := plan.snapshot.Limits[plan.service.Name]
 	if quota.RetryPercent != nil {
 		limits.Percent = min(limits.Percent, *quota.RetryPercent)
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -41,13 +41,13 @@
 		}
 	}()
 	target := to.Target
-	connection, err := p.connections.Get(ctx, to.Key, target.Address, plan.connectTimeout(p.environment.Config.GateConnect))
+	connection, err := p.connections.Get(ctx, to.Key, target.Address, plan.connectTimeout(p.environment.Config.ProxyConnectTimeout))
 	if err != nil {
 		to.RecordFailure(time.Now(), true)
 		return attemptResult{err: err}
 	}
 	request := p.upstreamRequest(plan, r, target, openBody(), index)
-	responses, ok := connection.Begin(request, p.environment.Config.GateBody)
+	responses, ok := connection.Begin(request, p.environment.Config.ProxyMaxResponseBytes)
 	if !ok {
 		return attemptResult{err: errcode.New(errcode.NotWritten, "%s: the connection died", target.Address)}
 	}
@@ -152,21 +152,21 @@
 func (p *Proxy) classify(plan *requestPlan, to *endpoint.Endpoint, response *upstream.Response, sentAt time.Time) attemptResult {
 	now, header := time.Now(), response.HTTP.Header
 	status := response.HTTP.StatusCode
-	notRun := header.Get(p.environment.Config.HeaderUnrun) != "" && status >= 400
+	notRun := header.Get(p.environment.Config.HeaderNotExecuted) != "" && status >= 400
 	misdirected := status == http.StatusMisdirectedRequest && p.opaqueSeals
 	took := now.Sub(sentAt)
 	serverError := !notRun && status >= 500
-	to.RecordResponse(now, took, !notRun && !misdirected && !serverError, !serverError, header.Get(p.environment.Config.HeaderWeight))
+	to.RecordResponse(now, took, !notRun && !misdirected && !serverError, !serverError, header.Get(p.environment.Config.HeaderLoad))
 	if serverError && status != http.StatusGatewayTimeout {
 		p.outliers.Report(to)
 	}
 	switch {
 	case misdirected:
 		to.Bar()
-		return attemptResult{response, true, errcode.New(errcode.TargetRefused, "%s: another instance has the address", to.Target.Instance)}
+		return attemptResult{response, true, errcode.New(errcode.TargetRejected, "%s: another instance has the address", to.Target.Instance)}
 	case notRun:
 		to.RecordRefusal(now, plan.endpoints.TypicalLatency())
-		return attemptResult{response, true, errcode.New(errcode.TargetRefused, "%s: %d", to.Target.Instance, status)}
+		return attemptResult{response, true, errcode.New(errcode.TargetRejected, "%s: %d", to.Target.Instance, status)}
 	}
 	if status < 500 {
 		plan.endpoints.RecordLatency(took)
@@ -225,18 +225,18 @@
 	if written == 0 && request.ContentLength == 0 {
 		return errcode.New(errcode.NotWritten, "%v", err)
 	}
-	return errcode.New(errcode.AnswerLost, "%v", err)
+	return errcode.New(errcode.ResponseLost, "%v", err)
 }
 
 // readError is the error of a request that was written and got no complete response.
 func readError(response *upstream.Response, instance string) error {
 	if errors.Is(response.Err, upstream.ErrTooLarge) {
-		return errcode.New(errcode.AnswerTooLarge, "")
+		return errcode.New(errcode.ResponseTooLarge, "")
 	}
 	if isTimeout(response.Err) {
 		return errcode.New(errcode.DeadlinePassed, "%s", instance)
 	}
-	return errcode.New(errcode.AnswerLost, "%v", response.Err)
+	return errcode.New(errcode.ResponseLost, "%v", response.Err)
 }
 
 // isTimeout reports whether the error itself is a timeout, as those of net.Conn are.
--- a/internal/proxy/body.go
+++ b/internal/proxy/body.go
@@ -22,7 +22,7 @@
 // others stream. Where seals are opaque, targets can't be asked whether they want a body, so
 // it is buffered in any case.
 func (p *Proxy) requestBody(ctx context.Context, plan *requestPlan, r *http.Request) (open func() io.Reader, replayable bool, err error) {
-	maxBytes := int64(p.environment.Config.GateRequest)
+	maxBytes := int64(p.environment.Config.ProxyMaxRequestBytes)
 	if limits := plan.snapshot.ClientLimits; limits != nil && limits.BodyBytes > 0 {
 		maxBytes = min(maxBytes, limits.BodyBytes)
 	}
--- a/internal/proxy/endpoint/pool.go
+++ b/internal/proxy/endpoint/pool.go
@@ -24,10 +24,10 @@
 // Config describes the pool of one service in one epoch.
 type Config struct {
 	Service      string
-	Zone         string           // of this proxy
-	Targets      []rpc.Target     // as the epoch names them
-	HedgePercent int              // of the idempotent requests, that may be hedged
-	Durations    *metrics.Service // where the durations of requests are counted
+	Zone         string                  // of this proxy
+	Targets      []rpc.Target            // as the epoch names them
+	HedgePercent int                     // of the idempotent requests, that may be hedged
+	Durations    *metrics.ServiceLatency // where the durations of requests are counted
 	// Previous is the pool of the epoch before, whose knowledge is taken over; nil if none.
 	Previous *Pool
 }
@@ -35,8 +35,8 @@
 // Pool is the endpoints of one service in one epoch, with what is known of the service as a
 // whole. It is safe for concurrent use.
 type Pool struct {
-	Endpoints []*Endpoint      // not changed after NewPool
-	Durations *metrics.Service // not changed after NewPool
+	Endpoints []*Endpoint             // not changed after NewPool
+	Durations *metrics.ServiceLatency // not changed after NewPool
 
 	hedgeRatio float64 // allowance that each response adds
 
--- a/internal/proxy/epoch.go
+++ b/internal/proxy/epoch.go
@@ -40,7 +40,7 @@
 			Service:      service,
 			Zone:         p.environment.Config.Zone,
 			Targets:      targets,
-			HedgePercent: p.environment.Config.GateDoubles,
+			HedgePercent: p.environment.Config.ProxyHedgePercent,
 			Durations:    p.environment.Latencies.Service(service),
 		}
 		if previous != nil {
--- a/internal/proxy/forward.go
+++ b/internal/proxy/forward.go
@@ -65,7 +65,7 @@
 		} else {
 			misses++
 		}
-		p.environment.Events.Say(eventlog.TryFailed, "request", plan.requestID, "service", plan.service.Name, "instance", candidate.Target.Instance, "wrote", result.wrote, "cause", result.err.Error())
+		p.environment.Events.Emit(eventlog.AttemptFailed, "request", plan.requestID, "service", plan.service.Name, "instance", candidate.Target.Instance, "wrote", result.wrote, "cause", result.err.Error())
 		if !written || mayHaveRun {
 			lastErr = result.err
 		}
@@ -89,6 +89,6 @@
 		LatencyTarget:    plan.latencyTarget,
 		BodySize:         bodySize,
 		Proxies:          plan.zoneProxies,
-		CrossZonePercent: p.environment.Config.GateSpill,
+		CrossZonePercent: p.environment.Config.ProxyZoneSpillPercent,
 	})
 }
--- a/internal/proxy/hedge.go
+++ b/internal/proxy/hedge.go
@@ -35,7 +35,7 @@
 func (p *Proxy) awaitResponse(ctx context.Context, plan *requestPlan, r *http.Request, sent *sentAttempt, openBody func() io.Reader, index int) attemptResult {
 	var overdue <-chan time.Time
 	typical := plan.endpoints.TypicalLatency()
-	mayHedge := p.environment.Config.GateDoubles > 0 && index == 0 && plan.maxAttempts > 1 && plan.idempotent && r.ContentLength == 0
+	mayHedge := p.environment.Config.ProxyHedgePercent > 0 && index == 0 && plan.maxAttempts > 1 && plan.idempotent && r.ContentLength == 0
 	if typical > 0 {
 		delay := silenceFactor * typical
 		if mayHedge {
@@ -78,7 +78,7 @@
 			sent.connection.Abort()
 			sent.end()
 			if r.Context().Err() != nil {
-				return attemptResult{wrote: true, err: errcode.New(errcode.CallerGone, "%s", sent.to.Target.Instance)}
+				return attemptResult{wrote: true, err: errcode.New(errcode.ClientGone, "%s", sent.to.Target.Instance)}
 			}
 			sent.to.RecordFailure(time.Now(), false)
 			return attemptResult{wrote: true, err: errcode.New(errcode.DeadlinePassed, "%s", sent.to.Target.Instance)}
--- a/internal/proxy/idempotency/records.go
+++ b/internal/proxy/idempotency/records.go
@@ -57,7 +57,7 @@
 
 // Acquire acquires a record for a request, within the deadline. If it fails, the request may
 // not be forwarded: the record is another request's (Conflict), or it is not known whose it
-// is (errcode.NoOwner).
+// is (errcode.NoLeader).
 func (r *Records) Acquire(name, requestID string, deadline time.Time) error {
 	if limit := time.Now().Add(acquireTimeout); limit.Before(deadline) {
 		deadline = limit
@@ -67,7 +67,7 @@
 	response, err := r.config.Coordinate(ctx, &rpc.CoordinationRequest{Operation: "claim", Name: name, Holder: r.holder(requestID)})
 	if err != nil {
 		r.config.Environment.Go(func() { r.release(name, requestID) })
-		return errcode.New(errcode.NoOwner, "the idempotency record can't be acquired: %v", err)
+		return errcode.New(errcode.NoLeader, "the idempotency record can't be acquired: %v", err)
 	}
 	if response.Code == 0 {
 		return nil
@@ -90,7 +90,7 @@
 	state := Ran
 	switch {
 	case err == nil:
-	case errcode.Of(err).Code.Outcome == outcomeNotRun:
+	case errcode.From(err).Code.Outcome == outcomeNotRun:
 		r.config.Environment.Go(func() { r.release(name, requestID) })
 		return
 	default:
--- a/internal/proxy/idempotency/tracker.go
+++ b/internal/proxy/idempotency/tracker.go
@@ -34,7 +34,7 @@
 	switch {
 	case err == nil || errcode.Is(err, errcode.OrderRan):
 		return Ran
-	case errcode.Of(err).Code.Outcome == "unknown" && !errcode.Is(err, errcode.OrderUnderWay):
+	case errcode.From(err).Code.Outcome == "unknown" && !errcode.Is(err, errcode.OrderInFlight):
 		return Unknown
 	}
 	return Unheard
@@ -49,18 +49,18 @@
 	case Unknown:
 		return errcode.New(errcode.OrderUnknown, "%s", note)
 	}
-	return errcode.New(errcode.OrderUnderWay, "%s", note)
+	return errcode.New(errcode.OrderInFlight, "%s", note)
 }
 
 // Refusal turns the error of one attempt into what is true of its request: one that was
 // forwarded before is never called "not run" any more, whatever the reason for which its
 // repeat is rejected.
-func Refusal(state State, problem *errcode.Problem) *errcode.Problem {
-	budgetSpent := problem.Code.No == errcode.BudgetSpent.No
+func Refusal(state State, problem *errcode.Error) *errcode.Error {
+	budgetSpent := problem.Code.Number == errcode.BudgetExhausted.Number
 	if state == Unheard || problem.Code.Outcome != outcomeNotRun && !budgetSpent || budgetSpent && state != Ran {
 		return problem
 	}
-	return errcode.Of(Conflict(state, fmt.Sprintf("a repeat, refused with %d %s", problem.Code.No, problem.Code.Name)))
+	return errcode.From(Conflict(state, fmt.Sprintf("a repeat, refused with %d %s", problem.Code.Number, problem.Code.Name)))
 }
 
 const (
--- a/internal/proxy/idempotency/tracker_test.go
+++ b/internal/proxy/idempotency/tracker_test.go
@@ -87,23 +87,23 @@
 }
 
 func TestRefusal_TellsWhatIsTrueOfTheRequest(t *testing.T) {
-	overload, spent := errcode.Of(errcode.New(errcode.Overload, "")), errcode.Of(errcode.New(errcode.BudgetSpent, ""))
-	lost := errcode.Of(errcode.New(errcode.AnswerLost, ""))
+	overload, spent := errcode.From(errcode.New(errcode.Overload, "")), errcode.From(errcode.New(errcode.BudgetExhausted, ""))
+	lost := errcode.From(errcode.New(errcode.ResponseLost, ""))
 	for name, test := range map[string]struct {
 		state   State
-		problem *errcode.Problem
+		problem *errcode.Error
 		want    int
 	}{
-		"a first request":                 {Unheard, overload, errcode.Overload.No},
-		"a repeat of one that runs":       {Running, overload, errcode.OrderUnderWay.No},
-		"a repeat of a lost one":          {Unknown, overload, errcode.OrderUnknown.No},
-		"a repeat of one that ran":        {Ran, overload, errcode.OrderRan.No},
-		"over budget, and it was lost":    {Unknown, spent, errcode.BudgetSpent.No},
-		"over budget, and it ran":         {Ran, spent, errcode.OrderRan.No},
-		"unknown already, and it was too": {Unknown, lost, errcode.AnswerLost.No},
+		"a first request":                 {Unheard, overload, errcode.Overload.Number},
+		"a repeat of one that runs":       {Running, overload, errcode.OrderInFlight.Number},
+		"a repeat of a lost one":          {Unknown, overload, errcode.OrderUnknown.Number},
+		"a repeat of one that ran":        {Ran, overload, errcode.OrderRan.Number},
+		"over budget, and it was lost":    {Unknown, spent, errcode.BudgetExhausted.Number},
+		"over budget, and it ran":         {Ran, spent, errcode.OrderRan.Number},
+		"unknown already, and it was too": {Unknown, lost, errcode.ResponseLost.Number},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if got := Refusal(test.state, test.problem).Code.No; got != test.want {
+			if got := Refusal(test.state, test.problem).Code.Number; got != test.want {
 				t.Errorf("code %d, not %d", got, test.want)
 			}
 		})
@@ -117,9 +117,9 @@
 	}{
 		"a response":              {nil, Ran},
 		"nothing written":         {errcode.New(errcode.NotWritten, ""), Unheard},
-		"a lost response":         {errcode.New(errcode.AnswerLost, ""), Unknown},
+		"a lost response":         {errcode.New(errcode.ResponseLost, ""), Unknown},
 		"a repeat of what ran":    {errcode.New(errcode.OrderRan, ""), Ran},
-		"a repeat of what runs":   {errcode.New(errcode.OrderUnderWay, ""), Unheard},
+		"a repeat of what runs":   {errcode.New(errcode.OrderInFlight, ""), Unheard},
 		"a repeat of a lost one":  {errcode.New(errcode.OrderUnknown, ""), Unknown},
 		"the proxy is overloaded": {errcode.New(errcode.Overload, ""), Unheard},
 	} {
--- a/internal/proxy/plan.go
+++ b/internal/proxy/plan.go
@@ -70,7 +70,7 @@
 		if !p.configuration.IsFresh(view.snapshot, "") {
 			return plan, errcode.New(errcode.NotFresh, "epoch %d", view.snapshot.Epoch)
 		}
-		return plan, errcode.New(errcode.NoMapping, "%s %s", r.Method, r.URL.Path)
+		return plan, errcode.New(errcode.NoRoute, "%s %s", r.Method, r.URL.Path)
 	}
 	service, ok := view.snapshot.Services[routing.ChooseService(plan.route)]
 	if !ok {
@@ -101,7 +101,7 @@
 
 // deadline is the route's or the default one, or the client's if that is earlier.
 func (p *Proxy) deadline(r *http.Request, route *rpc.Route, now time.Time) time.Time {
-	deadline := now.Add(p.environment.Config.GateDeadline)
+	deadline := now.Add(p.environment.Config.ProxyDefaultDeadline)
 	if route.DeadlineMillis > 0 {
 		deadline = now.Add(time.Duration(route.DeadlineMillis) * time.Millisecond)
 	}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -95,15 +95,15 @@
 	env, settings := config.Environment, config.Environment.Config
 	p := &Proxy{
 		environment: env, configuration: config.Configuration, rpc: config.RPC, membership: config.Membership,
-		opaqueSeals: settings.GateSeal == "opaque",
-		uploads:     admission.New(admission.Config{KilobytesPerSecond: settings.GateRate, ConcurrentReads: settings.GateBodies}),
-		retryBudget: retry.NewBudget(settings.ExtraWindow),
+		opaqueSeals: settings.ProxySealMode == "opaque",
+		uploads:     admission.New(admission.Config{KilobytesPerSecond: settings.ProxyLargeBodyRate, ConcurrentReads: settings.ProxyMaxLargeBodies}),
+		retryBudget: retry.NewBudget(settings.RetryBudgetWindow),
 	}
 	correlationHeader := ""
 	if p.opaqueSeals {
-		correlationHeader = settings.HeaderRequest
+		correlationHeader = settings.HeaderRequestID
 	}
-	p.connections = upstream.NewPool(upstream.Config{Environment: env, IdleTimeout: settings.GateIdle, CorrelationHeader: correlationHeader})
+	p.connections = upstream.NewPool(upstream.Config{Environment: env, IdleTimeout: settings.ProxyIdleTimeout, CorrelationHeader: correlationHeader})
 	p.keyed.tracker = idempotency.NewTracker()
 	p.keyed.records = idempotency.NewRecords(idempotency.RecordsConfig{Environment: env, Membership: config.Membership, Coordinate: config.Coordinate})
 	p.keyed.losses = idempotency.NewLossReporter(idempotency.LossReporterConfig{Environment: env, RPC: config.RPC, Membership: config.Membership, Budget: p.retryBudget, Tracker: p.keyed.tracker, Snapshot: config.Configuration.Cache.Snapshot})
@@ -146,13 +146,13 @@
 	started, inFlight := time.Now(), p.counts.inFlight.Add(1)
 	defer p.counts.inFlight.Add(-1)
 	requestID := ""
-	if p.environment.Config.GateIds == "caller" {
-		requestID = r.Header.Get(p.environment.Config.HeaderRequest)
+	if p.environment.Config.ProxyRequestIDSource == "caller" {
+		requestID = r.Header.Get(p.environment.Config.HeaderRequestID)
 	} else {
 		requestID = ids.NewID()
 	}
 	if requestID != "" {
-		w.Header().Set(p.environment.Config.HeaderRequest, requestID)
+		w.Header().Set(p.environment.Config.HeaderRequestID, requestID)
 	}
 	if p.lifecycle.draining.Load() {
 		w.Header().Set("Connection", "close")
@@ -172,10 +172,10 @@
 		w.Header().Set("Connection", "close")
 		return nil, nil, errcode.New(errcode.Stopping, "")
 	}
-	if inFlight > int64(p.environment.Config.GateInflight) {
+	if inFlight > int64(p.environment.Config.ProxyMaxInflight) {
 		return nil, nil, errcode.New(errcode.Overload, "%d requests are in flight", inFlight-1)
 	}
-	if r.ContentLength > int64(p.environment.Config.GateRequest) {
+	if r.ContentLength > int64(p.environment.Config.ProxyMaxRequestBytes) {
 		return nil, nil, errcode.New(errcode.RequestTooLarge, "%d bytes", r.ContentLength)
 	}
 	plan, err = p.plan(r, requestID)
--- a/internal/proxy/reject_test.go
+++ b/internal/proxy/reject_test.go
@@ -42,7 +42,7 @@
 // A rejected upload must cost the link next to nothing: its response comes before its body,
 // and its body is left unread.
 func TestProxy_RejectedUploadIsLeftUnread(t *testing.T) {
-	r := environment.New(t.Context(), &config.Props{GateReturn: time.Second}, eventlog.New(io.Discard, "info", "n"), environment.Host{})
+	r := environment.New(t.Context(), &config.Settings{ProxyRetryAfter: time.Second}, eventlog.New(io.Discard, "info", "n"), environment.Host{})
 	p := &Proxy{environment: r, uploads: admission.New(admission.Config{KilobytesPerSecond: 100, ConcurrentReads: 1})}
 	n := &atomic.Int64{}
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -53,9 +53,9 @@
 		out.Header.Set(p.environment.Config.HeaderDeadline, strconv.FormatInt(max(remaining, 0), 10))
 	}
 	if plan.requestID != "" {
-		out.Header.Set(p.environment.Config.HeaderRequest, plan.requestID)
+		out.Header.Set(p.environment.Config.HeaderRequestID, plan.requestID)
 	}
-	out.Header.Set(p.environment.Config.HeaderExpect, target.Instance)
+	out.Header.Set(p.environment.Config.HeaderExpectedInstance, target.Instance)
 	if body != nil {
 		out.Body = uncloseableBody{body}
 	}
--- a/internal/proxy/respond.go
+++ b/internal/proxy/respond.go
@@ -42,7 +42,7 @@
 		header.Set("Connection", "close")
 	}
 	if !p.opaqueSeals {
-		header.Set(p.environment.Config.HeaderRequest, plan.requestID)
+		header.Set(p.environment.Config.HeaderRequestID, plan.requestID)
 		header.Set(HeaderOutcome, "ran")
 		header.Set(HeaderEpoch, strconv.FormatUint(uint64(plan.snapshot.Epoch), 10))
 	}
@@ -76,7 +76,7 @@
 // idempotency key that is known here, the answer says what is true of all attempts under
 // that key, not only of this one.
 func (p *Proxy) reject(w http.ResponseWriter, r *http.Request, plan *requestPlan, err error) {
-	problem := errcode.Of(err)
+	problem := errcode.From(err)
 	if hash := idempotency.HashOf(r); hash != 0 {
 		problem = idempotency.Refusal(p.keyed.tracker.State(hash), problem)
 	}
@@ -84,12 +84,12 @@
 	header := w.Header()
 	header.Set("Content-Type", "application/json")
 	if !p.opaqueSeals {
-		header.Set(HeaderCode, strconv.Itoa(problem.Code.No))
+		header.Set(HeaderCode, strconv.Itoa(problem.Code.Number))
 		header.Set(HeaderOutcome, problem.Code.Outcome)
 	}
 	if problem.Code.Status >= 500 || problem.Code.Status == http.StatusTooManyRequests || problem.Code.Status == http.StatusConflict {
-		delay := p.environment.Config.GateReturn
-		if problem.Code.No == errcode.NotFresh.No && delay < time.Second {
+		delay := p.environment.Config.ProxyRetryAfter
+		if problem.Code.Number == errcode.NotFresh.Number && delay < time.Second {
 			delay *= staleRetryAfterFactor
 		}
 		header.Set("Retry-After", retryAfter(delay))
@@ -98,7 +98,7 @@
 	if status == statusClientClosedRequest {
 		status = http.StatusBadGateway
 	}
-	body, _ := json.Marshal(rejection{Code: problem.Code.No, Name: problem.Code.Name, Note: problem.Note, Outcome: problem.Code.Outcome, Text: problem.Code.Text})
+	body, _ := json.Marshal(rejection{Code: problem.Code.Number, Name: problem.Code.Name, Note: problem.Note, Outcome: problem.Code.Outcome, Text: problem.Code.Text})
 	body = append(body, '\n')
 	unread := r.ContentLength != 0 && admission.IsLarge(r.ContentLength) && (plan == nil || !plan.bodyRead)
 	if unread && p.uploads.IsBounded() && p.rejectUnread(w, status, body) {
--- a/internal/proxy/seal.go
+++ b/internal/proxy/seal.go
@@ -58,12 +58,12 @@
 	sealed := false
 	if p.opaqueSeals {
 		success := response.HTTP.StatusCode < 300
-		sealed = header.Get(p.environment.Config.HeaderRequest) == plan.requestID && (!success || seal != "") && (response.HTTP.ContentLength >= 0 || len(response.HTTP.TransferEncoding) > 0)
+		sealed = header.Get(p.environment.Config.HeaderRequestID) == plan.requestID && (!success || seal != "") && (response.HTTP.ContentLength >= 0 || len(response.HTTP.TransferEncoding) > 0)
 	} else {
 		sealed = VerifySeal(seal, plan.service.Key, plan.requestID, plan.service.Name, target.Instance, response.HTTP.StatusCode, response.Body)
 	}
 	if !sealed {
-		p.environment.Events.Say(eventlog.SealRefused, "request", plan.requestID, "service", plan.service.Name, "instance", target.Instance, "address", target.Address, "status", response.HTTP.StatusCode)
+		p.environment.Events.Emit(eventlog.SealRejected, "request", plan.requestID, "service", plan.service.Name, "instance", target.Instance, "address", target.Address, "status", response.HTTP.StatusCode)
 		return errcode.New(errcode.SealBroken, "%s", target.Instance)
 	}
 	return nil
--- a/internal/proxy/stats.go
+++ b/internal/proxy/stats.go
@@ -13,20 +13,20 @@
 // the empty name.
 func (p *Proxy) recordDuration(plan *requestPlan, started time.Time, err error) {
 	elapsed := time.Since(started)
-	outcome := metrics.Ran
+	outcome := metrics.OutcomeRan
 	if err != nil {
-		outcome = metrics.OutcomeOf(errcode.Of(err).Code.Outcome)
+		outcome = metrics.ParseOutcome(errcode.From(err).Code.Outcome)
 	}
 	switch {
 	case plan == nil:
-		p.environment.Latencies.Service("").Take(outcome, elapsed)
+		p.environment.Latencies.Service("").Observe(outcome, elapsed)
 	case plan.endpoints == nil:
-		p.environment.Latencies.Service(plan.service.Name).Take(outcome, elapsed)
+		p.environment.Latencies.Service(plan.service.Name).Observe(outcome, elapsed)
 	default:
-		plan.endpoints.Durations.Take(outcome, elapsed)
+		plan.endpoints.Durations.Observe(outcome, elapsed)
 	}
 	if err == nil {
-		p.environment.Latencies.Added.Take(elapsed - time.Duration(plan.upstreamTime.Load()))
+		p.environment.Latencies.ProxyOverhead.Observe(elapsed - time.Duration(plan.upstreamTime.Load()))
 	}
 }
 
--- a/internal/proxy/upstream/pool_test.go
+++ b/internal/proxy/upstream/pool_test.go
@@ -14,7 +14,7 @@
 func TestPool_AfterStaleConnectionNoneThatIdledLongIsUsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		dials := 0
-		r := environment.New(t.Context(), &config.Props{}, nil, environment.Host{Dial: func(context.Context, string) (net.Conn, error) {
+		r := environment.New(t.Context(), &config.Settings{}, nil, environment.Host{Dial: func(context.Context, string) (net.Conn, error) {
 			dials++
 			near, _ := net.Pipe()
 			return near, nil
--- a/internal/report/history.go
+++ b/internal/report/history.go
@@ -76,7 +76,7 @@
 		requests += interval.requests
 	}
 	if requests == 0 {
-		return Section{}, errcode.New(errcode.BadCall, "%s: there is no call in it", name)
+		return Section{}, errcode.New(errcode.InvalidCall, "%s: there is no call in it", name)
 	}
 	faults, faultLines := faultsOf(records)
 	section := Section{Title: name, Text: summary(records, faultLines)}
--- a/internal/rpc/client.go
+++ b/internal/rpc/client.go
@@ -28,7 +28,7 @@
 	if deadline, ok := ctx.Deadline(); ok {
 		left := time.Until(deadline)
 		if left <= 0 {
-			return errcode.New(errcode.Unreached, "%s: no time left", address)
+			return errcode.New(errcode.Unreachable, "%s: no time left", address)
 		}
 		frame.Deadline = left.Microseconds() + 1 // at least 1, as 0 is no deadline
 	}
@@ -44,7 +44,7 @@
 	}
 	if response != nil {
 		if err := json.Unmarshal(answer.Body, response); err != nil {
-			return errcode.New(errcode.BadMessage, "%s from %s: %v", kind, address, err)
+			return errcode.New(errcode.InvalidMessage, "%s from %s: %v", kind, address, err)
 		}
 	}
 	return nil
@@ -58,7 +58,7 @@
 		code = errcode.Internal
 	}
 	problem := errcode.New(code, "%s", f.Note)
-	errcode.Of(problem).Paths = f.Paths
+	errcode.From(problem).Paths = f.Paths
 	return problem
 }
 
--- a/internal/rpc/client_conn.go
+++ b/internal/rpc/client_conn.go
@@ -51,7 +51,7 @@
 	if !ok {
 		if t.env.IsStopping() {
 			t.mu.Unlock()
-			return nil, errcode.New(errcode.Unreached, "%s: stopping", address)
+			return nil, errcode.New(errcode.Unreachable, "%s: stopping", address)
 		}
 		conn = &clientConn{
 			transport: t,
@@ -68,7 +68,7 @@
 	case <-conn.ready:
 		return conn, conn.dialError
 	case <-ctx.Done():
-		return nil, errcode.New(errcode.Unreached, "%s: %v", address, ctx.Err())
+		return nil, errcode.New(errcode.Unreachable, "%s: %v", address, ctx.Err())
 	}
 }
 
@@ -90,10 +90,10 @@
 func (c *clientConn) connect() error {
 	conn, err := c.dial()
 	if err != nil {
-		return errcode.New(errcode.Unreached, "%s: %v", c.address, err)
+		return errcode.New(errcode.Unreachable, "%s: %v", c.address, err)
 	}
 	if !c.transport.trackConn(conn) {
-		return errcode.New(errcode.Unreached, "%s: stopping", c.address)
+		return errcode.New(errcode.Unreachable, "%s: stopping", c.address)
 	}
 	c.conn = conn
 	return nil
@@ -104,7 +104,7 @@
 // decides.
 func (c *clientConn) dial() (net.Conn, error) {
 	env := c.transport.env
-	ctx, cancel := context.WithTimeout(env, env.Config.WireDial)
+	ctx, cancel := context.WithTimeout(env, env.Config.PeerDialTimeout)
 	defer cancel()
 	type result struct {
 		conn net.Conn
@@ -117,7 +117,7 @@
 			results <- result{conn, err}
 		})
 	}
-	again := time.NewTicker(env.Config.WireDial / dialAttempts)
+	again := time.NewTicker(env.Config.PeerDialTimeout / dialAttempts)
 	defer again.Stop()
 	begin()
 	begun := 1
@@ -147,7 +147,7 @@
 func (c *clientConn) readResponses() {
 	reader := bufio.NewReaderSize(activityReader{c}, readBufferSize)
 	for {
-		line, err := readLine(reader, c.transport.env.Config.WireLine)
+		line, err := readLine(reader, c.transport.env.Config.PeerMaxMessageBytes)
 		if err != nil {
 			return
 		}
@@ -219,7 +219,7 @@
 	}
 	defer c.mu.Unlock()
 	if c.closed {
-		return nil, errcode.New(errcode.Unreached, "%s: connection closed", c.address)
+		return nil, errcode.New(errcode.Unreachable, "%s: connection closed", c.address)
 	}
 	call := make(chan *Frame, 1)
 	c.lastID++
@@ -245,7 +245,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.pending, id)
-	return c.lastRead.Before(sent) && time.Since(sent) > c.transport.env.Config.WireDeaf
+	return c.lastRead.Before(sent) && time.Since(sent) > c.transport.env.Config.PeerSilenceTimeout
 }
 
 // unregister has the next call to this address dial anew.
--- a/internal/rpc/client_test.go
+++ b/internal/rpc/client_test.go
@@ -55,12 +55,12 @@
 		dial func(context.Context) (net.Conn, error)
 		want errcode.Code
 	}{
-		{"not dialled", refused, errcode.Unreached},
+		{"not dialled", refused, errcode.Unreachable},
 		{"closed without a response", newPeer(func(*Frame) (*Frame, bool) { return nil, false }), errcode.ReplyLost},
 		{"no response in time", newPeer(func(*Frame) (*Frame, bool) { return nil, true }), errcode.ReplyLost},
 		{"response of another version", newPeer(func(*Frame) (*Frame, bool) { return &Frame{Version: Version + 1, Body: json.RawMessage(`1`)}, true }), errcode.ReplyLost},
-		{"response of another type", newPeer(func(*Frame) (*Frame, bool) { return &Frame{Version: Version, Body: json.RawMessage(`"one"`)}, true }), errcode.BadMessage},
-		{"a code", newPeer(func(*Frame) (*Frame, bool) { return &Frame{Version: Version, Code: errcode.NoOwner.No}, true }), errcode.NoOwner},
+		{"response of another type", newPeer(func(*Frame) (*Frame, bool) { return &Frame{Version: Version, Body: json.RawMessage(`"one"`)}, true }), errcode.InvalidMessage},
+		{"a code", newPeer(func(*Frame) (*Frame, bool) { return &Frame{Version: Version, Code: errcode.NoLeader.Number}, true }), errcode.NoLeader},
 		{"an unknown code", newPeer(func(*Frame) (*Frame, bool) { return &Frame{Version: Version, Code: 999_999}, true }), errcode.Internal},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -99,7 +99,7 @@
 				transport, env, dials := newDialer(t, peer)
 				defer env.Shutdown()
 				go func() { <-env.Done(); transport.closeAllConns() }()
-				timeout := 2 * env.Config.WireDeaf
+				timeout := 2 * env.Config.PeerSilenceTimeout
 				call := func(kind string) error {
 					ctx, cancel := context.WithTimeout(env, timeout)
 					defer cancel()
--- a/internal/rpc/doc.go
+++ b/internal/rpc/doc.go
@@ -7,7 +7,7 @@
 // wire.line says.
 //
 // Errors are those of package errcode. A call whose request could not be written fails with
-// errcode.Unreached: its peer has not acted on it. A call whose request was written, but
+// errcode.Unreachable: its peer has not acted on it. A call whose request was written, but
 // whose response did not come, fails with errcode.ReplyLost: its peer may have acted on it.
 // Any other code is what the peer's handler answered. A message that cannot be read is
 // refused with a code, counted and logged; it never stops a node.
--- a/internal/rpc/frame.go
+++ b/internal/rpc/frame.go
@@ -62,7 +62,7 @@
 }
 
 // readLine returns the next line, with its end. It is valid until the next read. A line
-// longer than limit bytes is an errcode.LineTooLong.
+// longer than limit bytes is an errcode.MessageTooLong.
 func readLine(reader *bufio.Reader, limit int) ([]byte, error) {
 	var line []byte
 	for {
@@ -72,7 +72,7 @@
 		}
 		line = append(line, chunk...)
 		if len(line) > limit {
-			return nil, errcode.New(errcode.LineTooLong, "over %d bytes", limit)
+			return nil, errcode.New(errcode.MessageTooLong, "over %d bytes", limit)
 		}
 		if err == nil {
 			return line, nil
--- a/internal/rpc/idle.go
+++ b/internal/rpc/idle.go
@@ -13,7 +13,7 @@
 // (wire.idle). Each costs keep-alives at both ends, and a node that calls a random peer now
 // and then would in time keep a connection to each of them.
 func (t *Transport) closeIdleConns() {
-	for t.env.Sleep(t.env.Config.WireIdle / 4) {
+	for t.env.Sleep(t.env.Config.PeerIdleTimeout / 4) {
 		t.mu.Lock()
 		conns := make([]*clientConn, 0, len(t.clientConns))
 		for _, conn := range t.clientConns {
@@ -33,7 +33,7 @@
 func (c *clientConn) markIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.closed || len(c.pending) > 0 || c.lastUsed.IsZero() || time.Since(c.lastUsed) < c.transport.env.Config.WireIdle {
+	if c.closed || len(c.pending) > 0 || c.lastUsed.IsZero() || time.Since(c.lastUsed) < c.transport.env.Config.PeerIdleTimeout {
 		return false
 	}
 	c.closed, c.closedIdle = true, true
--- a/internal/rpc/idle_test.go
+++ b/internal/rpc/idle_test.go
@@ -62,7 +62,7 @@
 		const its = "10.0.0.2:1"
 		node(its, far)
 		caller := node("10.0.0.1:1", &socket{conns: make(chan net.Conn), over: make(chan struct{})})
-		idle := caller.env.Config.WireIdle
+		idle := caller.env.Config.PeerIdleTimeout
 		open := func() int { caller.mu.Lock(); defer caller.mu.Unlock(); return len(caller.clientConns) }
 		call := func(kind string) {
 			t.Helper()
--- a/internal/rpc/server.go
+++ b/internal/rpc/server.go
@@ -23,10 +23,10 @@
 	body json.RawMessage
 }
 
-// Decode unmarshals the body; the error is an errcode.BadMessage.
+// Decode unmarshals the body; the error is an errcode.InvalidMessage.
 func (r *Request) Decode(into any) error {
 	if err := json.Unmarshal(r.body, into); err != nil {
-		return errcode.New(errcode.BadMessage, "%v", err)
+		return errcode.New(errcode.InvalidMessage, "%v", err)
 	}
 	return nil
 }
@@ -46,7 +46,7 @@
 func (t *Transport) Handle(kind string, handler Handler) { t.handlers[kind] = handler }
 
 // Handle registers a handler of a message kind whose requests have the type Body. Requests
-// that are no Body are refused with errcode.BadMessage.
+// that are no Body are refused with errcode.InvalidMessage.
 func Handle[Body, Response any](t *Transport, kind string, handler func(context.Context, *Body) (Response, error)) {
 	t.Handle(kind, func(request *Request) (any, error) {
 		body := new(Body)
@@ -67,16 +67,16 @@
 	writeLock := environment.NewChanMutex()
 	reader := bufio.NewReaderSize(conn, readBufferSize)
 	for {
-		line, err := readLine(reader, t.env.Config.WireLine)
+		line, err := readLine(reader, t.env.Config.PeerMaxMessageBytes)
 		if err != nil {
-			if errcode.Is(err, errcode.LineTooLong) {
-				t.env.Events.Say(eventlog.MessageRefused, "code", errcode.LineTooLong.No, "from", peer)
+			if errcode.Is(err, errcode.MessageTooLong) {
+				t.env.Events.Emit(eventlog.MessageRejected, "code", errcode.MessageTooLong.Number, "from", peer)
 			}
 			return
 		}
 		var request Frame
 		if err := json.Unmarshal(line, &request); err != nil {
-			t.env.Events.Say(eventlog.MessageRefused, "code", errcode.BadMessage.No, "from", peer)
+			t.env.Events.Emit(eventlog.MessageRejected, "code", errcode.InvalidMessage.Number, "from", peer)
 			return
 		}
 		received := time.Now()
@@ -110,17 +110,17 @@
 func (t *Transport) dispatch(ctx context.Context, request *Frame, received time.Time) (response *Frame, release func()) {
 	response = &Frame{Version: Version, ID: request.ID}
 	fail := func(err error) (*Frame, func()) {
-		problem := errcode.Of(err)
-		response.Code, response.Note, response.Paths = problem.Code.No, problem.Note, problem.Paths
+		problem := errcode.From(err)
+		response.Code, response.Note, response.Paths = problem.Code.Number, problem.Note, problem.Paths
 		return response, release
 	}
 	if request.Version != Version {
-		t.env.Events.Say(eventlog.MessageRefused, "code", errcode.WrongVersion.No, "kind", request.Kind, "version", request.Version)
+		t.env.Events.Emit(eventlog.MessageRejected, "code", errcode.WrongVersion.Number, "kind", request.Kind, "version", request.Version)
 		return fail(errcode.New(errcode.WrongVersion, "%d, not %d", request.Version, Version))
 	}
 	handler, ok := t.handlers[request.Kind]
 	if !ok {
-		t.env.Events.Say(eventlog.MessageRefused, "code", errcode.UnknownKind.No, "kind", request.Kind)
+		t.env.Events.Emit(eventlog.MessageRejected, "code", errcode.UnknownKind.Number, "kind", request.Kind)
 		return fail(errcode.New(errcode.UnknownKind, "%q", request.Kind))
 	}
 	if request.Deadline > 0 {
@@ -137,8 +137,8 @@
 		release = encoded.Release
 	}
 	if err != nil {
-		if problem := errcode.Of(err); problem.Code.No == errcode.BadMessage.No {
-			t.env.Events.Say(eventlog.MessageRefused, "code", problem.Code.No, "kind", request.Kind, "note", problem.Note)
+		if problem := errcode.From(err); problem.Code.Number == errcode.InvalidMessage.Number {
+			t.env.Events.Emit(eventlog.MessageRejected, "code", problem.Code.Number, "kind", request.Kind, "note", problem.Note)
 		}
 		return fail(err)
 	}
--- a/internal/rpc/server_test.go
+++ b/internal/rpc/server_test.go
@@ -32,7 +32,7 @@
 		request := &Frame{Version: Version, ID: 5, Kind: "slow", Deadline: 20_000}
 		received := time.Now()
 		response, release := transport.dispatch(ctx, request, received)
-		if begun != 1 || response.Body != nil || response.Code != errcode.ReplyLost.No || response.ID != 5 || release == nil {
+		if begun != 1 || response.Body != nil || response.Code != errcode.ReplyLost.Number || response.ID != 5 || release == nil {
 			t.Errorf("begun %d, %+v", begun, response)
 		}
 		release()
@@ -41,7 +41,7 @@
 		}
 		// Read from the connection, but not begun until its caller had given up.
 		response, release = transport.dispatch(ctx, request, received)
-		if begun != 1 || release != nil || !reflect.DeepEqual(response, &Frame{Version: Version, ID: 5, Code: errcode.ReplyLost.No, Note: "slow: not begun, its time is over"}) {
+		if begun != 1 || release != nil || !reflect.DeepEqual(response, &Frame{Version: Version, ID: 5, Code: errcode.ReplyLost.Number, Note: "slow: not begun, its time is over"}) {
 			t.Errorf("begun %d, %+v", begun, response)
 		}
 	})
@@ -56,8 +56,8 @@
 	Handle(transport, "double", func(_ context.Context, n *int) (int, error) { return 2 * *n, nil })
 	for body, want := range map[string]Frame{
 		`21`:      {Version: Version, ID: 1, Body: json.RawMessage(`42`)},
-		`"words"`: {Version: Version, ID: 1, Code: errcode.BadMessage.No},
-		``:        {Version: Version, ID: 1, Code: errcode.BadMessage.No},
+		`"words"`: {Version: Version, ID: 1, Code: errcode.InvalidMessage.Number},
+		``:        {Version: Version, ID: 1, Code: errcode.InvalidMessage.Number},
 	} {
 		t.Run(body, func(t *testing.T) {
 			got, _ := transport.dispatch(t.Context(), &Frame{Version: Version, ID: 1, Kind: "double", Body: json.RawMessage(body)}, time.Now())
--- a/internal/rpc/transport.go
+++ b/internal/rpc/transport.go
@@ -42,9 +42,9 @@
 
 // Start listens on wire.address and accepts connections until the node's environment ends.
 func (t *Transport) Start() error {
-	listener, err := t.env.Host.Listen(t.env.Config.WireAddress)
+	listener, err := t.env.Host.Listen(t.env.Config.PeerAddress)
 	if err != nil {
-		return errcode.New(errcode.BadProps, "wire.address: %v", err)
+		return errcode.New(errcode.InvalidSettings, "wire.address: %v", err)
 	}
 	t.env.Go(func() { t.acceptConns(listener) })
 	t.env.Go(t.closeIdleConns)
--- a/internal/simulator/bootstrap_test.go
+++ b/internal/simulator/bootstrap_test.go
@@ -83,7 +83,7 @@
 			}
 		}
 		for _, m := range f.Cores() {
-			if m.Node() == nil || m.Node().R.Events.Counts()["StoreDamaged"] != 1 {
+			if m.Node() == nil || m.Node().Env.Events.Counts()["StoreDamaged"] != 1 {
 				t.Errorf("%s does not report its damage", m.Name)
 			}
 		}
--- a/internal/simulator/changeset_test.go
+++ b/internal/simulator/changeset_test.go
@@ -29,7 +29,7 @@
 				ctx, end := context.WithTimeout(f.ctx, time.Second)
 				defer end()
 				receipt, err = m.Node().Submit(ctx, change)
-				return err == nil || errcode.Of(err).Code.Outcome == ""
+				return err == nil || errcode.From(err).Code.Outcome == ""
 			})
 			return receipt, err
 		}
--- a/internal/simulator/contact_test.go
+++ b/internal/simulator/contact_test.go
@@ -47,7 +47,7 @@
 func (f *Fleet) givesOut(t *testing.T, m *Machine) (kinds []string) {
 	t.Helper()
 	var some []string
-	for name := range m.Node().Ledger.Current().Manifest() {
+	for name := range m.Node().Plan.Current().Manifest() {
 		some = append(some, name)
 	}
 	for kind, ask := range map[string]any{
@@ -130,9 +130,9 @@
 			t.Errorf("%s: answered after %s", name, took)
 		}
 		// A change may be the repeat of one that was taken, so nothing is said of it.
-		want, outcome := errcode.NoOwner.No, "not run"
+		want, outcome := errcode.NoLeader.Number, "not run"
 		if name == "submit a change" {
-			want, outcome = errcode.ChangeUnknown.No, "unknown"
+			want, outcome = errcode.ChangeUnknown.Number, "unknown"
 		}
 		if code := standin.CodeOf(err); code != want || outcomeOf(err) != outcome {
 			t.Errorf("%s: code %d, outcome %q: %v", name, code, outcomeOf(err), err)
--- a/internal/simulator/control_nodes_test.go
+++ b/internal/simulator/control_nodes_test.go
@@ -28,10 +28,10 @@
 		snapshot := func() ids.Epoch {
 			least := ids.Epoch(1 << 40)
 			for _, proxyNode := range late {
-				if proxyNode.Node() == nil || proxyNode.Node().Flow.Cache.Snapshot() == nil {
+				if proxyNode.Node() == nil || proxyNode.Node().Distribution.Cache.Snapshot() == nil {
 					return 0
 				}
-				least = min(least, proxyNode.Node().Flow.Cache.Snapshot().Epoch)
+				least = min(least, proxyNode.Node().Distribution.Cache.Snapshot().Epoch)
 			}
 			return least
 		}
--- a/internal/simulator/disk_test.go
+++ b/internal/simulator/disk_test.go
@@ -45,7 +45,7 @@
 		if full.Node() != node {
 			t.Fatal("the process has ended")
 		}
-		if n := node.R.Events.Counts()["StoreFailed"]; n != 1 {
+		if n := node.Env.Events.Counts()["StoreFailed"]; n != 1 {
 			t.Errorf("%d events tell of it", n)
 		}
 		if !node.Store.IsFailing() {
@@ -62,7 +62,7 @@
 		}) {
 			t.Error("it does not come back by itself")
 		}
-		if n := node.R.Events.Counts()["StoreBack"]; n != 1 {
+		if n := node.Env.Events.Counts()["StoreBack"]; n != 1 {
 			t.Errorf("%d events tell of its return", n)
 		}
 	})
@@ -73,7 +73,7 @@
 	inFleet(t, one(), func(t *testing.T, f *Fleet) {
 		time.Sleep(3 * time.Second)
 		m := f.Machine("core2")
-		id := m.Node().Kin.Self().ID
+		id := m.Node().Members.Self().ID
 		f.Network.Disk(m.IP).Fill()
 		m.Kill(true)
 		isUp := make(chan struct{})
@@ -92,7 +92,7 @@
 		if m.Node() == nil {
 			t.Fatal("it is not up when there is room")
 		}
-		if now := m.Node().Kin.Self().ID; now != id {
+		if now := m.Node().Members.Self().ID; now != id {
 			t.Errorf("its data was set aside: its member ID was %s and is %s", id, now)
 		}
 		if !f.WaitUntil(10*time.Second, f.isRepaired) {
--- a/internal/simulator/distribution_test.go
+++ b/internal/simulator/distribution_test.go
@@ -49,7 +49,7 @@
 
 // hasBy tells whether a proxy has an epoch by then.
 func hasBy(proxyNode *Machine, epoch ids.Epoch, by time.Time) bool {
-	for proxyNode.Node().Flow.Cache.Snapshot().Epoch < epoch {
+	for proxyNode.Node().Distribution.Cache.Snapshot().Epoch < epoch {
 		if time.Now().After(by) {
 			return false
 		}
@@ -89,7 +89,7 @@
 		}
 		for i := range 12 {
 			f.isolate([]*Machine{proxyNode})
-			if !f.WaitUntil(30*time.Second, func() bool { return len(proxyNode.Node().Kin.CoreMembers()) == 0 }) {
+			if !f.WaitUntil(30*time.Second, func() bool { return len(proxyNode.Node().Members.CoreMembers()) == 0 }) {
 				t.Fatal("the proxy still holds a core node for live")
 			}
 			epoch := submitted(t, f, fmt.Sprint("down", i))
@@ -98,8 +98,8 @@
 			if !hasBy(proxyNode, epoch, healed.Add(lateBound)) {
 				t.Errorf("round %d: the proxy does not have epoch %d %s after its ways are whole", i, epoch, lateBound)
 			}
-			if !f.WaitUntil(time.Until(healed.Add(connectivityWindow)), func() bool { return len(proxyNode.Node().Kin.CoreMembers()) == 3 }) {
-				t.Errorf("round %d: %s after its ways are whole the proxy knows %d of 3 core nodes", i, connectivityWindow, len(proxyNode.Node().Kin.CoreMembers()))
+			if !f.WaitUntil(time.Until(healed.Add(connectivityWindow)), func() bool { return len(proxyNode.Node().Members.CoreMembers()) == 3 }) {
+				t.Errorf("round %d: %s after its ways are whole the proxy knows %d of 3 core nodes", i, connectivityWindow, len(proxyNode.Node().Members.CoreMembers()))
 			}
 		}
 	})
--- a/internal/simulator/drain_test.go
+++ b/internal/simulator/drain_test.go
@@ -17,13 +17,13 @@
 		server, proxyNode := f.Targets("rates")[0], f.Machine("proxy1").Node()
 		began := time.Now()
 		heartbeat := &rpc.TargetHeartbeat{Service: "rates", Instance: server.Instance, Sequence: 1 << 30, Address: server.Address, Zone: "zone1", Weight: 100, State: "draining"}
-		if _, err := f.Cores()[0].Node().Take(f.ctx, heartbeat); err != nil {
+		if _, err := f.Cores()[0].Node().Heartbeat(f.ctx, heartbeat); err != nil {
 			t.Fatal(err)
 		}
 		if took := time.Since(began); took < 500*time.Millisecond || took > 950*time.Millisecond {
 			t.Error("the word came after", took)
 		}
-		if list := proxyNode.Flow.Cache.Snapshot().Targets["rates"]; len(list) != 0 {
+		if list := proxyNode.Distribution.Cache.Snapshot().Targets["rates"]; len(list) != 0 {
 			t.Error("the proxy still has", list)
 		}
 		client := standin.NewAPIClient(f.Network.HostAt(f.clientHost(1)), f.Machine("proxy1").APIAddress())
@@ -35,7 +35,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if snapshot := proxyNode.Flow.Cache.Snapshot(); snapshot.Epoch < ids.Epoch(receipt.Epoch) {
+		if snapshot := proxyNode.Distribution.Cache.Snapshot(); snapshot.Epoch < ids.Epoch(receipt.Epoch) {
 			t.Error("acknowledged in epoch", receipt.Epoch, "the proxy has", snapshot.Epoch)
 		}
 	})
--- a/internal/simulator/faults.go
+++ b/internal/simulator/faults.go
@@ -75,7 +75,7 @@
 	}
 	memberIDs := map[rpc.Peer]bool{}
 	for _, m := range f.Cores() {
-		me := m.Node().Kin.Self()
+		me := m.Node().Members.Self()
 		memberIDs[rpc.Peer{Name: me.Name, ID: me.ID}] = true
 	}
 	for shard := range ids.ShardCount + 1 {
--- a/internal/simulator/fleet.go
+++ b/internal/simulator/fleet.go
@@ -117,11 +117,11 @@
 
 // recordEvent notes what a node has learned, be it that its answer is lost.
 func (f *Fleet) recordEvent(e eventlog.Entry) {
-	switch e.Event.No {
-	case eventlog.TargetGoing.No:
-		f.History.Add(checker.Record{Kind: checker.DrainAcknowledged, Service: e.Pairs[1].(string), Instance: e.Pairs[3].(string), Note: "taken in"})
-	case eventlog.PartBroken.No, eventlog.PartMended.No:
-		f.History.Add(checker.Record{Kind: checker.ReplicaDivergence, Note: fmt.Sprint(e.Event.Text, " ", e.Pairs)})
+	switch e.Event.Number {
+	case eventlog.TargetLeaving.Number:
+		f.History.Add(checker.Record{Kind: checker.DrainAcknowledged, Service: e.Fields[1].(string), Instance: e.Fields[3].(string), Note: "taken in"})
+	case eventlog.ReplicasDiverged.Number, eventlog.ReplicaRepaired.Number:
+		f.History.Add(checker.Record{Kind: checker.ReplicaDivergence, Note: fmt.Sprint(e.Event.Text, " ", e.Fields)})
 	}
 }
 
--- a/internal/simulator/link_test.go
+++ b/internal/simulator/link_test.go
@@ -47,20 +47,20 @@
 	inFleet(t, one(), func(t *testing.T, f *Fleet) {
 		core, proxyNode := f.Cores()[0], f.Machine("proxy1")
 		long := strings.Repeat("x", 300_000)
-		core.Node().Wire.Handle("test.long", func(*rpc.Request) (any, error) { return long, nil })
-		core.Node().Wire.Handle("test.short", func(*rpc.Request) (any, error) { return "here", nil })
+		core.Node().RPC.Handle("test.long", func(*rpc.Request) (any, error) { return long, nil })
+		core.Node().RPC.Handle("test.short", func(*rpc.Request) (any, error) { return "here", nil })
 		f.Network.LimitBandwidth(proxyNode.IP, 100_000)
 		got := make(chan error, 1)
 		go func() {
 			ctx, end := context.WithTimeout(f.ctx, 10*time.Second)
 			defer end()
 			var response string
-			got <- proxyNode.Node().Wire.Call(ctx, core.RPCAddress(), "test.long", struct{}{}, &response)
+			got <- proxyNode.Node().RPC.Call(ctx, core.RPCAddress(), "test.long", struct{}{}, &response)
 		}()
 		time.Sleep(500 * time.Millisecond)
 		ctx, end := context.WithTimeout(f.ctx, 500*time.Millisecond)
 		defer end()
-		if err := proxyNode.Node().Wire.Call(ctx, core.RPCAddress(), "test.short", struct{}{}, nil); err == nil {
+		if err := proxyNode.Node().RPC.Call(ctx, core.RPCAddress(), "test.short", struct{}{}, nil); err == nil {
 			t.Fatal("the short response overtook the long one")
 		}
 		if err := <-got; err != nil {
@@ -101,7 +101,7 @@
 				conn.Write(make([]byte, 10_000))
 			}
 			time.Sleep(50 * time.Millisecond)
-			if age := node.R.Since(node.Flow.LatestConfirmation().ConfigAsOf); age > 1700*time.Millisecond {
+			if age := node.Env.Since(node.Distribution.LatestConfirmation().ConfigAsOf); age > 1700*time.Millisecond {
 				in, out := f.Network.QueueDelay(proxyNode.IP)
 				t.Fatal("the last confirmation of the newest epoch is old by", age, "while messages wait", in, out)
 			}
@@ -109,7 +109,7 @@
 		conn.Close()
 		f.isolate([]*Machine{proxyNode})
 		time.Sleep(1800 * time.Millisecond)
-		if node.Flow.IsFresh(node.Flow.Cache.Snapshot(), "rates") {
+		if node.Distribution.IsFresh(node.Distribution.Cache.Snapshot(), "rates") {
 			t.Error("a proxy that was cut off goes on for longer than flow.behind")
 		}
 	})
--- a/internal/simulator/load_clients.go
+++ b/internal/simulator/load_clients.go
@@ -167,7 +167,7 @@
 			case 3:
 				f.recordCoordination(checker.Record{Op: "get", Name: fmt.Sprint("key", r.IntN(3))}, func(ctx context.Context, rec *checker.Record) error {
 					receipt, err := client.GetKey(ctx, api.GetKeyParams{Name: rec.Name})
-					if standin.CodeOf(err) == errcode.NoKey.No {
+					if standin.CodeOf(err) == errcode.KeyNotFound.Number {
 						return nil
 					}
 					if err == nil {
@@ -259,7 +259,7 @@
 			f.History.Add(rec)
 		}
 		*from = receipt.Stamp
-	case standin.CodeOf(err) == errcode.StampTooOld.No:
+	case standin.CodeOf(err) == errcode.RevisionCompacted.Number:
 		rec.Outcome = "too old"
 		f.History.Add(rec)
 		*from = 0
--- a/internal/simulator/load_coordination.go
+++ b/internal/simulator/load_coordination.go
@@ -96,7 +96,7 @@
 	index, isRead := uint64(0), false
 	f.recordCoordination(checker.Record{Op: "get", Name: key}, func(ctx context.Context, rec *checker.Record) error {
 		receipt, err := clients[r.IntN(len(clients))].GetKey(ctx, api.GetKeyParams{Name: key})
-		if standin.CodeOf(err) == errcode.NoKey.No {
+		if standin.CodeOf(err) == errcode.KeyNotFound.Number {
 			isRead = true
 			return nil
 		}
@@ -124,7 +124,7 @@
 	client := clients[r.IntN(len(clients))]
 	f.recordCoordination(checker.Record{Op: "leader", Name: "head"}, func(ctx context.Context, rec *checker.Record) error {
 		receipt, err := client.GetLeader(ctx, api.GetLeaderParams{Name: "head"})
-		if standin.CodeOf(err) == errcode.NoKey.No {
+		if standin.CodeOf(err) == errcode.KeyNotFound.Number {
 			return nil
 		}
 		if err == nil {
--- a/internal/simulator/load_spaces.go
+++ b/internal/simulator/load_spaces.go
@@ -30,11 +30,11 @@
 	rec.Name, rec.Holder = op.Name, op.Holder
 	ctx, end := context.WithTimeout(f.ctx, 4*time.Second)
 	defer end()
-	got, err := node.Bond(ctx, op)
+	got, err := node.Coordinate(ctx, op)
 	rec.Outcome = "done"
 	switch {
 	case err != nil:
-		rec.Outcome, rec.Note, rec.Code, got = "unknown", err.Error(), errcode.Of(err).Code.No, &rpc.CoordinationResponse{}
+		rec.Outcome, rec.Note, rec.Code, got = "unknown", err.Error(), errcode.From(err).Code.Number, &rpc.CoordinationResponse{}
 	case got.Code != 0:
 		rec.Outcome, rec.Code = "refused", got.Code
 	}
@@ -43,7 +43,7 @@
 	}
 	if op.Operation == "get" {
 		json.Unmarshal(got.Value, &rec.Digest)
-		if got.Code == errcode.NoKey.No {
+		if got.Code == errcode.KeyNotFound.Number {
 			rec.Outcome = "done"
 		}
 	}
@@ -110,13 +110,13 @@
 	rec := checker.Record{Kind: checker.FollowResponse, Start: f.History.Now(), Name: countedSpace, From: uint64(*from), Outcome: "done"}
 	ctx, end := context.WithTimeout(f.ctx, 6*time.Second)
 	defer end()
-	got, err := node.Bond(ctx, &rpc.CoordinationRequest{Operation: "follow", Name: countedSpace, FromIndex: *from, Wait: 2000})
+	got, err := node.Coordinate(ctx, &rpc.CoordinationRequest{Operation: "follow", Name: countedSpace, FromIndex: *from, Wait: 2000})
 	if err != nil {
 		time.Sleep(100 * time.Millisecond)
 		return
 	}
 	rec.Revision = uint64(got.Revision)
-	if got.Code == errcode.StampTooOld.No {
+	if got.Code == errcode.RevisionCompacted.Number {
 		rec.Outcome = "too old"
 	}
 	for _, e := range got.Events {
--- a/internal/simulator/load_versions.go
+++ b/internal/simulator/load_versions.go
@@ -83,10 +83,10 @@
 	switch {
 	case err == nil:
 		rec.Epoch = uint64(receipt.Epoch)
-	case errcode.Of(err).Code.Outcome == "":
-		rec.Outcome, rec.Code = "refused", errcode.Of(err).Code.No
+	case errcode.From(err).Code.Outcome == "":
+		rec.Outcome, rec.Code = "refused", errcode.From(err).Code.Number
 	default:
-		rec.Outcome, rec.Code, rec.Note = "unknown", errcode.Of(err).Code.No, err.Error()
+		rec.Outcome, rec.Code, rec.Note = "unknown", errcode.From(err).Code.Number, err.Error()
 	}
 	f.History.Add(rec)
 	return rec.Outcome
--- a/internal/simulator/machine.go
+++ b/internal/simulator/machine.go
@@ -70,7 +70,7 @@
 		m.fleet.History.Add(checker.Record{Kind: checker.ProxyStarted, Proxy: m.ProxyAddress()})
 	}
 	journal := eventlog.New(m.fleet.Log, "debug", m.Name)
-	journal.Told = m.fleet.recordEvent
+	journal.Observer = m.fleet.recordEvent
 	here := &atomic.Pointer[node.Node]{}
 	r := environment.New(m.fleet.ctx, p, journal, m.hostNetwork(here))
 	r.Trace = func(step any) {
@@ -111,7 +111,7 @@
 		return
 	}
 	m.fleet.Network.Kill(m.IP, isPowerLost)
-	node.R.Shutdown()
+	node.Env.Shutdown()
 }
 
 // Stop is the planned stop.
--- a/internal/simulator/membership_change_test.go
+++ b/internal/simulator/membership_change_test.go
@@ -212,7 +212,7 @@
 		t.Error("no step of a replicated part was seen")
 	}
 	for _, r := range f.History.Records() {
-		if r.Kind == checker.ReplicaDivergence && !strings.HasPrefix(r.Note, eventlog.PartMended.Text) {
+		if r.Kind == checker.ReplicaDivergence && !strings.HasPrefix(r.Note, eventlog.ReplicaRepaired.Text) {
 			t.Error(r.Note)
 		}
 	}
--- a/internal/simulator/membership_test.go
+++ b/internal/simulator/membership_test.go
@@ -23,7 +23,7 @@
 			isKnown := func() bool {
 				for _, core := range f.Cores() {
 					for _, proxyNode := range f.Proxies() {
-						if _, ok := core.Node().Kin.Lookup(proxyNode.Node().R.Name); !ok {
+						if _, ok := core.Node().Members.Lookup(proxyNode.Node().Env.Name); !ok {
 							return false
 						}
 					}
@@ -48,7 +48,7 @@
 		f.Network.Partition(late.IP, silent.IP)
 		f.startMachine(late)
 		began := time.Now()
-		for len(late.Node().Kin.CoreMembers()) < 3 && time.Since(began) < 5*time.Second {
+		for len(late.Node().Members.CoreMembers()) < 3 && time.Since(began) < 5*time.Second {
 			time.Sleep(10 * time.Millisecond)
 		}
 		if took := time.Since(began); took > 200*time.Millisecond {
--- a/internal/simulator/metrics_test.go
+++ b/internal/simulator/metrics_test.go
@@ -203,7 +203,7 @@
 		}
 		for _, m := range metrics.Metrics {
 			// No caller and no application has come yet, and a try that failed is none.
-			isOfLoad := m.Name == metrics.GateAdded.Name || m.Name == metrics.GateRequest.Name || m.Name == metrics.GateRefusals.Name || m.Name == metrics.BondCall.Name || m.Name == metrics.GateTries.Name || m.Name == metrics.GateTryBytes.Name || strings.Contains(m.Name, "_budget_")
+			isOfLoad := m.Name == metrics.ProxyOverhead.Name || m.Name == metrics.ProxyRequestDuration.Name || m.Name == metrics.ProxyRejections.Name || m.Name == metrics.CoordinationCallDuration.Name || m.Name == metrics.ProxyAttempts.Name || m.Name == metrics.ProxyAttemptBytes.Name || strings.Contains(m.Name, "_budget_")
 			if !seen[m.Name] && !isOfLoad {
 				t.Errorf("%s is in the table, and no node shows it", m.Name)
 			}
@@ -227,11 +227,11 @@
 		time.Sleep(5 * time.Second)
 		proxyNode := f.Machine("proxy1")
 		count := func() (named, nameless uint64) {
-			proxyNode.Node().R.Latencies.Each(func(m metrics.Metric, labels []string, s metrics.Sum) {
+			proxyNode.Node().Env.Latencies.Each(func(m metrics.Metric, labels []string, s metrics.Summary) {
 				switch {
-				case m.Name == metrics.GateRequest.Name && slices.Equal(labels, []string{"rates", "not run"}):
+				case m.Name == metrics.ProxyRequestDuration.Name && slices.Equal(labels, []string{"rates", "not run"}):
 					named = s.Count
-				case m.Name == metrics.GateRequest.Name && slices.Equal(labels, []string{"", "not run"}):
+				case m.Name == metrics.ProxyRequestDuration.Name && slices.Equal(labels, []string{"", "not run"}):
 					nameless = s.Count
 				}
 			})
@@ -270,27 +270,27 @@
 		s := newScript(f)
 		defer s.http.CloseIdleConnections()
 		proxyNode := f.Machine("proxy1")
-		count := func(m metrics.Metric, words ...string) (sum metrics.Sum) {
-			proxyNode.Node().R.Latencies.Each(func(one metrics.Metric, labels []string, s metrics.Sum) {
+		count := func(m metrics.Metric, words ...string) (sum metrics.Summary) {
+			proxyNode.Node().Env.Latencies.Each(func(one metrics.Metric, labels []string, s metrics.Summary) {
 				if one.Name == m.Name && slices.Equal(labels, words) {
 					sum = s
 				}
 			})
 			return sum
 		}
-		before := count(metrics.GateRequest, "rates", "ran").Count
-		added := count(metrics.GateAdded).Count
+		before := count(metrics.ProxyRequestDuration, "rates", "ran").Count
+		added := count(metrics.ProxyOverhead).Count
 		for i := range 10 {
 			s.send(proxyNode.ProxyAddress(), "GET", "/rates", "", fmt.Sprint("X-Call: c", i))
 		}
-		complete := count(metrics.GateRequest, "rates", "ran")
+		complete := count(metrics.ProxyRequestDuration, "rates", "ran")
 		if complete.Count != before+10 || complete.Median < 2*time.Millisecond {
 			t.Errorf("of 10 requests to a server that works for 2 ms: %+v", complete)
 		}
-		if own := count(metrics.GateAdded); own.Count != added+10 || own.Median >= time.Millisecond {
+		if own := count(metrics.ProxyOverhead); own.Count != added+10 || own.Median >= time.Millisecond {
 			t.Errorf("added by the gate: %+v", own)
 		}
-		if age := count(metrics.EpochAge); age.Count == 0 || age.Median > time.Second {
+		if age := count(metrics.EpochAgeAtUse); age.Count == 0 || age.Median > time.Second {
 			t.Errorf("age of epochs: %+v", age)
 		}
 		var rows api.Rows
--- a/internal/simulator/planner_test.go
+++ b/internal/simulator/planner_test.go
@@ -21,7 +21,7 @@
 			if owner == nil {
 				return false
 			}
-			targets, err := owner.Node().Ledger.Current().Targets(service)
+			targets, err := owner.Node().Plan.Current().Targets(service)
 			if err != nil {
 				t.Error(err)
 			}
@@ -35,7 +35,7 @@
 		for i := range 4 {
 			address := fmt.Sprintf("10.77.0.%d:8080", i+1)
 			heartbeat := func(service, instance string, seq uint64) {
-				_, err := core.Node().Take(f.ctx, &rpc.TargetHeartbeat{Service: service, Instance: instance, Sequence: seq, Address: address, Zone: "zone1", Weight: 100, State: "serving"})
+				_, err := core.Node().Heartbeat(f.ctx, &rpc.TargetHeartbeat{Service: service, Instance: instance, Sequence: seq, Address: address, Zone: "zone1", Weight: 100, State: "serving"})
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/internal/simulator/platform_mode.go
+++ b/internal/simulator/platform_mode.go
@@ -97,7 +97,7 @@
 	for c.node.Load() == nil {
 		time.Sleep(time.Millisecond)
 	}
-	header := fmt.Sprintf("\r\n%s: %d\r\n%s: %s\r\n", standin.HeaderActingEpoch, c.node.Load().Flow.Cache.Snapshot().Epoch, standin.HeaderActingProxy, c.proxyAddress)
+	header := fmt.Sprintf("\r\n%s: %d\r\n%s: %s\r\n", standin.HeaderActingEpoch, c.node.Load().Distribution.Cache.Snapshot().Epoch, standin.HeaderActingProxy, c.proxyAddress)
 	n, err := c.conn.Write([]byte(string(head) + header + string(rest)))
 	return max(min(n-len(header)+2, len(p)), 0), err
 }
--- a/internal/simulator/prevote_test.go
+++ b/internal/simulator/prevote_test.go
@@ -87,7 +87,7 @@
 	shape.Settings["plan.keep"], shape.Settings["plan.settle"], shape.Settings["plan.linger"] = "true", "3s", "30s"
 	inFleet(t, shape, func(t *testing.T, f *Fleet) {
 		time.Sleep(3 * time.Second)
-		epoch := f.Machine("proxy1").Node().Flow.Cache.Snapshot().Epoch
+		epoch := f.Machine("proxy1").Node().Distribution.Cache.Snapshot().Epoch
 		for range 4 {
 			for _, m := range f.Machines {
 				m.Kill(true)
@@ -100,7 +100,7 @@
 				f.startMachine(m)
 			}
 			time.Sleep(6 * time.Second)
-			if now := f.Machine("proxy1").Node().Flow.Cache.Snapshot().Epoch; now != epoch {
+			if now := f.Machine("proxy1").Node().Distribution.Cache.Snapshot().Epoch; now != epoch {
 				t.Errorf("epoch %d became %d", epoch, now)
 				epoch = now
 			}
--- a/internal/simulator/proxy_test.go
+++ b/internal/simulator/proxy_test.go
@@ -106,7 +106,7 @@
 					switch {
 					case got.Outcome == "ran":
 						ran++
-					case got.Code == errcode.Overload.No && got.RetryAfter != "" && time.Since(began) < 50*time.Millisecond:
+					case got.Code == errcode.Overload.Number && got.RetryAfter != "" && time.Since(began) < 50*time.Millisecond:
 						refused++
 					default:
 						t.Errorf("%+v after %s", got, time.Since(began))
@@ -142,7 +142,7 @@
 		caller := standin.NewClient(f.Network.HostAt(f.clientHost(5)), f.History)
 		defer caller.Close()
 		for i := range 8 {
-			if got := caller.Call(f.ctx, f.Machine("proxy1").ProxyAddress(), "POST", fmt.Sprint("/lonely", i), "", nil); got.Code != errcode.NoTarget.No {
+			if got := caller.Call(f.ctx, f.Machine("proxy1").ProxyAddress(), "POST", fmt.Sprint("/lonely", i), "", nil); got.Code != errcode.NoTarget.Number {
 				t.Errorf("lonely%d: code %d", i, got.Code)
 			}
 		}
@@ -158,7 +158,7 @@
 		caller := standin.NewClient(f.Network.HostAt(f.clientHost(5)), f.History)
 		defer caller.Close()
 		got := caller.CallWithID(f.ctx, f.Machine("proxy1").ProxyAddress(), "POST", "/bookings", "bookings", []byte("{}"), "huge", false)
-		if got.Code != errcode.AnswerTooLarge.No || got.Outcome != "unknown" || ranOf(f, "huge") != 1 {
+		if got.Code != errcode.ResponseTooLarge.Number || got.Outcome != "unknown" || ranOf(f, "huge") != 1 {
 			t.Errorf("%+v, ran %d times", got, ranOf(f, "huge"))
 		}
 	})
--- a/internal/simulator/repair_test.go
+++ b/internal/simulator/repair_test.go
@@ -56,18 +56,18 @@
 		}
 		c := follower(f, ids.ConfigShard)
 		routes := ""
-		for name := range c.Node().Ledger.Current().Groups {
+		for name := range c.Node().Plan.Current().Groups {
 			if strings.HasPrefix(name, controlplane.RoutesPrefix) {
 				routes = name
 			}
 		}
-		if err := c.Node().Ledger.Repair("group/"+routes, json.RawMessage(`{"digest":"x","stamp":1,"data":[]}`)); err != nil {
+		if err := c.Node().Plan.Repair("group/"+routes, json.RawMessage(`{"digest":"x","stamp":1,"data":[]}`)); err != nil {
 			t.Fatal(err)
 		}
 		isRepaired := func() bool {
 			record, ok := m.Node().Stores[shard].Get("key", "app/a")
 			_, isForged := m.Node().Stores[shard].Get("key", "app/forged")
-			config, err := c.Node().Ledger.Current().Config()
+			config, err := c.Node().Plan.Current().Config()
 			return ok && !isForged && string(record.Value) == `"right"` && err == nil && len(config.Routes) == 2
 		}
 		if isRepaired() {
@@ -76,7 +76,7 @@
 		if !f.WaitUntil(30*time.Second, isRepaired) {
 			t.Fatal("the copies are not mended")
 		}
-		if m.Node().R.Events.Counts()["PartMended"] == 0 {
+		if m.Node().Env.Events.Counts()["PartMended"] == 0 {
 			t.Fatal("nobody was told")
 		}
 		m.Kill(true)
--- a/internal/simulator/rpc_test.go
+++ b/internal/simulator/rpc_test.go
@@ -28,17 +28,17 @@
 			answer, _ := bufio.NewReader(conn).ReadString('\n')
 			return answer
 		}
-		before := m.Node().R.Events.Counts()["MessageRefused"]
+		before := m.Node().Env.Events.Counts()["MessageRefused"]
 		for line, says := range map[string]string{
 			"what is this":                         "",
-			`{"v":3,"id":1,"kind":"pact.nothing"}`: fmt.Sprint(errcode.UnknownKind.No),
-			`{"v":3,"id":2,"kind":"pact.promise","body":{"part":"x"}}`:  fmt.Sprint(errcode.BadMessage.No),
-			`{"v":3,"id":3,"kind":"pact.promise","body":{"part":99}}`:   fmt.Sprint(errcode.BadMessage.No),
-			`{"v":3,"id":4,"kind":"pact.append","body":{"part":-1}}`:    fmt.Sprint(errcode.BadMessage.No),
-			`{"v":3,"id":5,"kind":"seat.pass","body":{"part":400}}`:     fmt.Sprint(errcode.BadMessage.No),
-			`{"v":3,"id":6,"kind":"pact.found","body":{"step":"open"}}`: fmt.Sprint(errcode.BadMessage.No),
-			`{"id":7,"kind":"pact.charter"}`:                            fmt.Sprint(errcode.WrongVersion.No),
-			`{"v":99,"id":8,"kind":"pact.charter"}`:                     fmt.Sprint(errcode.WrongVersion.No),
+			`{"v":3,"id":1,"kind":"pact.nothing"}`: fmt.Sprint(errcode.UnknownKind.Number),
+			`{"v":3,"id":2,"kind":"pact.promise","body":{"part":"x"}}`:  fmt.Sprint(errcode.InvalidMessage.Number),
+			`{"v":3,"id":3,"kind":"pact.promise","body":{"part":99}}`:   fmt.Sprint(errcode.InvalidMessage.Number),
+			`{"v":3,"id":4,"kind":"pact.append","body":{"part":-1}}`:    fmt.Sprint(errcode.InvalidMessage.Number),
+			`{"v":3,"id":5,"kind":"seat.pass","body":{"part":400}}`:     fmt.Sprint(errcode.InvalidMessage.Number),
+			`{"v":3,"id":6,"kind":"pact.found","body":{"step":"open"}}`: fmt.Sprint(errcode.InvalidMessage.Number),
+			`{"id":7,"kind":"pact.charter"}`:                            fmt.Sprint(errcode.WrongVersion.Number),
+			`{"v":99,"id":8,"kind":"pact.charter"}`:                     fmt.Sprint(errcode.WrongVersion.Number),
 			strings.Repeat("x", 100000):                                 "",
 		} {
 			got := send(line)
@@ -53,7 +53,7 @@
 		defer packet.Close()
 		packet.WriteTo([]byte("what"), tcpAddr(m.RPCAddress()))
 		time.Sleep(100 * time.Millisecond)
-		if n := m.Node().R.Events.Counts()["MessageRefused"] - before; n < 9 {
+		if n := m.Node().Env.Events.Counts()["MessageRefused"] - before; n < 9 {
 			t.Errorf("%d refusals are counted", n)
 		}
 		if !f.IsUsable() {
--- a/internal/simulator/snapshot_test.go
+++ b/internal/simulator/snapshot_test.go
@@ -111,7 +111,7 @@
 				if !f.WaitUntil(20*time.Second, f.isRepaired) {
 					t.Fatalf("not mended after %d changes", n+1)
 				}
-				state, _ := f.owner(ids.ConfigShard).Node().Ledger.Snapshot()()
+				state, _ := f.owner(ids.ConfigShard).Node().Plan.Snapshot()()
 				sizes, times = append(sizes, len(state)), append(times, time.Since(began))
 			}
 		}
--- a/internal/simulator/suspension_test.go
+++ b/internal/simulator/suspension_test.go
@@ -28,7 +28,7 @@
 			f.Network.Suspend(proxyNode.IP, time.Minute)
 			got := caller.Call(f.ctx, proxyNode.ProxyAddress(), "GET", "/rates", "rates", nil)
 			f.Network.Heal()
-			if got.Code != errcode.NotFresh.No || got.Outcome != "not run" {
+			if got.Code != errcode.NotFresh.Number || got.Outcome != "not run" {
 				t.Errorf("after: %+v", got)
 			}
 			if !f.WaitUntil(5*time.Second, func() bool {
--- a/internal/simulator/watch_test.go
+++ b/internal/simulator/watch_test.go
@@ -21,7 +21,7 @@
 			raw, _ := json.Marshal(value)
 			ctx, end := context.WithTimeout(f.ctx, 4*time.Second)
 			defer end()
-			return m.Node().Bond(ctx, &rpc.CoordinationRequest{Operation: "set", Name: key, Value: raw})
+			return m.Node().Coordinate(ctx, &rpc.CoordinationRequest{Operation: "set", Name: key, Value: raw})
 		}
 		for i := range 5 {
 			var owner *Machine
@@ -44,7 +44,7 @@
 			answered := make(chan time.Time, len(rest))
 			for _, m := range rest {
 				go func() {
-					got, err := m.Node().Bond(f.ctx, &rpc.CoordinationRequest{Operation: "follow", Name: "group/", FromIndex: first.Revision, Wait: 30000})
+					got, err := m.Node().Coordinate(f.ctx, &rpc.CoordinationRequest{Operation: "follow", Name: "group/", FromIndex: first.Revision, Wait: 30000})
 					if err != nil || len(got.Events) == 0 {
 						t.Errorf("round %d: %+v %v", i, got, err)
 						return
--- a/internal/storage/recovery.go
+++ b/internal/storage/recovery.go
@@ -54,7 +54,7 @@
 	err := s.load()
 	if err == nil {
 		if s.failing.Swap(false) {
-			s.env.Events.Say(eventlog.StoreBack, "after", time.Since(s.opening).String())
+			s.env.Events.Emit(eventlog.StoreRecovered, "after", time.Since(s.opening).String())
 		}
 		return nil
 	}
@@ -76,7 +76,7 @@
 func (s *Store) quarantine(cause error) error {
 	folder := s.env.Config.DataFolder
 	quarantine := folder + ".damaged-" + time.Now().Format("20060102-150405")
-	s.env.Events.Say(eventlog.StoreDamaged, "folder", folder, "quarantine", quarantine, "cause", cause.Error())
+	s.env.Events.Emit(eventlog.StoreDamaged, "folder", folder, "quarantine", quarantine, "cause", cause.Error())
 	if err := s.env.Host.Rename(folder, quarantine); err != nil {
 		return errcode.New(errcode.StorageBroken, "%s is corrupt (%v) and can't be set aside: %v", folder, cause, err)
 	}
--- a/internal/storage/storage.go
+++ b/internal/storage/storage.go
@@ -65,7 +65,7 @@
 			return nil, errcode.New(errcode.StorageBroken, "%s: %v", env.Config.DataFolder, err)
 		}
 		if !s.failing.Swap(true) {
-			env.Events.Say(eventlog.StoreFailed, "cause", err.Error())
+			env.Events.Emit(eventlog.StoreFailed, "cause", err.Error())
 		}
 		if !env.Sleep(retryInterval) {
 			return nil, errStopping()
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -21,7 +21,7 @@
 }
 
 func newEnvironment(folder string, log *bytes.Buffer) *environment.Environment {
-	settings := &config.Props{Name: "n", DataFolder: folder, LogLevel: "info"}
+	settings := &config.Settings{Name: "n", DataFolder: folder, LogLevel: "info"}
 	return environment.New(context.Background(), settings, eventlog.New(log, "info", "n"), environment.NewHost(""))
 }
 
--- a/internal/storage/writer.go
+++ b/internal/storage/writer.go
@@ -90,7 +90,7 @@
 		s.writeStarted.Store(&started)
 		err := s.persist(s.coalesce(batches))
 		s.writeStarted.Store(nil)
-		s.env.Latencies.Sync.Take(time.Since(started))
+		s.env.Latencies.StoreSync.Observe(time.Since(started))
 		s.syncCount.Add(1)
 		finish(batches, err)
 		if err != nil {
@@ -122,7 +122,7 @@
 	if err == nil {
 		return nil
 	}
-	s.env.Events.Say(eventlog.StoreFailed, "cause", err.Error())
+	s.env.Events.Emit(eventlog.StoreFailed, "cause", err.Error())
 	s.failing.Store(true)
 	started := time.Now()
 	for s.env.Sleep(retryInterval) {
@@ -132,11 +132,11 @@
 		}
 		if err == nil {
 			s.failing.Store(false)
-			s.env.Events.Say(eventlog.StoreBack, "after", time.Since(started).String())
+			s.env.Events.Emit(eventlog.StoreRecovered, "after", time.Since(started).String())
 			return nil
 		}
 		if isCorruption(err) {
-			s.env.Events.Say(eventlog.StoreFailed, "cause", err.Error())
+			s.env.Events.Emit(eventlog.StoreFailed, "cause", err.Error())
 			close(s.corrupted)
 			<-s.env.Done()
 			return errcode.New(errcode.StorageBroken, "%v", err)
