--- a/internal/proxy/admission/admission.go
+++ b/internal/proxy/admission/admission.go
@@ -65,9 +65,9 @@
 	return at, true
 }
 
-// AwaitTurn waits until it is the turn of a body of that size. It returns false at once if
+// Admit waits until it is the turn of a body of that size. It returns false at once if
 // that would be later than latest, and when ctx ends.
-func (u *Uploads) AwaitTurn(ctx context.Context, size int64, latest time.Time) bool {
+func (u *Uploads) Admit(ctx context.Context, size int64, latest time.Time) bool {
 	now := time.Now()
 	at, ok := u.reserve(now, size, latest)
 	if !ok || !at.After(now) {
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -17,16 +17,14 @@
 
 // attemptResult is what an attempt came to. Either nothing was written, or there is a
 // response with a right seal, or what came after the first byte is something else, and then
-// it is unknown whether the request ran.
+// it is unknown whether the request ran. A response beside an error is a target's word that
+// it did not run the request.
 type attemptResult struct {
 	response *upstream.Response
 	wrote    bool // a first byte may have been written
 	err      error
 }
 
-// A result with both a response and an error is a target's word that it did not run the
-// request.
-
 // isFinal reports whether no other target could do better.
 func (a attemptResult) isFinal() bool { return a.err == nil && a.response.HTTP.StatusCode < 500 }
 
--- a/internal/proxy/body.go
+++ b/internal/proxy/body.go
@@ -33,7 +33,7 @@
 		return func() io.Reader { return nil }, true, nil
 	}
 	uploadDeadline := plan.uploadDeadline(time.Now())
-	if !p.uploads.AwaitTurn(ctx, r.ContentLength, uploadDeadline) {
+	if !p.uploads.Admit(ctx, r.ContentLength, uploadDeadline) {
 		return nil, false, errcode.New(errcode.Overload, "no turn on the link for %d bytes in time", r.ContentLength)
 	}
 	release, ok := p.uploads.BeginRead(r.ContentLength, uploadDeadline)
--- a/internal/proxy/endpoint/endpoint.go
+++ b/internal/proxy/endpoint/endpoint.go
@@ -26,10 +26,10 @@
 	// defaultSlots is how many requests a target serves at once, if it doesn't say.
 	defaultSlots = 8
 
-	// An endpoint with requests in flight from which nothing came for minSilence, and for
-	// silenceFactor times its latency, is not usable.
-	minSilence    = 400 * time.Millisecond
-	silenceFactor = 6
+	// An endpoint with requests in flight from which nothing came for minUnresponsive, and for
+	// unresponsiveFactor times its latency, is not usable.
+	minUnresponsive    = 400 * time.Millisecond
+	unresponsiveFactor = 6
 
 	// An endpoint that can't be reached, or failed more than toleratedFailures times in a
 	// row, is ejected, each time for twice as long.
@@ -71,7 +71,7 @@
 	overdue             int           // those of them whose responses are overdue
 	latency             time.Duration // moving average over responses; zero before the first
 	lastResponse        time.Time
-	silentSince         time.Time // since when requests are in flight without any response
+	unresponsiveSince   time.Time // since when requests are in flight without any response
 	ejectedUntil        time.Time
 	barred              bool // another instance has its address
 	consecutiveFailures int
@@ -133,7 +133,7 @@
 	excess := e.excessScore(now, totalScore, peers)
 	expected *= 1 + 2*excess
 	usable = now.After(e.ejectedUntil) && now.After(e.refusingUntil) && excess < 1
-	if e.overdue > 0 || e.inFlight > 0 && now.Sub(e.silentSince) > max(minSilence, silenceFactor*latency) {
+	if e.overdue > 0 || e.inFlight > 0 && now.Sub(e.unresponsiveSince) > max(minUnresponsive, unresponsiveFactor*latency) {
 		usable = false
 	}
 	return time.Duration(expected), usable
@@ -149,7 +149,7 @@
 func (e *Endpoint) BeginAttempt(now time.Time) {
 	e.mu.Lock()
 	if e.inFlight == 0 {
-		e.silentSince = now
+		e.unresponsiveSince = now
 	}
 	e.inFlight++
 	e.mu.Unlock()
@@ -175,7 +175,7 @@
 func (e *Endpoint) RecordResponse(now time.Time, took time.Duration, ran, healthy bool, load string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.lastResponse, e.silentSince = now, now
+	e.lastResponse, e.unresponsiveSince = now, now
 	if healthy {
 		e.consecutiveFailures, e.ejectedUntil = 0, time.Time{}
 	}
--- a/internal/proxy/forward.go
+++ b/internal/proxy/forward.go
@@ -40,7 +40,7 @@
 			}
 			break
 		}
-		if len(plan.tried) > 0 && !p.uploads.AwaitTurn(ctx, r.ContentLength, plan.deadline) {
+		if len(plan.tried) > 0 && !p.uploads.Admit(ctx, r.ContentLength, plan.deadline) {
 			break
 		}
 		candidate := p.selectEndpoint(plan, r.ContentLength)
--- a/internal/proxy/hedge.go
+++ b/internal/proxy/hedge.go
@@ -14,9 +14,9 @@
 // "The Tail at Scale", 2013). The other attempt goes on by itself to its end: a target at
 // work is not broken off, its connection is used again, and how long it took is learnt.
 
-// silenceFactor is after how many times the typical latency a target that has not responded
+// unresponsiveFactor is after how many times the typical latency a target that has not responded
 // counts as silent.
-const silenceFactor = 5
+const unresponsiveFactor = 5
 
 // hedgeDelay is how long after a request was sent its response is overdue. It follows from
 // what the service usually takes and from the latency target, so that a service which is
@@ -37,7 +37,7 @@
 	typical := plan.endpoints.TypicalLatency()
 	mayHedge := p.environment.Config.ProxyHedgePercent > 0 && index == 0 && plan.maxAttempts > 1 && plan.idempotent && r.ContentLength == 0
 	if typical > 0 {
-		delay := silenceFactor * typical
+		delay := unresponsiveFactor * typical
 		if mayHedge {
 			delay = hedgeDelay(typical, plan.latencyTarget)
 		}
@@ -108,14 +108,14 @@
 // the connection again. The connection's deadline bounds it.
 func (p *Proxy) awaitAbandoned(plan *requestPlan, sent *sentAttempt, typical time.Duration) {
 	defer sent.end()
-	silent := time.NewTimer(time.Until(sent.sentAt.Add(silenceFactor * typical)))
-	defer silent.Stop()
+	unresponsive := time.NewTimer(time.Until(sent.sentAt.Add(unresponsiveFactor * typical)))
+	defer unresponsive.Stop()
 	for {
 		select {
 		case response := <-sent.responses:
 			p.finishAttempt(plan, sent, &response)
 			return
-		case <-silent.C:
+		case <-unresponsive.C:
 			if plan.endpoints.NearBaseline() {
 				p.outliers.Report(sent.to)
 			}
--- a/internal/proxy/idempotency/loss_report.go
+++ b/internal/proxy/idempotency/loss_report.go
@@ -57,9 +57,9 @@
 }
 
 // receive takes the report of another proxy.
-func (l *LossReporter) receive(_ context.Context, request *rpc.UnansweredRequests) (struct{}, error) {
-	l.config.Budget.RecordPeerLosses(request.Keys)
-	l.config.Tracker.RecordPeerLosses(request.Keys)
+func (l *LossReporter) receive(_ context.Context, report *rpc.UnansweredRequests) (struct{}, error) {
+	l.config.Budget.RecordPeerLosses(report.Keys)
+	l.config.Tracker.RecordPeerLosses(report.Keys)
 	return struct{}{}, nil
 }
 
--- a/internal/proxy/idempotency/tracker_test.go
+++ b/internal/proxy/idempotency/tracker_test.go
@@ -86,7 +86,7 @@
 	})
 }
 
-func TestRefusal_TellsWhatIsTrueOfTheRequest(t *testing.T) {
+func TestRefusal_IsTrueOfTheRequest(t *testing.T) {
 	overload, spent := errcode.From(errcode.New(errcode.Overload, "")), errcode.From(errcode.New(errcode.BudgetExhausted, ""))
 	lost := errcode.From(errcode.New(errcode.ResponseLost, ""))
 	for name, test := range map[string]struct {
--- a/internal/proxy/outlier/outlier.go
+++ b/internal/proxy/outlier/outlier.go
@@ -70,9 +70,9 @@
 }
 
 // receive takes the report of another proxy.
-func (r *Reporter) receive(_ context.Context, request *rpc.FailureReport) (struct{}, error) {
+func (r *Reporter) receive(_ context.Context, report *rpc.FailureReport) (struct{}, error) {
 	now := time.Now()
-	for id, count := range request.Failures {
+	for id, count := range report.Failures {
 		if failed := r.config.Lookup(id); failed != nil && count > 0 {
 			failed.AddToFailureScore(now, float64(count))
 		}
--- /dev/null
+++ b/internal/proxy/outlier/outlier_test.go
@@ -0,0 +1,95 @@
+package outlier
+
+import (
+	"fmt"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/sumactrestle/sumactrestle/internal/proxy/endpoint"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
+)
+
+// newPool returns ten endpoints alike.
+func newPool() *endpoint.Pool {
+	var targets []rpc.Target
+	for i := range 10 {
+		targets = append(targets, rpc.Target{Instance: fmt.Sprint("t", i), Address: fmt.Sprint("10.0.0.", i), Weight: 100, Slots: 2})
+	}
+	return endpoint.NewPool(endpoint.Config{Service: "s", Targets: targets}, time.Now())
+}
+
+// newReporter returns a reporter that is not started, for the endpoints of the pool.
+func newReporter(pool *endpoint.Pool) *Reporter {
+	lookup := func(id string) *endpoint.Endpoint {
+		for _, candidate := range pool.Endpoints {
+			if candidate.ReportID == id {
+				return candidate
+			}
+		}
+		return nil
+	}
+	return &Reporter{config: Config{Lookup: lookup}, failures: map[string]int{}, wake: make(chan struct{}, 1)}
+}
+
+// selections counts how many of a thousand requests go to the endpoint.
+func selections(pool *endpoint.Pool, of *endpoint.Endpoint) (count int) {
+	for range 1000 {
+		if pool.Select(endpoint.Selection{LatencyTarget: time.Second, Proxies: 1}) == of {
+			count++
+		}
+	}
+	return count
+}
+
+func TestReporter_FailuresSeenHereCountAndAreQueued(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		pool := newPool()
+		reporter, failing := newReporter(pool), pool.Endpoints[3]
+		for range 4 {
+			reporter.Report(failing)
+		}
+		time.Sleep(100 * time.Millisecond)
+		if got := selections(pool, failing); got > 0 {
+			t.Errorf("%d of 1000 requests went to it", got)
+		}
+		if got := reporter.failures[failing.ReportID]; got != 4 || len(reporter.failures) != 1 {
+			t.Error("queued are", reporter.failures)
+		}
+		if len(reporter.wake) != 1 {
+			t.Error("the task was not woken")
+		}
+	})
+}
+
+func TestReporter_QueueIsBounded(t *testing.T) {
+	pool := newPool()
+	reporter := newReporter(pool)
+	for i := range 2 * maxEndpoints {
+		reporter.Report(&endpoint.Endpoint{ReportID: fmt.Sprint(i)})
+	}
+	if len(reporter.failures) != maxEndpoints {
+		t.Errorf("%d endpoints are queued", len(reporter.failures))
+	}
+}
+
+func TestReporter_ReportsOfOthersCount(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		pool := newPool()
+		reporter, failing, healthy := newReporter(pool), pool.Endpoints[3], pool.Endpoints[4]
+		report := &rpc.FailureReport{Failures: map[string]int{failing.ReportID: 4, healthy.ReportID: -4, "unheard of": 4}}
+		if _, err := reporter.receive(t.Context(), report); err != nil {
+			t.Fatal(err)
+		}
+		time.Sleep(100 * time.Millisecond)
+		if got := selections(pool, failing); got > 0 {
+			t.Errorf("%d of 1000 requests went to it", got)
+		}
+		if got := selections(pool, healthy); got == 0 {
+			t.Error("no request went to another")
+		}
+		if len(reporter.failures) > 0 {
+			t.Error("what others reported is reported on:", reporter.failures)
+		}
+	})
+}
--- a/internal/proxy/retry/budget_test.go
+++ b/internal/proxy/retry/budget_test.go
@@ -68,7 +68,7 @@
 	})
 }
 
-func TestBudget_LossOfWhichNotAllWereToldIsPaidFirst(t *testing.T) {
+func TestBudget_UnreportedLossIsPaidFirst(t *testing.T) {
 	for name, test := range map[string]struct {
 		complete bool
 		want     int
--- a/internal/proxy/seal.go
+++ b/internal/proxy/seal.go
@@ -8,28 +8,10 @@
 
 	"github.com/sumactrestle/sumactrestle/internal/errcode"
 	"github.com/sumactrestle/sumactrestle/internal/eventlog"
-	"github.com/sumactrestle/sumactrestle/internal/proxy/idempotency"
 	"github.com/sumactrestle/sumactrestle/internal/proxy/upstream"
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// headerPrefix begins the names of the project's own header fields.
-const headerPrefix = "Sumac-"
-
-// The header fields between a proxy and a server, and towards the client.
-const (
-	HeaderRequestID      = headerPrefix + "Request"
-	HeaderAttempt        = headerPrefix + "Try"
-	HeaderService        = headerPrefix + "Service"
-	HeaderInstance       = headerPrefix + "Instance"
-	HeaderSeal           = headerPrefix + "Seal"
-	HeaderOutcome        = headerPrefix + "Outcome"
-	HeaderCode           = headerPrefix + "Code"
-	HeaderEpoch          = headerPrefix + "Epoch"
-	HeaderProxy          = headerPrefix + "Proxy"
-	HeaderIdempotencyKey = idempotency.HeaderKey
-)
-
 // Seal is the seal of a response, which a server puts into HeaderSeal: an HMAC under the
 // service's key over the request's id, the server's own service and instance, the status and
 // the hash of the whole body. Nothing that lacks a right seal is handed to a client as a
