--- a/internal/node/seat.go
+++ b/internal/node/seat.go
@@ -201,7 +201,7 @@
 	rpc.Handle(n.RPC, "plan.whose", func(_ context.Context, request *rpc.InstanceLookupRequest) (*rpc.InstanceLookupResponse, error) {
 		return &rpc.InstanceLookupResponse{Service: n.Targets.ServiceOf(request.Instance)}, nil
 	})
-	n.RPC.Handle("plan.notifyPlanner", func(c *rpc.Request) (any, error) {
+	n.RPC.Handle("plan.stir", func(c *rpc.Request) (any, error) {
 		n.Planner.Trigger()
 		return struct{}{}, nil
 	})
@@ -296,7 +296,7 @@
 		if address := n.leaderAddress(ids.ConfigShard, 0); address != "" {
 			ctx, end := context.WithTimeout(n.Env, 500*time.Millisecond)
 			defer end()
-			n.RPC.Call(ctx, address, "plan.notifyPlanner", struct{}{}, nil)
+			n.RPC.Call(ctx, address, "plan.stir", struct{}{}, nil)
 		}
 	})
 }
