--- a/internal/simulator/bootstrap_test.go
+++ b/internal/simulator/bootstrap_test.go
@@ -1,6 +1,7 @@
 // Founding while founders are killed and lose power: there is one fleet in the
 // end, whatever happened on the way, and a store that took the place of a
 // damaged one never founds another.
+
 package simulator
 
 import (
--- a/internal/simulator/conn.go
+++ b/internal/simulator/conn.go
@@ -1,5 +1,6 @@
 // Connections of the simulated network: two half-streams, each with its delay,
 // that stand still while their way is cut and end when a process is killed.
+
 package simulator
 
 import (
--- a/internal/simulator/contact_test.go
+++ b/internal/simulator/contact_test.go
@@ -1,5 +1,6 @@
 // A core node that has no word of a majority hands out nothing that may be old: each
 // kind of call is told at once to ask another node, and nothing is confirmed.
+
 package simulator
 
 import (
--- a/internal/simulator/control_nodes_test.go
+++ b/internal/simulator/control_nodes_test.go
@@ -1,5 +1,6 @@
 // A proxy that listens to a few control nodes only must hear of each change all the
 // same, also where the core nodes nearest to it don't hold the configuration.
+
 package simulator
 
 import (
--- a/internal/simulator/disk.go
+++ b/internal/simulator/disk.go
@@ -1,6 +1,7 @@
 // Disks of the simulated machines, as goleveldb storage. A killed process
 // leaves all it wrote; lost power leaves what was synced and a torn beginning
 // of the rest. A disk can stall, and it can be wiped.
+
 package simulator
 
 import (
--- a/internal/simulator/distribution_test.go
+++ b/internal/simulator/distribution_test.go
@@ -1,6 +1,7 @@
 // How late a proxy with a way to the control nodes may come to know an epoch, on each
 // path by which it can: the bound is 1.25 pulses, the pause before a catch-up, and the
 // ways there and back, whatever the listening tasks wait for.
+
 package simulator
 
 import (
--- a/internal/simulator/drain_test.go
+++ b/internal/simulator/drain_test.go
@@ -1,4 +1,5 @@
 // The word of a drain and of a change set may wait for the proxies to hear of it.
+
 package simulator
 
 import (
--- a/internal/simulator/faults.go
+++ b/internal/simulator/faults.go
@@ -1,6 +1,7 @@
 // The faults of the brief, as scenarios. Each draws what it does from the seed,
 // notes it, and keeps to what the brief allows: one disk lost at a time, with
 // the copies mended before the next.
+
 package simulator
 
 import (
--- a/internal/simulator/faults_compound.go
+++ b/internal/simulator/faults_compound.go
@@ -2,6 +2,7 @@
 // a disk lost at the very moment after an acknowledgement, slow disks, herds of
 // servers, cold starts of proxies before the core, planned stops over long work and
 // without a majority, uploads that are cut, and faults that overlap.
+
 package simulator
 
 import (
--- a/internal/simulator/faults_membership.go
+++ b/internal/simulator/faults_membership.go
@@ -1,6 +1,7 @@
 // Members of the core that are replaced while other things go wrong: cut off until
 // a spare has their places, back in the middle of it, with owners that lose their
 // power between the steps of a change.
+
 package simulator
 
 import (
--- a/internal/simulator/faults_targets.go
+++ b/internal/simulator/faults_targets.go
@@ -1,5 +1,6 @@
 // Faults of the stand-in servers: drained, signed off, crashed, replaced, wrong
 // in their answers, and all that while the fleet itself is hurt.
+
 package simulator
 
 import (
--- a/internal/simulator/hedge_test.go
+++ b/internal/simulator/hedge_test.go
@@ -1,5 +1,6 @@
 // Reads whose target is late, silent or failing: a second target answers them, as
 // far as the budget goes. Orders go to one target only, whatever becomes of them.
+
 package simulator
 
 import (
--- a/internal/simulator/idempotency_test.go
+++ b/internal/simulator/idempotency_test.go
@@ -1,4 +1,5 @@
 // Orders that callers repeat, while what leads to their service changes.
+
 package simulator
 
 import (
--- a/internal/simulator/link.go
+++ b/internal/simulator/link.go
@@ -1,6 +1,7 @@
 // The links of machines: a narrow one carries so many bytes a second in each direction,
 // and what is sent beyond that waits in its queue, whatever it is, in the order in which
 // it was sent. A machine that was not narrowed has all the room there is.
+
 package simulator
 
 import "time"
--- a/internal/simulator/load_changesets.go
+++ b/internal/simulator/load_changesets.go
@@ -2,6 +2,7 @@
 // services together, some as amendments and some as whole configurations, and
 // they race. Requests to all the paths go on all the while, so that a half set, or
 // one that was refused, would show in what a server runs.
+
 package simulator
 
 import (
--- a/internal/simulator/load_clients.go
+++ b/internal/simulator/load_clients.go
@@ -1,5 +1,6 @@
 // What goes on at the edges of a simulated fleet: callers, applications and
 // operators, each a few tasks that call, wait a little and call again.
+
 package simulator
 
 import (
--- a/internal/simulator/load_coordination.go
+++ b/internal/simulator/load_coordination.go
@@ -1,6 +1,7 @@
 // The rest of what applications do: compare-and-set, deletes, lists, elections,
 // watches of whole spaces, and repeats of calls that were left unknown, under the
 // id that they had.
+
 package simulator
 
 import (
--- a/internal/simulator/load_rivals.go
+++ b/internal/simulator/load_rivals.go
@@ -1,6 +1,7 @@
 // Operators on their worst days: several send different texts under one number at
 // once, their answers are lost, and they send the same again, to other nodes, at once
 // or long after.
+
 package simulator
 
 import (
--- a/internal/simulator/load_spaces.go
+++ b/internal/simulator/load_spaces.go
@@ -1,6 +1,7 @@
 // What the users' platform asks of the nodes beyond the product's own API: sets in
 // a space and their followers, changes under operators' versions, and locks with a
 // time in each call. They are made at a node itself, as the platform's faces are.
+
 package simulator
 
 import (
--- a/internal/simulator/load_versions.go
+++ b/internal/simulator/load_versions.go
@@ -1,5 +1,6 @@
 // Operators who number their changes: each names the version it was made over, they
 // race, repeat what was left unknown, and read back what they sent.
+
 package simulator
 
 import (
--- a/internal/simulator/membership_change_test.go
+++ b/internal/simulator/membership_change_test.go
@@ -1,5 +1,6 @@
 // A member that was replaced while it was cut off must not take part in the
 // choice of an owner: its old group is no majority of the group in force.
+
 package simulator
 
 import (
--- a/internal/simulator/metrics_test.go
+++ b/internal/simulator/metrics_test.go
@@ -1,6 +1,7 @@
 // What the nodes of a small fleet show for scraping, as an approved transcript in
 // which what differs with each run is masked; and that the metrics keep the
 // library's conventions.
+
 package simulator
 
 import (
--- a/internal/simulator/planner_test.go
+++ b/internal/simulator/planner_test.go
@@ -1,5 +1,6 @@
 // An address that passes from one service to another is in two epochs: the first lets it
 // go, the second gives it. Nothing but the making of an epoch may lie between them.
+
 package simulator
 
 import (
--- a/internal/simulator/platform_mode.go
+++ b/internal/simulator/platform_mode.go
@@ -3,6 +3,7 @@
 // listen, beats come seldom, and servers speak the plain manner. What a proxy acts
 // on is then told beside each request by the network made here, and the history
 // tells which proxies are in touch, for only those are bound by the bounds on time.
+
 package simulator
 
 import (
--- a/internal/simulator/prevote_test.go
+++ b/internal/simulator/prevote_test.go
@@ -1,5 +1,6 @@
 // Standing early: a core that lost all its processes owns its parts soon after the
 // last of them is back, and a member that comes back alone takes nothing from others.
+
 package simulator
 
 import (
--- a/internal/simulator/proxy_test.go
+++ b/internal/simulator/proxy_test.go
@@ -1,5 +1,6 @@
 // The gate under what callers do: uploads cut half-way, more requests than the
 // shares allow, and a server that answers before it has read everything.
+
 package simulator
 
 import (
--- a/internal/simulator/repair_test.go
+++ b/internal/simulator/repair_test.go
@@ -1,5 +1,6 @@
 // A copy that differs is found by its digests and mended, on the configuration
 // part and on a data part, and a restart does not bring the fault back.
+
 package simulator
 
 import (
--- a/internal/simulator/rpc_test.go
+++ b/internal/simulator/rpc_test.go
@@ -1,5 +1,6 @@
 // What comes over the wire and can't be read is refused, logged and counted,
 // and the node goes on.
+
 package simulator
 
 import (
--- a/internal/simulator/run.go
+++ b/internal/simulator/run.go
@@ -1,5 +1,6 @@
 // A run: boot, load, faults drawn from the seed, everything brought back, the
 // time until the fleet is usable again, the last questions, and the verdict.
+
 package simulator
 
 import (
--- a/internal/simulator/seeds_test.go
+++ b/internal/simulator/seeds_test.go
@@ -4,6 +4,7 @@
 //
 // prints, for each seed that breaks a rule, the seed, the rule, the faults and
 // the history around the breach.
+
 package simulator
 
 import (
--- a/internal/simulator/slide_test.go
+++ b/internal/simulator/slide_test.go
@@ -1,5 +1,6 @@
 // A proxy that is started anew while an owner that was deposed, and does not know
 // it yet, is the nearest control node there is.
+
 package simulator
 
 import (
--- a/internal/simulator/snapshot_test.go
+++ b/internal/simulator/snapshot_test.go
@@ -1,5 +1,6 @@
 // A large state reaches a member that lacks it, over a slow link, through takeovers
 // and restarts on the way; and a member behind leads with nothing old.
+
 package simulator
 
 import (
--- a/internal/simulator/spare_test.go
+++ b/internal/simulator/spare_test.go
@@ -1,5 +1,6 @@
 // A core node that is lost for good gives its places to a spare one, and
 // nothing that was acknowledged is lost.
+
 package simulator
 
 import (
--- a/internal/simulator/suspension_test.go
+++ b/internal/simulator/suspension_test.go
@@ -1,5 +1,6 @@
 // A machine that is suspended stops its monotonic clock. What it held for fresh
 // when it went to sleep must not count as fresh when it wakes.
+
 package simulator
 
 import (
--- a/internal/simulator/transcript_test.go
+++ b/internal/simulator/transcript_test.go
@@ -1,6 +1,7 @@
 // Approved transcripts of whole exchanges with a fleet: what callers, servers,
 // applications and operators send, and what they get. Run with -approve to take
 // over what is said now. Ids, stamps of time and addresses are masked.
+
 package simulator
 
 import (
--- a/internal/simulator/watch_test.go
+++ b/internal/simulator/watch_test.go
@@ -1,5 +1,6 @@
 // A held call goes by the owner of its part. Where the owner goes without a word, the
 // node that passed the call on must not wait for it once another owns the part.
+
 package simulator
 
 import (
