--- a/internal/rpc/client_test.go
+++ b/internal/rpc/client_test.go
@@ -72,7 +72,7 @@
 				defer cancel()
 				var response int
 				if err := transport.Call(ctx, peerAddress, "kind", struct{}{}, &response); !errcode.Is(err, test.want) {
-					t.Errorf("%v, want code %d", err, test.want.No)
+					t.Errorf("%v, want code %d", err, test.want.Number)
 				}
 			})
 		})
