--- a/internal/simulator/membership_change_test.go
+++ b/internal/simulator/membership_change_test.go
@@ -107,6 +107,9 @@
 			return
 		}
 		once.Do(func() {
+			// Power goes before the leader can write the second step; the process, which
+			// stands in this call, is ended beside it.
+			f.Network.Kill(m.IP, true)
 			go func() {
 				m.Kill(true)
 				killed <- m
