--- a/internal/checker/availability.go
+++ b/internal/checker/availability.go
@@ -20,7 +20,7 @@
 	a := Availability{Rejected: map[int]int{}}
 	for _, r := range ofKind(records, RequestCompleted) {
 		switch {
-		case r.Outcome == OutcomeGone:
+		case r.Outcome == OutcomeAbandoned:
 			continue
 		case r.Status == 200:
 			a.Succeeded++
--- a/internal/checker/change.go
+++ b/internal/checker/change.go
@@ -1,6 +1,10 @@
 package checker
 
-import "strings"
+import (
+	"strings"
+
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
+)
 
 // conflictingChanges: two change sets against one base are both acknowledged, or bear one
 // epoch; a refused one is accepted later or in force at the end; an invalid one is accepted.
@@ -86,9 +90,8 @@
 			report(r.At, "call %s to %s ran as one for %s under epoch %d; it leads to %q since %s", r.CallID, r.Path, r.Service, r.Epoch, route.services, route.change)
 		}
 	}
-	const noRoute = 1001
 	for _, r := range ofKind(records, RequestCompleted) {
-		if r.Code != noRoute || r.Epoch == 0 {
+		if r.Code != errcode.NoRoute.Number || r.Epoch == 0 {
 			continue
 		}
 		if route := routes.lookup(r.Path, r.Epoch); route.services != "" {
--- a/internal/checker/history.go
+++ b/internal/checker/history.go
@@ -43,11 +43,11 @@
 
 // Outcomes of records. A request's own outcome is one of the first five.
 const (
-	OutcomeRan     = "ran"     // it was executed, or is known to have been
-	OutcomeNotRun  = "not run" // it was not executed and never will be
-	OutcomeUnknown = "unknown" // nobody can say
-	OutcomeBroken  = "broken"  // the connection broke without an answer
-	OutcomeGone    = "gone"    // the client went away itself
+	OutcomeRan       = "ran"     // it was executed, or is known to have been
+	OutcomeNotRun    = "not run" // it was not executed and never will be
+	OutcomeUnknown   = "unknown" // nobody can say
+	OutcomeBroken    = "broken"  // the connection broke without an answer
+	OutcomeAbandoned = "gone"    // the client went away itself
 
 	OutcomeDone    = "done"    // a coordination call was carried out
 	OutcomeRefused = "refused" // a call or a change was refused, and changed nothing
@@ -163,8 +163,8 @@
 // maxLineBytes bounds one record of a recorded history.
 const maxLineBytes = 16 << 20
 
-// ReadHistory reads the records of a recorded history. A line that can't be read is a
-// BadCall that names it.
+// ReadHistory reads the records of a recorded history. A line that can't be read is an
+// InvalidCall that names it.
 func ReadHistory(path string) ([]Record, error) {
 	file, err := os.Open(path)
 	if err != nil {
--- a/internal/coordination/lease.go
+++ b/internal/coordination/lease.go
@@ -144,13 +144,13 @@
 func (s *shard) extendLease(name string, token ids.Index, ttl int64) (*rpc.CoordinationResponse, error) {
 	term, _, isServing := s.replica.LeadershipSince()
 	if !isServing {
-		return nil, s.unsure()
+		return nil, s.writeUnknown()
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	leases := s.leasesIn(term)
 	if leases == nil {
-		return nil, s.unsure()
+		return nil, s.writeUnknown()
 	}
 	lock, ok := s.store.Get(KindLock, name)
 	if !ok || lock.FencingToken != token {
--- a/internal/coordination/operation.go
+++ b/internal/coordination/operation.go
@@ -91,7 +91,7 @@
 	OpClearInstanceState: {},
 }
 
-// validate returns a BadCall that names every field that is wrong, or nil.
+// validate returns an InvalidCall that names every field that is wrong, or nil.
 func validate(request *rpc.CoordinationRequest) error {
 	var faults []string
 	if request.Name == "" || len(request.Name) > maxNameBytes {
--- a/internal/coordination/reservation.go
+++ b/internal/coordination/reservation.go
@@ -40,7 +40,7 @@
 		return nil, batch.err
 	}
 	if position >= len(batch.response.Records) {
-		return nil, s.unsure()
+		return nil, s.writeUnknown()
 	}
 	record := batch.response.Records[position]
 	response := &rpc.CoordinationResponse{Index: batch.response.Index, Holder: record.Holder, Value: record.Value}
--- a/internal/coordination/service.go
+++ b/internal/coordination/service.go
@@ -56,10 +56,10 @@
 // environment, which waits for it.
 func (s *Service) Start() {
 	s.env.Go(func() {
-		for round := 0; s.env.Sleep(maintenanceInterval); round++ {
+		for tick := 0; s.env.Sleep(maintenanceInterval); tick++ {
 			for _, shard := range s.shards {
 				shard.expireLeases()
-				if round%sweepEvery == 0 {
+				if tick%sweepEvery == 0 {
 					shard.sweepIdempotencyRecords()
 				}
 			}
@@ -67,10 +67,10 @@
 	})
 }
 
-// Handle serves one request. It fails with BadCall if the request is not valid, NotOwner
-// if this node does not lead the shard of the name, and Unsure if it is not known whether
-// the request was written. A request that the state does not allow is no error: its
-// response bears a code and the state in force.
+// Handle serves one request. It fails with InvalidCall if the request is not valid, with
+// NotLeader if this node does not lead the shard of the name, and with WriteUnknown if it is
+// not known whether the request was written. A request that the state does not allow is no
+// error: its response bears a code and the state in force.
 func (s *Service) Handle(ctx context.Context, request *rpc.CoordinationRequest) (*rpc.CoordinationResponse, error) {
 	if err := validate(request); err != nil {
 		return nil, err
@@ -108,14 +108,14 @@
 	}
 	response, ok := result.(*rpc.CoordinationResponse)
 	if !ok {
-		return nil, s.unsure()
+		return nil, s.writeUnknown()
 	}
 	return response, nil
 }
 
 func (s *shard) notLeader() error { return errcode.New(errcode.NotLeader, "shard %d", s.id) }
 
-func (s *shard) unsure() error { return errcode.New(errcode.WriteUnknown, "shard %d", s.id) }
+func (s *shard) writeUnknown() error { return errcode.New(errcode.WriteUnknown, "shard %d", s.id) }
 
 // get reads one record. The holder of the request names its kind, a key if it is empty. A
 // counter that was never added to is zero.
--- a/internal/coordination/service_test.go
+++ b/internal/coordination/service_test.go
@@ -252,3 +252,55 @@
 		}
 	})
 }
+
+func TestService_WatchReturnsAtTheNextEvent(t *testing.T) {
+	runServiceTest(t, func(s *serviceTest) {
+		put := s.expect(s.do(rpc.CoordinationRequest{Operation: "put", Name: "w/a", Value: json.RawMessage("1")}), done)
+		first := s.expect(s.do(rpc.CoordinationRequest{Operation: "watch", Name: "w/"}), done)
+		if len(first.Records) != 1 || first.Records[0].Index != put.Index {
+			s.Fatal("a watch without an index does not list the keys", first)
+		}
+		answer := make(chan *rpc.CoordinationResponse)
+		began := time.Now()
+		go func() {
+			answer <- s.do(rpc.CoordinationRequest{Operation: "watch", Name: "w/", FromIndex: first.Index, Wait: 4000})
+		}()
+		time.Sleep(500 * time.Millisecond)
+		s.expect(s.do(rpc.CoordinationRequest{Operation: "add", Name: "w/n", Delta: 3}), done)
+		got := <-answer
+		if len(got.Events) != 1 || got.Events[0].Name != "w/n" || string(got.Events[0].Value) != "3" || time.Since(began) > time.Second {
+			s.Fatal(got)
+		}
+		began = time.Now()
+		if got := s.do(rpc.CoordinationRequest{Operation: "watch", Name: "w/", FromIndex: got.Index, Wait: 1000}); len(got.Events) != 0 || time.Since(began) < time.Second {
+			s.Fatal("a watch without events did not wait", got)
+		}
+	})
+}
+
+func TestService_ReservationsShareOneEntry(t *testing.T) {
+	runServiceTest(t, func(s *serviceTest) {
+		before := s.lastIndex("orders/")
+		const requests = 20
+		answers := make(chan *rpc.CoordinationResponse, requests)
+		for i := range requests {
+			go func() {
+				answers <- s.do(rpc.CoordinationRequest{Operation: "claim", Name: fmt.Sprint("orders/", i%2), Holder: fmt.Sprint("request", i)})
+			}()
+		}
+		taken := 0
+		for range requests {
+			if got := <-answers; got.Code == 0 {
+				taken++
+			} else {
+				s.expect(got, errcode.LockHeld)
+			}
+		}
+		if taken != 2 {
+			s.Fatal(taken, "requests hold two keys")
+		}
+		if entries := s.lastIndex("orders/") - before; entries != 1 {
+			s.Fatal(entries, "entries were written")
+		}
+	})
+}
--- a/internal/coordination/store_test.go
+++ b/internal/coordination/store_test.go
@@ -5,6 +5,7 @@
 	"fmt"
 	"testing"
 
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
 	"github.com/sumactrestle/sumactrestle/internal/ids"
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
@@ -44,9 +45,34 @@
 		t.Fatal(err)
 	}
 	if again := apply(other, 3, rpc.CoordinationRequest{Operation: "add", ID: "r", Name: "n", Delta: 2}); again.Count != 2 {
-		t.Fatal("a loaded state forgot the receipt", again)
+		t.Fatal("a restored state forgot the response", again)
 	}
 	if next := apply(other, 4, rpc.CoordinationRequest{Operation: "add", Name: "n", Delta: 2}); next.Count != 4 {
 		t.Fatal(next)
 	}
 }
+
+func TestStore_ForgetsTheOldestResponses(t *testing.T) {
+	store := NewStore()
+	add := func(i int) *rpc.CoordinationResponse {
+		return apply(store, ids.Index(i), rpc.CoordinationRequest{Operation: "add", ID: fmt.Sprint("r", i%(maxCompleted+1)), Name: "n", Delta: 1})
+	}
+	for i := 1; i <= maxCompleted+1; i++ {
+		add(i)
+	}
+	if store.IsCompleted("r1") || !store.IsCompleted("r2") || store.IsCompleted("") {
+		t.Fatal("not just the oldest was forgotten")
+	}
+	if again := add(maxCompleted + 3); again.Index != 2 {
+		t.Fatal("a kept request was carried out again", again)
+	}
+}
+
+func TestStore_EntryThatCannotBeReadIsAnInvalidCall(t *testing.T) {
+	store := NewStore()
+	for _, body := range []string{`{"op":`, `{"op":"steal","name":"l"}`} {
+		if got := store.Apply(1, json.RawMessage(body)).(*rpc.CoordinationResponse); got.Code != errcode.InvalidCall.Number {
+			t.Error(body, got)
+		}
+	}
+}
