--- a/internal/distribution/compression.go
+++ b/internal/distribution/compression.go
@@ -87,7 +87,7 @@
 func (c *Client) fetch(ctx context.Context, address string, request *rpc.FetchRequest) (*rpc.FetchResponse, error) {
 	request.AcceptsPacked = true
 	response := &rpc.FetchResponse{}
-	if err := c.transport.Call(ctx, address, "flow.fetch", request, response); err != nil {
+	if err := c.transport.Call(ctx, address, kindFetch, request, response); err != nil {
 		return nil, err
 	}
 	if len(response.Packed) == 0 {
@@ -95,7 +95,7 @@
 	}
 	groups, err := inflate(response.Packed, int64(c.env.Config.PeerMaxMessageBytes))
 	if err != nil {
-		return nil, errcode.New(errcode.InvalidMessage, "flow.fetch from %s: %v", address, err)
+		return nil, errcode.New(errcode.InvalidMessage, "%s from %s: %v", kindFetch, address, err)
 	}
 	response.Groups, response.Packed = groups, nil
 	return response, nil
--- a/internal/distribution/doc.go
+++ b/internal/distribution/doc.go
@@ -21,3 +21,11 @@
 // many full fetches run at once. Pauses are shorter than the paper's. And beside the
 // listeners a proxy sends pulses, by which it knows how fresh its configuration is.
 package distribution
+
+// The kinds of the messages.
+const (
+	kindListen      = "flow.listen"
+	kindFetch       = "flow.fetch"
+	kindPulse       = "flow.pulse"
+	kindLeaderPulse = "flow.owner" // from a control node to the configuration shard's leader
+)
--- a/internal/distribution/listener.go
+++ b/internal/distribution/listener.go
@@ -154,7 +154,7 @@
 	if held.Epoch > 0 {
 		response := &rpc.ListenResponse{}
 		sources := c.sources()
-		err := c.transport.Call(ctx, address, "flow.listen", &rpc.ListenRequest{
+		err := c.transport.Call(ctx, address, kindListen, &rpc.ListenRequest{
 			Epoch:          held.Epoch,
 			CombinedDigest: held.manifestDigest,
 			AcceptsDeltas:  c.env.Config.DistributionMaxServers > 0 && len(sources) > 0 && sources[0].RPCAddress == address,
@@ -164,7 +164,7 @@
 		}
 	}
 	response := &rpc.ListenResponse{}
-	err := c.transport.Call(ctx, address, "flow.listen", &rpc.ListenRequest{Epoch: held.Epoch, Versions: held.Manifest}, response)
+	err := c.transport.Call(ctx, address, kindListen, &rpc.ListenRequest{Epoch: held.Epoch, Versions: held.Manifest}, response)
 	return response, err
 }
 
--- a/internal/distribution/pulse.go
+++ b/internal/distribution/pulse.go
@@ -117,7 +117,7 @@
 	ctx, cancel := context.WithTimeout(c.env, timeout)
 	defer cancel()
 	var response rpc.FreshnessResponse
-	if err := c.transport.Call(ctx, source.RPCAddress, "flow.pulse", &rpc.FreshnessRequest{}, &response); err != nil {
+	if err := c.transport.Call(ctx, source.RPCAddress, kindPulse, &rpc.FreshnessRequest{}, &response); err != nil {
 		c.skipSource(choice)
 		return false
 	}
--- a/internal/distribution/server.go
+++ b/internal/distribution/server.go
@@ -60,10 +60,10 @@
 	}
 	s.fullFetch = newFullFetchHandler(s.encoder, s.env.Config.DistributionMaxConcurrentFetches, s.env.Config.DistributionRetryCooldown)
 	s.relay = newPulseRelay(s.env, s.pulseLeader)
-	rpc.Handle(s.transport, "flow.listen", s.listen)
-	rpc.Handle(s.transport, "flow.fetch", s.fetch)
-	s.transport.Handle("flow.pulse", func(request *rpc.Request) (any, error) { return s.pulse(request) })
-	s.transport.Handle("flow.owner", func(*rpc.Request) (any, error) { return s.planner.Freshness() })
+	rpc.Handle(s.transport, kindListen, s.listen)
+	rpc.Handle(s.transport, kindFetch, s.fetch)
+	s.transport.Handle(kindPulse, func(request *rpc.Request) (any, error) { return s.pulse(request) })
+	s.transport.Handle(kindLeaderPulse, func(*rpc.Request) (any, error) { return s.planner.Freshness() })
 	return s
 }
 
@@ -72,7 +72,7 @@
 	if s.consensus.HasQuorumContact(ids.ConfigShard) {
 		return nil
 	}
-	return errcode.New(errcode.NoLeader, "no word of a majority of the configuration part")
+	return errcode.New(errcode.NoLeader, "no contact with a majority of the configuration shard")
 }
 
 // listen holds a listener request (the paper's doLongPolling on the server) until there is an
@@ -182,16 +182,16 @@
 func (s *Server) pulseLeader() (*rpc.FreshnessResponse, error) {
 	name, ok := s.consensus.Leader(ids.ConfigShard)
 	if !ok || name == s.env.Name {
-		return nil, errcode.New(errcode.NoLeader, "configuration part")
+		return nil, errcode.New(errcode.NoLeader, "configuration shard")
 	}
 	leader, ok := s.members.Lookup(name)
 	if !ok {
-		return nil, errcode.New(errcode.NoLeader, "configuration part: %s is down", name)
+		return nil, errcode.New(errcode.NoLeader, "configuration shard: %s is down", name)
 	}
 	ctx, cancel := context.WithTimeout(s.env, leaderPulseTimeout)
 	defer cancel()
 	var response rpc.FreshnessResponse
-	if err := s.transport.Forward(ctx, leader.RPCAddress, "flow.owner", 1, &rpc.FreshnessRequest{}, &response); err != nil {
+	if err := s.transport.Forward(ctx, leader.RPCAddress, kindLeaderPulse, 1, &rpc.FreshnessRequest{}, &response); err != nil {
 		return nil, err
 	}
 	return &response, nil
