--- a/internal/consensus/model/conformance.go
+++ b/internal/consensus/model/conformance.go
@@ -12,40 +12,40 @@
 
 // Invariants that only running code can break, beside those of the walk.
 const (
-	VoteWithoutPromise = "a vote counts that was not promised under this term"
-	NoMajority         = "an owner was chosen by no majority of its voters"
-	PromiseWentDown    = "a disk promised a lower term than before"
+	VoteNotGranted       = "a vote counts that was not promised under this term"
+	ElectedWithoutQuorum = "an owner was chosen by no majority of its voters"
+	TermDecreased        = "a disk promised a lower term than before"
 )
 
 // Conformance holds the steps of running nodes against the invariants of the
 // model, as they happen.
 type Conformance struct {
-	// Breached is called with every broken invariant.
-	Breached func(invariant, detail string)
+	// OnBreach is called with every broken invariant.
+	OnBreach func(invariant, detail string)
 
-	mu    sync.Mutex
-	parts map[ids.Shard]*observed
-	steps int
+	mu     sync.Mutex
+	shards map[ids.Shard]*observedShard
+	steps  int
 }
 
-// observed is what the steps of one part have shown so far.
-type observed struct {
-	promised  map[rpc.Peer]ids.Term
-	owners    map[ids.Term]rpc.Peer
-	committed map[ids.Index]committedEntry
-	newest    ids.Index // the highest index that an owner has committed
-	voters    consensus.Voters
-	votersAt  ids.Index
+// observedShard is what the steps of one part have shown so far.
+type observedShard struct {
+	currentTerms    map[rpc.Peer]ids.Term
+	leaders         map[ids.Term]rpc.Peer
+	committed       map[ids.Index]committedEntry
+	newestCommitted ids.Index // the highest index that an owner has committed
+	voters          consensus.Voters
+	votersIndex     ids.Index
 }
 
 type committedEntry struct {
-	term ids.Term // of the entry
-	by   ids.Term // of the first owner that committed it; none if a member told first
-	at   time.Time
+	term        ids.Term // of the entry
+	committedBy ids.Term // of the first owner that committed it; none if a member told first
+	at          time.Time
 }
 
-func newObserved() *observed {
-	return &observed{promised: map[rpc.Peer]ids.Term{}, owners: map[ids.Term]rpc.Peer{}, committed: map[ids.Index]committedEntry{}}
+func newObserved() *observedShard {
+	return &observedShard{currentTerms: map[rpc.Peer]ids.Term{}, leaders: map[ids.Term]rpc.Peer{}, committed: map[ids.Index]committedEntry{}}
 }
 
 // Observe takes one step of a node; steps that are no Trace are passed over.
@@ -57,28 +57,28 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.steps++
-	if c.parts == nil {
-		c.parts = map[ids.Shard]*observed{}
+	if c.shards == nil {
+		c.shards = map[ids.Shard]*observedShard{}
 	}
-	o := c.parts[trace.Shard]
+	o := c.shards[trace.Shard]
 	if o == nil {
 		o = newObserved()
-		c.parts[trace.Shard] = o
+		c.shards[trace.Shard] = o
 	}
 	breach := func(invariant, format string, args ...any) {
-		c.Breached(invariant, fmt.Sprintf("part %d, %s, term %s: ", trace.Shard, trace.Member.Name, trace.Term)+fmt.Sprintf(format, args...))
+		c.OnBreach(invariant, fmt.Sprintf("part %d, %s, term %s: ", trace.Shard, trace.Member.Name, trace.Term)+fmt.Sprintf(format, args...))
 	}
 	switch trace.Kind {
 	case consensus.TraceTermRaised:
-		o.raise(trace, breach)
+		o.observeTermRaised(trace, breach)
 	case consensus.TraceVoted:
-		o.promise(trace)
+		o.observeVote(trace)
 	case consensus.TraceElected:
-		o.elect(trace, breach)
+		o.observeElection(trace, breach)
 	case consensus.TraceCommitted:
-		o.commit(trace, breach)
+		o.observeCommit(trace, breach)
 	case consensus.TraceRead:
-		o.read(trace, breach)
+		o.observeRead(trace, breach)
 	}
 }
 
@@ -91,73 +91,73 @@
 
 type breachFunc func(invariant, format string, args ...any)
 
-// raise demands that a disk forgets no promise; one that was not synced may be gone
+// observeTermRaised demands that a disk forgets no promise; one that was not synced may be gone
 // after a loss of power.
-func (o *observed) raise(step consensus.TraceEvent, breach breachFunc) {
-	if step.Term.Less(o.promised[step.Member]) {
-		breach(PromiseWentDown, "it had promised %s", o.promised[step.Member])
+func (o *observedShard) observeTermRaised(step consensus.TraceEvent, breach breachFunc) {
+	if step.Term.Less(o.currentTerms[step.Member]) {
+		breach(TermDecreased, "it had promised %s", o.currentTerms[step.Member])
 	}
 }
 
-// promise notes a synced promise; two that are synced at once are told in any order.
-func (o *observed) promise(step consensus.TraceEvent) {
-	if o.promised[step.Member].Less(step.Term) {
-		o.promised[step.Member] = step.Term
+// observeVote notes a synced promise; two that are synced at once are told in any order.
+func (o *observedShard) observeVote(step consensus.TraceEvent) {
+	if o.currentTerms[step.Member].Less(step.Term) {
+		o.currentTerms[step.Member] = step.Term
 	}
 }
 
-func (o *observed) elect(step consensus.TraceEvent, breach breachFunc) {
-	if other, isKnown := o.owners[step.Term]; isKnown {
-		breach(OwnersOfOneTerm, "it was %s's", other.Name)
+func (o *observedShard) observeElection(step consensus.TraceEvent, breach breachFunc) {
+	if other, isKnown := o.leaders[step.Term]; isKnown {
+		breach(TwoLeadersInTerm, "it was %s's", other.Name)
 	}
-	o.owners[step.Term] = step.Member
+	o.leaders[step.Term] = step.Member
 	if !step.Voters.HasQuorum(step.Granted) {
-		breach(NoMajority, "%v of %s", step.Granted, step.Voters)
+		breach(ElectedWithoutQuorum, "%v of %s", step.Granted, step.Voters)
 	}
 	for _, peer := range step.Granted {
-		if o.promised[peer].Less(step.Term) {
-			breach(VoteWithoutPromise, "%s had promised %s", peer.Name, o.promised[peer])
+		if o.currentTerms[peer].Less(step.Term) {
+			breach(VoteNotGranted, "%s had promised %s", peer.Name, o.currentTerms[peer])
 		}
 	}
 	for index, entry := range o.committed {
-		if !entry.by.Less(step.Term) || entry.by == (ids.Term{}) {
+		if !entry.committedBy.Less(step.Term) || entry.committedBy == (ids.Term{}) {
 			continue
 		}
 		if index > step.Index {
-			breach(AckedLost, "entry %d of %s, its log ends at %d", index, entry.term, step.Index)
+			breach(AcknowledgedEntryLost, "entry %d of %s, its log ends at %d", index, entry.term, step.Index)
 		} else if has, isThere := step.TermAt(index); isThere && has != entry.term {
-			breach(AckedLost, "entry %d is of %s, not of %s", index, has, entry.term)
+			breach(AcknowledgedEntryLost, "entry %d is of %s, not of %s", index, has, entry.term)
 		}
 	}
 }
 
-func (o *observed) commit(step consensus.TraceEvent, breach breachFunc) {
+func (o *observedShard) observeCommit(step consensus.TraceEvent, breach breachFunc) {
 	entry, isKnown := o.committed[step.Index]
 	if isKnown && entry.term != step.EntryTerm {
-		breach(CommittedDiffer, "entry %d is of %s, and of %s elsewhere", step.Index, step.EntryTerm, entry.term)
+		breach(CommittedEntriesDiffer, "entry %d is of %s, and of %s elsewhere", step.Index, step.EntryTerm, entry.term)
 		return
 	}
 	if !isKnown {
 		entry = committedEntry{term: step.EntryTerm, at: time.Now()}
 	}
-	if step.IsLeader && entry.by == (ids.Term{}) {
-		entry.by, entry.at = step.Term, time.Now()
-		o.newest = max(o.newest, step.Index)
+	if step.IsLeader && entry.committedBy == (ids.Term{}) {
+		entry.committedBy, entry.at = step.Term, time.Now()
+		o.newestCommitted = max(o.newestCommitted, step.Index)
 	}
 	o.committed[step.Index] = entry
-	if step.IsMembershipChange && step.Index > o.votersAt {
-		if o.votersAt > 0 && !consensus.QuorumsIntersect(o.voters, step.Voters) {
-			breach(GroupsDontMeet, "entry %d: %s after %s", step.Index, step.Voters, o.voters)
+	if step.IsMembershipChange && step.Index > o.votersIndex {
+		if o.votersIndex > 0 && !consensus.QuorumsIntersect(o.voters, step.Voters) {
+			breach(QuorumsDisjoint, "entry %d: %s after %s", step.Index, step.Voters, o.voters)
 		}
-		o.voters, o.votersAt = step.Voters, step.Index
+		o.voters, o.votersIndex = step.Voters, step.Index
 	}
 }
 
-// read demands that what was committed before a read began is answered from.
-func (o *observed) read(step consensus.TraceEvent, breach breachFunc) {
-	for index := o.newest; index > step.Index; index-- {
-		if entry := o.committed[index]; entry.by != (ids.Term{}) && entry.at.Before(step.Since) {
-			breach(ReadIsOld, "answered up to %d, entry %d was committed under %s %s before", step.Index, index, entry.by, step.Since.Sub(entry.at))
+// observeRead demands that what was committed before a read began is answered from.
+func (o *observedShard) observeRead(step consensus.TraceEvent, breach breachFunc) {
+	for index := o.newestCommitted; index > step.Index; index-- {
+		if entry := o.committed[index]; entry.committedBy != (ids.Term{}) && entry.at.Before(step.Since) {
+			breach(StaleRead, "answered up to %d, entry %d was committed under %s %s before", step.Index, index, entry.committedBy, step.Since.Sub(entry.at))
 			return
 		}
 	}
--- a/internal/consensus/model/explore.go
+++ b/internal/consensus/model/explore.go
@@ -8,13 +8,13 @@
 
 // Invariants, by the names under which a breach is told.
 const (
-	CommittedDiffer  = "committed prefixes differ"
-	AckedLost        = "a later owner lacks what was acknowledged"
-	ReadIsOld        = "a confirmed owner would answer a read with old state"
-	CommitWentDown   = "a commit went down on one disk"
-	GroupsDontMeet   = "successive groups share no majority"
-	OwnersOfOneTerm  = "two owners of one term"
-	EntryAbovePledge = "an entry stands above its member's promise"
+	CommittedEntriesDiffer = "committed prefixes differ"
+	AcknowledgedEntryLost  = "a later owner lacks what was acknowledged"
+	StaleRead              = "a confirmed owner would answer a read with old state"
+	CommitDecreased        = "a commit went down on one disk"
+	QuorumsDisjoint        = "successive groups share no majority"
+	TwoLeadersInTerm       = "two owners of one term"
+	EntryAboveCurrentTerm  = "an entry stands above its member's promise"
 )
 
 // Breach is a broken invariant and the shortest way to it.
@@ -95,21 +95,21 @@
 func (s *state) observe(before *state, a action, w *walker) string {
 	for m := range w.scope.Members {
 		now, old := &s.members[m], &before.members[m]
-		if now.commit < old.commit && now.life == old.life && a.name != "restarts" {
-			return CommitWentDown
+		if now.commit < old.commit && now.memberID == old.memberID && a.name != "restarts" {
+			return CommitDecreased
 		}
-		if now.log.last().term > now.promised {
-			return EntryAbovePledge
+		if now.log.last().term > now.currentTerm {
+			return EntryAboveCurrentTerm
 		}
 	}
-	if g := s.members[a.who].log; a.name != "replicates to" && g.length > before.members[a.who].log.length && g.last().kind == kindGroup {
-		if !meet(g.last().group, before.members[a.who].log.last().group) {
-			return GroupsDontMeet
+	if g := s.members[a.who].log; a.name != "replicates to" && g.length > before.members[a.who].log.length && g.last().kind == kindMembershipChange {
+		if !quorumsIntersect(g.last().voters, before.members[a.who].log.last().voters) {
+			return QuorumsDisjoint
 		}
 	}
 	switch a.name {
 	case "becomes owner":
-		if invariant := s.checkOwner(a.who, w); invariant != "" {
+		if invariant := s.checkLeader(a.who, w); invariant != "" {
 			return invariant
 		}
 	case "commits":
@@ -120,19 +120,19 @@
 	return s.checkReads(w)
 }
 
-// checkOwner demands that a new owner has what older terms acknowledged, and
+// checkLeader demands that a new owner has what older terms acknowledged, and
 // that its term is its alone.
-func (s *state) checkOwner(m int, w *walker) string {
+func (s *state) checkLeader(m int, w *walker) string {
 	o := &s.members[m]
 	for other := range w.scope.Members {
-		if p := &s.members[other]; other != m && p.role == owner && p.promised == o.promised {
-			return OwnersOfOneTerm
+		if p := &s.members[other]; other != m && p.role == leader && p.currentTerm == o.currentTerm {
+			return TwoLeadersInTerm
 		}
 	}
-	for i := range s.acked.length {
-		isOlder := s.ackedBy[i] < o.promised
-		if isOlder && (i >= o.log.length || o.log.entries[i] != s.acked.entries[i]) {
-			return AckedLost
+	for i := range s.acknowledged.length {
+		isOlder := s.acknowledgedBy[i] < o.currentTerm
+		if isOlder && (i >= o.log.length || o.log.entries[i] != s.acknowledged.entries[i]) {
+			return AcknowledgedEntryLost
 		}
 	}
 	return ""
@@ -142,14 +142,14 @@
 func (s *state) acknowledge(m int) string {
 	o := &s.members[m]
 	for i := range o.commit {
-		if i < s.acked.length {
-			if s.acked.entries[i] != o.log.entries[i] {
-				return CommittedDiffer
+		if i < s.acknowledged.length {
+			if s.acknowledged.entries[i] != o.log.entries[i] {
+				return CommittedEntriesDiffer
 			}
 			continue
 		}
-		s.acked.append(o.log.entries[i])
-		s.ackedBy[i] = o.promised
+		s.acknowledged.append(o.log.entries[i])
+		s.acknowledgedBy[i] = o.currentTerm
 	}
 	return ""
 }
@@ -159,49 +159,49 @@
 func (s *state) checkReads(w *walker) string {
 	for m := range w.scope.Members {
 		o := &s.members[m]
-		if o.role != owner || o.commit < o.began {
+		if o.role != leader || o.commit < o.firstIndex {
 			continue
 		}
-		var word voters
+		var confirmed peerSet
 		for v := range w.scope.Members {
-			if s.members[v].promised <= o.promised {
-				word |= w.voterOf(s, v)
+			if s.members[v].currentTerm <= o.currentTerm {
+				confirmed |= w.identityOf(s, v)
 			}
 		}
-		if !w.rules.ReadsUnconfirmed && !w.decides(s.groupOf(&o.log), word) {
+		if !w.rules.UnconfirmedReads && !w.hasQuorum(s.votersOf(&o.log), confirmed) {
 			continue
 		}
-		if o.commit < s.acked.length && !s.isAhead(o) {
-			return ReadIsOld
+		if o.commit < s.acknowledged.length && !s.hasAcknowledged(o) {
+			return StaleRead
 		}
 	}
 	return ""
 }
 
-// isAhead tells whether an owner's log holds all that was acknowledged, be its
+// hasAcknowledged tells whether an owner's log holds all that was acknowledged, be its
 // own knowledge of the commit behind.
-func (s *state) isAhead(o *member) bool {
-	for i := range s.acked.length {
-		if i >= o.log.length || o.log.entries[i] != s.acked.entries[i] {
+func (s *state) hasAcknowledged(o *member) bool {
+	for i := range s.acknowledged.length {
+		if i >= o.log.length || o.log.entries[i] != s.acknowledged.entries[i] {
 			return false
 		}
 	}
 	return true
 }
 
-// meet tells whether every two sets that decide for two groups share a member.
-func meet(a, b group) bool {
+// quorumsIntersect tells whether every two sets that decide for two groups share a member.
+func quorumsIntersect(a, b voters) bool {
 	all := a.all() | b.all()
-	for some := all; ; some = (some - 1) & all {
-		if a.isDecidedBy(some) && b.isDecidedBy(all&^some) {
+	for members := all; ; members = (members - 1) & all {
+		if a.hasQuorum(members) && b.hasQuorum(all&^members) {
 			return false
 		}
-		if some == 0 {
+		if members == 0 {
 			return true
 		}
 	}
 }
 
-func popCount(v voters) int { return bits.OnesCount16(uint16(v)) }
+func size(v peerSet) int { return bits.OnesCount16(uint16(v)) }
 
 func (b *Breach) String() string { return fmt.Sprintf("%s: %q", b.Invariant, b.Schedule) }
--- a/internal/consensus/model/explore_test.go
+++ b/internal/consensus/model/explore_test.go
@@ -7,16 +7,16 @@
 
 var deep = flag.Int("deep", 0, "states to walk in the deep exploration; 0 leaves it out")
 
-// inCI is the fixed part that runs with the tests.
-var inCI = []struct {
+// regularScopes is the fixed part that runs with the tests.
+var regularScopes = []struct {
 	rules Rules
 	scope Scope
 }{
-	{Rules{}, Scope{Members: 3, Rounds: 2, Writes: 1, Restarts: 1, States: 300_000}},
-	{Rules{}, Scope{Members: 4, Rounds: 3, Writes: 1, Changes: 1, Wipes: 1, States: 150_000}},
+	{Rules{}, Scope{Members: 3, Terms: 2, Writes: 1, Restarts: 1, States: 300_000}},
+	{Rules{}, Scope{Members: 4, Terms: 3, Writes: 1, Changes: 1, Wipes: 1, States: 150_000}},
 	// The way that was weighed against the joint step: safe, but it leaves two
 	// members when the owner dies half way.
-	{Rules{SingleSteps: true}, Scope{Members: 4, Rounds: 3, Writes: 1, Changes: 2, States: 150_000}},
+	{Rules{SingleSteps: true}, Scope{Members: 4, Terms: 3, Writes: 1, Changes: 2, States: 150_000}},
 }
 
 // faults is each rule taken out, the scope that shows it, and what it breaks.
@@ -26,25 +26,25 @@
 	scope Scope
 	want  []string
 }{
-	{"the protocol before the mend", Rules{SingleSteps: true, OwnGroupIsEnough: true}, Scope{Members: 4, Rounds: 3, Writes: 1, Changes: 2}, []string{AckedLost}},
-	{"own group is enough", Rules{OwnGroupIsEnough: true}, Scope{Members: 4, Rounds: 3, Writes: 1, Changes: 1}, []string{AckedLost, CommittedDiffer, ReadIsOld}},
-	{"own log is kept", Rules{OwnLogIsKept: true}, Scope{Members: 3, Rounds: 2, Writes: 1}, []string{AckedLost}},
-	{"an empty disk has a vote", Rules{WipedMayVote: true}, Scope{Members: 3, Rounds: 2, Writes: 1, Wipes: 1}, []string{AckedLost, ReadIsOld}},
-	{"an old term's entry commits", Rules{OldTermCommits: true}, Scope{Members: 3, Rounds: 4, Writes: 2}, []string{AckedLost, CommittedDiffer}},
-	{"a change on a change", Rules{ChangeOnChange: true}, Scope{Members: 5, Rounds: 2, Writes: 1, Changes: 2}, []string{GroupsDontMeet, AckedLost}},
-	{"no joint step", Rules{JumpToNewGroup: true}, Scope{Members: 4, Rounds: 2, Writes: 1, Changes: 1}, []string{GroupsDontMeet}},
-	{"reads without a majority's word", Rules{ReadsUnconfirmed: true}, Scope{Members: 3, Rounds: 2, Writes: 1}, []string{ReadIsOld}},
-	{"a promise is forgotten", Rules{PromiseIsForgot: true}, Scope{Members: 3, Rounds: 2, Writes: 1, Restarts: 1}, []string{ReadIsOld, AckedLost, CommittedDiffer}},
-	{"entries below the promised term", Rules{AppendBelowTerm: true}, Scope{Members: 3, Rounds: 2, Writes: 1}, []string{CommittedDiffer, AckedLost, ReadIsOld}},
-	{"commit before sync", Rules{CommitBeforeSync: true}, Scope{Members: 3, Rounds: 2, Writes: 1}, []string{AckedLost}},
-	{"a commit is copied", Rules{CommitIsCopied: true}, Scope{Members: 3, Rounds: 2, Writes: 1}, []string{CommitWentDown}},
-	{"entries without a promise", Rules{AppendNoPromise: true}, Scope{Members: 3, Rounds: 2, Writes: 1}, []string{EntryAbovePledge}},
-	{"terms have no names", Rules{TermsHaveNoNames: true, PromiseIsForgot: true}, Scope{Members: 3, Rounds: 2, Restarts: 1}, []string{OwnersOfOneTerm}},
-	{"learners are voters", Rules{LearnersAreVoters: true}, Scope{Members: 4, Rounds: 2, Writes: 1}, []string{AckedLost, ReadIsOld}},
+	{"the protocol before the mend", Rules{SingleSteps: true, OwnVotersSuffice: true}, Scope{Members: 4, Terms: 3, Writes: 1, Changes: 2}, []string{AcknowledgedEntryLost}},
+	{"own group is enough", Rules{OwnVotersSuffice: true}, Scope{Members: 4, Terms: 3, Writes: 1, Changes: 1}, []string{AcknowledgedEntryLost, CommittedEntriesDiffer, StaleRead}},
+	{"own log is kept", Rules{KeepOwnLog: true}, Scope{Members: 3, Terms: 2, Writes: 1}, []string{AcknowledgedEntryLost}},
+	{"an empty disk has a vote", Rules{WipedMembersVote: true}, Scope{Members: 3, Terms: 2, Writes: 1, Wipes: 1}, []string{AcknowledgedEntryLost, StaleRead}},
+	{"an old term's entry commits", Rules{CommitOldTerms: true}, Scope{Members: 3, Terms: 4, Writes: 2}, []string{AcknowledgedEntryLost, CommittedEntriesDiffer}},
+	{"a change on a change", Rules{ChangeOnChange: true}, Scope{Members: 5, Terms: 2, Writes: 1, Changes: 2}, []string{QuorumsDisjoint, AcknowledgedEntryLost}},
+	{"no joint step", Rules{SkipJointStep: true}, Scope{Members: 4, Terms: 2, Writes: 1, Changes: 1}, []string{QuorumsDisjoint}},
+	{"reads without a majority's word", Rules{UnconfirmedReads: true}, Scope{Members: 3, Terms: 2, Writes: 1}, []string{StaleRead}},
+	{"a promise is forgotten", Rules{ForgetVotes: true}, Scope{Members: 3, Terms: 2, Writes: 1, Restarts: 1}, []string{StaleRead, AcknowledgedEntryLost, CommittedEntriesDiffer}},
+	{"entries below the promised term", Rules{AcceptStaleTerms: true}, Scope{Members: 3, Terms: 2, Writes: 1}, []string{CommittedEntriesDiffer, AcknowledgedEntryLost, StaleRead}},
+	{"commit before sync", Rules{CommitBeforeSync: true}, Scope{Members: 3, Terms: 2, Writes: 1}, []string{AcknowledgedEntryLost}},
+	{"a commit is copied", Rules{CopyCommit: true}, Scope{Members: 3, Terms: 2, Writes: 1}, []string{CommitDecreased}},
+	{"entries without a promise", Rules{AppendWithoutTerm: true}, Scope{Members: 3, Terms: 2, Writes: 1}, []string{EntryAboveCurrentTerm}},
+	{"terms have no names", Rules{TermsWithoutNode: true, ForgetVotes: true}, Scope{Members: 3, Terms: 2, Restarts: 1}, []string{TwoLeadersInTerm}},
+	{"learners are voters", Rules{LearnersVote: true}, Scope{Members: 4, Terms: 2, Writes: 1}, []string{AcknowledgedEntryLost, StaleRead}},
 }
 
 func TestExplore_ProtocolKeepsInvariants(t *testing.T) {
-	for _, part := range inCI {
+	for _, part := range regularScopes {
 		result := Explore(part.rules, part.scope)
 		if result.Breach != nil {
 			t.Fatal(result.Breach)
@@ -83,10 +83,10 @@
 		t.Skip("give -deep")
 	}
 	for _, scope := range []Scope{
-		{Members: 3, Rounds: 4, Writes: 2, Restarts: 1},
-		{Members: 4, Rounds: 3, Writes: 1, Changes: 1, Wipes: 1},
-		{Members: 4, Rounds: 3, Writes: 1, Changes: 2},
-		{Members: 5, Rounds: 3, Writes: 1, Changes: 2, Wipes: 1},
+		{Members: 3, Terms: 4, Writes: 2, Restarts: 1},
+		{Members: 4, Terms: 3, Writes: 1, Changes: 1, Wipes: 1},
+		{Members: 4, Terms: 3, Writes: 1, Changes: 2},
+		{Members: 5, Terms: 3, Writes: 1, Changes: 2, Wipes: 1},
 	} {
 		scope.States = *deep
 		result := Explore(Rules{}, scope)
--- a/internal/consensus/model/state.go
+++ b/internal/consensus/model/state.go
@@ -15,46 +15,46 @@
 
 // Kinds of entries.
 const (
-	kindOwn    = 1 // the first entry of an owner
-	kindWrite  = 2 // a write of a client
-	kindGroup  = 3 // a new group of voters
-	livesOfOne = 2 // how many births of one member the identities have room for
+	kindEmpty            = 1 // the first entry of an owner
+	kindCommand          = 2 // a write of a client
+	kindMembershipChange = 3 // a new group of voters
+	maxMemberIDs         = 2 // how many births of one member the identities have room for
 )
 
 // term orders ownerships: the round first, then the member, so that two
 // candidates never have the same one.
 type term uint8
 
-const membersInTerm = 8
+const membersPerTerm = 8
 
-func makeTerm(round, member int) term { return term(round*membersInTerm + member) }
-func (t term) round() int             { return int(t) / membersInTerm }
+func newTerm(number, member int) term { return term(number*membersPerTerm + member) }
+func (t term) number() int            { return int(t) / membersPerTerm }
 
-// voters is a set of identities, one bit for each birth of each member.
-type voters uint16
+// peerSet is a set of identities, one bit for each birth of each member.
+type peerSet uint16
 
-func identity(member, life int) voters { return 1 << (member*livesOfOne + life) }
+func identity(member, memberID int) peerSet { return 1 << (member*maxMemberIDs + memberID) }
 
-func (v voters) isMajorityIn(some voters) bool {
-	return 2*bits.OnesCount16(uint16(v&some)) > bits.OnesCount16(uint16(v))
+func (v peerSet) hasMajority(others peerSet) bool {
+	return 2*bits.OnesCount16(uint16(v&others)) > bits.OnesCount16(uint16(v))
 }
 
-// group is who decides; while former is not empty a change is under way and a
+// voters is who decides; while former is not empty a change is under way and a
 // decision needs a majority of both.
-type group struct{ current, former voters }
+type voters struct{ current, outgoing peerSet }
 
-func (g group) all() voters { return g.current | g.former }
+func (g voters) all() peerSet { return g.current | g.outgoing }
 
-func (g group) isDecidedBy(some voters) bool {
-	return g.current.isMajorityIn(some) && (g.former == 0 || g.former.isMajorityIn(some))
+func (g voters) hasQuorum(members peerSet) bool {
+	return g.current.hasMajority(members) && (g.outgoing == 0 || g.outgoing.hasMajority(members))
 }
 
 // entry is one entry of a log; id tells writes of one term apart.
 type entry struct {
-	term  term
-	kind  uint8
-	id    uint8
-	group group
+	term   term
+	kind   uint8
+	id     uint8
+	voters voters
 }
 
 // log is a member's entries; the group of an entry is the one in force from it on.
@@ -75,8 +75,8 @@
 	l.length++
 }
 
-// sharedWith is how many first entries two logs have in common.
-func (l *log) sharedWith(other *log) uint8 {
+// commonPrefix is how many first entries two logs have in common.
+func (l *log) commonPrefix(other *log) uint8 {
 	for i := range min(l.length, other.length) {
 		if l.entries[i] != other.entries[i] {
 			return i
@@ -92,10 +92,10 @@
 	return first
 }
 
-// groupAt is where the newest group of the log stands; 0 if it is the first one.
-func (l *log) groupAt() uint8 {
+// votersIndex is where the newest group of the log stands; 0 if it is the first one.
+func (l *log) votersIndex() uint8 {
 	for i := l.length; i > 0; i-- {
-		if l.entries[i-1].kind == kindGroup {
+		if l.entries[i-1].kind == kindMembershipChange {
 			return i
 		}
 	}
@@ -114,56 +114,56 @@
 const (
 	follower = iota
 	candidate
-	owner
+	leader
 )
 
 // member is one member: what is on its disk first, then what a restart loses.
 type member struct {
-	promised term
-	log      log
-	life     uint8
-
-	role    uint8
-	commit  uint8
-	began   uint8             // where the owner's first entry stands
-	granted voters            // who promised the candidate
-	best    log               // the most advanced log among the promises
-	match   [maxMembers]uint8 // up to where each member has synced the owner's log
+	currentTerm term
+	log         log
+	memberID    uint8
+
+	role       uint8
+	commit     uint8
+	firstIndex uint8             // where the owner's first entry stands
+	granted    peerSet           // who promised the candidate
+	best       log               // the most advanced log among the promises
+	match      [maxMembers]uint8 // up to where each member has synced the owner's log
 }
 
 // state is the whole: all members, and what an outside observer knows.
 type state struct {
 	members [maxMembers]member
-	// acked is the longest prefix that some owner has committed, with the highest
+	// acknowledged is the longest prefix that some owner has committed, with the highest
 	// term under which each entry was committed first.
-	acked   log
-	ackedBy [maxLog]term
+	acknowledged   log
+	acknowledgedBy [maxLog]term
 
 	writes, changes, wipes, restarts uint8
 }
 
-func (s *state) identity(m int) voters { return identity(m, int(s.members[m].life)) }
+func (s *state) identity(m int) peerSet { return identity(m, int(s.members[m].memberID)) }
 
-func (s *state) groupOf(l *log) group {
+func (s *state) votersOf(l *log) voters {
 	if l.length == 0 {
-		return group{}
+		return voters{}
 	}
-	return l.last().group
+	return l.last().voters
 }
 
 // initial is a group of three whose first member owns the part and has its
 // first entry committed everywhere; the other members are spares.
 func initial() state {
 	var s state
-	t := makeTerm(1, 0)
-	g := group{current: identity(0, 0) | identity(1, 0) | identity(2, 0)}
+	t := newTerm(1, 0)
+	g := voters{current: identity(0, 0) | identity(1, 0) | identity(2, 0)}
 	for m := range 3 {
-		s.members[m].promised = t
-		s.members[m].log.append(entry{term: t, kind: kindOwn, group: g})
+		s.members[m].currentTerm = t
+		s.members[m].log.append(entry{term: t, kind: kindEmpty, voters: g})
 		s.members[m].commit = 1
 	}
-	s.members[0].role, s.members[0].began = owner, 1
+	s.members[0].role, s.members[0].firstIndex = leader, 1
 	s.members[0].match = [maxMembers]uint8{1, 1, 1}
-	s.acked, s.ackedBy[0] = s.members[0].log, t
+	s.acknowledged, s.acknowledgedBy[0] = s.members[0].log, t
 	return s
 }
