--- a/internal/node/calls.go
+++ b/internal/node/calls.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"github.com/sumactrestle/sumactrestle/internal/controlplane"
+	"github.com/sumactrestle/sumactrestle/internal/coordination"
 	"github.com/sumactrestle/sumactrestle/internal/errcode"
 	"github.com/sumactrestle/sumactrestle/internal/eventlog"
 	"github.com/sumactrestle/sumactrestle/internal/ids"
@@ -132,7 +133,7 @@
 func (n *Node) Coordinate(ctx context.Context, call *rpc.CoordinationRequest) (*rpc.CoordinationResponse, error) {
 	limited, end := context.WithTimeout(ctx, callTimeout+time.Duration(call.Wait)*time.Millisecond)
 	defer end()
-	if call.Operation != "watch" && call.Operation != "follow" {
+	if call.Operation != coordination.OpWatch && call.Operation != coordination.OpFollow {
 		defer n.observeCall(time.Now())
 	}
 	receipt := &rpc.CoordinationResponse{}
--- a/internal/node/desk.go
+++ b/internal/node/desk.go
@@ -110,11 +110,11 @@
 }
 
 func (d *apiHandler) GetKey(ctx context.Context, params api.GetKeyParams) (*api.Receipt, error) {
-	return d.coordinate(ctx, &rpc.CoordinationRequest{Operation: "get", Name: params.Name})
+	return d.coordinate(ctx, &rpc.CoordinationRequest{Operation: coordination.OpGet, Name: params.Name})
 }
 
 func (d *apiHandler) ListKeys(ctx context.Context, params api.ListKeysParams) (*api.Receipt, error) {
-	return d.coordinate(ctx, &rpc.CoordinationRequest{Operation: "list", Name: params.Prefix})
+	return d.coordinate(ctx, &rpc.CoordinationRequest{Operation: coordination.OpList, Name: params.Prefix})
 }
 
 func (d *apiHandler) AddCounter(ctx context.Context, req *api.Call) (*api.Receipt, error) {
@@ -122,15 +122,15 @@
 }
 
 func (d *apiHandler) GetCounter(ctx context.Context, params api.GetCounterParams) (*api.Receipt, error) {
-	return d.coordinate(ctx, &rpc.CoordinationRequest{Operation: "get", Name: params.Name, Holder: coordination.KindCounter})
+	return d.coordinate(ctx, &rpc.CoordinationRequest{Operation: coordination.OpGet, Name: params.Name, Holder: coordination.KindCounter})
 }
 
 func (d *apiHandler) GetLock(ctx context.Context, params api.GetLockParams) (*api.Receipt, error) {
-	return d.coordinate(ctx, &rpc.CoordinationRequest{Operation: "get", Name: params.Name, Holder: coordination.KindLock})
+	return d.coordinate(ctx, &rpc.CoordinationRequest{Operation: coordination.OpGet, Name: params.Name, Holder: coordination.KindLock})
 }
 
 func (d *apiHandler) GetLeader(ctx context.Context, params api.GetLeaderParams) (*api.Receipt, error) {
-	return d.coordinate(ctx, &rpc.CoordinationRequest{Operation: "get", Name: params.Name, Holder: coordination.KindLock})
+	return d.coordinate(ctx, &rpc.CoordinationRequest{Operation: coordination.OpGet, Name: params.Name, Holder: coordination.KindLock})
 }
 
 func (d *apiHandler) Lock(ctx context.Context, req *api.Call, params api.LockParams) (*api.Receipt, error) {
@@ -138,12 +138,12 @@
 }
 
 func (d *apiHandler) Elect(ctx context.Context, req *api.Call, params api.ElectParams) (*api.Receipt, error) {
-	verbs := map[api.ElectVerb]string{api.ElectVerbCampaign: "acquire", api.ElectVerbRenew: "renew", api.ElectVerbResign: "release"}
+	verbs := map[api.ElectVerb]string{api.ElectVerbCampaign: coordination.OpAcquire, api.ElectVerbRenew: coordination.OpRenew, api.ElectVerbResign: coordination.OpRelease}
 	return d.coordinate(ctx, coordinationRequest(verbs[params.Verb], req))
 }
 
 func (d *apiHandler) Watch(ctx context.Context, params api.WatchParams) (*api.Receipt, error) {
-	return d.coordinate(ctx, &rpc.CoordinationRequest{Operation: "watch", Name: params.Name, FromIndex: ids.Index(params.From), Wait: params.Hold.Or(20000)})
+	return d.coordinate(ctx, &rpc.CoordinationRequest{Operation: coordination.OpWatch, Name: params.Name, FromIndex: ids.Index(params.From), Wait: params.Hold.Or(20000)})
 }
 
 func (d *apiHandler) Health(ctx context.Context) (*api.Health, error) {
--- a/internal/node/pass.go
+++ b/internal/node/pass.go
@@ -8,6 +8,7 @@
 	"errors"
 	"time"
 
+	"github.com/sumactrestle/sumactrestle/internal/coordination"
 	"github.com/sumactrestle/sumactrestle/internal/errcode"
 	"github.com/sumactrestle/sumactrestle/internal/ids"
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
@@ -97,7 +98,7 @@
 		call = &rpc.CoordinationRequest{}
 		ok = json.Unmarshal(raw, call) == nil
 	}
-	if !ok || call.Wait <= 0 || call.Operation != "follow" && call.Operation != "watch" {
+	if !ok || call.Wait <= 0 || call.Operation != coordination.OpFollow && call.Operation != coordination.OpWatch {
 		return nil
 	}
 	return call
--- a/internal/proxy/idempotency/records.go
+++ b/internal/proxy/idempotency/records.go
@@ -6,6 +6,7 @@
 	"strings"
 	"time"
 
+	"github.com/sumactrestle/sumactrestle/internal/coordination"
 	"github.com/sumactrestle/sumactrestle/internal/environment"
 	"github.com/sumactrestle/sumactrestle/internal/errcode"
 	"github.com/sumactrestle/sumactrestle/internal/ids"
@@ -64,7 +65,7 @@
 	}
 	ctx, cancel := context.WithDeadline(r.config.Environment, deadline)
 	defer cancel()
-	response, err := r.config.Coordinate(ctx, &rpc.CoordinationRequest{Operation: "claim", Name: name, Holder: r.holder(requestID)})
+	response, err := r.config.Coordinate(ctx, &rpc.CoordinationRequest{Operation: coordination.OpReserve, Name: name, Holder: r.holder(requestID)})
 	if err != nil {
 		r.config.Environment.Go(func() { r.release(name, requestID) })
 		return errcode.New(errcode.NoLeader, "the idempotency record can't be acquired: %v", err)
@@ -117,7 +118,7 @@
 
 // release gives back the record of a request of which nothing was written.
 func (r *Records) release(name, requestID string) {
-	r.write(&rpc.CoordinationRequest{Operation: "unclaim", Name: name, Holder: r.holder(requestID)})
+	r.write(&rpc.CoordinationRequest{Operation: coordination.OpCancelReservation, Name: name, Holder: r.holder(requestID)})
 }
 
 // write sends a request until it succeeds, within writeTimeout.
@@ -150,7 +151,7 @@
 		for _, outcome := range batch {
 			shard := ids.ShardOf(outcome.name)
 			if byShard[shard] == nil {
-				byShard[shard] = &rpc.CoordinationRequest{Operation: "settle", Name: outcome.name}
+				byShard[shard] = &rpc.CoordinationRequest{Operation: coordination.OpComplete, Name: outcome.name}
 			}
 			value, _ := json.Marshal(outcome.state) // a string; can't fail
 			byShard[shard].Records = append(byShard[shard].Records, rpc.CoordinationRecord{Name: outcome.name, Holder: outcome.holder, Value: value})
--- a/internal/simulator/load_spaces.go
+++ b/internal/simulator/load_spaces.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"github.com/sumactrestle/sumactrestle/internal/checker"
+	"github.com/sumactrestle/sumactrestle/internal/coordination"
 	"github.com/sumactrestle/sumactrestle/internal/errcode"
 	"github.com/sumactrestle/sumactrestle/internal/ids"
 	"github.com/sumactrestle/sumactrestle/internal/node"
@@ -39,10 +40,10 @@
 	case got.Code != 0:
 		rec.Outcome, rec.Code = "refused", got.Code
 	}
-	if op.Operation == "set" || op.Operation == "get" {
+	if op.Operation == coordination.OpSet || op.Operation == coordination.OpGet {
 		rec.Revision = uint64(got.Revision)
 	}
-	if op.Operation == "get" {
+	if op.Operation == coordination.OpGet {
 		json.Unmarshal(got.Value, &rec.Digest)
 		if got.Code == errcode.KeyNotFound.Number {
 			rec.Outcome = "done"
@@ -73,10 +74,10 @@
 			}
 			key, value := fmt.Sprint(countedSpace, "k", r.IntN(3)), ids.NewID()
 			raw, _ := json.Marshal(value)
-			op := &rpc.CoordinationRequest{Operation: "set", ID: value, Name: key, Value: raw}
+			op := &rpc.CoordinationRequest{Operation: coordination.OpSet, ID: value, Name: key, Value: raw}
 			rec := checker.Record{RequestID: value, Digest: value}
 			if r.IntN(2) == 0 {
-				got, outcome := f.callNode(node, checker.Record{Op: "look"}, &rpc.CoordinationRequest{Operation: "get", Name: key})
+				got, outcome := f.callNode(node, checker.Record{Op: "look"}, &rpc.CoordinationRequest{Operation: coordination.OpGet, Name: key})
 				if outcome != "done" {
 					return
 				}
@@ -111,7 +112,7 @@
 	rec := checker.Record{Kind: checker.FollowResponse, Start: f.History.Now(), Name: countedSpace, From: uint64(*from), Outcome: "done"}
 	ctx, end := context.WithTimeout(f.ctx, 6*time.Second)
 	defer end()
-	got, err := node.Coordinate(ctx, &rpc.CoordinationRequest{Operation: "follow", Name: countedSpace, FromIndex: *from, Wait: 2000})
+	got, err := node.Coordinate(ctx, &rpc.CoordinationRequest{Operation: coordination.OpFollow, Name: countedSpace, FromIndex: *from, Wait: 2000})
 	if err != nil {
 		time.Sleep(100 * time.Millisecond)
 		return
@@ -146,7 +147,7 @@
 				op.Name, op.Holder, op.ID = name, holder, ids.NewID()
 				return f.callNode(node, checker.Record{FencingToken: uint64(op.FencingToken), TTL: time.Duration(op.TTL) * time.Millisecond}, &op)
 			}
-			got, outcome := call(rpc.CoordinationRequest{Operation: "acquire", TTL: ttl()})
+			got, outcome := call(rpc.CoordinationRequest{Operation: coordination.OpAcquire, TTL: ttl()})
 			if outcome != "done" {
 				return
 			}
@@ -156,16 +157,16 @@
 				if other := f.anyNode(r); other != nil {
 					node = other
 				}
-				op := rpc.CoordinationRequest{Operation: "renew", FencingToken: fence, TTL: ttl()}
+				op := rpc.CoordinationRequest{Operation: coordination.OpRenew, FencingToken: fence, TTL: ttl()}
 				if r.IntN(3) == 0 {
-					op = rpc.CoordinationRequest{Operation: "acquire", TTL: ttl()}
+					op = rpc.CoordinationRequest{Operation: coordination.OpAcquire, TTL: ttl()}
 				}
 				if got, outcome = call(op); outcome != "done" || got.FencingToken != fence {
 					return
 				}
 			}
 			if r.IntN(2) == 0 {
-				call(rpc.CoordinationRequest{Operation: "release", FencingToken: fence})
+				call(rpc.CoordinationRequest{Operation: coordination.OpRelease, FencingToken: fence})
 			}
 		})
 	}
