--- a/cmd/sumac/main_test.go
+++ b/cmd/sumac/main_test.go
@@ -42,7 +42,7 @@
 		exit int
 		says []string
 	}{
-		"node with faulty settings":                {[]string{"node", "--set", "name=a", "--set", "strenght=3"}, 2, []string{"5001", "strenght: no such setting", "wire.address: is missing"}},
+		"node with faulty settings":                {[]string{"node", "--set", "name=a", "--set", "strenght=3"}, 2, []string{"5001", "strenght: no such setting", "peer.address: is missing"}},
 		"a setting without a value":                {[]string{"node", "--set", "name"}, 2, []string{"5001", "KEY=VALUE"}},
 		"check of a change set":                    {[]string{"check", "--change", write(t, "c.yaml", "put: {mappings: [{name: m, path: x, to: [{service: none, weight: 1}]}]}")}, 2, []string{"2001", "mappings.m.path", "mappings.m.to.0.service"}},
 		"a misspelt key":                           {[]string{"check", "--change", write(t, "c.yaml", "putt: {}")}, 2, []string{"2001", "putt"}},
@@ -74,7 +74,7 @@
 }
 
 func TestChecksPass(t *testing.T) {
-	if err := run("check", "--set", "name=a", "--set", "wire.address=127.0.0.1:1", "--set", "api.address=127.0.0.1:2", "--set", "gate.address=127.0.0.1:3", "--set", "seeds=127.0.0.1:1,127.0.0.1:4"); err != nil {
+	if err := run("check", "--set", "name=a", "--set", "peer.address=127.0.0.1:1", "--set", "api.address=127.0.0.1:2", "--set", "proxy.address=127.0.0.1:3", "--set", "seeds=127.0.0.1:1,127.0.0.1:4"); err != nil {
 		t.Error(err)
 	}
 	if err := run("platform", "--check", "--settings", "../../platform/testdata/core.toml"); err != nil {
--- a/internal/approved/folder_test.go
+++ b/internal/approved/folder_test.go
@@ -173,7 +173,7 @@
 		same(t, "alone.answers.txt", out.String()+members(t, api))
 	})
 	t.Run("core1", func(t *testing.T) {
-		_, api, _ := start(t, copied(t, "core1"), map[string]string{"name": "core1", "found.cores": "3"})
+		_, api, _ := start(t, copied(t, "core1"), map[string]string{"name": "core1", "bootstrap.cores": "3"})
 		var parts struct{ Rows [][]string }
 		if _, text := get(t, "http://"+api+"/v1/show/parts"); json.Unmarshal([]byte(text), &parts) != nil {
 			t.Fatal(text)
--- a/internal/approved/node_test.go
+++ b/internal/approved/node_test.go
@@ -28,8 +28,8 @@
 func start(t *testing.T, folder string, more map[string]string) (n *node.Node, api, gate string) {
 	t.Helper()
 	const ip = "127.3.7.1"
-	set := map[string]string{"name": "n1", "found.cores": "1", "data.folder": folder, "log.level": "error"}
-	for _, key := range []string{"wire.address", "api.address", "gate.address"} {
+	set := map[string]string{"name": "n1", "bootstrap.cores": "1", "data.folder": folder, "log.level": "error"}
+	for _, key := range []string{"peer.address", "api.address", "proxy.address"} {
 		listener, err := net.Listen("tcp", ip+":0")
 		if err != nil {
 			t.Fatal(err)
@@ -49,7 +49,7 @@
 	if n, err = node.Start(r); err != nil {
 		t.Fatal(err)
 	}
-	return n, set["api.address"], set["gate.address"]
+	return n, set["api.address"], set["proxy.address"]
 }
 
 func await(t *testing.T, what string, isDone func() bool) {
--- a/internal/config/props_test.go
+++ b/internal/config/config_test.go
@@ -11,16 +11,17 @@
 	"github.com/sumactrestle/sumactrestle/internal/errcode"
 )
 
-func TestEveryFaultIsNamed(t *testing.T) {
+func TestLoad_EveryFaultIsNamed(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "props.yaml")
 	os.WriteFile(path, []byte(`
 name: "a b"
 seeds: ["10.0.0.1:7000", "core.example:7000"]
-wire: {address: "10.0.0.1"}
-gate: {address: "10.0.0.1:70", inflight: 0, colour: red}
-flow: {fresh: 2s}
+peer: {address: "10.0.0.1"}
+proxy: {address: "10.0.0.1:70", max_inflight: 0, colour: red}
+gate: {colour: red}
+distribution: {max_age: 2s}
 log: {level: loud}
-pact: {snapshot: many}
+consensus: {snapshot_entries: many}
 `), 0o644)
 	_, err := Load(path, map[string]string{"strength": "0"})
 	if !errcode.Is(err, errcode.InvalidSettings) {
@@ -28,23 +29,24 @@
 	}
 	want := []string{
 		`api.address: is missing`,
-		`flow.fresh: 2s is outside 100ms to 900ms`,
+		`consensus.snapshot_entries: "many" is not a whole number`,
+		`distribution.max_age: 2s is outside 100ms to 900ms`,
 		`gate.colour: no such setting`,
-		`gate.inflight: 0 is outside 1 to 100000`,
 		`log.level: "loud" is none of debug, info, warn, error`,
 		`name: holds a space or a slash`,
-		`pact.snapshot: "many" is not a whole number`,
+		`peer.address: "10.0.0.1" is not an IP number with a port`,
+		`peer.address: is missing`,
+		`proxy.colour: no such setting`,
+		`proxy.max_inflight: 0 is outside 1 to 100000`,
 		`seeds.1: "core.example:7000" is not an IP number with a port`,
 		`strength: 0 is outside 1 to 100000`,
-		`wire.address: "10.0.0.1" is not an IP number with a port`,
-		`wire.address: is missing`,
 	}
 	if diff := cmp.Diff(want, errcode.From(err).Paths); diff != "" {
 		t.Fatal(diff)
 	}
 }
 
-func TestFlagsWinOverVariablesOverFile(t *testing.T) {
+func TestLoad_FlagsWinOverVariablesOverFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "props.json")
 	os.WriteFile(path, []byte(`{"name":"n","zone":"file","wire":{"address":"127.0.0.1:1"},"api":{"address":"127.0.0.1:2"},"gate":{"address":"127.0.0.1:3"},"strength":7,"gate.inflight":9}`), 0o644)
 	t.Setenv("SUMAC_ZONE", "variable")
--- a/internal/consensus/antientropy.go
+++ b/internal/consensus/antientropy.go
@@ -99,7 +99,7 @@
 func (r *Replica) requestDigests(m rpc.Member, request *rpc.RangeDigestRequest) (response rpc.RangeDigestResponse) {
 	for range compareAttempts {
 		err := r.node.call(r.node.env, compareTimeout, m.RPCAddress, "pact.compare", request, &response)
-		if err != nil || response.AtIndex || !r.node.env.Sleep(r.node.env.Config.ConsensusHeartbeatInterval) {
+		if err != nil || response.AtIndex || !r.node.env.Sleep(r.node.env.Config.ConsensusHeartbeatPeriod) {
 			break
 		}
 	}
--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -34,7 +34,7 @@
 	if r.election.lastLeaderContact.IsZero() {
 		// After a start, one heartbeat of a working leader is waited for; a member that
 		// hears one votes for nobody else.
-		timeout = min(timeout, r.node.env.Config.ConsensusHeartbeatInterval*3/2)
+		timeout = min(timeout, r.node.env.Config.ConsensusHeartbeatPeriod*3/2)
 	}
 	start := r.election.lastLeaderContact
 	if start.Before(r.election.timerStart) {
--- a/internal/consensus/heartbeat.go
+++ b/internal/consensus/heartbeat.go
@@ -95,7 +95,7 @@
 	timer := time.NewTimer(1)
 	defer timer.Stop()
 	for {
-		pause := n.env.Config.ConsensusHeartbeatInterval
+		pause := n.env.Config.ConsensusHeartbeatPeriod
 		select {
 		case <-ctx.Done():
 			return
@@ -106,7 +106,7 @@
 		case <-timer.C:
 		}
 		if !n.isVoterOfLedShard(peer) {
-			pause = n.env.Config.ConsensusHeartbeatInterval * idleHeartbeatFactor
+			pause = n.env.Config.ConsensusHeartbeatPeriod * idleHeartbeatFactor
 		}
 		timer.Reset(pause)
 		n.sendHeartbeat(ctx, peer, h)
--- a/internal/consensus/replica_test.go
+++ b/internal/consensus/replica_test.go
@@ -45,7 +45,7 @@
 // runReplica runs a test on member A of a shard whose first voters are A, B and C.
 func runReplica(t *testing.T, play func(t *testing.T, r *Replica, machine *recordingMachine)) {
 	synctest.Test(t, func(t *testing.T) {
-		p, err := config.Load("", map[string]string{"name": "core-A", "zone": "z", "wire.address": "10.0.0.1:7000", "api.address": "10.0.0.1:7001", "data.folder": "/part", "seeds": "10.0.0.2:7000"})
+		p, err := config.Load("", map[string]string{"name": "core-A", "zone": "z", "peer.address": "10.0.0.1:7000", "api.address": "10.0.0.1:7001", "data.folder": "/part", "seeds": "10.0.0.2:7000"})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/distribution/fakenet_test.go
+++ b/internal/distribution/fakenet_test.go
@@ -67,7 +67,7 @@
 
 func (n *fakeNetwork) environment(t *testing.T, ctx context.Context, name, address string) *environment.Environment {
 	t.Helper()
-	settings, err := config.Load("", map[string]string{"name": name, "zone": "a", "wire.address": address, "api.address": "10.0.0.9:1", "gate.address": "10.0.0.9:2", "flow.fetches": "2"})
+	settings, err := config.Load("", map[string]string{"name": name, "zone": "a", "peer.address": address, "api.address": "10.0.0.9:1", "proxy.address": "10.0.0.9:2", "distribution.max_concurrent_fetches": "2"})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/eventlog/events_gen.go
+++ b/internal/eventlog/events_gen.go
@@ -42,6 +42,7 @@
 	SettingsReloaded   = Event{Number: 801, Name: "PropsReread", Level: "info", Text: "the settings were read again"}
 	SettingsRejected   = Event{Number: 802, Name: "PropsRefused", Level: "warn", Text: "changed settings are faulty; the old ones stay"}
 	ProxyListenFailed  = Event{Number: 803, Name: "GateFailed", Level: "error", Text: "the address for callers can't be taken"}
+	SettingsRenamed    = Event{Number: 804, Name: "SettingsRenamed", Level: "warn", Text: "settings are given under former names"}
 )
 
 // Events is the whole table.
@@ -85,4 +86,5 @@
 	SettingsReloaded,
 	SettingsRejected,
 	ProxyListenFailed,
+	SettingsRenamed,
 }
--- a/internal/harness/fleet.go
+++ b/internal/harness/fleet.go
@@ -19,6 +19,7 @@
 
 	"github.com/sumactrestle/sumactrestle/internal/api"
 	"github.com/sumactrestle/sumactrestle/internal/checker"
+	"github.com/sumactrestle/sumactrestle/internal/config"
 	"github.com/sumactrestle/sumactrestle/internal/errcode"
 )
 
@@ -100,15 +101,15 @@
 	if err := os.MkdirAll(filepath.Dir(m.Log()), 0o755); err != nil {
 		return err
 	}
-	set := map[string]string{"name": m.Name, "zone": m.Zone, "seeds": m.fleet.Seeds(), "wire.address": m.Wire(), "api.address": m.Api(), "found.cores": fmt.Sprint(m.fleet.Cores), "strength": fmt.Sprint(m.Strength), "log.file": m.Log()}
+	set := map[string]string{"name": m.Name, "zone": m.Zone, "seeds": m.fleet.Seeds(), "peer.address": m.Wire(), "api.address": m.Api(), "bootstrap.cores": fmt.Sprint(m.fleet.Cores), "strength": fmt.Sprint(m.Strength), "log.file": m.Log()}
 	if m.fleet.Relay != nil {
-		set["wire.address"], set["wire.advertise"] = m.behind(), m.Wire()
+		set["peer.address"], set["peer.advertise"] = m.behind(), m.Wire()
 	}
 	if m.IsCore {
 		set["data.folder"] = m.Data()
 	}
 	if m.IsProxy {
-		set["gate.address"] = m.Gate()
+		set["proxy.address"] = m.Gate()
 	}
 	if m.fleet.IsDebugged {
 		set["debug.address"] = fmt.Sprintf("%s:%d", m.IP, m.fleet.Port+3)
@@ -118,6 +119,9 @@
 	}
 	args := []string{"node"}
 	for key, value := range set {
+		if m.fleet.Other != "" {
+			key = config.FormerName(key) // one of the builds may know no other
+		}
 		args = append(args, "--set", key+"="+value)
 	}
 	if m.IsProxy && m.fleet.H != nil {
--- a/internal/membership/memberlist_test.go
+++ b/internal/membership/memberlist_test.go
@@ -153,7 +153,7 @@
 // by itself.
 func (c *cluster) node(self rpc.Member) *Memberlist {
 	c.Helper()
-	settings, err := config.Load("", map[string]string{"name": string(self.Name), "zone": self.Zone, "wire.address": self.RPCAddress, "api.address": "10.0.0.9:1", "gate.address": "10.0.0.9:2"})
+	settings, err := config.Load("", map[string]string{"name": string(self.Name), "zone": self.Zone, "peer.address": self.RPCAddress, "api.address": "10.0.0.9:1", "proxy.address": "10.0.0.9:2"})
 	if err != nil {
 		c.Fatal(err)
 	}
--- a/internal/node/desk.go
+++ b/internal/node/desk.go
@@ -36,7 +36,7 @@
 	if _, err := d.n.Heartbeat(ctx, beat); err != nil {
 		return nil, err
 	}
-	return &api.Taken{Again: int(d.n.Env.Config.ControlplaneHeartbeatInterval.Milliseconds())}, nil
+	return &api.Taken{Again: int(d.n.Env.Config.ControlplaneHeartbeatPeriod.Milliseconds())}, nil
 }
 
 func (d *apiHandler) Submit(ctx context.Context, req *api.Change) (*api.ChangeReceipt, error) {
--- a/internal/node/seat.go
+++ b/internal/node/seat.go
@@ -65,6 +65,9 @@
 func Start(r *environment.Environment, faces ...Listener) (*Node, error) {
 	n := &Node{Env: r, RPC: rpc.New(r)}
 	p := r.Config
+	if len(p.Renamed) > 0 {
+		r.Events.Emit(eventlog.SettingsRenamed, "settings", p.Renamed)
+	}
 	me := rpc.Member{Name: r.Name, ID: ids.NewMemberID(), RPCAddress: p.PeerAddress, APIAddress: p.APIAddress, ProxyAddress: p.ProxyAddress, Zone: p.Zone, Strength: p.Strength}
 	if p.PeerAdvertise != "" {
 		me.RPCAddress = p.PeerAdvertise
@@ -105,7 +108,7 @@
 		return nil, err
 	}
 	if err := n.Members.Start(); err != nil {
-		return nil, errcode.New(errcode.InvalidSettings, "wire.address: %v", err)
+		return nil, errcode.New(errcode.InvalidSettings, "peer.address: %v", err)
 	}
 	if me.Core {
 		n.Consensus.Start()
@@ -145,7 +148,7 @@
 func (n *Node) startProxy(address string, planned <-chan struct{}) error {
 	wait := n.Env.Config.ProxyStartupWait
 	if wait == 0 {
-		return n.serve(address, "gate.address", n.Proxy)
+		return n.serve(address, "proxy.address", n.Proxy)
 	}
 	n.Env.Go(func() {
 		late := time.NewTimer(wait)
@@ -159,7 +162,7 @@
 		if n.stopping.Load() {
 			return
 		}
-		if err := n.serve(address, "gate.address", n.Proxy); err != nil {
+		if err := n.serve(address, "proxy.address", n.Proxy); err != nil {
 			n.Env.Events.Emit(eventlog.ProxyListenFailed, "cause", err.Error())
 		}
 	})
@@ -217,7 +220,7 @@
 		return errcode.New(errcode.InvalidSettings, "%s: %v", key, err)
 	}
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: 10 * time.Second, IdleTimeout: 60 * time.Second, BaseContext: func(net.Listener) context.Context { return n.Env }}
-	if key == "gate.address" && n.Env.Config.ProxyReceiveBufferBytes > 0 {
+	if key == "proxy.address" && n.Env.Config.ProxyReceiveBufferBytes > 0 {
 		server.ConnContext = func(ctx context.Context, conn net.Conn) context.Context {
 			if c, ok := conn.(interface{ SetReadBuffer(int) error }); ok {
 				c.SetReadBuffer(n.Env.Config.ProxyReceiveBufferBytes)
--- a/internal/proxy/idempotency/records_test.go
+++ b/internal/proxy/idempotency/records_test.go
@@ -33,7 +33,7 @@
 // withRecords runs a test in virtual time with records whose leader answers so.
 func withRecords(t *testing.T, answer func() (*rpc.CoordinationResponse, error), run func(t *testing.T, records *Records, leader *leader)) {
 	synctest.Test(t, func(t *testing.T) {
-		settings, err := config.Load("", map[string]string{"name": "n", "zone": "a", "wire.address": "10.0.0.1:1", "api.address": "10.0.0.1:2", "gate.address": "10.0.0.1:3"})
+		settings, err := config.Load("", map[string]string{"name": "n", "zone": "a", "peer.address": "10.0.0.1:1", "api.address": "10.0.0.1:2", "proxy.address": "10.0.0.1:3"})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/rpc/client_conn_test.go
+++ b/internal/rpc/client_conn_test.go
@@ -19,7 +19,7 @@
 // count of its dials.
 func newDialer(t *testing.T, dials ...func(context.Context) (net.Conn, error)) (*Transport, *environment.Environment, *atomic.Int64) {
 	t.Helper()
-	settings, err := config.Load("", map[string]string{"name": "one", "wire.address": "127.0.0.1:1", "api.address": "127.0.0.1:2", "gate.address": "127.0.0.1:3", "wire.dial": "600ms"})
+	settings, err := config.Load("", map[string]string{"name": "one", "peer.address": "127.0.0.1:1", "api.address": "127.0.0.1:2", "proxy.address": "127.0.0.1:3", "peer.dial_timeout": "600ms"})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/rpc/idle_test.go
+++ b/internal/rpc/idle_test.go
@@ -39,7 +39,7 @@
 		far := &socket{conns: make(chan net.Conn), over: make(chan struct{})}
 		dialled := 0
 		node := func(address string, listen *socket) *Transport {
-			settings, err := config.Load("", map[string]string{"name": "n", "zone": "a", "wire.address": address, "api.address": "10.0.0.1:2", "gate.address": "10.0.0.1:3"})
+			settings, err := config.Load("", map[string]string{"name": "n", "zone": "a", "peer.address": address, "api.address": "10.0.0.1:2", "proxy.address": "10.0.0.1:3"})
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/rpc/server_test.go
+++ b/internal/rpc/server_test.go
@@ -16,7 +16,7 @@
 
 func TestDispatch_DoesNotBeginExpiredRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		settings, err := config.Load("", map[string]string{"name": "n", "zone": "a", "wire.address": "10.0.0.1:1", "api.address": "10.0.0.1:2", "gate.address": "10.0.0.1:3"})
+		settings, err := config.Load("", map[string]string{"name": "n", "zone": "a", "peer.address": "10.0.0.1:1", "api.address": "10.0.0.1:2", "proxy.address": "10.0.0.1:3"})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -48,7 +48,7 @@
 }
 
 func TestHandle_RefusesBodiesOfAnotherType(t *testing.T) {
-	settings, err := config.Load("", map[string]string{"name": "n", "zone": "a", "wire.address": "10.0.0.1:1", "api.address": "10.0.0.1:2", "gate.address": "10.0.0.1:3"})
+	settings, err := config.Load("", map[string]string{"name": "n", "zone": "a", "peer.address": "10.0.0.1:1", "api.address": "10.0.0.1:2", "proxy.address": "10.0.0.1:3"})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/rpc/transport.go
+++ b/internal/rpc/transport.go
@@ -44,7 +44,7 @@
 func (t *Transport) Start() error {
 	listener, err := t.env.Host.Listen(t.env.Config.PeerAddress)
 	if err != nil {
-		return errcode.New(errcode.InvalidSettings, "wire.address: %v", err)
+		return errcode.New(errcode.InvalidSettings, "peer.address: %v", err)
 	}
 	t.env.Go(func() { t.acceptConns(listener) })
 	t.env.Go(t.closeIdleConns)
--- a/internal/simulator/changeset_test.go
+++ b/internal/simulator/changeset_test.go
@@ -15,7 +15,7 @@
 // snapshots, takeovers and a lost disk, wherever it comes in.
 func TestChangeSet_RepeatedAfterHundredsOfOthers(t *testing.T) {
 	shape := one()
-	shape.Settings["pact.snapshot"] = "60"
+	shape.Settings["consensus.snapshot_entries"] = "60"
 	inFleet(t, shape, func(t *testing.T, f *Fleet) {
 		order := func(n int) *rpc.ChangeSet {
 			over := ids.Version(n)
--- a/internal/simulator/control_nodes_test.go
+++ b/internal/simulator/control_nodes_test.go
@@ -14,8 +14,8 @@
 
 func TestDistribution_ProxyNearNodesWithoutConfigurationHearsOfChanges(t *testing.T) {
 	shape := one()
-	shape.Settings["flow.servers"] = "2"
-	shape.Settings["flow.stay"] = "1h"
+	shape.Settings["distribution.max_servers"] = "2"
+	shape.Settings["distribution.offline_grace"] = "1h"
 	inFleet(t, shape, func(t *testing.T, f *Fleet) {
 		for i := range 12 {
 			f.startMachine(f.Add(fmt.Sprint("spare", i), i%3, true, false))
--- a/internal/simulator/distribution_test.go
+++ b/internal/simulator/distribution_test.go
@@ -62,7 +62,7 @@
 // The listening tasks are all in their long pause when the way is back.
 func TestDistribution_EpochUpdateDoesNotWaitForTheLongPause(t *testing.T) {
 	shape := one()
-	shape.Settings["flow.cool"], shape.Settings["kin.suspect"] = "5m", "1m"
+	shape.Settings["distribution.retry_cooldown"], shape.Settings["membership.suspicion_timeout"] = "5m", "1m"
 	inFleet(t, platformShape(shape), func(t *testing.T, f *Fleet) {
 		proxyNode := f.Machine("proxy1")
 		for i := range 5 {
@@ -118,8 +118,8 @@
 }
 
 func stagedNode(t *testing.T, w *Network, name, zone, address string, seeds string, isCore bool, settings map[string]string) (*environment.Environment, *rpc.Transport, *membership.Memberlist) {
-	set := map[string]string{"name": name, "zone": zone, "wire.address": address, "seeds": seeds, "flow.pulse": "1s", "flow.stay": "1h"}
-	set["api.address"], set["gate.address"] = hostOf(address)+":7001", hostOf(address)+":7002"
+	set := map[string]string{"name": name, "zone": zone, "peer.address": address, "seeds": seeds, "distribution.renewal_interval": "1s", "distribution.offline_grace": "1h"}
+	set["api.address"], set["proxy.address"] = hostOf(address)+":7001", hostOf(address)+":7002"
 	for key, value := range settings {
 		set[key] = value
 	}
@@ -235,7 +235,7 @@
 // give it: the next one that is asked does.
 func TestDistribution_NodeThatAnnouncesAnEpochWithoutServingItIsBypassed(t *testing.T) {
 	for _, servers := range []string{"0", "2"} {
-		staged(t, 3, map[string]string{"flow.servers": servers}, func(t *testing.T, client *distribution.Client, cores []*stagedCore) {
+		staged(t, 3, map[string]string{"distribution.max_servers": servers}, func(t *testing.T, client *distribution.Client, cores []*stagedCore) {
 			for i, core := range cores {
 				core.stuck.Store(core.listens.Load())
 				core.epoch.Store(2)
@@ -244,7 +244,7 @@
 				}
 			}
 			if !has(client, 2, 5*time.Second) {
-				t.Errorf("flow.servers=%s: the proxy is at epoch %d after 5 s", servers, client.Cache.Snapshot().Epoch)
+				t.Errorf("distribution.max_servers=%s: the proxy is at epoch %d after 5 s", servers, client.Cache.Snapshot().Epoch)
 			}
 		})
 	}
--- a/internal/simulator/drain_test.go
+++ b/internal/simulator/drain_test.go
@@ -13,7 +13,7 @@
 
 func TestDrain_IsAcknowledgedAfterProxiesApplyIt(t *testing.T) {
 	shape := one()
-	shape.Settings["plan.hold"] = "500ms"
+	shape.Settings["controlplane.acknowledge_delay"] = "500ms"
 	inFleet(t, shape, func(t *testing.T, f *Fleet) {
 		server, proxyNode := f.Targets("rates")[0], f.Machine("proxy1").Node()
 		began := time.Now()
--- a/internal/simulator/hedge_test.go
+++ b/internal/simulator/hedge_test.go
@@ -15,7 +15,7 @@
 func withUnhealthyTarget(t *testing.T, service, way string, play func(f *Fleet, call func(method, path string) (int, time.Duration))) {
 	shape := one()
 	shape.Targets = map[string]int{"rates": 3, "bookings": 3}
-	shape.Settings["gate.doubles"] = "6"
+	shape.Settings["proxy.hedge_percent"] = "6"
 	inFleet(t, shape, func(t *testing.T, f *Fleet) {
 		for _, name := range []string{"rates", "bookings"} {
 			for _, s := range f.Targets(name) {
--- a/internal/simulator/link_test.go
+++ b/internal/simulator/link_test.go
@@ -73,9 +73,9 @@
 // epoch for stale because of them, though it must once it is cut off.
 func TestLink_ProxyBehindASlowLinkHearsOfTheNewestEpoch(t *testing.T) {
 	shape := one()
-	shape.Settings["flow.stay"], shape.Settings["flow.behind"] = "1h", "1700ms"
-	shape.Settings["flow.servers"], shape.Settings["plan.linger"] = "2", "30s"
-	shape.Settings["flow.pulse"], shape.Settings["wire.deaf"], shape.Settings["wire.dial"] = "300ms", "1500ms", "2s"
+	shape.Settings["distribution.offline_grace"], shape.Settings["distribution.unconfirmed_grace"] = "1h", "1700ms"
+	shape.Settings["distribution.max_servers"], shape.Settings["controlplane.share_retention"] = "2", "30s"
+	shape.Settings["distribution.renewal_interval"], shape.Settings["peer.silence_timeout"], shape.Settings["peer.dial_timeout"] = "300ms", "1500ms", "2s"
 	inFleet(t, shape, func(t *testing.T, f *Fleet) {
 		proxyNode, from := f.Machine("proxy1"), f.clientHost(4)
 		f.Network.LimitBandwidth(proxyNode.IP, 100_000)
--- a/internal/simulator/machine.go
+++ b/internal/simulator/machine.go
@@ -45,7 +45,7 @@
 
 // Start brings the machine's process up.
 func (m *Machine) Start() error {
-	set := map[string]string{"name": m.Name, "zone": m.Zone, "wire.address": m.RPCAddress(), "api.address": m.APIAddress(), "found.cores": fmt.Sprint(m.fleet.Shape.Cores), "log.level": "debug"}
+	set := map[string]string{"name": m.Name, "zone": m.Zone, "peer.address": m.RPCAddress(), "api.address": m.APIAddress(), "bootstrap.cores": fmt.Sprint(m.fleet.Shape.Cores), "log.level": "debug"}
 	seeds := ""
 	for _, other := range m.fleet.Machines {
 		if other.IsCore && len(seeds) < 40 {
@@ -57,7 +57,7 @@
 		set["data.folder"] = "/dream/" + m.Name
 	}
 	if m.IsProxy {
-		set["gate.address"] = m.ProxyAddress()
+		set["proxy.address"] = m.ProxyAddress()
 	}
 	for key, value := range m.fleet.Shape.Settings {
 		set[key] = value
--- a/internal/simulator/membership_change_test.go
+++ b/internal/simulator/membership_change_test.go
@@ -92,7 +92,7 @@
 func fiveCores() Shape {
 	shape := one()
 	shape.Cores = 5
-	shape.Settings["pact.gone"] = "1s"
+	shape.Settings["consensus.replacement_delay"] = "1s"
 	return shape
 }
 
--- a/internal/simulator/planner_test.go
+++ b/internal/simulator/planner_test.go
@@ -14,7 +14,7 @@
 
 func TestPlanner_ReleasedAddressSoonGetsItsNewTarget(t *testing.T) {
 	shape := one()
-	shape.Settings["plan.poll"] = "2s"
+	shape.Settings["controlplane.poll_interval"] = "2s"
 	inFleet(t, shape, func(t *testing.T, f *Fleet) {
 		core := f.Cores()[0]
 		holds := func(service, instance string) bool {
--- a/internal/simulator/platform_mode.go
+++ b/internal/simulator/platform_mode.go
@@ -31,9 +31,9 @@
 func platformShape(s Shape) Shape {
 	s.PlatformMode = true
 	settings := map[string]string{
-		"flow.stay": "24h", "flow.pulse": "1s", "plan.keep": "true", "plan.strangers": "true",
-		"plan.beat": platformHeartbeatPeriod.String(), "plan.silence": platformHeartbeatTimeout.String(), "plan.settle": (2*platformHeartbeatPeriod + 500*time.Millisecond).String(),
-		"gate.seal": "opaque", "gate.ids": "caller", "gate.connect": "250ms", "gate.linger": "2s", "gate.return": "100ms",
+		"distribution.offline_grace": "24h", "distribution.renewal_interval": "1s", "controlplane.keep_targets_on_takeover": "true", "controlplane.accept_unknown_services": "true",
+		"controlplane.heartbeat_period": platformHeartbeatPeriod.String(), "controlplane.heartbeat_timeout": platformHeartbeatTimeout.String(), "controlplane.takeover_delay": (2*platformHeartbeatPeriod + 500*time.Millisecond).String(),
+		"proxy.seal_mode": "opaque", "proxy.request_id_source": "caller", "proxy.connect_timeout": "250ms", "proxy.drain_delay": "2s", "proxy.retry_after": "100ms",
 	}
 	for key, value := range s.Settings {
 		settings[key] = value
--- a/internal/simulator/prevote_test.go
+++ b/internal/simulator/prevote_test.go
@@ -85,7 +85,7 @@
 func TestPrevote_RestartedCoreKeepsEpoch(t *testing.T) {
 	shape := Small()
 	shape.Proxies = 6
-	shape.Settings["plan.keep"], shape.Settings["plan.settle"], shape.Settings["plan.linger"] = "true", "3s", "30s"
+	shape.Settings["controlplane.keep_targets_on_takeover"], shape.Settings["controlplane.takeover_delay"], shape.Settings["controlplane.share_retention"] = "true", "3s", "30s"
 	inFleet(t, shape, func(t *testing.T, f *Fleet) {
 		time.Sleep(3 * time.Second)
 		epoch := f.Machine("proxy1").Node().Distribution.Cache.Snapshot().Epoch
--- a/internal/simulator/proxy_test.go
+++ b/internal/simulator/proxy_test.go
@@ -152,7 +152,7 @@
 
 func TestProxy_TooLargeResponseIsUnknown(t *testing.T) {
 	shape := one()
-	shape.Settings["gate.body"] = "4096"
+	shape.Settings["proxy.max_response_bytes"] = "4096"
 	inFleet(t, shape, func(t *testing.T, f *Fleet) {
 		f.replaceTarget(f.Targets("bookings")[0], func(int64) string { return standin.OversizedResponse })
 		time.Sleep(2 * time.Second)
--- a/internal/simulator/rpc_test.go
+++ b/internal/simulator/rpc_test.go
@@ -15,7 +15,7 @@
 
 func TestRPC_UnreadableMessagesAreRejected(t *testing.T) {
 	shape := one()
-	shape.Settings["wire.line"] = "65536"
+	shape.Settings["peer.max_message_bytes"] = "65536"
 	inFleet(t, shape, func(t *testing.T, f *Fleet) {
 		m := f.Cores()[0]
 		send := func(line string) string {
--- a/internal/simulator/scenarios.go
+++ b/internal/simulator/scenarios.go
@@ -49,7 +49,7 @@
 // frequentSnapshots makes snapshots all the time, so that restarts come from them.
 func frequentSnapshots() Shape {
 	s := Small()
-	s.Settings["pact.snapshot"] = "20"
+	s.Settings["consensus.snapshot_entries"] = "20"
 	return s
 }
 
@@ -75,7 +75,7 @@
 // withSpares is a core of five whose lost members are soon replaced.
 func withSpares() Shape {
 	shape := fiveCoreShape()
-	shape.Settings["pact.gone"] = "1s"
+	shape.Settings["consensus.replacement_delay"] = "1s"
 	return shape
 }
 
--- a/internal/simulator/slide_test.go
+++ b/internal/simulator/slide_test.go
@@ -28,8 +28,8 @@
 func startedAnew(t *testing.T) (isShown bool) {
 	shape := Small()
 	shape.Proxies = 3
-	shape.Settings["pact.silence"], shape.Settings["pact.round"] = "400ms", "100ms"
-	shape.Settings["flow.pulse"], shape.Settings["flow.retry"] = "20ms", "10ms"
+	shape.Settings["consensus.election_timeout"], shape.Settings["consensus.heartbeat_period"] = "400ms", "100ms"
+	shape.Settings["distribution.renewal_interval"], shape.Settings["distribution.retry_delay"] = "20ms", "10ms"
 	inFleet(t, shape, func(t *testing.T, f *Fleet) {
 		old := leaderOf(f, ids.ConfigShard, nil)
 		near := f.filter(func(m *Machine) bool { return m.IsProxy && m.Zone == old.Zone })[0]
--- a/internal/simulator/snapshot_test.go
+++ b/internal/simulator/snapshot_test.go
@@ -39,7 +39,7 @@
 
 func TestSnapshot_LargeStateOverSlowLink(t *testing.T) {
 	shape := one()
-	shape.Settings["pact.snapshot"] = "50"
+	shape.Settings["consensus.snapshot_entries"] = "50"
 	inFleet(t, shape, func(t *testing.T, f *Fleet) {
 		f.fillPart(t, 3)
 		m := f.Machine("core2")
@@ -67,7 +67,7 @@
 //	go test ./internal/simulator -run CatchingUp -routes 5200 -changes 600 -v
 func TestSnapshot_CatchingUpDoesNotGrowWithChanges(t *testing.T) {
 	shape := one()
-	shape.Settings["pact.snapshot"] = "40"
+	shape.Settings["consensus.snapshot_entries"] = "40"
 	inFleet(t, shape, func(t *testing.T, f *Fleet) {
 		version := ids.Version(0)
 		submit := func(put []rpc.Route) {
@@ -131,8 +131,8 @@
 // their logs stands when they are alone with it; who has the rest must lead.
 func TestReplica_LaggingMemberServesNothingStale(t *testing.T) {
 	shape := one()
-	shape.Settings["pact.snapshot"] = "20"
-	shape.Settings["pact.tail"] = "5"
+	shape.Settings["consensus.snapshot_entries"] = "20"
+	shape.Settings["consensus.retained_entries"] = "5"
 	inFleet(t, shape, func(t *testing.T, f *Fleet) {
 		client := standin.NewAPIClient(f.Network.HostAt(f.clientHost(1)), f.Machine("proxy1").APIAddress())
 		shard := ids.ShardOf("app/a")
--- a/internal/simulator/spare_test.go
+++ b/internal/simulator/spare_test.go
@@ -16,7 +16,7 @@
 
 func TestMembershipChange_SpareReplacesLostNode(t *testing.T) {
 	shape := one()
-	shape.Settings["pact.gone"] = "3s"
+	shape.Settings["consensus.replacement_delay"] = "3s"
 	inFleet(t, shape, func(t *testing.T, f *Fleet) {
 		spare := f.Add("core4", 0, true, false)
 		f.startMachine(spare)
