--- a/internal/consensus/model/actions.go
+++ b/internal/consensus/model/actions.go
@@ -2,23 +2,23 @@
 
 import "fmt"
 
-// Rules is the protocol that is explored. The zero value is the one that the
-// code follows; each field takes one safeguard out.
+// Rules is the protocol that is explored. The zero value is the one that the code follows;
+// each field takes one safeguard out.
 type Rules struct {
 	SingleSteps       bool // a replacement takes one member out, then puts one in
-	OwnVotersSuffice  bool // a candidate needs a majority of its own last group only
-	KeepOwnLog        bool // a new owner keeps its own log, not the most advanced
-	WipedMembersVote  bool // identities don't tell births apart
-	CommitOldTerms    bool // an owner commits entries of an older term by counting
-	ChangeOnChange    bool // a group may change before the last change is committed
+	OwnVotersSuffice  bool // a candidate needs a quorum of the voters of its own log only
+	KeepOwnLog        bool // a new leader keeps its own log, not the most advanced
+	WipedMembersVote  bool // member ids are not told apart
+	CommitOldTerms    bool // a leader commits entries of an older term by counting
+	ChangeOnChange    bool // the voters may change before the last change is committed
 	SkipJointStep     bool // a replacement takes effect without its joint step
-	UnconfirmedReads  bool // an owner answers reads without a majority's word
-	ForgetVotes       bool // a restart forgets a promise
-	AcceptStaleTerms  bool // a member takes entries below its promised term
-	CommitBeforeSync  bool // an owner counts members that have not synced
-	LearnersVote      bool // whoever follows the owner counts for a majority
-	CopyCommit        bool // a member takes the owner's commit, be it below its own
-	AppendWithoutTerm bool // a member takes entries without promising their term
+	UnconfirmedReads  bool // a leader answers reads without a quorum's confirmation
+	ForgetVotes       bool // a restart forgets a vote
+	AcceptStaleTerms  bool // a member accepts entries below its current term
+	CommitBeforeSync  bool // a leader counts members that have not synced
+	LearnersVote      bool // whoever follows the leader counts for a quorum
+	CopyCommit        bool // a member takes the leader's commit index, be it below its own
+	AppendWithoutTerm bool // a member accepts entries without their term
 	TermsWithoutNode  bool // two candidates may have the same term
 }
 
@@ -29,10 +29,18 @@
 	States int
 }
 
-// action is one step, told so that a schedule can be read.
+// Names of the actions that are checked in a way of their own.
+const (
+	becomesLeader = "becomes leader"
+	replicatesTo  = "replicates to"
+	commits       = "commits"
+	restarts      = "restarts"
+)
+
+// action is one step, named so that a schedule can be read.
 type action struct {
 	name    string
-	who, to int
+	who, to int // members; to is below zero if there is none
 }
 
 func (a action) String() string {
@@ -52,7 +60,7 @@
 	visit func(action, state)
 }
 
-// identityOf is the identity by which a member's word is counted.
+// identityOf is the identity under which a member's answers are counted.
 func (w *walker) identityOf(s *state, m int) peerSet {
 	if w.rules.WipedMembersVote {
 		return identity(m, 0)
@@ -62,7 +70,7 @@
 
 func (w *walker) hasQuorum(g voters, members peerSet) bool {
 	if w.rules.LearnersVote {
-		return size(members) >= 2
+		return members.size() >= 2
 	}
 	return g.hasQuorum(members)
 }
@@ -93,7 +101,7 @@
 	}
 }
 
-// campaign has a member that is in its own last group stand under a new term.
+// campaign has a member that votes, by its own log, campaign under a new term.
 func (w *walker) campaign(s *state, m int) {
 	me := &s.members[m]
 	number := me.currentTerm.number() + 1
@@ -110,7 +118,7 @@
 	w.visit(action{name: "campaigns", who: m, to: -1}, n)
 }
 
-// vote has a member promise a candidate's term and show its log.
+// vote has a member vote for a candidate and show its log.
 func (w *walker) vote(s *state, m, to int) {
 	if s.members[to].currentTerm >= s.members[m].currentTerm {
 		return
@@ -124,12 +132,12 @@
 		if !w.rules.KeepOwnLog && c.best.isBehind(&v.log) {
 			c.best = v.log
 		}
-		w.visit(action{name: "is promised by", who: m, to: to}, n)
+		w.visit(action{name: "gets the vote of", who: m, to: to}, n)
 	}
 }
 
-// isRequested tells whether a candidate asks a member: those of its own group, and
-// those of the group that the most advanced log names.
+// isRequested tells whether a candidate asks a member for its vote: it asks the voters of
+// its own log, and those of the most advanced log.
 func (w *walker) isRequested(s *state, m, to int) bool {
 	c := &s.members[m]
 	asked := s.votersOf(&c.log).all()
@@ -139,8 +147,8 @@
 	return asked&w.identityOf(s, to) != 0 || w.rules.LearnersVote
 }
 
-// becomeLeader makes a candidate the owner: it takes the most advanced log over and
-// appends its first entry.
+// becomeLeader makes a candidate the leader: it adopts the most advanced log and appends
+// its first entry.
 func (w *walker) becomeLeader(s *state, m int) {
 	c := &s.members[m]
 	g := s.votersOf(&c.best)
@@ -159,10 +167,10 @@
 	o.firstIndex, o.granted, o.best = o.log.length, 0, log{}
 	o.match = [maxMembers]uint8{}
 	o.match[m] = o.log.length
-	w.visit(action{name: "becomes owner", who: m, to: -1}, n)
+	w.visit(action{name: becomesLeader, who: m, to: -1}, n)
 }
 
-// append adds an entry under the group in force, unless it brings its own.
+// append adds an entry under the newest voters, unless it names its own.
 func (m *member) append(e entry) {
 	if e.kind != kindMembershipChange {
 		e.voters = m.log.last().voters
@@ -186,8 +194,8 @@
 	w.visit(action{name: "writes", who: m, to: -1}, n)
 }
 
-// replicate has a member take the owner's log, all of it or the first entry that
-// it lacks, and answer once it is synced.
+// replicate has a member take the leader's log, all of it or the first entry that it
+// lacks, and answer once that is synced.
 func (w *walker) replicate(s *state, m, to int) {
 	o, v := &s.members[m], &s.members[to]
 	if v.currentTerm > o.currentTerm && !w.rules.AcceptStaleTerms {
@@ -217,11 +225,11 @@
 	f.commit = commit
 	o.match[to] = max(o.match[to], length)
 	if n != *s {
-		w.visit(action{name: "replicates to", who: m, to: to}, n)
+		w.visit(action{name: replicatesTo, who: m, to: to}, n)
 	}
 }
 
-// commit moves the owner's commit to what a majority has synced.
+// commit moves the leader's commit index to what a quorum has synced.
 func (w *walker) commit(s *state, m int) {
 	o := &s.members[m]
 	for index := o.log.length; index > o.commit; index-- {
@@ -235,13 +243,13 @@
 		if isOwn && w.hasQuorum(s.votersOf(&o.log), synced) {
 			n := *s
 			n.members[m].commit = index
-			w.visit(action{name: "commits", who: m, to: -1}, n)
+			w.visit(action{name: commits, who: m, to: -1}, n)
 			return
 		}
 	}
 }
 
-// startChange starts a replacement of one member by one that is not in the group.
+// startChange starts to replace one voter by a member that has no vote.
 func (w *walker) startChange(s *state, m int) {
 	o := &s.members[m]
 	g := s.votersOf(&o.log)
@@ -262,7 +270,7 @@
 		if g.all()&joining != 0 {
 			continue
 		}
-		if w.rules.SingleSteps && size(g.current) < 3 {
+		if w.rules.SingleSteps && g.current.size() < 3 {
 			propose("adds", in, voters{current: g.current | joining})
 		}
 		if w.rules.SingleSteps {
@@ -283,13 +291,13 @@
 		}
 	}
 	for out := range w.scope.Members {
-		if leaving := s.identity(out); w.rules.SingleSteps && out != m && g.current&leaving != 0 && size(g.current) == 3 {
+		if leaving := s.identity(out); w.rules.SingleSteps && out != m && g.current&leaving != 0 && g.current.size() == 3 {
 			propose("removes", out, voters{current: g.current &^ leaving})
 		}
 	}
 }
 
-// finishChange ends the joint step once it is committed, whoever began it.
+// finishChange ends the joint step once that is committed, whoever began it.
 func (w *walker) finishChange(s *state, m int) {
 	o := &s.members[m]
 	g := s.votersOf(&o.log)
@@ -315,10 +323,10 @@
 	if w.rules.ForgetVotes {
 		n.members[m].currentTerm = old.log.last().term
 	}
-	w.visit(action{name: "restarts", who: m, to: -1}, n)
+	w.visit(action{name: restarts, who: m, to: -1}, n)
 }
 
-// wipe gives a member an empty disk, and so another birth.
+// wipe gives a member an empty disk, and so another member id.
 func (w *walker) wipe(s *state, m int) {
 	if int(s.wipes) >= w.scope.Wipes || s.members[m].memberID+1 >= maxMemberIDs {
 		return
--- a/internal/consensus/model/conformance.go
+++ b/internal/consensus/model/conformance.go
@@ -10,11 +10,11 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// Invariants that only running code can break, beside those of the walk.
+// Invariants that only running code can break, beside those that Explore checks.
 const (
-	VoteNotGranted       = "a vote counts that was not promised under this term"
-	ElectedWithoutQuorum = "an owner was chosen by no majority of its voters"
-	TermDecreased        = "a disk promised a lower term than before"
+	VoteNotGranted       = "a vote counts that was not given for this term"
+	ElectedWithoutQuorum = "a leader was elected by no quorum of its voters"
+	TermDecreased        = "a disk has a lower term than before"
 )
 
 // Conformance holds the steps of running nodes against the invariants of the
@@ -33,14 +33,14 @@
 	currentTerms    map[rpc.Peer]ids.Term
 	leaders         map[ids.Term]rpc.Peer
 	committed       map[ids.Index]committedEntry
-	newestCommitted ids.Index // the highest index that an owner has committed
+	newestCommitted ids.Index // the highest index that a leader has committed
 	voters          consensus.Voters
 	votersIndex     ids.Index
 }
 
 type committedEntry struct {
 	term        ids.Term // of the entry
-	committedBy ids.Term // of the first owner that committed it; none if a member told first
+	committedBy ids.Term // of the first leader that committed it; zero if only followers have
 	at          time.Time
 }
 
@@ -66,7 +66,7 @@
 		c.shards[trace.Shard] = o
 	}
 	breach := func(invariant, format string, args ...any) {
-		c.OnBreach(invariant, fmt.Sprintf("part %d, %s, term %s: ", trace.Shard, trace.Member.Name, trace.Term)+fmt.Sprintf(format, args...))
+		c.OnBreach(invariant, fmt.Sprintf("shard %d, %s, term %s: ", trace.Shard, trace.Member.Name, trace.Term)+fmt.Sprintf(format, args...))
 	}
 	switch trace.Kind {
 	case consensus.TraceTermRaised:
@@ -91,15 +91,15 @@
 
 type breachFunc func(invariant, format string, args ...any)
 
-// observeTermRaised demands that a disk forgets no promise; one that was not synced may be gone
-// after a loss of power.
+// observeTermRaised demands that a disk forgets no vote; one that was not synced may be
+// gone after a loss of power.
 func (o *observedShard) observeTermRaised(step consensus.TraceEvent, breach breachFunc) {
 	if step.Term.Less(o.currentTerms[step.Member]) {
-		breach(TermDecreased, "it had promised %s", o.currentTerms[step.Member])
+		breach(TermDecreased, "it had %s", o.currentTerms[step.Member])
 	}
 }
 
-// observeVote notes a synced promise; two that are synced at once are told in any order.
+// observeVote notes a synced vote; two that are synced at once come in any order.
 func (o *observedShard) observeVote(step consensus.TraceEvent) {
 	if o.currentTerms[step.Member].Less(step.Term) {
 		o.currentTerms[step.Member] = step.Term
@@ -116,7 +116,7 @@
 	}
 	for _, peer := range step.Granted {
 		if o.currentTerms[peer].Less(step.Term) {
-			breach(VoteNotGranted, "%s had promised %s", peer.Name, o.currentTerms[peer])
+			breach(VoteNotGranted, "%s had %s", peer.Name, o.currentTerms[peer])
 		}
 	}
 	for index, entry := range o.committed {
--- a/internal/consensus/model/explore.go
+++ b/internal/consensus/model/explore.go
@@ -3,18 +3,17 @@
 import (
 	"fmt"
 	"hash/maphash"
-	"math/bits"
 )
 
-// Invariants, by the names under which a breach is told.
+// Invariants, by the names under which a breach is reported.
 const (
 	CommittedEntriesDiffer = "committed prefixes differ"
-	AcknowledgedEntryLost  = "a later owner lacks what was acknowledged"
-	StaleRead              = "a confirmed owner would answer a read with old state"
-	CommitDecreased        = "a commit went down on one disk"
-	QuorumsDisjoint        = "successive groups share no majority"
-	TwoLeadersInTerm       = "two owners of one term"
-	EntryAboveCurrentTerm  = "an entry stands above its member's promise"
+	AcknowledgedEntryLost  = "a later leader lacks what was acknowledged"
+	StaleRead              = "a confirmed leader would answer a read with old state"
+	CommitDecreased        = "a commit index went down on one disk"
+	QuorumsDisjoint        = "successive voters share no quorum"
+	TwoLeadersInTerm       = "two leaders of one term"
+	EntryAboveCurrentTerm  = "an entry is above its member's current term"
 )
 
 // Breach is a broken invariant and the shortest way to it.
@@ -23,7 +22,7 @@
 	Schedule  []string
 }
 
-// Result is what a walk came to.
+// Result is what an exploration came to.
 type Result struct {
 	States     int
 	Depth      int
@@ -37,8 +36,8 @@
 	action action
 }
 
-// Explore walks the states of a protocol in order of their distance from the
-// first, until the scope is exhausted or an invariant is broken.
+// Explore visits the states of a protocol in order of their distance from the first, until
+// the scope is exhausted or an invariant is broken.
 func Explore(rules Rules, scope Scope) Result {
 	seed := maphash.MakeSeed()
 	key := func(s *state) uint64 { return maphash.Comparable(seed, *s) }
@@ -95,24 +94,24 @@
 func (s *state) observe(before *state, a action, w *walker) string {
 	for m := range w.scope.Members {
 		now, old := &s.members[m], &before.members[m]
-		if now.commit < old.commit && now.memberID == old.memberID && a.name != "restarts" {
+		if now.commit < old.commit && now.memberID == old.memberID && a.name != restarts {
 			return CommitDecreased
 		}
 		if now.log.last().term > now.currentTerm {
 			return EntryAboveCurrentTerm
 		}
 	}
-	if g := s.members[a.who].log; a.name != "replicates to" && g.length > before.members[a.who].log.length && g.last().kind == kindMembershipChange {
+	if g := s.members[a.who].log; a.name != replicatesTo && g.length > before.members[a.who].log.length && g.last().kind == kindMembershipChange {
 		if !quorumsIntersect(g.last().voters, before.members[a.who].log.last().voters) {
 			return QuorumsDisjoint
 		}
 	}
 	switch a.name {
-	case "becomes owner":
+	case becomesLeader:
 		if invariant := s.checkLeader(a.who, w); invariant != "" {
 			return invariant
 		}
-	case "commits":
+	case commits:
 		if invariant := s.acknowledge(a.who); invariant != "" {
 			return invariant
 		}
@@ -120,8 +119,8 @@
 	return s.checkReads(w)
 }
 
-// checkLeader demands that a new owner has what older terms acknowledged, and
-// that its term is its alone.
+// checkLeader demands that a new leader has what older terms acknowledged, and that no
+// other has its term.
 func (s *state) checkLeader(m int, w *walker) string {
 	o := &s.members[m]
 	for other := range w.scope.Members {
@@ -154,8 +153,8 @@
 	return ""
 }
 
-// checkReads demands that an owner whose term a majority would confirm now has
-// all that was acknowledged.
+// checkReads demands that a leader whose term a quorum would confirm now has all that was
+// acknowledged.
 func (s *state) checkReads(w *walker) string {
 	for m := range w.scope.Members {
 		o := &s.members[m]
@@ -178,8 +177,8 @@
 	return ""
 }
 
-// hasAcknowledged tells whether an owner's log holds all that was acknowledged, be its
-// own knowledge of the commit behind.
+// hasAcknowledged tells whether a leader's log holds all that was acknowledged, even if its
+// commit index is behind.
 func (s *state) hasAcknowledged(o *member) bool {
 	for i := range s.acknowledged.length {
 		if i >= o.log.length || o.log.entries[i] != s.acknowledged.entries[i] {
@@ -189,7 +188,7 @@
 	return true
 }
 
-// quorumsIntersect tells whether every two sets that decide for two groups share a member.
+// quorumsIntersect tells whether every quorum of a shares a member with every quorum of b.
 func quorumsIntersect(a, b voters) bool {
 	all := a.all() | b.all()
 	for members := all; ; members = (members - 1) & all {
@@ -202,6 +201,4 @@
 	}
 }
 
-func size(v peerSet) int { return bits.OnesCount16(uint16(v)) }
-
 func (b *Breach) String() string { return fmt.Sprintf("%s: %q", b.Invariant, b.Schedule) }
--- a/internal/consensus/model/explore_test.go
+++ b/internal/consensus/model/explore_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"flag"
+	"fmt"
 	"testing"
 )
 
@@ -14,47 +15,50 @@
 }{
 	{Rules{}, Scope{Members: 3, Terms: 2, Writes: 1, Restarts: 1, States: 300_000}},
 	{Rules{}, Scope{Members: 4, Terms: 3, Writes: 1, Changes: 1, Wipes: 1, States: 150_000}},
-	// The way that was weighed against the joint step: safe, but it leaves two
-	// members when the owner dies half way.
+	// The alternative to the joint step: safe, but it leaves two voters when the leader
+	// dies half way.
 	{Rules{SingleSteps: true}, Scope{Members: 4, Terms: 3, Writes: 1, Changes: 2, States: 150_000}},
 }
 
-// faults is each rule taken out, the scope that shows it, and what it breaks.
+// faults is each safeguard taken out, the scope that shows it, and the invariants of which
+// one must be broken.
 var faults = []struct {
 	name  string
 	rules Rules
 	scope Scope
 	want  []string
 }{
-	{"the protocol before the mend", Rules{SingleSteps: true, OwnVotersSuffice: true}, Scope{Members: 4, Terms: 3, Writes: 1, Changes: 2}, []string{AcknowledgedEntryLost}},
-	{"own group is enough", Rules{OwnVotersSuffice: true}, Scope{Members: 4, Terms: 3, Writes: 1, Changes: 1}, []string{AcknowledgedEntryLost, CommittedEntriesDiffer, StaleRead}},
+	{"single steps, own voters suffice", Rules{SingleSteps: true, OwnVotersSuffice: true}, Scope{Members: 4, Terms: 3, Writes: 1, Changes: 2}, []string{AcknowledgedEntryLost}},
+	{"own voters suffice", Rules{OwnVotersSuffice: true}, Scope{Members: 4, Terms: 3, Writes: 1, Changes: 1}, []string{AcknowledgedEntryLost, CommittedEntriesDiffer, StaleRead}},
 	{"own log is kept", Rules{KeepOwnLog: true}, Scope{Members: 3, Terms: 2, Writes: 1}, []string{AcknowledgedEntryLost}},
 	{"an empty disk has a vote", Rules{WipedMembersVote: true}, Scope{Members: 3, Terms: 2, Writes: 1, Wipes: 1}, []string{AcknowledgedEntryLost, StaleRead}},
 	{"an old term's entry commits", Rules{CommitOldTerms: true}, Scope{Members: 3, Terms: 4, Writes: 2}, []string{AcknowledgedEntryLost, CommittedEntriesDiffer}},
 	{"a change on a change", Rules{ChangeOnChange: true}, Scope{Members: 5, Terms: 2, Writes: 1, Changes: 2}, []string{QuorumsDisjoint, AcknowledgedEntryLost}},
 	{"no joint step", Rules{SkipJointStep: true}, Scope{Members: 4, Terms: 2, Writes: 1, Changes: 1}, []string{QuorumsDisjoint}},
-	{"reads without a majority's word", Rules{UnconfirmedReads: true}, Scope{Members: 3, Terms: 2, Writes: 1}, []string{StaleRead}},
-	{"a promise is forgotten", Rules{ForgetVotes: true}, Scope{Members: 3, Terms: 2, Writes: 1, Restarts: 1}, []string{StaleRead, AcknowledgedEntryLost, CommittedEntriesDiffer}},
-	{"entries below the promised term", Rules{AcceptStaleTerms: true}, Scope{Members: 3, Terms: 2, Writes: 1}, []string{CommittedEntriesDiffer, AcknowledgedEntryLost, StaleRead}},
+	{"reads without confirmation", Rules{UnconfirmedReads: true}, Scope{Members: 3, Terms: 2, Writes: 1}, []string{StaleRead}},
+	{"a vote is forgotten", Rules{ForgetVotes: true}, Scope{Members: 3, Terms: 2, Writes: 1, Restarts: 1}, []string{StaleRead, AcknowledgedEntryLost, CommittedEntriesDiffer}},
+	{"entries below the current term", Rules{AcceptStaleTerms: true}, Scope{Members: 3, Terms: 2, Writes: 1}, []string{CommittedEntriesDiffer, AcknowledgedEntryLost, StaleRead}},
 	{"commit before sync", Rules{CommitBeforeSync: true}, Scope{Members: 3, Terms: 2, Writes: 1}, []string{AcknowledgedEntryLost}},
-	{"a commit is copied", Rules{CopyCommit: true}, Scope{Members: 3, Terms: 2, Writes: 1}, []string{CommitDecreased}},
-	{"entries without a promise", Rules{AppendWithoutTerm: true}, Scope{Members: 3, Terms: 2, Writes: 1}, []string{EntryAboveCurrentTerm}},
-	{"terms have no names", Rules{TermsWithoutNode: true, ForgetVotes: true}, Scope{Members: 3, Terms: 2, Restarts: 1}, []string{TwoLeadersInTerm}},
-	{"learners are voters", Rules{LearnersVote: true}, Scope{Members: 4, Terms: 2, Writes: 1}, []string{AcknowledgedEntryLost, StaleRead}},
+	{"a commit index is copied", Rules{CopyCommit: true}, Scope{Members: 3, Terms: 2, Writes: 1}, []string{CommitDecreased}},
+	{"entries without their term", Rules{AppendWithoutTerm: true}, Scope{Members: 3, Terms: 2, Writes: 1}, []string{EntryAboveCurrentTerm}},
+	{"terms without node", Rules{TermsWithoutNode: true, ForgetVotes: true}, Scope{Members: 3, Terms: 2, Restarts: 1}, []string{TwoLeadersInTerm}},
+	{"learners vote", Rules{LearnersVote: true}, Scope{Members: 4, Terms: 2, Writes: 1}, []string{AcknowledgedEntryLost, StaleRead}},
 }
 
 func TestExplore_ProtocolKeepsInvariants(t *testing.T) {
-	for _, part := range regularScopes {
-		result := Explore(part.rules, part.scope)
-		if result.Breach != nil {
-			t.Fatal(result.Breach)
-		}
-		t.Logf("%+v: %d states, depth %d, complete: %v", part.scope, result.States, result.Depth, result.IsComplete)
+	for _, test := range regularScopes {
+		t.Run(fmt.Sprintf("%+v", test.scope), func(t *testing.T) {
+			result := Explore(test.rules, test.scope)
+			if result.Breach != nil {
+				t.Fatal(result.Breach)
+			}
+			t.Logf("%d states, depth %d, complete: %v", result.States, result.Depth, result.IsComplete)
+		})
 	}
 }
 
-// TestExplore_EachSafeguardIsNeeded takes the safeguards out one at a time; the model
-// proves nothing where it can't tell.
+// TestExplore_EachSafeguardIsNeeded takes the safeguards out one at a time: a model that
+// misses their absence proves nothing.
 func TestExplore_EachSafeguardIsNeeded(t *testing.T) {
 	for _, fault := range faults {
 		t.Run(fault.name, func(t *testing.T) {
--- a/internal/consensus/model/state.go
+++ b/internal/consensus/model/state.go
@@ -1,8 +1,9 @@
-// Package model is an executable model of one replicated part: terms, promises,
-// the log, commits, membership changes, restarts and lost disks. Explore walks
-// every interleaving of its actions within a scope and checks the invariants in
-// every state; docs/topics/replication.md states them in words. A message that
-// is lost or late is an action that is not taken, or taken later.
+// Package model is an executable model of one replicated shard: terms, votes, the log,
+// commits, membership changes, restarts and lost disks. Explore visits every interleaving
+// of its actions within a scope and checks the invariants in every state;
+// docs/topics/replication.md states them in words. A message that is lost or late is an
+// action that is not taken, or taken later. Conformance checks the invariants on the steps
+// of running nodes.
 package model
 
 import "math/bits"
@@ -15,14 +16,14 @@
 
 // Kinds of entries.
 const (
-	kindEmpty            = 1 // the first entry of an owner
+	kindEmpty            = 1 // the first entry of a leader
 	kindCommand          = 2 // a write of a client
-	kindMembershipChange = 3 // a new group of voters
-	maxMemberIDs         = 2 // how many births of one member the identities have room for
+	kindMembershipChange = 3 // names the voters from here on
+	maxMemberIDs         = 2 // how many disks of one member the identities have room for
 )
 
-// term orders ownerships: the round first, then the member, so that two
-// candidates never have the same one.
+// term orders leaderships: the number first, then the member, so that no two candidates
+// have the same one.
 type term uint8
 
 const membersPerTerm = 8
@@ -30,23 +31,24 @@
 func newTerm(number, member int) term { return term(number*membersPerTerm + member) }
 func (t term) number() int            { return int(t) / membersPerTerm }
 
-// peerSet is a set of identities, one bit for each birth of each member.
+// peerSet is a set of identities, one bit for each member id of each member.
 type peerSet uint16
 
 func identity(member, memberID int) peerSet { return 1 << (member*maxMemberIDs + memberID) }
 
-func (v peerSet) hasMajority(others peerSet) bool {
-	return 2*bits.OnesCount16(uint16(v&others)) > bits.OnesCount16(uint16(v))
-}
+// hasMajority tells whether more than half of the set are among others.
+func (s peerSet) hasMajority(others peerSet) bool { return 2*(s&others).size() > s.size() }
+
+func (s peerSet) size() int { return bits.OnesCount16(uint16(s)) }
 
-// voters is who decides; while former is not empty a change is under way and a
-// decision needs a majority of both.
+// voters is who decides; while outgoing is not empty a change is under way, and a decision
+// needs a majority of both.
 type voters struct{ current, outgoing peerSet }
 
-func (g voters) all() peerSet { return g.current | g.outgoing }
+func (v voters) all() peerSet { return v.current | v.outgoing }
 
-func (g voters) hasQuorum(members peerSet) bool {
-	return g.current.hasMajority(members) && (g.outgoing == 0 || g.outgoing.hasMajority(members))
+func (v voters) hasQuorum(members peerSet) bool {
+	return v.current.hasMajority(members) && (v.outgoing == 0 || v.outgoing.hasMajority(members))
 }
 
 // entry is one entry of a log; id tells writes of one term apart.
@@ -57,7 +59,7 @@
 	voters voters
 }
 
-// log is a member's entries; the group of an entry is the one in force from it on.
+// log is a member's entries; the voters of an entry are those from it on.
 type log struct {
 	entries [maxLog]entry
 	length  uint8
@@ -92,7 +94,7 @@
 	return first
 }
 
-// votersIndex is where the newest group of the log stands; 0 if it is the first one.
+// votersIndex is the length of the log up to its newest membership change; 0 if there is none.
 func (l *log) votersIndex() uint8 {
 	for i := l.length; i > 0; i-- {
 		if l.entries[i-1].kind == kindMembershipChange {
@@ -125,16 +127,16 @@
 
 	role       uint8
 	commit     uint8
-	firstIndex uint8             // where the owner's first entry stands
-	granted    peerSet           // who promised the candidate
-	best       log               // the most advanced log among the promises
-	match      [maxMembers]uint8 // up to where each member has synced the owner's log
+	firstIndex uint8             // index of the leader's first entry
+	granted    peerSet           // who voted for the candidate
+	best       log               // the most advanced log among the votes
+	match      [maxMembers]uint8 // up to where each member has synced the leader's log
 }
 
-// state is the whole: all members, and what an outside observer knows.
+// state is all members, and what an outside observer knows.
 type state struct {
 	members [maxMembers]member
-	// acknowledged is the longest prefix that some owner has committed, with the highest
+	// acknowledged is the longest prefix that some leader has committed, with the highest
 	// term under which each entry was committed first.
 	acknowledged   log
 	acknowledgedBy [maxLog]term
@@ -151,8 +153,8 @@
 	return l.last().voters
 }
 
-// initial is a group of three whose first member owns the part and has its
-// first entry committed everywhere; the other members are spares.
+// initial is three voters, of whom the first leads and has its first entry committed
+// everywhere; the other members are spares.
 func initial() state {
 	var s state
 	t := newTerm(1, 0)
