--- a/internal/commandline/usage.go
+++ b/internal/commandline/commandline.go
@@ -1,7 +1,7 @@
-// Package usage holds a program's commands to one strict manner: a flag, a command
-// or an argument that is not known, a value that can't be read and a flag that is
-// missing are refused by a numbered problem that names the help to look at, and
-// nothing is run. A call that can't be read ends with 2, one that was not done with 1.
+// Package commandline makes the commands of the project's programs strict: unknown commands,
+// flags and arguments, unreadable values and missing flags are rejected with a numbered error
+// that names the help to look at, and nothing is run. A call that can't be read ends with exit
+// code 2, one that was not done with 1.
 package commandline
 
 import (
@@ -16,7 +16,7 @@
 	"github.com/sumactrestle/sumactrestle/internal/errcode"
 )
 
-// Strict holds a program to it, with all its commands.
+// Strict makes a program and all its commands strict, and returns it.
 func Strict(root *cli.Command) *cli.Command {
 	root.DisableSliceFlagSeparator = true
 	root.ExitErrHandler = func(context.Context, *cli.Command, error) {}
