--- a/cmd/sumac/main.go
+++ b/cmd/sumac/main.go
@@ -55,7 +55,7 @@
 				Description: "Answers one query, or those on standard input, as the node at --api sees things. The queries are:\n\n" + strings.TrimSpace(shellHelp)},
 			platform.Command(),
 			{Name: "judge", Usage: "replay a recorded history through the checkers", ArgsUsage: "FILE", Action: runJudge,
-				Description: "The file is one that troupe run --history wrote. Prints the verdict of each rule; ends with 2 if one is broken or can't be judged."},
+				Description: "The file is one that harness run --history wrote. Prints the verdict of each rule; ends with 2 if one is broken or can't be judged."},
 		},
 	})
 }
--- /dev/null
+++ b/internal/harness/command/command.go
@@ -0,0 +1,165 @@
+// Package command is the command line of the harness: fleets of real `sumac node`
+// processes on loopback addresses, with stand-ins around them, whose histories are judged.
+package command
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"os"
+	"os/signal"
+	"path/filepath"
+	"strconv"
+	"strings"
+	"syscall"
+	"time"
+
+	"github.com/urfave/cli/v3"
+
+	"github.com/sumactrestle/sumactrestle/internal/commandline"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
+	"github.com/sumactrestle/sumactrestle/internal/harness"
+)
+
+// Main runs the command line of this process and ends it.
+func Main() {
+	ctx, end := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
+	defer end()
+	if err := app().Run(ctx, os.Args); err != nil {
+		fmt.Fprintln(os.Stderr, "harness:", commandline.Describe(err))
+		os.Exit(commandline.ExitCode(err))
+	}
+}
+
+func app() *cli.Command {
+	binary := &cli.StringFlag{Name: "sumac", Value: "bin/sumac", Usage: "the `PROGRAM` to run"}
+	folder := &cli.StringFlag{Name: "folder", Usage: "`FOLDER` for data and logs; a fresh temporary one if empty"}
+	return commandline.Strict(&cli.Command{
+		Name:        "harness",
+		Usage:       "run fleets of sumac on this machine",
+		Description: "All runs on loopback addresses. A run that broke a rule or did not come to its end ends with 1 and keeps its logs, a call that can't be read with 2.",
+		Commands: []*cli.Command{
+			{Name: "smoke", Usage: "the bounded run of the whole path", Description: "Starts three core nodes, two proxies and stand-in servers, carries a change set to every proxy, kills and wipes nodes, and judges the history.", Flags: []cli.Flag{binary, folder}, Action: func(ctx context.Context, cmd *cli.Command) error {
+				return inFolder(cmd, func(folder string) error {
+					return harness.Smoke(ctx, cmd.String("sumac"), folder, os.Stdout)
+				})
+			}},
+			{Name: "up", Usage: "keep a fleet with stand-in servers running, to look at and to hurt", Description: "Prints how to call it and to look at it, and runs until it is interrupted.", Flags: []cli.Flag{binary, folder,
+				&cli.StringFlag{Name: "shape", Value: "small", Usage: "quoteline, municipality or small"},
+			}, Action: func(ctx context.Context, cmd *cli.Command) error {
+				shape, err := harness.ShapeOf(cmd.String("shape"))
+				if err != nil {
+					return err
+				}
+				return inFolder(cmd, func(folder string) error {
+					return harness.Up(ctx, cmd.String("sumac"), folder, shape, os.Stdout)
+				})
+			}},
+			{Name: "run", Usage: "run a whole deployment under load, with faults drawn from a seed", Description: "Real processes, callers, operators and applications under a load for some time; faults of the kind named are drawn meanwhile. The history is judged at the end, and what was served, sent and spent is printed.", Flags: []cli.Flag{binary, folder,
+				&cli.StringFlag{Name: "shape", Value: "small", Usage: "quoteline, municipality or small"},
+				&cli.FloatFlag{Name: "factor", Value: 0.2, Usage: "the rates are multiplied by this"},
+				&cli.IntFlag{Name: "seconds", Value: 30, Usage: "length of the load"},
+				&cli.StringFlag{Name: "seeds", Value: "1", Usage: "what the faults are drawn from: a number, or FIRST:LAST for a run with each"},
+				&cli.StringFlag{Name: "other", Usage: "another `PROGRAM` of sumac, for --faults roll"},
+				&cli.BoolFlag{Name: "small", Usage: "each process has only the shape's share of a processor, by stopping and continuing it"},
+				&cli.DurationFlag{Name: "work", Usage: "how long a server works on each request"},
+				&cli.FloatFlag{Name: "eager", Value: -1, Usage: "share of callers that repeat a failed order at once; the shape's if below zero"},
+				&cli.StringFlag{Name: "faults", Value: "none", Usage: "none, kill, herd, wipe, freeze, cut, stop, server, change, grow, roll or all"},
+				&cli.IntFlag{Name: "mappings", Usage: "so many more mappings in the configuration"},
+				&cli.BoolFlag{Name: "twice", Usage: "orders are not claimed, so that a repeat may run them again"},
+				&cli.StringFlag{Name: "profile", Usage: "`FOLDER` for processor profiles of one core node and one proxy"},
+				&cli.StringFlag{Name: "history", Usage: "`FILE` to record the history in, for sumac judge and harness report"},
+			}, Action: deployment},
+			upgradeCommand(folder),
+			reportCommand(),
+		},
+	})
+}
+
+func deployment(ctx context.Context, cmd *cli.Command) error {
+	shape, err := harness.ShapeOf(cmd.String("shape"))
+	if err != nil {
+		return err
+	}
+	if f := cmd.Float("factor"); f <= 0 || f > 10 || cmd.Int("seconds") < 1 || cmd.Int("seconds") > 3600 {
+		return errcode.New(errcode.InvalidCall, "the factor must be above 0 and at most 10, the seconds 1 to 3600")
+	}
+	if cmd.Duration("work") < 0 || cmd.Duration("work") > time.Minute || cmd.Float("eager") > 1 {
+		return errcode.New(errcode.InvalidCall, "the work must be 0 to 1m, the eager share at most 1")
+	}
+	if _, ok := harness.Faults[cmd.String("faults")]; !ok {
+		return errcode.New(errcode.InvalidCall, "there are no faults %q", cmd.String("faults"))
+	}
+	first, last, err := seedsOf(cmd.String("seeds"))
+	if err != nil {
+		return err
+	}
+	var history io.Writer
+	if path := cmd.String("history"); path != "" {
+		if first != last {
+			return errcode.New(errcode.InvalidCall, "a history is of one seed")
+		}
+		file, err := os.Create(path)
+		if err != nil {
+			return err
+		}
+		defer file.Close()
+		history = file
+	}
+	failed := 0
+	for seed := first; seed <= last; seed++ {
+		run := &harness.Run{Factor: cmd.Float("factor"), Seconds: cmd.Int("seconds"), Seed: seed, Fault: cmd.String("faults"), Mapped: cmd.Int("mappings"), Profile: cmd.String("profile"),
+			IsTwice: cmd.Bool("twice"), Other: cmd.String("other"), IsSmall: cmd.Bool("small"), Work: cmd.Duration("work"), Eager: cmd.Float("eager"), History: history}
+		if err := inFolder(cmd, func(folder string) error { return run.Go(ctx, cmd.String("sumac"), folder, shape, os.Stdout) }); err != nil {
+			if ctx.Err() != nil || first == last {
+				return err
+			}
+			fmt.Printf("seed %d: %v\n", seed, err)
+			failed++
+		}
+	}
+	if first != last {
+		fmt.Printf("%d runs, %d failed\n", last-first+1, failed)
+	}
+	if failed > 0 {
+		return fmt.Errorf("%d of %d runs failed", failed, last-first+1)
+	}
+	return nil
+}
+
+// seedsOf reads a seed, or the first and the last of several.
+func seedsOf(text string) (first, last uint64, err error) {
+	one, other, isRange := strings.Cut(text, ":")
+	if !isRange {
+		other = one
+	}
+	first, err = strconv.ParseUint(one, 10, 64)
+	if err == nil {
+		last, err = strconv.ParseUint(other, 10, 64)
+	}
+	if err != nil || last < first || last-first > 10000 {
+		return 0, 0, errcode.New(errcode.InvalidCall, "--seeds %q is neither a number nor FIRST:LAST", text)
+	}
+	return first, last, nil
+}
+
+// inFolder keeps the folder only when the run failed, or when it was named.
+func inFolder(cmd *cli.Command, run func(folder string) error) error {
+	folder := cmd.String("folder")
+	if folder != "" {
+		whole, err := filepath.Abs(folder)
+		if err != nil {
+			return err
+		}
+		return run(whole)
+	}
+	folder, err := os.MkdirTemp("", "harness-")
+	if err != nil {
+		return err
+	}
+	if err := run(folder); err != nil {
+		fmt.Fprintln(os.Stderr, "harness: logs are kept in", folder)
+		return err
+	}
+	return os.RemoveAll(folder)
+}
--- a/cmd/troupe/report.go
+++ b/internal/harness/command/report.go
@@ -1,5 +1,5 @@
 // The command that makes a page of what was recorded.
-package main
+package command
 
 import (
 	"bytes"
@@ -16,7 +16,7 @@
 
 func reportCommand() *cli.Command {
 	return &cli.Command{Name: "report", Usage: "make a page with plots of recorded histories", ArgsUsage: "FILE...",
-		Description: "Each file is a history (troupe run --history). The page shows what was served over time with the faults marked, latency quantiles, bytes by kind of message, and the verdict. It is one HTML file.",
+		Description: "Each file is a history (harness run --history). The page shows what was served over time with the faults marked, latency quantiles, bytes by kind of message, and the verdict. It is one HTML file.",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "out", Value: "report.html", Usage: "`FILE` to write"},
 			&cli.StringFlag{Name: "title", Value: "sumactrestle: a report", Usage: "`TITLE` of the page"},
--- a/cmd/troupe/upgrade.go
+++ b/internal/harness/command/upgrade.go
@@ -1,4 +1,4 @@
-package main
+package command
 
 import (
 	"context"
--- a/tools/old-sumac.sh
+++ b/tools/old-sumac.sh
@@ -1,6 +1,6 @@
 #!/bin/bash
 # Builds sumac of another commit and prints the program's path, for
-#   bin/troupe upgrade --from "$(tools/old-sumac.sh COMMIT)"
+#   bin/harness upgrade --from "$(tools/old-sumac.sh COMMIT)"
 # The commit is checked out by git worktree in a folder of its own; remove both with
 #   git worktree remove --force FOLDER/source && rm -r FOLDER
 set -euo pipefail
