--- a/tools/mutate/fit_test.go
+++ b/tools/mutate/fit_test.go
@@ -22,14 +22,14 @@
 		t.Fatal(err)
 	}
 	for _, m := range mutants {
-		for _, g := range append([]graft{m.graft}, m.More...) {
-			code, err := os.ReadFile(filepath.Join(root, g.File))
+		for _, change := range append([]replacement{m.replacement}, m.More...) {
+			code, err := os.ReadFile(filepath.Join(root, change.File))
 			if err != nil {
 				t.Errorf("%s: %v", m.Name, err)
 				continue
 			}
-			if n := strings.Count(string(code), g.Old); n == 0 || n > 1 && !g.Last {
-				t.Errorf("%s: its text is %d times in %s", m.Name, n, g.File)
+			if n := strings.Count(string(code), change.Old); n == 0 || n > 1 && !change.Last {
+				t.Errorf("%s: its text is %d times in %s", m.Name, n, change.File)
 			}
 		}
 	}
--- a/tools/mutate/main.go
+++ b/tools/mutate/main.go
@@ -1,4 +1,4 @@
-// Blight shows that the runs can fail: it copies the tree, takes one safeguard
+// Mutate shows that the tests can fail: it copies the tree, takes one safeguard
 // out at a time as proof/mutants.yaml says, and demands that the run named
 // breaks the rule named. A mutant that is said to survive must do so for the
 // reason given there; if it is caught after all, that is told too.
@@ -16,15 +16,17 @@
 	"go.yaml.in/yaml/v3"
 )
 
-type graft struct {
+// replacement is a text of a file and what takes its place; the last of several if Last.
+type replacement struct {
 	File, Old, New string
 	Last           bool
 }
 
+// mutant is the code without one safeguard, and the run that must show it.
 type mutant struct {
 	Name  string
-	graft `yaml:",inline"`
-	More  []graft
+	replacement `yaml:",inline"`
+	More  []replacement
 
 	Scenario, Rule, Survives string
 	Manner                   string // of fleets; the brief's if empty
@@ -36,11 +38,11 @@
 	seeds := flag.String("seeds", "1:16", "first and last seed")
 	flag.Parse()
 	raw, err := os.ReadFile("proof/mutants.yaml")
-	check(err)
+	must(err)
 	var mutants []mutant
-	check(yaml.Unmarshal(raw, &mutants))
-	folder, err := os.MkdirTemp("", "blight-")
-	check(err)
+	must(yaml.Unmarshal(raw, &mutants))
+	folder, err := os.MkdirTemp("", "mutate-")
+	must(err)
 	defer os.RemoveAll(folder)
 	failures := 0
 	for _, m := range mutants {
@@ -60,30 +62,30 @@
 	}
 }
 
-func check(err error) {
+func must(err error) {
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "blight:", err)
+		fmt.Fprintln(os.Stderr, "mutate:", err)
 		os.Exit(1)
 	}
 }
 
 func try(m mutant, folder, seeds string) (string, bool) {
 	tree := filepath.Join(folder, "tree")
-	check(os.RemoveAll(tree))
-	check(os.MkdirAll(tree, 0o755))
+	must(os.RemoveAll(tree))
+	must(os.MkdirAll(tree, 0o755))
 	for _, name := range []string{"go.mod", "go.sum", "internal", "cmd"} {
-		check(exec.Command("cp", "-r", name, tree).Run())
+		must(exec.Command("cp", "-r", name, tree).Run())
 	}
-	for _, g := range append([]graft{m.graft}, m.More...) {
-		path := filepath.Join(tree, g.File)
+	for _, change := range append([]replacement{m.replacement}, m.More...) {
+		path := filepath.Join(tree, change.File)
 		text, err := os.ReadFile(path)
-		check(err)
-		n := strings.Count(string(text), g.Old)
-		if n == 0 || n > 1 && !g.Last {
-			return fmt.Sprintf("can't be made: %q stands %d times in %s", g.Old, n, g.File), false
+		must(err)
+		n := strings.Count(string(text), change.Old)
+		if n == 0 || n > 1 && !change.Last {
+			return fmt.Sprintf("can't be made: %q stands %d times in %s", change.Old, n, change.File), false
 		}
-		at := strings.LastIndex(string(text), g.Old)
-		check(os.WriteFile(path, []byte(string(text[:at])+g.New+string(text[at+len(g.Old):])), 0o644))
+		at := strings.LastIndex(string(text), change.Old)
+		must(os.WriteFile(path, []byte(string(text[:at])+change.New+string(text[at+len(change.Old):])), 0o644))
 	}
 	if m.Test != "" {
 		run := exec.Command("go", "test", "./internal/...", "-run", m.Test, "-count=1", "-timeout", "240s")
