--- a/tools/mutate/main.go
+++ b/tools/mutate/main.go
@@ -24,9 +24,9 @@
 
 // mutant is the code without one safeguard, and the run that must show it.
 type mutant struct {
-	Name  string
+	Name        string
 	replacement `yaml:",inline"`
-	More  []replacement
+	More        []replacement
 
 	Scenario, Rule, Survives string
 	Manner                   string // of fleets; the brief's if empty
@@ -88,10 +88,10 @@
 		must(os.WriteFile(path, []byte(string(text[:at])+change.New+string(text[at+len(change.Old):])), 0o644))
 	}
 	if m.Test != "" {
-		run := exec.Command("go", "test", "./internal/...", "-run", m.Test, "-count=1", "-timeout", "240s")
+		run := exec.Command("go", "test", "./internal/...", "-v", "-run", "^"+m.Test+"$", "-count=1", "-timeout", "240s")
 		run.Dir = tree
 		out, err := run.CombinedOutput()
-		if err == nil || !strings.Contains(string(out), "--- FAIL: "+m.Test) {
+		if err == nil || !isFailed(string(out), m.Test) {
 			if m.Survives != "" {
 				return "survives, as said: " + m.Survives, true
 			}
@@ -130,3 +130,19 @@
 	}
 	return fmt.Sprintf("SURVIVES; rules broken: %v", rules), false
 }
+
+// isFailed tells from what go test -v wrote whether the test failed, or ended its process
+// by a panic, in its own goroutine or another. A panic before the test began or after it
+// passed, and one of a process that ran too long, is none of the test's.
+func isFailed(out, test string) bool {
+	if strings.Contains("\n"+out, "\n--- FAIL: "+test+" (") {
+		return true
+	}
+	_, ran, isRun := strings.Cut("\n"+out, "\n=== RUN   "+test+"\n")
+	if !isRun {
+		return false
+	}
+	ran, _, _ = strings.Cut("\n"+ran, "\nFAIL\t") // what follows is another package's
+	before, panicked, isPanic := strings.Cut(ran, "\npanic: ")
+	return isPanic && !strings.Contains(before, "\n--- PASS: "+test+" (") && !strings.HasPrefix(panicked, "test timed out")
+}
