--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -15,6 +15,12 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
+// The kinds under which the bytes of attempts are counted.
+const (
+	trafficKind          = "gate.try"
+	trafficKindOtherZone = trafficKind + rpc.OtherZoneSuffix
+)
+
 // attemptResult is what an attempt came to. Either nothing was written, or there is a
 // response with a right seal, or what came after the first byte is something else, and then
 // it is unknown whether the request ran. A response beside an error is a target's word that
@@ -195,9 +201,9 @@
 
 // countTraffic counts the bytes of an attempt, without the response's head.
 func (p *Proxy) countTraffic(target rpc.Target, bytes int) {
-	kind := "gate.try"
+	kind := trafficKind
 	if target.Zone != p.environment.Config.Zone {
-		kind += " between"
+		kind = trafficKindOtherZone
 	}
 	p.rpc.RecordSent(kind, "", bytes)
 }
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -34,6 +34,12 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
+// Words of the settings.
+const (
+	sealModeOpaque    = "opaque"
+	requestIDOfClient = "caller"
+)
+
 // Config is what a Proxy needs of its node.
 type Config struct {
 	Environment   *environment.Environment
@@ -95,7 +101,7 @@
 	env, settings := config.Environment, config.Environment.Config
 	p := &Proxy{
 		environment: env, configuration: config.Configuration, rpc: config.RPC, membership: config.Membership,
-		opaqueSeals: settings.ProxySealMode == "opaque",
+		opaqueSeals: settings.ProxySealMode == sealModeOpaque,
 		uploads:     admission.New(admission.Config{KilobytesPerSecond: settings.ProxyLargeBodyRate, ConcurrentReads: settings.ProxyMaxLargeBodies}),
 		retryBudget: retry.NewBudget(settings.RetryBudgetWindow),
 	}
@@ -146,7 +152,7 @@
 	started, inFlight := time.Now(), p.counts.inFlight.Add(1)
 	defer p.counts.inFlight.Add(-1)
 	requestID := ""
-	if p.environment.Config.ProxyRequestIDSource == "caller" {
+	if p.environment.Config.ProxyRequestIDSource == requestIDOfClient {
 		requestID = r.Header.Get(p.environment.Config.HeaderRequestID)
 	} else {
 		requestID = ids.NewID()
