--- a/tools/mutate/fit_test.go
+++ b/tools/mutate/fit_test.go
@@ -1,8 +1,10 @@
 package main
 
 import (
+	"io/fs"
 	"os"
 	"path/filepath"
+	"regexp"
 	"strings"
 	"testing"
 
@@ -10,7 +12,8 @@
 )
 
 // TestEveryMutantFitsTheCode keeps proof/mutants.yaml true while code moves: a
-// mutant whose text is nowhere, or in more places than one, tests nothing.
+// mutant whose text is nowhere, or in more places than one, or whose test is not there,
+// tests nothing.
 func TestEveryMutantFitsTheCode(t *testing.T) {
 	root := filepath.Join("..", "..")
 	raw, err := os.ReadFile(filepath.Join(root, "proof", "mutants.yaml"))
@@ -21,7 +24,11 @@
 	if err := yaml.Unmarshal(raw, &mutants); err != nil {
 		t.Fatal(err)
 	}
+	tests := testsUnder(t, filepath.Join(root, "internal"))
 	for _, m := range mutants {
+		if m.Test != "" && !tests[m.Test] {
+			t.Errorf("%s: there is no test %s", m.Name, m.Test)
+		}
 		for _, change := range append([]replacement{m.replacement}, m.More...) {
 			code, err := os.ReadFile(filepath.Join(root, change.File))
 			if err != nil {
@@ -34,3 +41,23 @@
 		}
 	}
 }
+
+// testsUnder is the names of all tests in a folder.
+func testsUnder(t *testing.T, folder string) map[string]bool {
+	t.Helper()
+	tests, declared := map[string]bool{}, regexp.MustCompile(`(?m)^func (Test\w+)\(`)
+	err := filepath.WalkDir(folder, func(path string, entry fs.DirEntry, err error) error {
+		if err != nil || !strings.HasSuffix(path, "_test.go") {
+			return err
+		}
+		code, err := os.ReadFile(path)
+		for _, found := range declared.FindAllSubmatch(code, -1) {
+			tests[string(found[1])] = true
+		}
+		return err
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return tests
+}
