--- a/internal/consensus/antientropy.go
+++ b/internal/consensus/antientropy.go
@@ -98,7 +98,7 @@
 // index, as the leader's commit index may be on its way there.
 func (r *Replica) requestDigests(m rpc.Member, request *rpc.RangeDigestRequest) (response rpc.RangeDigestResponse) {
 	for range compareAttempts {
-		err := r.node.call(r.node.env, compareTimeout, m.RPCAddress, "pact.compare", request, &response)
+		err := r.node.call(r.node.env, compareTimeout, m.RPCAddress, kindCompare, request, &response)
 		if err != nil || response.AtIndex || !r.node.env.Sleep(r.node.env.Config.ConsensusHeartbeatPeriod) {
 			break
 		}
@@ -118,7 +118,7 @@
 		}
 	})
 	// What does not arrive is found to differ again at the next comparison.
-	_ = r.node.call(r.node.env, compareTimeout, m.RPCAddress, "pact.mend", request, nil)
+	_ = r.node.call(r.node.env, compareTimeout, m.RPCAddress, kindRepair, request, nil)
 }
 
 // handleCompare answers which ranges differ from the leader's, if this member has applied
--- a/internal/consensus/bootstrap.go
+++ b/internal/consensus/bootstrap.go
@@ -14,7 +14,7 @@
 // Steps of bootstrap. The first two are the phases of single-decree Paxos, with all
 // founders in place of a quorum; the third tells them that all have accepted.
 const (
-	stepPromise = "promise"
+	stepPrepare = "promise"
 	stepAccept  = "accept"
 	stepOpen    = "open"
 )
@@ -44,7 +44,7 @@
 			continue
 		}
 		var charter rpc.Charter
-		err := n.call(n.env, bootstrapTimeout, m.RPCAddress, "pact.charter", struct{}{}, &charter)
+		err := n.call(n.env, bootstrapTimeout, m.RPCAddress, kindCharter, struct{}{}, &charter)
 		if err == nil && charter.Open && n.putCharter(&charter, charter.Term) == nil {
 			n.logEvent(eventlog.FleetJoined, "fleet", charter.Fleet)
 			return true
@@ -78,7 +78,7 @@
 	term := ids.Term{Number: n.bootstrapTerm.Number + 1, Node: n.self.Name}
 	n.mu.Unlock()
 	charter := newCharter(founders)
-	responses, ok := n.requestAll(founders, &rpc.BootstrapRequest{Step: stepPromise, Term: term, From: n.self})
+	responses, ok := n.requestAll(founders, &rpc.BootstrapRequest{Step: stepPrepare, Term: term, From: n.self})
 	var newest ids.Term
 	for _, response := range responses {
 		if response.Charter != nil && newest.Less(response.Charter.Term) {
@@ -151,7 +151,7 @@
 			if m.Name == n.self.Name {
 				response, err = n.handleBootstrap(request)
 			} else {
-				err = n.transport.Call(ctx, m.RPCAddress, "pact.found", request, response)
+				err = n.transport.Call(ctx, m.RPCAddress, kindBootstrap, request, response)
 			}
 			if err != nil {
 				results <- result{}
@@ -179,14 +179,14 @@
 	isOpen := n.charter != nil && n.charter.Open
 	isLower := request.Term.Less(n.bootstrapTerm)
 	n.mu.Unlock()
-	if request.Step != stepPromise && request.Charter == nil {
+	if request.Step != stepPrepare && request.Charter == nil {
 		return nil, errcode.New(errcode.InvalidMessage, "no charter in step %q", request.Step)
 	}
 	if isOpen || isLower && request.Step != stepOpen {
 		return response, nil
 	}
 	switch request.Step {
-	case stepPromise:
+	case stepPrepare:
 		if err := n.putBootstrapTerm(request.Term); err != nil {
 			return nil, err
 		}
--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -20,7 +20,7 @@
 }
 
 // isElectionDue tells whether the leader was silent for long enough. The first live member
-// in election order campaigns after pact.silence, each later one half of that after it.
+// in election order campaigns after consensus.election_timeout, each later one half of that after it.
 func (r *Replica) isElectionDue() bool {
 	if r.node.IsStopping() {
 		return false
@@ -171,7 +171,7 @@
 		return nil
 	}
 	response := &rpc.VoteResponse{}
-	if err := r.node.transport.Call(ctx, address, "pact.promise", request, response); err != nil || response.From != peer {
+	if err := r.node.transport.Call(ctx, address, kindVote, request, response); err != nil || response.From != peer {
 		return nil
 	}
 	if response.Granted {
--- a/internal/consensus/heartbeat.go
+++ b/internal/consensus/heartbeat.go
@@ -16,7 +16,7 @@
 )
 
 // heartbeater sends heartbeats to one core node. One message carries the claims of this
-// node to all the shards it leads, every pact.round and whenever a read waits.
+// node to all the shards it leads, every consensus.heartbeat_period and whenever a read waits.
 type heartbeater struct {
 	kick   chan struct{} // has one place; a message is sent at once when it is filled
 	cancel context.CancelFunc
@@ -123,7 +123,7 @@
 	sent := n.env.Now()
 	request := h.nextRequest(n.self, claims)
 	var response rpc.HeartbeatResponse
-	if err := n.call(ctx, heartbeatTimeout, address, "pact.round", request, &response); err != nil || response.From != peer || response.Sequence != request.Sequence {
+	if err := n.call(ctx, heartbeatTimeout, address, kindHeartbeat, request, &response); err != nil || response.From != peer || response.Sequence != request.Sequence {
 		return
 	}
 	h.acknowledge(request, claims, response.BaseLost)
--- a/internal/consensus/leaders.go
+++ b/internal/consensus/leaders.go
@@ -22,7 +22,7 @@
 	}
 }
 
-// Leader returns the leader of a shard; false if none was heard within pact.contact.
+// Leader returns the leader of a shard; false if none was heard within consensus.contact_timeout.
 func (n *Node) Leader(shard ids.Shard) (name ids.NodeName, ok bool) {
 	if n.replicas[shard].IsLeader() {
 		return n.env.Name, true
@@ -34,7 +34,7 @@
 }
 
 // HasQuorumContact tells whether this node knows that a quorum followed a shard's leader
-// within pact.contact: as the leader from the voters, otherwise from the leader, which
+// within consensus.contact_timeout: as the leader from the voters, otherwise from the leader, which
 // steps down when it has no quorum. A node without contact may hold an old state and not
 // know it, so it gives nothing out.
 func (n *Node) HasQuorumContact(shard ids.Shard) bool {
--- a/internal/consensus/leadership.go
+++ b/internal/consensus/leadership.go
@@ -104,7 +104,7 @@
 	r.stepDown(cause)
 }
 
-// checkQuorum steps down if no quorum has confirmed the term for twice pact.silence.
+// checkQuorum steps down if no quorum has confirmed the term for twice consensus.election_timeout.
 func (r *Replica) checkQuorum() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -119,7 +119,7 @@
 	target, term := r.releaseLeadership()
 	if target != nil {
 		// A request that is lost costs no more than an election.
-		_ = r.node.call(ctx, transferTimeout, target.RPCAddress, "pact.invite", &rpc.CampaignRequest{Shard: r.shard, Term: term}, nil)
+		_ = r.node.call(ctx, transferTimeout, target.RPCAddress, kindTransfer, &rpc.CampaignRequest{Shard: r.shard, Term: term}, nil)
 	}
 }
 
--- a/internal/consensus/membership_change.go
+++ b/internal/consensus/membership_change.go
@@ -58,7 +58,7 @@
 }
 
 // lostVoters returns the voters that came back under another member id, or are dead for
-// pact.gone.
+// consensus.replacement_delay.
 func (r *Replica) lostVoters(voters []rpc.Peer) (lost []rpc.Peer) {
 	view, deadAfter := r.node.members.View(), r.node.env.Config.ConsensusReplacementDelay
 	for _, peer := range voters {
@@ -80,7 +80,7 @@
 }
 
 // replacements pairs each lost voter with the core node that takes its place: the one of
-// its own name, or, if that is dead for pact.gone, a spare of the zone with the fewest
+// its own name, or, if that is dead for consensus.replacement_delay, a spare of the zone with the fewest
 // voters. Voters that are fewer than the cluster allows get one more.
 func (r *Replica) replacements(voters, lost []rpc.Peer) []voterReplacement {
 	p := r.newReplacementPlan(voters, lost)
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -160,18 +160,32 @@
 	n.env.Go(n.repairLoop)
 }
 
+// Kinds of messages between nodes. Their names on the wire are older than the terms here.
+const (
+	kindVote          = "pact.promise"
+	kindPrevote       = "pact.prevote"
+	kindAppend        = "pact.append"
+	kindSnapshotChunk = "pact.chunk"
+	kindTransfer      = "pact.invite"
+	kindHeartbeat     = "pact.round"
+	kindCompare       = "pact.compare"
+	kindRepair        = "pact.mend"
+	kindBootstrap     = "pact.found"
+	kindCharter       = "pact.charter"
+)
+
 // registerHandlers registers the handlers of all kinds of messages.
 func (n *Node) registerHandlers() {
-	handle(n, "pact.promise", onReplica(n.votingReplica, func(m *rpc.VoteRequest) ids.Shard { return m.Shard }, (*Replica).handleVote))
-	handle(n, "pact.append", onReplica(n.votingReplica, func(m *rpc.AppendRequest) ids.Shard { return m.Shard }, (*Replica).handleAppend))
-	handle(n, "pact.chunk", onReplica(n.votingReplica, func(m *rpc.SnapshotChunkRequest) ids.Shard { return m.Shard }, (*Replica).handleSnapshotChunk))
-	handle(n, "pact.invite", onReplica(n.replica, func(m *rpc.CampaignRequest) ids.Shard { return m.Shard }, (*Replica).handleTransfer))
-	handle(n, "pact.compare", onReplica(n.replica, func(m *rpc.RangeDigestRequest) ids.Shard { return m.Shard }, (*Replica).handleCompare))
-	handle(n, "pact.mend", onReplica(n.replica, func(m *rpc.RepairRequest) ids.Shard { return m.Shard }, (*Replica).handleRepair))
-	handle(n, "pact.prevote", n.handlePrevote)
-	handle(n, "pact.round", n.handleHeartbeat)
-	handle(n, "pact.found", n.handleBootstrap)
-	handle(n, "pact.charter", n.handleCharter)
+	handle(n, kindVote, onReplica(n.votingReplica, func(m *rpc.VoteRequest) ids.Shard { return m.Shard }, (*Replica).handleVote))
+	handle(n, kindAppend, onReplica(n.votingReplica, func(m *rpc.AppendRequest) ids.Shard { return m.Shard }, (*Replica).handleAppend))
+	handle(n, kindSnapshotChunk, onReplica(n.votingReplica, func(m *rpc.SnapshotChunkRequest) ids.Shard { return m.Shard }, (*Replica).handleSnapshotChunk))
+	handle(n, kindTransfer, onReplica(n.replica, func(m *rpc.CampaignRequest) ids.Shard { return m.Shard }, (*Replica).handleTransfer))
+	handle(n, kindCompare, onReplica(n.replica, func(m *rpc.RangeDigestRequest) ids.Shard { return m.Shard }, (*Replica).handleCompare))
+	handle(n, kindRepair, onReplica(n.replica, func(m *rpc.RepairRequest) ids.Shard { return m.Shard }, (*Replica).handleRepair))
+	handle(n, kindPrevote, n.handlePrevote)
+	handle(n, kindHeartbeat, n.handleHeartbeat)
+	handle(n, kindBootstrap, n.handleBootstrap)
+	handle(n, kindCharter, n.handleCharter)
 }
 
 // handle registers a handler that gets its request decoded.
--- a/internal/consensus/placement.go
+++ b/internal/consensus/placement.go
@@ -24,7 +24,7 @@
 }
 
 // SelectVoters chooses the first voters of a shard: spread over zones first, then by
-// election order. tolerated is how many nodes may be lost at once (pact.losses).
+// election order. tolerated is how many nodes may be lost at once (consensus.fault_tolerance).
 func SelectVoters(shard ids.Shard, members []rpc.Member, tolerated int) []rpc.Peer {
 	var peers []rpc.Peer
 	zones := map[ids.NodeName]string{}
--- a/internal/consensus/prevote.go
+++ b/internal/consensus/prevote.go
@@ -121,7 +121,7 @@
 	for _, m := range cores {
 		n.env.Go(func() {
 			response := &rpc.PreVoteResponse{}
-			if n.transport.Call(ctx, m.RPCAddress, "pact.prevote", request, response) != nil {
+			if n.transport.Call(ctx, m.RPCAddress, kindPrevote, request, response) != nil {
 				response = nil
 			}
 			results <- response
--- a/internal/consensus/proposal.go
+++ b/internal/consensus/proposal.go
@@ -18,8 +18,8 @@
 }
 
 // Propose appends a command, waits until it is committed and applied, and returns its
-// index and the state machine's response. The error is NotOwner if this member does not
-// serve the shard, and nothing is written then; Unsure if the entry was appended and it
+// index and the state machine's response. The error is NotLeader if this member does not
+// serve the shard, and nothing is written then; WriteUnknown if the entry was appended and it
 // is not known whether it will be committed.
 func (r *Replica) Propose(ctx context.Context, command any) (index ids.Index, response any, err error) {
 	raw, err := json.Marshal(command)
--- a/internal/consensus/read.go
+++ b/internal/consensus/read.go
@@ -14,7 +14,7 @@
 
 // ConfirmLeadership waits until a quorum has confirmed the leader's term as of a moment.
 // A read that began then may be answered from the state machine, as in ReadIndex. The
-// error is NotOwner if this member does not serve the shard, NoOwner if ctx ends first.
+// error is NotLeader if this member does not serve the shard, NoLeader if ctx ends first.
 func (r *Replica) ConfirmLeadership(ctx context.Context, since time.Time) error {
 	var fallback <-chan time.Time
 	isRequested := false
--- a/internal/consensus/replication.go
+++ b/internal/consensus/replication.go
@@ -138,7 +138,7 @@
 	}
 	var response rpc.AppendResponse
 	timeout := appendTimeout + time.Duration(bodyBytes(request.Entries))*time.Second/minLinkBytesPerSecond
-	if err := r.node.call(s.ctx, timeout, address, "pact.append", request, &response); err != nil || response.From != s.peer {
+	if err := r.node.call(s.ctx, timeout, address, kindAppend, request, &response); err != nil || response.From != s.peer {
 		s.pause(appendRetryPause)
 		return true
 	}
@@ -265,7 +265,7 @@
 		if conflict := (*committedConflictError)(nil); errors.As(err, &conflict) {
 			r.reportCorruption(err.Error(), "from", string(request.From.Name))
 		} else {
-			r.logEvent(eventlog.MessageRejected, "kind", "pact.append", "from", string(request.From.Name), "cause", err.Error())
+			r.logEvent(eventlog.MessageRejected, "kind", kindAppend, "from", string(request.From.Name), "cause", err.Error())
 		}
 		return nil, nil, err
 	}
--- a/internal/consensus/shutdown.go
+++ b/internal/consensus/shutdown.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// quorumWaitShare is the share of stop.grace for which a node that stops remains a voter
+	// quorumWaitShare is the share of shutdown.grace_period for which a node that stops remains a voter
 	// while the others have no quorum without it.
 	quorumWaitShare = 0.6
 	quorumWaitPause = 50 * time.Millisecond
--- a/internal/consensus/snapshot_transfer.go
+++ b/internal/consensus/snapshot_transfer.go
@@ -112,7 +112,7 @@
 			Offset: offset, Data: snapshot.data[offset:min(size, offset+int64(r.node.env.Config.ConsensusSnapshotChunkBytes))],
 		}
 		var response rpc.SnapshotChunkResponse
-		err := r.node.call(ctx, appendTimeout, address, "pact.chunk", request, &response)
+		err := r.node.call(ctx, appendTimeout, address, kindSnapshotChunk, request, &response)
 		switch {
 		case err != nil:
 			return 0, err
@@ -186,7 +186,7 @@
 	r.node.store.Submit(batch)
 	if err != nil {
 		r.transfer.incoming = nil
-		r.logEvent(eventlog.MessageRejected, "kind", "pact.chunk", "from", string(request.From.Name), "cause", err.Error())
+		r.logEvent(eventlog.MessageRejected, "kind", kindSnapshotChunk, "from", string(request.From.Name), "cause", err.Error())
 		return nil, nil, err
 	}
 	return response, batch, nil
