--- a/internal/harness/command/command.go
+++ b/internal/harness/command/command.go
@@ -47,7 +47,7 @@
 			{Name: "up", Usage: "keep a fleet with stand-in servers running, to look at and to hurt", Description: "Prints how to call it and to look at it, and runs until it is interrupted.", Flags: []cli.Flag{binary, folder,
 				&cli.StringFlag{Name: "shape", Value: "small", Usage: "quoteline, municipality or small"},
 			}, Action: func(ctx context.Context, cmd *cli.Command) error {
-				shape, err := harness.ShapeOf(cmd.String("shape"))
+				shape, err := harness.FindShape(cmd.String("shape"))
 				if err != nil {
 					return err
 				}
@@ -77,7 +77,7 @@
 }
 
 func deployment(ctx context.Context, cmd *cli.Command) error {
-	shape, err := harness.ShapeOf(cmd.String("shape"))
+	shape, err := harness.FindShape(cmd.String("shape"))
 	if err != nil {
 		return err
 	}
@@ -108,8 +108,8 @@
 	}
 	failed := 0
 	for seed := first; seed <= last; seed++ {
-		run := &harness.Run{Factor: cmd.Float("factor"), Seconds: cmd.Int("seconds"), Seed: seed, Fault: cmd.String("faults"), Mapped: cmd.Int("mappings"), Profile: cmd.String("profile"),
-			IsTwice: cmd.Bool("twice"), Other: cmd.String("other"), IsSmall: cmd.Bool("small"), Work: cmd.Duration("work"), Eager: cmd.Float("eager"), History: history}
+		run := &harness.Run{RateFactor: cmd.Float("factor"), Seconds: cmd.Int("seconds"), Seed: seed, Fault: cmd.String("faults"), ExtraRoutes: cmd.Int("mappings"), ProfileDir: cmd.String("profile"),
+			AllowDuplicates: cmd.Bool("twice"), OtherBinary: cmd.String("other"), ThrottleCPU: cmd.Bool("small"), ServiceTime: cmd.Duration("work"), RetryShare: cmd.Float("eager"), History: history}
 		if err := inFolder(cmd, func(folder string) error { return run.Go(ctx, cmd.String("sumac"), folder, shape, os.Stdout) }); err != nil {
 			if ctx.Err() != nil || first == last {
 				return err
--- a/internal/harness/command/upgrade.go
+++ b/internal/harness/command/upgrade.go
@@ -24,7 +24,7 @@
 }
 
 func upgrade(ctx context.Context, cmd *cli.Command) error {
-	shape, err := harness.ShapeOf(cmd.String("shape"))
+	shape, err := harness.FindShape(cmd.String("shape"))
 	if err != nil {
 		return err
 	}
@@ -32,7 +32,7 @@
 		return errcode.New(errcode.InvalidCall, "the factor must be above 0 and at most 10, the seconds 1 to 600")
 	}
 	return inFolder(cmd, func(folder string) error {
-		run := &harness.Run{Factor: cmd.Float("factor"), Seconds: cmd.Int("seconds"), Seed: 1, Eager: -1}
+		run := &harness.Run{RateFactor: cmd.Float("factor"), Seconds: cmd.Int("seconds"), Seed: 1, RetryShare: -1}
 		return run.Upgrade(ctx, cmd.String("from"), cmd.String("to"), folder, shape, os.Stdout)
 	})
 }
--- a/internal/harness/costs.go
+++ b/internal/harness/costs.go
@@ -20,23 +20,23 @@
 	"github.com/sumactrestle/sumactrestle/internal/checker"
 )
 
-// profile takes ten seconds of processor time from a core node and a proxy.
-func (r *Run) profile(ctx context.Context) {
-	for _, m := range []*Machine{r.f.CoreMachines()[0], r.f.ProxyMachines()[0]} {
+// recordProfiles takes ten seconds of processor time from a core node and a proxy.
+func (r *Run) recordProfiles(ctx context.Context) {
+	for _, m := range []*Machine{r.fleet.CoreMachines()[0], r.fleet.ProxyMachines()[0]} {
 		go func() {
-			request, err := http.NewRequestWithContext(ctx, "GET", fmt.Sprintf("http://%s:%d/debug/pprof/profile?seconds=10", m.IP, r.f.Port+3), nil)
+			request, err := http.NewRequestWithContext(ctx, "GET", fmt.Sprintf("http://%s:%d/debug/pprof/profile?seconds=10", m.IP, r.fleet.Port+3), nil)
 			if err != nil {
 				return
 			}
 			response, err := http.DefaultClient.Do(request)
 			if err != nil {
-				r.say("no profile of %s: %v", m.Name, err)
+				r.logf("no profile of %s: %v", m.Name, err)
 				return
 			}
 			defer response.Body.Close()
-			file, err := os.Create(filepath.Join(r.Profile, m.Name+".pprof"))
+			file, err := os.Create(filepath.Join(r.ProfileDir, m.Name+".pprof"))
 			if err != nil {
-				r.say("no profile of %s: %v", m.Name, err)
+				r.logf("no profile of %s: %v", m.Name, err)
 				return
 			}
 			defer file.Close()
@@ -45,8 +45,8 @@
 	}
 }
 
-// Spent is the processor time of a process so far; none if it is gone.
-func Spent(pid int) time.Duration {
+// processorTime is the processor time of a process so far; none if it is gone.
+func processorTime(pid int) time.Duration {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0
@@ -57,10 +57,10 @@
 	return time.Duration(user+system) * 10 * time.Millisecond
 }
 
-// cpu is the processor time spent so far, by role.
-func (r *Run) cpu() map[string]time.Duration {
+// processorTimeByRole is the processor time spent so far, by role.
+func (r *Run) processorTimeByRole() map[string]time.Duration {
 	sum := map[string]time.Duration{}
-	for _, m := range r.f.Machines {
+	for _, m := range r.fleet.Machines {
 		if !m.IsUp() {
 			continue
 		}
@@ -68,7 +68,7 @@
 		if m.IsCore {
 			role = "core"
 		}
-		sum[role] += Spent(m.Pid())
+		sum[role] += processorTime(m.Pid())
 	}
 	return sum
 }
@@ -76,7 +76,7 @@
 // traffic is messages and bytes sent so far by all nodes, by kind, and syncs.
 func (r *Run) traffic() map[string][2]int64 {
 	sum := map[string][2]int64{}
-	for _, m := range r.f.Machines {
+	for _, m := range r.fleet.Machines {
 		for kind, now := range r.trafficOf(m) {
 			old := sum[kind]
 			sum[kind] = [2]int64{old[0] + now[0], old[1] + now[1]}
@@ -88,7 +88,7 @@
 // trafficOf is the same of one node; nothing if it does not answer.
 func (r *Run) trafficOf(m *Machine) map[string][2]int64 {
 	counts := map[string][2]int64{}
-	client, err := api.NewClient("http://" + m.Api())
+	client, err := api.NewClient("http://" + m.APIAddress())
 	if err != nil {
 		return counts
 	}
@@ -115,20 +115,20 @@
 	return counts
 }
 
-// sampleEvery is between two looks at what all nodes have sent.
-const sampleEvery = 2 * time.Second
+// trafficSampleInterval is between two looks at what all nodes have sent.
+const trafficSampleInterval = 2 * time.Second
 
-// sample notes in the history what all nodes have sent, for as long as there is load.
-func (r *Run) sample(ctx context.Context, loads *sync.WaitGroup) {
+// sampleTraffic notes in the history what all nodes have sent, for as long as there is load.
+func (r *Run) sampleTraffic(ctx context.Context, loads *sync.WaitGroup) {
 	loads.Go(func() {
-		tick := time.NewTicker(sampleEvery)
+		tick := time.NewTicker(trafficSampleInterval)
 		defer tick.Stop()
-		sum := sentSum{was: map[string]map[string]int64{}, whole: map[string]int64{}}
+		sum := trafficTotal{last: map[string]map[string]int64{}, total: map[string]int64{}}
 		for ctx.Err() == nil {
-			for _, m := range r.f.Machines {
+			for _, m := range r.fleet.Machines {
 				sum.add(m.Name, r.trafficOf(m))
 			}
-			r.h.Add(checker.Record{Kind: checker.TrafficSent, SentBytes: maps.Clone(sum.whole)})
+			r.history.Add(checker.Record{Kind: checker.TrafficSent, SentBytes: maps.Clone(sum.total)})
 			select {
 			case <-ctx.Done():
 			case <-tick.C:
@@ -137,18 +137,18 @@
 	})
 }
 
-// sentSum adds up the bytes of nodes, each of which counts from zero when it is
+// trafficTotal adds up the bytes of nodes, each of which counts from zero when it is
 // started anew; of a node that is gone, what it had sent stays in the sum.
-type sentSum struct {
-	was   map[string]map[string]int64
-	whole map[string]int64
+type trafficTotal struct {
+	last  map[string]map[string]int64
+	total map[string]int64
 }
 
-func (s *sentSum) add(node string, counts map[string][2]int64) {
+func (s *trafficTotal) add(node string, counts map[string][2]int64) {
 	if len(counts) == 0 {
 		return
 	}
-	was, now := s.was[node], map[string]int64{}
+	was, now := s.last[node], map[string]int64{}
 	for kind, count := range counts {
 		if kind == "syncs" {
 			continue
@@ -158,13 +158,13 @@
 		if grown < 0 {
 			grown = count[1]
 		}
-		s.whole[kind] += grown
+		s.total[kind] += grown
 	}
-	s.was[node] = now
+	s.last[node] = now
 }
 
-func (r *Run) costs(took time.Duration, before, after map[string]time.Duration, traffic, later map[string][2]int64) {
-	calls, bonds := float64(r.calls.Load()), float64(r.bonds.Load())
+func (r *Run) printCosts(took time.Duration, before, after map[string]time.Duration, traffic, later map[string][2]int64) {
+	calls, bonds := float64(r.requests.Load()), float64(r.coordinationCalls.Load())
 	seconds := took.Seconds()
 	fmt.Fprintf(r.out, "\nover %.1f s: %.0f requests (%.1f/s), %.0f coordination calls (%.1f/s)\n", seconds, calls, calls/seconds, bonds, bonds/seconds)
 	for _, role := range []string{"proxy", "core"} {
--- a/internal/harness/fleet.go
+++ b/internal/harness/machine.go
@@ -25,35 +25,35 @@
 
 // Machine is one node's place.
 type Machine struct {
-	Name     string
-	Zone     string
-	IP       string
-	IsCore   bool
-	IsProxy  bool
-	Strength int
-	fleet    *Fleet
-	cmd      *exec.Cmd
-	done     chan struct{}
-	isFrozen atomic.Bool
-	isOther  bool // runs the other build
+	Name      string
+	Zone      string
+	IP        string
+	IsCore    bool
+	IsProxy   bool
+	Capacity  int
+	fleet     *Fleet
+	cmd       *exec.Cmd
+	done      chan struct{}
+	isFrozen  atomic.Bool
+	runsOther bool // runs the other build
 }
 
 // Fleet is all machines of one run.
 type Fleet struct {
-	Binary   string
-	Other    string // another build, for rolls; none if empty
-	Folder   string
-	Port     int
-	Cores    int
-	Machines []*Machine
-	Settings map[string]string
+	Binary      string
+	OtherBinary string // another build, for rolls; none if empty
+	Folder      string
+	Port        int
+	Cores       int
+	Machines    []*Machine
+	Settings    map[string]string
 	// Relay stands before every node's wire address, if there is one.
 	Relay *Relay
-	// H is told of every start of a proxy, if there is one.
-	H *checker.History
-	// IsDebugged gives every node an address for profiles, three above its port.
-	IsDebugged bool
-	isSmall    bool
+	// History is told of every start of a proxy, if there is one.
+	History *checker.History
+	// Profiled gives every node an address for profiles, three above its port.
+	Profiled  bool
+	singleCPU bool
 }
 
 // New lays a fleet out: cores and proxies spread over zones.
@@ -69,28 +69,28 @@
 }
 
 func (f *Fleet) add(name string, zone, host int, isCore, isProxy bool) {
-	f.Machines = append(f.Machines, &Machine{Name: name, Zone: fmt.Sprintf("zone%d", zone+1), IP: fmt.Sprintf("127.1.%d.%d", zone+1, host), IsCore: isCore, IsProxy: isProxy, Strength: 100, fleet: f})
+	f.Machines = append(f.Machines, &Machine{Name: name, Zone: fmt.Sprintf("zone%d", zone+1), IP: fmt.Sprintf("127.1.%d.%d", zone+1, host), IsCore: isCore, IsProxy: isProxy, Capacity: 100, fleet: f})
 }
 
-func (m *Machine) Wire() string { return fmt.Sprintf("%s:%d", m.IP, m.fleet.Port) }
-func (m *Machine) Api() string  { return fmt.Sprintf("%s:%d", m.IP, m.fleet.Port+1) }
-func (m *Machine) Gate() string { return fmt.Sprintf("%s:%d", m.IP, m.fleet.Port+2) }
+func (m *Machine) RPCAddress() string   { return fmt.Sprintf("%s:%d", m.IP, m.fleet.Port) }
+func (m *Machine) APIAddress() string   { return fmt.Sprintf("%s:%d", m.IP, m.fleet.Port+1) }
+func (m *Machine) ProxyAddress() string { return fmt.Sprintf("%s:%d", m.IP, m.fleet.Port+2) }
 
-// behind is where the node listens when a relay stands before it.
-func (m *Machine) behind() string { return fmt.Sprintf("%s:%d", m.IP, m.fleet.Port+4) }
+// relayedAddress is where the node listens when a relay stands before it.
+func (m *Machine) relayedAddress() string { return fmt.Sprintf("%s:%d", m.IP, m.fleet.Port+4) }
 
-// Data is the machine's data folder.
-func (m *Machine) Data() string { return filepath.Join(m.fleet.Folder, m.Name, "data") }
+// DataDir is the machine's data folder.
+func (m *Machine) DataDir() string { return filepath.Join(m.fleet.Folder, m.Name, "data") }
 
-// Log is the machine's log file.
-func (m *Machine) Log() string { return filepath.Join(m.fleet.Folder, m.Name, "log") }
+// LogFile is the machine's log file.
+func (m *Machine) LogFile() string { return filepath.Join(m.fleet.Folder, m.Name, "log") }
 
-// Seeds is the wire addresses of three core nodes at most.
-func (f *Fleet) Seeds() string {
+// seeds is the wire addresses of three core nodes at most.
+func (f *Fleet) seeds() string {
 	var seeds []string
 	for _, m := range f.Machines {
 		if m.IsCore && len(seeds) < 3 {
-			seeds = append(seeds, m.Wire())
+			seeds = append(seeds, m.RPCAddress())
 		}
 	}
 	return strings.Join(seeds, ",")
@@ -98,20 +98,20 @@
 
 // Start runs the machine's process.
 func (m *Machine) Start() error {
-	if err := os.MkdirAll(filepath.Dir(m.Log()), 0o755); err != nil {
+	if err := os.MkdirAll(filepath.Dir(m.LogFile()), 0o755); err != nil {
 		return err
 	}
-	set := map[string]string{"name": m.Name, "zone": m.Zone, "seeds": m.fleet.Seeds(), "peer.address": m.Wire(), "api.address": m.Api(), "bootstrap.cores": fmt.Sprint(m.fleet.Cores), "strength": fmt.Sprint(m.Strength), "log.file": m.Log()}
+	set := map[string]string{"name": m.Name, "zone": m.Zone, "seeds": m.fleet.seeds(), "peer.address": m.RPCAddress(), "api.address": m.APIAddress(), "bootstrap.cores": fmt.Sprint(m.fleet.Cores), "strength": fmt.Sprint(m.Capacity), "log.file": m.LogFile()}
 	if m.fleet.Relay != nil {
-		set["peer.address"], set["peer.advertise"] = m.behind(), m.Wire()
+		set["peer.address"], set["peer.advertise"] = m.relayedAddress(), m.RPCAddress()
 	}
 	if m.IsCore {
-		set["data.folder"] = m.Data()
+		set["data.folder"] = m.DataDir()
 	}
 	if m.IsProxy {
-		set["proxy.address"] = m.Gate()
+		set["proxy.address"] = m.ProxyAddress()
 	}
-	if m.fleet.IsDebugged {
+	if m.fleet.Profiled {
 		set["debug.address"] = fmt.Sprintf("%s:%d", m.IP, m.fleet.Port+3)
 	}
 	for key, value := range m.fleet.Settings {
@@ -119,26 +119,26 @@
 	}
 	args := []string{"node"}
 	for key, value := range set {
-		if m.fleet.Other != "" {
+		if m.fleet.OtherBinary != "" {
 			key = config.FormerName(key) // one of the builds may know no other
 		}
 		args = append(args, "--set", key+"="+value)
 	}
-	if m.IsProxy && m.fleet.H != nil {
-		m.fleet.H.Add(checker.Record{Kind: checker.ProxyStarted, Proxy: m.Gate()})
+	if m.IsProxy && m.fleet.History != nil {
+		m.fleet.History.Add(checker.Record{Kind: checker.ProxyStarted, Proxy: m.ProxyAddress()})
 	}
 	binary := m.fleet.Binary
-	if m.isOther {
-		binary = m.fleet.Other
+	if m.runsOther {
+		binary = m.fleet.OtherBinary
 	}
 	cmd := exec.Command(binary, args...)
-	trouble, err := os.OpenFile(filepath.Join(filepath.Dir(m.Log()), "stderr"), os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o644)
+	trouble, err := os.OpenFile(filepath.Join(filepath.Dir(m.LogFile()), "stderr"), os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o644)
 	if err != nil {
 		return err
 	}
 	defer trouble.Close()
 	cmd.Stderr = trouble
-	if m.fleet.isSmall {
+	if m.fleet.singleCPU {
 		cmd.Env = append(os.Environ(), "GOMAXPROCS=1")
 	}
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
@@ -194,13 +194,13 @@
 func (m *Machine) Thaw()   { m.isFrozen.Store(false); m.signal(syscall.SIGCONT) }
 
 // Wipe empties the disk of a machine that is down.
-func (m *Machine) Wipe() error { return os.RemoveAll(m.Data()) }
+func (m *Machine) Wipe() error { return os.RemoveAll(m.DataDir()) }
 
 // Pid is the process's id.
 func (m *Machine) Pid() int { return m.cmd.Process.Pid }
 
-// Of finds a machine.
-func (f *Fleet) Of(name string) *Machine {
+// Machine finds a machine.
+func (f *Fleet) Machine(name string) *Machine {
 	for _, m := range f.Machines {
 		if m.Name == name {
 			return m
@@ -228,10 +228,10 @@
 	return some
 }
 
-// Apis is the API addresses of the core nodes.
-func (f *Fleet) Apis() (list []string) {
+// APIAddresses is the API addresses of the core nodes.
+func (f *Fleet) APIAddresses() (list []string) {
 	for _, m := range f.CoreMachines() {
-		list = append(list, m.Api())
+		list = append(list, m.APIAddress())
 	}
 	return list
 }
@@ -262,7 +262,7 @@
 		if !m.IsUp() {
 			continue
 		}
-		client, err := api.NewClient("http://" + m.Api())
+		client, err := api.NewClient("http://" + m.APIAddress())
 		if err != nil {
 			return err
 		}
@@ -285,10 +285,10 @@
 	return nil
 }
 
-// FreePort finds a port with the four above it free on all loopback addresses. It
+// freePorts finds a port with the four above it free on all loopback addresses. It
 // lies below those that the system gives to outgoing connections, for a run of many
 // nodes holds thousands of these.
-func FreePort() (int, error) {
+func freePorts() (int, error) {
 	for range 50 {
 		port := 10000 + 5*rand.IntN(4400)
 		isFree := true
--- a/internal/harness/relay.go
+++ b/internal/harness/relay.go
@@ -16,32 +16,32 @@
 type Relay struct {
 	ctx    context.Context
 	end    context.CancelFunc
-	f      *Fleet
+	fleet  *Fleet
 	mu     sync.Mutex
 	cuts   map[[2]string]bool
-	change chan struct{}
+	healed chan struct{}
 	closes []func() error
 }
 
 // NewRelay listens for every machine of the fleet.
 func NewRelay(parent context.Context, f *Fleet) (*Relay, error) {
 	ctx, end := context.WithCancel(parent)
-	r := &Relay{ctx: ctx, end: end, f: f, cuts: map[[2]string]bool{}, change: make(chan struct{})}
+	r := &Relay{ctx: ctx, end: end, fleet: f, cuts: map[[2]string]bool{}, healed: make(chan struct{})}
 	for _, m := range f.Machines {
-		listener, err := net.Listen("tcp", m.Wire())
+		listener, err := net.Listen("tcp", m.RPCAddress())
 		if err != nil {
 			r.Close()
 			return nil, err
 		}
 		r.closes = append(r.closes, listener.Close)
-		packet, err := net.ListenPacket("udp", m.Wire())
+		packet, err := net.ListenPacket("udp", m.RPCAddress())
 		if err != nil {
 			r.Close()
 			return nil, err
 		}
 		r.closes = append(r.closes, packet.Close)
 		go r.accept(listener, m)
-		go r.datagrams(packet, m)
+		go r.forwardDatagrams(packet, m)
 	}
 	return r, nil
 }
@@ -63,8 +63,8 @@
 
 // Isolate cuts some machines off from all others.
 func (r *Relay) Isolate(isIn func(*Machine) bool) {
-	for _, a := range r.f.Machines {
-		for _, b := range r.f.Machines {
+	for _, a := range r.fleet.Machines {
+		for _, b := range r.fleet.Machines {
 			if isIn(a) && !isIn(b) {
 				r.Cut(a, b)
 				r.Cut(b, a)
@@ -77,15 +77,15 @@
 func (r *Relay) Heal() {
 	r.mu.Lock()
 	r.cuts = map[[2]string]bool{}
-	close(r.change)
-	r.change = make(chan struct{})
+	close(r.healed)
+	r.healed = make(chan struct{})
 	r.mu.Unlock()
 }
 
 func (r *Relay) isCut(from, to string) (bool, chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.cuts[[2]string{from, to}], r.change
+	return r.cuts[[2]string{from, to}], r.healed
 }
 
 func (r *Relay) accept(listener net.Listener, m *Machine) {
@@ -94,15 +94,15 @@
 		if err != nil {
 			return
 		}
-		go r.carry(conn, m)
+		go r.forwardConnection(conn, m)
 	}
 }
 
-// carry joins two connections, each way by a task of its own.
-func (r *Relay) carry(near net.Conn, m *Machine) {
+// forwardConnection joins two connections, each way by a task of its own.
+func (r *Relay) forwardConnection(near net.Conn, m *Machine) {
 	defer near.Close()
 	from := near.RemoteAddr().(*net.TCPAddr).IP.String()
-	far, err := net.DialTimeout("tcp", m.behind(), time.Second)
+	far, err := net.DialTimeout("tcp", m.relayedAddress(), time.Second)
 	if err != nil {
 		return
 	}
@@ -110,12 +110,12 @@
 	stop := context.AfterFunc(r.ctx, func() { near.Close(); far.Close() })
 	defer stop()
 	done := make(chan struct{}, 2)
-	go func() { r.copy(far, near, from, m.IP); done <- struct{}{} }()
-	go func() { r.copy(near, far, m.IP, from); done <- struct{}{} }()
+	go func() { r.forwardStream(far, near, from, m.IP); done <- struct{}{} }()
+	go func() { r.forwardStream(near, far, m.IP, from); done <- struct{}{} }()
 	<-done
 }
 
-func (r *Relay) copy(to, from net.Conn, sender, getter string) {
+func (r *Relay) forwardStream(to, from net.Conn, sender, getter string) {
 	buffer := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buffer)
@@ -141,10 +141,10 @@
 	}
 }
 
-// datagrams passes on what comes for a machine, through one socket for each
+// forwardDatagrams passes on what comes for a machine, through one socket for each
 // sender, so that what it answers finds its way back.
-func (r *Relay) datagrams(packet net.PacketConn, m *Machine) {
-	behind := net.UDPAddrFromAddrPort(netip.MustParseAddrPort(m.behind()))
+func (r *Relay) forwardDatagrams(packet net.PacketConn, m *Machine) {
+	behind := net.UDPAddrFromAddrPort(netip.MustParseAddrPort(m.relayedAddress()))
 	ways := map[string]*net.UDPConn{}
 	defer func() {
 		for _, way := range ways {
--- a/internal/harness/run.go
+++ b/internal/harness/run.go
@@ -25,62 +25,62 @@
 
 // Run is one.
 type Run struct {
-	Factor  float64
-	Seconds int
-	Seed    uint64
-	Fault   string
-	Mapped  int
-	History io.Writer
-	Profile string
-	IsTwice bool
-	Other   string        // another build of sumac, for rolls
-	IsSmall bool          // processes have only the shape's share of a processor
-	Work    time.Duration // how long a server works on each request
-	Eager   float64       // the share of callers that repeat a refused order at once; the shape's if negative
+	RateFactor      float64
+	Seconds         int
+	Seed            uint64
+	Fault           string
+	ExtraRoutes     int
+	History         io.Writer
+	ProfileDir      string
+	AllowDuplicates bool
+	OtherBinary     string        // another build of sumac, for rolls
+	ThrottleCPU     bool          // processes have only the shape's share of a processor
+	ServiceTime     time.Duration // how long a server works on each request
+	RetryShare      float64       // the share of callers that repeat a refused order at once; the shape's if negative
 
-	f       *Fleet
-	shape   Shape
-	ctx     context.Context
-	h       *checker.History
-	out     io.Writer
-	began   time.Time
-	mu      sync.Mutex
-	servers []*standin.Server
-	calls   atomic.Int64
-	bonds   atomic.Int64
-	changes atomic.Int64
-	rolled  int
-	spent   map[string]time.Duration
+	fleet             *Fleet
+	shape             Shape
+	ctx               context.Context
+	history           *checker.History
+	out               io.Writer
+	began             time.Time
+	mu                sync.Mutex
+	servers           []*standin.Server
+	requests          atomic.Int64
+	coordinationCalls atomic.Int64
+	changesSubmitted  atomic.Int64
+	replaced          int
+	spent             map[string]time.Duration
 }
 
-func (r *Run) say(format string, args ...any) {
+func (r *Run) logf(format string, args ...any) {
 	fmt.Fprintf(r.out, "%7.2fs %s\n", time.Since(r.began).Seconds(), fmt.Sprintf(format, args...))
 }
 
-// mark says what is done to the fleet, and notes it in the history.
-func (r *Run) mark(format string, args ...any) {
-	r.say(format, args...)
-	r.h.Add(checker.Record{Kind: checker.FaultInjected, Note: fmt.Sprintf(format, args...)})
+// recordFault says what is done to the fleet, and notes it in the history.
+func (r *Run) recordFault(format string, args ...any) {
+	r.logf(format, args...)
+	r.history.Add(checker.Record{Kind: checker.FaultInjected, Note: fmt.Sprintf(format, args...)})
 }
 
-func (r *Run) nap(rnd *rand.Rand, least, most int) {
+func (r *Run) sleepBetween(rnd *rand.Rand, least, most int) {
 	time.Sleep(time.Duration(least+rnd.IntN(most-least)) * time.Millisecond)
 }
 
-func (r *Run) start(m *Machine) {
+func (r *Run) startMachine(m *Machine) {
 	if err := m.Start(); err != nil {
-		r.say("%s can't start: %v", m.Name, err)
+		r.logf("%s can't start: %v", m.Name, err)
 	}
 }
 
-func (r *Run) serve(service, address, zone string) {
-	nodes := r.f.Apis()
-	for _, m := range r.f.ProxyMachines() {
-		nodes = append(nodes, m.Api())
+func (r *Run) startServer(service, address, zone string) {
+	nodes := r.fleet.APIAddresses()
+	for _, m := range r.fleet.ProxyMachines() {
+		nodes = append(nodes, m.APIAddress())
 	}
-	s := &standin.Server{Network: environment.NewHost(""), History: r.h, Service: service, Zone: zone, Address: address, SealKey: "key-" + service, Nodes: nodes, ServiceTime: r.Work}
+	s := &standin.Server{Network: environment.NewHost(""), History: r.history, Service: service, Zone: zone, Address: address, SealKey: "key-" + service, Nodes: nodes, ServiceTime: r.ServiceTime}
 	if err := s.Start(r.ctx); err != nil {
-		r.say("%s at %s: %v", service, address, err)
+		r.logf("%s at %s: %v", service, address, err)
 		return
 	}
 	r.mu.Lock()
@@ -103,41 +103,41 @@
 	if !ok {
 		return errcode.New(errcode.InvalidCall, "no fault %q", r.Fault)
 	}
-	port, err := FreePort()
+	port, err := freePorts()
 	if err != nil {
 		return err
 	}
 	r.shape, r.ctx, r.out, r.began = shape, ctx, out, time.Now()
-	r.f = New(binary, folder, port, shape.Cores, shape.Proxies, shape.Zones)
-	r.f.IsDebugged = r.Profile != ""
-	r.f.isSmall, r.f.Other = r.IsSmall, r.Other
-	if r.Fault == "roll" && r.Other == "" {
+	r.fleet = New(binary, folder, port, shape.Cores, shape.Proxies, shape.Zones)
+	r.fleet.Profiled = r.ProfileDir != ""
+	r.fleet.singleCPU, r.fleet.OtherBinary = r.ThrottleCPU, r.OtherBinary
+	if r.Fault == "roll" && r.OtherBinary == "" {
 		return errcode.New(errcode.InvalidCall, "a roll needs another build (--other)")
 	}
-	if r.Eager >= 0 {
-		r.shape.Impatient = r.Eager
+	if r.RetryShare >= 0 {
+		r.shape.RetryShare = r.RetryShare
 	}
-	r.h = checker.NewHistory(r.History)
-	r.f.H = r.h
+	r.history = checker.NewHistory(r.History)
+	r.fleet.History = r.history
 	r.spent = map[string]time.Duration{}
-	r.say("shape %s, rates times %.2f, %d s, seed %d, faults %s", shape.Name, r.Factor, r.Seconds, r.Seed, r.Fault)
-	r.h.Add(checker.Record{Kind: checker.ScenarioStarted, Note: shape.Name})
-	defer r.f.KillAll()
+	r.logf("shape %s, rates times %.2f, %d s, seed %d, faults %s", shape.Name, r.RateFactor, r.Seconds, r.Seed, r.Fault)
+	r.history.Add(checker.Record{Kind: checker.ScenarioStarted, Note: shape.Name})
+	defer r.fleet.KillAll()
 	if strings.HasPrefix(r.Fault, "cut") || r.Fault == "all" {
-		if r.f.Relay, err = NewRelay(ctx, r.f); err != nil {
+		if r.fleet.Relay, err = NewRelay(ctx, r.fleet); err != nil {
 			return err
 		}
-		defer r.f.Relay.Close()
+		defer r.fleet.Relay.Close()
 	}
-	if err := r.f.StartAll(); err != nil {
+	if err := r.fleet.StartAll(); err != nil {
 		return err
 	}
 	services := map[string]bool{}
 	for _, l := range shape.Loads {
-		services[l.Service] = l.IsRepeatable
+		services[l.Service] = l.Idempotent
 		for i := range l.Servers {
 			zone := i % shape.Zones
-			r.serve(l.Service, fmt.Sprintf("127.8.%d.%d:%d", len(services), i+1, port), fmt.Sprintf("zone%d", zone+1))
+			r.startServer(l.Service, fmt.Sprintf("127.8.%d.%d:%d", len(services), i+1, port), fmt.Sprintf("zone%d", zone+1))
 		}
 	}
 	defer func() {
@@ -145,39 +145,39 @@
 			s.Close()
 		}
 	}()
-	operator := standin.NewOperator(environment.NewHost(""), r.h, r.f.ProxyMachines()[0].Api())
-	first := FirstChange("first", services)
+	operator := standin.NewOperator(environment.NewHost(""), r.history, r.fleet.ProxyMachines()[0].APIAddress())
+	first := initialChange("first", services)
 	for i, m := range first.Put.Value.Mappings {
-		first.Put.Value.Mappings[i].Once = api.NewOptBool(!r.IsTwice && !m.Repeatable.Value)
+		first.Put.Value.Mappings[i].Once = api.NewOptBool(!r.AllowDuplicates && !m.Repeatable.Value)
 	}
-	for i := range r.Mapped {
+	for i := range r.ExtraRoutes {
 		first.Put.Value.Mappings = append(first.Put.Value.Mappings, api.Mapping{Name: fmt.Sprint("more", i), Path: fmt.Sprint("/more/", i), To: []api.Split{{Service: shape.Loads[0].Service, Weight: 1}}})
 	}
-	if err := Until(ctx, 30*time.Second, func() bool { _, err := operator.Submit(ctx, first); return err == nil }); err != nil {
+	if err := waitUntil(ctx, 30*time.Second, func() bool { _, err := operator.Submit(ctx, first); return err == nil }); err != nil {
 		return errcode.New(errcode.Internal, "the first change set was not accepted")
 	}
 	wait, end := context.WithTimeout(ctx, 30*time.Second)
-	err = r.f.AwaitReady(wait)
+	err = r.fleet.AwaitReady(wait)
 	end()
 	if err != nil {
 		return err
 	}
 	time.Sleep(1500 * time.Millisecond)
-	r.say("the fleet is ready")
+	r.logf("the fleet is ready")
 	cycling, leave := context.WithCancel(ctx)
 	defer leave()
-	if r.IsSmall {
-		r.small(cycling)
+	if r.ThrottleCPU {
+		r.throttle(cycling)
 	}
-	before, traffic := r.cpu(), r.traffic()
+	before, traffic := r.processorTimeByRole(), r.traffic()
 	loading, stop := context.WithCancel(ctx)
 	var loads sync.WaitGroup
 	r.load(loading, &loads)
-	if r.Profile != "" {
-		r.profile(loading)
+	if r.ProfileDir != "" {
+		r.recordProfiles(loading)
 	}
 	if r.History != nil {
-		r.sample(loading, &loads)
+		r.sampleTraffic(loading, &loads)
 	}
 	rnd := rand.New(rand.NewPCG(r.Seed, 5))
 	began := time.Now()
@@ -185,19 +185,19 @@
 		hurt(r, rnd)
 	}
 	took := time.Since(began)
-	after, later := r.cpu(), r.traffic()
+	after, later := r.processorTimeByRole(), r.traffic()
 	stop()
 	loads.Wait()
-	r.goodput(took.Seconds())
-	if !r.isCalm() {
-		r.rescue()
+	r.printResponses(took.Seconds())
+	if !r.faultFree() {
+		r.recover()
 	}
-	r.ask(operator)
-	r.h.Add(checker.Record{Kind: checker.ScenarioEnded})
-	verdict := checker.Check(r.h.Records())
+	r.readOutcomes(operator)
+	r.history.Add(checker.Record{Kind: checker.ScenarioEnded})
+	verdict := checker.Check(r.history.Records())
 	fmt.Fprint(out, verdict)
-	if r.isCalm() {
-		r.costs(took, before, after, traffic, later)
+	if r.faultFree() {
+		r.printCosts(took, before, after, traffic, later)
 	}
 	if !verdict.IsValid() {
 		return errcode.New(errcode.Internal, "the history breaks a rule")
@@ -205,24 +205,24 @@
 	return nil
 }
 
-// openMost bounds the requests of one service that are under way at once.
-const openMost = 2000
+// maxInFlight bounds the requests of one service that are under way at once.
+const maxInFlight = 2000
 
 // load starts callers at the shape's rates, spread over the proxies, and
 // applications over all nodes. A caller does not wait for the answers of others, so
 // a slow fleet gets no fewer requests. Every loop is bounded by the run.
 func (r *Run) load(ctx context.Context, loads *sync.WaitGroup) {
 	for _, l := range r.shape.Loads {
-		tasks := 1 + int(l.PerSecond*r.Factor/20)
-		pause := time.Duration(float64(tasks) / (l.PerSecond * r.Factor) * float64(time.Second))
-		body := []byte(strings.Repeat("x", l.Bytes))
-		open := make(chan struct{}, openMost)
+		tasks := 1 + int(l.RequestsPerSecond*r.RateFactor/20)
+		pause := time.Duration(float64(tasks) / (l.RequestsPerSecond * r.RateFactor) * float64(time.Second))
+		body := []byte(strings.Repeat("x", l.BodyBytes))
+		open := make(chan struct{}, maxInFlight)
 		for range tasks {
 			loads.Add(1)
 			go func() {
 				defer loads.Done()
-				caller := standin.NewClient(environment.NewHost(""), r.h)
-				caller.AtMostOnce = !r.IsTwice
+				caller := standin.NewClient(environment.NewHost(""), r.history)
+				caller.AtMostOnce = !r.AllowDuplicates
 				defer caller.Close()
 				var mine sync.WaitGroup
 				defer mine.Wait()
@@ -239,17 +239,17 @@
 					default:
 						continue
 					}
-					r.calls.Add(1)
+					r.requests.Add(1)
 					mine.Add(1)
 					go func() {
 						defer func() { <-open; mine.Done() }()
-						r.callOnce(caller, l, body)
+						r.sendRequest(caller, l, body)
 					}()
 				}
 			}()
 		}
 	}
-	rate := r.shape.CallsPerSecond * r.Factor
+	rate := r.shape.CoordinationPerSecond * r.RateFactor
 	tasks := 1 + int(rate/10)
 	for i := range tasks {
 		loads.Add(1)
@@ -258,8 +258,8 @@
 			tick := time.NewTicker(time.Duration(float64(tasks) / rate * float64(time.Second)))
 			defer tick.Stop()
 			var clients []*api.Client
-			for _, m := range r.f.Machines {
-				clients = append(clients, standin.NewAPIClient(environment.NewHost(""), m.Api()))
+			for _, m := range r.fleet.Machines {
+				clients = append(clients, standin.NewAPIClient(environment.NewHost(""), m.APIAddress()))
 			}
 			for n := 0; ; n++ {
 				select {
@@ -267,33 +267,33 @@
 					return
 				case <-tick.C:
 				}
-				r.bonds.Add(1)
-				r.bondOnce(clients[rand.IntN(len(clients))], fmt.Sprint("app", i), n)
+				r.coordinationCalls.Add(1)
+				r.callCoordination(clients[rand.IntN(len(clients))], fmt.Sprint("app", i), n)
 			}
 		}()
 	}
 }
 
-// callOnce is one request of a service, and its repeats if the caller is eager.
-func (r *Run) callOnce(caller *standin.Client, l Load, body []byte) {
-	proxies := r.f.ProxyMachines()
-	gate := func() string { return proxies[rand.IntN(len(proxies))].Gate() }
-	if l.IsRepeatable {
+// sendRequest is one request of a service, and its repeats if the caller is eager.
+func (r *Run) sendRequest(caller *standin.Client, l Load, body []byte) {
+	proxies := r.fleet.ProxyMachines()
+	gate := func() string { return proxies[rand.IntN(len(proxies))].ProxyAddress() }
+	if l.Idempotent {
 		caller.Call(context.Background(), gate(), "GET", "/"+l.Service+"/x", l.Service, nil)
 		return
 	}
 	call := ids.NewID()
 	got := caller.CallWithID(context.Background(), gate(), "POST", "/"+l.Service, l.Service, body, call, false)
-	for try := 0; try < 5 && got.Outcome != "ran" && rand.Float64() < r.shape.Impatient; try++ {
+	for try := 0; try < 5 && got.Outcome != "ran" && rand.Float64() < r.shape.RetryShare; try++ {
 		got = caller.CallWithID(context.Background(), gate(), "POST", "/"+l.Service, l.Service, body, call, true)
 	}
 }
 
-// bondOnce is one coordination call, recorded for the judge.
-func (r *Run) bondOnce(client *api.Client, app string, n int) {
+// callCoordination is one coordination call, recorded for the judge.
+func (r *Run) callCoordination(client *api.Client, app string, n int) {
 	ctx, end := context.WithTimeout(context.Background(), 4*time.Second)
 	defer end()
-	rec := checker.Record{Kind: checker.CoordinationCall, Start: r.h.Now(), Outcome: "done"}
+	rec := checker.Record{Kind: checker.CoordinationCall, Start: r.history.Now(), Outcome: "done"}
 	var receipt *api.Receipt
 	var err error
 	switch n % 3 {
@@ -315,48 +315,48 @@
 	default:
 		rec.Outcome = "unknown"
 	}
-	r.h.Add(rec)
+	r.history.Add(rec)
 }
 
-// rescue brings all machines back and takes the time until all serve.
-func (r *Run) rescue() {
-	if r.f.Relay != nil {
-		r.f.Relay.Heal()
+// recover brings all machines back and takes the time until all serve.
+func (r *Run) recover() {
+	if r.fleet.Relay != nil {
+		r.fleet.Relay.Heal()
 	}
-	for _, m := range r.f.Machines {
+	for _, m := range r.fleet.Machines {
 		m.Thaw()
 		if !m.IsUp() {
-			r.start(m)
+			r.startMachine(m)
 		}
 	}
-	back := r.h.Now()
-	caller := standin.NewClient(environment.NewHost(""), r.h)
+	back := r.history.Now()
+	caller := standin.NewClient(environment.NewHost(""), r.history)
 	defer caller.Close()
 	rec := checker.Record{Kind: checker.Recovery, Start: back, Outcome: "usable"}
-	for _, m := range r.f.ProxyMachines() {
+	for _, m := range r.fleet.ProxyMachines() {
 		for _, l := range r.shape.Loads {
-			if Until(r.ctx, 30*time.Second, func() bool {
-				return caller.Call(r.ctx, m.Gate(), "GET", "/"+l.Service+"/x", l.Service, nil).Outcome == "ran"
+			if waitUntil(r.ctx, 30*time.Second, func() bool {
+				return caller.Call(r.ctx, m.ProxyAddress(), "GET", "/"+l.Service+"/x", l.Service, nil).Outcome == "ran"
 			}) != nil {
 				rec.Outcome = "not usable"
 			}
 		}
 	}
-	r.h.Add(rec)
-	r.say("usable again %s after the last machine was back", (r.h.Now() - back).Round(10*time.Millisecond))
+	r.history.Add(rec)
+	r.logf("usable again %s after the last machine was back", (r.history.Now() - back).Round(10*time.Millisecond))
 }
 
-// isCalm tells whether nothing is hurt, so that costs can be told.
-func (r *Run) isCalm() bool {
+// faultFree tells whether nothing is hurt, so that costs can be told.
+func (r *Run) faultFree() bool {
 	return r.Fault == "none" || r.Fault == "change" || r.Fault == "grow"
 }
 
-func (r *Run) ask(operator *standin.Operator) {
+func (r *Run) readOutcomes(operator *standin.Operator) {
 	asked := map[string]bool{}
-	for _, rec := range r.h.Records() {
+	for _, rec := range r.history.Records() {
 		if rec.Kind == checker.ChangeSubmitted && !asked[rec.Name] {
 			asked[rec.Name] = true
-			Until(r.ctx, 10*time.Second, func() bool { _, err := operator.QueryChange(r.ctx, rec.Name); return err == nil })
+			waitUntil(r.ctx, 10*time.Second, func() bool { _, err := operator.QueryChange(r.ctx, rec.Name); return err == nil })
 		}
 	}
 	if view, err := operator.Epoch(r.ctx); err == nil {
@@ -364,6 +364,6 @@
 		for _, m := range view.Config.Mappings {
 			rec.Names = append(rec.Names, m.Name)
 		}
-		r.h.Add(rec)
+		r.history.Add(rec)
 	}
 }
--- a/internal/harness/smoke.go
+++ b/internal/harness/smoke.go
@@ -17,8 +17,8 @@
 	"github.com/sumactrestle/sumactrestle/internal/standin"
 )
 
-// FirstChange is the configuration the stand-ins use.
-func FirstChange(id string, services map[string]bool) *api.Change {
+// initialChange is the configuration the stand-ins use.
+func initialChange(id string, services map[string]bool) *api.Change {
 	change := &api.Change{ID: id, Whole: api.NewOptBool(true)}
 	config := api.Config{}
 	for name, isRepeatable := range services {
@@ -31,7 +31,7 @@
 
 // Smoke is the bounded run.
 func Smoke(ctx context.Context, binary, folder string, out io.Writer) error {
-	port, err := FreePort()
+	port, err := freePorts()
 	if err != nil {
 		return err
 	}
@@ -42,7 +42,7 @@
 		fmt.Fprintf(out, "%6.2fs %s\n", time.Since(began).Seconds(), fmt.Sprintf(format, args...))
 	}
 	h := checker.NewHistory(nil)
-	f.H = h
+	f.History = h
 	if err := f.StartAll(); err != nil {
 		return err
 	}
@@ -51,16 +51,16 @@
 	services := map[string]bool{"rates": true, "bookings": false}
 	for name := range services {
 		for i := range 3 {
-			s := &standin.Server{Network: host, History: h, Service: name, Zone: fmt.Sprintf("zone%d", i+1), Address: fmt.Sprintf("127.1.%d.%d:%d", i+1, 50+len(name), port), SealKey: "key-" + name, Nodes: f.Apis()}
+			s := &standin.Server{Network: host, History: h, Service: name, Zone: fmt.Sprintf("zone%d", i+1), Address: fmt.Sprintf("127.1.%d.%d:%d", i+1, 50+len(name), port), SealKey: "key-" + name, Nodes: f.APIAddresses()}
 			if err := s.Start(ctx); err != nil {
 				return err
 			}
 			defer s.Close()
 		}
 	}
-	operator := standin.NewOperator(host, h, f.Of("proxy1").Api())
-	if err := Until(ctx, 30*time.Second, func() bool {
-		receipt, err := operator.Submit(ctx, FirstChange("first", services))
+	operator := standin.NewOperator(host, h, f.Machine("proxy1").APIAddress())
+	if err := waitUntil(ctx, 30*time.Second, func() bool {
+		receipt, err := operator.Submit(ctx, initialChange("first", services))
 		if err == nil {
 			say("change set accepted in epoch %d", receipt.Epoch)
 		}
@@ -78,14 +78,14 @@
 	defer caller.Close()
 	served := func(proxy *Machine) func() bool {
 		return func() bool {
-			a := caller.Call(ctx, proxy.Gate(), "GET", "/rates/lane", "rates", nil)
-			b := caller.Call(ctx, proxy.Gate(), "POST", "/bookings", "bookings", []byte(`{"container":1}`))
+			a := caller.Call(ctx, proxy.ProxyAddress(), "GET", "/rates/lane", "rates", nil)
+			b := caller.Call(ctx, proxy.ProxyAddress(), "POST", "/bookings", "bookings", []byte(`{"container":1}`))
 			return a.Outcome == "ran" && b.Outcome == "ran"
 		}
 	}
 	everyProxy := func(what string) error {
 		for _, proxy := range f.ProxyMachines() {
-			if err := Until(ctx, 30*time.Second, served(proxy)); err != nil {
+			if err := waitUntil(ctx, 30*time.Second, served(proxy)); err != nil {
 				return errcode.New(errcode.Internal, "%s: %s does not serve", what, proxy.Name)
 			}
 		}
@@ -95,25 +95,25 @@
 	if err := everyProxy("at first"); err != nil {
 		return err
 	}
-	f.Of("core1").Kill()
-	f.Of("proxy2").Kill()
-	if err := f.Of("proxy2").Start(); err != nil {
+	f.Machine("core1").Kill()
+	f.Machine("proxy2").Kill()
+	if err := f.Machine("proxy2").Start(); err != nil {
 		return err
 	}
 	if err := everyProxy("a core node and a proxy killed"); err != nil {
 		return err
 	}
-	if err := f.Of("core1").Wipe(); err != nil {
+	if err := f.Machine("core1").Wipe(); err != nil {
 		return err
 	}
-	if err := f.Of("core1").Start(); err != nil {
+	if err := f.Machine("core1").Start(); err != nil {
 		return err
 	}
 	if err := everyProxy("the core node back with an empty disk"); err != nil {
 		return err
 	}
 	for _, name := range []string{"proxy1", "core2"} {
-		if !f.Of(name).Stop() {
+		if !f.Machine(name).Stop() {
 			return errcode.New(errcode.Internal, "%s did not stop in time", name)
 		}
 		say("%s stopped by itself", name)
@@ -127,8 +127,8 @@
 	return nil
 }
 
-// Until tries until it is so, or the time is over.
-func Until(ctx context.Context, limit time.Duration, isSo func() bool) error {
+// waitUntil tries until it is so, or the time is over.
+func waitUntil(ctx context.Context, limit time.Duration, isSo func() bool) error {
 	over := time.Now().Add(limit)
 	for !isSo() {
 		if time.Now().After(over) || ctx.Err() != nil {
--- a/internal/harness/duty.go
+++ b/internal/harness/throttle.go
@@ -13,24 +13,24 @@
 	"github.com/sumactrestle/sumactrestle/internal/checker"
 )
 
-const dutyCycle = 20 * time.Millisecond
+const throttlePeriod = 20 * time.Millisecond
 
-// small puts every machine of the run into its cycle until the context ends.
-func (r *Run) small(ctx context.Context) {
-	for _, m := range r.f.Machines {
-		share := r.shape.ProxyShare
+// throttle puts every machine of the run into its cycle until the context ends.
+func (r *Run) throttle(ctx context.Context) {
+	for _, m := range r.fleet.Machines {
+		share := r.shape.ProxyCPU
 		if m.IsCore {
-			share = r.shape.CoreShare
+			share = r.shape.CoreCPU
 		}
 		if share <= 0 || share >= 1 {
 			continue
 		}
-		on := time.Duration(float64(dutyCycle) * share)
+		on := time.Duration(float64(throttlePeriod) * share)
 		go func() {
 			for ctx.Err() == nil {
 				time.Sleep(on)
 				m.signal(syscall.SIGSTOP)
-				time.Sleep(dutyCycle - on)
+				time.Sleep(throttlePeriod - on)
 				if !m.isFrozen.Load() {
 					m.signal(syscall.SIGCONT)
 				}
@@ -42,11 +42,11 @@
 	}
 }
 
-// goodput tells what became of the callers' requests, and how soon each kind of
+// printResponses tells what became of the callers' requests, and how soon each kind of
 // answer came. Times are of one machine that all share, and no verdict hangs on them.
-func (r *Run) goodput(seconds float64) {
+func (r *Run) printResponses(seconds float64) {
 	took := map[string][]time.Duration{}
-	for _, rec := range r.h.Records() {
+	for _, rec := range r.history.Records() {
 		if rec.Kind == checker.RequestCompleted {
 			what := rec.Outcome
 			if rec.Code != 0 {
--- a/internal/harness/upgrade.go
+++ b/internal/harness/upgrade.go
@@ -39,40 +39,40 @@
 // The checkers judge the history; besides, every node must have been replaced, and none
 // may have refused a message of the other build or the data that the other build wrote.
 func (r *Run) Upgrade(ctx context.Context, from, to, folder string, shape Shape, out io.Writer) error {
-	r.Fault, r.Other = "upgrade", to
+	r.Fault, r.OtherBinary = "upgrade", to
 	if err := r.Go(ctx, from, folder, shape, out); err != nil {
 		return err
 	}
-	if r.rolled < len(r.f.Machines) {
-		return errcode.New(errcode.Internal, "only %d of %d nodes were replaced in %d s", r.rolled, len(r.f.Machines), r.Seconds)
+	if r.replaced < len(r.fleet.Machines) {
+		return errcode.New(errcode.Internal, "only %d of %d nodes were replaced in %d s", r.replaced, len(r.fleet.Machines), r.Seconds)
 	}
 	refused := 0
-	for _, m := range r.f.Machines {
+	for _, m := range r.fleet.Machines {
 		n, err := r.showRefusals(m)
 		if err != nil {
 			return err
 		}
 		refused += n
 	}
-	r.say("%d nodes replaced one at a time, %d refusals logged", r.rolled, refused)
+	r.logf("%d nodes replaced one at a time, %d refusals logged", r.replaced, refused)
 	if refused > 0 {
 		return errcode.New(errcode.Internal, "one build refused what the other sent or wrote")
 	}
 	return nil
 }
 
-// upgradeOne replaces the next node, waits until it works and submits a change set.
-func upgradeOne(r *Run, rnd *rand.Rand) {
-	if r.rolled < len(r.f.Machines) {
-		rollOne(r, rnd)
+// upgradeMachine replaces the next node, waits until it works and submits a change set.
+func upgradeMachine(r *Run, rnd *rand.Rand) {
+	if r.replaced < len(r.fleet.Machines) {
+		replaceBuild(r, rnd)
 		limited, end := context.WithTimeout(r.ctx, readyTimeout)
 		defer end()
-		if err := r.f.AwaitReady(limited); err != nil {
-			r.say("%v", err)
+		if err := r.fleet.AwaitReady(limited); err != nil {
+			r.logf("%v", err)
 		}
 	}
 	for range mixedChanges {
-		changeOne(r, rnd)
+		addRoute(r, rnd)
 	}
 }
 
@@ -80,7 +80,7 @@
 // stored data were refused,
 // and prints the first.
 func (r *Run) showRefusals(m *Machine) (count int, err error) {
-	file, err := os.Open(m.Log())
+	file, err := os.Open(m.LogFile())
 	if err != nil {
 		return 0, err
 	}
@@ -89,11 +89,11 @@
 	for lines.Scan() {
 		var line struct{ Event int }
 		if err := json.Unmarshal(lines.Bytes(), &line); err != nil {
-			return count, errcode.New(errcode.Internal, "%s: %v", m.Log(), err)
+			return count, errcode.New(errcode.Internal, "%s: %v", m.LogFile(), err)
 		}
 		if refusals[line.Event] {
 			if count++; count <= refusalsShown {
-				r.say("%s: %s", m.Name, lines.Text())
+				r.logf("%s: %s", m.Name, lines.Text())
 			}
 		}
 	}
