--- a/internal/distribution/compression_test.go
+++ b/internal/distribution/compression_test.go
@@ -20,11 +20,11 @@
 
 func TestCompress_LargeGroupsAreDeflatedAndComeBackComplete(t *testing.T) {
 	c, groups := newCompressor(), groupsOf(400)
-	plain, _ := json.Marshal(groups)
+	encoded, _ := json.Marshal(groups)
 	response := &rpc.FetchResponse{Groups: groups}
 	c.compress(response)
-	if response.Groups != nil || len(response.Packed) > len(plain)/5 {
-		t.Fatalf("%d bytes were packed into %d", len(plain), len(response.Packed))
+	if response.Groups != nil || len(response.Packed) > len(encoded)/5 {
+		t.Fatalf("%d bytes were packed into %d", len(encoded), len(response.Packed))
 	}
 	got, err := inflate(response.Packed, 1<<20)
 	if err != nil || !reflect.DeepEqual(got, groups) {
--- a/internal/distribution/encoder.go
+++ b/internal/distribution/encoder.go
@@ -16,10 +16,10 @@
 // for its epoch, for all proxies that ask. The zero value is ready for use.
 type groupEncoder struct {
 	// mu guards all fields.
-	mu     sync.Mutex
-	groups map[string]encodedGroup
-	plain  encodedEpoch
-	packed encodedEpoch
+	mu       sync.Mutex
+	groups   map[string]encodedGroup
+	unpacked encodedEpoch
+	packed   encodedEpoch
 }
 
 type encodedGroup struct {
@@ -38,7 +38,7 @@
 func (e *groupEncoder) epoch(epoch *controlplane.EpochState, packed bool) (json.RawMessage, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	kept := &e.plain
+	kept := &e.unpacked
 	if packed {
 		kept = &e.packed
 	}
--- a/internal/distribution/encoder_test.go
+++ b/internal/distribution/encoder_test.go
@@ -34,21 +34,21 @@
 	}
 	again, _ := e.epoch(epochs[1], false)
 	if &first[0] != &again[0] {
-		t.Error("a second proxy's text is made anew")
+		t.Error("a second proxy's response is encoded anew")
 	}
 	kept := e.groups[controlplane.RoutesPrefix+"1"].encoded
 	full, _ := e.epoch(epochs[2], false)
 	if now := e.groups[controlplane.RoutesPrefix+"1"].encoded; &kept[0] != &now[0] {
-		t.Error("a group that did not change is made anew")
+		t.Error("a group that did not change is encoded anew")
 	}
-	plain := &rpc.FetchResponse{Epoch: 3, Manifest: epochs[2].Manifest(), Groups: epochs[2].Groups}
+	want := &rpc.FetchResponse{Epoch: 3, Manifest: epochs[2].Manifest(), Groups: epochs[2].Groups}
 	var got rpc.FetchResponse
-	if err := json.Unmarshal(full, &got); err != nil || !reflect.DeepEqual(plain, &got) {
+	if err := json.Unmarshal(full, &got); err != nil || !reflect.DeepEqual(want, &got) {
 		t.Errorf("%v: %s", err, full)
 	}
 	packed, err := e.epoch(epochs[2], true)
 	if again, _ := e.epoch(epochs[2], true); err != nil || &packed[0] != &again[0] {
-		t.Error("a second proxy's packed text is made anew", err)
+		t.Error("a second proxy's packed response is encoded anew", err)
 	}
 	for name, group := range got.Groups {
 		if controlplane.Digest(group.Data) != group.Digest {
--- a/internal/distribution/fetch_limiter_test.go
+++ b/internal/distribution/fetch_limiter_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestFetchLimiter_TellsEachALittleLater(t *testing.T) {
+func TestFetchLimiter_SendsEachAwayALittleLonger(t *testing.T) {
 	now := time.Now()
 	l := &fetchLimiter{limit: 2, maxRetryAfter: time.Second}
 	for range 2 {
--- a/internal/distribution/full_fetch_test.go
+++ b/internal/distribution/full_fetch_test.go
@@ -25,11 +25,11 @@
 			}
 			return nil, got.(*rpc.FetchResponse).RetryAfterMillis
 		}
-		gone, cancel := context.WithCancel(ctx)
+		ended, cancel := context.WithCancel(ctx)
 		cancel()
 		for range 5 {
-			if response, retryAfter := fetch(gone); response != nil || retryAfter != 0 {
-				t.Fatal("worked on for a proxy that is gone")
+			if response, retryAfter := fetch(ended); response != nil || retryAfter != 0 {
+				t.Fatal("worked on for a proxy that has gone")
 			}
 		}
 		one, _ := fetch(ctx)
--- a/internal/distribution/initial_fetch_test.go
+++ b/internal/distribution/initial_fetch_test.go
@@ -30,7 +30,7 @@
 	return asked
 }
 
-func TestInitialFetch_RefusedTriesTheNextAndWaitsLongerEachTime(t *testing.T) {
+func TestInitialFetch_RefusedAsksTheNextAndWaitsLongerEachTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		epoch := newEpochs(t, 1)[0]
 		encoded, _ := new(groupEncoder).epoch(epoch, false)
--- a/internal/rpc/client_test.go
+++ b/internal/rpc/client_test.go
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestCall_ErrorTellsWhatBecameOfTheRequest(t *testing.T) {
+func TestCall_ErrorSaysWhatBecameOfTheRequest(t *testing.T) {
 	refused := func(context.Context) (net.Conn, error) { return nil, errors.New("refused") }
 	for _, test := range []struct {
 		name string
--- a/internal/rpc/frame_test.go
+++ b/internal/rpc/frame_test.go
@@ -14,7 +14,7 @@
 		{Version: Version, ID: 2, Kind: "kin.sync", Deadline: 9, Body: json.RawMessage(`{"digest":7}`)},
 		{ID: 0, Body: large},
 	} {
-		plain, err := json.Marshal(frame)
+		want, err := json.Marshal(frame)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -23,8 +23,8 @@
 			t.Fatal(err)
 		}
 		var line bytes.Buffer
-		if err := got.writeTo(&line); err != nil || line.String() != string(plain)+"\n" || got.size() != line.Len() {
-			t.Errorf("%v: %.200s is not %.200s", err, line.String(), plain)
+		if err := got.writeTo(&line); err != nil || line.String() != string(want)+"\n" || got.size() != line.Len() {
+			t.Errorf("%v: %.200s is not %.200s", err, line.String(), want)
 		}
 		if len(frame.Body) > maxJoinedBody && &got[1][0] != &frame.Body[0] {
 			t.Error("a large body is copied")
--- a/internal/rpc/idle.go
+++ b/internal/rpc/idle.go
@@ -21,16 +21,16 @@
 		}
 		t.mu.Unlock()
 		for _, conn := range conns {
-			if conn.markIdle() {
+			if conn.retireIfIdle() {
 				conn.close()
 			}
 		}
 	}
 }
 
-// markIdle marks the connection as closed if it is idle, and reports whether it was. From
+// retireIfIdle marks the connection as closed if it is idle, and reports whether it did. From
 // then on no call can start on it.
-func (c *clientConn) markIdle() bool {
+func (c *clientConn) retireIfIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed || len(c.pending) > 0 || c.lastUsed.IsZero() || time.Since(c.lastUsed) < c.transport.env.Config.PeerIdleTimeout {
--- a/internal/rpc/idle_test.go
+++ b/internal/rpc/idle_test.go
@@ -32,7 +32,7 @@
 func (s *socket) Close() error   { s.once.Do(func() { close(s.over) }); return nil }
 func (s *socket) Addr() net.Addr { return &net.TCPAddr{} }
 
-func TestTransport_ClosesIdleConnectionsAndLosesNoCall(t *testing.T) {
+func TestTransport_ClosesIdleConnectionsWithoutLosingCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
@@ -96,7 +96,7 @@
 		conn.mu.Lock()
 		conn.lastUsed = conn.lastUsed.Add(-idle)
 		conn.mu.Unlock()
-		if !conn.markIdle() {
+		if !conn.retireIfIdle() {
 			t.Fatal("not idle")
 		}
 		call("now")
