--- a/internal/distribution/freshness.go
+++ b/internal/distribution/freshness.go
@@ -98,13 +98,13 @@
 // for what concerns none.
 //
 // By default the configuration and the service's shard must be confirmed within the setting
-// flow.fresh. A confirmation of an older epoch does for a newer snapshot too: what was in
+// distribution.max_age. A confirmation of an older epoch does for a newer snapshot too: what was in
 // force then is in it. One from before this process started does for nothing: an earlier run
 // of this proxy may have used an epoch that a deposed leader does not know.
 //
-// With the setting flow.stay the proxy goes on for so long after its last contact with any
-// control node; with flow.behind as well, only while no newer binding epoch is known within
-// that time.
+// With the setting distribution.offline_grace the proxy goes on for so long after its last
+// contact with any control node; with distribution.unconfirmed_grace as well, only while no
+// newer binding epoch is known within that time.
 func (f *freshness) isFresh(snapshot *Snapshot, service string) bool {
 	if snapshot == nil {
 		return false
--- a/internal/distribution/initial_fetch.go
+++ b/internal/distribution/initial_fetch.go
@@ -19,8 +19,8 @@
 
 // fetchInitial makes the full fetch of the start (the paper's fetchGroupConfig), and reports
 // false if the node ended before it succeeded. Unlike in the paper it never gives up. As long
-// as control nodes are overloaded the pause doubles, up to the setting flow.cool, with
-// jitter, and is no shorter than they asked for.
+// as control nodes are overloaded the pause doubles, up to the setting
+// distribution.retry_cooldown, with jitter, and is no shorter than they asked for.
 func (c *Client) fetchInitial() bool {
 	settings := c.env.Config
 	shortest := min(settings.DistributionRetryDelay, initialFetchRetry)
--- a/internal/distribution/listener.go
+++ b/internal/distribution/listener.go
@@ -69,9 +69,10 @@
 	return nearest
 }
 
-// runListener listens to one control node (the paper's HttpLongPollingTask#run) until that
-// is no longer one to listen to. After a failure it pauses for flow.retry; after flow.tries
-// failures in a row for flow.cool; after a poll that brought nothing for flow.pause.
+// runListener listens to one control node (the paper's HttpLongPollingTask#run) until that is
+// no longer one to listen to. After a failure it pauses for distribution.retry_delay; after
+// distribution.retry_attempts failures in a row for distribution.retry_cooldown; after a poll
+// that brought nothing for distribution.unchanged_delay.
 func (c *Client) runListener(name ids.NodeName, address string) {
 	defer c.removeListener(name, address)
 	isSource := func(source rpc.Member) bool { return source.Name == name && source.RPCAddress == address }
@@ -82,7 +83,7 @@
 		switch {
 		case err != nil:
 			failures++
-			c.env.Events.Emit(eventlog.LongPollFailed, "node", string(name), "tries", failures, "cause", err.Error())
+			c.env.Events.Emit(eventlog.LongPollFailed, "node", string(name), "failures", failures, "cause", err.Error())
 			pause = c.env.Config.DistributionRetryDelay
 			if failures >= c.env.Config.DistributionRetryAttempts {
 				failures, pause = 0, c.env.Config.DistributionRetryCooldown
--- a/internal/distribution/pulse.go
+++ b/internal/distribution/pulse.go
@@ -26,7 +26,7 @@
 	returnToNearestAfter = 5 * time.Second
 
 	// The intervals of pulses before the first answer, and while none comes, if they are
-	// shorter than the setting flow.pulse.
+	// shorter than the setting distribution.renewal_interval.
 	firstPulseInterval = 150 * time.Millisecond
 	retryPulseInterval = 250 * time.Millisecond
 
@@ -86,9 +86,9 @@
 }
 
 // sendPulseAside sends a pulse without waiting for those before it. With the setting
-// flow.behind the proxy's link may be slow, and an answer that comes late still holds, as its
-// age counts from when it was asked for. A control node that does not answer soon is skipped
-// by the next pulse all the same: it may be gone.
+// distribution.unconfirmed_grace the proxy's link may be slow, and an answer that comes late
+// still holds, as its age counts from when it was asked for. A control node that does not
+// answer soon is skipped by the next pulse all the same: it may be gone.
 func (c *Client) sendPulseAside(sources []rpc.Member, timeout time.Duration) {
 	if len(sources) == 0 {
 		c.pulse.answered.Store(false)
@@ -136,8 +136,8 @@
 }
 
 // returnToNearest chooses the nearest control node again some time after it was skipped, as
-// traffic between zones costs more. It does so only with the setting flow.stay, where no
-// request depends on each single pulse.
+// traffic between zones costs more. It does so only with the setting
+// distribution.offline_grace, where no request depends on each single pulse.
 func (c *Client) returnToNearest() {
 	skippedAt := c.pulse.skippedAt.Load()
 	if c.env.Config.DistributionOfflineGrace > 0 && skippedAt != nil && c.env.Since(*skippedAt) > returnToNearestAfter {
--- a/internal/distribution/server.go
+++ b/internal/distribution/server.go
@@ -77,7 +77,7 @@
 
 // listen holds a listener request (the paper's doLongPolling on the server) until there is an
 // epoch greater than the listener's, and then answers with what changed; or until the hold
-// time, the setting flow.hold, is over.
+// time, the setting distribution.long_poll_timeout, is over.
 func (s *Server) listen(ctx context.Context, request *rpc.ListenRequest) (*rpc.ListenResponse, error) {
 	hold := time.NewTimer(s.env.Config.DistributionLongPollTimeout)
 	defer hold.Stop()
--- a/internal/rpc/client_conn.go
+++ b/internal/rpc/client_conn.go
@@ -99,7 +99,7 @@
 	return nil
 }
 
-// dial opens a connection within the setting wire.dial. As long as none is open and none
+// dial opens a connection within the setting peer.dial_timeout. As long as none is open and none
 // was refused, another dial is begun beside it after a part of that time; the first to end
 // decides.
 func (c *clientConn) dial() (net.Conn, error) {
@@ -236,11 +236,11 @@
 	return frame.writeTo(c.conn)
 }
 
-// abandon forgets a call that ran out of time. It reports whether the connection is dead:
-// no byte came since the call was sent, for longer than the setting wire.deaf. A connection
-// that lived through a partition may otherwise stay silent for as long as TCP's growing
-// retransmission pauses last. One that is in the midst of a long response is not dead: to
-// begin that anew would fill the link that made it late.
+// abandon forgets a call that ran out of time. It reports whether the connection is dead: no
+// byte came since the call was sent, for longer than the setting peer.silence_timeout. A
+// connection that lived through a partition may otherwise stay silent for as long as TCP's
+// growing retransmission pauses last. One that is in the midst of a long response is not dead:
+// to begin that anew would fill the link that made it late.
 func (c *clientConn) abandon(id uint64, sent time.Time) (dead bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/rpc/doc.go
+++ b/internal/rpc/doc.go
@@ -4,7 +4,7 @@
 // connection to each peer that it calls; all calls to that peer share the connection, and
 // the ID of a Frame tells their responses apart. A frame is one line of JSON
 // (messages_gen.go, generated from schema/wire.yaml), no longer than the setting
-// wire.line says.
+// peer.max_message_bytes says.
 //
 // Errors are those of package errcode. A call whose request could not be written fails with
 // errcode.Unreachable: its peer has not acted on it. A call whose request was written, but
--- a/internal/rpc/idle.go
+++ b/internal/rpc/idle.go
@@ -10,7 +10,7 @@
 var errClosedIdle = errors.New("connection closed as idle")
 
 // closeIdleConns closes the outgoing connections on which nothing was asked for a while
-// (wire.idle). Each costs keep-alives at both ends, and a node that calls a random peer now
+// (peer.idle_timeout). Each costs keep-alives at both ends, and a node that calls a random peer now
 // and then would in time keep a connection to each of them.
 func (t *Transport) closeIdleConns() {
 	for t.env.Sleep(t.env.Config.PeerIdleTimeout / 4) {
--- a/internal/rpc/transport.go
+++ b/internal/rpc/transport.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// Start listens on wire.address and accepts connections until the node's environment ends.
+// Start listens on peer.address and accepts connections until the node's environment ends.
 func (t *Transport) Start() error {
 	listener, err := t.env.Host.Listen(t.env.Config.PeerAddress)
 	if err != nil {
