--- a/internal/node/calls.go
+++ b/internal/node/calls.go
@@ -1,10 +1,8 @@
-// The node's calls, as Go verbs: what servers, operators and applications ask of
-// any node, passed on to the owner of its part. The product's own API and any
-// other face of a node are made of these, and of nothing else.
 package node
 
 import (
 	"context"
+	"errors"
 	"sync"
 	"time"
 
@@ -16,52 +14,48 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// Heartbeat folds a server's beat. The address is where later beats are taken without
-// being passed on; it is empty if that is here, or not known.
-func (n *Node) Heartbeat(ctx context.Context, beat *rpc.TargetHeartbeat) (better string, err error) {
+// The calls below are what targets, operators and applications ask of any node. Whatever
+// serves a node, its own API included, is made of them alone.
+
+// How long calls take at most, unless the caller's context ends before.
+const (
+	callTimeout      = 3 * time.Second
+	submitTimeout    = 2 * callTimeout
+	heartbeatTimeout = 2 * time.Second
+	lookupTimeout    = 500 * time.Millisecond
+)
+
+// messageLookup asks a core node for the service of an instance.
+const messageLookup = "plan.whose"
+
+// maxSequence is above every number that an instance gives its heartbeats.
+const maxSequence = 1 << 62
+
+// Heartbeat takes a target's heartheartbeat. The address returned is the API of the node that
+// takes later ones without forwarding them; it is empty if that is this one, or not known.
+func (n *Node) Heartbeat(ctx context.Context, heartbeat *rpc.TargetHeartbeat) (betterAddress string, err error) {
 	n.heartbeats.Add(1)
 	limited, end := context.WithTimeout(ctx, heartbeatTimeout)
 	defer end()
-	if err := controlplane.ValidateHeartbeat(beat); err != nil {
-		n.Env.Events.Emit(eventlog.HeartbeatRejected, "service", beat.Service, "instance", beat.Instance, "cause", err.Error())
+	if err := controlplane.ValidateHeartbeat(heartbeat); err != nil {
+		n.Env.Events.Emit(eventlog.HeartbeatRejected, "service", heartbeat.Service, "instance", heartbeat.Instance, "cause", err.Error())
 		return "", err
 	}
-	if beat.State != controlplane.StateServing {
-		n.Env.Events.Emit(eventlog.TargetLeaving, "service", beat.Service, "instance", beat.Instance, "state", beat.State)
+	if heartbeat.State != controlplane.StateServing {
+		n.Env.Events.Emit(eventlog.TargetLeaving, "service", heartbeat.Service, "instance", heartbeat.Instance, "state", heartbeat.State)
 	}
-	no := ids.ShardOf(beat.Service)
-	var done struct{}
-	if err := n.forward(limited, operation{no, "beat", beat}, 0, &done); err != nil {
+	shard := ids.ShardOf(heartbeat.Service)
+	if _, err := heartbeatOperation.call(limited, n, shard, heartbeat); err != nil {
 		return "", err
 	}
-	if n.Consensus == nil || !n.Consensus.Replica(no).IsServing() {
-		better = n.leaderAPI(no)
-	}
-	return better, nil
-}
-
-// leaderAPI is the API address of the node that owns a part, if it is known.
-func (n *Node) leaderAPI(no ids.Shard) string {
-	known := n.leaders[no].Load()
-	if n.Consensus != nil {
-		if name, ok := n.Consensus.Leader(no); ok {
-			if m, ok := n.Members.Lookup(name); ok {
-				return m.APIAddress
-			}
-		}
-	}
-	if known == nil {
-		return ""
-	}
-	for _, m := range n.Members.CoreMembers() {
-		if m.RPCAddress == *known {
-			return m.APIAddress
-		}
+	if n.Consensus == nil || !n.Consensus.Replica(shard).IsServing() {
+		return n.leaderAPIAddress(shard), nil
 	}
-	return ""
+	return "", nil
 }
 
-// Deregister signs an instance off that names itself alone.
+// Deregister takes an instance out that names itself alone. It is an errcode.UnknownService
+// if no core node knows the instance.
 func (n *Node) Deregister(ctx context.Context, instance string) error {
 	limited, end := context.WithTimeout(ctx, heartbeatTimeout)
 	defer end()
@@ -70,15 +64,13 @@
 		return errcode.New(errcode.UnknownService, "of instance %q", instance)
 	}
 	n.Env.Events.Emit(eventlog.TargetLeaving, "service", service, "instance", instance, "state", controlplane.StateLeaving)
-	beat := &rpc.TargetHeartbeat{Service: service, Instance: instance, Sequence: maxSequence, Address: "0.0.0.0:0", State: controlplane.StateLeaving}
-	var done struct{}
-	return n.forward(limited, operation{ids.ShardOf(service), "beat", beat}, 0, &done)
+	heartbeat := &rpc.TargetHeartbeat{Service: service, Instance: instance, Sequence: maxSequence, Address: "0.0.0.0:0", State: controlplane.StateLeaving}
+	_, err := heartbeatOperation.call(limited, n, ids.ShardOf(service), heartbeat)
+	return err
 }
 
-// maxSequence is above every number that an instance gives its beats.
-const maxSequence = 1 << 62
-
-// serviceOf finds the service of an instance: here first, then at all core nodes.
+// serviceOf finds the service of an instance, here first, then at all core nodes; it is
+// empty if none knows it.
 func (n *Node) serviceOf(ctx context.Context, instance string) string {
 	if n.Targets != nil {
 		if service := n.Targets.ServiceOf(instance); service != "" {
@@ -87,67 +79,72 @@
 	}
 	cores := n.Members.CoreMembers()
 	found := make(chan string, len(cores))
-	var all sync.WaitGroup
-	limited, end := context.WithTimeout(ctx, 500*time.Millisecond)
+	var lookups sync.WaitGroup
+	limited, end := context.WithTimeout(ctx, lookupTimeout)
 	defer end()
 	for _, m := range cores {
 		if m.Name == n.Env.Name {
 			continue
 		}
-		all.Add(1)
+		lookups.Add(1)
 		n.Env.Go(func() {
-			defer all.Done()
-			var receipt rpc.InstanceLookupResponse
-			if n.RPC.Call(limited, m.RPCAddress, "plan.whose", &rpc.InstanceLookupRequest{Instance: instance}, &receipt) == nil && receipt.Service != "" {
-				found <- receipt.Service
+			defer lookups.Done()
+			var response rpc.InstanceLookupResponse
+			if n.RPC.Call(limited, m.RPCAddress, messageLookup, &rpc.InstanceLookupRequest{Instance: instance}, &response) == nil && response.Service != "" {
+				found <- response.Service
 			}
 		})
 	}
-	n.Env.Go(func() { all.Wait(); close(found) })
+	n.Env.Go(func() { lookups.Wait(); close(found) })
 	return <-found
 }
 
-// Submit is answered with yes or no by the owner alone: any other node can't know
-// whether the set was accepted when it was sent before under its id.
+// Submit submits a change set. Only the leader can say that one was not accepted: any other
+// node can't know whether it was when it was sent before under its id. So an error that
+// tells an outcome becomes an errcode.ChangeUnknown.
 func (n *Node) Submit(ctx context.Context, change *rpc.ChangeSet) (*rpc.ChangeResult, error) {
-	limited, end := context.WithTimeout(ctx, 2*callTimeout)
+	limited, end := context.WithTimeout(ctx, submitTimeout)
 	defer end()
-	receipt := &rpc.ChangeResult{}
-	err := n.forward(limited, operation{ids.ConfigShard, "submit", change}, 0, receipt)
+	result, err := submitOperation.call(limited, n, ids.ConfigShard, change)
 	if err != nil && errcode.From(err).Code.Outcome != "" {
 		err = errcode.New(errcode.ChangeUnknown, "%v", err)
 	}
-	return receipt, err
+	return result, err
 }
 
-// Config is the configuration in force, as the operators sent it.
+// Config returns the configuration in force, as the operators sent it.
 func (n *Node) Config(ctx context.Context) (*rpc.ConfigurationView, error) {
 	limited, end := context.WithTimeout(ctx, callTimeout)
 	defer end()
-	view := &rpc.ConfigurationView{}
-	return view, n.forward(limited, operation{ids.ConfigShard, "config", nil}, 0, view)
+	return configOperation.call(limited, n, ids.ConfigShard, nil)
 }
 
-// Coordinate passes a coordination call. One under an id may be a repeat of one that
-// was done, so that only an owner can say that it was not.
-func (n *Node) Coordinate(ctx context.Context, call *rpc.CoordinationRequest) (*rpc.CoordinationResponse, error) {
-	limited, end := context.WithTimeout(ctx, callTimeout+time.Duration(call.Wait)*time.Millisecond)
+// Coordinate makes a coordination call. One with an id may repeat one that was executed, so
+// that only the leader can say that it was not: any other error of it, and any reply that
+// was lost, becomes an errcode.WriteUnknown.
+func (n *Node) Coordinate(ctx context.Context, request *rpc.CoordinationRequest) (*rpc.CoordinationResponse, error) {
+	limited, end := context.WithTimeout(ctx, callTimeout+time.Duration(request.Wait)*time.Millisecond)
 	defer end()
-	if call.Operation != coordination.OpWatch && call.Operation != coordination.OpFollow {
+	if request.Operation != coordination.OpWatch && request.Operation != coordination.OpFollow {
 		defer n.observeCall(time.Now())
 	}
-	receipt := &rpc.CoordinationResponse{}
-	if err := n.forward(limited, operation{ids.ShardOf(call.Name), "bond", call}, 0, receipt); err != nil {
-		isNotRun := errcode.From(err).Code.Outcome == "not run"
-		if errcode.Is(err, errcode.ReplyLost) || isNotRun && call.ID != "" {
+	response, err := n.coordinate(limited, request)
+	if err != nil {
+		notRun := errcode.From(err).Code.Outcome == "not run"
+		if errors.Is(err, errcode.ReplyLost) || notRun && request.ID != "" {
 			err = errcode.New(errcode.WriteUnknown, "%v", err)
 		}
 		return nil, err
 	}
-	return receipt, nil
+	return response, nil
+}
+
+// coordinate makes a coordination call, whose errors are as they come.
+func (n *Node) coordinate(ctx context.Context, request *rpc.CoordinationRequest) (*rpc.CoordinationResponse, error) {
+	return coordinationOperation.call(ctx, n, ids.ShardOf(request.Name), request)
 }
 
-// Ready tells whether this node can do its work now.
+// Ready returns nil if this node can do its work now, or else what keeps it from it.
 func (n *Node) Ready() error {
 	if n.stopping.Load() {
 		return errcode.New(errcode.Stopping, "")
--- /dev/null
+++ b/internal/node/forward.go
@@ -0,0 +1,333 @@
+package node
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"time"
+
+	"github.com/sumactrestle/sumactrestle/internal/api"
+	"github.com/sumactrestle/sumactrestle/internal/coordination"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
+	"github.com/sumactrestle/sumactrestle/internal/rpc"
+)
+
+const (
+	// messageForward is the kind of the message that carries a call to another node.
+	messageForward = "seat.pass"
+	// leaderCheckInterval is how often a node that forwarded a long poll looks whether
+	// the shard has another leader.
+	leaderCheckInterval = 200 * time.Millisecond
+	// The pause between two attempts to reach a leader grows by the first up to the second.
+	retryDelayStep, maxRetryDelay = 20 * time.Millisecond, 150 * time.Millisecond
+)
+
+// errLeaderMoved ends the wait for a node that no longer leads the shard.
+var errLeaderMoved = errors.New("part has another owner")
+
+// operation is a kind of call that the leader of a shard executes. Its name stands in
+// forwarded messages. Response is what the result's JSON is read as where the call came in.
+type operation[Request, Response any] struct {
+	name    string
+	execute func(ctx context.Context, n *Node, request *Request) (any, error)
+}
+
+// The operations. Two builds in one fleet know them by their names.
+var (
+	heartbeatOperation = operation[rpc.TargetHeartbeat, struct{}]{"beat", func(ctx context.Context, n *Node, heartbeat *rpc.TargetHeartbeat) (any, error) {
+		return struct{}{}, n.Targets.HandleHeartbeat(ctx, heartbeat)
+	}}
+	coordinationOperation = operation[rpc.CoordinationRequest, rpc.CoordinationResponse]{"bond", func(ctx context.Context, n *Node, request *rpc.CoordinationRequest) (any, error) {
+		return n.Coordination.Handle(ctx, request)
+	}}
+	submitOperation = operation[rpc.ChangeSet, rpc.ChangeResult]{"submit", func(ctx context.Context, n *Node, change *rpc.ChangeSet) (any, error) {
+		return n.Planner.Submit(ctx, change)
+	}}
+	changeStatusOperation = operation[string, api.ChangeReceipt]{"change", func(ctx context.Context, n *Node, id *string) (any, error) {
+		return n.Planner.ChangeStatus(ctx, *id)
+	}}
+	configOperation = operation[none, rpc.ConfigurationView]{"config", func(ctx context.Context, n *Node, _ *none) (any, error) {
+		return n.Planner.Config(ctx)
+	}}
+	epochOperation = operation[none, api.EpochView]{"epoch", func(ctx context.Context, n *Node, _ *none) (any, error) {
+		return n.Planner.EpochView(ctx)
+	}}
+)
+
+// none is the request of an operation that takes none; it travels as null.
+type none struct{}
+
+// executors execute an operation by its name, from and to JSON.
+var executors = map[string]func(ctx context.Context, n *Node, body json.RawMessage) (json.RawMessage, error){
+	heartbeatOperation.name:    heartbeatOperation.executeJSON,
+	coordinationOperation.name: coordinationOperation.executeJSON,
+	submitOperation.name:       submitOperation.executeJSON,
+	changeStatusOperation.name: changeStatusOperation.executeJSON,
+	configOperation.name:       configOperation.executeJSON,
+	epochOperation.name:        epochOperation.executeJSON,
+}
+
+// executeJSON executes the operation at the leader. A request that can't be read is an
+// errcode.InvalidMessage.
+func (o operation[Request, Response]) executeJSON(ctx context.Context, n *Node, body json.RawMessage) (json.RawMessage, error) {
+	request := new(Request)
+	if _, takesNone := any(request).(*none); !takesNone {
+		if err := json.Unmarshal(body, request); err != nil {
+			return nil, errcode.New(errcode.InvalidMessage, "%s: %v", o.name, err)
+		}
+	}
+	result, err := o.execute(ctx, n, request)
+	if err != nil {
+		return nil, err
+	}
+	return marshal(result)
+}
+
+// call has the operation executed by the shard's leader, wherever it is, and returns the
+// result, which is never nil.
+func (o operation[Request, Response]) call(ctx context.Context, n *Node, shard ids.Shard, request *Request) (*Response, error) {
+	response := new(Response)
+	var body json.RawMessage
+	var err error
+	if _, takesNone := any(request).(*none); takesNone {
+		body = json.RawMessage("null")
+	} else if body, err = marshal(request); err != nil {
+		return response, err
+	}
+	c := call{shard: shard, operation: o.name, body: body}
+	if coordinate, ok := any(request).(*rpc.CoordinationRequest); ok {
+		c.longPoll = longPollOf(coordinate)
+	}
+	result, err := n.forward(ctx, c, 0)
+	if err != nil {
+		return response, err
+	}
+	if err := json.Unmarshal(result, response); err != nil {
+		return response, errcode.New(errcode.Internal, "%v", err)
+	}
+	return response, nil
+}
+
+// marshal encodes a value of this program; that it can't is an errcode.Internal.
+func marshal(value any) (json.RawMessage, error) {
+	body, err := json.Marshal(value)
+	if err != nil {
+		return nil, errcode.New(errcode.Internal, "%v", err)
+	}
+	return body, nil
+}
+
+// call is one call on its way to the leader of its shard.
+type call struct {
+	shard     ids.Shard
+	operation string
+	body      json.RawMessage
+	// longPoll is the request if it waits until something happens, or else nil. It only
+	// reads, so that it may be asked again of another leader.
+	longPoll *rpc.CoordinationRequest
+}
+
+// longPollOf returns the request if it is a long poll.
+func longPollOf(request *rpc.CoordinationRequest) *rpc.CoordinationRequest {
+	if request.Wait <= 0 || request.Operation != coordination.OpFollow && request.Operation != coordination.OpWatch {
+		return nil
+	}
+	return request
+}
+
+// forward has a call executed here, if this node leads its shard, or forwards it to the
+// leader, or to the core nodes in turn while that is not known. Until the context ends it
+// looks for the leader again, as long as the call is known not to have run; one that was
+// forwarded to this node (hops above zero) is tried once.
+func (n *Node) forward(ctx context.Context, c call, hops int) (json.RawMessage, error) {
+	began := n.Env.Now()
+	var err error
+	for attempt := 0; ctx.Err() == nil; attempt++ {
+		if n.Consensus != nil && n.Consensus.HasLostQuorum(c.shard) {
+			return nil, errcode.New(errcode.NoLeader, "part %d: no word of a majority here; ask another node", c.shard)
+		}
+		if c.longPoll != nil && attempt > 0 {
+			rest := *c.longPoll
+			rest.Wait = max(0, c.longPoll.Wait-n.Env.Since(began).Milliseconds())
+			body, err := marshal(&rest)
+			if err != nil {
+				return nil, err
+			}
+			c.body = body
+		}
+		var result json.RawMessage
+		if n.Consensus != nil && n.Consensus.Replica(c.shard).IsServing() {
+			result, err = n.execute(ctx, c)
+		} else if address := n.leaderAddress(c.shard, attempt); address != "" {
+			result, err = n.forwardTo(ctx, c, hops, address)
+		} else if err == nil {
+			err = errcode.New(errcode.NoLeader, "part %d", c.shard)
+		}
+		if err == nil {
+			return result, nil
+		}
+		if hops > 0 || !isRetryable(err) {
+			return nil, err
+		}
+		select {
+		case <-ctx.Done():
+		case <-time.After(min(time.Duration(attempt+1)*retryDelayStep, maxRetryDelay)):
+		}
+	}
+	if err == nil {
+		err = errcode.New(errcode.NoLeader, "part %d", c.shard)
+	}
+	return nil, err
+}
+
+// execute executes a call at the leader of its shard.
+func (n *Node) execute(ctx context.Context, c call) (json.RawMessage, error) {
+	execute, ok := executors[c.operation]
+	if !ok {
+		return nil, errcode.New(errcode.UnknownKind, "%q", c.operation)
+	}
+	return execute(ctx, n, c.body)
+}
+
+// forwardTo sends a call to the node at an address, and remembers it as the leader if it
+// answers. A long poll is given up, as one without a leader, when the leader changes.
+func (n *Node) forwardTo(ctx context.Context, c call, hops int, address string) (json.RawMessage, error) {
+	limited, cancel := ctx, context.CancelFunc(func() {})
+	if c.longPoll != nil {
+		limited, cancel = n.whileLedAt(ctx, c.shard, address)
+	}
+	defer cancel()
+	var response rpc.ForwardResponse
+	err := n.RPC.Forward(limited, address, messageForward, hops+1, &rpc.ForwardRequest{Shard: c.shard, Operation: c.operation, Body: c.body}, &response)
+	if err != nil {
+		if c.longPoll != nil && (context.Cause(limited) == errLeaderMoved || errors.Is(err, errcode.ReplyLost)) {
+			err = errcode.New(errcode.NoLeader, "part %d: %v", c.shard, err)
+		}
+		n.leaders[c.shard].Store(nil)
+		return nil, err
+	}
+	n.leaders[c.shard].Store(&address)
+	return response.Body, nil
+}
+
+// handleForward executes a call that another node forwarded, or forwards it further.
+func (n *Node) handleForward(r *rpc.Request) (any, error) {
+	var request rpc.ForwardRequest
+	if err := r.Decode(&request); err != nil {
+		return nil, err
+	}
+	if request.Shard < 0 || request.Shard > ids.ConfigShard {
+		return nil, errcode.New(errcode.InvalidMessage, "no part %d", request.Shard)
+	}
+	if r.Hops > rpc.MaxHops {
+		return nil, errcode.New(errcode.TooManyHops, "%d", r.Hops)
+	}
+	c := call{shard: request.Shard, operation: request.Operation, body: request.Body}
+	if c.operation == coordinationOperation.name {
+		// One that can't be read is refused by the leader.
+		var coordinate rpc.CoordinationRequest
+		if json.Unmarshal(c.body, &coordinate) == nil {
+			c.longPoll = longPollOf(&coordinate)
+		}
+	}
+	result, err := n.forward(r, c, r.Hops)
+	if err != nil {
+		return nil, err
+	}
+	return &rpc.ForwardResponse{Body: result}, nil
+}
+
+// whileLedAt returns a context that ends with errLeaderMoved once another node leads the
+// shard: a leader that lost its power answers nothing, and a long poll is silent for so
+// long that silence says nothing.
+func (n *Node) whileLedAt(ctx context.Context, shard ids.Shard, address string) (context.Context, context.CancelFunc) {
+	limited, cancel := context.WithCancelCause(ctx)
+	if n.Consensus != nil {
+		n.Env.Go(func() {
+			check := time.NewTicker(leaderCheckInterval)
+			defer check.Stop()
+			for {
+				select {
+				case <-limited.Done():
+					return
+				case <-check.C:
+				}
+				if n.isLedElsewhere(shard, address) {
+					cancel(errLeaderMoved)
+					return
+				}
+			}
+		})
+	}
+	return limited, func() { cancel(nil) }
+}
+
+// isLedElsewhere reports whether a node at another address is known to lead the shard.
+func (n *Node) isLedElsewhere(shard ids.Shard, address string) bool {
+	name, ok := n.Consensus.Leader(shard)
+	if !ok {
+		return false
+	}
+	if name == n.Env.Name {
+		return n.Consensus.Replica(shard).IsServing()
+	}
+	m, ok := n.Members.Lookup(name)
+	return ok && m.RPCAddress != address
+}
+
+// isRetryable reports whether the call certainly did not run.
+func isRetryable(err error) bool {
+	for _, code := range []errcode.Code{errcode.NotLeader, errcode.NoLeader, errcode.Unreachable, errcode.TooManyHops, errcode.Stopping} {
+		if errors.Is(err, code) {
+			return true
+		}
+	}
+	return false
+}
+
+// leaderAddress is where to send a call: the known leader, or a core node in turn; empty
+// if there is none.
+func (n *Node) leaderAddress(shard ids.Shard, attempt int) string {
+	if n.Consensus != nil {
+		if name, ok := n.Consensus.Leader(shard); ok && name != n.Env.Name {
+			if m, ok := n.Members.Lookup(name); ok {
+				return m.RPCAddress
+			}
+		}
+	}
+	if known := n.leaders[shard].Load(); known != nil {
+		return *known
+	}
+	var cores []rpc.Member
+	for _, m := range n.Members.CoreMembers() {
+		if m.Name != n.Env.Name {
+			cores = append(cores, m)
+		}
+	}
+	if len(cores) == 0 {
+		return ""
+	}
+	return cores[attempt%len(cores)].RPCAddress
+}
+
+// leaderAPIAddress is the API address of the node that leads a shard, if it is known.
+func (n *Node) leaderAPIAddress(shard ids.Shard) string {
+	if n.Consensus != nil {
+		if name, ok := n.Consensus.Leader(shard); ok {
+			if m, ok := n.Members.Lookup(name); ok {
+				return m.APIAddress
+			}
+		}
+	}
+	known := n.leaders[shard].Load()
+	if known == nil {
+		return ""
+	}
+	for _, m := range n.Members.CoreMembers() {
+		if m.RPCAddress == *known {
+			return m.APIAddress
+		}
+	}
+	return ""
+}
