--- a/internal/simulator/bootstrap_test.go
+++ b/internal/simulator/bootstrap_test.go
@@ -1,4 +1,4 @@
-// Founding while founders are killed and lose power: there is one fleet in the
+// Bootstrap while founders are killed and lose power: there is one cluster in the
 // end, whatever happened on the way, and a store that took the place of a
 // damaged one never founds another.
 
@@ -20,8 +20,8 @@
 	"github.com/sumactrestle/sumactrestle/internal/standin"
 )
 
-// fleets is the charters in force, and how many core nodes have one.
-func fleets(f *Fleet) (ids map[string]bool, n int) {
+// openClusters is the charters in force, and how many core nodes have one.
+func openClusters(f *Fleet) (ids map[string]bool, n int) {
 	ids = map[string]bool{}
 	for _, m := range f.Cores() {
 		if node := m.Node(); node != nil {
@@ -53,14 +53,14 @@
 					time.Sleep(time.Duration(r.Int64N(int64(100 * time.Millisecond))))
 					f.startMachine(m)
 				}
-				if !f.WaitUntil(15*time.Second, func() bool { _, n := fleets(f); return n == 3 }) {
-					t.Error("the fleet is not founded")
+				if !f.WaitUntil(15*time.Second, func() bool { _, n := openClusters(f); return n == 3 }) {
+					t.Error("no cluster is formed")
 				}
-				if ids, _ := fleets(f); len(ids) > 1 {
-					t.Errorf("there are %d fleets", len(ids))
+				if ids, _ := openClusters(f); len(ids) > 1 {
+					t.Errorf("there are %d clusters", len(ids))
 				}
 				if !f.WaitUntil(15*time.Second, f.isRepaired) {
-					t.Error("not every part has an owner")
+					t.Error("not every shard has a leader")
 				}
 			})
 		})
@@ -69,7 +69,7 @@
 
 func TestBootstrap_DamagedCoreFormsNoSecondCluster(t *testing.T) {
 	inFleet(t, one(), func(t *testing.T, f *Fleet) {
-		before, _ := fleets(f)
+		before, _ := openClusters(f)
 		for _, m := range f.Cores() {
 			m.Kill(false)
 			f.Network.Disk(m.IP).CorruptManifest()
@@ -79,8 +79,8 @@
 		}
 		time.Sleep(20 * time.Second)
 		for id := range before {
-			if after, n := fleets(f); n > 0 && !after[id] || len(after) > 1 {
-				t.Errorf("fleet %s was there, now %v", id, after)
+			if after, n := openClusters(f); n > 0 && !after[id] || len(after) > 1 {
+				t.Errorf("cluster %s was there, now %v", id, after)
 			}
 		}
 		for _, m := range f.Cores() {
@@ -95,7 +95,7 @@
 }
 
 // TestBootstrap_FounderLosesDiskBeforeOpening: the others have accepted a charter
-// that names a birth which is gone; the fleet is founded all the same, once.
+// that names a member id which is gone; the cluster is formed all the same, once.
 func TestBootstrap_FounderLosesDiskBeforeOpening(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := NewFleet(1, Small(), io.Discard)
@@ -121,14 +121,14 @@
 		time.Sleep(3 * time.Second) // of virtual time, in which the answer is given up
 		f.Network.Heal()
 		f.startMachine(victim)
-		if !f.WaitUntil(15*time.Second, func() bool { _, n := fleets(f); return n == 3 }) {
-			t.Fatal("the fleet is not founded")
+		if !f.WaitUntil(15*time.Second, func() bool { _, n := openClusters(f); return n == 3 }) {
+			t.Fatal("no cluster is formed")
 		}
-		if ids, _ := fleets(f); len(ids) > 1 {
-			t.Errorf("there are %d fleets", len(ids))
+		if ids, _ := openClusters(f); len(ids) > 1 {
+			t.Errorf("there are %d clusters", len(ids))
 		}
 		if !f.WaitUntil(15*time.Second, f.isRepaired) {
-			t.Error("not every part has an owner")
+			t.Error("not every shard has a leader")
 		}
 	})
 }
--- a/internal/simulator/changeset_test.go
+++ b/internal/simulator/changeset_test.go
@@ -44,7 +44,7 @@
 				first = receipt
 			}
 			if n%70 == 50 {
-				m := f.owner(ids.ConfigShard)
+				m := f.leader(ids.ConfigShard)
 				m.Kill(true)
 				if n%140 == 50 {
 					f.Network.Disk(m.IP).Wipe()
--- a/internal/simulator/contact_test.go
+++ b/internal/simulator/contact_test.go
@@ -1,5 +1,5 @@
-// A core node that has no word of a majority hands out nothing that may be old: each
-// kind of call is told at once to ask another node, and nothing is confirmed.
+// A core node without contact to a quorum gives out nothing that may be stale: each kind of
+// call is answered promptly that another node must be asked, and nothing is confirmed.
 
 package simulator
 
@@ -21,8 +21,8 @@
 	"github.com/sumactrestle/sumactrestle/internal/standin"
 )
 
-// atOnce is how long a node without contact may take to say so.
-const atOnce = 200 * time.Millisecond
+// promptly is how long a node without contact may take to say so.
+const promptly = 200 * time.Millisecond
 
 // askWire sends one message to a machine, as a node would.
 func (f *Fleet) askWire(t *testing.T, m *Machine, kind string, ask any) *rpc.Frame {
@@ -44,8 +44,8 @@
 	return receipt
 }
 
-// givesOut names the messages by which a proxy would get something from a machine.
-func (f *Fleet) givesOut(t *testing.T, m *Machine) (kinds []string) {
+// servedKinds names the messages by which a proxy would get something from a machine.
+func (f *Fleet) servedKinds(t *testing.T, m *Machine) (kinds []string) {
 	t.Helper()
 	var some []string
 	for name := range m.Node().Plan.Current().Manifest() {
@@ -87,28 +87,28 @@
 }
 
 func TestNode_WithoutQuorumContactServesNothing(t *testing.T) {
-	for _, manner := range []string{"both ways", "inward", "outward", "with a third of the callers"} {
-		for _, isOwner := range []bool{true, false} {
-			t.Run(fmt.Sprintf("%s, owner %v", manner, isOwner), func(t *testing.T) {
+	for _, direction := range []string{"both ways", "inward", "outward", "with a third of the callers"} {
+		for _, isLeader := range []bool{true, false} {
+			t.Run(fmt.Sprintf("%s, leader %v", direction, isLeader), func(t *testing.T) {
 				shape := Small()
 				shape.Cores = 5
-				inFleet(t, shape, func(t *testing.T, f *Fleet) { playContact(t, f, manner, isOwner) })
+				inFleet(t, shape, func(t *testing.T, f *Fleet) { checkQuorumContact(t, f, direction, isLeader) })
 			})
 		}
 	}
 }
 
-func playContact(t *testing.T, f *Fleet, manner string, isOwner bool) {
+func checkQuorumContact(t *testing.T, f *Fleet, direction string, isLeader bool) {
 	time.Sleep(3 * time.Second)
-	m := f.owner(ids.ConfigShard)
-	if !isOwner {
+	m := f.leader(ids.ConfigShard)
+	if !isLeader {
 		m = follower(f, ids.ConfigShard)
 	}
-	if got := f.givesOut(t, m); len(got) != 4 {
+	if got := f.servedKinds(t, m); len(got) != 4 {
 		t.Fatalf("in contact it gives out only %v", got)
 	}
-	f.cutContact(m, manner)
-	time.Sleep(shapeContact)
+	f.cutQuorumContact(m, direction)
+	time.Sleep(contactLossNoticed)
 	other := f.Machine("proxy2")
 	operator := standin.NewOperator(f.Network.HostAt(f.clientHost(2)), f.History, other.APIAddress())
 	view, err := operator.Epoch(f.ctx)
@@ -118,7 +118,7 @@
 	if _, err := operator.Submit(f.ctx, f.setChange(f.Rand, "meanwhile", view)); err != nil {
 		t.Fatal("the others take no change:", err)
 	}
-	if got := f.givesOut(t, m); len(got) > 0 {
+	if got := f.servedKinds(t, m); len(got) > 0 {
 		t.Errorf("without contact it gives out %v", got)
 	}
 	client := standin.NewAPIClient(f.Network.HostAt(f.clientHost(1)), m.APIAddress())
@@ -127,7 +127,7 @@
 	for name, call := range f.calls(client, heartbeat, f.setChange(f.Rand, "cut off", view)) {
 		began := time.Now()
 		err := call()
-		if took := time.Since(began); took > atOnce {
+		if took := time.Since(began); took > promptly {
 			t.Errorf("%s: answered after %s", name, took)
 		}
 		// A change may be the repeat of one that was taken, so nothing is said of it.
@@ -140,30 +140,30 @@
 		}
 	}
 	f.Network.Heal()
-	if !f.WaitUntil(5*time.Second, func() bool { return len(f.givesOut(t, m)) == 4 }) {
+	if !f.WaitUntil(5*time.Second, func() bool { return len(f.servedKinds(t, m)) == 4 }) {
 		t.Error("in contact again it gives nothing out")
 	}
 }
 
-// shapeContact is after how long a node must have noticed that it has no contact.
-const shapeContact = 4 * time.Second
+// contactLossNoticed is after how long a node must have noticed that it has no contact.
+const contactLossNoticed = 4 * time.Second
 
-// cutContact cuts a core node off from the other core nodes.
-func (f *Fleet) cutContact(m *Machine, manner string) {
+// cutQuorumContact cuts a core node off from the other core nodes.
+func (f *Fleet) cutQuorumContact(m *Machine, direction string) {
 	for _, other := range f.Cores() {
 		if other == m {
 			continue
 		}
-		if manner != "inward" {
+		if direction != "inward" {
 			f.Network.Partition(m.IP, other.IP)
 		}
-		if manner != "outward" {
+		if direction != "outward" {
 			f.Network.Partition(other.IP, m.IP)
 		}
 	}
-	if manner == "with a third of the callers" {
-		f.cutFrom(m, f.Machine("proxy2"))
-		f.cutFrom(f.Machine("proxy1"), f.filter(func(o *Machine) bool { return o != m })...)
+	if direction == "with a third of the callers" {
+		f.isolateFrom(m, f.Machine("proxy2"))
+		f.isolateFrom(f.Machine("proxy1"), f.filter(func(o *Machine) bool { return o != m })...)
 	}
 }
 
@@ -179,13 +179,13 @@
 		time.Sleep(3 * time.Second)
 		m, proxyNode := follower(f, ids.ConfigShard), f.Machine("proxy1")
 		proxyNode.Kill(false)
-		f.cutContact(m, "with a third of the callers")
-		time.Sleep(shapeContact)
+		f.cutQuorumContact(m, "with a third of the callers")
+		time.Sleep(contactLossNoticed)
 		f.startMachine(proxyNode)
 		for range 100 {
 			time.Sleep(100 * time.Millisecond)
 			if err := proxyNode.Node().Ready(); err == nil {
-				t.Fatal("ready without a plan that a majority stands behind")
+				t.Fatal("ready without a configuration that a quorum confirms")
 			}
 		}
 		f.Network.Heal()
--- a/internal/simulator/disk_test.go
+++ b/internal/simulator/disk_test.go
@@ -17,7 +17,7 @@
 	inFleet(t, one(), func(t *testing.T, f *Fleet) {
 		time.Sleep(3 * time.Second)
 		shard := ids.ShardOf("app/a")
-		full := f.owner(shard)
+		full := f.leader(shard)
 		node := full.Node()
 		client := standin.NewAPIClient(f.Network.HostAt(f.clientHost(1)), full.APIAddress())
 		put := func() bool {
@@ -26,7 +26,7 @@
 		}
 		f.Network.Disk(full.IP).Fill()
 		go put() // what is written shows that the disk is full
-		if !f.WaitUntil(5*time.Second, func() bool { m := f.owner(shard); return m != nil && m != full }) {
+		if !f.WaitUntil(5*time.Second, func() bool { m := f.leader(shard); return m != nil && m != full }) {
 			t.Fatal("the shard is not given up")
 		}
 		if full.Node() != node {
@@ -58,7 +58,7 @@
 			}
 			time.Sleep(500 * time.Millisecond)
 			now := full.status(shard)
-			return node.Store.StallTime() == 0 && now.CommitIndex > before.CommitIndex && now.LastIndex == f.owner(shard).status(shard).LastIndex
+			return node.Store.StallTime() == 0 && now.CommitIndex > before.CommitIndex && now.LastIndex == f.leader(shard).status(shard).LastIndex
 		}) {
 			t.Error("it does not come back by itself")
 		}
--- a/internal/simulator/membership_change_test.go
+++ b/internal/simulator/membership_change_test.go
@@ -1,5 +1,5 @@
-// A member that was replaced while it was cut off must not take part in the
-// choice of an owner: its old group is no majority of the group in force.
+// A member that was replaced while it was cut off must not decide on a leader: a majority of
+// the voters that it knows is no quorum of the newest ones.
 
 package simulator
 
@@ -19,8 +19,8 @@
 	"github.com/sumactrestle/sumactrestle/internal/standin"
 )
 
-// owner is the core node that serves a part, or nil.
-func (f *Fleet) owner(shard ids.Shard) *Machine {
+// leader is the core node that serves a shard, or nil.
+func (f *Fleet) leader(shard ids.Shard) *Machine {
 	for _, m := range f.Cores() {
 		if m.Node() != nil && m.Node().Consensus.Replica(shard).IsServing() {
 			return m
@@ -29,16 +29,16 @@
 	return nil
 }
 
-// groupOf is a part's group as one member has it.
-func (f *Fleet) groupOf(m *Machine, shard ids.Shard) (group []*Machine) {
+// votersOf is a shard's voters as one member knows them.
+func (f *Fleet) votersOf(m *Machine, shard ids.Shard) (voters []*Machine) {
 	for _, peer := range m.Node().Consensus.Replica(shard).Status().Voters {
-		group = append(group, f.Machine(string(peer.Name)))
+		voters = append(voters, f.Machine(string(peer.Name)))
 	}
-	return group
+	return voters
 }
 
-// cutFrom cuts a machine off from others, both ways.
-func (f *Fleet) cutFrom(m *Machine, others ...*Machine) {
+// isolateFrom cuts a machine off from others, both ways.
+func (f *Fleet) isolateFrom(m *Machine, others ...*Machine) {
 	for _, other := range others {
 		if other != m {
 			f.Network.Partition(m.IP, other.IP)
@@ -47,8 +47,8 @@
 	}
 }
 
-func isIn(m *Machine, group []*Machine) bool {
-	for _, other := range group {
+func isIn(m *Machine, machines []*Machine) bool {
+	for _, other := range machines {
 		if other == m {
 			return true
 		}
@@ -56,33 +56,33 @@
 	return false
 }
 
-// replaceOne cuts one member of a part off until a spare has its place, and
-// returns the owner, the member replaced, the one that stayed and the spare.
-func (f *Fleet) replaceOne(t *testing.T, shard ids.Shard) (owner, replaced, stayed, spare *Machine) {
+// replaceVoter cuts one voter of a shard off until a spare has its place, and
+// returns the leader, the voter replaced, the one that stayed and the spare.
+func (f *Fleet) replaceVoter(t *testing.T, shard ids.Shard) (leader, replaced, stayed, spare *Machine) {
 	t.Helper()
-	owner = f.owner(shard)
-	before := f.groupOf(owner, shard)
+	leader = f.leader(shard)
+	before := f.votersOf(leader, shard)
 	for _, m := range before {
-		if m != owner && replaced == nil {
+		if m != leader && replaced == nil {
 			replaced = m
-		} else if m != owner {
+		} else if m != leader {
 			stayed = m
 		}
 	}
-	f.cutFrom(replaced, f.Machines...)
+	f.isolateFrom(replaced, f.Machines...)
 	if !f.WaitUntil(40*time.Second, func() bool {
-		group := f.groupOf(owner, shard)
-		return f.owner(shard) == owner && len(group) == 3 && !isIn(replaced, group)
+		voters := f.votersOf(leader, shard)
+		return f.leader(shard) == leader && len(voters) == 3 && !isIn(replaced, voters)
 	}) {
 		t.Fatal("the member that was cut off is not replaced")
 	}
-	for _, m := range f.groupOf(owner, shard) {
+	for _, m := range f.votersOf(leader, shard) {
 		if !isIn(m, before) {
 			spare = m
 		}
 	}
 	time.Sleep(500 * time.Millisecond)
-	return owner, replaced, stayed, spare
+	return leader, replaced, stayed, spare
 }
 
 // catchUp is the shortest time within which the users count a core node that is back
@@ -96,8 +96,8 @@
 	return shape
 }
 
-// killAtJointStep takes the power of the owner at the moment at which the first step
-// of a change of a part's voters is committed there.
+// killAtJointStep takes the power of the leader at the moment at which the first step of a
+// change of a shard's voters is committed there.
 func (f *Fleet) killAtJointStep(shard ids.Shard) <-chan *Machine {
 	killed := make(chan *Machine, 1)
 	var once sync.Once
@@ -123,31 +123,31 @@
 	inFleet(t, fiveCores(), func(t *testing.T, f *Fleet) {
 		shard := ids.ShardOf("app/a")
 		time.Sleep(3 * time.Second)
-		owner := f.owner(shard)
+		leader := f.leader(shard)
 		var lost *Machine
-		for _, m := range f.groupOf(owner, shard) {
-			if m != owner {
+		for _, m := range f.votersOf(leader, shard) {
+			if m != leader {
 				lost = m
 			}
 		}
 		killed := f.killAtJointStep(shard)
-		f.cutFrom(lost, f.Machines...)
+		f.isolateFrom(lost, f.Machines...)
 		select {
 		case m := <-killed:
-			if m != owner {
-				t.Fatalf("%s was the owner, not %s", m.Name, owner.Name)
+			if m != leader {
+				t.Fatalf("%s was the leader, not %s", m.Name, leader.Name)
 			}
 		case <-time.After(20 * time.Second):
 			t.Fatal("no change of voters was begun")
 		}
-		// The owner stays away; the member that was to be replaced is back. One of the
+		// The leader stays away; the member that was to be replaced is back. One of the
 		// former and one of the new members are left with it.
 		f.Network.Heal()
 		if !f.WaitUntil(10*time.Second, func() bool {
-			m := f.owner(shard)
+			m := f.leader(shard)
 			return m != nil && len(m.status(shard).Voters) == 3 && len(m.status(shard).OutgoingVoters) == 0
 		}) {
-			t.Error("the change is not finished by the next owner")
+			t.Error("the change is not finished by the next leader")
 		}
 	})
 }
@@ -161,9 +161,9 @@
 		f.startMachine(m)
 		began := time.Now()
 		if !f.WaitUntil(catchUp, f.isRepaired) {
-			t.Fatalf("not mended within %s", catchUp)
+			t.Fatalf("not recovered within %s", catchUp)
 		}
-		t.Logf("all copies mended after %s", time.Since(began))
+		t.Logf("all replicas recovered after %s", time.Since(began))
 	})
 }
 
@@ -178,17 +178,17 @@
 		put(`"old"`)
 		time.Sleep(3 * time.Second)
 		shard := ids.ShardOf("app/a")
-		owner, replaced, stayed, spare := f.replaceOne(t, shard)
-		f.cutFrom(stayed, owner, spare)
+		leader, replaced, stayed, spare := f.replaceVoter(t, shard)
+		f.isolateFrom(stayed, leader, spare)
 		time.Sleep(700 * time.Millisecond)
 		put(`"new"`)
-		owner.Kill(true)
+		leader.Kill(true)
 		f.Network.Heal()
-		f.cutFrom(spare, f.Machines...)
+		f.isolateFrom(spare, f.Machines...)
 		for range 60 {
 			time.Sleep(100 * time.Millisecond)
-			if m := f.owner(shard); m == replaced || m == stayed {
-				t.Fatalf("%s owns the part without the member that has the last write", m.Name)
+			if m := f.leader(shard); m == replaced || m == stayed {
+				t.Fatalf("%s leads the shard without the member that has the last write", m.Name)
 			}
 		}
 		f.Network.Heal()
@@ -199,21 +199,21 @@
 			}
 			return err == nil
 		}) {
-			t.Error("the part is not served again")
+			t.Error("the shard is not served again")
 		}
 	})
 }
 
-// status is a part as a machine has it.
+// status is a shard's replica as a machine has it.
 func (m *Machine) status(shard ids.Shard) consensus.Status {
 	return m.Node().Consensus.Replica(shard).Status()
 }
 
-// checkConformance fails where a step of a replicated part broke an invariant.
+// checkConformance fails where a step of a replica broke an invariant.
 func (f *Fleet) checkConformance(t *testing.T) {
 	t.Helper()
 	if f.conformance.Steps() == 0 {
-		t.Error("no step of a replicated part was seen")
+		t.Error("no step of a replica was seen")
 	}
 	for _, r := range f.History.Records() {
 		if r.Kind == checker.ReplicaDivergence && !strings.HasPrefix(r.Note, eventlog.ReplicaRepaired.Text) {
--- a/internal/simulator/prevote_test.go
+++ b/internal/simulator/prevote_test.go
@@ -1,4 +1,4 @@
-// Standing early: a core that lost all its processes owns its parts soon after the
+// Pre-votes: a core that lost all its processes has leaders again soon after the
 // last of them is back, and a member that comes back alone takes nothing from others.
 
 package simulator
@@ -12,8 +12,8 @@
 	"github.com/sumactrestle/sumactrestle/internal/ids"
 )
 
-// served is how many parts have an owner that serves.
-func served(f *Fleet) (n int) {
+// countServedShards is how many shards have a leader that serves.
+func countServedShards(f *Fleet) (n int) {
 	for shard := range ids.ShardCount + 1 {
 		if leaderOf(f, ids.Shard(shard), nil) != nil {
 			n++
@@ -34,11 +34,11 @@
 					f.startMachine(m)
 				}
 				back := time.Now()
-				for served(f) < ids.ShardCount+1 && time.Since(back) < 10*time.Second {
+				for countServedShards(f) < ids.ShardCount+1 && time.Since(back) < 10*time.Second {
 					time.Sleep(10 * time.Millisecond)
 				}
 				if took := time.Since(back); took > 450*time.Millisecond {
-					t.Error("the parts were owned after", took)
+					t.Error("the shards were served after", took)
 				}
 				time.Sleep(3 * time.Second)
 			}
@@ -46,10 +46,10 @@
 	}
 }
 
-// seized counts parts that were taken from an owner, not passed on by it.
-type seized struct{ n atomic.Int64 }
+// deposedLeaders counts leaders that were deposed, rather than passing the leadership on.
+type deposedLeaders struct{ n atomic.Int64 }
 
-func (s *seized) Write(line []byte) (int, error) {
+func (s *deposedLeaders) Write(line []byte) (int, error) {
 	if bytes.Contains(line, []byte(`"event":304`)) && !bytes.Contains(line, []byte("leadership transferred")) {
 		s.n.Add(1)
 	}
@@ -58,7 +58,7 @@
 
 func TestPrevote_RestartedMemberDisruptsNoLeader(t *testing.T) {
 	inFleet(t, fiveCoreShape(), func(t *testing.T, f *Fleet) {
-		var taken seized
+		var taken deposedLeaders
 		f.Log = &taken // heard from whoever starts from now on
 		time.Sleep(3 * time.Second)
 		for _, m := range f.Cores() {
@@ -74,7 +74,7 @@
 			f.startMachine(m)
 			time.Sleep(time.Second)
 			if n := taken.n.Load() - before; n > 0 {
-				t.Errorf("%s came back, and %d parts changed their owner", m.Name, n)
+				t.Errorf("%s came back, and %d shards changed their leader", m.Name, n)
 			}
 		}
 	})
@@ -109,20 +109,20 @@
 	})
 }
 
-// TestPrevote_IsolatedMemberDisruptsNoLeader: it would stand under ever higher terms,
-// and once it is heard again the owner's would be below them.
+// TestPrevote_IsolatedMemberDisruptsNoLeader: it would campaign under ever higher terms,
+// and once it is heard again the leader's would be below them.
 func TestPrevote_IsolatedMemberDisruptsNoLeader(t *testing.T) {
 	inFleet(t, one(), func(t *testing.T, f *Fleet) {
 		time.Sleep(3 * time.Second)
-		owner := f.owner(ids.ConfigShard)
-		deaf := follower(f, ids.ConfigShard)
-		before := owner.status(ids.ConfigShard).CurrentTerm
-		f.Network.Partition(owner.IP, deaf.IP)
+		leader := f.leader(ids.ConfigShard)
+		isolated := follower(f, ids.ConfigShard)
+		before := leader.status(ids.ConfigShard).CurrentTerm
+		f.Network.Partition(leader.IP, isolated.IP)
 		time.Sleep(5 * time.Second)
 		f.Network.Heal()
 		time.Sleep(3 * time.Second)
-		if after := owner.status(ids.ConfigShard); !after.IsServing || after.CurrentTerm != before {
-			t.Errorf("the owner under %s was ended by one that did not hear it: %s", before, after.CurrentTerm)
+		if after := leader.status(ids.ConfigShard); !after.IsServing || after.CurrentTerm != before {
+			t.Errorf("the leader of %s was deposed by a member that did not hear it: %s", before, after.CurrentTerm)
 		}
 	})
 }
--- a/internal/simulator/repair_test.go
+++ b/internal/simulator/repair_test.go
@@ -1,5 +1,5 @@
-// A copy that differs is found by its digests and mended, on the configuration
-// part and on a data part, and a restart does not bring the fault back.
+// A replica that differs is found by its digests and repaired, on the configuration
+// shard and on a data shard, and a restart does not bring the fault back.
 
 package simulator
 
@@ -20,7 +20,7 @@
 	"github.com/sumactrestle/sumactrestle/internal/standin"
 )
 
-// follower is a core node that does not own a part.
+// follower is a core node that does not lead a shard.
 func follower(f *Fleet, shard ids.Shard) *Machine {
 	for _, m := range f.Cores() {
 		if !m.Node().Consensus.Replica(shard).IsServing() {
@@ -75,7 +75,7 @@
 			t.Fatal("nothing was spoilt")
 		}
 		if !f.WaitUntil(30*time.Second, isRepaired) {
-			t.Fatal("the copies are not mended")
+			t.Fatal("the replicas are not repaired")
 		}
 		if m.Node().Env.Events.Counts()["PartMended"] == 0 {
 			t.Fatal("nobody was told")
--- a/internal/simulator/snapshot_test.go
+++ b/internal/simulator/snapshot_test.go
@@ -19,8 +19,8 @@
 	"github.com/sumactrestle/sumactrestle/internal/standin"
 )
 
-// fillPart writes about so many megabytes, which can't be packed, into one part.
-func (f *Fleet) fillPart(t *testing.T, megabytes int) ids.Shard {
+// fillShard writes about so many megabytes, which can't be compressed, into one shard.
+func (f *Fleet) fillShard(t *testing.T, megabytes int) ids.Shard {
 	t.Helper()
 	client := standin.NewAPIClient(f.Network.HostAt(f.clientHost(1)), f.Machine("proxy1").APIAddress())
 	r := rand.New(rand.NewPCG(1, 2))
@@ -41,7 +41,7 @@
 	shape := one()
 	shape.Settings["consensus.snapshot_entries"] = "50"
 	inFleet(t, shape, func(t *testing.T, f *Fleet) {
-		f.fillPart(t, 3)
+		f.fillShard(t, 3)
 		m := f.Machine("core2")
 		m.Kill(true)
 		f.Network.Disk(m.IP).Wipe()
@@ -51,7 +51,7 @@
 		if !f.WaitUntil(40*time.Second, f.isRepaired) {
 			t.Fatal("a state of 3 MB does not arrive at 300 KB/s")
 		}
-		t.Logf("all copies mended after %s", time.Since(began))
+		t.Logf("all replicas recovered after %s", time.Since(began))
 	})
 }
 
@@ -110,9 +110,9 @@
 				began := time.Now()
 				f.startMachine(m)
 				if !f.WaitUntil(20*time.Second, f.isRepaired) {
-					t.Fatalf("not mended after %d changes", n+1)
+					t.Fatalf("not recovered after %d changes", n+1)
 				}
-				state, _ := f.owner(ids.ConfigShard).Node().Plan.Snapshot()()
+				state, _ := f.leader(ids.ConfigShard).Node().Plan.Snapshot()()
 				sizes, times = append(sizes, len(state)), append(times, time.Since(began))
 			}
 		}
@@ -127,8 +127,8 @@
 	})
 }
 
-// TestReplica_LaggingMemberServesNothingStale: a member that was away while the others folded
-// their logs stands when they are alone with it; who has the rest must lead.
+// TestReplica_LaggingMemberServesNothingStale: a member that was away while the others
+// compacted their logs campaigns; whoever has the rest must lead.
 func TestReplica_LaggingMemberServesNothingStale(t *testing.T) {
 	shape := one()
 	shape.Settings["consensus.snapshot_entries"] = "20"
@@ -145,8 +145,8 @@
 				return err == nil
 			})
 		}
-		owner := f.owner(shard)
-		owner.Kill(true)
+		leader := f.leader(shard)
+		leader.Kill(true)
 		f.startMachine(behind)
 		if !f.WaitUntil(10*time.Second, func() bool {
 			got, err := client.GetKey(f.ctx, api.GetKeyParams{Name: "app/a"})
@@ -155,7 +155,7 @@
 			}
 			return err == nil
 		}) {
-			t.Error("nobody serves the part")
+			t.Error("nobody serves the shard")
 		}
 	})
 }
