--- a/internal/node/collector.go
+++ b/internal/node/collector.go
@@ -1,6 +1,3 @@
-// Metrics for scraping: a collector that reads, when it is asked and only then, what
-// the node counts in any case, and the latency histograms. With metrics.serve it is
-// shown under /metrics on the node's API address; without, nothing is made.
 package node
 
 import (
@@ -20,7 +17,7 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// observeCall notes how long a coordination call took.
+// observeCall counts how long a coordination call took.
 func (n *Node) observeCall(began time.Time) {
 	n.Env.Latencies.CoordinationCall.Observe(time.Since(began))
 }
@@ -38,13 +35,15 @@
 	return mux
 }
 
-// Collector shows one node.
+// Collector shows one node to Prometheus. It reads, when it is asked and only then, what the
+// node counts in any case, and the latency histograms.
 type Collector struct {
 	n     *Node
 	descs map[string]*prometheus.Desc
 	codes map[string]errcode.Code
 }
 
+// NewCollector returns a collector of the node's metrics.
 func NewCollector(n *Node) *Collector {
 	c := &Collector{n: n, descs: map[string]*prometheus.Desc{}, codes: map[string]errcode.Code{}}
 	for _, m := range metrics.Metrics {
@@ -56,51 +55,55 @@
 	return c
 }
 
+// Describe sends the descriptions of all metrics.
 func (c *Collector) Describe(out chan<- *prometheus.Desc) {
 	for _, desc := range c.descs {
 		out <- desc
 	}
 }
 
-// collection is one collection under way.
+// collection is one scrape under way.
 type collection struct {
 	*Collector
 	out chan<- prometheus.Metric
 }
 
-func (s collection) add(m metrics.Metric, value float64, labels ...string) {
+// add sends a metric of one value.
+func (c collection) add(m metrics.Metric, value float64, labels ...string) {
 	kind := prometheus.GaugeValue
 	if m.Kind == "counter" {
 		kind = prometheus.CounterValue
 	}
-	one, err := prometheus.NewConstMetric(s.descs[m.Name], kind, value, labels...)
-	s.send(m, one, err)
+	one, err := prometheus.NewConstMetric(c.descs[m.Name], kind, value, labels...)
+	c.send(m, one, err)
 }
 
 // send hands a metric on; one that can't be made is an error of the scrape alone.
-func (s collection) send(m metrics.Metric, one prometheus.Metric, err error) {
+func (c collection) send(m metrics.Metric, one prometheus.Metric, err error) {
 	if err != nil {
-		one = prometheus.NewInvalidMetric(s.descs[m.Name], err)
+		one = prometheus.NewInvalidMetric(c.descs[m.Name], err)
 	}
-	s.out <- one
+	c.out <- one
 }
 
-func boolValue(is bool) float64 {
-	if is {
+// boolValue is 1 for true and 0 for false.
+func boolValue(value bool) float64 {
+	if value {
 		return 1
 	}
 	return 0
 }
 
+// Collect sends all metrics that the node has.
 func (c *Collector) Collect(out chan<- prometheus.Metric) {
-	s, n := collection{c, out}, c.n
-	s.add(metrics.NodeInfo, 1, string(n.Env.Name), n.Env.Config.Zone, strconv.FormatBool(n.Consensus != nil), strconv.FormatBool(n.Proxy != nil))
-	s.add(metrics.NodeReady, boolValue(n.Ready() == nil))
-	s.add(metrics.Heartbeats, float64(n.heartbeats.Load()))
+	n, scrape := c.n, collection{c, out}
+	scrape.add(metrics.NodeInfo, 1, string(n.Env.Name), n.Env.Config.Zone, strconv.FormatBool(n.Consensus != nil), strconv.FormatBool(n.Proxy != nil))
+	scrape.add(metrics.NodeReady, boolValue(n.Ready() == nil))
+	scrape.add(metrics.Heartbeats, float64(n.heartbeats.Load()))
 	counts := n.Env.Events.Counts()
 	for _, e := range eventlog.Events {
 		if counts[e.Name] > 0 {
-			s.add(metrics.EventsLogged, float64(counts[e.Name]), strconv.Itoa(e.Number), e.Name)
+			scrape.add(metrics.EventsLogged, float64(counts[e.Name]), strconv.Itoa(e.Number), e.Name)
 		}
 	}
 	members := map[[2]string]int{}
@@ -108,116 +111,125 @@
 		members[[2]string{m.State, roleOf(m.Core, m.ProxyAddress)}]++
 	}
 	for at, count := range members {
-		s.add(metrics.Members, float64(count), at[0], at[1])
+		scrape.add(metrics.Members, float64(count), at[0], at[1])
 	}
-	s.traffic()
+	scrape.traffic()
 	if n.Proxy != nil {
-		s.proxy()
+		scrape.proxy()
 	}
 	if n.Consensus != nil {
-		s.core()
+		scrape.core()
 	}
-	n.Env.Latencies.Each(func(m metrics.Metric, labels []string, sum metrics.Summary) {
-		one, err := prometheus.NewConstHistogram(c.descs[m.Name], sum.Count, sum.Seconds, sum.Buckets, labels...)
-		s.send(m, one, err)
+	n.Env.Latencies.Each(func(m metrics.Metric, labels []string, summary metrics.Summary) {
+		histogram, err := prometheus.NewConstHistogram(c.descs[m.Name], summary.Count, summary.Seconds, summary.Buckets, labels...)
+		scrape.send(m, histogram, err)
 	})
 }
 
 // roleOf is what a member is for, in a word.
-func roleOf(isCore bool, gate string) string {
+func roleOf(core bool, proxyAddress string) string {
 	switch {
-	case isCore && gate != "":
+	case core && proxyAddress != "":
 		return "core+proxy"
-	case isCore:
+	case core:
 		return "core"
 	}
 	return "proxy"
 }
 
+// attemptKind is the kind of traffic to targets.
 const attemptKind = "gate.try"
 
-func (s collection) traffic() {
-	for kind, sent := range s.n.RPC.Traffic() {
-		kind, isFar := strings.CutSuffix(kind, rpc.OtherZoneSuffix)
+// traffic sends what went to other processes and to targets.
+func (c collection) traffic() {
+	for kind, sent := range c.n.RPC.Traffic() {
+		kind, otherZone := strings.CutSuffix(kind, rpc.OtherZoneSuffix)
 		zone := "own"
-		if isFar {
+		if otherZone {
 			zone = "other"
 		}
 		if kind == attemptKind {
-			s.add(metrics.ProxyAttempts, float64(sent.Messages), zone)
-			s.add(metrics.ProxyAttemptBytes, float64(sent.Bytes), zone)
+			c.add(metrics.ProxyAttempts, float64(sent.Messages), zone)
+			c.add(metrics.ProxyAttemptBytes, float64(sent.Bytes), zone)
 			continue
 		}
-		s.add(metrics.RPCMessages, float64(sent.Messages), kind, zone)
-		s.add(metrics.RPCBytes, float64(sent.Bytes), kind, zone)
+		c.add(metrics.RPCMessages, float64(sent.Messages), kind, zone)
+		c.add(metrics.RPCBytes, float64(sent.Bytes), kind, zone)
 	}
 }
 
-func (s collection) proxy() {
-	g := s.n.Proxy
-	s.add(metrics.ProxyInflight, float64(g.InFlight()))
-	s.add(metrics.ProxyIdleConnections, float64(g.IdleConnections()))
-	s.add(metrics.ProxyFailedAttempts, float64(s.n.Env.Events.Counts()[eventlog.AttemptFailed.Name]))
+// proxy sends the metrics of a proxy.
+func (c collection) proxy() {
+	g := c.n.Proxy
+	c.add(metrics.ProxyInflight, float64(g.InFlight()))
+	c.add(metrics.ProxyIdleConnections, float64(g.IdleConnections()))
+	c.add(metrics.ProxyFailedAttempts, float64(c.n.Env.Events.Counts()[eventlog.AttemptFailed.Name]))
 	answers := map[metrics.Outcome]int64{metrics.OutcomeRan: 0, metrics.OutcomeNotRun: 0, metrics.OutcomeUnknown: 0}
 	g.VisitOutcomes(func(name string, count int64) {
-		code, isCode := s.codes[name]
+		code, isCode := c.codes[name]
 		if !isCode {
 			answers[metrics.OutcomeRan] += count
 			return
 		}
 		answers[metrics.ParseOutcome(code.Outcome)] += count
-		s.add(metrics.ProxyRejections, float64(count), strconv.Itoa(code.Number), code.Name)
+		c.add(metrics.ProxyRejections, float64(count), strconv.Itoa(code.Number), code.Name)
 	})
 	for outcome, count := range answers {
-		s.add(metrics.ProxyResponses, float64(count), outcome.String())
+		c.add(metrics.ProxyResponses, float64(count), outcome.String())
 	}
 	for _, p := range g.EndpointCounts() {
-		s.add(metrics.ProxyEndpoints, float64(p.Available), p.Service, "in")
-		s.add(metrics.ProxyEndpoints, float64(p.Ejected), p.Service, "out")
-		s.add(metrics.ProxyEndpoints, float64(p.Barred), p.Service, "barred")
+		c.add(metrics.ProxyEndpoints, float64(p.Available), p.Service, "in")
+		c.add(metrics.ProxyEndpoints, float64(p.Ejected), p.Service, "out")
+		c.add(metrics.ProxyEndpoints, float64(p.Barred), p.Service, "barred")
 	}
 	g.VisitRetryBudgets(func(service string, tries, debt float64) {
-		s.add(metrics.RetryBudget, tries, service)
-		s.add(metrics.RetryBudgetDebt, debt, service)
+		c.add(metrics.RetryBudget, tries, service)
+		c.add(metrics.RetryBudgetDebt, debt, service)
 	})
-	epoch := s.n.Distribution.Cache.Epoch()
-	s.add(metrics.EpochUsed, float64(epoch))
-	if ages := s.n.Distribution.LatestConfirmation(); ages.Epoch > 0 {
-		s.add(metrics.EpochLatest, float64(ages.Epoch))
-		s.add(metrics.EpochConfirmationAge, s.n.Env.Since(ages.ConfigAsOf).Seconds())
+	epoch := c.n.Distribution.Cache.Epoch()
+	c.add(metrics.EpochUsed, float64(epoch))
+	if ages := c.n.Distribution.LatestConfirmation(); ages.Epoch > 0 {
+		c.add(metrics.EpochLatest, float64(ages.Epoch))
+		c.add(metrics.EpochConfirmationAge, c.n.Env.Since(ages.ConfigAsOf).Seconds())
 	}
 }
 
-func (s collection) core() {
-	n, owned := s.n, 0
-	for _, part := range n.Consensus.Replicas() {
-		o := part.Status()
-		no := strconv.Itoa(int(o.Shard))
-		if o.Shard == ids.ConfigShard {
-			no = "config"
+// core sends the metrics of a core node.
+func (c collection) core() {
+	n, led := c.n, 0
+	for _, replica := range n.Consensus.Replicas() {
+		status := replica.Status()
+		shard := shardLabel(status.Shard)
+		c.add(metrics.ShardTerm, float64(status.CurrentTerm.Number), shard)
+		c.add(metrics.ShardCommitIndex, float64(status.CommitIndex), shard)
+		c.add(metrics.ShardLastIndex, float64(status.LastIndex), shard)
+		c.add(metrics.ShardServing, boolValue(status.IsServing), shard)
+		if status.IsLeader {
+			c.add(metrics.ShardConfirmationAge, status.ConfirmationAge.Seconds(), shard)
 		}
-		s.add(metrics.ShardTerm, float64(o.CurrentTerm.Number), no)
-		s.add(metrics.ShardCommitIndex, float64(o.CommitIndex), no)
-		s.add(metrics.ShardLastIndex, float64(o.LastIndex), no)
-		s.add(metrics.ShardServing, boolValue(o.IsServing), no)
-		if o.IsLeader {
-			s.add(metrics.ShardConfirmationAge, o.ConfirmationAge.Seconds(), no)
-		}
-		if o.IsServing {
-			owned++
+		if status.IsServing {
+			led++
 		}
 	}
-	s.add(metrics.ShardsLed, float64(owned))
-	s.add(metrics.EpochCommitted, float64(n.Plan.Current().Epoch))
-	s.add(metrics.StoreSyncs, float64(n.Store.SyncCount()))
-	s.add(metrics.StoreStalled, n.Store.StallTime().Seconds())
+	c.add(metrics.ShardsLed, float64(led))
+	c.add(metrics.EpochCommitted, float64(n.Plan.Current().Epoch))
+	c.add(metrics.StoreSyncs, float64(n.Store.SyncCount()))
+	c.add(metrics.StoreStalled, n.Store.StallTime().Seconds())
 	for at, count := range n.Targets.TargetCounts() {
-		s.add(metrics.Targets, float64(count), at.Service, at.State, at.Reported)
+		c.add(metrics.Targets, float64(count), at.Service, at.State, at.Reported)
 	}
 	if n.Consensus.Replica(ids.ConfigShard).IsServing() {
 		v := n.Planner.Stats()
-		s.add(metrics.PlannerShards, float64(v.Shards))
-		s.add(metrics.PlannerOldestReport, v.OldestReport.Seconds())
-		s.add(metrics.PlannerAddressConflicts, float64(v.Conflicts))
+		c.add(metrics.PlannerShards, float64(v.Shards))
+		c.add(metrics.PlannerOldestReport, v.OldestReport.Seconds())
+		c.add(metrics.PlannerAddressConflicts, float64(v.Conflicts))
+	}
+}
+
+// shardLabel is a shard's number, or "config" for the configuration's.
+func shardLabel(shard ids.Shard) string {
+	if shard == ids.ConfigShard {
+		return "config"
 	}
+	return strconv.Itoa(int(shard))
 }
--- a/internal/node/show.go
+++ b/internal/node/show.go
@@ -1,5 +1,3 @@
-// What a node shows of itself to the shell: rows of words under columns, each
-// folded from the live state at the time of the call.
 package node
 
 import (
@@ -10,106 +8,163 @@
 	"time"
 
 	"github.com/sumactrestle/sumactrestle/internal/api"
-	"github.com/sumactrestle/sumactrestle/internal/ids"
 	"github.com/sumactrestle/sumactrestle/internal/metrics"
 )
 
-func (d *apiHandler) Show(ctx context.Context, params api.ShowParams) (*api.Rows, error) {
-	rows := &api.Rows{Columns: []string{}, Rows: [][]string{}}
-	columns := func(names ...string) { rows.Columns = names }
-	add := func(values ...any) {
-		row := make([]string, len(values))
-		for i, v := range values {
-			row[i] = fmt.Sprint(v)
-		}
-		rows.Rows = append(rows.Rows, row)
+// recentEvents is how many log events the shell shows.
+const recentEvents = 200
+
+// table is rows of words under columns, each made of the live state at the time of the call.
+type table struct{ api.Rows }
+
+func newTable(columns ...string) *table {
+	return &table{api.Rows{Columns: append([]string{}, columns...), Rows: [][]string{}}}
+}
+
+func (t *table) add(values ...any) {
+	row := make([]string, len(values))
+	for i, v := range values {
+		row[i] = fmt.Sprint(v)
 	}
-	n := d.n
+	t.Rows.Rows = append(t.Rows.Rows, row)
+}
+
+// sort orders the rows by their first word; numbers, which are shorter, before others.
+func (t *table) sort(shorterFirst bool) {
+	sort.SliceStable(t.Rows.Rows, func(i, j int) bool {
+		a, b := t.Rows.Rows[i][0], t.Rows.Rows[j][0]
+		if shorterFirst && len(a) != len(b) {
+			return len(a) < len(b)
+		}
+		return a < b
+	})
+}
+
+// Show answers a query of the shell for what this node sees. Rows are sorted by their first
+// word, but for events, which are in the order in which they were logged.
+func (h *apiHandler) Show(_ context.Context, params api.ShowParams) (*api.Rows, error) {
+	t := newTable()
 	switch params.What {
 	case api.ShowWhatMembers:
-		columns("name", "state", "role", "zone", "wire", "gate", "strength", "birth", "fleet")
-		for name, m := range n.Members.View() {
-			add(name, m.State, roleOf(m.Core, m.ProxyAddress), m.Zone, m.RPCAddress, m.ProxyAddress, m.Strength, m.ID, m.Fleet)
-		}
+		t = h.n.showMembers()
 	case api.ShowWhatParts:
-		columns("part", "owner", "term", "commit", "last", "serving", "age", "group")
-		if n.Consensus != nil {
-			for _, part := range n.Consensus.Replicas() {
-				o := part.Status()
-				owner, _ := n.Consensus.Leader(o.Shard)
-				group := ""
-				for _, peer := range o.Voters {
-					group += string(peer.Name) + " "
-				}
-				no := fmt.Sprint(int(o.Shard))
-				if o.Shard == ids.ConfigShard {
-					no = "config"
-				}
-				add(no, owner, o.CurrentTerm, o.CommitIndex, o.LastIndex, o.IsServing, o.ConfirmationAge.Round(time.Millisecond), group)
-			}
-		}
+		t = h.n.showShards()
 	case api.ShowWhatTargets:
-		columns("service", "instance", "address", "zone", "weight", "state", "silence")
-		if n.Targets != nil {
-			for _, row := range n.Targets.Rows() {
-				add(row.Service, row.Instance, row.Address, row.Zone, row.Weight, row.State, row.SinceHeartbeat)
-			}
-		}
+		t = h.n.showTargets()
 	case api.ShowWhatAges:
-		columns("what", "epoch", "age")
-		if n.Distribution != nil {
-			ages := n.Distribution.LatestConfirmation()
-			epoch := n.Distribution.Cache.Epoch()
-			add("in use", epoch, "")
-			add("config", ages.Epoch, d.n.Env.Since(ages.ConfigAsOf).Round(time.Millisecond))
-			for no, at := range ages.ShardsAsOf {
-				add(fmt.Sprint("part ", no), ages.Epoch, d.n.Env.Since(at).Round(time.Millisecond))
-			}
-		}
+		t = h.n.showAges()
 	case api.ShowWhatCounts:
-		columns("what", "count")
-		for name, count := range n.Env.Events.Counts() {
-			add("event "+name, count)
-		}
-		if n.Proxy != nil {
-			n.Proxy.VisitOutcomes(func(name string, count int64) { add("outcome "+name, count) })
-			add("requests under way", n.Proxy.InFlight())
-		}
-		if n.Store != nil {
-			add("syncs", n.Store.SyncCount())
-		}
+		t = h.n.showCounts()
 	case api.ShowWhatTraffic:
-		columns("kind", "messages", "bytes")
-		for kind, sent := range n.RPC.Traffic() {
-			add(kind, sent.Messages, sent.Bytes)
-		}
+		t = h.n.showTraffic()
 	case api.ShowWhatLatency:
-		columns("what", "service", "outcome", "count", "median", "99", "99.9", "most")
-		n.Env.Latencies.Each(func(m metrics.Metric, labels []string, sum metrics.Summary) {
-			labels = append(labels, "", "")
-			add(strings.TrimSuffix(strings.TrimPrefix(m.Name, "sumac_"), "_seconds"), labels[0], labels[1], sum.Count, sum.Median, sum.P99, sum.P999, sum.Max)
-		})
+		t = h.n.showLatency()
 	case api.ShowWhatEvents:
-		columns("time", "event", "name", "what")
-		for _, e := range n.Env.Events.Recent(200) {
-			what := ""
-			for i := 0; i+1 < len(e.Fields); i += 2 {
-				what += fmt.Sprintf("%v=%v ", e.Fields[i], e.Fields[i+1])
-			}
-			add(e.At.Format(time.RFC3339Nano), e.Event.Number, e.Event.Name, what)
-		}
-		return rows, nil
+		return &h.n.showEvents().Rows, nil
 	case api.ShowWhatNode:
-		columns("name", "zone", "core", "gate", "ready")
-		_, err := d.Ready(ctx)
-		add(n.Env.Name, n.Env.Config.Zone, n.Consensus != nil, n.Env.Config.ProxyAddress, err == nil)
+		t = h.n.showNode()
 	}
-	sort.SliceStable(rows.Rows, func(i, j int) bool {
-		a, b := rows.Rows[i][0], rows.Rows[j][0]
-		if len(a) != len(b) && params.What == api.ShowWhatParts {
-			return len(a) < len(b)
+	t.sort(params.What == api.ShowWhatParts)
+	return &t.Rows, nil
+}
+
+func (n *Node) showMembers() *table {
+	t := newTable("name", "state", "role", "zone", "wire", "gate", "strength", "birth", "fleet")
+	for name, m := range n.Members.View() {
+		t.add(name, m.State, roleOf(m.Core, m.ProxyAddress), m.Zone, m.RPCAddress, m.ProxyAddress, m.Strength, m.ID, m.Fleet)
+	}
+	return t
+}
+
+func (n *Node) showShards() *table {
+	t := newTable("part", "owner", "term", "commit", "last", "serving", "age", "group")
+	if n.Consensus == nil {
+		return t
+	}
+	for _, replica := range n.Consensus.Replicas() {
+		status := replica.Status()
+		leader, _ := n.Consensus.Leader(status.Shard)
+		voters := ""
+		for _, peer := range status.Voters {
+			voters += string(peer.Name) + " "
 		}
-		return a < b
+		t.add(shardLabel(status.Shard), leader, status.CurrentTerm, status.CommitIndex, status.LastIndex, status.IsServing, status.ConfirmationAge.Round(time.Millisecond), voters)
+	}
+	return t
+}
+
+func (n *Node) showTargets() *table {
+	t := newTable("service", "instance", "address", "zone", "weight", "state", "silence")
+	if n.Targets != nil {
+		for _, row := range n.Targets.Rows() {
+			t.add(row.Service, row.Instance, row.Address, row.Zone, row.Weight, row.State, row.SinceHeartbeat)
+		}
+	}
+	return t
+}
+
+// showAges shows how long ago the proxy's epoch was confirmed, by the shards it is made of.
+func (n *Node) showAges() *table {
+	t := newTable("what", "epoch", "age")
+	if n.Distribution == nil {
+		return t
+	}
+	confirmed := n.Distribution.LatestConfirmation()
+	t.add("in use", n.Distribution.Cache.Epoch(), "")
+	t.add("config", confirmed.Epoch, n.Env.Since(confirmed.ConfigAsOf).Round(time.Millisecond))
+	for shard, asOf := range confirmed.ShardsAsOf {
+		t.add(fmt.Sprint("part ", shard), confirmed.Epoch, n.Env.Since(asOf).Round(time.Millisecond))
+	}
+	return t
+}
+
+func (n *Node) showCounts() *table {
+	t := newTable("what", "count")
+	for name, count := range n.Env.Events.Counts() {
+		t.add("event "+name, count)
+	}
+	if n.Proxy != nil {
+		n.Proxy.VisitOutcomes(func(name string, count int64) { t.add("outcome "+name, count) })
+		t.add("requests under way", n.Proxy.InFlight())
+	}
+	if n.Store != nil {
+		t.add("syncs", n.Store.SyncCount())
+	}
+	return t
+}
+
+func (n *Node) showTraffic() *table {
+	t := newTable("kind", "messages", "bytes")
+	for kind, sent := range n.RPC.Traffic() {
+		t.add(kind, sent.Messages, sent.Bytes)
+	}
+	return t
+}
+
+func (n *Node) showLatency() *table {
+	t := newTable("what", "service", "outcome", "count", "median", "99", "99.9", "most")
+	n.Env.Latencies.Each(func(m metrics.Metric, labels []string, summary metrics.Summary) {
+		labels = append(labels, "", "") // a histogram of the whole node has neither
+		name := strings.TrimSuffix(strings.TrimPrefix(m.Name, "sumac_"), "_seconds")
+		t.add(name, labels[0], labels[1], summary.Count, summary.Median, summary.P99, summary.P999, summary.Max)
 	})
-	return rows, nil
+	return t
+}
+
+func (n *Node) showEvents() *table {
+	t := newTable("time", "event", "name", "what")
+	for _, e := range n.Env.Events.Recent(recentEvents) {
+		fields := ""
+		for i := 0; i+1 < len(e.Fields); i += 2 {
+			fields += fmt.Sprintf("%v=%v ", e.Fields[i], e.Fields[i+1])
+		}
+		t.add(e.At.Format(time.RFC3339Nano), e.Event.Number, e.Event.Name, fields)
+	}
+	return t
+}
+
+func (n *Node) showNode() *table {
+	t := newTable("name", "zone", "core", "gate", "ready")
+	t.add(n.Env.Name, n.Env.Config.Zone, n.Consensus != nil, n.Env.Config.ProxyAddress, n.Ready() == nil)
+	return t
 }
