--- a/internal/consensus/heartbeat.go
+++ b/internal/consensus/heartbeat.go
@@ -123,7 +123,8 @@
 	sent := n.env.Now()
 	request := h.nextRequest(n.self, claims)
 	var response rpc.HeartbeatResponse
-	if err := n.call(ctx, heartbeatTimeout, address, kindHeartbeat, request, &response); err != nil || response.From != peer || response.Sequence != request.Sequence {
+	err := n.call(ctx, heartbeatTimeout, address, kindHeartbeat, request, &response)
+	if err != nil || response.From != peer || response.Sequence != request.Sequence {
 		return
 	}
 	h.acknowledge(request, claims, response.BaseLost)
--- a/internal/consensus/log.go
+++ b/internal/consensus/log.go
@@ -137,12 +137,6 @@
 	return ok && found == term
 }
 
-// isBehind tells whether this log is less advanced than one that ends as given.
-func (l *replicaLog) isBehind(lastIndex ids.Index, lastTerm ids.Term) bool {
-	index, term := l.last()
-	return isLessAdvanced(index, term, lastIndex, lastTerm)
-}
-
 // isLessAdvanced compares two logs by their last entries: term first, then index.
 func isLessAdvanced(index ids.Index, term ids.Term, otherIndex ids.Index, otherTerm ids.Term) bool {
 	return term.Less(otherTerm) || term == otherTerm && index < otherIndex
--- a/internal/consensus/membership_change.go
+++ b/internal/consensus/membership_change.go
@@ -107,7 +107,13 @@
 }
 
 func (r *Replica) newReplacementPlan(voters, lost []rpc.Peer) *replacementPlan {
-	p := &replacementPlan{view: r.node.members.View(), cores: r.clusterCores(), isTaken: map[ids.NodeName]bool{}, isLost: map[ids.NodeName]bool{}, zones: map[string]int{}}
+	p := &replacementPlan{
+		view:    r.node.members.View(),
+		cores:   r.clusterCores(),
+		isTaken: map[ids.NodeName]bool{},
+		isLost:  map[ids.NodeName]bool{},
+		zones:   map[string]int{},
+	}
 	for _, peer := range voters {
 		if !containsPeer(lost, peer) {
 			p.isTaken[peer.Name] = true
@@ -178,7 +184,8 @@
 // is stable again and has shown that its disk works, so that leaders stay spread.
 func (r *Replica) returnToPreferredLeader(voters []rpc.Peer) {
 	preferred := ElectionOrder(r.shard, voters)[0]
-	if preferred == r.node.self || !r.node.members.IsLive(preferred) || time.Since(r.node.members.View()[preferred.Name].StateChange) < stableAfter || r.node.env.Since(r.servingStart()) < stableAfter {
+	isStable := r.node.members.IsLive(preferred) && time.Since(r.node.members.View()[preferred.Name].StateChange) >= stableAfter
+	if preferred == r.node.self || !isStable || r.node.env.Since(r.servingStart()) < stableAfter {
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.node.env, preferredLeaderTimeout)
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -200,7 +200,11 @@
 }
 
 // onReplica makes a handler of a method of the replica that a request is for.
-func onReplica[Request, Response any](find func(ids.Shard) (*Replica, error), shardOf func(*Request) ids.Shard, method func(*Replica, *Request) (Response, error)) func(*Request) (Response, error) {
+func onReplica[Request, Response any](
+	find func(ids.Shard) (*Replica, error),
+	shardOf func(*Request) ids.Shard,
+	method func(*Replica, *Request) (Response, error),
+) func(*Request) (Response, error) {
 	return func(request *Request) (response Response, err error) {
 		r, err := find(shardOf(request))
 		if err != nil {
