--- /dev/null
+++ b/cmd/sumac/change.go
@@ -0,0 +1,142 @@
+package main
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"os"
+	"path/filepath"
+	"time"
+
+	koanfjson "github.com/knadh/koanf/parsers/json"
+	"github.com/knadh/koanf/parsers/yaml"
+	"github.com/knadh/koanf/providers/file"
+	"github.com/knadh/koanf/v2"
+	"github.com/urfave/cli/v3"
+
+	"github.com/sumactrestle/sumactrestle/internal/api"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
+	"github.com/sumactrestle/sumactrestle/internal/gatewayapi"
+	"github.com/sumactrestle/sumactrestle/internal/ids"
+)
+
+// readChange takes a change set from YAML or JSON, by koanf, strictly.
+func readChange(path string, objects bool) (*api.Change, error) {
+	if objects {
+		return readObjects(path)
+	}
+	k := koanf.New("\x00")
+	var parser koanf.Parser = yaml.Parser()
+	if filepath.Ext(path) == ".json" {
+		parser = koanfjson.Parser()
+	}
+	if err := k.Load(file.Provider(path), parser); err != nil {
+		return nil, errcode.New(errcode.InvalidChange, "%s: %v", path, err)
+	}
+	tree := k.Raw()
+	if _, ok := tree["id"]; !ok {
+		tree["id"] = ""
+	}
+	if _, ok := tree["base"]; !ok {
+		tree["base"] = 0
+	}
+	raw, err := json.Marshal(tree)
+	if err != nil {
+		return nil, errcode.New(errcode.InvalidChange, "%s: %v", path, err)
+	}
+	change := &api.Change{}
+	if err := change.UnmarshalJSON(raw); err != nil {
+		return nil, errcode.New(errcode.InvalidChange, "%s: %v", path, err)
+	}
+	return change, nil
+}
+
+// readObjects takes a change set from Kubernetes-style objects.
+func readObjects(path string) (*api.Change, error) {
+	raw, err := os.ReadFile(path)
+	if err != nil {
+		return nil, errcode.New(errcode.InvalidChange, "%v", err)
+	}
+	set, err := gatewayapi.Read(raw)
+	if err != nil {
+		return nil, err
+	}
+	change := &api.Change{}
+	return change, convert(set, change)
+}
+
+// runSubmit submits a change set and prints what became of it.
+func runSubmit(ctx context.Context, cmd *cli.Command) error {
+	change, err := readChange(cmd.Args().First(), cmd.Bool("objects"))
+	if err != nil {
+		return err
+	}
+	client, err := newClient(cmd)
+	if err != nil {
+		return err
+	}
+	if id := cmd.String("id"); id != "" {
+		change.ID = id
+	}
+	if change.ID == "" {
+		change.ID = ids.NewID()
+	}
+	if cmd.IsSet("base") {
+		change.Base = cmd.Uint64("base")
+	}
+	if cmd.Bool("amend") || cmd.Bool("objects") {
+		view, err := client.Epoch(ctx)
+		if err != nil {
+			return fromAPI(err)
+		}
+		if cmd.Bool("amend") {
+			change.Base = view.Epoch
+		}
+		if cmd.Bool("objects") {
+			dropKnownServices(change, view)
+		}
+	}
+	limited, cancel := context.WithTimeout(ctx, 10*time.Second)
+	defer cancel()
+	result, err := client.Submit(limited, change)
+	if err != nil {
+		problem := fromAPI(err)
+		if errors.Is(problem, errcode.ChangeUnknown) || errors.Is(problem, errcode.Unreachable) {
+			fmt.Fprintf(os.Stderr, "sumac: ask with: sumac ask %s\n", change.ID)
+		}
+		return problem
+	}
+	fmt.Printf("%s %s in epoch %d\n", result.ID, result.State, result.Epoch)
+	return nil
+}
+
+// dropKnownServices takes services out of a change set that are there already: objects
+// only name them, and must not put them back without their key.
+func dropKnownServices(change *api.Change, view *api.EpochView) {
+	known := map[string]bool{}
+	for _, s := range view.Config.Services {
+		known[s.Name] = true
+	}
+	var fresh []api.Service
+	for _, s := range change.Put.Value.Services {
+		if !known[s.Name] {
+			fresh = append(fresh, s)
+		}
+	}
+	change.Put.Value.Services = fresh
+}
+
+// runAsk prints what became of a change set.
+func runAsk(ctx context.Context, cmd *cli.Command) error {
+	client, err := newClient(cmd)
+	if err != nil {
+		return err
+	}
+	result, err := client.AskChange(ctx, api.AskChangeParams{ID: cmd.Args().First()})
+	if err != nil {
+		return fromAPI(err)
+	}
+	fmt.Printf("%s %s in epoch %d\n", result.ID, result.State, result.Epoch)
+	return nil
+}
--- a/cmd/sumac/main.go
+++ b/cmd/sumac/main.go
@@ -1,4 +1,4 @@
-// Sumac is the one program of sumactrestle: a node, and the commands by which
+// Command sumac is the one program of sumactrestle: a node, and the commands by which
 // an operator checks settings, submits change sets and looks at the fleet.
 package main
 
@@ -39,10 +39,10 @@
 		Description: "A call that was not done ends with 1, one that can't be read with 2; both name a numbered code and all that is wrong. Codes, settings, events and metrics are listed in the docs folder.",
 		Version:     Version,
 		Commands: []*cli.Command{
-			{Name: "node", Usage: "run a node", Flags: propsFlags(), Action: runNode,
+			{Name: "node", Usage: "run a node", Flags: settingsFlags(), Action: runNode,
 				Description: "Runs until SIGTERM or SIGINT, which stop it as planned: what is under way is finished, its parts are handed over. What is wrong with the settings is named at once, and nothing runs. Settings come from the file, then from SUMAC_ variables (SUMAC_PROXY_ADDRESS for proxy.address), then from --set."},
 			{Name: "check", Usage: "check a node's settings, the platform's settings file, or a change set", Action: runCheck,
-				Flags:       append(propsFlags(), platform.CheckFlag(), &cli.StringFlag{Name: "change", Usage: "`FILE` of a change set (YAML or JSON)"}, apiFlag(false), objectsFlag()),
+				Flags:       append(settingsFlags(), platform.CheckFlag(), &cli.StringFlag{Name: "change", Usage: "`FILE` of a change set (YAML or JSON)"}, apiFlag(false), objectsFlag()),
 				Description: "One thing at a time: --props and --set, as the command node takes them; --settings, the file that the command platform runs on, whose settings are printed; or --change, laid over the configuration of the fleet at --api, or over none. Nothing is changed. Every fault is named, and there being one ends it with 2."},
 			{Name: "submit", Usage: "submit a change set", ArgsUsage: "FILE", Action: runSubmit,
 				Flags:       []cli.Flag{apiFlag(true), objectsFlag(), &cli.StringFlag{Name: "id", Usage: "`ID` of the change set, if the file has none; random without"}, &cli.Uint64Flag{Name: "base", Usage: "the `EPOCH` last seen, if the file names none"}, &cli.BoolFlag{Name: "amend", Usage: "take the epoch in force as the one last seen"}},
@@ -60,22 +60,22 @@
 	})
 }
 
-func propsFlags() []cli.Flag {
+func settingsFlags() []cli.Flag {
 	return []cli.Flag{
 		&cli.StringFlag{Name: "props", Usage: "`FILE` of settings (YAML or JSON)"},
 		&cli.StringSliceFlag{Name: "set", Usage: "one setting, `KEY=VALUE`; may be given often"},
 	}
 }
 
-func apiFlag(isNeeded bool) cli.Flag {
-	return &cli.StringFlag{Name: "api", Usage: "API `ADDRESS` of any node", Sources: cli.EnvVars("SUMAC_API"), Required: isNeeded}
+func apiFlag(required bool) cli.Flag {
+	return &cli.StringFlag{Name: "api", Usage: "API `ADDRESS` of any node", Sources: cli.EnvVars("SUMAC_API"), Required: required}
 }
 
 func objectsFlag() cli.Flag {
 	return &cli.BoolFlag{Name: "objects", Usage: "the file holds Kubernetes-style objects (HTTPRoute)"}
 }
 
-func readProps(cmd *cli.Command) (*config.Settings, error) {
+func readSettings(cmd *cli.Command) (*config.Settings, error) {
 	flags := map[string]string{}
 	for _, pair := range cmd.StringSlice("set") {
 		key, value, ok := strings.Cut(pair, "=")
@@ -87,29 +87,30 @@
 	return config.Load(cmd.String("props"), flags)
 }
 
+// runNode runs a node until a signal stops it or its storage fails.
 func runNode(ctx context.Context, cmd *cli.Command) error {
-	p, err := readProps(cmd)
+	settings, err := readSettings(cmd)
 	if err != nil {
 		return err
 	}
 	var out io.Writer = os.Stderr
-	if p.LogFile != "" {
-		file, err := os.OpenFile(p.LogFile, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o644)
+	if settings.LogFile != "" {
+		file, err := os.OpenFile(settings.LogFile, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o644)
 		if err != nil {
 			return errcode.New(errcode.InvalidSettings, "log.file: %v", err)
 		}
 		defer file.Close()
 		out = file
 	}
-	if p.DataFolder != "" {
-		if err := os.MkdirAll(p.DataFolder, 0o755); err != nil {
+	if settings.DataFolder != "" {
+		if err := os.MkdirAll(settings.DataFolder, 0o755); err != nil {
 			return errcode.New(errcode.InvalidSettings, "data.folder: %v", err)
 		}
 	}
-	r := environment.New(ctx, p, eventlog.New(out, p.LogLevel, p.Name), environment.NewHost(p.PeerAddress))
+	env := environment.New(ctx, settings, eventlog.New(out, settings.LogLevel, settings.Name), environment.NewHost(settings.PeerAddress))
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
-	node, err := node.StartUntilSignal(signals, r)
+	node, err := node.StartUntilSignal(signals, env)
 	if err != nil || node == nil {
 		return err
 	}
@@ -122,7 +123,7 @@
 		node.Stop()
 		return nil
 	case <-failed:
-		r.Shutdown()
-		return errcode.New(errcode.StorageBroken, "%s", p.DataFolder)
+		env.Shutdown()
+		return errcode.New(errcode.StorageBroken, "%s", settings.DataFolder)
 	}
 }
--- /dev/null
+++ b/cmd/sumac/shell.go
@@ -0,0 +1,120 @@
+package main
+
+import (
+	"bufio"
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"os"
+	"strings"
+	"text/tabwriter"
+	"time"
+
+	"github.com/urfave/cli/v3"
+
+	"github.com/sumactrestle/sumactrestle/internal/api"
+	"github.com/sumactrestle/sumactrestle/internal/commandline"
+	"github.com/sumactrestle/sumactrestle/internal/errcode"
+)
+
+// runEpoch prints the epoch in force as JSON.
+func runEpoch(ctx context.Context, cmd *cli.Command) error {
+	client, err := newClient(cmd)
+	if err != nil {
+		return err
+	}
+	view, err := client.Epoch(ctx)
+	if err != nil {
+		return fromAPI(err)
+	}
+	raw, err := json.MarshalIndent(view, "", "  ")
+	if err != nil {
+		return errcode.New(errcode.Internal, "%v", err)
+	}
+	fmt.Println(string(raw))
+	return nil
+}
+
+// runShell answers one query, or reads queries from standard input.
+func runShell(ctx context.Context, cmd *cli.Command) error {
+	client, err := newClient(cmd)
+	if err != nil {
+		return err
+	}
+	if cmd.Args().Len() > 0 {
+		return query(ctx, client, cmd.Args().Slice(), os.Stdout)
+	}
+	input := bufio.NewScanner(os.Stdin)
+	var last error
+	for fmt.Print("sumac> "); input.Scan(); fmt.Print("sumac> ") {
+		words := strings.Fields(input.Text())
+		if len(words) == 0 {
+			continue
+		}
+		if words[0] == "quit" || words[0] == "exit" {
+			break
+		}
+		if last = query(ctx, client, words, os.Stdout); last != nil {
+			fmt.Fprintln(os.Stderr, commandline.Describe(last))
+		}
+	}
+	return last
+}
+
+// shellHelp is what the query help prints.
+const shellHelp = `members   who is there, as this node sees it
+parts     the replicated parts: owner, term, commit, age of the confirmation
+targets   the servers this node hears, and whether each is in
+ages      how fresh this proxy's plan is (a node with a gate)
+epoch     the epoch in force: number, services and their targets
+counts    counters      traffic   messages and bytes to other processes, by kind
+events    newest log events       node      this node
+latency   how long requests, calls, syncs took: median, 99 and 99.9 of a hundred, most
+A query may be followed by words; only rows holding all of them are shown.
+`
+
+// query answers one query of the shell: its name and the words that rows must hold.
+func query(ctx context.Context, c *api.Client, words []string, out io.Writer) error {
+	limited, cancel := context.WithTimeout(ctx, 5*time.Second)
+	defer cancel()
+	table := tabwriter.NewWriter(out, 2, 8, 2, ' ', 0)
+	defer table.Flush()
+	switch words[0] {
+	case "help":
+		fmt.Fprint(out, shellHelp)
+		return nil
+	case "epoch":
+		view, err := c.Epoch(limited)
+		if err != nil {
+			return fromAPI(err)
+		}
+		fmt.Fprintf(table, "epoch\t%d\tchanged in\t%d\tmappings\t%d\n", view.Epoch, view.Changed, len(view.Config.Mappings))
+		for service, targets := range view.Targets {
+			for _, t := range targets {
+				fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%d\n", service, t.Instance, t.Address, t.Zone, t.Weight)
+			}
+		}
+		return nil
+	}
+	what := api.ShowWhat(words[0])
+	if what.Validate() != nil {
+		return errcode.New(errcode.InvalidCall, "no query %q; try help", words[0])
+	}
+	rows, err := c.Show(limited, api.ShowParams{What: what})
+	if err != nil {
+		return fromAPI(err)
+	}
+	fmt.Fprintln(table, strings.Join(rows.Columns, "\t"))
+	for _, row := range rows.Rows {
+		line := strings.Join(row, "\t")
+		shown := true
+		for _, word := range words[1:] {
+			shown = shown && strings.Contains(line, word)
+		}
+		if shown {
+			fmt.Fprintln(table, line)
+		}
+	}
+	return nil
+}
