--- a/internal/harness/command/command.go
+++ b/internal/harness/command/command.go
@@ -87,7 +87,7 @@
 	if cmd.Duration("work") < 0 || cmd.Duration("work") > time.Minute || cmd.Float("eager") > 1 {
 		return errcode.New(errcode.InvalidCall, "the work must be 0 to 1m, the eager share at most 1")
 	}
-	if _, ok := harness.Faults[cmd.String("faults")]; !ok {
+	if !harness.HasFault(cmd.String("faults")) {
 		return errcode.New(errcode.InvalidCall, "there are no faults %q", cmd.String("faults"))
 	}
 	first, last, err := seedsOf(cmd.String("seeds"))
@@ -108,9 +108,28 @@
 	}
 	failed := 0
 	for seed := first; seed <= last; seed++ {
-		run := &harness.Run{RateFactor: cmd.Float("factor"), Seconds: cmd.Int("seconds"), Seed: seed, Fault: cmd.String("faults"), ExtraRoutes: cmd.Int("mappings"), ProfileDir: cmd.String("profile"),
-			AllowDuplicates: cmd.Bool("twice"), OtherBinary: cmd.String("other"), ThrottleCPU: cmd.Bool("small"), ServiceTime: cmd.Duration("work"), RetryShare: cmd.Float("eager"), History: history}
-		if err := inFolder(cmd, func(folder string) error { return run.Go(ctx, cmd.String("sumac"), folder, shape, os.Stdout) }); err != nil {
+		options := harness.Options{
+			Binary:          cmd.String("sumac"),
+			OtherBinary:     cmd.String("other"),
+			Shape:           shape,
+			Output:          os.Stdout,
+			History:         history,
+			RateFactor:      cmd.Float("factor"),
+			Seconds:         cmd.Int("seconds"),
+			RetryShare:      cmd.Float("eager"),
+			ServiceTime:     cmd.Duration("work"),
+			ExtraRoutes:     cmd.Int("mappings"),
+			AllowDuplicates: cmd.Bool("twice"),
+			Fault:           cmd.String("faults"),
+			Seed:            seed,
+			ThrottleCPU:     cmd.Bool("small"),
+			ProfileDir:      cmd.String("profile"),
+		}
+		err := inFolder(cmd, func(folder string) error {
+			options.Folder = folder
+			return harness.Run(ctx, options)
+		})
+		if err != nil {
 			if ctx.Err() != nil || first == last {
 				return err
 			}
--- a/internal/harness/command/upgrade.go
+++ b/internal/harness/command/upgrade.go
@@ -32,7 +32,16 @@
 		return errcode.New(errcode.InvalidCall, "the factor must be above 0 and at most 10, the seconds 1 to 600")
 	}
 	return inFolder(cmd, func(folder string) error {
-		run := &harness.Run{RateFactor: cmd.Float("factor"), Seconds: cmd.Int("seconds"), Seed: 1, RetryShare: -1}
-		return run.Upgrade(ctx, cmd.String("from"), cmd.String("to"), folder, shape, os.Stdout)
+		return harness.Upgrade(ctx, harness.Options{
+			Binary:      cmd.String("from"),
+			OtherBinary: cmd.String("to"),
+			Folder:      folder,
+			Shape:       shape,
+			Output:      os.Stdout,
+			RateFactor:  cmd.Float("factor"),
+			Seconds:     cmd.Int("seconds"),
+			RetryShare:  -1,
+			Seed:        1,
+		})
 	})
 }
--- a/internal/harness/relay.go
+++ b/internal/harness/relay.go
@@ -1,7 +1,3 @@
-// The Relay stands before the wire address of every node of a run, for TCP and
-// UDP, and can cut ways between machines: it tells who sends by the sender's IP
-// number. What is cut is held back (TCP) or lost (UDP), as on a broken network;
-// nobody is told.
 package harness
 
 import (
@@ -12,60 +8,82 @@
 	"time"
 )
 
-// Relay is a run's.
+const (
+	relayDialTimeout   = time.Second
+	relayStreamBuffer  = 32 << 10
+	maxDatagram        = 64 << 10
+	datagramRetryPause = 10 * time.Millisecond // after a read failed, as when the node is down
+)
+
+// Relay stands before the wire address of every node of a fleet, for TCP and UDP, and can cut
+// links between machines. It tells the sender by its IP number. On a link that is cut, streams
+// are held back and datagrams lost, as on a broken network: neither side is notified.
 type Relay struct {
 	ctx    context.Context
-	end    context.CancelFunc
+	cancel context.CancelFunc
 	fleet  *Fleet
-	mu     sync.Mutex
-	cuts   map[[2]string]bool
-	healed chan struct{}
-	closes []func() error
+	closes []func() error // of the listeners
+	tasks  sync.WaitGroup // every goroutine of the relay
+
+	mu     sync.Mutex // guards cuts and healed
+	cuts   map[link]bool
+	healed chan struct{} // closed and replaced when all cuts end
 }
 
-// NewRelay listens for every machine of the fleet.
-func NewRelay(parent context.Context, f *Fleet) (*Relay, error) {
-	ctx, end := context.WithCancel(parent)
-	r := &Relay{ctx: ctx, end: end, fleet: f, cuts: map[[2]string]bool{}, healed: make(chan struct{})}
-	for _, m := range f.Machines {
-		listener, err := net.Listen("tcp", m.RPCAddress())
-		if err != nil {
-			r.Close()
-			return nil, err
-		}
-		r.closes = append(r.closes, listener.Close)
-		packet, err := net.ListenPacket("udp", m.RPCAddress())
-		if err != nil {
+// link is one direction between two machines, by their IP numbers.
+type link struct{ from, to string }
+
+// NewRelay listens at the wire address of every machine of the fleet. The machines must be
+// started after it.
+func NewRelay(parent context.Context, fleet *Fleet) (*Relay, error) {
+	ctx, cancel := context.WithCancel(parent)
+	r := &Relay{ctx: ctx, cancel: cancel, fleet: fleet, cuts: map[link]bool{}, healed: make(chan struct{})}
+	for _, m := range fleet.Machines {
+		if err := r.listen(m); err != nil {
 			r.Close()
 			return nil, err
 		}
-		r.closes = append(r.closes, packet.Close)
-		go r.accept(listener, m)
-		go r.forwardDatagrams(packet, m)
 	}
 	return r, nil
 }
 
-// Close ends the relay and what goes through it.
+func (r *Relay) listen(m *Machine) error {
+	listener, err := net.Listen("tcp", m.RPCAddress())
+	if err != nil {
+		return err
+	}
+	r.closes = append(r.closes, listener.Close)
+	packets, err := net.ListenPacket("udp", m.RPCAddress())
+	if err != nil {
+		return err
+	}
+	r.closes = append(r.closes, packets.Close)
+	r.tasks.Go(func() { r.accept(listener, m) })
+	r.tasks.Go(func() { r.forwardDatagrams(packets, m) })
+	return nil
+}
+
+// Close ends the relay and what goes through it, and waits for its goroutines.
 func (r *Relay) Close() {
-	r.end()
-	for _, verb := range r.closes {
-		verb()
+	r.cancel()
+	for _, closeListener := range r.closes {
+		closeListener()
 	}
+	r.tasks.Wait()
 }
 
 // Cut stops what goes from one machine to another.
 func (r *Relay) Cut(from, to *Machine) {
 	r.mu.Lock()
-	r.cuts[[2]string{from.IP, to.IP}] = true
-	r.mu.Unlock()
+	defer r.mu.Unlock()
+	r.cuts[link{from.IP, to.IP}] = true
 }
 
-// Isolate cuts some machines off from all others.
-func (r *Relay) Isolate(isIn func(*Machine) bool) {
+// Isolate cuts the machines that are in a group off from all others, both ways.
+func (r *Relay) Isolate(inGroup func(*Machine) bool) {
 	for _, a := range r.fleet.Machines {
 		for _, b := range r.fleet.Machines {
-			if isIn(a) && !isIn(b) {
+			if inGroup(a) && !inGroup(b) {
 				r.Cut(a, b)
 				r.Cut(b, a)
 			}
@@ -76,16 +94,17 @@
 // Heal ends all cuts.
 func (r *Relay) Heal() {
 	r.mu.Lock()
-	r.cuts = map[[2]string]bool{}
+	defer r.mu.Unlock()
+	r.cuts = map[link]bool{}
 	close(r.healed)
 	r.healed = make(chan struct{})
-	r.mu.Unlock()
 }
 
-func (r *Relay) isCut(from, to string) (bool, chan struct{}) {
+// isCut reports whether a link is cut, and a channel that is closed when all cuts end.
+func (r *Relay) isCut(l link) (isCut bool, healed <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.cuts[[2]string{from, to}], r.healed
+	return r.cuts[l], r.healed
 }
 
 func (r *Relay) accept(listener net.Listener, m *Machine) {
@@ -94,15 +113,15 @@
 		if err != nil {
 			return
 		}
-		go r.forwardConnection(conn, m)
+		r.tasks.Go(func() { r.forwardConnection(conn, m) })
 	}
 }
 
-// forwardConnection joins two connections, each way by a task of its own.
+// forwardConnection joins a connection to the node behind, until either way ends.
 func (r *Relay) forwardConnection(near net.Conn, m *Machine) {
 	defer near.Close()
-	from := near.RemoteAddr().(*net.TCPAddr).IP.String()
-	far, err := net.DialTimeout("tcp", m.relayedAddress(), time.Second)
+	peer := near.RemoteAddr().(*net.TCPAddr).IP.String()
+	far, err := net.DialTimeout("tcp", m.relayedAddress(), relayDialTimeout)
 	if err != nil {
 		return
 	}
@@ -110,22 +129,24 @@
 	stop := context.AfterFunc(r.ctx, func() { near.Close(); far.Close() })
 	defer stop()
 	done := make(chan struct{}, 2)
-	go func() { r.forwardStream(far, near, from, m.IP); done <- struct{}{} }()
-	go func() { r.forwardStream(near, far, m.IP, from); done <- struct{}{} }()
+	r.tasks.Go(func() { r.forwardStream(far, near, link{peer, m.IP}); done <- struct{}{} })
+	r.tasks.Go(func() { r.forwardStream(near, far, link{m.IP, peer}); done <- struct{}{} })
 	<-done
 }
 
-func (r *Relay) forwardStream(to, from net.Conn, sender, getter string) {
-	buffer := make([]byte, 32<<10)
+// forwardStream copies one way of a connection. Bytes that come while the link is cut wait
+// until it is healed, and the reading with them.
+func (r *Relay) forwardStream(to, from net.Conn, l link) {
+	buffer := make([]byte, relayStreamBuffer)
 	for {
 		n, err := from.Read(buffer)
 		for {
-			isCut, change := r.isCut(sender, getter)
+			isCut, healed := r.isCut(l)
 			if !isCut {
 				break
 			}
 			select {
-			case <-change:
+			case <-healed:
 			case <-r.ctx.Done():
 				return
 			}
@@ -141,49 +162,52 @@
 	}
 }
 
-// forwardDatagrams passes on what comes for a machine, through one socket for each
-// sender, so that what it answers finds its way back.
-func (r *Relay) forwardDatagrams(packet net.PacketConn, m *Machine) {
-	behind := net.UDPAddrFromAddrPort(netip.MustParseAddrPort(m.relayedAddress()))
-	ways := map[string]*net.UDPConn{}
+// forwardDatagrams forwards what comes for a machine, through one socket for each sender, so
+// that the node's answers find their way back.
+func (r *Relay) forwardDatagrams(packets net.PacketConn, m *Machine) {
+	node := net.UDPAddrFromAddrPort(netip.MustParseAddrPort(m.relayedAddress()))
+	sockets := map[string]*net.UDPConn{}
 	defer func() {
-		for _, way := range ways {
-			way.Close()
+		for _, socket := range sockets {
+			socket.Close()
 		}
 	}()
-	buffer := make([]byte, 64<<10)
+	buffer := make([]byte, maxDatagram)
 	for {
-		n, from, err := packet.ReadFrom(buffer)
+		n, from, err := packets.ReadFrom(buffer)
 		if err != nil {
 			return
 		}
 		sender := from.(*net.UDPAddr).IP.String()
-		if isCut, _ := r.isCut(sender, m.IP); isCut {
+		if isCut, _ := r.isCut(link{sender, m.IP}); isCut {
 			continue
 		}
-		way := ways[from.String()]
-		if way == nil {
-			if way, err = net.DialUDP("udp", nil, behind); err != nil {
+		socket := sockets[from.String()]
+		if socket == nil {
+			if socket, err = net.DialUDP("udp", nil, node); err != nil {
 				continue
 			}
-			ways[from.String()] = way
-			go func() {
-				back := make([]byte, 64<<10)
-				for {
-					n, err := way.Read(back)
-					if err != nil {
-						if r.ctx.Err() != nil {
-							return
-						}
-						time.Sleep(10 * time.Millisecond)
-						continue
-					}
-					if isCut, _ := r.isCut(m.IP, sender); !isCut {
-						packet.WriteTo(back[:n], from)
-					}
-				}
-			}()
+			sockets[from.String()] = socket
+			r.tasks.Go(func() { r.returnDatagrams(packets, socket, from, link{m.IP, sender}) })
+		}
+		socket.Write(buffer[:n]) // a datagram may be lost
+	}
+}
+
+// returnDatagrams sends a node's answers back to one sender, until the relay ends.
+func (r *Relay) returnDatagrams(packets net.PacketConn, socket *net.UDPConn, sender net.Addr, l link) {
+	buffer := make([]byte, maxDatagram)
+	for {
+		n, err := socket.Read(buffer)
+		if err != nil {
+			if r.ctx.Err() != nil {
+				return
+			}
+			time.Sleep(datagramRetryPause)
+			continue
+		}
+		if isCut, _ := r.isCut(l); !isCut {
+			packets.WriteTo(buffer[:n], sender) // a datagram may be lost
 		}
-		way.Write(buffer[:n])
 	}
 }
--- a/internal/harness/run.go
+++ b/internal/harness/run.go
@@ -1,6 +1,3 @@
-// A run of a whole deployment as real processes: load at the shape's rates
-// times a factor, faults drawn from a seed, a history judged at the end, and
-// the costs: processor time by role, bytes between zones by cause, syncs.
 package harness
 
 import (
@@ -8,318 +5,222 @@
 	"fmt"
 	"io"
 	"math/rand/v2"
-	"strings"
-	"sync"
-	"sync/atomic"
 	"time"
 
-	"github.com/go-faster/jx"
-
 	"github.com/sumactrestle/sumactrestle/internal/api"
 	"github.com/sumactrestle/sumactrestle/internal/checker"
 	"github.com/sumactrestle/sumactrestle/internal/environment"
 	"github.com/sumactrestle/sumactrestle/internal/errcode"
-	"github.com/sumactrestle/sumactrestle/internal/ids"
 	"github.com/sumactrestle/sumactrestle/internal/standin"
 )
 
-// Run is one.
-type Run struct {
-	RateFactor      float64
-	Seconds         int
-	Seed            uint64
-	Fault           string
-	ExtraRoutes     int
-	History         io.Writer
-	ProfileDir      string
+const (
+	// settleTime is between a ready fleet and the load, so that every server is known.
+	settleTime = 1500 * time.Millisecond
+	// faultStream chooses the sequence of random numbers that faults are drawn from.
+	faultStream = 5
+	// queryTimeout bounds how long a change set's outcome is asked for.
+	queryTimeout = 10 * time.Second
+)
+
+// Options describes a run.
+type Options struct {
+	Binary      string // the program of sumac
+	OtherBinary string // another build of it, for rolls and upgrades
+	Folder      string // for data and logs
+	Shape       Shape
+	Output      io.Writer // progress, verdict and costs, as text
+	History     io.Writer // records, one a line; nil for none
+
+	// Load.
+	RateFactor  float64 // multiplies the shape's rates
+	Seconds     int     // length of the load
+	RetryShare  float64 // of clients that retry a failed order at once; the shape's if negative
+	ServiceTime time.Duration
+	ExtraRoutes int // in the configuration, without load
+	// AllowDuplicates has orders bear no idempotency, so that a retry may be executed again.
 	AllowDuplicates bool
-	OtherBinary     string        // another build of sumac, for rolls
-	ThrottleCPU     bool          // processes have only the shape's share of a processor
-	ServiceTime     time.Duration // how long a server works on each request
-	RetryShare      float64       // the share of callers that repeat a refused order at once; the shape's if negative
 
-	fleet             *Fleet
-	shape             Shape
-	ctx               context.Context
-	history           *checker.History
-	out               io.Writer
-	began             time.Time
-	mu                sync.Mutex
-	servers           []*standin.Server
-	requests          atomic.Int64
-	coordinationCalls atomic.Int64
-	changesSubmitted  atomic.Int64
-	replaced          int
-	spent             map[string]time.Duration
-}
+	// Faults.
+	Fault string // the kind that is drawn; see HasFault
+	Seed  uint64
 
-func (r *Run) logf(format string, args ...any) {
-	fmt.Fprintf(r.out, "%7.2fs %s\n", time.Since(r.began).Seconds(), fmt.Sprintf(format, args...))
+	// ThrottleCPU gives each process the shape's share of a processor only.
+	ThrottleCPU bool
+	// ProfileDir is where processor profiles of a core node and a proxy go; none if empty.
+	ProfileDir string
 }
 
-// recordFault says what is done to the fleet, and notes it in the history.
-func (r *Run) recordFault(format string, args ...any) {
-	r.logf(format, args...)
-	r.history.Add(checker.Record{Kind: checker.FaultInjected, Note: fmt.Sprintf(format, args...)})
-}
+// run is a run under way.
+type run struct {
+	Options
+	ctx       context.Context
+	fleet     *Fleet
+	history   *checker.History
+	servers   []*standin.Server // changed only by the goroutine that injects faults
+	load      loadCounts
+	startedAt time.Time
 
-func (r *Run) sleepBetween(rnd *rand.Rand, least, most int) {
-	time.Sleep(time.Duration(least+rnd.IntN(most-least)) * time.Millisecond)
+	// Of the goroutine that injects faults.
+	changesSubmitted int
+	replaced         int // machines, by the other build or back
 }
 
-func (r *Run) startMachine(m *Machine) {
-	if err := m.Start(); err != nil {
-		r.logf("%s can't start: %v", m.Name, err)
+// Run carries a run out: it starts a deployment as real processes, puts load on it, injects
+// faults drawn from the seed, has the history judged, and prints what was served and spent. It
+// fails if the fleet doesn't become ready or the history breaks a rule.
+func Run(ctx context.Context, options Options) error {
+	r, err := newRun(ctx, options)
+	if err != nil {
+		return err
 	}
+	return r.execute()
 }
 
-func (r *Run) startServer(service, address, zone string) {
-	nodes := r.fleet.APIAddresses()
-	for _, m := range r.fleet.ProxyMachines() {
-		nodes = append(nodes, m.APIAddress())
+func newRun(ctx context.Context, options Options) (*run, error) {
+	if !HasFault(options.Fault) {
+		return nil, errcode.New(errcode.InvalidCall, "no fault %q", options.Fault)
 	}
-	s := &standin.Server{Network: environment.NewHost(""), History: r.history, Service: service, Zone: zone, Address: address, SealKey: "key-" + service, Nodes: nodes, ServiceTime: r.ServiceTime}
-	if err := s.Start(r.ctx); err != nil {
-		r.logf("%s at %s: %v", service, address, err)
-		return
+	if options.Fault == faultRoll && options.OtherBinary == "" {
+		return nil, errcode.New(errcode.InvalidCall, "a roll needs another build (--other)")
+	}
+	if options.RetryShare >= 0 {
+		options.Shape.RetryShare = options.RetryShare
 	}
-	r.mu.Lock()
-	r.servers = append(r.servers, s)
-	r.mu.Unlock()
+	port, err := freePorts()
+	if err != nil {
+		return nil, err
+	}
+	history := checker.NewHistory(options.History)
+	return &run{
+		Options:   options,
+		ctx:       ctx,
+		history:   history,
+		startedAt: time.Now(),
+		fleet: NewFleet(FleetConfig{
+			Binary:         options.Binary,
+			OtherBinary:    options.OtherBinary,
+			Folder:         options.Folder,
+			Port:           port,
+			Cores:          options.Shape.Cores,
+			Proxies:        options.Shape.Proxies,
+			Zones:          options.Shape.Zones,
+			Profiled:       options.ProfileDir != "",
+			SingleThreaded: options.ThrottleCPU,
+			History:        history,
+		}),
+	}, nil
 }
 
-func (r *Run) takeServer(rnd *rand.Rand) *standin.Server {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	i := rnd.IntN(len(r.servers))
-	s := r.servers[i]
-	r.servers = append(r.servers[:i], r.servers[i+1:]...)
-	return s
+// logf prints a line with the time since the run began.
+func (r *run) logf(format string, args ...any) {
+	fmt.Fprintf(r.Output, "%7.2fs %s\n", time.Since(r.startedAt).Seconds(), fmt.Sprintf(format, args...))
 }
 
-// Go carries the run out.
-func (r *Run) Go(ctx context.Context, binary, folder string, shape Shape, out io.Writer) error {
-	hurt, ok := Faults[r.Fault]
-	if !ok {
-		return errcode.New(errcode.InvalidCall, "no fault %q", r.Fault)
-	}
-	port, err := freePorts()
-	if err != nil {
-		return err
-	}
-	r.shape, r.ctx, r.out, r.began = shape, ctx, out, time.Now()
-	r.fleet = New(binary, folder, port, shape.Cores, shape.Proxies, shape.Zones)
-	r.fleet.Profiled = r.ProfileDir != ""
-	r.fleet.singleCPU, r.fleet.OtherBinary = r.ThrottleCPU, r.OtherBinary
-	if r.Fault == "roll" && r.OtherBinary == "" {
-		return errcode.New(errcode.InvalidCall, "a roll needs another build (--other)")
-	}
-	if r.RetryShare >= 0 {
-		r.shape.RetryShare = r.RetryShare
-	}
-	r.history = checker.NewHistory(r.History)
-	r.fleet.History = r.history
-	r.spent = map[string]time.Duration{}
-	r.logf("shape %s, rates times %.2f, %d s, seed %d, faults %s", shape.Name, r.RateFactor, r.Seconds, r.Seed, r.Fault)
-	r.history.Add(checker.Record{Kind: checker.ScenarioStarted, Note: shape.Name})
+// recordFault prints what is done to the fleet and records it in the history.
+func (r *run) recordFault(format string, args ...any) {
+	r.logf(format, args...)
+	r.history.Add(checker.Record{Kind: checker.FaultInjected, Note: fmt.Sprintf(format, args...)})
+}
+
+func (r *run) execute() error {
+	r.logf("shape %s, rates times %.2f, %d s, seed %d, faults %s", r.Shape.Name, r.RateFactor, r.Seconds, r.Seed, r.Fault)
+	r.history.Add(checker.Record{Kind: checker.ScenarioStarted, Note: r.Shape.Name})
 	defer r.fleet.KillAll()
-	if strings.HasPrefix(r.Fault, "cut") || r.Fault == "all" {
-		if r.fleet.Relay, err = NewRelay(ctx, r.fleet); err != nil {
+	if r.Fault == faultCut || r.Fault == faultAll {
+		relay, err := NewRelay(r.ctx, r.fleet)
+		if err != nil {
 			return err
 		}
-		defer r.fleet.Relay.Close()
-	}
-	if err := r.fleet.StartAll(); err != nil {
-		return err
-	}
-	services := map[string]bool{}
-	for _, l := range shape.Loads {
-		services[l.Service] = l.Idempotent
-		for i := range l.Servers {
-			zone := i % shape.Zones
-			r.startServer(l.Service, fmt.Sprintf("127.8.%d.%d:%d", len(services), i+1, port), fmt.Sprintf("zone%d", zone+1))
-		}
-	}
-	defer func() {
-		for _, s := range r.servers {
-			s.Close()
-		}
-	}()
-	operator := standin.NewOperator(environment.NewHost(""), r.history, r.fleet.ProxyMachines()[0].APIAddress())
-	first := initialChange("first", services)
-	for i, m := range first.Put.Value.Mappings {
-		first.Put.Value.Mappings[i].Once = api.NewOptBool(!r.AllowDuplicates && !m.Repeatable.Value)
+		defer relay.Close()
+		r.fleet.Relay = relay
 	}
-	for i := range r.ExtraRoutes {
-		first.Put.Value.Mappings = append(first.Put.Value.Mappings, api.Mapping{Name: fmt.Sprint("more", i), Path: fmt.Sprint("/more/", i), To: []api.Split{{Service: shape.Loads[0].Service, Weight: 1}}})
-	}
-	if err := waitUntil(ctx, 30*time.Second, func() bool { _, err := operator.Submit(ctx, first); return err == nil }); err != nil {
-		return errcode.New(errcode.Internal, "the first change set was not accepted")
-	}
-	wait, end := context.WithTimeout(ctx, 30*time.Second)
-	err = r.fleet.AwaitReady(wait)
-	end()
+	defer r.closeServers()
+	operator, err := r.deploy(r.initialChange())
 	if err != nil {
 		return err
 	}
-	time.Sleep(1500 * time.Millisecond)
+	time.Sleep(settleTime)
 	r.logf("the fleet is ready")
-	cycling, leave := context.WithCancel(ctx)
-	defer leave()
 	if r.ThrottleCPU {
-		r.throttle(cycling)
-	}
-	before, traffic := r.processorTimeByRole(), r.traffic()
-	loading, stop := context.WithCancel(ctx)
-	var loads sync.WaitGroup
-	r.load(loading, &loads)
-	if r.ProfileDir != "" {
-		r.recordProfiles(loading)
+		defer r.throttle()()
 	}
-	if r.History != nil {
-		r.sampleTraffic(loading, &loads)
-	}
-	rnd := rand.New(rand.NewPCG(r.Seed, 5))
-	began := time.Now()
-	for time.Since(began) < time.Duration(r.Seconds)*time.Second && ctx.Err() == nil {
-		hurt(r, rnd)
-	}
-	took := time.Since(began)
-	after, later := r.processorTimeByRole(), r.traffic()
-	stop()
-	loads.Wait()
-	r.printResponses(took.Seconds())
-	if !r.faultFree() {
+	costs := r.underLoad()
+	r.printResponses(costs.duration.Seconds())
+	if !r.isFaultFree() {
 		r.recover()
 	}
-	r.readOutcomes(operator)
+	r.recordOutcomes(operator)
 	r.history.Add(checker.Record{Kind: checker.ScenarioEnded})
-	verdict := checker.Check(r.history.Records())
-	fmt.Fprint(out, verdict)
-	if r.faultFree() {
-		r.printCosts(took, before, after, traffic, later)
+	err = r.judge()
+	if r.isFaultFree() {
+		r.printCosts(costs)
 	}
-	if !verdict.IsValid() {
-		return errcode.New(errcode.Internal, "the history breaks a rule")
-	}
-	return nil
+	return err
 }
 
-// maxInFlight bounds the requests of one service that are under way at once.
-const maxInFlight = 2000
-
-// load starts callers at the shape's rates, spread over the proxies, and
-// applications over all nodes. A caller does not wait for the answers of others, so
-// a slow fleet gets no fewer requests. Every loop is bounded by the run.
-func (r *Run) load(ctx context.Context, loads *sync.WaitGroup) {
-	for _, l := range r.shape.Loads {
-		tasks := 1 + int(l.RequestsPerSecond*r.RateFactor/20)
-		pause := time.Duration(float64(tasks) / (l.RequestsPerSecond * r.RateFactor) * float64(time.Second))
-		body := []byte(strings.Repeat("x", l.BodyBytes))
-		open := make(chan struct{}, maxInFlight)
-		for range tasks {
-			loads.Add(1)
-			go func() {
-				defer loads.Done()
-				caller := standin.NewClient(environment.NewHost(""), r.history)
-				caller.AtMostOnce = !r.AllowDuplicates
-				defer caller.Close()
-				var mine sync.WaitGroup
-				defer mine.Wait()
-				tick := time.NewTicker(pause)
-				defer tick.Stop()
-				for {
-					select {
-					case <-ctx.Done():
-						return
-					case <-tick.C:
-					}
-					select {
-					case open <- struct{}{}:
-					default:
-						continue
-					}
-					r.requests.Add(1)
-					mine.Add(1)
-					go func() {
-						defer func() { <-open; mine.Done() }()
-						r.sendRequest(caller, l, body)
-					}()
-				}
-			}()
-		}
+// initialChange is the configuration of the run's services and its extra routes.
+func (r *run) initialChange() *api.Change {
+	change := initialChange("first", r.Shape.Loads)
+	mappings := change.Put.Value.Mappings
+	for i, m := range mappings {
+		mappings[i].Once = api.NewOptBool(!r.AllowDuplicates && !m.Repeatable.Value)
 	}
-	rate := r.shape.CoordinationPerSecond * r.RateFactor
-	tasks := 1 + int(rate/10)
-	for i := range tasks {
-		loads.Add(1)
-		go func() {
-			defer loads.Done()
-			tick := time.NewTicker(time.Duration(float64(tasks) / rate * float64(time.Second)))
-			defer tick.Stop()
-			var clients []*api.Client
-			for _, m := range r.fleet.Machines {
-				clients = append(clients, standin.NewAPIClient(environment.NewHost(""), m.APIAddress()))
-			}
-			for n := 0; ; n++ {
-				select {
-				case <-ctx.Done():
-					return
-				case <-tick.C:
-				}
-				r.coordinationCalls.Add(1)
-				r.callCoordination(clients[rand.IntN(len(clients))], fmt.Sprint("app", i), n)
-			}
-		}()
+	for i := range r.ExtraRoutes {
+		mappings = append(mappings, api.Mapping{Name: fmt.Sprint("more", i), Path: fmt.Sprint("/more/", i), To: []api.Split{{Service: r.Shape.Loads[0].Service, Weight: 1}}})
 	}
+	change.Put.Value.Mappings = mappings
+	return change
 }
 
-// sendRequest is one request of a service, and its repeats if the caller is eager.
-func (r *Run) sendRequest(caller *standin.Client, l Load, body []byte) {
-	proxies := r.fleet.ProxyMachines()
-	gate := func() string { return proxies[rand.IntN(len(proxies))].ProxyAddress() }
-	if l.Idempotent {
-		caller.Call(context.Background(), gate(), "GET", "/"+l.Service+"/x", l.Service, nil)
-		return
-	}
-	call := ids.NewID()
-	got := caller.CallWithID(context.Background(), gate(), "POST", "/"+l.Service, l.Service, body, call, false)
-	for try := 0; try < 5 && got.Outcome != "ran" && rand.Float64() < r.shape.RetryShare; try++ {
-		got = caller.CallWithID(context.Background(), gate(), "POST", "/"+l.Service, l.Service, body, call, true)
+// deploy starts the fleet and the servers, submits the first change set until it is accepted,
+// and waits until every node is ready.
+func (r *run) deploy(change *api.Change) (*standin.Operator, error) {
+	if err := r.fleet.StartAll(); err != nil {
+		return nil, err
+	}
+	r.startServers()
+	operator := r.newOperator()
+	err := waitUntil(r.ctx, readyTimeout, func() bool {
+		receipt, err := operator.Submit(r.ctx, change)
+		if err == nil {
+			r.logf("change set accepted in epoch %d", receipt.Epoch)
+		}
+		return err == nil
+	})
+	if err != nil {
+		return nil, errcode.New(errcode.Internal, "the first change set was not accepted")
 	}
+	limited, cancel := context.WithTimeout(r.ctx, readyTimeout)
+	defer cancel()
+	return operator, r.fleet.AwaitReady(limited)
 }
 
-// callCoordination is one coordination call, recorded for the judge.
-func (r *Run) callCoordination(client *api.Client, app string, n int) {
-	ctx, end := context.WithTimeout(context.Background(), 4*time.Second)
-	defer end()
-	rec := checker.Record{Kind: checker.CoordinationCall, Start: r.history.Now(), Outcome: "done"}
-	var receipt *api.Receipt
-	var err error
-	switch n % 3 {
-	case 0:
-		rec.Op, rec.Name = "add", "count/"+app
-		receipt, err = client.AddCounter(ctx, &api.Call{Name: rec.Name, ID: api.NewOptString(ids.NewID())})
-	case 1:
-		rec.Op, rec.Name = "put", fmt.Sprint("key", n%5)
-		receipt, err = client.PutKey(ctx, &api.Call{Name: rec.Name, Value: jx.Raw("1"), ID: api.NewOptString(ids.NewID())})
-	default:
-		rec.Op, rec.Name = "get", fmt.Sprint("key", n%5)
-		receipt, err = client.GetKey(ctx, api.GetKeyParams{Name: rec.Name})
-	}
-	rec.Code = standin.CodeOf(err)
-	switch {
-	case err == nil:
-		rec.Revision, rec.Count = receipt.Stamp, receipt.Count.Or(0)
-	case rec.Op == "get" && rec.Code == errcode.KeyNotFound.Number:
-	default:
-		rec.Outcome = "unknown"
-	}
-	r.history.Add(rec)
+// underLoad puts the load on the fleet, injects faults for as long, and returns the costs.
+func (r *run) underLoad() costs {
+	before := r.measure()
+	loading, stop := context.WithCancel(r.ctx)
+	wait := r.startLoad(loading)
+	random := rand.New(rand.NewPCG(r.Seed, faultStream))
+	startedAt := time.Now()
+	for time.Since(startedAt) < time.Duration(r.Seconds)*time.Second && r.ctx.Err() == nil {
+		faults[r.Fault](r, random)
+	}
+	duration := time.Since(startedAt)
+	after := r.measure()
+	stop()
+	wait()
+	return costs{duration: duration, before: before, after: after}
+}
+
+// isFaultFree reports whether no machine and no server is harmed, so that costs are comparable
+// between runs.
+func (r *run) isFaultFree() bool {
+	return r.Fault == faultNone || r.Fault == faultChange || r.Fault == faultGrow
 }
 
-// recover brings all machines back and takes the time until all serve.
-func (r *Run) recover() {
+// recover brings all machines back and records how long it takes until all proxies serve.
+func (r *run) recover() {
 	if r.fleet.Relay != nil {
 		r.fleet.Relay.Heal()
 	}
@@ -330,40 +231,53 @@
 		}
 	}
 	back := r.history.Now()
-	caller := standin.NewClient(environment.NewHost(""), r.history)
-	defer caller.Close()
-	rec := checker.Record{Kind: checker.Recovery, Start: back, Outcome: "usable"}
+	client := standin.NewClient(environment.NewHost(""), r.history)
+	defer client.Close()
+	record := checker.Record{Kind: checker.Recovery, Start: back, Outcome: checker.OutcomeUsable}
 	for _, m := range r.fleet.ProxyMachines() {
-		for _, l := range r.shape.Loads {
-			if waitUntil(r.ctx, 30*time.Second, func() bool {
-				return caller.Call(r.ctx, m.ProxyAddress(), "GET", "/"+l.Service+"/x", l.Service, nil).Outcome == "ran"
-			}) != nil {
-				rec.Outcome = "not usable"
+		for _, load := range r.Shape.Loads {
+			err := waitUntil(r.ctx, readyTimeout, func() bool {
+				return client.Call(r.ctx, m.ProxyAddress(), "GET", "/"+load.Service+"/x", load.Service, nil).Outcome == checker.OutcomeRan
+			})
+			if err != nil {
+				record.Outcome = "not usable"
 			}
 		}
 	}
-	r.history.Add(rec)
+	r.history.Add(record)
 	r.logf("usable again %s after the last machine was back", (r.history.Now() - back).Round(10*time.Millisecond))
 }
 
-// faultFree tells whether nothing is hurt, so that costs can be told.
-func (r *Run) faultFree() bool {
-	return r.Fault == "none" || r.Fault == "change" || r.Fault == "grow"
-}
-
-func (r *Run) readOutcomes(operator *standin.Operator) {
+// recordOutcomes asks for the outcome of every change set that was submitted, and for the
+// configuration that is in force at the end. What can't be had is missing in the history.
+func (r *run) recordOutcomes(operator *standin.Operator) {
 	asked := map[string]bool{}
-	for _, rec := range r.history.Records() {
-		if rec.Kind == checker.ChangeSubmitted && !asked[rec.Name] {
-			asked[rec.Name] = true
-			waitUntil(r.ctx, 10*time.Second, func() bool { _, err := operator.QueryChange(r.ctx, rec.Name); return err == nil })
+	for _, submitted := range r.history.Records() {
+		if submitted.Kind == checker.ChangeSubmitted && !asked[submitted.Name] {
+			asked[submitted.Name] = true
+			waitUntil(r.ctx, queryTimeout, func() bool {
+				_, err := operator.QueryChange(r.ctx, submitted.Name)
+				return err == nil
+			})
 		}
 	}
-	if view, err := operator.Epoch(r.ctx); err == nil {
-		rec := checker.Record{Kind: checker.FinalConfiguration, Epoch: view.Epoch}
-		for _, m := range view.Config.Mappings {
-			rec.Names = append(rec.Names, m.Name)
-		}
-		r.history.Add(rec)
+	view, err := operator.Epoch(r.ctx)
+	if err != nil {
+		return
+	}
+	record := checker.Record{Kind: checker.FinalConfiguration, Epoch: view.Epoch}
+	for _, m := range view.Config.Mappings {
+		record.Names = append(record.Names, m.Name)
 	}
+	r.history.Add(record)
+}
+
+// judge prints the verdict on the history, and fails if it breaks a rule.
+func (r *run) judge() error {
+	verdict := checker.Check(r.history.Records())
+	fmt.Fprint(r.Output, verdict)
+	if !verdict.IsValid() {
+		return errcode.New(errcode.Internal, "the history breaks a rule")
+	}
+	return nil
 }
--- a/internal/harness/throttle.go
+++ b/internal/harness/throttle.go
@@ -1,68 +1,46 @@
-// Small processors, stood in for: each process is stopped and continued in a fixed
-// cycle, so that it has a quarter, a third or all of one processor. It is harder
-// than a quota, for a process that has nothing to do is stopped as well.
 package harness
 
 import (
 	"context"
-	"fmt"
-	"sort"
+	"sync"
 	"syscall"
 	"time"
-
-	"github.com/sumactrestle/sumactrestle/internal/checker"
 )
 
+// throttlePeriod is one cycle of a throttled process.
 const throttlePeriod = 20 * time.Millisecond
 
-// throttle puts every machine of the run into its cycle until the context ends.
-func (r *Run) throttle(ctx context.Context) {
+// throttle gives each machine its share of one processor, by stopping and continuing its
+// process in a fixed cycle. This is harder than a quota of the system: a process that has
+// nothing to do is stopped as well. The function that it returns ends it and waits.
+func (r *run) throttle() (stop func()) {
+	ctx, cancel := context.WithCancel(r.ctx)
+	var tasks sync.WaitGroup
 	for _, m := range r.fleet.Machines {
-		share := r.shape.ProxyCPU
-		if m.IsCore {
-			share = r.shape.CoreCPU
+		share := r.Shape.ProxyCPU
+		if m.role == roleCore {
+			share = r.Shape.CoreCPU
 		}
-		if share <= 0 || share >= 1 {
-			continue
+		if share > 0 && share < 1 {
+			tasks.Go(func() { m.throttle(ctx, share) })
 		}
-		on := time.Duration(float64(throttlePeriod) * share)
-		go func() {
-			for ctx.Err() == nil {
-				time.Sleep(on)
-				m.signal(syscall.SIGSTOP)
-				time.Sleep(throttlePeriod - on)
-				if !m.isFrozen.Load() {
-					m.signal(syscall.SIGCONT)
-				}
-			}
-			if !m.isFrozen.Load() {
-				m.signal(syscall.SIGCONT)
-			}
-		}()
+	}
+	return func() {
+		cancel()
+		tasks.Wait()
 	}
 }
 
-// printResponses tells what became of the callers' requests, and how soon each kind of
-// answer came. Times are of one machine that all share, and no verdict hangs on them.
-func (r *Run) printResponses(seconds float64) {
-	took := map[string][]time.Duration{}
-	for _, rec := range r.history.Records() {
-		if rec.Kind == checker.RequestCompleted {
-			what := rec.Outcome
-			if rec.Code != 0 {
-				what = fmt.Sprint(rec.Outcome, ", code ", rec.Code)
-			}
-			took[what] = append(took[what], rec.At-rec.Start)
+// throttle lets the process run for a share of each period, until the context ends. One that
+// is frozen stays so.
+func (m *Machine) throttle(ctx context.Context, share float64) {
+	running := time.Duration(float64(throttlePeriod) * share)
+	for ctx.Err() == nil {
+		time.Sleep(running)
+		m.signal(syscall.SIGSTOP)
+		time.Sleep(throttlePeriod - running)
+		if !m.frozen.Load() {
+			m.signal(syscall.SIGCONT)
 		}
 	}
-	var kinds []string
-	for what := range took {
-		kinds = append(kinds, what)
-	}
-	sort.Strings(kinds)
-	for _, what := range kinds {
-		list := took[what]
-		sort.Slice(list, func(i, j int) bool { return list[i] < list[j] })
-		fmt.Fprintf(r.out, "answered %-28s %8.1f/s   median %s, of a hundred 99 within %s\n", what, float64(len(list))/seconds, list[len(list)/2].Round(100*time.Microsecond), list[len(list)*99/100].Round(time.Millisecond))
-	}
 }
--- a/internal/harness/upgrade.go
+++ b/internal/harness/upgrade.go
@@ -4,21 +4,16 @@
 	"bufio"
 	"context"
 	"encoding/json"
-	"io"
-	"math/rand/v2"
 	"os"
-	"time"
 
 	"github.com/sumactrestle/sumactrestle/internal/errcode"
 	"github.com/sumactrestle/sumactrestle/internal/eventlog"
 )
 
 const (
-	// readyTimeout is how long a node that was replaced may take until it works.
-	readyTimeout = 30 * time.Second
-	// mixedChanges is how many change sets, one a second, are submitted to each mix of
+	// changeSetsPerMix is how many change sets, one a second, are submitted to each mix of
 	// the two builds.
-	mixedChanges = 3
+	changeSetsPerMix = 3
 	// refusalsShown is how many refusals of each node are printed.
 	refusalsShown = 3
 )
@@ -34,13 +29,17 @@
 	eventlog.GroupDamaged.Number:     true,
 }
 
-// Upgrade runs a fleet of the build at from under load and replaces its nodes, core
-// nodes first, one at a time by the build at to. Change sets are submitted throughout.
-// The checkers judge the history; besides, every node must have been replaced, and none
-// may have refused a message of the other build or the data that the other build wrote.
-func (r *Run) Upgrade(ctx context.Context, from, to, folder string, shape Shape, out io.Writer) error {
-	r.Fault, r.OtherBinary = "upgrade", to
-	if err := r.Go(ctx, from, folder, shape, out); err != nil {
+// Upgrade runs a fleet of the build Options.Binary under load and replaces its nodes, core
+// nodes first, one at a time by the build Options.OtherBinary. Change sets are submitted
+// throughout. The checkers judge the history; besides, every node must have been replaced, and
+// none may have refused a message of the other build or the data that the other build wrote.
+func Upgrade(ctx context.Context, options Options) error {
+	options.Fault = faultUpgrade
+	r, err := newRun(ctx, options)
+	if err != nil {
+		return err
+	}
+	if err := r.execute(); err != nil {
 		return err
 	}
 	if r.replaced < len(r.fleet.Machines) {
@@ -48,11 +47,11 @@
 	}
 	refused := 0
 	for _, m := range r.fleet.Machines {
-		n, err := r.showRefusals(m)
+		count, err := r.printRefusals(m)
 		if err != nil {
 			return err
 		}
-		refused += n
+		refused += count
 	}
 	r.logf("%d nodes replaced one at a time, %d refusals logged", r.replaced, refused)
 	if refused > 0 {
@@ -61,25 +60,9 @@
 	return nil
 }
 
-// upgradeMachine replaces the next node, waits until it works and submits a change set.
-func upgradeMachine(r *Run, rnd *rand.Rand) {
-	if r.replaced < len(r.fleet.Machines) {
-		replaceBuild(r, rnd)
-		limited, end := context.WithTimeout(r.ctx, readyTimeout)
-		defer end()
-		if err := r.fleet.AwaitReady(limited); err != nil {
-			r.logf("%v", err)
-		}
-	}
-	for range mixedChanges {
-		addRoute(r, rnd)
-	}
-}
-
-// showRefusals counts the lines of a node's log that say that a message or
-// stored data were refused,
-// and prints the first.
-func (r *Run) showRefusals(m *Machine) (count int, err error) {
+// printRefusals counts the lines of a node's log that tell of a refused message or refused
+// data, and prints the first.
+func (r *run) printRefusals(m *Machine) (count int, err error) {
 	file, err := os.Open(m.LogFile())
 	if err != nil {
 		return 0, err
