--- /dev/null
+++ b/internal/config/setting.go
@@ -0,0 +1,63 @@
+package config
+
+import (
+	"fmt"
+	"net/netip"
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/knadh/koanf/v2"
+)
+
+// setting is one line of the table that is made from schema/config.yaml. The alias is the
+// key's former name, under which it is still read.
+type setting struct {
+	key, alias, kind, fallback, low, high, doc string
+	set                                        func(*Settings, any)
+}
+
+// parse returns the setting's value, of the type of its field in Settings.
+func (s setting) parse(values *koanf.Koanf) (any, error) {
+	text := strings.TrimSpace(values.String(s.key))
+	switch s.kind {
+	case "strings":
+		list := values.Strings(s.key)
+		if len(list) == 0 && text != "" {
+			list = strings.Split(text, ",")
+		}
+		return list, nil
+	case "address":
+		if text != "" {
+			if _, err := netip.ParseAddrPort(text); err != nil {
+				return nil, fmt.Errorf("%q is not an IP number with a port", text)
+			}
+		}
+		return text, nil
+	case "bool":
+		return strconv.ParseBool(text)
+	case "int":
+		n, err := strconv.Atoi(text)
+		if err != nil {
+			return nil, fmt.Errorf("%q is not a whole number", text)
+		}
+		low, _ := strconv.Atoi(s.low) // the schema's bounds are numbers
+		high, _ := strconv.Atoi(s.high)
+		if n < low || n > high {
+			return nil, fmt.Errorf("%d is outside %s to %s", n, s.low, s.high)
+		}
+		return n, nil
+	case "duration":
+		d, err := time.ParseDuration(text)
+		if err != nil {
+			return nil, fmt.Errorf("%q is not a duration", text)
+		}
+		low, _ := time.ParseDuration(s.low)
+		high, _ := time.ParseDuration(s.high)
+		if d < low || d > high {
+			return nil, fmt.Errorf("%s is outside %s to %s", d, s.low, s.high)
+		}
+		return d, nil
+	}
+	return text, nil
+}
