--- a/internal/approved/folder_test.go
+++ b/internal/approved/folder_test.go
@@ -39,24 +39,26 @@
 	return folder
 }
 
-// machine is what folds a shard's entries.
-type machine interface {
+// shardState is what folds a shard's entries.
+type shardState interface {
 	apply(index uint64, body json.RawMessage)
 	restore(raw json.RawMessage) error
 	state() (json.RawMessage, error)
 }
 
-type configuration struct{ *controlplane.ConfigState }
+type configurationShard struct{ *controlplane.ConfigState }
 
-func (c configuration) apply(index uint64, body json.RawMessage) { c.Apply(ids.Index(index), body) }
-func (c configuration) restore(raw json.RawMessage) error        { return c.Restore(raw) }
-func (c configuration) state() (json.RawMessage, error)          { return c.Snapshot()() }
+func (s configurationShard) apply(index uint64, body json.RawMessage) {
+	s.Apply(ids.Index(index), body)
+}
+func (s configurationShard) restore(raw json.RawMessage) error { return s.Restore(raw) }
+func (s configurationShard) state() (json.RawMessage, error)   { return s.Snapshot()() }
 
-type bonds struct{ *coordination.Store }
+type coordinationShard struct{ *coordination.Store }
 
-func (b bonds) apply(index uint64, body json.RawMessage) { b.Apply(ids.Index(index), body) }
-func (b bonds) restore(raw json.RawMessage) error        { return b.Restore(raw) }
-func (b bonds) state() (json.RawMessage, error)          { return b.Snapshot()() }
+func (s coordinationShard) apply(index uint64, body json.RawMessage) { s.Apply(ids.Index(index), body) }
+func (s coordinationShard) restore(raw json.RawMessage) error        { return s.Restore(raw) }
+func (s coordinationShard) state() (json.RawMessage, error)          { return s.Snapshot()() }
 
 func openFolder(t *testing.T, folder string) *storage.Store {
 	t.Helper()
@@ -105,9 +107,9 @@
 			same(t, name+".keys.txt", listing.String())
 			var states strings.Builder
 			for shard := range shards + 1 {
-				var m machine = configuration{controlplane.NewConfigState()}
+				var m shardState = configurationShard{controlplane.NewConfigState()}
 				if shard < shards {
-					m = bonds{coordination.NewStore()}
+					m = coordinationShard{coordination.NewStore()}
 				}
 				last := uint64(0)
 				if raw := values[fmt.Sprintf("p/%02d/base", shard)]; raw != nil {
--- a/internal/approved/node_test.go
+++ b/internal/approved/node_test.go
@@ -40,11 +40,11 @@
 	for key, value := range more {
 		set[key] = value
 	}
-	props, err := config.Load("", set)
+	settings, err := config.Load("", set)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := environment.New(context.Background(), props, eventlog.New(io.Discard, "error", "n1"), environment.NewHost(props.PeerAddress))
+	r := environment.New(context.Background(), settings, eventlog.New(io.Discard, "error", "n1"), environment.NewHost(settings.PeerAddress))
 	t.Cleanup(r.Shutdown)
 	if n, err = node.Start(r); err != nil {
 		t.Fatal(err)
@@ -96,9 +96,9 @@
 
 // What hangs on time, on chance or on Go names in an answer.
 var (
-	randomId = regexp.MustCompile(`\b[0-9a-f]{16}\b`)
-	portNo   = regexp.MustCompile(`(127\.3\.7\.1):\d+`)
-	goNames  = regexp.MustCompile(`operation [A-Z]\w*: |decode [A-Z]\w*: `)
+	randomId   = regexp.MustCompile(`\b[0-9a-f]{16}\b`)
+	portNumber = regexp.MustCompile(`(127\.3\.7\.1):\d+`)
+	goNames    = regexp.MustCompile(`operation [A-Z]\w*: |decode [A-Z]\w*: `)
 )
 
 // TestNodeIsAsApproved holds the kinds of messages that a node takes, and what callers,
@@ -141,7 +141,7 @@
 		if to == gateAddress {
 			side = "gate"
 		}
-		shown := goNames.ReplaceAllString(portNo.ReplaceAllString(randomId.ReplaceAllString(fmt.Sprintf("%s %s %s %s\n  %d %s\n  %s\n", side, method, path, body, response.StatusCode, strings.Join(names, " "), strings.TrimSpace(string(text))), "RANDOM"), "$1:PORT"), "")
+		shown := goNames.ReplaceAllString(portNumber.ReplaceAllString(randomId.ReplaceAllString(fmt.Sprintf("%s %s %s %s\n  %d %s\n  %s\n", side, method, path, body, response.StatusCode, strings.Join(names, " "), strings.TrimSpace(string(text))), "RANDOM"), "$1:PORT"), "")
 		out.WriteString(shown)
 		return response.StatusCode, string(text)
 	}
--- a/tools/mutate/main.go
+++ b/tools/mutate/main.go
@@ -29,7 +29,7 @@
 	More        []replacement
 
 	Scenario, Rule, Survives string
-	Manner                   string // of fleets; the brief's if empty
+	Mode                     string `yaml:"manner"` // of fleets; the brief's if empty
 	Test                     string // a test that must fail, in place of a scenario
 }
 
@@ -49,7 +49,7 @@
 		if !strings.Contains(m.Name, *only) {
 			continue
 		}
-		verdict, isFine := try(m, folder, *seeds)
+		verdict, isFine := attempt(m, folder, *seeds)
 		if !isFine {
 			failures++
 		}
@@ -69,7 +69,7 @@
 	}
 }
 
-func try(m mutant, folder, seeds string) (string, bool) {
+func attempt(m mutant, folder, seeds string) (string, bool) {
 	tree := filepath.Join(folder, "tree")
 	must(os.RemoveAll(tree))
 	must(os.MkdirAll(tree, 0o755))
@@ -99,11 +99,11 @@
 		}
 		return "caught by " + m.Test, true
 	}
-	manner := m.Manner
-	if manner == "" {
-		manner = "brief"
+	mode := m.Mode
+	if mode == "" {
+		mode = "brief"
 	}
-	run := exec.Command("go", "test", "./internal/simulator", "-run", "TestSeeds", "-count=1", "-timeout", "240s", "-seeds", seeds, "-scenario", m.Scenario, "-manner", manner)
+	run := exec.Command("go", "test", "./internal/simulator", "-run", "TestSeeds", "-count=1", "-timeout", "240s", "-seeds", seeds, "-scenario", m.Scenario, "-manner", mode)
 	run.Dir = tree
 	out, err := run.CombinedOutput()
 	broken := regexp.MustCompile(`BROKEN (\S+)`).FindAllStringSubmatch(string(out), -1)
