--- a/internal/metrics/histogram.go
+++ b/internal/metrics/histogram.go
@@ -99,8 +99,8 @@
 func (o Outcome) String() string { return [...]string{"ran", "not run", "unknown"}[o] }
 
 // ParseOutcome returns the outcome of that name; a request without one did not run.
-func ParseOutcome(word string) Outcome {
-	switch word {
+func ParseOutcome(name string) Outcome {
+	switch name {
 	case "ran":
 		return OutcomeRan
 	case "unknown":
--- a/internal/simulator/fleet.go
+++ b/internal/simulator/fleet.go
@@ -144,8 +144,10 @@
 	return list
 }
 
+// Cores returns the machines of the core nodes.
 func (f *Fleet) Cores() []*Machine { return f.filter(func(m *Machine) bool { return m.IsCore }) }
 
+// Proxies returns the machines of the proxies.
 func (f *Fleet) Proxies() []*Machine { return f.filter(func(m *Machine) bool { return m.IsProxy }) }
 
 // apiAddresses is where servers send their beats: any node will do, and the proxies
--- a/tools/schemagen/main.go
+++ b/tools/schemagen/main.go
@@ -4,7 +4,6 @@
 package main
 
 import (
-	"bytes"
 	"fmt"
 	"go/format"
 	"os"
@@ -14,45 +13,6 @@
 	"go.yaml.in/yaml/v3"
 )
 
-type message struct {
-	Name   string
-	Doc    string
-	Fields yaml.Node
-}
-
-// setting is one line of the settings' schema. Alias is the key's former name, which is
-// still read.
-type setting struct {
-	Key, Alias, Type, Default, Min, Max, Doc string
-}
-
-// shownKey is the key by which the field's name in printed settings is made.
-func (s setting) shownKey() string {
-	if s.Alias != "" {
-		return s.Alias
-	}
-	return s.Key
-}
-
-// code is one line of the codes' schema. Name is what answers show; Go is the name in the
-// code, if it is another.
-type code struct {
-	No                                  int
-	Name, Go, Status, Outcome, Text, Do string
-}
-
-// event is one line of the events' schema. Name is what the shell and the metrics show; Go
-// is the name in the code, if it is another.
-type event struct {
-	No                        int
-	Name, Go, Level, Text, Do string
-}
-
-type metric struct {
-	Name, Metric, Kind, Doc string
-	Labels                  []string
-}
-
 func main() {
 	root := "."
 	if len(os.Args) > 1 {
@@ -72,17 +32,18 @@
 	read(root, "codes.yaml", &codes)
 	read(root, "events.yaml", &events)
 	read(root, "metrics.yaml", &metrics)
-	write(out, "internal/rpc/messages_gen.go", mintMessages(messages))
-	write(out, "internal/config/settings_gen.go", mintSettings(settings))
-	write(out, "internal/errcode/codes_gen.go", mintCodes(codes))
-	write(out, "internal/eventlog/events_gen.go", mintEvents(events))
-	write(out, "internal/metrics/metrics_gen.go", mintMetrics(metrics))
-	write(out, "docs/settings.md", tableSettings(settings))
-	write(out, "docs/codes.md", tableCodes(codes))
-	write(out, "docs/events.md", tableEvents(events))
-	write(out, "docs/metrics.md", tableMetrics(metrics))
-}
-
+	write(out, "internal/rpc/messages_gen.go", generateMessages(messages))
+	write(out, "internal/config/settings_gen.go", generateSettings(settings))
+	write(out, "internal/errcode/codes_gen.go", generateCodes(codes))
+	write(out, "internal/eventlog/events_gen.go", generateEvents(events))
+	write(out, "internal/metrics/metrics_gen.go", generateMetrics(metrics))
+	write(out, "docs/settings.md", settingsPage(settings))
+	write(out, "docs/codes.md", codesPage(codes))
+	write(out, "docs/events.md", eventsPage(events))
+	write(out, "docs/metrics.md", metricsPage(metrics))
+}
+
+// read decodes a schema; a schema that can't be read ends the program.
 func read(root, name string, into any) {
 	raw, err := os.ReadFile(filepath.Join(root, "schema", name))
 	if err == nil {
@@ -93,6 +54,7 @@
 	}
 }
 
+// write formats and writes one generated file below root.
 func write(root, name string, text string) {
 	raw := []byte(text)
 	if strings.HasSuffix(name, ".go") {
@@ -110,209 +72,8 @@
 	}
 }
 
+// fail ends the program with an error about one file.
 func fail(name string, err error) {
 	fmt.Fprintln(os.Stderr, "schemagen:", name+":", err)
 	os.Exit(1)
 }
-
-// initialisms are the words that Go writes in capitals throughout.
-var initialisms = map[string]string{"api": "API", "id": "ID", "ttl": "TTL"}
-
-// camel returns the Go name of a key, as in APIAddress for api.address.
-func camel(key string) string {
-	var b strings.Builder
-	for _, word := range strings.FieldsFunc(key, func(r rune) bool { return r == '_' || r == '.' || r == '-' }) {
-		if capitals, ok := initialisms[word]; ok {
-			b.WriteString(capitals)
-			continue
-		}
-		b.WriteString(strings.ToUpper(word[:1]) + word[1:])
-	}
-	return b.String()
-}
-
-// field is one field of a message: its JSON name and, apart from it, its Go name.
-type field struct {
-	json     string
-	goName   string
-	goType   string
-	optional bool
-}
-
-// fieldsOf reads a message's fields in their order. A field's value is its type, or
-// a mapping with its type and its Go name.
-func fieldsOf(m message) ([]field, error) {
-	var fields []field
-	for i := 0; i+1 < len(m.Fields.Content); i += 2 {
-		key, value := m.Fields.Content[i].Value, m.Fields.Content[i+1]
-		f := field{json: strings.TrimSuffix(key, "-"), optional: strings.HasSuffix(key, "-")}
-		f.goName = camel(f.json)
-		if value.Kind == yaml.MappingNode {
-			var detail struct{ Go, Type string }
-			if err := value.Decode(&detail); err != nil {
-				return nil, fmt.Errorf("%s.%s: %w", m.Name, f.json, err)
-			}
-			f.goName, f.goType = detail.Go, detail.Type
-		} else {
-			f.goType = value.Value
-		}
-		fields = append(fields, f)
-	}
-	return fields, nil
-}
-
-// comment wraps a text into comment lines.
-func comment(text string) string {
-	const width = 90
-	var b strings.Builder
-	line := "//"
-	for _, word := range strings.Fields(text) {
-		if len(line)+1+len(word) > width {
-			b.WriteString(line + "\n")
-			line = "//"
-		}
-		line += " " + word
-	}
-	b.WriteString(line + "\n")
-	return b.String()
-}
-
-func mintMessages(messages []message) string {
-	var b bytes.Buffer
-	b.WriteString("// Code generated by schemagen from schema/wire.yaml. DO NOT EDIT.\n\npackage rpc\n\nimport (\n\"encoding/json\"\n\n\"github.com/sumactrestle/sumactrestle/internal/ids\"\n)\n\n")
-	for _, m := range messages {
-		fields, err := fieldsOf(m)
-		if err != nil {
-			fail("wire.yaml", err)
-		}
-		b.WriteString(comment(m.Name + " " + m.Doc))
-		fmt.Fprintf(&b, "type %s struct {\n", m.Name)
-		for _, f := range fields {
-			tag := f.json
-			if f.optional {
-				tag += ",omitempty"
-			}
-			fmt.Fprintf(&b, "%s %s `json:%q`\n", f.goName, f.goType, tag)
-		}
-		b.WriteString("}\n\n")
-	}
-	return b.String()
-}
-
-// shownAs returns the name under which the check of settings prints a key, as in
-// ApiAddress for api.address; it does not follow the Go name.
-func shownAs(key string) string {
-	var name strings.Builder
-	for _, word := range strings.FieldsFunc(key, func(r rune) bool { return r == '_' || r == '.' }) {
-		name.WriteString(strings.ToUpper(word[:1]) + word[1:])
-	}
-	return name.String()
-}
-
-// goName is the name in the code: the one given, or else the one that follows.
-func goName(given, otherwise string) string {
-	if given != "" {
-		return given
-	}
-	return otherwise
-}
-
-func mintSettings(settings []setting) string {
-	kinds := map[string]string{"string": "string", "strings": "[]string", "int": "int", "duration": "time.Duration", "bool": "bool", "address": "string"}
-	var b bytes.Buffer
-	b.WriteString("// Code generated by schemagen from schema/config.yaml. DO NOT EDIT.\n\npackage config\n\nimport \"time\"\n\n// Settings are the checked settings of one node.\ntype Settings struct {\n")
-	for _, s := range settings {
-		fmt.Fprintf(&b, "%s %s `json:%q` // %s\n", camel(s.Key), kinds[s.Type], shownAs(s.shownKey()), s.Doc)
-	}
-	b.WriteString("\n// Renamed is what was given under a former name, in the order of the current names.\nRenamed []Renaming `json:\"-\"`\n}\n\nvar table = []setting{\n")
-	for _, s := range settings {
-		fmt.Fprintf(&b, "{key: %q, alias: %q, kind: %q, fallback: %q, low: %q, high: %q, doc: %q, set: func(s *Settings, v any) { s.%s = v.(%s) }},\n", s.Key, s.Alias, s.Type, s.Default, s.Min, s.Max, s.Doc, camel(s.Key), kinds[s.Type])
-	}
-	b.WriteString("}\n")
-	return b.String()
-}
-
-func mintCodes(codes []code) string {
-	var b bytes.Buffer
-	b.WriteString("// Code generated by schemagen from schema/codes.yaml. DO NOT EDIT.\n\npackage errcode\n\n")
-	b.WriteString("var (\n")
-	for _, c := range codes {
-		fmt.Fprintf(&b, "%s = Code{Number: %d, Name: %q, Status: %s, Outcome: %q, Text: %q}\n", goName(c.Go, c.Name), c.No, c.Name, c.Status, c.Outcome, c.Text)
-	}
-	b.WriteString(")\n\n// Codes holds every code by its number.\nvar Codes = map[int]Code{\n")
-	for _, c := range codes {
-		fmt.Fprintf(&b, "%d: %s,\n", c.No, goName(c.Go, c.Name))
-	}
-	b.WriteString("}\n")
-	return b.String()
-}
-
-func mintEvents(events []event) string {
-	var b bytes.Buffer
-	b.WriteString("// Code generated by schemagen from schema/events.yaml. DO NOT EDIT.\n\npackage eventlog\n\nvar (\n")
-	for _, e := range events {
-		fmt.Fprintf(&b, "%s = Event{Number: %d, Name: %q, Level: %q, Text: %q}\n", goName(e.Go, e.Name), e.No, e.Name, e.Level, e.Text)
-	}
-	b.WriteString(")\n\n// Events is the whole table.\nvar Events = []Event{\n")
-	for _, e := range events {
-		fmt.Fprintf(&b, "%s,\n", goName(e.Go, e.Name))
-	}
-	b.WriteString("}\n")
-	return b.String()
-}
-
-func tableSettings(settings []setting) string {
-	var b strings.Builder
-	b.WriteString("# Settings\n\nMade from `schema/config.yaml`. A setting is taken from the file given with `--props` (YAML or JSON), then from `SUMAC_` variables (`SUMAC_PROXY_ADDRESS` for `proxy.address`), then from `--set key=value`. Every fault is named with its key, and a node with a fault does not start.\n\nA setting that had another name is still read under it, in all three; a node names those once, in event 804. One given under both names is refused, be it in two places and with one value.\n\n| key | former name | kind | default | bounds | meaning |\n| --- | --- | --- | --- | --- | --- |\n")
-	for _, s := range settings {
-		bounds := ""
-		if s.Min != "" || s.Max != "" {
-			bounds = s.Min + " to " + s.Max
-		}
-		former := ""
-		if s.Alias != "" {
-			former = "`" + s.Alias + "`"
-		}
-		fmt.Fprintf(&b, "| `%s` | %s | %s | %s | %s | %s |\n", s.Key, former, s.Type, s.Default, bounds, s.Doc)
-	}
-	return b.String()
-}
-
-func tableCodes(codes []code) string {
-	var b strings.Builder
-	b.WriteString("# Result codes\n\nMade from `schema/codes.yaml`. Every failed answer carries its number in `Sumac-Code`, and, where a request to a server is concerned, its outcome in `Sumac-Outcome`.\n\n| number | name | status | outcome | meaning | what to do |\n| --- | --- | --- | --- | --- | --- |\n")
-	for _, c := range codes {
-		fmt.Fprintf(&b, "| %d | %s | %s | %s | %s | %s |\n", c.No, c.Name, c.Status, c.Outcome, c.Text, c.Do)
-	}
-	return b.String()
-}
-
-func tableEvents(events []event) string {
-	var b strings.Builder
-	b.WriteString("# Log events\n\nMade from `schema/events.yaml`. Every log line carries its number as `event`.\n\n| number | name | level | text | what to do |\n| --- | --- | --- | --- | --- |\n")
-	for _, e := range events {
-		fmt.Fprintf(&b, "| %d | %s | %s | %s | %s |\n", e.No, e.Name, e.Level, e.Text, e.Do)
-	}
-	return b.String()
-}
-
-func mintMetrics(metrics []metric) string {
-	var b bytes.Buffer
-	b.WriteString("// Code generated by schemagen from schema/metrics.yaml. DO NOT EDIT.\n\npackage metrics\n\nvar (\n")
-	names := ""
-	for _, m := range metrics {
-		fmt.Fprintf(&b, "%s = Metric{Name: %q, Kind: %q, Help: %q, Labels: %#v}\n", m.Name, m.Metric, m.Kind, m.Doc, m.Labels)
-		names += m.Name + ",\n"
-	}
-	fmt.Fprintf(&b, ")\n\n// Metrics is the whole table.\nvar Metrics = []Metric{\n%s}\n", names)
-	return b.String()
-}
-
-func tableMetrics(metrics []metric) string {
-	var b strings.Builder
-	b.WriteString("# Metrics\n\nMade from `schema/metrics.yaml`. With `metrics.serve` a node shows them, beside those of the Go runtime and of the process, under `/metrics` on its API address, in the format that Prometheus reads. Names follow its conventions: base units, `_total` for what only grows. Every node shows what it has: a proxy nothing of parts, a core node nothing of a gate. Counts start at zero with the process. Without the setting nothing of this is made; `sumac shell` shows the same counters, and the histograms by `latency`.\n\n| metric | kind | labels | meaning |\n| --- | --- | --- | --- |\n")
-	for _, m := range metrics {
-		fmt.Fprintf(&b, "| `%s` | %s | %s | %s |\n", m.Metric, m.Kind, strings.Join(m.Labels, ", "), m.Doc)
-	}
-	return b.String()
-}
