--- a/internal/checker/history_test.go
+++ b/internal/checker/history_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"os"
 	"path/filepath"
 	"strings"
@@ -36,10 +37,10 @@
 	if err := os.WriteFile(path, []byte("{\"kind\":\"began\",\"at\":1}\n{\"kind\":"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := ReadHistory(path); !errcode.Is(err, errcode.InvalidCall) || !strings.Contains(err.Error(), "line 2") {
+	if _, err := ReadHistory(path); !errors.Is(err, errcode.InvalidCall) || !strings.Contains(err.Error(), "line 2") {
 		t.Fatal(err)
 	}
-	if _, err := ReadHistory(path + "-absent"); !errcode.Is(err, errcode.InvalidCall) {
+	if _, err := ReadHistory(path + "-absent"); !errors.Is(err, errcode.InvalidCall) {
 		t.Fatal(err)
 	}
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -2,6 +2,7 @@
 package config
 
 import (
+	"errors"
 	"os"
 	"path/filepath"
 	"testing"
@@ -24,7 +25,7 @@
 consensus: {snapshot_entries: many}
 `), 0o644)
 	_, err := Load(path, map[string]string{"strength": "0"})
-	if !errcode.Is(err, errcode.InvalidSettings) {
+	if !errors.Is(err, errcode.InvalidSettings) {
 		t.Fatal(err)
 	}
 	want := []string{
--- a/internal/consensus/log_test.go
+++ b/internal/consensus/log_test.go
@@ -83,7 +83,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			l := logOf(2, 2, 3)
-			if _, err := l.merge(&storage.Batch{}, test.entries); !errcode.Is(err, errcode.InvalidMessage) {
+			if _, err := l.merge(&storage.Batch{}, test.entries); !errors.Is(err, errcode.InvalidMessage) {
 				t.Errorf("got %v", err)
 			}
 			requireTerms(t, l.entries, 2, 2, 3)
--- a/internal/controlplane/change_test.go
+++ b/internal/controlplane/change_test.go
@@ -1,6 +1,7 @@
 package controlplane
 
 import (
+	"errors"
 	"testing"
 
 	"github.com/sumactrestle/sumactrestle/internal/errcode"
@@ -39,7 +40,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			first, err := epoch.CheckPrecondition(&c.change, c.digest)
-			if (c.code.Number == 0) != (err == nil) || err != nil && !errcode.Is(err, c.code) {
+			if (c.code.Number == 0) != (err == nil) || err != nil && !errors.Is(err, c.code) {
 				t.Errorf("%v, want code %d", err, c.code.Number)
 			}
 			if (first != nil) != c.repeat || c.repeat && (first.Epoch != 7 || first.Version != 5) {
--- a/internal/controlplane/heartbeat_test.go
+++ b/internal/controlplane/heartbeat_test.go
@@ -1,6 +1,7 @@
 package controlplane
 
 import (
+	"errors"
 	"strings"
 	"testing"
 
@@ -38,7 +39,7 @@
 				}
 				return
 			}
-			if !errcode.Is(err, errcode.InvalidHeartbeat) {
+			if !errors.Is(err, errcode.InvalidHeartbeat) {
 				t.Fatal(err)
 			}
 			faults := errcode.From(err).Paths
--- a/internal/controlplane/submit.go
+++ b/internal/controlplane/submit.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"encoding/json"
+	"errors"
 
 	"github.com/sumactrestle/sumactrestle/internal/errcode"
 	"github.com/sumactrestle/sumactrestle/internal/eventlog"
@@ -41,14 +42,14 @@
 		return first, false, nil
 	}
 	if err != nil {
-		if !errcode.Is(err, errcode.ChangeReused) {
+		if !errors.Is(err, errcode.ChangeReused) {
 			p.env.Events.Emit(eventlog.ChangeRejected, "id", change.ID, "code", errcode.From(err).Code.Number)
 		}
 		return nil, false, err
 	}
 	result = &rpc.ChangeResult{ID: change.ID, State: stateAccepted, Digest: digest, Version: change.Version}
 	if err := p.commitEpoch(ctx, &acceptedChange{result: result, config: merged}); err != nil {
-		if errcode.Is(err, errcode.NotLeader) {
+		if errors.Is(err, errcode.NotLeader) {
 			return nil, false, err
 		}
 		return nil, false, errcode.New(errcode.ChangeUnknown, "%v", err)
--- a/internal/coordination/operation_test.go
+++ b/internal/coordination/operation_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"strings"
 	"testing"
 
@@ -41,7 +42,7 @@
 				}
 				return
 			}
-			if !errcode.Is(err, errcode.InvalidCall) {
+			if !errors.Is(err, errcode.InvalidCall) {
 				t.Fatal(err)
 			}
 			if got := errcode.From(err).Paths; strings.Join(got, "; ") != strings.Join(test.faults, "; ") {
--- a/internal/coordination/service_test.go
+++ b/internal/coordination/service_test.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"io"
 	"testing"
@@ -246,7 +247,7 @@
 			{Operation: "renew", Name: "l", Holder: "a", FencingToken: 1, TTL: 9},
 			{Operation: "stretch", Name: "l", Holder: "a", FencingToken: 1, TTL: 100},
 		} {
-			if _, err := s.leader(request.Name).Node().Coordination.Handle(context.Background(), &request); !errcode.Is(err, errcode.InvalidCall) {
+			if _, err := s.leader(request.Name).Node().Coordination.Handle(context.Background(), &request); !errors.Is(err, errcode.InvalidCall) {
 				s.Error(request, err)
 			}
 		}
--- a/internal/distribution/initial_fetch.go
+++ b/internal/distribution/initial_fetch.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"time"
 
 	"github.com/sumactrestle/sumactrestle/internal/environment"
@@ -56,7 +57,7 @@
 		response, err := c.fetch(ctx, source.RPCAddress, &rpc.FetchRequest{})
 		cancel()
 		if err != nil {
-			result.overloaded = result.overloaded || errcode.Is(err, errcode.ReplyLost)
+			result.overloaded = result.overloaded || errors.Is(err, errcode.ReplyLost)
 			c.env.Events.Emit(eventlog.FetchFailed, "node", string(source.Name), "cause", err.Error())
 			continue
 		}
--- a/internal/distribution/listener_test.go
+++ b/internal/distribution/listener_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"maps"
 	"reflect"
 	"slices"
@@ -205,7 +206,7 @@
 			fetch: func(*rpc.FetchRequest) *rpc.FetchResponse { return &rpc.FetchResponse{Epoch: 1, Groups: broken} },
 		}
 		c := newTestClient(t, ctx, server)
-		if _, err := c.poll(ctx, serverAddress); !errcode.Is(err, errcode.InvalidMessage) || c.Cache.Snapshot() != nil {
+		if _, err := c.poll(ctx, serverAddress); !errors.Is(err, errcode.InvalidMessage) || c.Cache.Snapshot() != nil {
 			t.Errorf("%v, %+v", err, c.Cache.Snapshot())
 		}
 	})
--- a/internal/distribution/snapshot_test.go
+++ b/internal/distribution/snapshot_test.go
@@ -1,6 +1,7 @@
 package distribution
 
 import (
+	"errors"
 	"maps"
 	"testing"
 
@@ -40,7 +41,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			groups := map[string]rpc.Group{name: group(`"damaged"`, 1)}
-			if snapshot, err := newSnapshot(1, manifest(groups), groups, nil); snapshot != nil || !errcode.Is(err, errcode.InvalidMessage) {
+			if snapshot, err := newSnapshot(1, manifest(groups), groups, nil); snapshot != nil || !errors.Is(err, errcode.InvalidMessage) {
 				t.Errorf("%+v, %v", snapshot, err)
 			}
 		})
--- a/internal/harness/command/report.go
+++ b/internal/harness/command/report.go
@@ -1,4 +1,3 @@
-// The command that makes a page of what was recorded.
 package command
 
 import (
--- a/internal/proxy/forward.go
+++ b/internal/proxy/forward.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"net/http"
 	"time"
 
@@ -69,7 +70,7 @@
 		if !written || mayHaveRun {
 			lastErr = result.err
 		}
-		if mayHaveRun && !plan.idempotent || result.wrote && !replayable || errcode.Is(result.err, errcode.NotFresh) || errcode.Is(result.err, errcode.BodyCut) {
+		if mayHaveRun && !plan.idempotent || result.wrote && !replayable || errors.Is(result.err, errcode.NotFresh) || errors.Is(result.err, errcode.BodyCut) {
 			break
 		}
 	}
--- a/internal/proxy/idempotency/tracker.go
+++ b/internal/proxy/idempotency/tracker.go
@@ -8,6 +8,7 @@
 package idempotency
 
 import (
+	"errors"
 	"fmt"
 	"sync"
 	"time"
@@ -32,9 +33,9 @@
 // StateAfter is the state that an attempt leaves behind which ended with err.
 func StateAfter(err error) State {
 	switch {
-	case err == nil || errcode.Is(err, errcode.OrderRan):
+	case err == nil || errors.Is(err, errcode.OrderRan):
 		return Ran
-	case errcode.From(err).Code.Outcome == "unknown" && !errcode.Is(err, errcode.OrderInFlight):
+	case errcode.From(err).Code.Outcome == "unknown" && !errors.Is(err, errcode.OrderInFlight):
 		return Unknown
 	}
 	return Unheard
--- a/internal/rpc/client_test.go
+++ b/internal/rpc/client_test.go
@@ -71,7 +71,7 @@
 				ctx, cancel := context.WithTimeout(env, 3*time.Second)
 				defer cancel()
 				var response int
-				if err := transport.Call(ctx, peerAddress, "kind", struct{}{}, &response); !errcode.Is(err, test.want) {
+				if err := transport.Call(ctx, peerAddress, "kind", struct{}{}, &response); !errors.Is(err, test.want) {
 					t.Errorf("%v, want code %d", err, test.want.Number)
 				}
 			})
@@ -111,7 +111,7 @@
 						call("answered")
 					}()
 				}
-				if err := call("silent"); !errcode.Is(err, errcode.ReplyLost) {
+				if err := call("silent"); !errors.Is(err, errcode.ReplyLost) {
 					t.Error(err)
 				}
 				if err := call("answered"); err != nil || dials.Load() != test.wantDials {
--- a/internal/rpc/idle_test.go
+++ b/internal/rpc/idle_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"net"
 	"sync"
 	"testing"
@@ -104,7 +105,7 @@
 		if call("now"); dialled != 3 || open() != 1 {
 			t.Errorf("%d dialled, %d open", dialled, open())
 		}
-		if err := caller.Call(ctx, its, "nothing", struct{}{}, nil); !errcode.Is(err, errcode.UnknownKind) {
+		if err := caller.Call(ctx, its, "nothing", struct{}{}, nil); !errors.Is(err, errcode.UnknownKind) {
 			t.Error(err)
 		}
 	})
--- a/internal/rpc/server.go
+++ b/internal/rpc/server.go
@@ -4,6 +4,7 @@
 	"bufio"
 	"context"
 	"encoding/json"
+	"errors"
 	"net"
 	"time"
 
@@ -69,7 +70,7 @@
 	for {
 		line, err := readLine(reader, t.env.Config.PeerMaxMessageBytes)
 		if err != nil {
-			if errcode.Is(err, errcode.MessageTooLong) {
+			if errors.Is(err, errcode.MessageTooLong) {
 				t.env.Events.Emit(eventlog.MessageRejected, "code", errcode.MessageTooLong.Number, "from", peer)
 			}
 			return
--- a/internal/simulator/changeset_test.go
+++ b/internal/simulator/changeset_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"testing"
 	"time"
@@ -61,7 +62,7 @@
 			other := order(0)
 			other.Put.Routes[0].Services[0].Weight = 999
 			other.ID = "another text"
-			if _, err := submit(m, other); !errcode.Is(err, errcode.ChangeConflict) {
+			if _, err := submit(m, other); !errors.Is(err, errcode.ChangeConflict) {
 				t.Errorf("another text under an old number: %v", err)
 			}
 		}
