--- /dev/null
+++ b/internal/harness/machine_test.go
@@ -0,0 +1,166 @@
+package harness
+
+import (
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+)
+
+// newTestFleet returns a fleet whose program writes its arguments to a file, one a line, and
+// then runs until it is told to stop.
+func newTestFleet(t *testing.T, config FleetConfig) (f *Fleet, argsFile string) {
+	t.Helper()
+	dir := t.TempDir()
+	argsFile = filepath.Join(dir, "args")
+	script := "#!/bin/sh\nprintf '%s\\n' \"$@\" > " + argsFile + ".new\nmv " + argsFile + ".new " + argsFile + "\ntrap 'exit 0' TERM\nwhile :; do sleep 0.05; done\n"
+	config.Binary, config.Folder = filepath.Join(dir, "program"), dir
+	if err := os.WriteFile(config.Binary, []byte(script), 0o755); err != nil {
+		t.Fatal(err)
+	}
+	port, err := freePorts()
+	if err != nil {
+		t.Fatal(err)
+	}
+	config.Port = port
+	f = NewFleet(config)
+	t.Cleanup(f.KillAll)
+	return f, argsFile
+}
+
+// startAndAwait starts a machine and returns the arguments that its program got.
+func startAndAwait(t *testing.T, m *Machine, argsFile string) []string {
+	t.Helper()
+	if err := m.Start(); err != nil {
+		t.Fatal(err)
+	}
+	var args []string
+	if err := waitUntil(t.Context(), readyTimeout, func() bool {
+		raw, err := os.ReadFile(argsFile)
+		args = strings.Fields(string(raw))
+		return err == nil
+	}); err != nil {
+		t.Fatal("the program did not start")
+	}
+	return args
+}
+
+func TestNewFleet_SpreadsMachinesOverZones(t *testing.T) {
+	f := NewFleet(FleetConfig{Port: 10000, Cores: 4, Proxies: 2, Zones: 3})
+	var got []string
+	for _, m := range f.Machines {
+		got = append(got, m.Name+" "+m.Zone+" "+m.RPCAddress())
+	}
+	want := []string{
+		"core1 zone1 127.1.1.1:10000", "core2 zone2 127.1.2.2:10000", "core3 zone3 127.1.3.3:10000", "core4 zone1 127.1.1.4:10000",
+		"proxy1 zone1 127.1.1.100:10000", "proxy2 zone2 127.1.2.101:10000",
+	}
+	if !slices.Equal(got, want) {
+		t.Errorf("%q, not %q", got, want)
+	}
+	if want := "127.1.1.1:10000,127.1.2.2:10000,127.1.3.3:10000"; f.seeds() != want {
+		t.Errorf("seeds %q, not %q", f.seeds(), want)
+	}
+	if len(f.CoreMachines()) != 4 || len(f.ProxyMachines()) != 2 || f.Machine("proxy2") != f.Machines[5] || f.Machine("core5") != nil {
+		t.Error("machines are not found by role or by name")
+	}
+}
+
+func TestMachine_Settings(t *testing.T) {
+	for _, test := range []struct {
+		name            string
+		config          FleetConfig
+		relayed         bool
+		machine         string
+		present, absent []string
+	}{
+		{"a core node holds data", FleetConfig{}, false, "core1", []string{"data.folder", "peer.address"}, []string{"proxy.address", "debug.address", "peer.advertise"}},
+		{"a proxy serves clients", FleetConfig{}, false, "proxy1", []string{"proxy.address"}, []string{"data.folder"}},
+		{"a profiled one has an address for it", FleetConfig{Profiled: true}, false, "proxy1", []string{"debug.address"}, nil},
+		{"one behind a relay advertises that", FleetConfig{}, true, "core1", []string{"peer.advertise"}, nil},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			test.config.Cores, test.config.Proxies, test.config.Zones, test.config.Port = 1, 1, 1, 10000
+			f := NewFleet(test.config)
+			if test.relayed {
+				f.Relay = &Relay{}
+			}
+			m := f.Machine(test.machine)
+			settings := m.settings()
+			for _, key := range test.present {
+				if settings[key] == "" {
+					t.Errorf("no %s in %v", key, settings)
+				}
+			}
+			for _, key := range test.absent {
+				if value, ok := settings[key]; ok {
+					t.Errorf("%s is %q", key, value)
+				}
+			}
+			if test.relayed && (settings["peer.advertise"] != m.RPCAddress() || settings["peer.address"] != m.relayedAddress()) {
+				t.Errorf("the relay is not before the node: %v", settings)
+			}
+		})
+	}
+}
+
+func TestMachine_PassesFormerNamesWhenBuildsDiffer(t *testing.T) {
+	for _, test := range []struct{ name, other, want, not string }{
+		{"one build", "", "peer.address=", "wire.address="},
+		{"two builds", "/nowhere", "wire.address=", "peer.address="},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			f, argsFile := newTestFleet(t, FleetConfig{Cores: 1, Zones: 1, OtherBinary: test.other})
+			args := strings.Join(startAndAwait(t, f.Machines[0], argsFile), " ")
+			if !strings.HasPrefix(args, "node ") || !strings.Contains(args, test.want) || strings.Contains(args, test.not) {
+				t.Error(args)
+			}
+		})
+	}
+}
+
+func TestMachine_StopsKillsAndRestarts(t *testing.T) {
+	f, argsFile := newTestFleet(t, FleetConfig{Cores: 1, Zones: 1})
+	m := f.Machines[0]
+	if m.IsUp() {
+		t.Error("up before it was started")
+	}
+	m.Kill() // does nothing
+	startAndAwait(t, m, argsFile)
+	if !m.IsUp() {
+		t.Fatal("not up")
+	}
+	if spent, err := processorTime(m.PID()); err != nil || spent > time.Minute {
+		t.Errorf("processor time %s, %v", spent, err)
+	}
+	time.Sleep(50 * time.Millisecond) // until the program has set its trap
+	if !m.Stop() {
+		t.Error("it did not stop by itself")
+	}
+	if m.IsUp() {
+		t.Error("up after it stopped")
+	}
+	if err := m.Start(); err != nil {
+		t.Fatal(err)
+	}
+	m.Freeze()
+	if !m.IsUp() || !m.frozen.Load() {
+		t.Error("a frozen machine is not up")
+	}
+	m.Kill()
+	if m.IsUp() {
+		t.Error("up after it was killed")
+	}
+	if _, err := processorTime(m.PID()); err == nil {
+		t.Error("there is processor time of a process that is gone")
+	}
+}
+
+func TestMachine_StartFailsWithoutProgram(t *testing.T) {
+	f := NewFleet(FleetConfig{Binary: "/nowhere/program", Folder: t.TempDir(), Port: 10000, Cores: 1, Zones: 1})
+	if err := f.StartAll(); err == nil || !strings.Contains(err.Error(), "core1") {
+		t.Errorf("%v does not name the machine", err)
+	}
+}
