--- a/internal/harness/command/command.go
+++ b/internal/harness/command/command.go
@@ -166,11 +166,11 @@
 func inFolder(cmd *cli.Command, run func(folder string) error) error {
 	folder := cmd.String("folder")
 	if folder != "" {
-		whole, err := filepath.Abs(folder)
+		absolute, err := filepath.Abs(folder)
 		if err != nil {
 			return err
 		}
-		return run(whole)
+		return run(absolute)
 	}
 	folder, err := os.MkdirTemp("", "harness-")
 	if err != nil {
--- a/internal/harness/run.go
+++ b/internal/harness/run.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// settleTime is between a ready fleet and the load, so that every server is known.
-	settleTime = 1500 * time.Millisecond
+	// registrationTime is between a ready fleet and the load, so that every server is known.
+	registrationTime = 1500 * time.Millisecond
 	// faultStream chooses the sequence of random numbers that faults are drawn from.
 	faultStream = 5
 	// queryTimeout bounds how long a change set's outcome is asked for.
@@ -140,7 +140,7 @@
 	if err != nil {
 		return err
 	}
-	time.Sleep(settleTime)
+	time.Sleep(registrationTime)
 	r.logf("the fleet is ready")
 	if r.ThrottleCPU {
 		defer r.throttle()()
