--- a/internal/approved/fill_test.go
+++ b/internal/approved/fill_test.go
@@ -6,48 +6,12 @@
 import (
 	"bytes"
 	"encoding/json"
-	"flag"
 	"hash/fnv"
-	"os"
-	"path/filepath"
 	"reflect"
 	"strings"
 	"testing"
 )
 
-var update = flag.Bool("approve", false, "write the approved files anew")
-
-// same compares text with an approved file.
-func same(t *testing.T, file, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", file)
-	if *update {
-		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got == string(want) {
-		return
-	}
-	gotLines, wantLines := strings.Split(got, "\n"), strings.Split(string(want), "\n")
-	for i := range max(len(gotLines), len(wantLines)) {
-		var g, w string
-		if i < len(gotLines) {
-			g = gotLines[i]
-		}
-		if i < len(wantLines) {
-			w = wantLines[i]
-		}
-		if g != w {
-			t.Errorf("%s, line %d:\n got  %s\n want %s", path, i+1, g, w)
-		}
-	}
-}
-
 // jsonName is the name of a field in JSON; none if it isn't written.
 func jsonName(f reflect.StructField) string {
 	name, _, _ := strings.Cut(f.Tag.Get("json"), ",")
--- a/internal/approved/folder_test.go
+++ b/internal/approved/folder_test.go
@@ -11,6 +11,8 @@
 	"strings"
 	"testing"
 
+	"github.com/sumactrestle/sumactrestle/internal/transcript"
+
 	"github.com/sumactrestle/sumactrestle/internal/config"
 	"github.com/sumactrestle/sumactrestle/internal/controlplane"
 	"github.com/sumactrestle/sumactrestle/internal/coordination"
@@ -104,7 +106,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			same(t, name+".keys.txt", listing.String())
+			transcript.Compare(t, name+".keys.txt", listing.String())
 			var states strings.Builder
 			for shard := range shards + 1 {
 				var m shardState = configurationShard{controlplane.NewConfigState()}
@@ -140,7 +142,7 @@
 				}
 				fmt.Fprintf(&states, "%02d up to %d: %s\n", shard, last, state)
 			}
-			same(t, name+".states.txt", states.String())
+			transcript.Compare(t, name+".states.txt", states.String())
 		})
 	}
 }
@@ -172,7 +174,7 @@
 			t.Fatal(text)
 		}
 		fmt.Fprintf(&out, "epoch %d %s\n", epoch.Changed, epoch.Config)
-		same(t, "alone.answers.txt", out.String()+members(t, api))
+		transcript.Compare(t, "alone.answers.txt", out.String()+members(t, api))
 	})
 	t.Run("core1", func(t *testing.T) {
 		_, api, _ := start(t, copied(t, "core1"), map[string]string{"name": "core1", "bootstrap.cores": "3"})
@@ -184,7 +186,7 @@
 		for _, row := range parts.Rows { // part owner term commit last serving age group
 			fmt.Fprintln(&out, row[0], row[2], row[3], row[4], row[7])
 		}
-		same(t, "core1.answers.txt", out.String()+members(t, api))
+		transcript.Compare(t, "core1.answers.txt", out.String()+members(t, api))
 	})
 }
 
--- a/internal/approved/messages_test.go
+++ b/internal/approved/messages_test.go
@@ -9,6 +9,8 @@
 	"strings"
 	"testing"
 
+	"github.com/sumactrestle/sumactrestle/internal/transcript"
+
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
@@ -81,7 +83,7 @@
 }
 
 func TestMessagesAreAsApproved(t *testing.T) {
-	same(t, "messages.txt", show(t, messages))
+	transcript.Compare(t, "messages.txt", show(t, messages))
 }
 
 // TestAllMessagesAreApproved finds a generated type that is missing above.
--- a/internal/approved/node_test.go
+++ b/internal/approved/node_test.go
@@ -17,6 +17,8 @@
 	"testing"
 	"time"
 
+	"github.com/sumactrestle/sumactrestle/internal/transcript"
+
 	"github.com/sumactrestle/sumactrestle/internal/config"
 	"github.com/sumactrestle/sumactrestle/internal/environment"
 	"github.com/sumactrestle/sumactrestle/internal/eventlog"
@@ -105,7 +107,7 @@
 // operators and applications hear from it: heads, bodies, problems.
 func TestNodeIsAsApproved(t *testing.T) {
 	n, apiAddress, gateAddress := start(t, t.TempDir(), nil)
-	same(t, "kinds.txt", strings.Join(kindsOf(t, n), "\n")+"\n")
+	transcript.Compare(t, "kinds.txt", strings.Join(kindsOf(t, n), "\n")+"\n")
 	var out strings.Builder
 	send := func(to, method, path, body string, heads ...string) (int, string) {
 		t.Helper()
@@ -198,5 +200,5 @@
 		head, _, _ := strings.Cut(text, "]")
 		out.WriteString("show " + what + " " + head + "]\n")
 	}
-	same(t, "answers.txt", out.String())
+	transcript.Compare(t, "answers.txt", out.String())
 }
--- a/internal/approved/records_test.go
+++ b/internal/approved/records_test.go
@@ -9,6 +9,8 @@
 	"strings"
 	"testing"
 
+	"github.com/sumactrestle/sumactrestle/internal/transcript"
+
 	"go.yaml.in/yaml/v3"
 
 	"github.com/sumactrestle/sumactrestle/internal/checker"
@@ -27,7 +29,7 @@
 }
 
 func TestRecordsAreAsApproved(t *testing.T) {
-	same(t, "records.txt", show(t, records))
+	transcript.Compare(t, "records.txt", show(t, records))
 }
 
 // TestApiIsAsApproved holds the calls of the API and the names in their JSON; what the
@@ -47,7 +49,7 @@
 		flatten(t, doc, problem, " problem", &lines)
 	}
 	sort.Strings(lines)
-	same(t, "api.txt", strings.Join(lines, "\n")+"\n")
+	transcript.Compare(t, "api.txt", strings.Join(lines, "\n")+"\n")
 }
 
 // flatten writes a line for each leaf, with references resolved and no descriptions.
--- a/internal/commandline/commandlinetest/commandlinetest.go
+++ b/internal/commandline/commandlinetest/commandlinetest.go
@@ -6,43 +6,18 @@
 import (
 	"bytes"
 	"context"
-	"flag"
 	"fmt"
 	"io"
-	"os"
-	"path/filepath"
 	"strings"
 	"testing"
 
-	"github.com/google/go-cmp/cmp"
+	"github.com/sumactrestle/sumactrestle/internal/transcript"
+
 	"github.com/urfave/cli/v3"
 
 	"github.com/sumactrestle/sumactrestle/internal/commandline"
 )
 
-var approve = flag.Bool("approve", false, "take over the transcripts as they are now")
-
-// Approved holds a text against the file of that name in the test's folder testdata.
-func Approved(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *approve {
-		if err := os.MkdirAll("testdata", 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Error(err)
-	}
-	if diff := cmp.Diff(string(want), got); diff != "" {
-		t.Errorf("the transcript differs (-approved +now):\n%s", diff)
-	}
-}
-
 // Help holds the help of a program and of its commands against testdata/help.txt.
 func Help(t *testing.T, app func() *cli.Command) {
 	t.Helper()
@@ -50,7 +25,7 @@
 	if err := commandline.WriteHelp(app, &out); err != nil {
 		t.Fatal(err)
 	}
-	Approved(t, "help.txt", out.String())
+	transcript.Compare(t, "help.txt", out.String())
 }
 
 // HelpIsComplete tells of every command and flag that is shown without a description.
@@ -86,5 +61,5 @@
 			t.Errorf("%s was done", call)
 		}
 	}
-	Approved(t, "refused.txt", out.String())
+	transcript.Compare(t, "refused.txt", out.String())
 }
--- a/internal/report/report_test.go
+++ b/internal/report/report_test.go
@@ -5,34 +5,18 @@
 
 import (
 	"bytes"
-	"flag"
-	"os"
-	"path/filepath"
 	"regexp"
 	"strings"
 	"testing"
 	"time"
 
+	"github.com/sumactrestle/sumactrestle/internal/transcript"
+
 	"github.com/google/go-cmp/cmp"
 
 	"github.com/sumactrestle/sumactrestle/internal/checker"
 )
 
-var approve = flag.Bool("approve", false, "take over the transcripts as they are now")
-
-func approved(t *testing.T, name, got string) {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	if *approve {
-		os.MkdirAll("testdata", 0o755)
-		os.WriteFile(path, []byte(got), 0o644)
-	}
-	want, _ := os.ReadFile(path)
-	if diff := cmp.Diff(string(want), got); diff != "" {
-		t.Errorf("the transcript differs (-approved +now):\n%s", diff)
-	}
-}
-
 const ms = time.Millisecond
 
 // recorded is four seconds of calls, a fault, and three samples of what was sent.
@@ -77,7 +61,7 @@
 			t.Errorf("plot %d holds no line, or no word", i)
 		}
 	}
-	approved(t, "page.html", picture.ReplaceAllString(page.String(), "[plot]"))
+	transcript.Compare(t, "page.html", picture.ReplaceAllString(page.String(), "[plot]"))
 }
 
 func TestIntervalsHoldTheCallsThatBeganInThem(t *testing.T) {
--- a/internal/simulator/metrics_test.go
+++ b/internal/simulator/metrics_test.go
@@ -131,7 +131,7 @@
 func TestMetrics_Transcript(t *testing.T) {
 	shape := one()
 	shape.Settings = map[string]string{"metrics.serve": "true"}
-	transcript(t, "metrics", shape, func(s *script) {
+	playScript(t, "metrics", shape, func(s *script) {
 		gate, api := s.f.Machine("proxy1").ProxyAddress(), s.f.Machine("proxy1").APIAddress()
 		before, was := s.out.Len(), s.counts(api)
 		for i := range 3 {
--- a/internal/simulator/transcript_test.go
+++ b/internal/simulator/transcript_test.go
@@ -6,13 +6,10 @@
 
 import (
 	"bytes"
-	"flag"
 	"fmt"
 	"io"
 	"net"
 	"net/http"
-	"os"
-	"path/filepath"
 	"regexp"
 	"sort"
 	"strings"
@@ -20,15 +17,13 @@
 	"testing/synctest"
 	"time"
 
-	"context"
+	"github.com/sumactrestle/sumactrestle/internal/transcript"
 
-	"github.com/google/go-cmp/cmp"
+	"context"
 
 	"github.com/sumactrestle/sumactrestle/internal/standin"
 )
 
-var approve = flag.Bool("approve", false, "take over the transcripts as they are now")
-
 // script is one exchange: who is spoken to, and what is sent.
 type script struct {
 	f    *Fleet
@@ -95,9 +90,9 @@
 	return string(raw)
 }
 
-// transcript runs a script against a booted fleet and holds it against the
+// playScript runs a script against a booted fleet and holds it against the
 // approved one.
-func transcript(t *testing.T, name string, shape Shape, play func(s *script)) {
+func playScript(t *testing.T, name string, shape Shape, play func(s *script)) {
 	t.Helper()
 	var got string
 	synctest.Test(t, func(t *testing.T) {
@@ -114,15 +109,7 @@
 	for _, m := range masks {
 		got = m.find.ReplaceAllString(got, m.put)
 	}
-	path := filepath.Join("testdata", name+".txt")
-	if *approve {
-		os.MkdirAll("testdata", 0o755)
-		os.WriteFile(path, []byte(got), 0o644)
-	}
-	want, _ := os.ReadFile(path)
-	if diff := cmp.Diff(string(want), got); diff != "" {
-		t.Errorf("the transcript differs (-approved +now):\n%s", diff)
-	}
+	transcript.Compare(t, name+".txt", got)
 }
 
 func one() Shape {
@@ -132,7 +119,7 @@
 }
 
 func TestTranscript_Clients(t *testing.T) {
-	transcript(t, "callers", one(), func(s *script) {
+	playScript(t, "callers", one(), func(s *script) {
 		gate := s.f.Machine("proxy1").ProxyAddress()
 		s.say("a look-up and an order")
 		s.send(gate, "GET", "/rates/lane?from=a", "", "X-Call: c1")
@@ -152,7 +139,7 @@
 }
 
 func TestTranscript_MisbehavingTargets(t *testing.T) {
-	transcript(t, "wrong-servers", one(), func(s *script) {
+	playScript(t, "wrong-servers", one(), func(s *script) {
 		gate := s.f.Machine("proxy1").ProxyAddress()
 		for _, way := range []string{standin.CloseUnanswered, standin.Garbage, standin.TruncatedBody, standin.Unsealed} {
 			old := s.f.Targets("bookings")[0]
@@ -172,7 +159,7 @@
 func TestTranscript_RepeatedRequests(t *testing.T) {
 	shape := one()
 	shape.AllowsDuplicates = true
-	transcript(t, "repeats", shape, func(s *script) {
+	playScript(t, "repeats", shape, func(s *script) {
 		gate := s.f.Machine("proxy1").ProxyAddress()
 		s.f.replaceTarget(s.f.Targets("bookings")[0], func(int64) string { return standin.CloseUnanswered })
 		time.Sleep(2 * time.Second)
@@ -191,7 +178,7 @@
 }
 
 func TestTranscript_IdempotencyKeys(t *testing.T) {
-	transcript(t, "once", one(), func(s *script) {
+	playScript(t, "once", one(), func(s *script) {
 		gate := s.f.Machine("proxy1").ProxyAddress()
 		s.say("an order, and its repeat")
 		s.send(gate, "POST", "/bookings", `{"n":1}`, "X-Call: c1", "Idempotency-Key: k1")
@@ -207,7 +194,7 @@
 }
 
 func TestTranscript_Operators(t *testing.T) {
-	transcript(t, "operators", one(), func(s *script) {
+	playScript(t, "operators", one(), func(s *script) {
 		api := s.f.Machine("proxy1").APIAddress()
 		s.say("a change set against an epoch that is past")
 		s.send(api, "POST", "/v1/changes", `{"id":"late","base":0,"put":{"services":[{"name":"slots"}]}}`)
@@ -230,7 +217,7 @@
 }
 
 func TestTranscript_Applications(t *testing.T) {
-	transcript(t, "applications", one(), func(s *script) {
+	playScript(t, "applications", one(), func(s *script) {
 		api := s.f.Machine("proxy1").APIAddress()
 		s.say("keys, by stamp")
 		s.send(api, "PUT", "/v1/keys", `{"name":"app/a","value":{"x":1},"if":0,"id":"r1"}`)
