--- a/internal/harness/upgrade.go
+++ b/internal/harness/upgrade.go
@@ -68,17 +68,25 @@
 		return 0, err
 	}
 	defer file.Close()
+	starts := 0
 	lines := bufio.NewScanner(file)
 	for lines.Scan() {
 		var line struct{ Event int }
 		if err := json.Unmarshal(lines.Bytes(), &line); err != nil {
 			return count, errcode.New(errcode.Internal, "%s: %v", m.LogFile(), err)
 		}
+		if line.Event == eventlog.NodeStarted.Number {
+			starts++
+		}
 		if refusals[line.Event] {
 			if count++; count <= refusalsShown {
 				r.logf("%s: %s", m.Name, lines.Text())
 			}
 		}
 	}
+	// A log without them is none in which refusals would have been seen.
+	if lines.Err() == nil && starts < 2 {
+		return count, errcode.New(errcode.Internal, "%s tells of %d starts, not of one in each build", m.LogFile(), starts)
+	}
 	return count, lines.Err()
 }
