--- a/internal/approved/node_test.go
+++ b/internal/approved/node_test.go
@@ -98,7 +98,7 @@
 
 // What hangs on time, on chance or on Go names in an answer.
 var (
-	randomId   = regexp.MustCompile(`\b[0-9a-f]{16}\b`)
+	randomID   = regexp.MustCompile(`\b[0-9a-f]{16}\b`)
 	portNumber = regexp.MustCompile(`(127\.3\.7\.1):\d+`)
 	goNames    = regexp.MustCompile(`operation [A-Z]\w*: |decode [A-Z]\w*: `)
 )
@@ -143,7 +143,7 @@
 		if to == gateAddress {
 			side = "gate"
 		}
-		shown := goNames.ReplaceAllString(portNumber.ReplaceAllString(randomId.ReplaceAllString(fmt.Sprintf("%s %s %s %s\n  %d %s\n  %s\n", side, method, path, body, response.StatusCode, strings.Join(names, " "), strings.TrimSpace(string(text))), "RANDOM"), "$1:PORT"), "")
+		shown := goNames.ReplaceAllString(portNumber.ReplaceAllString(randomID.ReplaceAllString(fmt.Sprintf("%s %s %s %s\n  %d %s\n  %s\n", side, method, path, body, response.StatusCode, strings.Join(names, " "), strings.TrimSpace(string(text))), "RANDOM"), "$1:PORT"), "")
 		out.WriteString(shown)
 		return response.StatusCode, string(text)
 	}
--- a/internal/errcode/errcode.go
+++ b/internal/errcode/errcode.go
@@ -75,8 +75,3 @@
 	}
 	return &Error{Code: Internal, Note: err.Error()}
 }
-
-// Is reports whether the error bears the code. An error of another kind bears Internal.
-func Is(err error, code Code) bool {
-	return err != nil && From(err).Code.Number == code.Number
-}
--- a/internal/errcode/errcode_test.go
+++ b/internal/errcode/errcode_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestError_IsFoundByItsCode(t *testing.T) {
-	plain := errors.New("disk on fire")
+	uncoded := errors.New("disk on fire")
 	tests := []struct {
 		name string
 		err  error
@@ -19,23 +19,17 @@
 		{"its own code", New(NoLeader, "shard %d", 7), NoLeader, true},
 		{"its code below another error", fmt.Errorf("forward: %w", New(NoLeader, "")), NoLeader, true},
 		{"another code", New(NoLeader, ""), NotLeader, false},
-		{"an error without a code", plain, NoLeader, false},
+		{"an error without a code", uncoded, NoLeader, false},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			if got := errors.Is(test.err, test.code); got != test.want {
 				t.Errorf("errors.Is: %v", got)
 			}
-			if got := Is(test.err, test.code); got != test.want {
-				t.Errorf("errcode.Is: %v", got)
-			}
 		})
 	}
-	if Is(nil, Internal) {
-		t.Error("no error bears a code")
-	}
-	if !Is(plain, Internal) {
-		t.Error("an error without a code is not taken for Internal")
+	if got := From(uncoded).Code; got != Internal {
+		t.Errorf("an error without a code is taken for %v", got)
 	}
 }
 
