--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -100,7 +100,7 @@
 	if err := n.serveAll(listeners); err != nil {
 		return nil, err
 	}
-	env.Events.Emit(eventlog.NodeStarted, "birth", string(self.ID), "core", self.Core, "gate", settings.ProxyAddress)
+	env.Events.Emit(eventlog.NodeStarted, "member_id", string(self.ID), "core", self.Core, "proxy", settings.ProxyAddress)
 	return n, nil
 }
 
