--- a/internal/consensus/antientropy.go
+++ b/internal/consensus/antientropy.go
@@ -62,7 +62,7 @@
 	request := &rpc.RangeDigestRequest{Shard: r.shard, Term: term}
 	r.atIndex(0, term, func(index ids.Index) { request.Index, request.Digests = index, ranged.RangeDigests() })
 	voters := r.currentVoters().Current
-	r.node.kickHeartbeats(voters)
+	r.node.triggerHeartbeats(voters)
 	agreeing, disagreeing := 1, []rpc.Member{}
 	differing := map[ids.NodeName][]string{}
 	for _, peer := range voters {
--- a/internal/consensus/bootstrap.go
+++ b/internal/consensus/bootstrap.go
@@ -12,21 +12,21 @@
 )
 
 // Steps of bootstrap. The first two are the phases of single-decree Paxos, with all
-// founders in place of a quorum; the third tells them that all have accepted.
+// founders instead of a quorum; the third opens the charter that all have accepted.
 const (
 	stepPrepare = "promise"
 	stepAccept  = "accept"
 	stepOpen    = "open"
 )
 
-// bootstrapTimeout bounds one step with all founders.
+// bootstrapTimeout bounds one bootstrap step.
 const bootstrapTimeout = 2 * time.Second
 
-// bootstrap joins a cluster if there is one, or tries to form one. Only when the expected
-// number of distinct empty core nodes have seen one another does the first of them by name
-// propose a charter. All of them must promise, accept and sync it before it opens, so no
-// two charters can ever open; a later proposer carries on the newest charter it finds.
-// Where an open charter exists, an empty node takes that over and never proposes.
+// bootstrap joins an existing cluster or tries to form a new one. Once the expected number
+// of empty core nodes have discovered one another, the first of them by name proposes a
+// charter. It opens only after all founders have promised, accepted and synced it, so two
+// charters can never open; a later proposer adopts the newest charter that was accepted.
+// An empty node that finds an open charter adopts it and proposes none.
 func (n *Node) bootstrap() {
 	cores := n.members.CoreMembers()
 	if n.joinCluster(cores) {
@@ -37,18 +37,19 @@
 	}
 }
 
-// joinCluster takes over the open charter of the first node that answers with one. All are
-// asked at once: one that is gone says nothing for as long as a call may take.
+// joinCluster adopts the first open charter received from another core node, and reports
+// whether it adopted one. All nodes are queried concurrently, because a call to a dead node
+// lasts until the time-out.
 func (n *Node) joinCluster(cores []rpc.Member) bool {
 	ctx, cancel := context.WithTimeout(n.env, bootstrapTimeout)
 	defer cancel()
 	charters := make(chan *rpc.Charter, len(cores))
-	asked := 0
+	pending := 0
 	for _, m := range cores {
 		if m.Fleet == "" || m.Name == n.env.Name {
 			continue
 		}
-		asked++
+		pending++
 		n.env.Go(func() {
 			charter := &rpc.Charter{}
 			if n.transport.Call(ctx, m.RPCAddress, kindCharter, struct{}{}, charter) != nil {
@@ -57,11 +58,11 @@
 			charters <- charter
 		})
 	}
-	for range asked {
+	for range pending {
 		charter := <-charters
 		if charter != nil && charter.Open && n.putCharter(charter, charter.Term) == nil {
 			n.logEvent(eventlog.FleetJoined, "fleet", charter.Fleet)
-			// A leader gives a lost voter's place only to a node that it knows to have joined.
+			// A leader replaces a lost voter only by a node that is known to have joined.
 			n.members.AnnounceSelf()
 			return true
 		}
@@ -69,8 +70,9 @@
 	return false
 }
 
-// founders returns the nodes that are to form a cluster, if they are complete, none of the
-// nodes here has one, and this node is the first of them.
+// founders returns the founders of a new cluster. It returns nil if there are too few of
+// them, if a core node already belongs to a cluster, or if this node is not the first
+// founder by name.
 func (n *Node) founders(cores []rpc.Member) (founders []rpc.Member) {
 	self := n.members.Self()
 	sort.Slice(cores, func(i, j int) bool { return cores[i].Name < cores[j].Name })
@@ -88,17 +90,17 @@
 	return founders
 }
 
-// proposeCharter goes through the steps of bootstrap once, with all founders.
+// proposeCharter runs the bootstrap steps once. It stops if not all founders accept a step.
 func (n *Node) proposeCharter(founders []rpc.Member) {
 	n.mu.Lock()
 	term := ids.Term{Number: n.bootstrapTerm.Number + 1, Node: n.self.Name}
 	n.mu.Unlock()
 	charter := newCharter(founders)
 	responses, ok := n.requestAll(founders, &rpc.BootstrapRequest{Step: stepPrepare, Term: term, From: n.self})
-	var newest ids.Term
+	var newestTerm ids.Term
 	for _, response := range responses {
-		if response.Charter != nil && newest.Less(response.Charter.Term) {
-			newest, charter = response.Charter.Term, response.Charter
+		if response.Charter != nil && newestTerm.Less(response.Charter.Term) {
+			newestTerm, charter = response.Charter.Term, response.Charter
 		}
 		n.raiseBootstrapTerm(response.CurrentTerm)
 	}
@@ -106,52 +108,52 @@
 		return
 	}
 	if hasNewMemberID(charter.Members, founders) {
-		// A founder lost its disk before the charter opened. All founders have promised
-		// now, none of them has it open, and none takes part in anything while it is not:
-		// nothing can have been written under it.
+		// A founder lost its disk before the charter opened. The charter can be replaced:
+		// all founders have promised this term, none of them has opened the charter, and
+		// nothing is written before it is open.
 		charter = newCharter(founders)
 	}
 	charter.Term = term
 	if _, ok := n.requestAll(charter.Members, &rpc.BootstrapRequest{Step: stepAccept, Term: term, Charter: charter, From: n.self}); !ok {
 		return
 	}
-	opened := *charter
-	opened.Open = true
-	// A founder that misses this joins later, by the charter of another.
-	n.requestAll(charter.Members, &rpc.BootstrapRequest{Step: stepOpen, Term: term, Charter: &opened, From: n.self})
+	openCharter := *charter
+	openCharter.Open = true
+	// A founder that misses this step gets the charter from another node in joinCluster.
+	n.requestAll(charter.Members, &rpc.BootstrapRequest{Step: stepOpen, Term: term, Charter: &openCharter, From: n.self})
 }
 
 func newCharter(founders []rpc.Member) *rpc.Charter {
 	return &rpc.Charter{Fleet: ids.NewID(), Members: founders, ShardCount: ids.ShardCount}
 }
 
-// raiseBootstrapTerm notes a number that the next proposal must exceed.
+// raiseBootstrapTerm raises the term number that the next proposal must exceed.
 func (n *Node) raiseBootstrapTerm(term ids.Term) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.bootstrapTerm.Number = max(n.bootstrapTerm.Number, term.Number)
 }
 
-// hasNewMemberID tells whether two lists name the same nodes, of which one at least has
-// another member id now.
+// hasNewMemberID reports whether both lists contain the same nodes and at least one node
+// has a different member id.
 func hasNewMemberID(members, founders []rpc.Member) bool {
-	known := map[ids.NodeName]ids.MemberID{}
+	memberIDs := map[ids.NodeName]ids.MemberID{}
 	for _, m := range members {
-		known[m.Name] = m.ID
+		memberIDs[m.Name] = m.ID
 	}
-	differs := false
+	hasNewID := false
 	for _, m := range founders {
-		id, ok := known[m.Name]
+		id, ok := memberIDs[m.Name]
 		if !ok {
 			return false
 		}
-		differs = differs || id != m.ID
+		hasNewID = hasNewID || id != m.ID
 	}
-	return differs && len(members) == len(founders)
+	return hasNewID && len(members) == len(founders)
 }
 
-// requestAll takes one step with all founders, this node among them, and tells whether
-// every one accepted.
+// requestAll sends one bootstrap step to all founders, including this node, and reports
+// whether all of them accepted it.
 func (n *Node) requestAll(founders []rpc.Member, request *rpc.BootstrapRequest) (responses []*rpc.BootstrapResponse, allAccepted bool) {
 	ctx, cancel := context.WithTimeout(n.env, bootstrapTimeout)
 	defer cancel()
@@ -187,8 +189,9 @@
 	return responses, allAccepted
 }
 
-// handleBootstrap answers a step of bootstrap. A step that is below what was promised, or
-// that comes when a charter is open, is not accepted; the charter here is answered.
+// handleBootstrap handles one bootstrap step. It does not accept a step after the charter
+// has opened, nor one below the promised term except stepOpen. The response carries this
+// node's charter.
 func (n *Node) handleBootstrap(request *rpc.BootstrapRequest) (*rpc.BootstrapResponse, error) {
 	n.mu.Lock()
 	response := &rpc.BootstrapResponse{From: n.self, CurrentTerm: n.bootstrapTerm, Charter: n.charter}
@@ -196,7 +199,7 @@
 	isLower := request.Term.Less(n.bootstrapTerm)
 	n.mu.Unlock()
 	if request.Step != stepPrepare && request.Charter == nil {
-		return nil, errcode.New(errcode.InvalidMessage, "no charter in step %q", request.Step)
+		return nil, errcode.New(errcode.InvalidMessage, "bootstrap step %q has no charter", request.Step)
 	}
 	if isOpen || isLower && request.Step != stepOpen {
 		return response, nil
@@ -214,13 +217,13 @@
 			n.logEvent(eventlog.FleetFounded, "fleet", request.Charter.Fleet, "members", len(request.Charter.Members))
 		}
 	default:
-		return nil, errcode.New(errcode.InvalidMessage, "no step %q", request.Step)
+		return nil, errcode.New(errcode.InvalidMessage, "unknown bootstrap step %q", request.Step)
 	}
 	response.Accepted, response.CurrentTerm = true, request.Term
 	return response, nil
 }
 
-// putBootstrapTerm promises a term, and returns when that is synced.
+// putBootstrapTerm promises a term and waits until it is synced.
 func (n *Node) putBootstrapTerm(term ids.Term) error {
 	n.mu.Lock()
 	n.bootstrapTerm = term
@@ -231,8 +234,8 @@
 	return batch.Wait()
 }
 
-// putCharter accepts a charter, returns when it is synced, and, if it is open, enters the
-// cluster.
+// putCharter stores a charter and waits until it is synced. If the charter is open, the
+// node enters the cluster. An already open charter is never replaced.
 func (n *Node) putCharter(charter *rpc.Charter, term ids.Term) error {
 	n.mu.Lock()
 	if n.charter != nil && n.charter.Open {
@@ -241,7 +244,7 @@
 	}
 	if term.Less(n.bootstrapTerm) && !charter.Open {
 		n.mu.Unlock()
-		return errcode.New(errcode.NotLeader, "a higher term of bootstrap was promised")
+		return errcode.New(errcode.NotLeader, "a higher bootstrap term was promised")
 	}
 	n.charter, n.bootstrapTerm = charter, term
 	batch := n.store.NewBatch()
@@ -260,7 +263,8 @@
 	return nil
 }
 
-// enterCluster gives every shard its first voters and tells the members of the cluster.
+// enterCluster sets the initial voters of every shard and announces the cluster id to the
+// other members.
 func (n *Node) enterCluster(charter *rpc.Charter) {
 	for _, r := range n.replicas {
 		r.mu.Lock()
@@ -275,7 +279,7 @@
 	close(n.Bootstrapped)
 }
 
-// Charter returns the cluster's charter, or nil while it is not open here.
+// Charter returns the cluster's charter, or nil if it is not open on this node.
 func (n *Node) Charter() *rpc.Charter {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -285,7 +289,7 @@
 	return n.charter
 }
 
-// clusterID returns the cluster's id, empty before the charter is open here.
+// clusterID returns the cluster's id, or "" if the charter is not open on this node.
 func (n *Node) clusterID() string {
 	if charter := n.Charter(); charter != nil {
 		return charter.Fleet
@@ -293,10 +297,10 @@
 	return ""
 }
 
-// handleCharter answers a node that seeks a cluster to join.
+// handleCharter returns the open charter to a node that wants to join the cluster.
 func (n *Node) handleCharter(*struct{}) (*rpc.Charter, error) {
 	if charter := n.Charter(); charter != nil {
 		return charter, nil
 	}
-	return nil, errcode.New(errcode.NoLeader, "no charter here")
+	return nil, errcode.New(errcode.NoLeader, "no open charter on this node")
 }
--- a/internal/consensus/contact.go
+++ b/internal/consensus/contact.go
@@ -6,19 +6,19 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// peerContact is what a heartbeater knows of its peer's silence. Silence is counted by
-// questions that were not answered, so a peer that nobody asked is not silent, however long
-// ago it was heard. It is the evidence on which a leader replaces a voter: the member list
-// tells the same some seconds later, for it lets a suspect refute.
+// peerContact records for how long a peer has not responded. The time counts from the first
+// unanswered heartbeat, so a peer that was sent none is not unresponsive. Leaders replace
+// voters by this measure; the member list reports a dead node some seconds later, because
+// it gives suspects time to refute.
 type peerContact struct {
-	// unansweredSince is when the first message was sent that nothing of the peer followed;
-	// zero if the last one was answered.
+	// unansweredSince is when the first heartbeat was sent after the last message from the
+	// peer; zero if none was sent since.
 	unansweredSince time.Time
 	lastSent        time.Time
 }
 
-// recordSent notes that the peer is asked. After a pause in which this node itself did not
-// ask, as while it stood still, the silence begins anew.
+// recordSent records that a heartbeat is sent. The measurement restarts if the previous one
+// was sent more than longestPause ago, as after a pause of this process.
 func (c *peerContact) recordSent(now time.Time, longestPause time.Duration) {
 	hasPaused := now.Sub(c.lastSent) > longestPause
 	if c.unansweredSince.IsZero() || hasPaused {
@@ -27,66 +27,67 @@
 	c.lastSent = now
 }
 
-// recordHeard notes that something came from the peer.
-func (c *peerContact) recordHeard() { c.unansweredSince = time.Time{} }
+// recordReceived records that a message or response arrived from the peer.
+func (c *peerContact) recordReceived() { c.unansweredSince = time.Time{} }
 
-// silence returns for how long the peer has not answered.
-func (c *peerContact) silence(now time.Time) time.Duration {
+// unresponsiveFor returns for how long the peer has not responded; zero if it has.
+func (c *peerContact) unresponsiveFor(now time.Time) time.Duration {
 	if c.unansweredSince.IsZero() {
 		return 0
 	}
 	return now.Sub(c.unansweredSince)
 }
 
-// longestHeartbeatPause is the longest pause between two heartbeats to one peer while this
-// node runs as it should: the idle pause, and a message that times out.
+// longestHeartbeatPause returns the longest normal pause between two heartbeats to one peer:
+// the idle interval plus twice the time-out of a message.
 func (n *Node) longestHeartbeatPause() time.Duration {
 	return idleHeartbeatFactor*n.env.Config.ConsensusHeartbeatPeriod + 2*heartbeatTimeout
 }
 
-// recordSent notes that a heartbeat goes out.
+// recordSent records that a heartbeater sends a heartbeat.
 func (n *Node) recordSent(h *heartbeater, now time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	h.contact.recordSent(now, n.longestHeartbeatPause())
 }
 
-// recordHeard notes that a message or an answer came from a core node.
-func (n *Node) recordHeard(peer rpc.Peer) {
+// recordReceived records that a message or response arrived from a core node.
+func (n *Node) recordReceived(peer rpc.Peer) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if h := n.heartbeaters[peer]; h != nil {
-		h.contact.recordHeard()
+		h.contact.recordReceived()
 	}
 }
 
-// silenceOf returns for how long a core node has left this node's questions unanswered; zero
-// if it answers, or is not asked.
-func (n *Node) silenceOf(peer rpc.Peer) time.Duration {
+// unresponsiveFor returns for how long a core node has not responded to this node; zero if
+// it responds or is sent no heartbeats.
+func (n *Node) unresponsiveFor(peer rpc.Peer) time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if h := n.heartbeaters[peer]; h != nil {
-		return h.contact.silence(n.env.Now())
+		return h.contact.unresponsiveFor(n.env.Now())
 	}
 	return 0
 }
 
-// newlyGonePeriod is how long a core node counts as newly gone.
-const newlyGonePeriod = time.Second
+// newlyUnresponsivePeriod is how long a core node counts as newly unresponsive.
+const newlyUnresponsivePeriod = time.Second
 
-// hasNewlyGonePeer tells whether some core node has become silent for
-// consensus.replacement_delay less than newlyGonePeriod ago.
-func (n *Node) hasNewlyGonePeer() bool {
+// hasNewlyUnresponsivePeer reports whether a core node exceeded consensus.replacement_delay
+// without a response less than newlyUnresponsivePeriod ago.
+func (n *Node) hasNewlyUnresponsivePeer() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now, delay := n.env.Now(), n.env.Config.ConsensusReplacementDelay
 	for _, h := range n.heartbeaters {
-		if silence := h.contact.silence(now); silence > delay && silence < delay+newlyGonePeriod {
+		if unresponsive := h.contact.unresponsiveFor(now); unresponsive > delay && unresponsive < delay+newlyUnresponsivePeriod {
 			return true
 		}
 	}
 	return false
 }
 
-// isAnswering tells whether a core node answered the last question that it had time for.
-func (n *Node) isAnswering(peer rpc.Peer) bool { return n.silenceOf(peer) <= heartbeatTimeout }
+// isResponsive reports whether a core node has no heartbeat unanswered for longer than
+// heartbeatTimeout.
+func (n *Node) isResponsive(peer rpc.Peer) bool { return n.unresponsiveFor(peer) <= heartbeatTimeout }
--- a/internal/consensus/contact_test.go
+++ b/internal/consensus/contact_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-func TestPeerContact_SilenceCountsUnansweredQuestions(t *testing.T) {
+func TestPeerContact_UnresponsiveSinceFirstUnansweredRequest(t *testing.T) {
 	const longestPause = 2 * time.Second
-	sent := func(c *peerContact, at time.Time) { c.recordSent(at, longestPause) }
-	heard := func(c *peerContact, _ time.Time) { c.recordHeard() }
+	send := func(c *peerContact, at time.Time) { c.recordSent(at, longestPause) }
+	receive := func(c *peerContact, _ time.Time) { c.recordReceived() }
 	type step struct {
 		at time.Duration
 		do func(*peerContact, time.Time)
@@ -19,21 +19,21 @@
 		now   time.Duration
 		want  time.Duration
 	}{
-		{"never asked", nil, time.Hour, 0},
-		{"asked just now", []step{{time.Second, sent}}, time.Second, 0},
-		{"counts from the first question", []step{{0, sent}, {time.Second, sent}, {2 * time.Second, sent}}, 2500 * time.Millisecond, 2500 * time.Millisecond},
-		{"an answer ends it", []step{{0, sent}, {time.Second, sent}, {1500 * time.Millisecond, heard}}, time.Minute, 0},
-		{"begins anew after an answer", []step{{0, sent}, {time.Second, heard}, {2 * time.Second, sent}}, 3 * time.Second, time.Second},
-		{"begins anew when this node stood still", []step{{0, sent}, {time.Second, sent}, {9 * time.Second, sent}}, 10 * time.Second, time.Second},
+		{"no heartbeat sent", nil, time.Hour, 0},
+		{"heartbeat sent just now", []step{{time.Second, send}}, time.Second, 0},
+		{"counts from the first unanswered heartbeat", []step{{0, send}, {time.Second, send}, {2 * time.Second, send}}, 2500 * time.Millisecond, 2500 * time.Millisecond},
+		{"ends with a response", []step{{0, send}, {time.Second, send}, {1500 * time.Millisecond, receive}}, time.Minute, 0},
+		{"restarts after a response", []step{{0, send}, {time.Second, receive}, {2 * time.Second, send}}, 3 * time.Second, time.Second},
+		{"restarts after a pause of this process", []step{{0, send}, {time.Second, send}, {9 * time.Second, send}}, 10 * time.Second, time.Second},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			began := time.Unix(1000, 0)
+			start := time.Unix(1000, 0)
 			contact := peerContact{}
 			for _, step := range test.steps {
-				step.do(&contact, began.Add(step.at))
+				step.do(&contact, start.Add(step.at))
 			}
-			if got := contact.silence(began.Add(test.now)); got != test.want {
-				t.Errorf("silent for %s, not %s", got, test.want)
+			if got := contact.unresponsiveFor(start.Add(test.now)); got != test.want {
+				t.Errorf("unresponsive for %s, want %s", got, test.want)
 			}
 		})
 	}
--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -11,16 +11,18 @@
 	"github.com/sumactrestle/sumactrestle/internal/storage"
 )
 
-// voteTimeout is how long a candidate collects votes.
+// voteTimeout bounds the collection of votes in one campaign.
 const voteTimeout = 800 * time.Millisecond
 
-// canCampaign tells whether this member may campaign, other than for a planned stop.
+// canCampaign reports whether this member is a voter, and neither the leader nor removed.
+// Callers check for a planned stop.
 func (r *Replica) canCampaign() bool {
 	return !r.leadership.isLeader && !r.election.isRemoved && r.voters.Contains(r.node.self)
 }
 
-// isElectionDue tells whether the leader was silent for long enough. The first live member
-// in election order campaigns after consensus.election_timeout, each later one half of that after it.
+// isElectionDue reports whether this member's election timer has expired. The first live
+// voter in election order waits for consensus.election_timeout, and each following one half
+// of that longer, so that they don't campaign at the same time.
 func (r *Replica) isElectionDue() bool {
 	if r.node.IsStopping() {
 		return false
@@ -32,15 +34,15 @@
 	}
 	timeout := r.node.env.Config.ConsensusElectionTimeout
 	if r.election.lastLeaderContact.IsZero() {
-		// After a start, one heartbeat of a working leader is waited for; a member that
-		// hears one votes for nobody else.
+		// After a start it is enough to wait for one heartbeat of an active leader; a
+		// member that receives one votes for no other candidate.
 		timeout = min(timeout, r.node.env.Config.ConsensusHeartbeatPeriod*3/2)
 	}
-	start := r.election.lastLeaderContact
-	if start.Before(r.election.timerStart) {
-		start = r.election.timerStart
+	lastReset := r.election.lastLeaderContact
+	if lastReset.Before(r.election.timerStart) {
+		lastReset = r.election.timerStart
 	}
-	if r.node.env.Since(start) <= timeout {
+	if r.node.env.Since(lastReset) <= timeout {
 		return false
 	}
 	rank := 0
@@ -52,20 +54,20 @@
 			rank++
 		}
 	}
-	return r.node.env.Since(start) > timeout+time.Duration(rank)*timeout/2
+	return r.node.env.Since(lastReset) > timeout+time.Duration(rank)*timeout/2
 }
 
-// campaign runs for leader under a new term. isTransfer says that the leader asked for it,
-// so that the members vote although they heard that leader just now.
+// campaign runs for leader under a new term. isTransfer means that the leader requested it,
+// so the voters grant their votes in spite of recent contact with that leader.
 func (r *Replica) campaign(isTransfer bool) {
-	request, own, batch := r.startCampaign(isTransfer)
+	request, ownVote, batch := r.startCampaign(isTransfer)
 	if request == nil || batch.Wait() != nil {
 		return
 	}
 	r.trace(TraceEvent{Kind: TraceVoted, Term: request.Term})
-	sent := r.node.env.Now()
-	best, granted := r.collectVotes(request, own)
-	if best == nil || !votersNamedBy(best).Contains(r.node.self) {
+	sentAt := r.node.env.Now()
+	bestVote, granted := r.collectVotes(request, ownVote)
+	if bestVote == nil || !votersFromVote(bestVote).Contains(r.node.self) {
 		r.logEvent(eventlog.ElectionFailed, "term", request.Term.String())
 		return
 	}
@@ -75,20 +77,20 @@
 		return
 	}
 	batch = r.node.store.NewBatch()
-	if best != own {
-		if !r.adoptLog(batch, best) {
+	if bestVote != ownVote {
+		if !r.adoptLog(batch, bestVote) {
 			return
 		}
 	}
 	last, _ := r.log.last()
 	r.trace(TraceEvent{Kind: TraceElected, Term: request.Term, Index: last, Voters: r.voters, Granted: granted, TermAt: r.log.termAt})
-	r.becomeLeader(batch, sent, granted)
+	r.becomeLeader(batch, sentAt, granted)
 }
 
-// startCampaign raises the term and returns the request for votes, this member's own vote
-// and the batch that must be synced before either counts; no request if this member may
-// not campaign.
-func (r *Replica) startCampaign(isTransfer bool) (request *rpc.VoteRequest, own *rpc.VoteResponse, batch *storage.Batch) {
+// startCampaign raises the term and returns the vote request, this member's own vote and the
+// batch, which must be synced before the request is sent or the vote is counted. The request
+// is nil if this member may not campaign.
+func (r *Replica) startCampaign(isTransfer bool) (request *rpc.VoteRequest, ownVote *rpc.VoteResponse, batch *storage.Batch) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.canCampaign() || r.node.IsStopping() {
@@ -99,19 +101,20 @@
 	r.raiseTerm(batch, term)
 	r.election.timerStart = r.node.env.Now()
 	r.node.store.Submit(batch)
-	own = &rpc.VoteResponse{From: r.node.self, Granted: true, Voters: r.voters.Current, OutgoingVoters: r.voters.Outgoing}
-	own.LastIndex, own.LastTerm = r.log.last()
+	ownVote = &rpc.VoteResponse{From: r.node.self, Granted: true, Voters: r.voters.Current, OutgoingVoters: r.voters.Outgoing}
+	ownVote.LastIndex, ownVote.LastTerm = r.log.last()
 	request = &rpc.VoteRequest{
 		Shard: r.shard, Term: term, From: r.node.self, Commit: r.log.committed,
-		LastIndex: own.LastIndex, LastTerm: own.LastTerm, LeadershipTransfer: isTransfer,
+		LastIndex: ownVote.LastIndex, LastTerm: ownVote.LastTerm, LeadershipTransfer: isTransfer,
 	}
-	return request, own, batch
+	return request, ownVote, batch
 }
 
-// collectVotes asks for votes until a quorum of the voters that the most advanced log
-// among them names has given one, and returns the vote with that log. The voters known
-// here may be outdated; only the adopted log tells who has a vote.
-func (r *Replica) collectVotes(request *rpc.VoteRequest, own *rpc.VoteResponse) (best *rpc.VoteResponse, granted []rpc.Peer) {
+// collectVotes requests votes until those granted are a quorum of the voters in the most
+// advanced log among them. It returns the vote with that log and the members that voted, or
+// nil if there is no quorum within voteTimeout. This member's own list of voters may be
+// outdated, so each more advanced log adds its voters to those requested.
+func (r *Replica) collectVotes(request *rpc.VoteRequest, ownVote *rpc.VoteResponse) (bestVote *rpc.VoteResponse, granted []rpc.Peer) {
 	ctx, cancel := context.WithTimeout(r.node.env, voteTimeout)
 	defer cancel()
 	responses := make(chan *rpc.VoteResponse)
@@ -133,11 +136,11 @@
 			})
 		}
 	}
-	best, granted = own, []rpc.Peer{r.node.self}
-	requestFrom(votersNamedBy(best))
+	bestVote, granted = ownVote, []rpc.Peer{r.node.self}
+	requestFrom(votersFromVote(bestVote))
 	for {
-		if votersNamedBy(best).HasQuorum(granted) {
-			return best, granted
+		if votersFromVote(bestVote).HasQuorum(granted) {
+			return bestVote, granted
 		}
 		if pending == 0 {
 			return nil, nil
@@ -149,9 +152,9 @@
 				continue
 			}
 			granted = append(granted, response.From)
-			if isLessAdvanced(best.LastIndex, best.LastTerm, response.LastIndex, response.LastTerm) {
-				best = response
-				requestFrom(votersNamedBy(best))
+			if isLessAdvanced(bestVote.LastIndex, bestVote.LastTerm, response.LastIndex, response.LastTerm) {
+				bestVote = response
+				requestFrom(votersFromVote(bestVote))
 			}
 		case <-ctx.Done():
 			return nil, nil
@@ -159,12 +162,13 @@
 	}
 }
 
-// votersNamedBy returns the voters that the log behind a vote names.
-func votersNamedBy(response *rpc.VoteResponse) Voters {
-	return Voters{Current: response.Voters, Outgoing: response.OutgoingVoters}
+// votersFromVote returns the newest voters in the log of the member that voted.
+func votersFromVote(vote *rpc.VoteResponse) Voters {
+	return Voters{Current: vote.Voters, Outgoing: vote.OutgoingVoters}
 }
 
-// requestVote asks one member for its vote; nil if it can't be reached or rejects.
+// requestVote requests the vote of one member. It returns nil if the member can't be reached
+// or rejects the request.
 func (r *Replica) requestVote(ctx context.Context, request *rpc.VoteRequest, peer rpc.Peer) *rpc.VoteResponse {
 	address, ok := r.node.addressOf(peer)
 	if !ok {
@@ -186,20 +190,21 @@
 	return nil
 }
 
-// adoptLog makes this log equal to the one behind a vote; false if it can't be.
-func (r *Replica) adoptLog(batch *storage.Batch, best *rpc.VoteResponse) bool {
-	if best.Snapshot != nil && best.Snapshot.Index > r.log.committed {
-		if err := r.installSnapshot(batch, best.Snapshot); err != nil {
+// adoptLog replaces the uncommitted part of this log by the log attached to a vote, and
+// reports whether it succeeded.
+func (r *Replica) adoptLog(batch *storage.Batch, vote *rpc.VoteResponse) bool {
+	if vote.Snapshot != nil && vote.Snapshot.Index > r.log.committed {
+		if err := r.installSnapshot(batch, vote.Snapshot); err != nil {
 			return false
 		}
 	}
-	if last, _ := r.log.last(); last > best.LastIndex {
-		r.log.truncateAfter(batch, max(best.LastIndex, r.log.committed))
+	if last, _ := r.log.last(); last > vote.LastIndex {
+		r.log.truncateAfter(batch, max(vote.LastIndex, r.log.committed))
 	}
-	if err := r.mergeEntries(batch, best.Entries); err != nil {
+	if err := r.mergeEntries(batch, vote.Entries); err != nil {
 		r.logEvent(eventlog.ElectionFailed, "cause", err.Error())
 		if conflict := (*committedConflictError)(nil); errors.As(err, &conflict) {
-			r.reportCorruption(err.Error(), "from", string(best.From.Name))
+			r.reportCorruption(err.Error(), "from", string(vote.From.Name))
 		}
 		r.node.store.Submit(batch)
 		return false
--- a/internal/consensus/heartbeat.go
+++ b/internal/consensus/heartbeat.go
@@ -11,35 +11,36 @@
 
 const (
 	heartbeatTimeout = 500 * time.Millisecond
-	// idleHeartbeatFactor is how much more seldom those are told who leads that vote for
-	// nothing led here.
+	// idleHeartbeatFactor multiplies the heartbeat period for nodes that vote in no shard led
+	// by this node; the heartbeats tell them the leaders.
 	idleHeartbeatFactor = 4
 )
 
-// heartbeater sends heartbeats to one core node. One message carries the claims of this
-// node to all the shards it leads, every consensus.heartbeat_period and whenever a read waits.
+// heartbeater sends heartbeats to one core node, every consensus.heartbeat_period and
+// whenever a read waits for confirmation. One message carries this node's leadership claims
+// for all shards that it leads.
 type heartbeater struct {
-	kick   chan struct{} // has one place; a message is sent at once when it is filled
-	cancel context.CancelFunc
-	// contact is guarded by the node's lock.
+	trigger chan struct{} // requests an immediate heartbeat; capacity 1
+	cancel  context.CancelFunc
+	// contact is guarded by Node.mu.
 	contact peerContact
 
-	// sequence and acked belong to the task that sends.
+	// sequence and acked are used only by the goroutine of runHeartbeats.
 	sequence uint64     // of the last message; zero before the first
-	acked    claimState // the last claims that were answered
+	acked    claimState // the last claims that were acknowledged
 }
 
-// sendNow has a message sent at once, unless that is due already.
+// sendNow requests an immediate heartbeat. It has no effect if one is already requested.
 func (h *heartbeater) sendNow() {
 	select {
-	case h.kick <- struct{}{}:
+	case h.trigger <- struct{}{}:
 	default:
 	}
 }
 
-// keepHeartbeats starts a heartbeater for each core node that is new, and ends those of
-// nodes that are gone or are under another member id.
-func (n *Node) keepHeartbeats() {
+// updateHeartbeaters starts a heartbeater for each new core node, and stops those of nodes
+// that left the member list or have a different member id.
+func (n *Node) updateHeartbeaters() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for peer, h := range n.heartbeaters {
@@ -55,14 +56,14 @@
 			continue
 		}
 		ctx, cancel := context.WithCancel(n.env)
-		h := &heartbeater{kick: make(chan struct{}, 1), cancel: cancel}
+		h := &heartbeater{trigger: make(chan struct{}, 1), cancel: cancel}
 		n.heartbeaters[peer] = h
 		n.env.Go(func() { n.runHeartbeats(ctx, peer, h) })
 	}
 }
 
-// kickHeartbeats has heartbeats sent to some members at once.
-func (n *Node) kickHeartbeats(peers []rpc.Peer) {
+// triggerHeartbeats requests immediate heartbeats to the given peers.
+func (n *Node) triggerHeartbeats(peers []rpc.Peer) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, peer := range peers {
@@ -72,8 +73,9 @@
 	}
 }
 
-// kickAllHeartbeats has heartbeats sent to everybody at once, who learns of a new leader so.
-func (n *Node) kickAllHeartbeats() {
+// triggerAllHeartbeats requests immediate heartbeats to all core nodes, to announce a new
+// leader.
+func (n *Node) triggerAllHeartbeats() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, h := range n.heartbeaters {
@@ -81,7 +83,7 @@
 	}
 }
 
-// isVoterOfLedShard tells whether a peer votes in a shard that this node leads.
+// isVoterOfLedShard reports whether a peer is a voter of a shard that this node leads.
 func (n *Node) isVoterOfLedShard(peer rpc.Peer) bool {
 	for _, r := range n.replicas {
 		r.mu.Lock()
@@ -94,53 +96,54 @@
 	return false
 }
 
-// runHeartbeats sends heartbeats to a peer until the context ends.
+// runHeartbeats sends heartbeats to a peer until ctx is cancelled.
 func (n *Node) runHeartbeats(ctx context.Context, peer rpc.Peer, h *heartbeater) {
 	due := time.Now().Add(1)
 	for {
-		isKicked, err := environment.WaitUntil(ctx, due, h.kick)
+		isTriggered, err := environment.WaitUntil(ctx, due, h.trigger)
 		if err != nil {
 			return
 		}
-		pause := n.env.Config.ConsensusHeartbeatPeriod
-		if isKicked {
-			// Kicks come about as often as heartbeats fall due. The next one is waited for a
-			// little longer, or there would be two messages for each.
-			pause = pause * 3 / 2
+		interval := n.env.Config.ConsensusHeartbeatPeriod
+		if isTriggered {
+			// Triggers come about once per heartbeat period. The longer interval avoids a
+			// periodic heartbeat in addition to each triggered one.
+			interval = interval * 3 / 2
 		}
 		if !n.isVoterOfLedShard(peer) {
-			pause = n.env.Config.ConsensusHeartbeatPeriod * idleHeartbeatFactor
+			interval = n.env.Config.ConsensusHeartbeatPeriod * idleHeartbeatFactor
 		}
-		due = time.Now().Add(pause)
+		due = time.Now().Add(interval)
 		n.sendHeartbeat(ctx, peer, h)
 	}
 }
 
-// sendHeartbeat sends one message, if this node leads anything.
+// sendHeartbeat sends one heartbeat and processes the response. It sends nothing if this
+// node leads no shard.
 func (n *Node) sendHeartbeat(ctx context.Context, peer rpc.Peer, h *heartbeater) {
 	claims := n.claims()
 	address, ok := n.addressOf(peer)
 	if len(claims) == 0 || !ok {
 		return
 	}
-	sent := n.env.Now()
-	n.recordSent(h, sent)
+	sentAt := n.env.Now()
+	n.recordSent(h, sentAt)
 	request := h.nextRequest(n.self, claims)
 	var response rpc.HeartbeatResponse
 	err := n.call(ctx, heartbeatTimeout, address, kindHeartbeat, request, &response)
 	if err != nil || response.From != peer || response.Sequence != request.Sequence {
 		return
 	}
-	n.recordHeard(peer)
+	n.recordReceived(peer)
 	h.acknowledge(request, claims, response.BaseLost)
 	if response.BaseLost {
 		h.sendNow()
 	} else {
-		n.recordAcks(peer, sent, claims, &response)
+		n.recordAcks(peer, sentAt, claims, &response)
 	}
 }
 
-// claims is the claims to all shards that this node leads.
+// claims returns the leadership claims for all shards that this node leads.
 func (n *Node) claims() (claims []rpc.LeaderClaim) {
 	for _, r := range n.replicas {
 		r.mu.Lock()
@@ -152,37 +155,38 @@
 	return claims
 }
 
-// recordAcks notes a member's answer: it confirms every claim that it does not reject, as
-// of the moment at which the message was sent.
-func (n *Node) recordAcks(peer rpc.Peer, sent time.Time, claims []rpc.LeaderClaim, response *rpc.HeartbeatResponse) {
+// recordAcks processes a member's heartbeat response. Each claim that the member did not
+// reject is confirmed as of sentAt, the time at which the heartbeat was sent.
+func (n *Node) recordAcks(peer rpc.Peer, sentAt time.Time, claims []rpc.LeaderClaim, response *rpc.HeartbeatResponse) {
 	higherTerms := map[ids.Shard]ids.Term{}
 	for _, rejected := range response.Rejected {
 		higherTerms[rejected.Shard] = rejected.Term
 	}
 	for _, claim := range claims {
-		higher, isRejected := higherTerms[claim.Shard]
-		n.replicas[claim.Shard].recordAck(peer, sent, claim.Term, higher, isRejected)
+		higherTerm, isRejected := higherTerms[claim.Shard]
+		n.replicas[claim.Shard].recordAck(peer, sentAt, claim.Term, higherTerm, isRejected)
 	}
 }
 
-// recordAck notes a member's answer to one claim.
-func (r *Replica) recordAck(peer rpc.Peer, sent time.Time, term, higher ids.Term, isRejected bool) {
+// recordAck processes a member's response to one claim.
+func (r *Replica) recordAck(peer rpc.Peer, sentAt time.Time, term, higherTerm ids.Term, isRejected bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.leads(term) {
 		return
 	}
 	if isRejected {
-		r.stepDownForTerm(term, higher)
-	} else if p := r.leadership.progressOf(peer); p.lastAck.Before(sent) {
-		p.lastAck = sent
+		r.stepDownForTerm(term, higherTerm)
+	} else if p := r.leadership.progressOf(peer); p.lastAck.Before(sentAt) {
+		p.lastAck = sentAt
 		r.notifyChanged()
 	}
 }
 
-// handleHeartbeat answers a heartbeat. A claim below the current term is rejected with it.
+// handleHeartbeat handles a heartbeat. A claim below the current term is rejected, and the
+// response carries the current term.
 func (n *Node) handleHeartbeat(request *rpc.HeartbeatRequest) (*rpc.HeartbeatResponse, error) {
-	n.recordHeard(request.From)
+	n.recordReceived(request.From)
 	response := &rpc.HeartbeatResponse{From: n.self, Sequence: request.Sequence}
 	claims, ok := n.fullClaims(request)
 	if !ok {
@@ -194,8 +198,8 @@
 		if err != nil {
 			continue
 		}
-		if higher, ok := r.acceptClaim(claim); !ok {
-			response.Rejected = append(response.Rejected, rpc.LeaderClaim{Shard: claim.Shard, Term: higher})
+		if higherTerm, ok := r.acceptClaim(claim); !ok {
+			response.Rejected = append(response.Rejected, rpc.LeaderClaim{Shard: claim.Shard, Term: higherTerm})
 		} else if claim.Serving {
 			n.recordLeader(claim.Shard, request.From.Name, claim.Term)
 		}
@@ -203,8 +207,9 @@
 	return response, nil
 }
 
-// acceptClaim takes a leader's claim, and commits what it says as far as this log is known
-// to equal the leader's. A claim below the current term is rejected with that.
+// acceptClaim accepts a leader's claim and advances the commit index, but not beyond the
+// entries known to equal the leader's. It returns the current term and false if the claim
+// is below that term.
 func (r *Replica) acceptClaim(claim rpc.LeaderClaim) (currentTerm ids.Term, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/consensus/heartbeat_delta.go
+++ b/internal/consensus/heartbeat_delta.go
@@ -8,10 +8,10 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// claimState is all that one heartbeat claims. Most claims are the same from message to
-// message, so a message names the one before it that was answered, its base, and carries
-// only what differs. A member that does not have the base, as it was restarted or the
-// order of messages broke, says so, confirms nothing, and is sent everything.
+// claimState is the full set of claims of one heartbeat. Most claims don't change between
+// heartbeats, so a heartbeat carries only the differences from its base, the last one that
+// was acknowledged. A member that lacks the base, after a restart or reordered messages,
+// responds with BaseLost, confirms no claim, and is sent the full set.
 type claimState struct {
 	sequence uint64
 	claims   map[ids.Shard]rpc.LeaderClaim
@@ -25,29 +25,30 @@
 	return byShard
 }
 
-// nextRequest makes the next message. Sequence numbers begin at random, so that those of an
-// earlier process of this node are not met again.
+// nextRequest returns the next heartbeat. Sequence numbers start at a random value, so that
+// they don't repeat those of an earlier process of this node.
 func (h *heartbeater) nextRequest(from rpc.Peer, claims []rpc.LeaderClaim) *rpc.HeartbeatRequest {
 	if h.sequence == 0 {
 		h.sequence = rand.Uint64() >> 2
 	}
 	h.sequence++
 	request := &rpc.HeartbeatRequest{From: from, Sequence: h.sequence, BaseSequence: h.acked.sequence}
-	now := claimsByShard(claims)
+	current := claimsByShard(claims)
 	for _, c := range claims {
-		if old, ok := h.acked.claims[c.Shard]; !ok || old != c {
+		if ackedClaim, ok := h.acked.claims[c.Shard]; !ok || ackedClaim != c {
 			request.Claims = append(request.Claims, c)
 		}
 	}
 	for shard := range h.acked.claims {
-		if _, ok := now[shard]; !ok {
+		if _, ok := current[shard]; !ok {
 			request.Released = append(request.Released, shard)
 		}
 	}
 	return request
 }
 
-// acknowledge notes that a message was answered, or that its base is lost.
+// acknowledge sets the base for the next heartbeat: the claims of the acknowledged one, or
+// none if the member lost the base.
 func (h *heartbeater) acknowledge(request *rpc.HeartbeatRequest, claims []rpc.LeaderClaim, isBaseLost bool) {
 	h.acked = claimState{}
 	if !isBaseLost {
@@ -55,17 +56,18 @@
 	}
 }
 
-// fullClaims returns all that a message claims; false if its base is not the last one received.
+// fullClaims applies a heartbeat's differences to its base and returns the full set of
+// claims; false if the base is not the last heartbeat received from the sender.
 func (n *Node) fullClaims(request *rpc.HeartbeatRequest) (map[ids.Shard]rpc.LeaderClaim, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	last := n.receivedClaims[request.From]
-	if request.BaseSequence != 0 && last.sequence != request.BaseSequence {
+	lastReceived := n.receivedClaims[request.From]
+	if request.BaseSequence != 0 && lastReceived.sequence != request.BaseSequence {
 		return nil, false
 	}
 	claims := map[ids.Shard]rpc.LeaderClaim{}
 	if request.BaseSequence != 0 {
-		maps.Copy(claims, last.claims)
+		maps.Copy(claims, lastReceived.claims)
 	}
 	for _, shard := range request.Released {
 		delete(claims, shard)
--- a/internal/consensus/leaderless.go
+++ b/internal/consensus/leaderless.go
@@ -8,39 +8,40 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// leaderlessFactor is how many election timeouts a voter may hear no leader before that is
-// reported: an election that goes well takes less.
+// leaderlessFactor is the number of election timeouts without leader contact after which a
+// voter reports the shard as leaderless; a normal election takes less.
 const leaderlessFactor = 4
 
-// LeaderSilence returns how long this voter has heard no leader of the shard, or, where it
-// leads, for how long no quorum has confirmed it; false if it is no voter.
-func (r *Replica) LeaderSilence() (silence time.Duration, isVoter bool) {
+// LeaderContactAge returns the time since this voter's last contact with a leader of the
+// shard, or since the replica was created if there was none. On the leader it returns the
+// time since a quorum last confirmed the term. isVoter is false if this member is no voter.
+func (r *Replica) LeaderContactAge() (age time.Duration, isVoter bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.leaderSilence()
+	return r.leaderContactAge()
 }
 
-func (r *Replica) leaderSilence() (silence time.Duration, isVoter bool) {
+func (r *Replica) leaderContactAge() (age time.Duration, isVoter bool) {
 	if !r.voters.Contains(r.node.self) {
 		return 0, false
 	}
 	if r.leadership.isLeader {
 		return r.node.env.Since(r.confirmedAt()), true
 	}
-	heard := r.election.lastLeaderContact
-	if heard.Before(r.election.startedAt) {
-		heard = r.election.startedAt
+	lastContact := r.election.lastLeaderContact
+	if lastContact.Before(r.election.startedAt) {
+		lastContact = r.election.startedAt
 	}
-	return r.node.env.Since(heard), true
+	return r.node.env.Since(lastContact), true
 }
 
-// reportLeaderless logs once that no leader of the shard is heard, with the voters that
-// seem dead, and once that one is heard again.
+// reportLeaderless logs once that the shard is leaderless, with the voters that appear dead,
+// and once that contact with a leader is restored.
 func (r *Replica) reportLeaderless() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	silence, isVoter := r.leaderSilence()
-	isLeaderless := isVoter && silence > leaderlessFactor*r.node.env.Config.ConsensusElectionTimeout
+	contactAge, isVoter := r.leaderContactAge()
+	isLeaderless := isVoter && contactAge > leaderlessFactor*r.node.env.Config.ConsensusElectionTimeout
 	if isLeaderless == r.election.isLeaderless {
 		return
 	}
@@ -49,11 +50,12 @@
 		r.logEvent(eventlog.ShardLeaderHeard)
 		return
 	}
-	r.logEvent(eventlog.ShardLeaderless, "silence", silence.String(), "members", r.voters.String(), "down", r.node.namesOfDead(r.voters.All()))
+	r.logEvent(eventlog.ShardLeaderless, "silence", contactAge.String(), "members", r.voters.String(), "down", r.node.namesOfDeadPeers(r.voters.All()))
 }
 
-// namesOfDead names those of some peers that the member list does not hold for live.
-func (n *Node) namesOfDead(peers []rpc.Peer) string {
+// namesOfDeadPeers returns the names of the given peers that are not live according to the
+// member list.
+func (n *Node) namesOfDeadPeers(peers []rpc.Peer) string {
 	var names []string
 	for _, peer := range peers {
 		if peer != n.self && !n.members.IsLive(peer) {
--- a/internal/consensus/leadership.go
+++ b/internal/consensus/leadership.go
@@ -10,24 +10,24 @@
 	"github.com/sumactrestle/sumactrestle/internal/storage"
 )
 
-// leadership is what a replica knows as the leader; it begins anew with each election won.
+// leadership is a replica's state as leader; becomeLeader resets it.
 type leadership struct {
 	isLeader bool
-	// isServing says that the first entry of the term is committed, and with it
-	// everything that earlier leaders committed.
+	// isServing is true once the first entry of the term is committed, which also commits
+	// all entries of earlier leaders.
 	isServing    bool
 	servingSince time.Time
-	// isTransferring says that no proposals are taken any more: the next leader must have the
+	// isTransferring stops new proposals, so that the next leader can catch up with the
 	// whole log.
 	isTransferring bool
 	firstIndex     ids.Index // the first entry of the leader's own term
-	// ctx ends with the leadership, and with it the streams to the members.
+	// ctx is cancelled when the leadership ends, which stops the replication streams.
 	ctx      context.Context
 	cancel   context.CancelFunc
 	progress map[rpc.Peer]*progress
 }
 
-// progressOf returns a member's progress, zero at first.
+// progressOf returns a member's progress, and adds a zero one for a new member.
 func (l *leadership) progressOf(peer rpc.Peer) *progress {
 	p := l.progress[peer]
 	if p == nil {
@@ -37,37 +37,38 @@
 	return p
 }
 
-// quorumMatch is the last entry that a quorum of the voters has synced.
+// quorumMatch returns the index of the last entry that a quorum of the voters has synced.
 func (l *leadership) quorumMatch(voters Voters) ids.Index {
 	return ids.Index(voters.QuorumValue(func(peer rpc.Peer) int64 { return int64(l.progressOf(peer).matchIndex) }))
 }
 
-// progress is how far one member follows, as its leader knows it. Learners have one too.
+// progress is the leader's view of one member's replication. Learners have one too.
 type progress struct {
-	matchIndex    ids.Index // the last entry that is known to be synced on the member
-	lastAck       time.Time // when the latest message was sent by whose answer it confirmed the term
-	lastAdvance   time.Time // when it last took something new, entries or a part of a snapshot
-	isReplicating bool      // it has a stream, until this is unset
+	matchIndex    ids.Index // the last entry known to be synced on the member
+	lastAck       time.Time // when the latest message was sent whose response confirmed the term
+	lastAdvance   time.Time // when the member last accepted entries or a snapshot chunk
+	isReplicating bool      // its stream runs until this is set to false
 }
 
-// becomeLeader makes this member the leader. It serves once its first entry, an empty one
-// of its own term, is committed. granted voted for it as of the moment sent.
-func (r *Replica) becomeLeader(batch *storage.Batch, sent time.Time, granted []rpc.Peer) {
+// becomeLeader makes this member the leader. It starts serving once its first entry, an
+// empty one of its own term, is committed. The votes of granted confirm the term as of
+// sentAt, when they were requested.
+func (r *Replica) becomeLeader(batch *storage.Batch, sentAt time.Time, granted []rpc.Peer) {
 	l := &r.leadership
 	l.isLeader, l.isServing, l.isTransferring = true, false, false
 	l.ctx, l.cancel = context.WithCancel(r.node.env)
 	l.progress = map[rpc.Peer]*progress{}
 	for _, peer := range granted {
-		l.progressOf(peer).lastAck = sent
+		l.progressOf(peer).lastAck = sentAt
 	}
 	last, _ := r.log.last()
 	l.firstIndex = last + 1
 	r.appendOwn(batch, rpc.Entry{Kind: entryEmpty})
 	r.replicateToAll()
-	r.node.kickAllHeartbeats()
+	r.node.triggerAllHeartbeats()
 }
 
-// stepDown ends the leadership, if there is one; those who wait for a write are left unsure.
+// stepDown ends the leadership, if any. The outcome of pending proposals is unknown.
 func (r *Replica) stepDown(cause string) {
 	l := &r.leadership
 	if !l.isLeader {
@@ -82,32 +83,33 @@
 }
 
 // stepDownForTerm ends the leadership of a term because a member has accepted a higher one.
-func (r *Replica) stepDownForTerm(term, higher ids.Term) {
-	r.election.highestTermNumber = max(r.election.highestTermNumber, higher.Number)
+func (r *Replica) stepDownForTerm(term, higherTerm ids.Term) {
+	r.election.highestTermNumber = max(r.election.highestTermNumber, higherTerm.Number)
 	if r.currentTerm == term {
-		r.stepDown("a member has the higher term " + higher.String())
+		r.stepDown("a member has the higher term " + higherTerm.String())
 	}
 }
 
-// reportCorruption is for what the protocol rules out: it is logged, and this member steps
-// down rather than write to the log.
+// reportCorruption logs a state that the protocol rules out, and steps down so that this
+// member appends no more entries.
 func (r *Replica) reportCorruption(cause string, fields ...any) {
 	r.logEvent(eventlog.ReplicasDiverged, append([]any{"term", r.currentTerm.String(), "cause", cause}, fields...)...)
 	r.stepDown("replicas contradict one another")
 }
 
-// resign steps down for a cause outside of the replica.
+// resign is stepDown with locking, for callers outside the replica.
 func (r *Replica) resign(cause string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.stepDown(cause)
 }
 
-// checkQuorum steps down if no quorum has confirmed the term for twice consensus.election_timeout.
+// checkQuorum steps down if no quorum has confirmed the term within twice
+// consensus.election_timeout.
 func (r *Replica) checkQuorum() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.leadership.isLeader && r.node.env.Since(r.confirmedAt()) > 2*r.node.env.Config.ConsensusElectionTimeout {
-		r.stepDown("no quorum in reach")
+		r.stepDown("no quorum confirmed the term")
 	}
 }
--- a/internal/consensus/leadership_transfer.go
+++ b/internal/consensus/leadership_transfer.go
@@ -9,58 +9,59 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// A leader that is to go hands over as Ongaro's dissertation has it (section 3.10): it takes no
-// more proposals, lets a member catch up with its log, steps down, and asks that member to
-// campaign at once. Without the wait, a shard in which a write is always in flight never has a
-// member with the whole log, and is left to an ordinary election.
+// Leadership is transferred as in section 3.10 of Ongaro's thesis: the leader stops accepting
+// proposals, waits until a member has caught up with its log, steps down, and requests that
+// member to campaign immediately. Without the wait, a shard with constant writes might never
+// have a member with the whole log and would need an ordinary election.
 
 const (
-	// transferTimeout bounds the request to the next leader.
+	// transferTimeout bounds the campaign request to the next leader.
 	transferTimeout = time.Second
-	// catchUpWait is how long a member is left to catch up. It is well below the time of an
-	// election, which is what comes after it.
-	catchUpWait         = 300 * time.Millisecond
+	// catchUpTimeout bounds the wait for a member to catch up. It is well below the duration
+	// of the ordinary election that follows a time-out.
+	catchUpTimeout      = 300 * time.Millisecond
 	catchUpPollInterval = 2 * time.Millisecond
 )
 
-// transferLeadership takes no more proposals, steps down once a member has the whole log, and
-// asks that member to campaign.
+// transferLeadership transfers the leadership to a member that has the whole log. If none
+// has caught up within catchUpTimeout, it steps down without a successor.
 func (r *Replica) transferLeadership(ctx context.Context) {
 	r.stopProposals()
 	r.awaitSuccessor(ctx)
 	target, term := r.releaseLeadership()
 	if target != nil {
-		// A request that is lost costs no more than an election.
+		// If the request is lost, an ordinary election follows.
 		_ = r.node.call(ctx, transferTimeout, target.RPCAddress, kindTransfer, &rpc.CampaignRequest{Shard: r.shard, Term: term}, nil)
 	}
 }
 
-// stopProposals takes no more proposals in this term.
+// stopProposals makes the leader reject proposals for the rest of its term.
 func (r *Replica) stopProposals() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.leadership.isTransferring = true
 }
 
-// awaitSuccessor waits until some member can lead, or until the time for it is over.
+// awaitSuccessor waits until a member can take over or catchUpTimeout has passed.
 func (r *Replica) awaitSuccessor(ctx context.Context) {
-	began := r.node.env.Now()
-	for r.lacksSuccessor() && ctx.Err() == nil && r.node.env.Since(began) < catchUpWait {
+	start := r.node.env.Now()
+	for r.lacksSuccessor() && ctx.Err() == nil && r.node.env.Since(start) < catchUpTimeout {
 		if !r.node.env.Sleep(catchUpPollInterval) {
 			return
 		}
 	}
 }
 
-// lacksSuccessor tells whether this member leads and none can take over from it.
+// lacksSuccessor reports whether this member is the serving leader and no member can take
+// over from it.
 func (r *Replica) lacksSuccessor() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.leadership.isServing && r.successor() == nil
 }
 
-// releaseLeadership steps down from a shard that is served, and returns who is to lead it; nil
-// if nobody can.
+// releaseLeadership steps down if this member is the serving leader, and returns the member
+// that can take over; nil if there is none.
 func (r *Replica) releaseLeadership() (target *rpc.Member, term ids.Term) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -72,12 +73,12 @@
 	return target, r.currentTerm
 }
 
-// successor is the first member in election order that has the whole log, and answers.
+// successor returns the first responsive voter in election order that has the whole log.
 func (r *Replica) successor() *rpc.Member {
 	last, _ := r.log.last()
 	for _, peer := range ElectionOrder(r.shard, r.voters.All()) {
 		m, ok := r.node.members.Lookup(peer.Name)
-		isReady := ok && m.ID == peer.ID && r.node.isAnswering(peer) && r.leadership.progressOf(peer).matchIndex == last
+		isReady := ok && m.ID == peer.ID && r.node.isResponsive(peer) && r.leadership.progressOf(peer).matchIndex == last
 		if peer != r.node.self && isReady {
 			return &m
 		}
@@ -85,17 +86,17 @@
 	return nil
 }
 
-// handleTransfer has this member campaign because the leader asks it to.
+// handleTransfer starts a campaign at the leader's request.
 func (r *Replica) handleTransfer(request *rpc.CampaignRequest) (struct{}, error) {
 	if !r.isTransferFromLeader(request) {
-		return struct{}{}, errcode.New(errcode.NotLeader, "shard %d: the transfer is of an old term", r.shard)
+		return struct{}{}, errcode.New(errcode.NotLeader, "shard %d: leadership transfer is not from the current term", r.shard)
 	}
 	r.node.env.Go(func() { r.campaign(true) })
 	return struct{}{}, nil
 }
 
-// isTransferFromLeader tells whether a transfer comes from the leader that this member
-// knows; one that is late must not depose the next leader.
+// isTransferFromLeader reports whether a transfer request is of the current term. A delayed
+// request of an earlier term must not depose the next leader.
 func (r *Replica) isTransferFromLeader(request *rpc.CampaignRequest) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/consensus/leadership_transfer_test.go
+++ b/internal/consensus/leadership_transfer_test.go
@@ -7,8 +7,8 @@
 	"github.com/sumactrestle/sumactrestle/internal/errcode"
 )
 
-// What comes in while a member catches up would keep it from ever having the whole log.
-func TestReplica_TransferringLeaderTakesNoProposals(t *testing.T) {
+// Entries proposed while a member catches up would keep it from ever having the whole log.
+func TestReplica_TransferringLeaderRejectsProposals(t *testing.T) {
 	runReplica(t, func(t *testing.T, r *Replica, _ *recordingMachine) {
 		withTwoEntries(t, r)
 		r.leadership.isLeader, r.leadership.isServing = true, true
@@ -17,7 +17,7 @@
 		}
 		r.stopProposals()
 		if _, _, err := r.appendProposal(command(`2`)); !errors.Is(err, errcode.NotLeader) {
-			t.Error("a proposal while the leadership is transferred:", err)
+			t.Error("a proposal during a leadership transfer was not rejected with NotLeader:", err)
 		}
 	})
 }
--- a/internal/consensus/learner.go
+++ b/internal/consensus/learner.go
@@ -23,7 +23,7 @@
 		learners.Add(1)
 		r.node.env.Go(func() {
 			defer learners.Done()
-			caughtUp[i] = r.catchUpLearner(change.in)
+			caughtUp[i] = r.catchUpLearner(change.added)
 		})
 	}
 	learners.Wait()
--- a/internal/consensus/membership_change.go
+++ b/internal/consensus/membership_change.go
@@ -58,9 +58,9 @@
 	next := slices.Clone(voters)
 	for i, change := range replacements {
 		if caughtUp[i] {
-			next = append(without(next, change.out), change.in)
+			next = append(without(next, change.removed), change.added)
 		} else {
-			r.logEvent(eventlog.ReplacementFailed, "in", string(change.in.Name), "cause", "it did not catch up")
+			r.logEvent(eventlog.ReplacementFailed, "in", string(change.added.Name), "cause", "it did not catch up")
 		}
 	}
 	if slices.Equal(next, voters) {
@@ -71,7 +71,7 @@
 		r.logEvent(eventlog.ReplacementFailed, "members", joint.String(), "cause", "the change was not committed")
 		return
 	}
-	if replacements[0].isForLostVoter() {
+	if replacements[0].removesVoter() {
 		r.logEvent(eventlog.ReplacementFinished, "members", final.String(), "took", r.node.env.Since(begun).String())
 	}
 }
@@ -80,8 +80,8 @@
 // beside the change itself.
 func (r *Replica) logReplacements(replacements []voterReplacement) {
 	for _, change := range replacements {
-		if change.isForLostVoter() {
-			r.logEvent(eventlog.ReplacementStarted, "out", string(change.out.Name), "in", string(change.in.Name))
+		if change.removesVoter() {
+			r.logEvent(eventlog.ReplacementStarted, "out", string(change.removed.Name), "in", string(change.added.Name))
 		}
 	}
 }
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -156,7 +156,7 @@
 // member list are open by then.
 func (n *Node) Start() {
 	n.env.Go(n.supervise)
-	n.env.Go(n.prevoteAfterStart)
+	n.env.Go(n.prevoteAtStartup)
 	n.env.Go(n.repairLoop)
 }
 
--- a/internal/consensus/placement.go
+++ b/internal/consensus/placement.go
@@ -8,8 +8,8 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// ElectionOrder returns voters in the order in which they are to lead a shard. It is the same
-// on every node, by rendezvous hashing, so that leaders are spread over the nodes.
+// ElectionOrder returns the voters of a shard by preference as its leader. All nodes compute
+// the same order, by rendezvous hashing, which spreads the leaders over the nodes.
 func ElectionOrder(shard ids.Shard, voters []rpc.Peer) []rpc.Peer {
 	order := append([]rpc.Peer(nil), voters...)
 	seed := fmt.Sprint("part", shard)
@@ -23,37 +23,38 @@
 	return order
 }
 
-// SelectVoters chooses the first voters of a shard: spread over zones first, then by
-// election order. tolerated is how many nodes may be lost at once (consensus.fault_tolerance).
-func SelectVoters(shard ids.Shard, members []rpc.Member, tolerated int) []rpc.Peer {
+// SelectVoters returns the initial voters of a shard, spread evenly over zones and within
+// that by election order. faultTolerance is the number of nodes that may fail at once
+// (consensus.fault_tolerance).
+func SelectVoters(shard ids.Shard, members []rpc.Member, faultTolerance int) []rpc.Peer {
 	var peers []rpc.Peer
 	zones := map[ids.NodeName]string{}
 	for _, m := range members {
 		peers = append(peers, rpc.Peer{Name: m.Name, ID: m.ID})
 		zones[m.Name] = m.Zone
 	}
-	size := ReplicationFactor(shard, len(peers), tolerated)
+	size := ReplicationFactor(shard, len(peers), faultTolerance)
 	var voters []rpc.Peer
-	used := map[string]int{}
+	votersByZone := map[string]int{}
 	order := ElectionOrder(shard, peers)
-	for level := 0; len(voters) < size; level++ {
+	for votersPerZone := 0; len(voters) < size; votersPerZone++ {
 		for _, peer := range order {
-			if len(voters) < size && used[zones[peer.Name]] == level && !containsPeer(voters, peer) {
+			if len(voters) < size && votersByZone[zones[peer.Name]] == votersPerZone && !containsPeer(voters, peer) {
 				voters = append(voters, peer)
-				used[zones[peer.Name]]++
+				votersByZone[zones[peer.Name]]++
 			}
 		}
 	}
 	return voters
 }
 
-// ReplicationFactor returns how many voters a shard has in a cluster of so many core nodes.
-// It is odd where it can be: a fourth voter would be needed for a majority, and would leave
-// no spare to take a lost one's place.
-func ReplicationFactor(shard ids.Shard, cores, tolerated int) int {
-	size := 2*tolerated + 1
-	if shard == ids.ConfigShard && cores >= 5 {
+// ReplicationFactor returns the number of voters of a shard in a cluster of coreCount core
+// nodes. It is odd unless there are too few nodes: a fourth voter would only raise the
+// majority, and leave no spare node to replace a lost voter.
+func ReplicationFactor(shard ids.Shard, coreCount, faultTolerance int) int {
+	size := 2*faultTolerance + 1
+	if shard == ids.ConfigShard && coreCount >= 5 {
 		size = max(size, 5)
 	}
-	return min(size, cores)
+	return min(size, coreCount)
 }
--- a/internal/consensus/prevote.go
+++ b/internal/consensus/prevote.go
@@ -11,70 +11,72 @@
 )
 
 const (
-	prevoteTimeout  = 100 * time.Millisecond // for all members
-	prevoteGrace    = 30 * time.Millisecond  // for the others once one has answered
+	prevoteTimeout  = 100 * time.Millisecond // bounds one pre-vote
+	prevoteGrace    = 30 * time.Millisecond  // bounds the wait for more responses after the first
 	prevoteInterval = 30 * time.Millisecond  // between two pre-votes after a start
 )
 
-// isUnaware tells whether this member knows neither a leader nor a candidate since it
-// started, and would vote for itself.
-func (r *Replica) isUnaware() bool {
+// isStartupPrevoteDue reports whether this member may campaign and has neither had contact
+// with a leader nor voted since it started.
+func (r *Replica) isStartupPrevoteDue() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.canCampaign() && r.election.lastLeaderContact.IsZero() && r.follower.matchTerm == ids.Term{}
 }
 
-// knowsLeader tells whether this member leads the shard, heard its leader of late, or
-// voted a moment ago.
-func (r *Replica) knowsLeader() bool {
+// rejectsPrevote reports whether this member leads the shard, had recent contact with its
+// leader, or voted recently.
+func (r *Replica) rejectsPrevote() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	hasVoted := r.follower.matchTerm != ids.Term{} && r.node.env.Since(r.election.timerStart) < r.node.env.Config.ConsensusElectionTimeout/2
-	return r.leadership.isLeader || r.hasLeaderContact() || hasVoted
+	return r.leadership.isLeader || r.hasRecentLeaderContact() || hasVoted
 }
 
-// handlePrevote answers a pre-vote. No term rises by it, and nothing is promised.
+// handlePrevote handles a pre-vote: it returns the shards for which the pre-vote is rejected.
+// It changes no term and grants no vote.
 func (n *Node) handlePrevote(request *rpc.PreVoteRequest) (*rpc.PreVoteResponse, error) {
 	response := &rpc.PreVoteResponse{From: n.self}
 	for _, shard := range request.Shards {
-		if r, err := n.replica(shard); err != nil || r.knowsLeader() {
+		if r, err := n.replica(shard); err != nil || r.rejectsPrevote() {
 			response.LedShards = append(response.LedShards, shard)
 		}
 	}
 	return response, nil
 }
 
-// prevoteAfterStart asks about the shards of which nobody was heard since the start, until
-// there is none, so that a cluster that lost all its processes does not wait for leaders
-// that are gone. Whoever has waited for the whole time-out campaigns without this.
-func (n *Node) prevoteAfterStart() {
+// prevoteAtStartup repeats pre-votes for the shards that have had no leader or candidate
+// since the start, until there are none. After a restart of all processes, the cluster thus
+// elects leaders without waiting for the election timeout, after which members campaign in
+// any case.
+func (n *Node) prevoteAtStartup() {
 	select {
 	case <-n.Bootstrapped:
 	case <-n.env.Done():
 		return
 	}
 	for n.env.Sleep(environment.Jitter(prevoteInterval)) && !n.IsStopping() {
-		var unaware []*Replica
+		var due []*Replica
 		for _, r := range n.replicas {
-			if r.isUnaware() {
-				unaware = append(unaware, r)
+			if r.isStartupPrevoteDue() {
+				due = append(due, r)
 			}
 		}
-		if len(unaware) == 0 {
+		if len(due) == 0 {
 			return
 		}
-		responses := n.requestPrevotes(unaware)
-		for _, r := range unaware {
-			if r.isUnaware() && r.mayCampaignAfterStart(responses) {
+		responses := n.requestPrevotes(due)
+		for _, r := range due {
+			if r.isStartupPrevoteDue() && r.canCampaignAtStartup(responses) {
 				n.runOnce(r.shard, func() { r.campaign(false) })
 			}
 		}
 	}
 }
 
-// prevoteAndCampaign campaigns for shards whose leader is silent, if a quorum has not heard
-// it either: a member that is cut off, or on a slow link, must not depose a leader that
-// the others hear.
+// prevoteAndCampaign campaigns for the shards whose election timer has expired, if a quorum
+// has no contact with the leader either: a member that is partitioned, or on a slow link,
+// must not depose a leader that the other members follow.
 func (n *Node) prevoteAndCampaign(due []*Replica) {
 	if len(due) == 0 || !n.isPrevoting.CompareAndSwap(false, true) {
 		return
@@ -90,7 +92,7 @@
 	})
 }
 
-// hasPrevoteQuorum tells whether a quorum, with this member, knows no leader.
+// hasPrevoteQuorum reports whether a quorum, counting this member, granted the pre-vote.
 func (r *Replica) hasPrevoteQuorum(responses map[rpc.Peer]*rpc.PreVoteResponse) bool {
 	voters := r.currentVoters()
 	supporters := []rpc.Peer{r.node.self}
@@ -102,8 +104,8 @@
 	return voters.HasQuorum(supporters)
 }
 
-// requestPrevotes asks all live core nodes about some shards, and returns what those
-// answered who did in time. About no shard, it only tells who answers.
+// requestPrevotes sends a pre-vote for the given replicas to all live core nodes, and returns
+// the responses that arrive in time. Without replicas it only probes which nodes respond.
 func (n *Node) requestPrevotes(replicas []*Replica) map[rpc.Peer]*rpc.PreVoteResponse {
 	request := &rpc.PreVoteRequest{}
 	for _, r := range replicas {
@@ -148,11 +150,12 @@
 	return responses
 }
 
-// mayCampaignAfterStart tells whether a quorum answered, everybody who answered knows no
-// leader, and this member is the first of them in election order.
-func (r *Replica) mayCampaignAfterStart(responses map[rpc.Peer]*rpc.PreVoteResponse) bool {
+// canCampaignAtStartup reports whether a quorum of the voters responded, none of the voters
+// that responded rejected the pre-vote, and this member is the first of them in election
+// order.
+func (r *Replica) canCampaignAtStartup(responses map[rpc.Peer]*rpc.PreVoteResponse) bool {
 	voters := r.currentVoters()
-	var answered []rpc.Peer
+	var responders []rpc.Peer
 	for _, peer := range voters.All() {
 		response := responses[peer]
 		if peer != r.node.self && response == nil {
@@ -161,7 +164,7 @@
 		if response != nil && slices.Contains(response.LedShards, r.shard) {
 			return false
 		}
-		answered = append(answered, peer)
+		responders = append(responders, peer)
 	}
-	return voters.HasQuorum(answered) && ElectionOrder(r.shard, answered)[0] == r.node.self
+	return voters.HasQuorum(responders) && ElectionOrder(r.shard, responders)[0] == r.node.self
 }
--- a/internal/consensus/read.go
+++ b/internal/consensus/read.go
@@ -36,13 +36,13 @@
 			timer := time.NewTimer(confirmFallback)
 			defer timer.Stop()
 			fallback = timer.C
-			r.node.kickHeartbeats(r.node.nearestQuorum(voters))
+			r.node.triggerHeartbeats(r.node.nearestQuorum(voters))
 		}
 		select {
 		case <-changed:
 		case <-fallback:
 			fallback = nil
-			r.node.kickHeartbeats(voters.All())
+			r.node.triggerHeartbeats(voters.All())
 		case <-ctx.Done():
 			return errcode.New(errcode.NoLeader, "shard %d can't be confirmed: %v", r.shard, ctx.Err())
 		}
--- a/internal/consensus/replacement.go
+++ b/internal/consensus/replacement.go
@@ -8,50 +8,52 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// lostVoters returns the voters that came back under another member id, or are gone: they
-// have left the leader's questions unanswered for consensus.replacement_delay. A leader that
-// has just begun to serve waits until each voter had time to answer it.
+// lostVoters returns the voters that returned under a new member id or have not responded to
+// the leader for consensus.replacement_delay. A leader that has just started serving first
+// waits for heartbeatTimeout, so that each voter has had time to respond.
 func (r *Replica) lostVoters(voters []rpc.Peer) (lost []rpc.Peer) {
-	view, served := r.node.members.View(), r.node.env.Since(r.servingStart())
+	view, servingFor := r.node.members.View(), r.node.env.Since(r.servingStart())
 	for _, peer := range voters {
 		m, isKnown := view[peer.Name]
 		hasNewID := isKnown && m.ID != peer.ID
-		isGone := served > heartbeatTimeout && r.isGone(peer, isKnown)
-		if peer != r.node.self && (hasNewID || isGone) {
+		isUnresponsive := servingFor > heartbeatTimeout && r.isUnresponsive(peer, isKnown)
+		if peer != r.node.self && (hasNewID || isUnresponsive) {
 			lost = append(lost, peer)
 		}
 	}
 	return lost
 }
 
-// isGone tells whether a core node has been silent for consensus.replacement_delay, or, if
-// the member list lacks it, was so since this member began to serve.
-func (r *Replica) isGone(peer rpc.Peer, isKnown bool) bool {
-	silence := r.node.silenceOf(peer)
+// isUnresponsive reports whether a core node has not responded for longer than
+// consensus.replacement_delay. For a node that is not in the member list, the time counts
+// from when this member started serving.
+func (r *Replica) isUnresponsive(peer rpc.Peer, isKnown bool) bool {
+	unresponsiveFor := r.node.unresponsiveFor(peer)
 	if !isKnown {
-		silence = r.node.env.Since(r.servingStart())
+		unresponsiveFor = r.node.env.Since(r.servingStart())
 	}
-	return silence > r.node.env.Config.ConsensusReplacementDelay
+	return unresponsiveFor > r.node.env.Config.ConsensusReplacementDelay
 }
 
-// voterReplacement is one voter that comes in, for one that goes out; out is zero if the
-// voters grow.
+// voterReplacement adds one voter and removes another; removed is zero if the number of
+// voters grows.
 type voterReplacement struct {
-	in, out rpc.Peer
+	added, removed rpc.Peer
 }
 
-// isForLostVoter tells whether a voter goes out for the one that comes in.
-func (c voterReplacement) isForLostVoter() bool { return c.out != rpc.Peer{} }
+// removesVoter reports whether the change removes a voter.
+func (v voterReplacement) removesVoter() bool { return v.removed != rpc.Peer{} }
 
-// replacements pairs each lost voter with the core node that takes its place: the one of
-// its own name, or, if that is gone, a spare of the zone with the fewest voters. Voters that
-// are fewer than the cluster allows get one more.
+// replacements assigns each lost voter a core node that replaces it: the node of the same
+// name if it has returned, or, if that node is unavailable, a spare node from the zone with
+// the fewest voters. If no voter is lost and there are fewer voters than the replication
+// factor, one is added.
 func (r *Replica) replacements(voters, lost []rpc.Peer) []voterReplacement {
 	p := r.newReplacementPlan(voters, lost)
-	for _, out := range lost {
-		isBack := p.assign(out, func(m rpc.Member) bool { return m.Name == out.Name })
-		if !isBack && r.isNameGone(p.view, out.Name) {
-			p.assign(out, func(m rpc.Member) bool { return !p.isLost[m.Name] })
+	for _, removed := range lost {
+		hasReturned := p.assign(removed, func(m rpc.Member) bool { return m.Name == removed.Name })
+		if !hasReturned && r.isNodeUnavailable(p.view, removed.Name) {
+			p.assign(removed, func(m rpc.Member) bool { return !p.isLost[m.Name] })
 		}
 	}
 	if size := ReplicationFactor(r.shard, len(p.cores), r.node.env.Config.ConsensusFaultTolerance); len(lost) == 0 && len(voters) < size {
@@ -60,28 +62,28 @@
 	return p.replacements
 }
 
-// replacementPlan is the state in which replacements are chosen one after another.
+// replacementPlan holds the state while replacements are assigned one after another.
 type replacementPlan struct {
 	view         map[ids.NodeName]membership.NodeState
 	cores        []rpc.Member
-	isTaken      map[ids.NodeName]bool // votes or is assigned already
+	isTaken      map[ids.NodeName]bool // is a voter or already assigned
 	isLost       map[ids.NodeName]bool
-	zones        map[string]int // voters in each zone
+	votersByZone map[string]int // number of voters in each zone
 	replacements []voterReplacement
 }
 
 func (r *Replica) newReplacementPlan(voters, lost []rpc.Peer) *replacementPlan {
 	p := &replacementPlan{
-		view:    r.node.members.View(),
-		cores:   r.clusterCores(),
-		isTaken: map[ids.NodeName]bool{},
-		isLost:  map[ids.NodeName]bool{},
-		zones:   map[string]int{},
+		view:         r.node.members.View(),
+		cores:        r.clusterCores(),
+		isTaken:      map[ids.NodeName]bool{},
+		isLost:       map[ids.NodeName]bool{},
+		votersByZone: map[string]int{},
 	}
 	for _, peer := range voters {
 		if !containsPeer(lost, peer) {
 			p.isTaken[peer.Name] = true
-			p.zones[p.view[peer.Name].Zone]++
+			p.votersByZone[p.view[peer.Name].Zone]++
 		}
 	}
 	for _, peer := range lost {
@@ -90,36 +92,38 @@
 	return p
 }
 
-// assign gives the place of one voter to the best of the nodes that suit; false if none does.
-func (p *replacementPlan) assign(out rpc.Peer, suits func(rpc.Member) bool) bool {
-	var best *rpc.Member
+// assign replaces one voter by the suitable node from the zone with the fewest voters, and
+// reports whether there is such a node.
+func (p *replacementPlan) assign(removed rpc.Peer, isSuitable func(rpc.Member) bool) bool {
+	var chosen *rpc.Member
 	for _, m := range p.cores {
-		if !p.isTaken[m.Name] && suits(m) && (best == nil || p.zones[m.Zone] < p.zones[best.Zone]) {
-			best = &m
+		if !p.isTaken[m.Name] && isSuitable(m) && (chosen == nil || p.votersByZone[m.Zone] < p.votersByZone[chosen.Zone]) {
+			chosen = &m
 		}
 	}
-	if best == nil {
+	if chosen == nil {
 		return false
 	}
-	p.isTaken[best.Name] = true
-	p.zones[best.Zone]++
-	p.replacements = append(p.replacements, voterReplacement{in: rpc.Peer{Name: best.Name, ID: best.ID}, out: out})
+	p.isTaken[chosen.Name] = true
+	p.votersByZone[chosen.Zone]++
+	p.replacements = append(p.replacements, voterReplacement{added: rpc.Peer{Name: chosen.Name, ID: chosen.ID}, removed: removed})
 	return true
 }
 
-// clusterCores returns the core nodes of this cluster that seem live and answer.
+// clusterCores returns the live, responsive core nodes of this cluster.
 func (r *Replica) clusterCores() (cores []rpc.Member) {
 	for _, m := range r.node.members.CoreMembers() {
-		if m.Fleet == r.node.clusterID() && r.node.isAnswering(rpc.Peer{Name: m.Name, ID: m.ID}) {
+		if m.Fleet == r.node.clusterID() && r.node.isResponsive(rpc.Peer{Name: m.Name, ID: m.ID}) {
 			cores = append(cores, m)
 		}
 	}
 	return cores
 }
 
-// isNameGone tells whether the node of a name is gone under the member id that it has now.
-func (r *Replica) isNameGone(view map[ids.NodeName]membership.NodeState, name ids.NodeName) bool {
+// isNodeUnavailable reports whether the node with the given name, under its present member
+// id, is dead or unresponsive for longer than consensus.replacement_delay.
+func (r *Replica) isNodeUnavailable(view map[ids.NodeName]membership.NodeState, name ids.NodeName) bool {
 	m, isKnown := view[name]
 	isDead := isKnown && !m.IsLive() && time.Since(m.StateChange) > r.node.env.Config.ConsensusReplacementDelay
-	return isDead || r.isGone(rpc.Peer{Name: name, ID: m.ID}, isKnown)
+	return isDead || r.isUnresponsive(rpc.Peer{Name: name, ID: m.ID}, isKnown)
 }
--- a/internal/consensus/replication.go
+++ b/internal/consensus/replication.go
@@ -142,7 +142,7 @@
 		s.pause(appendRetryPause)
 		return true
 	}
-	r.node.recordHeard(s.peer)
+	r.node.recordReceived(s.peer)
 	s.handleResponse(request, &response)
 	return true
 }
--- a/internal/consensus/shutdown.go
+++ b/internal/consensus/shutdown.go
@@ -10,21 +10,21 @@
 )
 
 const (
-	// quorumWaitShare is the share of shutdown.grace_period for which a node that stops remains a voter
-	// while the others have no quorum without it.
-	quorumWaitShare = 0.6
-	quorumWaitPause = 50 * time.Millisecond
+	// quorumWaitFraction is the fraction of shutdown.grace_period for which a stopping node
+	// remains a voter while the other voters have no quorum without it.
+	quorumWaitFraction = 0.6
+	quorumPollInterval = 50 * time.Millisecond
 )
 
-// IsStopping tells whether a planned stop has begun. The node does not campaign any more.
+// IsStopping reports whether a planned stop has begun. A stopping node does not campaign.
 func (n *Node) IsStopping() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.isStopping
 }
 
-// TransferLeadership passes the leadership of all shards on for a planned stop, and then
-// waits for a while until the others have a quorum without this node.
+// TransferLeadership prepares a planned stop: it transfers the leadership of all shards, and
+// then waits for a limited time until the other voters have a quorum without this node.
 func (n *Node) TransferLeadership(ctx context.Context) {
 	n.mu.Lock()
 	n.isStopping = true
@@ -43,27 +43,28 @@
 	n.awaitQuorumWithoutSelf(ctx)
 }
 
-// awaitQuorumWithoutSelf waits until the other live voters of every shard are a quorum, or
-// until the time for it is over.
+// awaitQuorumWithoutSelf waits until the other voters of every shard have a quorum, or until
+// quorumWaitFraction of shutdown.grace_period has passed.
 func (n *Node) awaitQuorumWithoutSelf(ctx context.Context) {
-	start, longest := n.env.Now(), time.Duration(quorumWaitShare*float64(n.env.Config.ShutdownGracePeriod))
-	for ctx.Err() == nil && n.env.Since(start) < longest && n.isNeededForQuorum() {
-		if !n.env.Sleep(quorumWaitPause) {
+	start, timeout := n.env.Now(), time.Duration(quorumWaitFraction*float64(n.env.Config.ShutdownGracePeriod))
+	for ctx.Err() == nil && n.env.Since(start) < timeout && n.isNeededForQuorum() {
+		if !n.env.Sleep(quorumPollInterval) {
 			return
 		}
 	}
 }
 
-// isNeededForQuorum tells whether some shard has no quorum of voters beside this node that
-// are alive, not even suspected, and answer now: the member list tells of a death too late.
+// isNeededForQuorum reports whether a shard has no quorum without this node. It counts only
+// voters that are alive in the member list, not suspect, and respond to a request now,
+// because the member list reports dead nodes too late.
 func (n *Node) isNeededForQuorum() bool {
-	answering := n.requestPrevotes(nil)
+	responses := n.requestPrevotes(nil)
 	for _, r := range n.replicas {
 		voters := r.currentVoters()
 		var remaining []rpc.Peer
 		for _, peer := range voters.All() {
 			m, ok := n.memberOf(peer)
-			if ok && m.State == membership.StateAlive && answering[peer] != nil {
+			if ok && m.State == membership.StateAlive && responses[peer] != nil {
 				remaining = append(remaining, peer)
 			}
 		}
--- a/internal/consensus/snapshot_transfer.go
+++ b/internal/consensus/snapshot_transfer.go
@@ -114,7 +114,7 @@
 		var response rpc.SnapshotChunkResponse
 		err := r.node.call(ctx, appendTimeout, address, kindSnapshotChunk, request, &response)
 		if err == nil && response.From == peer {
-			r.node.recordHeard(peer)
+			r.node.recordReceived(peer)
 		}
 		switch {
 		case err != nil:
--- a/internal/consensus/supervise.go
+++ b/internal/consensus/supervise.go
@@ -9,32 +9,33 @@
 )
 
 const (
-	// supervisePause lies between two looks at everything, with jitter.
-	supervisePause = 100 * time.Millisecond
-	// votersEvery is how many looks lie between two at the voters of the shards led here;
-	// while a core node is newly gone there is one in each.
-	votersEvery = 5
+	// superviseInterval is the interval between two ticks of supervise, before jitter.
+	superviseInterval = 100 * time.Millisecond
+	// ticksPerVoterCheck is the number of ticks between two checks of the voters of led
+	// shards. While a core node is newly unresponsive, every tick checks them.
+	ticksPerVoterCheck = 5
 )
 
-// supervise is the node's periodic task: bootstrap first, then heartbeats to new members,
-// elections, and the voters of the shards that this node leads.
+// supervise is the node's periodic task. Until the charter is open, it runs bootstrap;
+// afterwards it updates the heartbeaters, starts elections, and checks the voters of the
+// shards that this node leads.
 func (n *Node) supervise() {
 	tick := 0
-	for n.env.Sleep(environment.Jitter(supervisePause)) {
+	for n.env.Sleep(environment.Jitter(superviseInterval)) {
 		if n.Charter() == nil {
 			n.bootstrap()
 			continue
 		}
-		n.keepHeartbeats()
+		n.updateHeartbeaters()
 		n.advertiseConfigVoter()
 		n.superviseElections()
-		if tick++; tick%votersEvery == 0 || n.hasNewlyGonePeer() {
+		if tick++; tick%ticksPerVoterCheck == 0 || n.hasNewlyUnresponsivePeer() {
 			n.superviseVoters()
 		}
 	}
 }
 
-// superviseVoters looks at the voters of the shards that this node leads.
+// superviseVoters starts a check of the voters of each shard that this node leads.
 func (n *Node) superviseVoters() {
 	if n.IsStopping() {
 		return
@@ -46,8 +47,9 @@
 	}
 }
 
-// superviseElections steps down where no quorum confirms, and campaigns where a leader is
-// silent.
+// superviseElections steps down from shards without a confirming quorum, and campaigns for
+// shards whose election timer has expired. While the disk is stalled it steps down from all
+// shards.
 func (n *Node) superviseElections() {
 	isStalled := n.isDiskStalled()
 	var due []*Replica
@@ -65,8 +67,8 @@
 	n.prevoteAndCampaign(due)
 }
 
-// advertiseConfigVoter tells the members whether this node has a replica of the
-// configuration, as only such a node can give it out to proxies.
+// advertiseConfigVoter advertises in the member list whether this node is a voter of the
+// configuration shard, because only such a node can serve the configuration to proxies.
 func (n *Node) advertiseConfigVoter() {
 	isVoter := n.replicas[ids.ConfigShard].currentVoters().Contains(n.self)
 	if n.members.Self().HoldsConfiguration != isVoter {
--- a/internal/consensus/trace.go
+++ b/internal/consensus/trace.go
@@ -10,17 +10,17 @@
 // TraceKind is the kind of a TraceEvent.
 type TraceKind string
 
-// The steps of a replica that a checker can follow.
+// Kinds of trace events.
 const (
-	TraceTermRaised TraceKind = "raised"    // the member rejects everything below Term from now on; not synced yet
-	TraceVoted      TraceKind = "promised"  // the member voted for Term and has synced that
-	TraceElected    TraceKind = "elected"   // the votes of Granted made the member the leader of Term
-	TraceCommitted  TraceKind = "committed" // the entry at Index, of EntryTerm, is committed here
-	TraceRead       TraceKind = "read"      // a read that began at Since may be answered up to Index
+	TraceTermRaised TraceKind = "raised"    // the member raised its term to Term and rejects lower ones; not synced yet
+	TraceVoted      TraceKind = "promised"  // the member synced its vote for Term
+	TraceElected    TraceKind = "elected"   // the member became leader of Term by the votes of Granted
+	TraceCommitted  TraceKind = "committed" // the member knows the entry at Index, of EntryTerm, as committed
+	TraceRead       TraceKind = "read"      // a read that began at Since may be served from the state at Index
 )
 
 // TraceEvent is one step of one replica. The simulator checks these steps against the
-// invariants of package model; in a running node nobody listens.
+// invariants of package model; production nodes set no trace function.
 type TraceEvent struct {
 	Kind               TraceKind
 	Shard              ids.Shard
@@ -29,7 +29,7 @@
 	Index              ids.Index
 	EntryTerm          ids.Term
 	IsLeader           bool
-	IsMembershipChange bool // the entry names voters
+	IsMembershipChange bool // the entry changes the voters
 	Voters             Voters
 	Granted            []rpc.Peer
 	Since              time.Time
@@ -38,10 +38,10 @@
 	TermAt func(ids.Index) (ids.Term, bool)
 }
 
-// CharterEvent tells that a node has synced a charter, accepted or open.
+// CharterEvent reports that a node has synced a charter, accepted or open.
 type CharterEvent struct{ IsOpen bool }
 
-// trace tells the listener, if there is one, of a step.
+// trace passes a step to the trace function, if one is set.
 func (r *Replica) trace(step TraceEvent) {
 	if r.node.env.Trace == nil {
 		return
--- a/internal/consensus/vote.go
+++ b/internal/consensus/vote.go
@@ -9,25 +9,25 @@
 )
 
 const (
-	// maxVoteBytes is how much of a log comes with a vote at most.
+	// maxVoteBytes limits the size of the log entries attached to a vote.
 	maxVoteBytes = 64 << 10
-	// maxTermJump is how far a term may be above the one known here. Term numbers rise by
-	// one with each election, so one beyond that is damaged; if it was accepted, it would
-	// leave no room for later ones.
+	// maxTermJump limits how far a received term number may be above the current one. Term
+	// numbers rise by one per election, so a larger jump is a damaged number; accepting it
+	// could use up the range of term numbers.
 	maxTermJump = 1 << 32
 )
 
-// checkTerm rejects a term that no election can have come to.
+// checkTerm rejects a term more than maxTermJump above the current one.
 func (r *Replica) checkTerm(term ids.Term, from rpc.Peer) error {
 	if term.Number <= r.currentTerm.Number || term.Number-r.currentTerm.Number <= maxTermJump {
 		return nil
 	}
-	err := rejected(r.shard, "term %s is out of all order after %s", term, r.currentTerm)
+	err := rejected(r.shard, "term %s is implausibly far above the current term %s", term, r.currentTerm)
 	r.logEvent(eventlog.MessageRejected, "code", errcode.InvalidMessage.Number, "from", string(from.Name), "cause", err.Error())
 	return err
 }
 
-// handleVote answers a candidate. A vote is synced before it is answered.
+// handleVote handles a vote request. A granted vote is synced before the response is sent.
 func (r *Replica) handleVote(request *rpc.VoteRequest) (*rpc.VoteResponse, error) {
 	response, batch, err := r.vote(request)
 	if err != nil || batch == nil {
@@ -40,8 +40,8 @@
 	return response, nil
 }
 
-// vote decides on a candidate. The batch bears the vote and is submitted; none means that
-// the vote is not granted.
+// vote decides on a vote request. If the vote is granted, the submitted batch contains it;
+// otherwise the batch is nil.
 func (r *Replica) vote(request *rpc.VoteRequest) (*rpc.VoteResponse, *storage.Batch, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -52,13 +52,13 @@
 	if response.NotMember = r.isRemovedCandidate(request); response.NotMember {
 		return response, nil, nil
 	}
-	if r.isFarAheadOf(request) {
-		// The candidate has voted for its own term, so only a higher one passes there.
+	if r.isTooFarAheadOf(request) {
+		// The candidate has voted in its own term and grants votes only in higher ones.
 		r.election.highestTermNumber = max(r.election.highestTermNumber, request.Term.Number)
 		r.node.runOnce(r.shard, func() { r.campaign(false) })
 		return response, nil, nil
 	}
-	if !r.currentTerm.Less(request.Term) || !request.LeadershipTransfer && r.knowsWorkingLeader() {
+	if !r.currentTerm.Less(request.Term) || !request.LeadershipTransfer && r.knowsActiveLeader() {
 		return response, nil, nil
 	}
 	r.stepDown("a candidate has a higher term")
@@ -71,8 +71,8 @@
 	return response, batch, nil
 }
 
-// attachLog adds to a vote where this log ends, the voters that it names, and what the
-// candidate lacks of it.
+// attachLog adds to a vote the last index and term of this log, its newest voters, and the
+// snapshot and entries that the candidate lacks.
 func (r *Replica) attachLog(request *rpc.VoteRequest, response *rpc.VoteResponse) {
 	response.LastIndex, response.LastTerm = r.log.last()
 	response.Voters, response.OutgoingVoters = r.voters.Current, r.voters.Outgoing
@@ -85,30 +85,32 @@
 	}
 }
 
-// hasLeaderContact tells whether a leader was heard of late.
-func (r *Replica) hasLeaderContact() bool {
+// hasRecentLeaderContact reports whether this member had contact with a leader within three
+// quarters of consensus.election_timeout.
+func (r *Replica) hasRecentLeaderContact() bool {
 	last := r.election.lastLeaderContact
 	return !last.IsZero() && r.node.env.Since(last) < r.node.env.Config.ConsensusElectionTimeout*3/4
 }
 
-// knowsWorkingLeader tells whether this member heard a leader of late, or leads itself and
-// was confirmed by a quorum of late.
-func (r *Replica) knowsWorkingLeader() bool {
-	return r.hasLeaderContact() || r.leadership.isLeader && r.node.env.Since(r.confirmedAt()) < r.node.env.Config.ConsensusElectionTimeout*3/4
+// knowsActiveLeader reports whether this member had recent contact with a leader, or is the
+// leader and was recently confirmed by a quorum.
+func (r *Replica) knowsActiveLeader() bool {
+	return r.hasRecentLeaderContact() || r.leadership.isLeader && r.node.env.Since(r.confirmedAt()) < r.node.env.Config.ConsensusElectionTimeout*3/4
 }
 
-// isRemovedCandidate tells whether a candidate has no vote among voters that are known to
-// be committed, and lacks the entry that says so. The votes for it would count for
-// nothing, and its term would only depose a leader.
+// isRemovedCandidate reports whether a candidate is absent from voters that are known to be
+// committed, and its log is not ahead of this one. Such a candidate can't win, and its term
+// would only depose the leader.
 func (r *Replica) isRemovedCandidate(request *rpc.VoteRequest) bool {
 	last, lastTerm := r.log.last()
 	isAhead := isLessAdvanced(last, lastTerm, request.LastIndex, request.LastTerm)
 	return !isAhead && r.hasStableVoters() && !r.voters.Contains(request.From)
 }
 
-// isFarAheadOf tells whether a candidate lacks more of this log than can come with a vote:
-// a snapshot, or many entries. This member campaigns itself then, if it can lead.
-func (r *Replica) isFarAheadOf(request *rpc.VoteRequest) bool {
+// isTooFarAheadOf reports whether a candidate lacks more of this log than can be attached to
+// a vote, either a snapshot or more than maxVoteBytes of entries, and this member can
+// campaign instead.
+func (r *Replica) isTooFarAheadOf(request *rpc.VoteRequest) bool {
 	if !r.voters.Contains(r.node.self) || r.election.isRemoved || r.node.IsStopping() {
 		return false
 	}
@@ -119,8 +121,9 @@
 	return request.LastIndex < r.log.snapshot.Index || bodyBytes(r.log.after(r.commonIndex(request))) > maxVoteBytes
 }
 
-// commonIndex is up to where a candidate surely has the entries of this log: all of its own
-// if this log runs through its last one, otherwise what it knows to be committed.
+// commonIndex returns the last index up to which the candidate's log is known to equal this
+// one: the candidate's last index if this log contains that entry, otherwise its commit
+// index.
 func (r *Replica) commonIndex(request *rpc.VoteRequest) ids.Index {
 	if r.log.contains(request.LastIndex, request.LastTerm) {
 		return request.LastIndex
@@ -128,8 +131,8 @@
 	return request.Commit
 }
 
-// markRemoved has this member rest until a leader sends it entries again: it was told that
-// it has no vote any more. Its log stays as it is.
+// markRemoved stops campaigns of this member, after a voter responded that it is no longer a
+// voter, until a leader sends it entries again. The log is unchanged.
 func (r *Replica) markRemoved() {
 	if !r.election.isRemoved {
 		r.election.isRemoved = true
--- a/internal/consensus/voters.go
+++ b/internal/consensus/voters.go
@@ -9,23 +9,23 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// Voters is the members that decide for a shard. While a membership change is under way
-// there are two lists, and every decision (votes, commits, confirmed terms) needs a
-// majority of both, so no two sets of voters can ever decide apart.
+// Voters is the set of members whose votes decide for a shard. During a membership change
+// there are two lists, and every decision (elections, commits, confirmed terms) needs a
+// majority of both, so the old and the new voters can't decide independently.
 type Voters struct {
 	Current  []rpc.Peer
-	Outgoing []rpc.Peer // empty unless a change is under way
+	Outgoing []rpc.Peer // the previous voters during a change, otherwise empty
 }
 
-// votersOf returns the voters that a membership change names.
+// votersOf returns the voters set by a membership change entry.
 func votersOf(entry rpc.Entry) Voters {
 	return Voters{Current: entry.Voters, Outgoing: entry.OutgoingVoters}
 }
 
-// IsJoint tells whether a membership change is under way.
+// IsJoint reports whether a membership change is in progress.
 func (v Voters) IsJoint() bool { return len(v.Outgoing) > 0 }
 
-// All returns every member with a vote, in the order of the lists.
+// All returns the members of both lists without duplicates, the current ones first.
 func (v Voters) All() []rpc.Peer {
 	all := slices.Clone(v.Current)
 	for _, peer := range v.Outgoing {
@@ -36,29 +36,28 @@
 	return all
 }
 
-// Contains tells whether a member has a vote.
+// Contains reports whether a member is in either list.
 func (v Voters) Contains(peer rpc.Peer) bool {
 	return containsPeer(v.Current, peer) || containsPeer(v.Outgoing, peer)
 }
 
-// HasQuorum tells whether these members are enough to decide.
+// HasQuorum reports whether peers include a majority of each list.
 func (v Voters) HasQuorum(peers []rpc.Peer) bool {
 	return hasMajority(v.Current, peers) && (!v.IsJoint() || hasMajority(v.Outgoing, peers))
 }
 
-// QuorumValue returns the highest value that a quorum reaches; below zero if there are no
-// voters.
+// QuorumValue returns the highest value that a quorum reaches, or -1 if there are no voters.
 func (v Voters) QuorumValue(value func(rpc.Peer) int64) int64 {
-	reached := majorityValue(v.Current, value)
+	highest := majorityValue(v.Current, value)
 	if v.IsJoint() {
-		reached = min(reached, majorityValue(v.Outgoing, value))
+		highest = min(highest, majorityValue(v.Outgoing, value))
 	}
-	return reached
+	return highest
 }
 
-// canBecome tells whether other voters may follow these in one step: first the new ones
-// beside the outgoing ones, then the new ones alone. Logs of earlier builds hold changes by
-// a single member without the joint step, whose majorities meet as well.
+// canBecome reports whether next may follow v in one step: from simple to joint, with v as
+// the outgoing voters, or from joint to its current voters. Logs of earlier builds contain
+// changes by a single member without the joint step; their majorities overlap as well.
 func (v Voters) canBecome(next Voters) bool {
 	switch {
 	case len(next.Current) == 0:
@@ -71,26 +70,26 @@
 	return countAbsent(v.Current, next.Current)+countAbsent(next.Current, v.Current) <= 1
 }
 
-// QuorumsIntersect tells whether every quorum of a shares a member with every quorum of b.
+// QuorumsIntersect reports whether every quorum of a shares a member with every quorum of b.
 func QuorumsIntersect(a, b Voters) bool {
 	all := Voters{Current: a.All(), Outgoing: b.All()}.All()
 	for set := range 1 << len(all) {
-		var chosen, rest []rpc.Peer
+		var chosen, others []rpc.Peer
 		for i, peer := range all {
 			if set>>i&1 == 1 {
 				chosen = append(chosen, peer)
 			} else {
-				rest = append(rest, peer)
+				others = append(others, peer)
 			}
 		}
-		if a.HasQuorum(chosen) && b.HasQuorum(rest) {
+		if a.HasQuorum(chosen) && b.HasQuorum(others) {
 			return false
 		}
 	}
 	return true
 }
 
-// countAbsent returns how many peers of one list another lacks.
+// countAbsent returns the number of peers that are not in other.
 func countAbsent(peers, other []rpc.Peer) (n int) {
 	for _, peer := range peers {
 		if !containsPeer(other, peer) {
@@ -100,7 +99,8 @@
 	return n
 }
 
-// String names the voters, with the beginning of each member id.
+// String lists the voters by name and abbreviated member id, and the outgoing ones during a
+// change.
 func (v Voters) String() string {
 	if v.IsJoint() {
 		return joinNames(v.Current) + " from " + joinNames(v.Outgoing)
@@ -108,16 +108,16 @@
 	return joinNames(v.Current)
 }
 
-// joinNames names peers, with the beginning of each member id.
+// joinNames lists peers by name and the first four characters of the member id.
 func joinNames(peers []rpc.Peer) string {
-	var parts []string
+	var names []string
 	for _, peer := range peers {
-		parts = append(parts, fmt.Sprintf("%s/%.4s", peer.Name, peer.ID))
+		names = append(names, fmt.Sprintf("%s/%.4s", peer.Name, peer.ID))
 	}
-	return strings.Join(parts, " ")
+	return strings.Join(names, " ")
 }
 
-// hasMajority tells whether more than half of the voters are among peers.
+// hasMajority reports whether more than half of the voters are in peers.
 func hasMajority(voters, peers []rpc.Peer) bool {
 	n := 0
 	for _, peer := range voters {
--- a/internal/consensus/voters_test.go
+++ b/internal/consensus/voters_test.go
@@ -7,7 +7,7 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// peers makes core-A, core-B and so on.
+// peers returns one peer for each letter of names: core-A for A, all with member id "b".
 func peers(names string) (list []rpc.Peer) {
 	for _, name := range names {
 		list = append(list, rpc.Peer{Name: ids.NodeName("core-" + string(name)), ID: "b"})
@@ -19,16 +19,16 @@
 	joint := Voters{Current: peers("ABD"), Outgoing: peers("ABC")}
 	for names, want := range map[string]bool{"AB": true, "AD": false, "AC": false, "ACD": true, "BCD": true, "CD": false, "ABCD": true, "": false} {
 		if got := joint.HasQuorum(peers(names)); got != want {
-			t.Errorf("%q decides: %v", names, got)
+			t.Errorf("HasQuorum of %q is %v, want %v", names, got, want)
 		}
 	}
 	value := map[string]int64{"A": 9, "B": 5, "C": 1, "D": 7}
 	if got := joint.QuorumValue(func(p rpc.Peer) int64 { return value[string(p.Name[len(p.Name)-1:])] }); got != 5 {
-		t.Errorf("reached %d, want 5: the outgoing majority is A and B", got)
+		t.Errorf("quorum value %d, want 5: the outgoing majority is A and B", got)
 	}
 	renewed := rpc.Peer{Name: peers("A")[0].Name, ID: "other"}
 	if joint.HasQuorum([]rpc.Peer{renewed, peers("B")[0]}) {
-		t.Error("another member id of a node has its vote")
+		t.Error("a node with a new member id counts as the old voter")
 	}
 }
 
--- a/internal/node/collector.go
+++ b/internal/node/collector.go
@@ -212,7 +212,7 @@
 		if status.IsServing {
 			led++
 		}
-		if silence, isVoter := replica.LeaderSilence(); isVoter {
+		if silence, isVoter := replica.LeaderContactAge(); isVoter {
 			c.add(metrics.ShardLeaderSilence, silence.Seconds(), shard)
 		}
 	}
