--- a/internal/consensus/bootstrap.go
+++ b/internal/consensus/bootstrap.go
@@ -39,7 +39,7 @@
 
 // joinCluster adopts the first open charter received from another core node, and reports
 // whether it adopted one. All nodes are queried concurrently, because a call to a dead node
-// lasts until the time-out.
+// lasts until the timeout.
 func (n *Node) joinCluster(cores []rpc.Member) bool {
 	ctx, cancel := context.WithTimeout(n.env, bootstrapTimeout)
 	defer cancel()
--- a/internal/consensus/leadership.go
+++ b/internal/consensus/leadership.go
@@ -97,7 +97,7 @@
 	r.stepDown("replicas contradict one another")
 }
 
-// resign is stepDown with locking, for callers outside the replica.
+// resign takes the lock and steps down for a cause outside the replica.
 func (r *Replica) resign(cause string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/consensus/leadership_transfer.go
+++ b/internal/consensus/leadership_transfer.go
@@ -18,7 +18,7 @@
 	// transferTimeout bounds the campaign request to the next leader.
 	transferTimeout = time.Second
 	// catchUpTimeout bounds the wait for a member to catch up. It is well below the duration
-	// of the ordinary election that follows a time-out.
+	// of the ordinary election that follows a timeout.
 	catchUpTimeout      = 300 * time.Millisecond
 	catchUpPollInterval = 2 * time.Millisecond
 )
--- a/internal/consensus/vote.go
+++ b/internal/consensus/vote.go
@@ -131,8 +131,8 @@
 	return request.Commit
 }
 
-// markRemoved stops campaigns of this member, after a voter responded that it is no longer a
-// voter, until a leader sends it entries again. The log is unchanged.
+// markRemoved records a voter's response that this member is no longer a voter. The member
+// does not campaign until a leader sends it entries again. Its log is unchanged.
 func (r *Replica) markRemoved() {
 	if !r.election.isRemoved {
 		r.election.isRemoved = true
