--- a/internal/distribution/bounded_cache.go
+++ b/internal/distribution/bounded_cache.go
@@ -2,8 +2,9 @@
 
 import "sync"
 
-// boundedCache keeps what was computed for one request for the next. When it is full it
-// forgets everything: its entries are worth keeping only as long as an epoch is new.
+// boundedCache holds at most limit computed values for reuse by later requests. A put into a
+// full cache clears it first: entries are useful only while an epoch is new, so there is no
+// per-entry eviction. It is safe for concurrent use.
 type boundedCache[V any] struct {
 	limit int
 
--- a/internal/distribution/cache.go
+++ b/internal/distribution/cache.go
@@ -11,15 +11,15 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// Cache holds a proxy's configuration: the snapshot in use, and the groups that were
-// fetched for a later epoch. A group is replaced only by one with a greater index. An epoch
-// comes into use only as a whole, when all groups of its manifest are there, and only if it
-// is greater than the one in use.
+// Cache holds a proxy's configuration: the active snapshot and the groups staged for a later
+// epoch. A group is replaced only by one with a greater index. An epoch is activated as a
+// whole, only when all groups of its manifest are present and only if it is greater than the
+// active one.
 type Cache struct {
 	events   *eventlog.Log
 	snapshot atomic.Pointer[Snapshot] // written under mu
 
-	// mu guards all below and makes the steps of Activate one.
+	// mu guards the fields below and makes Activate atomic.
 	mu          sync.Mutex
 	staged      map[string]rpc.Group
 	subscribers []func(*Snapshot)
@@ -30,19 +30,19 @@
 	return &Cache{events: events, staged: map[string]rpc.Group{}}
 }
 
-// Subscribe registers a function that is called with each snapshot that comes into use, in
-// order, while the cache is locked: it must be short and must not call the cache's methods
-// other than Snapshot and Epoch.
+// Subscribe registers a function that is called with each activated snapshot, in order of
+// epochs. It is called with the cache locked, so it must return quickly and must call no
+// method of the cache other than Snapshot and Epoch.
 func (c *Cache) Subscribe(subscriber func(*Snapshot)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.subscribers = append(c.subscribers, subscriber)
 }
 
-// Snapshot returns the snapshot in use; nil before the first.
+// Snapshot returns the active snapshot, or nil before the first activation.
 func (c *Cache) Snapshot() *Snapshot { return c.snapshot.Load() }
 
-// Epoch returns the epoch in use; 0 before the first.
+// Epoch returns the active epoch, or 0 before the first activation.
 func (c *Cache) Epoch() ids.Epoch {
 	if snapshot := c.Snapshot(); snapshot != nil {
 		return snapshot.Epoch
@@ -50,14 +50,14 @@
 	return 0
 }
 
-// Stage keeps fetched groups, each only if it is newer than the one held, and reports
-// whether any was. A group that does not have its digest, or a difference from one that is
-// not held, is left out: it stays missing.
+// Stage stores fetched groups that are newer than the cached ones and reports whether it
+// stored any. It skips a group whose data does not match its digest and a delta whose base
+// is not cached; Missing still reports these.
 func (c *Cache) Stage(groups map[string]rpc.Group) (staged bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for name, group := range groups {
-		if held, ok := c.newest(name); ok && group.Index <= held.Index {
+		if current, ok := c.newest(name); ok && group.Index <= current.Index {
 			continue
 		}
 		if group.BaseDigest != "" {
@@ -80,7 +80,7 @@
 	return staged
 }
 
-// newest returns the group as staged or else as in use. The lock must be held.
+// newest returns the staged version of a group, or else the active one. The caller holds mu.
 func (c *Cache) newest(name string) (rpc.Group, bool) {
 	if group, ok := c.staged[name]; ok {
 		return group, true
@@ -92,7 +92,8 @@
 	return rpc.Group{}, false
 }
 
-// find returns the group with that digest, if it is staged or in use. The lock must be held.
+// find returns the staged or active version of a group that has the digest. The caller
+// holds mu.
 func (c *Cache) find(name, digest string) (rpc.Group, bool) {
 	if group, ok := c.staged[name]; ok && group.Digest == digest {
 		return group, true
@@ -104,7 +105,8 @@
 	return rpc.Group{}, false
 }
 
-// HeldDigests returns the digests of those of the groups that are held in some version.
+// HeldDigests returns the digest of the newest cached version of each named group. Groups
+// that are not cached are omitted.
 func (c *Cache) HeldDigests(names []string) map[string]string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -117,7 +119,8 @@
 	return digests
 }
 
-// Missing returns the groups of a manifest that are neither staged nor in use, by name.
+// Missing returns the sorted names of the manifest's groups that are neither staged nor
+// active in the manifest's version.
 func (c *Cache) Missing(manifest map[string]rpc.GroupVersion) (names []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -130,9 +133,10 @@
 	return names
 }
 
-// Activate brings an epoch into use, if it is greater than the one in use and all groups of
-// its manifest are held, and calls the subscribers. It reports whether it did. An error says
-// that a group could not be decoded; the epoch in use stays.
+// Activate makes an epoch the active one and calls the subscribers, provided that the epoch
+// is greater than the active one and all groups of its manifest are cached. It reports
+// whether it did so. If a group cannot be decoded, it returns an error and the active epoch
+// does not change.
 func (c *Cache) Activate(epoch ids.Epoch, manifest map[string]rpc.GroupVersion) (activated bool, err error) {
 	snapshot, err := c.activate(epoch, manifest)
 	if snapshot == nil {
@@ -142,7 +146,7 @@
 	return true, nil
 }
 
-// activate returns the new snapshot, or nil if there is none.
+// activate returns the newly activated snapshot, or nil if the epoch was not activated.
 func (c *Cache) activate(epoch ids.Epoch, manifest map[string]rpc.GroupVersion) (*Snapshot, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -163,7 +167,7 @@
 		return nil, err
 	}
 	for name, group := range c.staged {
-		if inUse, ok := groups[name]; ok && group.Index <= inUse.Index {
+		if active, ok := groups[name]; ok && group.Index <= active.Index {
 			delete(c.staged, name)
 		}
 	}
--- a/internal/distribution/cache_test.go
+++ b/internal/distribution/cache_test.go
@@ -35,34 +35,34 @@
 	c := NewCache(eventlog.New(io.Discard, "info", "n"))
 	var notified []ids.Epoch
 	c.Subscribe(func(snapshot *Snapshot) { notified = append(notified, snapshot.Epoch) })
-	one := map[string]rpc.Group{"services": group(`[{"name":"a"}]`, 3), "targets/a": group(`[]`, 3)}
-	activate(t, c, 3, one, false)
-	c.Stage(map[string]rpc.Group{"services": one["services"]})
-	activate(t, c, 3, one, false)
-	c.Stage(map[string]rpc.Group{"targets/a": one["targets/a"]})
-	activate(t, c, 3, one, true)
-	two := map[string]rpc.Group{"services": one["services"], "targets/a": group(`[{"instance":"i","address":"x","zone":"","weight":1}]`, 5)}
-	c.Stage(two)
-	activate(t, c, 5, two, true)
-	c.Stage(one)
-	activate(t, c, 3, one, false)
-	activate(t, c, 4, one, false)
-	activate(t, c, 4, two, false)
-	activate(t, c, 5, two, false)
+	firstGroups := map[string]rpc.Group{"services": group(`[{"name":"a"}]`, 3), "targets/a": group(`[]`, 3)}
+	activate(t, c, 3, firstGroups, false)
+	c.Stage(map[string]rpc.Group{"services": firstGroups["services"]})
+	activate(t, c, 3, firstGroups, false)
+	c.Stage(map[string]rpc.Group{"targets/a": firstGroups["targets/a"]})
+	activate(t, c, 3, firstGroups, true)
+	secondGroups := map[string]rpc.Group{"services": firstGroups["services"], "targets/a": group(`[{"instance":"i","address":"x","zone":"","weight":1}]`, 5)}
+	c.Stage(secondGroups)
+	activate(t, c, 5, secondGroups, true)
+	c.Stage(firstGroups)
+	activate(t, c, 3, firstGroups, false)
+	activate(t, c, 4, firstGroups, false)
+	activate(t, c, 4, secondGroups, false)
+	activate(t, c, 5, secondGroups, false)
 	if len(c.Snapshot().Targets["a"]) != 1 || c.Snapshot().Epoch != 5 {
-		t.Fatalf("%+v", c.Snapshot())
+		t.Fatalf("snapshot is %+v, want epoch 5 with one target", c.Snapshot())
 	}
 	if len(notified) != 2 || notified[0] != 3 || notified[1] != 5 {
-		t.Fatalf("subscribers were notified of %v", notified)
+		t.Fatalf("subscribers were notified of epochs %v, want 3 and 5", notified)
 	}
 }
 
-func TestCache_LeavesOutGroupsThatDoNotHaveTheirDigest(t *testing.T) {
+func TestCache_RejectsDigestMismatchAndOlderGroup(t *testing.T) {
 	c := NewCache(eventlog.New(io.Discard, "info", "n"))
-	g := group(`[]`, 2)
-	g.Data = json.RawMessage(`[{"name":"forged"}]`)
-	if c.Stage(map[string]rpc.Group{"services": g}) {
-		t.Fatal("a forged group was staged")
+	forged := group(`[]`, 2)
+	forged.Data = json.RawMessage(`[{"name":"forged"}]`)
+	if c.Stage(map[string]rpc.Group{"services": forged}) {
+		t.Fatal("a group whose data does not match its digest was staged")
 	}
 	old := group(`[{"name":"old"}]`, 1)
 	c.Stage(map[string]rpc.Group{"services": group(`[]`, 2)})
--- a/internal/distribution/client.go
+++ b/internal/distribution/client.go
@@ -10,8 +10,8 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// Client keeps a proxy's configuration. Its sources are the control nodes that hold a
-// replica of the configuration shard.
+// Client keeps a proxy's configuration up to date. Its sources are the control nodes that
+// hold a replica of the configuration shard.
 type Client struct {
 	Cache *Cache
 
@@ -21,18 +21,18 @@
 
 	started   atomic.Bool
 	freshness *freshness
-	pulse     pulseState
+	renewal   renewalState
 
-	// fetchLock is held by the listener that fetches, so that what several control nodes
-	// report at a time is fetched once.
+	// fetchLock is held by a listener while it fetches, so that a change reported by several
+	// control nodes at once is fetched only once.
 	fetchLock environment.ChanMutex
 
-	// mu guards listeners: the addresses that are listened to, by the node's name.
+	// mu guards listeners, which maps a control node's name to the address polled.
 	mu        sync.Mutex
 	listeners map[ids.NodeName]string
 }
 
-// NewClient returns a client with an empty cache. It does nothing until Start.
+// NewClient returns a client with an empty cache. It sends no requests before Start.
 func NewClient(env *environment.Environment, transport *rpc.Transport, members *membership.Memberlist) *Client {
 	cache := NewCache(env.Events)
 	return &Client{
@@ -46,8 +46,8 @@
 	}
 }
 
-// Start begins to fetch, to listen and to send pulses. Only the first call does anything
-// (the paper's compare-and-set in HttpSyncDataService#start).
+// Start starts the initial fetch, the listeners and the freshness renewal. Later calls have
+// no effect (the compare-and-set in HttpSyncDataService#start of the paper).
 func (c *Client) Start() {
 	if !c.started.CompareAndSwap(false, true) {
 		return
@@ -57,14 +57,15 @@
 			c.manageListeners()
 		}
 	})
-	c.env.Go(c.runPulse)
+	c.env.Go(c.runRenewal)
 }
 
-// IsFresh reports whether a snapshot may be acted on now, for a service or, if that is
-// empty, for what concerns none; see freshness.isFresh.
+// IsFresh reports whether a snapshot is fresh enough to serve requests for a service. An empty
+// service checks only the configuration. See freshness.isFresh for the rules.
 func (c *Client) IsFresh(snapshot *Snapshot, service string) bool {
 	return c.freshness.isFresh(snapshot, service)
 }
 
-// LatestConfirmation returns what the pulses confirmed of the greatest epoch heard of.
+// LatestConfirmation returns the confirmation of the greatest epoch that a control node has
+// reported. That epoch may be greater than the active one.
 func (c *Client) LatestConfirmation() Confirmation { return c.freshness.latest() }
--- a/internal/distribution/compression.go
+++ b/internal/distribution/compression.go
@@ -16,65 +16,66 @@
 )
 
 const (
-	// minCompressedSize is from how many bytes on groups are deflated.
+	// minCompressedSize is the size in bytes from which groups are compressed.
 	minCompressedSize = 2048
-	// maxCompressedKept is how many deflated answers are kept for the next proxy that asks.
-	maxCompressedKept = 16
+	// maxCachedResponses limits the compressed responses cached for reuse.
+	maxCachedResponses = 16
 )
 
-// compressor deflates the groups of fetch responses (RFC 1951) for proxies that accept it. On
-// a narrow link a configuration of many routes, much alike, would fill the link for seconds,
-// and all small messages would wait behind it.
+// compressor compresses the groups of fetch responses with DEFLATE (RFC 1951) for proxies that
+// accept it. Uncompressed, a configuration of many similar routes would occupy a slow link
+// for seconds and delay all small messages behind it.
 type compressor struct {
-	kept *boundedCache[[]byte]
+	cache *boundedCache[[]byte]
 }
 
 func newCompressor() *compressor {
-	return &compressor{kept: newBoundedCache[[]byte](maxCompressedKept)}
+	return &compressor{cache: newBoundedCache[[]byte](maxCachedResponses)}
 }
 
-// compress replaces the groups of a response by their deflated form, if they are large.
+// compress replaces Groups by their compressed form in Packed if they have an estimated size
+// of at least minCompressedSize.
 func (c *compressor) compress(response *rpc.FetchResponse) {
 	size, key := 0, strings.Builder{}
 	for _, name := range slices.Sorted(maps.Keys(response.Groups)) {
 		group := response.Groups[name]
 		size += sizeEstimate(&group)
-		// The index is not in the digest: the same data may come again under another.
+		// The digest does not cover the index: the same data can reappear at a later index.
 		fmt.Fprintf(&key, "%s %s %s %v\n", name, group.Digest, group.BaseDigest, group.Index)
 	}
 	if size < minCompressedSize {
 		return
 	}
-	packed, ok := c.kept.get(key.String())
+	compressed, ok := c.cache.get(key.String())
 	if !ok {
 		encoded, err := json.Marshal(response.Groups)
 		if err != nil {
 			return
 		}
-		packed = deflate(encoded)
-		c.kept.put(key.String(), packed)
+		compressed = deflate(encoded)
+		c.cache.put(key.String(), compressed)
 	}
-	response.Groups, response.Packed = nil, packed
+	response.Groups, response.Packed = nil, compressed
 }
 
 func deflate(data []byte) []byte {
-	out := &bytes.Buffer{}
-	// Neither the level nor a buffer can fail.
-	w, _ := flate.NewWriter(out, flate.BestSpeed)
+	buffer := &bytes.Buffer{}
+	// Errors are impossible: the level is valid, and writes to a buffer do not fail.
+	w, _ := flate.NewWriter(buffer, flate.BestSpeed)
 	w.Write(data)
 	w.Close()
-	return out.Bytes()
+	return buffer.Bytes()
 }
 
-// inflate returns the groups of a response's Packed. More than limit bytes of them are an
-// errcode.MessageTooLong.
-func inflate(packed []byte, limit int64) (map[string]rpc.Group, error) {
-	data, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), limit+1))
+// inflate decompresses and decodes the groups of FetchResponse.Packed. It returns
+// errcode.MessageTooLong if they are larger than limit bytes uncompressed.
+func inflate(compressed []byte, limit int64) (map[string]rpc.Group, error) {
+	data, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(compressed)), limit+1))
 	if err != nil {
 		return nil, err
 	}
 	if int64(len(data)) > limit {
-		return nil, errcode.New(errcode.MessageTooLong, "over %d bytes", limit)
+		return nil, errcode.New(errcode.MessageTooLong, "decompressed groups exceed %d bytes", limit)
 	}
 	var groups map[string]rpc.Group
 	if err := json.Unmarshal(data, &groups); err != nil {
@@ -83,7 +84,7 @@
 	return groups, nil
 }
 
-// fetch fetches groups from a control node, and inflates them.
+// fetch fetches groups from a control node and decompresses them.
 func (c *Client) fetch(ctx context.Context, address string, request *rpc.FetchRequest) (*rpc.FetchResponse, error) {
 	request.AcceptsPacked = true
 	response := &rpc.FetchResponse{}
--- a/internal/distribution/compression_test.go
+++ b/internal/distribution/compression_test.go
@@ -9,51 +9,51 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-func groupsOf(routes int) map[string]rpc.Group {
+func routeGroups(routeCount int) map[string]rpc.Group {
 	list := []rpc.Route{}
-	for i := range routes {
+	for i := range routeCount {
 		list = append(list, rpc.Route{Name: fmt.Sprintf("route-%d", i), Path: fmt.Sprintf("/place/%d", i), Services: []rpc.WeightedService{{Service: "rates", Weight: 100}}, DeadlineMillis: 4000})
 	}
 	data, _ := json.Marshal(list)
-	return map[string]rpc.Group{"routes/1": {Digest: fmt.Sprint("d", routes), Index: 7, Data: data}}
+	return map[string]rpc.Group{"routes/1": {Digest: fmt.Sprint("d", routeCount), Index: 7, Data: data}}
 }
 
-func TestCompress_LargeGroupsAreDeflatedAndComeBackComplete(t *testing.T) {
-	c, groups := newCompressor(), groupsOf(400)
+func TestCompress_LargeGroupsRoundTrip(t *testing.T) {
+	c, groups := newCompressor(), routeGroups(400)
 	encoded, _ := json.Marshal(groups)
 	response := &rpc.FetchResponse{Groups: groups}
 	c.compress(response)
 	if response.Groups != nil || len(response.Packed) > len(encoded)/5 {
-		t.Fatalf("%d bytes were packed into %d", len(encoded), len(response.Packed))
+		t.Fatalf("%d bytes were compressed to %d, want no more than a fifth", len(encoded), len(response.Packed))
 	}
 	got, err := inflate(response.Packed, 1<<20)
 	if err != nil || !reflect.DeepEqual(got, groups) {
-		t.Fatal("what was unpacked differs", err)
+		t.Fatal("the decompressed groups differ:", err)
 	}
-	again := &rpc.FetchResponse{Groups: groups}
-	if c.compress(again); c.kept.len() != 1 || &again.Packed[0] != &response.Packed[0] {
-		t.Error("the same groups were packed twice")
+	repeated := &rpc.FetchResponse{Groups: groups}
+	if c.compress(repeated); c.cache.len() != 1 || &repeated.Packed[0] != &response.Packed[0] {
+		t.Error("the same groups were compressed twice")
 	}
-	newer := groupsOf(400)
-	group := newer["routes/1"]
+	reindexed := routeGroups(400)
+	group := reindexed["routes/1"]
 	group.Index++
-	newer["routes/1"] = group
-	retryAfter := &rpc.FetchResponse{Groups: newer}
-	c.compress(retryAfter)
-	if got, err := inflate(retryAfter.Packed, 1<<20); err != nil || got["routes/1"].Index != group.Index {
-		t.Error("the same text under another version came with the old one", err)
+	reindexed["routes/1"] = group
+	reindexedResponse := &rpc.FetchResponse{Groups: reindexed}
+	c.compress(reindexedResponse)
+	if got, err := inflate(reindexedResponse.Packed, 1<<20); err != nil || got["routes/1"].Index != group.Index {
+		t.Error("groups with a new index were served from the cache with the old index:", err)
 	}
 	if _, err := inflate(response.Packed, 1000); err == nil {
-		t.Error("a pack above the longest message was unpacked")
+		t.Error("groups larger than the limit were decompressed")
 	}
 	if _, err := inflate(response.Packed[:len(response.Packed)/2], 1<<20); err == nil {
-		t.Error("half a pack was unpacked")
+		t.Error("truncated data was decompressed")
 	}
 }
 
-func TestCompress_SmallGroupsGoAsTheyAre(t *testing.T) {
-	c, response := newCompressor(), &rpc.FetchResponse{Groups: groupsOf(3)}
+func TestCompress_SmallGroupsStayUncompressed(t *testing.T) {
+	c, response := newCompressor(), &rpc.FetchResponse{Groups: routeGroups(3)}
 	if c.compress(response); response.Packed != nil || len(response.Groups) != 1 {
-		t.Error("a few routes were packed")
+		t.Error("groups smaller than minCompressedSize were compressed")
 	}
 }
--- a/internal/distribution/delta.go
+++ b/internal/distribution/delta.go
@@ -8,54 +8,57 @@
 )
 
 const (
-	// maxDeltasKept is how many differences are kept for the next proxy that asks.
-	maxDeltasKept = 256
-	// maxInlineSize is up to how many bytes of groups come along with the answer to a listener.
+	// maxCachedDeltas limits the deltas cached for reuse.
+	maxCachedDeltas = 256
+	// maxInlineSize is the total size in bytes up to which a ListenResponse carries the
+	// changed groups.
 	maxInlineSize = 4096
-	// The lengths in JSON, in bytes, at which a target and an instance's name are reckoned.
+	// The estimated sizes of an encoded target and of an encoded instance name, in bytes of JSON.
 	targetSizeEstimate   = 120
 	instanceSizeEstimate = 24
 )
 
-// sizeEstimate is about how many bytes of JSON a group is.
+// sizeEstimate returns the approximate size of an encoded group in bytes.
 func sizeEstimate(group *rpc.Group) int {
 	return len(group.Data) + targetSizeEstimate*len(group.PutTargets) + instanceSizeEstimate*len(group.RemovedTargets)
 }
 
-// deltaEncoder makes differences between versions of target lists. Lists are long and change
-// by a few targets at a time, and many proxies ask for the same difference.
+// deltaEncoder computes deltas between versions of target lists. Lists are long and change by
+// a few targets at a time, and many proxies request the same delta, so deltas are cached.
 type deltaEncoder struct {
 	state *controlplane.ConfigState
-	kept  *boundedCache[rpc.Group]
+	cache *boundedCache[rpc.Group]
 }
 
 func newDeltaEncoder(state *controlplane.ConfigState) *deltaEncoder {
-	return &deltaEncoder{state: state, kept: newBoundedCache[rpc.Group](maxDeltasKept)}
+	return &deltaEncoder{state: state, cache: newBoundedCache[rpc.Group](maxCachedDeltas)}
 }
 
-// shorten returns a target list as the difference from the version with the held digest, if
-// the control plane still knows that and the difference is shorter. Otherwise, and for all
-// other groups, it returns the group as it is.
-func (e *deltaEncoder) shorten(name, heldDigest string, group rpc.Group) rpc.Group {
-	if heldDigest == "" || !strings.HasPrefix(name, controlplane.TargetsPrefix) {
+// encode returns a target list as a delta from the version with baseDigest, if the control
+// plane still has that version and the delta is shorter. In all other cases, and for groups
+// that are not target lists, it returns the group unchanged.
+func (e *deltaEncoder) encode(name, baseDigest string, group rpc.Group) rpc.Group {
+	if baseDigest == "" || !strings.HasPrefix(name, controlplane.TargetsPrefix) {
 		return group
 	}
-	key := name + " " + heldDigest + " " + group.Digest
-	if kept, ok := e.kept.get(key); ok {
-		// The same step may have been made before, when it bore another index.
-		kept.Index = group.Index
-		return kept
+	key := name + " " + baseDigest + " " + group.Digest
+	if cached, ok := e.cache.get(key); ok {
+		// The key has no index: a list that alternates between two contents repeats the same
+		// delta under a later index.
+		cached.Index = group.Index
+		return cached
 	}
-	if delta, ok := e.state.Delta(name, heldDigest, group); ok {
+	if delta, ok := e.state.Delta(name, baseDigest, group); ok {
 		group = delta
 	}
-	e.kept.put(key, group)
+	e.cache.put(key, group)
 	return group
 }
 
-// inline returns the changed groups, shortened, if all of them together are small enough to
-// come along with the answer to a listener; otherwise nil.
-func (e *deltaEncoder) inline(epoch *controlplane.EpochState, held, changed map[string]rpc.GroupVersion) map[string]rpc.Group {
+// inline returns the changed groups, as deltas where possible, for inclusion in a
+// ListenResponse. It returns nil if a group is not in the epoch or their estimated total size
+// exceeds maxInlineSize.
+func (e *deltaEncoder) inline(epoch *controlplane.EpochState, clientManifest, changed map[string]rpc.GroupVersion) map[string]rpc.Group {
 	groups := map[string]rpc.Group{}
 	size := 0
 	for name := range changed {
@@ -63,7 +66,7 @@
 		if !ok {
 			return nil
 		}
-		group = e.shorten(name, held[name].Digest, group)
+		group = e.encode(name, clientManifest[name].Digest, group)
 		if size += sizeEstimate(&group); size > maxInlineSize {
 			return nil
 		}
--- a/internal/distribution/encoder.go
+++ b/internal/distribution/encoder.go
@@ -12,14 +12,15 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// groupEncoder marshals each group once for its digest and index, and the full answer once
-// for its epoch, for all proxies that ask. The zero value is ready for use.
+// groupEncoder caches encoded groups by digest and index, and the encoded full fetch response
+// of one epoch, so that each is marshalled once for all proxies. The zero value is ready for
+// use.
 type groupEncoder struct {
-	// mu guards all fields.
-	mu       sync.Mutex
-	groups   map[string]encodedGroup
-	unpacked encodedEpoch
-	packed   encodedEpoch
+	// mu guards the fields below.
+	mu         sync.Mutex
+	groups     map[string]encodedGroup
+	plain      encodedEpoch
+	compressed encodedEpoch
 }
 
 type encodedGroup struct {
@@ -33,23 +34,23 @@
 	encoded json.RawMessage
 }
 
-// epoch returns the response to a full fetch: the manifest and all groups of an epoch, packed
-// or not.
-func (e *groupEncoder) epoch(epoch *controlplane.EpochState, packed bool) (json.RawMessage, error) {
+// encodeEpoch returns the encoded response to a full fetch: the manifest and all groups of an
+// epoch. With compress set, groups of at least minCompressedSize bytes are compressed.
+func (e *groupEncoder) encodeEpoch(epoch *controlplane.EpochState, compress bool) (json.RawMessage, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	kept := &e.unpacked
-	if packed {
-		kept = &e.packed
+	cached := &e.plain
+	if compress {
+		cached = &e.compressed
 	}
-	if kept.epoch == epoch {
-		return kept.encoded, nil
+	if cached.epoch == epoch {
+		return cached.encoded, nil
 	}
 	manifest := epoch.Manifest()
 	groups := make(map[string]json.RawMessage, len(manifest))
 	for name := range manifest {
 		group, _ := epoch.PublishedGroup(name)
-		encoded, err := e.groupLocked(name, group)
+		encoded, err := e.encodeGroupLocked(name, group)
 		if err != nil {
 			return nil, err
 		}
@@ -62,7 +63,7 @@
 	}
 	response := &rpc.FetchResponse{Epoch: epoch.Epoch, Manifest: manifest}
 	var encoded json.RawMessage
-	if packed && len(object) >= minCompressedSize {
+	if compress && len(object) >= minCompressedSize {
 		response.Packed = deflate(object)
 		encoded, err = json.Marshal(response)
 	} else {
@@ -71,17 +72,17 @@
 	if err != nil {
 		return nil, err
 	}
-	*kept = encodedEpoch{epoch: epoch, encoded: encoded}
+	*cached = encodedEpoch{epoch: epoch, encoded: encoded}
 	return encoded, nil
 }
 
-// response returns the response to a fetch of single groups. Differences are not kept.
-func (e *groupEncoder) response(response *rpc.FetchResponse) (json.RawMessage, error) {
+// encodeResponse encodes the response to a fetch of named groups. Deltas are not cached here.
+func (e *groupEncoder) encodeResponse(response *rpc.FetchResponse) (json.RawMessage, error) {
 	groups := make(map[string]json.RawMessage, len(response.Groups))
 	for name, group := range response.Groups {
 		var err error
 		if group.BaseDigest == "" {
-			groups[name], err = e.group(name, group)
+			groups[name], err = e.encodeGroup(name, group)
 		} else {
 			groups[name], err = json.Marshal(&group)
 		}
@@ -93,20 +94,21 @@
 	if err != nil {
 		return nil, err
 	}
-	bare := *response
-	bare.Groups = nil
-	return appendGroups(&bare, object)
+	withoutGroups := *response
+	withoutGroups.Groups = nil
+	return appendGroups(&withoutGroups, object)
 }
 
-func (e *groupEncoder) group(name string, group rpc.Group) (json.RawMessage, error) {
+func (e *groupEncoder) encodeGroup(name string, group rpc.Group) (json.RawMessage, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.groupLocked(name, group)
+	return e.encodeGroupLocked(name, group)
 }
 
-func (e *groupEncoder) groupLocked(name string, group rpc.Group) (json.RawMessage, error) {
-	if kept, ok := e.groups[name]; ok && kept.digest == group.Digest && kept.index == group.Index {
-		return kept.encoded, nil
+// encodeGroupLocked is encodeGroup for a caller that holds mu.
+func (e *groupEncoder) encodeGroupLocked(name string, group rpc.Group) (json.RawMessage, error) {
+	if cached, ok := e.groups[name]; ok && cached.digest == group.Digest && cached.index == group.Index {
+		return cached.encoded, nil
 	}
 	encoded, err := json.Marshal(&group)
 	if err != nil {
@@ -119,7 +121,7 @@
 	return encoded, nil
 }
 
-// joinGroups returns the JSON object of groups that are marshalled already.
+// joinGroups returns a JSON object of encoded groups, keyed by name.
 func joinGroups(groups map[string]json.RawMessage) (json.RawMessage, error) {
 	var object bytes.Buffer
 	object.WriteByte('{')
@@ -139,11 +141,11 @@
 	return object.Bytes(), nil
 }
 
-// appendGroups marshals a response that has no groups, and adds their JSON object.
+// appendGroups marshals a response whose Groups is empty and inserts the encoded groups.
 func appendGroups(response *rpc.FetchResponse, groups json.RawMessage) (json.RawMessage, error) {
-	head, err := json.Marshal(response)
+	encoded, err := json.Marshal(response)
 	if err != nil {
 		return nil, err
 	}
-	return slices.Concat(head[:len(head)-1], []byte(`,"groups":`), groups, []byte("}")), nil
+	return slices.Concat(encoded[:len(encoded)-1], []byte(`,"groups":`), groups, []byte("}")), nil
 }
--- a/internal/distribution/fakenet_test.go
+++ b/internal/distribution/fakenet_test.go
@@ -11,7 +11,7 @@
 	"github.com/sumactrestle/sumactrestle/internal/eventlog"
 )
 
-// fakeNetwork is a network in memory.
+// fakeNetwork is an in-memory network of listeners by address.
 type fakeNetwork struct {
 	mu        sync.Mutex
 	listeners map[string]*fakeListener
@@ -20,7 +20,7 @@
 type fakeListener struct {
 	address string
 	conns   chan net.Conn
-	over    chan struct{}
+	closed  chan struct{}
 	once    sync.Once
 }
 
@@ -28,11 +28,11 @@
 	select {
 	case conn := <-l.conns:
 		return conn, nil
-	case <-l.over:
+	case <-l.closed:
 		return nil, net.ErrClosed
 	}
 }
-func (l *fakeListener) Close() error   { l.once.Do(func() { close(l.over) }); return nil }
+func (l *fakeListener) Close() error   { l.once.Do(func() { close(l.closed) }); return nil }
 func (l *fakeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
 func newFakeNetwork() *fakeNetwork { return &fakeNetwork{listeners: map[string]*fakeListener{}} }
@@ -40,7 +40,7 @@
 func (n *fakeNetwork) host() environment.Host {
 	return environment.Host{
 		Listen: func(address string) (net.Listener, error) {
-			l := &fakeListener{address: address, conns: make(chan net.Conn), over: make(chan struct{})}
+			l := &fakeListener{address: address, conns: make(chan net.Conn), closed: make(chan struct{})}
 			n.mu.Lock()
 			n.listeners[address] = l
 			n.mu.Unlock()
@@ -53,11 +53,11 @@
 			if l == nil {
 				return nil, net.ErrClosed
 			}
-			mine, its := net.Pipe()
+			clientConn, serverConn := net.Pipe()
 			select {
-			case l.conns <- its:
-				return mine, nil
-			case <-l.over:
+			case l.conns <- serverConn:
+				return clientConn, nil
+			case <-l.closed:
 			case <-ctx.Done():
 			}
 			return nil, net.ErrClosed
--- a/internal/distribution/fetch_limiter.go
+++ b/internal/distribution/fetch_limiter.go
@@ -6,27 +6,28 @@
 )
 
 const (
-	// minRetryAfter is the least time that a proxy is told to wait.
+	// minRetryAfter is the lower bound on the retry delay sent to a proxy.
 	minRetryAfter = 50 * time.Millisecond
-	// assumedDuration is how long a fetch is taken to last at least.
-	assumedDuration = 20 * time.Millisecond
+	// minAverageDuration is the lower bound on the average fetch duration from which retry
+	// delays are computed.
+	minAverageDuration = 20 * time.Millisecond
 )
 
-// fetchLimiter bounds the fetches under way. Those that it refuses it tells when to come
-// again, each a little later than the one before, so that they do not come back together.
+// fetchLimiter limits the number of concurrent fetches. Each refused fetch gets a later retry
+// time than the one refused before it, so that retries do not arrive together.
 type fetchLimiter struct {
 	limit         int
 	maxRetryAfter time.Duration
 
-	// mu guards all below.
+	// mu guards the fields below.
 	mu              sync.Mutex
 	inFlight        int
-	averageDuration time.Duration // of the fetches of late, smoothed
-	nextFree        time.Time     // when the one that was refused last should come again
+	averageDuration time.Duration // exponential moving average over completed fetches
+	lastRetryAt     time.Time     // retry time computed for the last refused fetch
 }
 
-// acquire takes a place, which release gives back. If there is none it returns in how long
-// one should be free.
+// acquire takes a slot, which must be returned with release. If no slot is free, it returns
+// false and the delay after which the caller should retry.
 func (l *fetchLimiter) acquire(now time.Time) (retryAfter time.Duration, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -34,20 +35,20 @@
 		l.inFlight++
 		return 0, true
 	}
-	if l.nextFree.Before(now) {
-		l.nextFree = now
+	if l.lastRetryAt.Before(now) {
+		l.lastRetryAt = now
 	}
-	l.nextFree = l.nextFree.Add(max(l.averageDuration, assumedDuration) / time.Duration(l.limit))
-	if latest := now.Add(l.maxRetryAfter); l.nextFree.After(latest) {
-		l.nextFree = latest
+	l.lastRetryAt = l.lastRetryAt.Add(max(l.averageDuration, minAverageDuration) / time.Duration(l.limit))
+	if latest := now.Add(l.maxRetryAfter); l.lastRetryAt.After(latest) {
+		l.lastRetryAt = latest
 	}
-	return max(l.nextFree.Sub(now), minRetryAfter), false
+	return max(l.lastRetryAt.Sub(now), minRetryAfter), false
 }
 
-// release gives back the place of a fetch that took so long.
-func (l *fetchLimiter) release(took time.Duration) {
+// release returns the slot of a fetch that took the given time.
+func (l *fetchLimiter) release(duration time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.inFlight--
-	l.averageDuration = (3*l.averageDuration + took) / 4
+	l.averageDuration = (3*l.averageDuration + duration) / 4
 }
--- a/internal/distribution/full_fetch_test.go
+++ b/internal/distribution/full_fetch_test.go
@@ -9,14 +9,14 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-func TestFullFetch_OnlySoManyAreInFlight(t *testing.T) {
+func TestFullFetch_LimitsConcurrentFetches(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := t.Context()
 		settings := newFakeNetwork().environment(t, ctx, "core", "10.0.0.1:1").Config
 		h := newFullFetchHandler(&groupEncoder{}, settings.DistributionMaxConcurrentFetches, settings.DistributionRetryCooldown)
 		epoch := newEpochs(t, 1)[0]
 		fetch := func(ctx context.Context) (*rpc.EncodedResponse, int64) {
-			got, err := h.answer(ctx, epoch, false)
+			got, err := h.handle(ctx, epoch, false)
 			if err != nil {
 				return nil, 0
 			}
@@ -25,46 +25,46 @@
 			}
 			return nil, got.(*rpc.FetchResponse).RetryAfterMillis
 		}
-		ended, cancel := context.WithCancel(ctx)
+		cancelled, cancel := context.WithCancel(ctx)
 		cancel()
 		for range 5 {
-			if response, retryAfter := fetch(ended); response != nil || retryAfter != 0 {
-				t.Fatal("worked on for a proxy that has gone")
+			if response, retryAfter := fetch(cancelled); response != nil || retryAfter != 0 {
+				t.Fatal("a fetch with a cancelled context was processed")
 			}
 		}
-		one, _ := fetch(ctx)
-		two, _ := fetch(ctx)
-		if one == nil || two == nil {
-			t.Fatal("refused while there is a place")
+		first, _ := fetch(ctx)
+		second, _ := fetch(ctx)
+		if first == nil || second == nil {
+			t.Fatal("refused while a slot is free")
 		}
 		time.Sleep(400 * time.Millisecond)
 		if response, retryAfter := fetch(ctx); response != nil || retryAfter == 0 {
-			t.Fatal("a third is under way")
+			t.Fatal("a third concurrent fetch was accepted")
 		}
-		one.Release()
-		if one, _ = fetch(ctx); one == nil {
-			t.Fatal("refused though one came to its end")
+		first.Release()
+		if first, _ = fetch(ctx); first == nil {
+			t.Fatal("refused although a slot was released")
 		}
-		before := int64(0)
+		previous := int64(0)
 		for i := range 8 {
 			_, retryAfter := fetch(ctx)
-			if retryAfter == 0 || retryAfter < before || i == 7 && retryAfter == before {
-				t.Fatalf("proxy %d is told %d ms, the one before %d", i, retryAfter, before)
+			if retryAfter == 0 || retryAfter < previous || i == 7 && retryAfter == previous {
+				t.Fatalf("proxy %d got a retry delay of %d ms, the previous one %d ms", i, retryAfter, previous)
 			}
 			if i != 6 {
-				before = retryAfter
+				previous = retryAfter
 			}
 		}
 		for range 1000 {
 			if _, retryAfter := fetch(ctx); retryAfter > settings.DistributionRetryCooldown.Milliseconds() {
-				t.Fatal("told to wait", retryAfter)
+				t.Fatal("retry delay exceeds distribution.retry_cooldown, in ms:", retryAfter)
 			}
 		}
-		two.Release()
-		one.Release()
+		second.Release()
+		first.Release()
 		for range 2 {
 			if response, _ := fetch(ctx); response == nil {
-				t.Fatal("a place was lost")
+				t.Fatal("a released slot was not reused")
 			}
 		}
 	})
--- a/internal/distribution/initial_fetch.go
+++ b/internal/distribution/initial_fetch.go
@@ -12,20 +12,21 @@
 )
 
 const (
-	// initialFetchRetry is the pause between attempts of the first fetch, without which
-	// nothing is served, as long as no control node is overloaded.
+	// initialFetchRetry is the pause between attempts at the initial fetch while no control
+	// node is overloaded. It is short because the proxy serves nothing before that fetch.
 	initialFetchRetry = 60 * time.Millisecond
 	fullFetchTimeout  = 5 * time.Second
 )
 
-// fetchInitial makes the full fetch of the start (the paper's fetchGroupConfig), and reports
-// false if the node ended before it succeeded. Unlike in the paper it never gives up. As long
-// as control nodes are overloaded the pause doubles, up to the setting
-// distribution.retry_cooldown, with jitter, and is no shorter than they asked for.
+// fetchInitial performs the full fetch at start (fetchGroupConfig in the paper). Unlike the
+// paper's, it retries until it succeeds; it returns false if the node stops first. While
+// control nodes are overloaded, the pause between attempts doubles up to
+// distribution.retry_cooldown and is at least the shortest delay that they requested. All
+// pauses have jitter.
 func (c *Client) fetchInitial() bool {
 	settings := c.env.Config
-	shortest := min(settings.DistributionRetryDelay, initialFetchRetry)
-	pause := shortest
+	minPause := min(settings.DistributionRetryDelay, initialFetchRetry)
+	pause := minPause
 	for {
 		result := c.fetchAll()
 		if result.done {
@@ -34,7 +35,7 @@
 		if result.overloaded {
 			pause = min(2*max(pause, settings.DistributionRetryDelay), max(settings.DistributionRetryCooldown, settings.DistributionRetryDelay))
 		} else {
-			pause = shortest
+			pause = minPause
 		}
 		if !c.env.Sleep(environment.Jitter(max(pause, result.retryAfter))) {
 			return false
@@ -42,15 +43,16 @@
 	}
 }
 
-// fullFetchResult is what became of an attempt to fetch all groups.
+// fullFetchResult is the result of one attempt to fetch all groups.
 type fullFetchResult struct {
 	done bool
-	// overloaded tells that a control node said so or did not answer in time.
+	// overloaded is set if a control node requested a retry delay or did not reply in time.
 	overloaded bool
-	retryAfter time.Duration // the least that any asked for; 0 if none did
+	retryAfter time.Duration // shortest delay requested by a control node; 0 if none did
 }
 
-// fetchAll tries the control nodes in list order until one gives all groups.
+// fetchAll requests all groups from the control nodes in list order until it has activated an
+// epoch.
 func (c *Client) fetchAll() (result fullFetchResult) {
 	for _, source := range c.members.ConfigReplicas() {
 		ctx, cancel := context.WithTimeout(c.env, fullFetchTimeout)
@@ -70,9 +72,9 @@
 			continue
 		}
 		if response.Epoch == 0 {
-			continue // it has no contact with a quorum
+			continue // the control node has no quorum contact
 		}
-		c.freshness.noteContact()
+		c.freshness.recordContact()
 		c.Cache.Stage(response.Groups)
 		if activated, err := c.Cache.Activate(response.Epoch, response.Manifest); activated && err == nil {
 			return fullFetchResult{done: true}
--- a/internal/distribution/listener.go
+++ b/internal/distribution/listener.go
@@ -13,19 +13,20 @@
 )
 
 const (
-	// listenerCheckInterval is how often it is checked whether control nodes came.
+	// listenerCheckInterval is the interval between checks for new control nodes.
 	listenerCheckInterval = 500 * time.Millisecond
-	// listenGrace is what a listener waits for an answer beyond the hold time.
+	// listenGrace is added to distribution.long_poll_timeout to get the timeout of a poll.
 	listenGrace = 2 * time.Second
-	// nearestHeadStart is what a control node of the own zone is left to be fetched from.
-	nearestHeadStart = 40 * time.Millisecond
-	// fetchLockTimeout is how long a listener waits while another fetches.
+	// yieldDelay is how long a listener to another zone waits before it fetches; see
+	// yieldToNearest.
+	yieldDelay = 40 * time.Millisecond
+	// fetchLockTimeout is how long a listener waits for another listener's fetch.
 	fetchLockTimeout = 500 * time.Millisecond
-	// changedFetchTimeout bounds the fetch of the groups that changed.
+	// changedFetchTimeout limits the fetch of the changed groups.
 	changedFetchTimeout = 3 * time.Second
 )
 
-// manageListeners has one listener run for each control node there is to listen to.
+// manageListeners keeps one listener running for each source until the node stops.
 func (c *Client) manageListeners() {
 	for {
 		for _, source := range c.sources() {
@@ -45,14 +46,15 @@
 	}
 }
 
-// sources returns the control nodes to listen to, the nearest first.
+// sources returns the control nodes to listen to, nearest first.
 func (c *Client) sources() []rpc.Member {
 	return nearestSources(c.members.ConfigReplicas(), c.env.Config.DistributionMaxServers, c.env.Config.Zone)
 }
 
-// nearestSources returns the first few of the control nodes, which are in order of their
-// distance, or all if limit is 0. If these few are all in the given zone and another is not,
-// the nearest such takes the place of the last: the zone may be cut off as a whole.
+// nearestSources returns the first limit of the sources, which are ordered nearest first, or
+// all of them if limit is 0. If limit is at least 2 and all selected sources are in the given
+// zone, the nearest source of another zone replaces the last one, in case the whole zone is
+// partitioned from the others.
 func nearestSources(sources []rpc.Member, limit int, zone string) []rpc.Member {
 	if limit == 0 || len(sources) <= limit {
 		return sources
@@ -69,10 +71,10 @@
 	return nearest
 }
 
-// runListener listens to one control node (the paper's HttpLongPollingTask#run) until that is
-// no longer one to listen to. After a failure it pauses for distribution.retry_delay; after
-// distribution.retry_attempts failures in a row for distribution.retry_cooldown; after a poll
-// that brought nothing for distribution.unchanged_delay.
+// runListener polls one control node (HttpLongPollingTask#run in the paper) until that node is
+// no longer a source. It pauses for distribution.retry_delay after a failure, for
+// distribution.retry_cooldown after distribution.retry_attempts consecutive failures, and for
+// distribution.unchanged_delay if poll reports no change.
 func (c *Client) runListener(name ids.NodeName, address string) {
 	defer c.removeListener(name, address)
 	isSource := func(source rpc.Member) bool { return source.Name == name && source.RPCAddress == address }
@@ -107,9 +109,10 @@
 	}
 }
 
-// poll makes one held listener request (the paper's doLongPolling) and, if it names groups
-// that changed, fetches these and brings the epoch into use. It reports false if the fetch
-// brought nothing newer, upon which its caller should pause.
+// poll sends one long-poll request (doLongPolling in the paper). If the response reports a newer
+// epoch, poll fetches the changed groups and activates that epoch. It reports false if
+// the fetch yielded no newer group and the epoch was not activated; the caller should then
+// pause. A poll that ends without a newer epoch reports true.
 func (c *Client) poll(ctx context.Context, address string) (changed bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, c.env.Config.DistributionLongPollTimeout+listenGrace)
 	defer cancel()
@@ -124,12 +127,13 @@
 	if response.Epoch <= snapshot.Epoch {
 		return true, nil
 	}
-	createdAt := time.Now().Add(-time.Duration(response.Age) * time.Millisecond)
+	appliedAt := time.Now().Add(-time.Duration(response.Age) * time.Millisecond)
 	changed = len(response.Deltas) > 0 && c.Cache.Stage(response.Deltas)
 	manifest := applyChanges(snapshot.Manifest, response)
 	if len(c.Cache.Missing(manifest)) > 0 {
 		c.yieldToNearest(address)
-		// Nobody waits long for another's fetch: its control node may be gone.
+		// Fetch without the lock after the timeout: the control node that the other listener
+		// fetches from may be down.
 		if c.fetchLock.TryLockFor(fetchLockTimeout) {
 			defer c.fetchLock.Unlock()
 		}
@@ -144,20 +148,21 @@
 	}
 	activated, err := c.Cache.Activate(response.Epoch, manifest)
 	if activated && err == nil {
-		c.env.Latencies.EpochAge.Observe(time.Since(createdAt))
+		c.env.Latencies.EpochAge.Observe(time.Since(appliedAt))
 	}
 	return activated || changed, err
 }
 
-// listen sends the listener request. It names what is held by the epoch and one digest over
-// all groups; only where the control node does not know that epoch, each group is named.
-func (c *Client) listen(ctx context.Context, address string, held *Snapshot) (*rpc.ListenResponse, error) {
-	if held.Epoch > 0 {
+// listen sends the long-poll request. It identifies the snapshot by epoch and combined digest.
+// If the control node does not know that epoch, it sends a second request with the version of
+// each group.
+func (c *Client) listen(ctx context.Context, address string, snapshot *Snapshot) (*rpc.ListenResponse, error) {
+	if snapshot.Epoch > 0 {
 		response := &rpc.ListenResponse{}
 		sources := c.sources()
 		err := c.transport.Call(ctx, address, kindListen, &rpc.ListenRequest{
-			Epoch:          held.Epoch,
-			CombinedDigest: held.manifestDigest,
+			Epoch:          snapshot.Epoch,
+			CombinedDigest: snapshot.manifestDigest,
 			AcceptsDeltas:  c.env.Config.DistributionMaxServers > 0 && len(sources) > 0 && sources[0].RPCAddress == address,
 		}, response)
 		if err != nil || !response.UnknownDigest {
@@ -165,14 +170,14 @@
 		}
 	}
 	response := &rpc.ListenResponse{}
-	err := c.transport.Call(ctx, address, kindListen, &rpc.ListenRequest{Epoch: held.Epoch, Versions: held.Manifest}, response)
+	err := c.transport.Call(ctx, address, kindListen, &rpc.ListenRequest{Epoch: snapshot.Epoch, Versions: snapshot.Manifest}, response)
 	return response, err
 }
 
-// applyChanges returns the manifest of the epoch that a listener was told of, made of the
-// one that it held.
-func applyChanges(held map[string]rpc.GroupVersion, response *rpc.ListenResponse) map[string]rpc.GroupVersion {
-	manifest := maps.Clone(held)
+// applyChanges returns the manifest that results from applying a ListenResponse to the previous
+// manifest, which it does not modify.
+func applyChanges(previous map[string]rpc.GroupVersion, response *rpc.ListenResponse) map[string]rpc.GroupVersion {
+	manifest := maps.Clone(previous)
 	if manifest == nil {
 		manifest = map[string]rpc.GroupVersion{}
 	}
@@ -183,17 +188,18 @@
 	return manifest
 }
 
-// yieldToNearest gives the listener of a control node in the own zone, if there is one, a
-// moment to fetch first, so that groups seldom come from another zone.
+// yieldToNearest delays a listener to another zone if the nearest control node is in this
+// proxy's zone, so that the listener to that node usually fetches first and groups are rarely
+// transferred between zones.
 func (c *Client) yieldToNearest(address string) {
 	if sources := c.members.ConfigReplicas(); !c.members.InOwnZone(address) && len(sources) > 0 && c.members.InOwnZone(sources[0].RPCAddress) {
-		c.env.Sleep(nearestHeadStart)
+		c.env.Sleep(yieldDelay)
 	}
 }
 
-// fetchChanged fetches the groups of a manifest that are missing (the paper's
-// doFetchGroupConfig), and reports whether any was newer than those held. A group whose
-// difference did not fit what is held is fetched in full.
+// fetchChanged fetches the manifest's missing groups (doFetchGroupConfig in the paper) and
+// reports whether it staged any. If a delta cannot be applied to the cached group, the group
+// is fetched again in full.
 func (c *Client) fetchChanged(address string, manifest map[string]rpc.GroupVersion) (staged bool, err error) {
 	missing := c.Cache.Missing(manifest)
 	if len(missing) == 0 {
@@ -206,11 +212,11 @@
 		return false, err
 	}
 	staged = c.Cache.Stage(response.Groups)
-	misfits := slices.DeleteFunc(c.Cache.Missing(manifest), func(name string) bool { return response.Groups[name].BaseDigest == "" })
-	if len(misfits) == 0 {
+	failedDeltas := slices.DeleteFunc(c.Cache.Missing(manifest), func(name string) bool { return response.Groups[name].BaseDigest == "" })
+	if len(failedDeltas) == 0 {
 		return staged, nil
 	}
-	if response, err = c.fetch(ctx, address, &rpc.FetchRequest{Groups: misfits}); err != nil {
+	if response, err = c.fetch(ctx, address, &rpc.FetchRequest{Groups: failedDeltas}); err != nil {
 		return false, err
 	}
 	return c.Cache.Stage(response.Groups) || staged, nil
--- a/internal/distribution/listener_test.go
+++ b/internal/distribution/listener_test.go
@@ -19,7 +19,7 @@
 
 func TestNearestSources(t *testing.T) {
 	for _, test := range []struct {
-		zones string // of the control nodes, the nearest first
+		zones string // of the control nodes, nearest first
 		limit int
 		want  string
 	}{
@@ -37,42 +37,42 @@
 		for i, zone := range strings.Split(test.zones, "") {
 			sources = append(sources, rpc.Member{Name: ids.NodeName(rune('0' + i)), Zone: zone})
 		}
-		before := slices.Clone(sources)
+		original := slices.Clone(sources)
 		got := ""
 		for _, source := range nearestSources(sources, test.limit, "a") {
 			got += source.Zone
 		}
-		if got != test.want || !reflect.DeepEqual(sources, before) {
-			t.Errorf("%d of %q are %q, want %q", test.limit, test.zones, got, test.want)
+		if got != test.want || !reflect.DeepEqual(sources, original) {
+			t.Errorf("limit %d, zones %q: selected %q, want %q, with the input unmodified", test.limit, test.zones, got, test.want)
 		}
 	}
 }
 
-func TestApplyChanges_LeadsToTheManifestOfTheEpoch(t *testing.T) {
+func TestApplyChanges_YieldsManifestOfEpoch(t *testing.T) {
 	epochs := newEpochs(t, 3)
 	for _, test := range []struct {
-		name string
-		held map[string]rpc.GroupVersion
-		to   *controlplane.EpochState
+		name     string
+		previous map[string]rpc.GroupVersion
+		epoch    *controlplane.EpochState
 	}{
-		{"from nothing", nil, epochs[2]},
-		{"with a group more", epochs[0].Manifest(), epochs[2]},
-		{"with a group less", epochs[2].Manifest(), epochs[0]},
-		{"to the same", epochs[1].Manifest(), epochs[1]},
+		{"from empty", nil, epochs[2]},
+		{"group added", epochs[0].Manifest(), epochs[2]},
+		{"group removed", epochs[2].Manifest(), epochs[0]},
+		{"unchanged", epochs[1].Manifest(), epochs[1]},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			before := maps.Clone(test.held)
-			if got := applyChanges(test.held, changesSince(test.to, test.held)); !maps.Equal(got, test.to.Manifest()) {
-				t.Errorf("%v, want %v", got, test.to.Manifest())
+			original := maps.Clone(test.previous)
+			if got := applyChanges(test.previous, changesSince(test.epoch, test.previous)); !maps.Equal(got, test.epoch.Manifest()) {
+				t.Errorf("manifest is %v, want %v", got, test.epoch.Manifest())
 			}
-			if !maps.Equal(test.held, before) {
-				t.Error("the manifest held was written to")
+			if !maps.Equal(test.previous, original) {
+				t.Error("the previous manifest was modified")
 			}
 		})
 	}
 }
 
-// fakeServer answers a client from one epoch.
+// fakeServer records the requests of a client and responds by its listen and fetch functions.
 type fakeServer struct {
 	listens []rpc.ListenRequest
 	fetches []rpc.FetchRequest
@@ -83,7 +83,7 @@
 
 const serverAddress = "10.0.0.1:1"
 
-// newTestClient returns a client that was not started, and has the server for control node.
+// newTestClient returns a client that is not started, and serves server at serverAddress.
 func newTestClient(t *testing.T, ctx context.Context, server *fakeServer) *Client {
 	t.Helper()
 	network := newFakeNetwork()
@@ -115,7 +115,7 @@
 	return groups
 }
 
-func TestPoll_FetchesOnlyTheGroupsThatChanged(t *testing.T) {
+func TestPoll_FetchesOnlyChangedGroups(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
@@ -132,19 +132,19 @@
 			t.Fatal(ok, err)
 		}
 		if changed, err := c.poll(ctx, serverAddress); !changed || err != nil || c.Cache.Epoch() != 2 {
-			t.Fatalf("epoch %d, %v, %v", c.Cache.Epoch(), changed, err)
+			t.Fatalf("epoch %d, changed %v, error %v; want epoch 2, changed", c.Cache.Epoch(), changed, err)
 		}
 		if len(server.listens) != 1 || server.listens[0].CombinedDigest == "" || server.listens[0].Versions != nil {
-			t.Errorf("asked with %+v", server.listens)
+			t.Errorf("listener requests are %+v", server.listens)
 		}
 		want := []string{controlplane.LimitsGroup, controlplane.RoutesPrefix + "2"}
 		if len(server.fetches) != 1 || !slices.Equal(server.fetches[0].Groups, want) {
-			t.Errorf("fetched %+v, want %v", server.fetches, want)
+			t.Errorf("fetch requests are %+v, want one for %v", server.fetches, want)
 		}
 	})
 }
 
-func TestPoll_NamesEachGroupWhereItsEpochIsUnknown(t *testing.T) {
+func TestPoll_ListsVersionsIfServerDoesNotKnowEpoch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
@@ -161,25 +161,25 @@
 			t.Fatal(err)
 		}
 		if len(server.listens) != 2 || server.listens[1].CombinedDigest != "" || !maps.Equal(server.listens[1].Versions, epochs[0].Manifest()) {
-			t.Errorf("asked with %+v", server.listens)
+			t.Errorf("listener requests are %+v", server.listens)
 		}
 	})
 }
 
-func TestPoll_DifferenceThatDoesNotFitIsFetchedInFull(t *testing.T) {
+func TestPoll_FetchesFullGroupIfDeltaDoesNotApply(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		const name = controlplane.TargetsPrefix + "s"
 		full := group(`[{"instance":"i","address":"10.0.0.1:1","zone":"a","weight":1}]`, 2)
-		misfit := rpc.Group{Digest: full.Digest, Index: 2, BaseDigest: group(`[]`, 1).Digest, RemovedTargets: []string{"i"}}
+		inapplicable := rpc.Group{Digest: full.Digest, Index: 2, BaseDigest: group(`[]`, 1).Digest, RemovedTargets: []string{"i"}}
 		server := &fakeServer{
 			listen: func(*rpc.ListenRequest) *rpc.ListenResponse {
 				return &rpc.ListenResponse{Epoch: 2, Changed: manifest(map[string]rpc.Group{name: full})}
 			},
 			fetch: func(request *rpc.FetchRequest) *rpc.FetchResponse {
 				if len(request.HeldDigests) > 0 {
-					return &rpc.FetchResponse{Epoch: 2, Groups: map[string]rpc.Group{name: misfit}}
+					return &rpc.FetchResponse{Epoch: 2, Groups: map[string]rpc.Group{name: inapplicable}}
 				}
 				return &rpc.FetchResponse{Epoch: 2, Groups: map[string]rpc.Group{name: full}}
 			},
@@ -189,12 +189,12 @@
 		c.Cache.Stage(groups)
 		activate(t, c.Cache, 1, groups, true)
 		if _, err := c.poll(ctx, serverAddress); err != nil || len(server.fetches) != 2 || len(c.Cache.Snapshot().Targets["s"]) != 1 {
-			t.Errorf("%v, fetched %+v, %+v", err, server.fetches, c.Cache.Snapshot())
+			t.Errorf("error %v, fetch requests %+v, snapshot %+v", err, server.fetches, c.Cache.Snapshot())
 		}
 	})
 }
 
-func TestPoll_EpochThatCannotBeDecodedIsAnError(t *testing.T) {
+func TestPoll_ReportsUndecodableEpoch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
@@ -207,7 +207,7 @@
 		}
 		c := newTestClient(t, ctx, server)
 		if _, err := c.poll(ctx, serverAddress); !errors.Is(err, errcode.InvalidMessage) || c.Cache.Snapshot() != nil {
-			t.Errorf("%v, %+v", err, c.Cache.Snapshot())
+			t.Errorf("error %v, snapshot %+v; want InvalidMessage and none", err, c.Cache.Snapshot())
 		}
 	})
 }
--- a/internal/distribution/server.go
+++ b/internal/distribution/server.go
@@ -13,10 +13,10 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// leaderPulseTimeout bounds the pulse that a control node sends to the leader.
-const leaderPulseTimeout = 500 * time.Millisecond
+// leaderQueryTimeout limits a control node's freshness request to the leader.
+const leaderQueryTimeout = 500 * time.Millisecond
 
-// ServerConfig is what a Server needs.
+// ServerConfig holds the dependencies of a Server.
 type ServerConfig struct {
 	Environment *environment.Environment
 	Transport   *rpc.Transport
@@ -26,9 +26,9 @@
 	Planner     *controlplane.Planner
 }
 
-// Server is the control node's side: it answers listeners, fetches and pulses from what this
-// node's replica of the configuration shard has applied. The paper has one admin server; here
-// each replica serves.
+// Server is the control node's side. It serves long polls, fetches and freshness requests from
+// the state that this node's replica of the configuration shard has applied. The paper has one
+// admin server; here each replica serves.
 type Server struct {
 	env       *environment.Environment
 	transport *rpc.Transport
@@ -41,10 +41,10 @@
 	compressor *compressor
 	encoder    *groupEncoder
 	fullFetch  *fullFetchHandler
-	relay      *pulseRelay
+	relay      *freshnessRelay
 }
 
-// NewServer returns a server and registers its handlers, so it must be called before the
+// NewServer returns a server and registers its handlers. It must be called before the
 // transport's Start.
 func NewServer(config ServerConfig) *Server {
 	s := &Server{
@@ -59,35 +59,36 @@
 		encoder:    &groupEncoder{},
 	}
 	s.fullFetch = newFullFetchHandler(s.encoder, s.env.Config.DistributionMaxConcurrentFetches, s.env.Config.DistributionRetryCooldown)
-	s.relay = newPulseRelay(s.env, s.pulseLeader)
+	s.relay = newFreshnessRelay(s.env, s.queryLeader)
 	rpc.Handle(s.transport, kindListen, s.listen)
 	rpc.Handle(s.transport, kindFetch, s.fetch)
-	s.transport.Handle(kindPulse, func(request *rpc.Request) (any, error) { return s.pulse(request) })
-	s.transport.Handle(kindLeaderPulse, func(*rpc.Request) (any, error) { return s.planner.Freshness() })
+	s.transport.Handle(kindFreshness, func(request *rpc.Request) (any, error) { return s.freshness(request) })
+	s.transport.Handle(kindLeaderFreshness, func(*rpc.Request) (any, error) { return s.planner.Freshness() })
 	return s
 }
 
-// checkQuorumContact refuses to give out what may be old; the proxy takes another node.
+// checkQuorumContact returns an error if this node has no quorum contact, because its state may
+// then be stale. The proxy uses another control node.
 func (s *Server) checkQuorumContact() error {
 	if s.consensus.HasQuorumContact(ids.ConfigShard) {
 		return nil
 	}
-	return errcode.New(errcode.NoLeader, "no contact with a majority of the configuration shard")
+	return errcode.New(errcode.NoLeader, "no contact with a quorum of the configuration shard")
 }
 
-// listen holds a listener request (the paper's doLongPolling on the server) until there is an
-// epoch greater than the listener's, and then answers with what changed; or until the hold
-// time, the setting distribution.long_poll_timeout, is over.
+// listen handles a long poll (doLongPolling on the server in the paper). It responds with the
+// changes once there is an epoch greater than the listener's, or without changes after
+// distribution.long_poll_timeout.
 func (s *Server) listen(ctx context.Context, request *rpc.ListenRequest) (*rpc.ListenResponse, error) {
-	hold := time.NewTimer(s.env.Config.DistributionLongPollTimeout)
-	defer hold.Stop()
-	held := request.Versions
+	pollTimer := time.NewTimer(s.env.Config.DistributionLongPollTimeout)
+	defer pollTimer.Stop()
+	clientManifest := request.Versions
 	if request.CombinedDigest != "" {
 		epoch := s.state.AtEpoch(request.Epoch)
 		if epoch == nil || epoch.ManifestDigest() != request.CombinedDigest {
 			return &rpc.ListenResponse{Epoch: request.Epoch, UnknownDigest: true}, nil
 		}
-		held = epoch.Manifest()
+		clientManifest = epoch.Manifest()
 	}
 	for {
 		changed := s.consensus.Replica(ids.ConfigShard).Changed()
@@ -96,16 +97,16 @@
 			if err := s.checkQuorumContact(); err != nil {
 				return nil, err
 			}
-			response := changesSince(epoch, held)
+			response := changesSince(epoch, clientManifest)
 			response.Age = epoch.Age().Milliseconds()
 			if request.AcceptsDeltas {
-				response.Deltas = s.deltas.inline(epoch, held, response.Changed)
+				response.Deltas = s.deltas.inline(epoch, clientManifest, response.Changed)
 			}
 			return response, nil
 		}
 		select {
 		case <-changed:
-		case <-hold.C:
+		case <-pollTimer.C:
 			return &rpc.ListenResponse{Epoch: epoch.Epoch}, nil
 		case <-ctx.Done():
 			return &rpc.ListenResponse{Epoch: epoch.Epoch}, nil
@@ -115,16 +116,17 @@
 	}
 }
 
-// changesSince answers a listener with how an epoch differs from the groups that it holds.
-func changesSince(epoch *controlplane.EpochState, held map[string]rpc.GroupVersion) *rpc.ListenResponse {
+// changesSince returns a response with the differences between an epoch and the listener's
+// manifest.
+func changesSince(epoch *controlplane.EpochState, clientManifest map[string]rpc.GroupVersion) *rpc.ListenResponse {
 	response := &rpc.ListenResponse{Epoch: epoch.Epoch, Changed: map[string]rpc.GroupVersion{}}
 	manifest := epoch.Manifest()
 	for name, version := range manifest {
-		if heldVersion, ok := held[name]; !ok || heldVersion != version {
+		if clientVersion, ok := clientManifest[name]; !ok || clientVersion != version {
 			response.Changed[name] = version
 		}
 	}
-	for name := range held {
+	for name := range clientManifest {
 		if _, ok := manifest[name]; !ok {
 			response.Removed = append(response.Removed, name)
 		}
@@ -132,18 +134,18 @@
 	return response
 }
 
-// fetch answers a fetch (the paper's fetchGroupConfig on the server): of the groups named, or
-// of all if none is.
+// fetch handles a fetch of the named groups, or of all groups if none is named
+// (fetchGroupConfig on the server in the paper).
 func (s *Server) fetch(ctx context.Context, request *rpc.FetchRequest) (any, error) {
 	if len(request.Groups) > 0 {
 		return s.fetchGroups(request)
 	}
-	// A node that was just started holds what its last snapshot holds, until a leader has
-	// told it how far the log is committed.
+	// A newly started node has only the state of its last snapshot until a leader reports the
+	// commit index.
 	if s.checkQuorumContact() != nil {
 		return &rpc.FetchResponse{}, nil
 	}
-	return s.fullFetch.answer(ctx, s.state.Current(), request.AcceptsPacked)
+	return s.fullFetch.handle(ctx, s.state.Current(), request.AcceptsPacked)
 }
 
 func (s *Server) fetchGroups(request *rpc.FetchRequest) (any, error) {
@@ -154,7 +156,7 @@
 	response := &rpc.FetchResponse{Epoch: epoch.Epoch, Groups: map[string]rpc.Group{}}
 	for _, name := range request.Groups {
 		if group, ok := epoch.PublishedGroup(name); ok {
-			response.Groups[name] = s.deltas.shorten(name, request.HeldDigests[name], group)
+			response.Groups[name] = s.deltas.encode(name, request.HeldDigests[name], group)
 		}
 	}
 	if request.AcceptsPacked {
@@ -162,25 +164,27 @@
 			return response, nil
 		}
 	}
-	encoded, err := s.encoder.response(response)
+	encoded, err := s.encoder.encodeResponse(response)
 	if err != nil {
 		return nil, errcode.New(errcode.Internal, "%v", err)
 	}
 	return &rpc.EncodedResponse{Body: encoded}, nil
 }
 
-// pulse answers with how old the confirmations of the configuration shard's leader are. At
-// other nodes they are older by the time since they asked the leader.
-func (s *Server) pulse(ctx context.Context) (*rpc.FreshnessResponse, error) {
+// freshness returns the ages of the confirmations of the configuration shard's leader. On
+// other nodes the ages include the time since the request to the leader was sent.
+func (s *Server) freshness(ctx context.Context) (*rpc.FreshnessResponse, error) {
 	if s.consensus.Replica(ids.ConfigShard).IsServing() {
 		return s.planner.Freshness()
 	}
 	return s.relay.get(ctx)
 }
 
-// Confirmation tells which epoch is in force, and how long ago that was confirmed.
+// Confirmation returns the epoch in force and the time since it was confirmed. If the leader
+// cannot be reached, it returns the leader's last response with its age; it fails only if
+// there was none.
 func (s *Server) Confirmation(ctx context.Context) (ids.Epoch, time.Duration, error) {
-	response, err := s.pulse(ctx)
+	response, err := s.freshness(ctx)
 	if err != nil {
 		if response = s.relay.last(); response == nil {
 			return 0, 0, err
@@ -189,8 +193,8 @@
 	return response.Epoch, time.Duration(response.AgeMicros) * time.Microsecond, nil
 }
 
-// pulseLeader asks the configuration shard's leader for the ages of its confirmations.
-func (s *Server) pulseLeader() (*rpc.FreshnessResponse, error) {
+// queryLeader requests the ages of the confirmations from the configuration shard's leader.
+func (s *Server) queryLeader() (*rpc.FreshnessResponse, error) {
 	name, ok := s.consensus.Leader(ids.ConfigShard)
 	if !ok || name == s.env.Name {
 		return nil, errcode.New(errcode.NoLeader, "configuration shard")
@@ -199,10 +203,10 @@
 	if !ok {
 		return nil, errcode.New(errcode.NoLeader, "configuration shard: %s is down", name)
 	}
-	ctx, cancel := context.WithTimeout(s.env, leaderPulseTimeout)
+	ctx, cancel := context.WithTimeout(s.env, leaderQueryTimeout)
 	defer cancel()
 	var response rpc.FreshnessResponse
-	if err := s.transport.Forward(ctx, leader.RPCAddress, kindLeaderPulse, 1, &rpc.FreshnessRequest{}, &response); err != nil {
+	if err := s.transport.Forward(ctx, leader.RPCAddress, kindLeaderFreshness, 1, &rpc.FreshnessRequest{}, &response); err != nil {
 		return nil, err
 	}
 	return &response, nil
--- a/internal/distribution/snapshot.go
+++ b/internal/distribution/snapshot.go
@@ -11,12 +11,11 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// Snapshot is the configuration of one epoch, decoded for use. It is immutable, and so are
-// the maps and lists in it: those of groups that did not change are shared with the
-// snapshot before.
+// Snapshot is the decoded configuration of one epoch. It is immutable, including its maps and
+// slices: lists of unchanged groups are shared with the previous snapshot.
 type Snapshot struct {
 	Epoch        ids.Epoch
-	Manifest     map[string]rpc.GroupVersion // of all groups, by name
+	Manifest     map[string]rpc.GroupVersion // all groups, by name
 	Routes       map[string][]rpc.Route      // by group
 	Services     map[string]rpc.Service      // by name
 	Limits       map[string]rpc.Limit        // by service
@@ -28,9 +27,9 @@
 	manifestDigest string
 }
 
-// newSnapshot decodes the groups of an epoch. What did not change since the previous
-// snapshot, which may be nil, is taken over. A group that cannot be decoded is an
-// errcode.InvalidMessage.
+// newSnapshot decodes the groups of an epoch. It reuses the route and target lists that are
+// unchanged since the previous snapshot, which may be nil. It returns errcode.InvalidMessage
+// if a group cannot be decoded.
 func newSnapshot(epoch ids.Epoch, manifest map[string]rpc.GroupVersion, groups map[string]rpc.Group, previous *Snapshot) (*Snapshot, error) {
 	if previous == nil {
 		previous = &Snapshot{}
@@ -48,13 +47,13 @@
 	}
 	var services []rpc.Service
 	var limits []rpc.Limit
-	for name, into := range map[string]any{
+	for name, value := range map[string]any{
 		controlplane.ServicesGroup:     &services,
 		controlplane.LimitsGroup:       &limits,
 		controlplane.SharesGroup:       &s.Shares,
 		controlplane.ClientLimitsGroup: &s.ClientLimits,
 	} {
-		if err := s.decode(name, into); err != nil {
+		if err := s.decode(name, value); err != nil {
 			return nil, err
 		}
 	}
@@ -79,7 +78,8 @@
 	return s, nil
 }
 
-// decodeList returns the list of a group: the previous snapshot's if the group is the same.
+// decodeList returns the decoded list of a group, or previousList if the group's digest is
+// unchanged.
 func decodeList[T any](s *Snapshot, name string, previous *Snapshot, previousList []T) (list []T, err error) {
 	if group, ok := previous.groups[name]; ok && group.Digest == s.groups[name].Digest {
 		return previousList, nil
@@ -88,13 +88,13 @@
 	return list, err
 }
 
-// decode unmarshals a group if there is one of that name.
-func (s *Snapshot) decode(name string, into any) error {
+// decode unmarshals the named group into value. If there is no such group, value is unchanged.
+func (s *Snapshot) decode(name string, value any) error {
 	group, ok := s.groups[name]
 	if !ok {
 		return nil
 	}
-	if err := json.Unmarshal(group.Data, into); err != nil {
+	if err := json.Unmarshal(group.Data, value); err != nil {
 		return errcode.New(errcode.InvalidMessage, "group %s: %v", name, err)
 	}
 	return nil
--- a/internal/distribution/snapshot_test.go
+++ b/internal/distribution/snapshot_test.go
@@ -10,7 +10,7 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-func TestNewSnapshot_SharesListsThatDidNotChange(t *testing.T) {
+func TestNewSnapshot_SharesUnchangedLists(t *testing.T) {
 	groups := map[string]rpc.Group{
 		controlplane.RoutesPrefix + "1":  group(`[{"name":"one","path":"/one","to":null}]`, 1),
 		controlplane.TargetsPrefix + "s": group(`[{"instance":"i","address":"x","zone":"","weight":1}]`, 1),
@@ -19,22 +19,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	next := maps.Clone(groups)
-	next[controlplane.TargetsPrefix+"s"] = group(`[]`, 2)
-	second, err := newSnapshot(2, manifest(next), next, first)
+	changed := maps.Clone(groups)
+	changed[controlplane.TargetsPrefix+"s"] = group(`[]`, 2)
+	second, err := newSnapshot(2, manifest(changed), changed, first)
 	if err != nil {
 		t.Fatal(err)
 	}
 	const routes = controlplane.RoutesPrefix + "1"
 	if &first.Routes[routes][0] != &second.Routes[routes][0] {
-		t.Error("a list that did not change was decoded anew")
+		t.Error("an unchanged list was decoded again")
 	}
 	if len(first.Targets["s"]) != 1 || len(second.Targets["s"]) != 0 {
-		t.Errorf("targets %v, then %v", first.Targets, second.Targets)
+		t.Errorf("targets are %v, then %v; want one, then none", first.Targets, second.Targets)
 	}
 }
 
-func TestNewSnapshot_GroupThatCannotBeDecodedIsAnError(t *testing.T) {
+func TestNewSnapshot_ReportsUndecodableGroup(t *testing.T) {
 	for _, name := range []string{
 		controlplane.ServicesGroup, controlplane.LimitsGroup, controlplane.SharesGroup, controlplane.ClientLimitsGroup,
 		controlplane.RoutesPrefix + "1", controlplane.TargetsPrefix + "s",
@@ -42,7 +42,7 @@
 		t.Run(name, func(t *testing.T) {
 			groups := map[string]rpc.Group{name: group(`"damaged"`, 1)}
 			if snapshot, err := newSnapshot(1, manifest(groups), groups, nil); snapshot != nil || !errors.Is(err, errcode.InvalidMessage) {
-				t.Errorf("%+v, %v", snapshot, err)
+				t.Errorf("snapshot %+v, error %v; want none and InvalidMessage", snapshot, err)
 			}
 		})
 	}
