--- a/internal/distribution/initial_fetch.go
+++ b/internal/distribution/initial_fetch.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// initialFetchRetry is the pause between attempts at the initial fetch while no control
+	// initialFetchRetry limits the pause between attempts at the initial fetch while no control
 	// node is overloaded. It is short because the proxy serves nothing before that fetch.
 	initialFetchRetry = 60 * time.Millisecond
 	fullFetchTimeout  = 5 * time.Second
@@ -21,8 +21,8 @@
 // fetchInitial performs the full fetch at start (fetchGroupConfig in the paper). Unlike the
 // paper's, it retries until it succeeds; it returns false if the node stops first. While
 // control nodes are overloaded, the pause between attempts doubles up to
-// distribution.retry_cooldown and is at least the shortest delay that they requested. All
-// pauses have jitter.
+// distribution.retry_cooldown and is at least the shortest delay that they requested. Jitter
+// is then applied to the pause.
 func (c *Client) fetchInitial() bool {
 	settings := c.env.Config
 	minPause := min(settings.DistributionRetryDelay, initialFetchRetry)
--- a/internal/distribution/renewal.go
+++ b/internal/distribution/renewal.go
@@ -23,8 +23,8 @@
 	// maxSkipDelay limits how long renewAsync waits for a response before later renewals go to
 	// the next control node.
 	maxSkipDelay = 500 * time.Millisecond
-	// returnToNearestAfter is how long after the last skip renewals return to the nearest
-	// control node.
+	// returnToNearestAfter is the time since the last skip after which renewals use the nearest
+	// control node again.
 	returnToNearestAfter = 5 * time.Second
 
 	// The renewal intervals before the first response and after a failed renewal, if shorter
@@ -142,8 +142,8 @@
 	}
 }
 
-// returnToNearest resets the cursor to the nearest control node returnToNearestAfter after the
-// last skip, because traffic between zones costs more. It does so only with
+// returnToNearest resets the cursor to the nearest control node if the last skip is more than
+// returnToNearestAfter ago, because traffic between zones costs more. It does so only with
 // distribution.offline_grace, where no request depends on any single renewal.
 func (c *Client) returnToNearest() {
 	skippedAt := c.renewal.skippedAt.Load()
