--- a/internal/controlplane/address_conflicts.go
+++ b/internal/controlplane/address_conflicts.go
@@ -8,43 +8,44 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// addressConflict is two instances, as "service/instance", that claim one address.
+// addressConflict is a pair of instances, as "service/instance", that claim the same address.
 type addressConflict struct{ address, first, second string }
 
 // addressClaim is an instance's claim to an address.
 type addressClaim struct {
 	service  string
-	instance string // as "service/instance"; empty if nobody may have the address yet
+	instance string // as "service/instance"; empty if the address is not released yet
 	since    int64  // when the instance was first seen; the newest claim wins
 }
 
-// winsOver tells whether a claim wins over another one to the same address. Of two equally
-// new ones the greater name does, so that every planner decides the same.
+// winsOver reports whether a claim wins over another one to the same address. The newer claim
+// wins, and of two equally new ones that with the greater name, so that all planners decide
+// alike.
 func (c addressClaim) winsOver(other addressClaim) bool {
 	return c.since > other.since || c.since == other.since && c.instance >= other.instance
 }
 
-// resolution is what resolveTargets decides.
+// resolution is the result of resolveTargets.
 type resolution struct {
-	targets   map[string][]rpc.Target // for each service of which there is a report
+	targets   map[string][]rpc.Target // for each service with a report
 	conflicts []addressConflict
-	// awaitsRelease tells whether a target waits for the epoch after next, because
-	// another service holds its address in the epoch in force.
+	// awaitsRelease reports whether a target can be listed only in the epoch after the next
+	// one, because another service uses its address in the current epoch.
 	awaitsRelease bool
 }
 
-// resolveTargets gives each address to one instance, and lists, for every service of which
-// there is a report, the targets that are in rotation. The newest claim to an address wins
-// and the older ones go out in the same epoch. An address that another service holds in the
-// epoch in force comes in only once that epoch is past, for a proxy may still send that
-// service's requests to it. The error is a *DamagedGroupError.
+// resolveTargets assigns each address to one instance, and lists the targets in rotation for
+// every service with a report. The newest claim to an address wins, and the older ones are
+// removed in the same epoch. If another service uses the address in the current epoch, it is
+// released in the next epoch and assigned in a later one, because a proxy may still send
+// that service's requests to it. The error is a *DamagedGroupError.
 func resolveTargets(epoch *EpochState, services []rpc.Service, reports map[ids.Shard]*shardReport) (resolution, error) {
 	lists, err := reportedTargets(epoch, services, reports)
 	if err != nil {
 		return resolution{}, err
 	}
 	claims, conflicts := claimAddresses(services, lists)
-	awaitsRelease, err := withholdHeldAddresses(epoch, claims)
+	awaitsRelease, err := withholdAddressesInUse(epoch, claims)
 	if err != nil {
 		return resolution{}, err
 	}
@@ -55,7 +56,8 @@
 	return resolution{targets: targets, conflicts: conflicts, awaitsRelease: awaitsRelease}, nil
 }
 
-// reportedTargets is the list of each service of which there is a report.
+// reportedTargets returns the list of each service with a report. A provisional list is merged
+// with that of the current epoch. The error is a *DamagedGroupError.
 func reportedTargets(epoch *EpochState, services []rpc.Service, reports map[ids.Shard]*shardReport) (targetLists, error) {
 	lists := targetLists{}
 	for _, service := range services {
@@ -76,8 +78,8 @@
 	return lists, nil
 }
 
-// claimAddresses finds the winning claim to each address. A target that drains still claims
-// its own; one that left or timed out does not.
+// claimAddresses returns the winning claim to each address, and all conflicts. A draining
+// target still claims its address; one that left or timed out does not.
 func claimAddresses(services []rpc.Service, lists targetLists) (claims map[string]addressClaim, conflicts []addressConflict) {
 	claims = map[string]addressClaim{}
 	for _, service := range services {
@@ -86,9 +88,9 @@
 				continue
 			}
 			claim := addressClaim{service.Name, service.Name + "/" + target.Instance, target.Since}
-			if holder, ok := claims[target.Address]; ok {
-				conflicts = append(conflicts, addressConflict{target.Address, min(holder.instance, claim.instance), max(holder.instance, claim.instance)})
-				if !claim.winsOver(holder) {
+			if winner, ok := claims[target.Address]; ok {
+				conflicts = append(conflicts, addressConflict{target.Address, min(winner.instance, claim.instance), max(winner.instance, claim.instance)})
+				if !claim.winsOver(winner) {
 					continue
 				}
 			}
@@ -98,9 +100,10 @@
 	return claims, conflicts
 }
 
-// withholdHeldAddresses takes from the claims those to addresses that another service holds
-// in the epoch in force. It tells whether there are any.
-func withholdHeldAddresses(epoch *EpochState, claims map[string]addressClaim) (withheld bool, err error) {
+// withholdAddressesInUse clears the instance of each claim to an address that another service
+// uses in the current epoch, and reports whether there is any. The error is a
+// *DamagedGroupError.
+func withholdAddressesInUse(epoch *EpochState, claims map[string]addressClaim) (withheld bool, err error) {
 	for service := range epoch.targetServices() {
 		targets, err := epoch.Targets(service)
 		if err != nil {
@@ -116,7 +119,7 @@
 	return withheld, nil
 }
 
-// inRotation is the targets of a service that may be sent to, in order.
+// inRotation returns the targets of a service that may receive requests, sorted by instance.
 func inRotation(service string, list []rpc.ReportedTarget, claims map[string]addressClaim) []rpc.Target {
 	targets := []rpc.Target{}
 	for _, target := range list {
--- a/internal/controlplane/address_conflicts_test.go
+++ b/internal/controlplane/address_conflicts_test.go
@@ -8,36 +8,36 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-func TestResolveTargets_KeepsReplacesAndDropsTargets(t *testing.T) {
-	held := func(instance, address string) rpc.Target {
+func TestResolveTargets_KeepsReplacesAndRemovesTargets(t *testing.T) {
+	target := func(instance, address string) rpc.Target {
 		return rpc.Target{Instance: instance, Address: address, Weight: 1, Slots: 4, SlowStartMillis: 7}
 	}
-	reported := func(instance, address string, since int64, out string) rpc.ReportedTarget {
-		return rpc.ReportedTarget{Instance: instance, Address: address, Weight: 1, Slots: 4, SlowStartMillis: 7, Since: since, OutReason: out}
+	reported := func(instance, address string, since int64, outReason string) rpc.ReportedTarget {
+		return rpc.ReportedTarget{Instance: instance, Address: address, Weight: 1, Slots: 4, SlowStartMillis: 7, Since: since, OutReason: outReason}
 	}
-	inForce := []rpc.Target{held("a", "A"), held("b", "B")}
+	currentTargets := []rpc.Target{target("a", "A"), target("b", "B")}
 	for name, c := range map[string]struct {
 		provisional bool
 		list        []rpc.ReportedTarget
 		want        []rpc.Target
 	}{
-		"provisional: not heard from, kept":                           {true, []rpc.ReportedTarget{reported("a", "A", 5, "")}, inForce},
-		"provisional: nobody heard from, all kept":                    {true, nil, inForce},
-		"not heard from, removed":                                     {false, []rpc.ReportedTarget{reported("a", "A", 5, "")}, inForce[:1]},
-		"provisional: new one added":                                  {true, []rpc.ReportedTarget{reported("c", "C", 5, "")}, []rpc.Target{inForce[0], inForce[1], held("c", "C")}},
-		"provisional: draining one removed":                           {true, []rpc.ReportedTarget{reported("b", "B", 5, StateDraining)}, inForce[:1]},
-		"provisional: departed and not heard from, removed":           {true, []rpc.ReportedTarget{{Instance: "b", OutReason: StateLeaving}}, inForce[:1]},
-		"provisional: timed-out one removed":                          {true, []rpc.ReportedTarget{reported("b", "B", 5, StateTimedOut)}, inForce[:1]},
-		"provisional: address passed on":                              {true, []rpc.ReportedTarget{reported("c", "B", 5, "")}, []rpc.Target{inForce[0], held("c", "B")}},
-		"provisional: instance moved":                                 {true, []rpc.ReportedTarget{reported("b", "D", 5, "")}, []rpc.Target{inForce[0], held("b", "D")}},
-		"newest of two claims wins":                                   {false, []rpc.ReportedTarget{reported("a", "A", 5, ""), reported("c", "A", 6, "")}, []rpc.Target{held("c", "A")}},
-		"provisional: target of the previous term loses to a new one": {true, []rpc.ReportedTarget{reported("b", "B", seenInPreviousTerm, ""), reported("c", "B", -3, "")}, []rpc.Target{inForce[0], held("c", "B")}},
-		"provisional: two departed without address":                   {true, []rpc.ReportedTarget{{Instance: "x", OutReason: StateDraining}, {Instance: "y", OutReason: StateDraining}}, inForce},
-		"provisional: no address, not a target":                       {true, []rpc.ReportedTarget{{Instance: "x"}}, inForce},
+		"provisional: without heartbeat, kept":                        {true, []rpc.ReportedTarget{reported("a", "A", 5, "")}, currentTargets},
+		"provisional: no heartbeats, all kept":                        {true, nil, currentTargets},
+		"without heartbeat, removed":                                  {false, []rpc.ReportedTarget{reported("a", "A", 5, "")}, currentTargets[:1]},
+		"provisional: new target added":                               {true, []rpc.ReportedTarget{reported("c", "C", 5, "")}, []rpc.Target{currentTargets[0], currentTargets[1], target("c", "C")}},
+		"provisional: draining target removed":                        {true, []rpc.ReportedTarget{reported("b", "B", 5, StateDraining)}, currentTargets[:1]},
+		"provisional: departed and without heartbeat, removed":        {true, []rpc.ReportedTarget{{Instance: "b", OutReason: StateLeaving}}, currentTargets[:1]},
+		"provisional: timed-out target removed":                       {true, []rpc.ReportedTarget{reported("b", "B", 5, StateTimedOut)}, currentTargets[:1]},
+		"provisional: address claimed by a new instance":              {true, []rpc.ReportedTarget{reported("c", "B", 5, "")}, []rpc.Target{currentTargets[0], target("c", "B")}},
+		"provisional: instance moved to another address":              {true, []rpc.ReportedTarget{reported("b", "D", 5, "")}, []rpc.Target{currentTargets[0], target("b", "D")}},
+		"newest of two claims wins":                                   {false, []rpc.ReportedTarget{reported("a", "A", 5, ""), reported("c", "A", 6, "")}, []rpc.Target{target("c", "A")}},
+		"provisional: target of the previous term loses to a new one": {true, []rpc.ReportedTarget{reported("b", "B", seenInPreviousTerm, ""), reported("c", "B", -3, "")}, []rpc.Target{currentTargets[0], target("c", "B")}},
+		"provisional: two departures without address":                 {true, []rpc.ReportedTarget{{Instance: "x", OutReason: StateDraining}, {Instance: "y", OutReason: StateDraining}}, currentTargets},
+		"provisional: target without address is ignored":              {true, []rpc.ReportedTarget{{Instance: "x"}}, currentTargets},
 	} {
 		t.Run(name, func(t *testing.T) {
 			reports := map[ids.Shard]*shardReport{ids.ShardOf("s"): {ShardTargets: rpc.ShardTargets{Provisional: c.provisional, Targets: targetLists{"s": c.list}}}}
-			resolved, err := resolveTargets(epochWith(t, map[string][]rpc.Target{"s": inForce}), []rpc.Service{{Name: "s"}}, reports)
+			resolved, err := resolveTargets(epochWith(t, map[string][]rpc.Target{"s": currentTargets}), []rpc.Service{{Name: "s"}}, reports)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/controlplane/binding.go
+++ b/internal/controlplane/binding.go
@@ -1,12 +1,13 @@
 package controlplane
 
-// An epoch binds if somebody was, or will be, told that a change set is in force or that a
-// target gets nothing more: whoever goes on with an epoch from before it does harm. One
-// that only brings targets or shares binds nobody, and a proxy that has not taken it yet
-// serves as rightly as one that has.
+// An epoch is binding if a proxy must not serve under an earlier one: it has a change set,
+// which is acknowledged as in force, or it removes a target, which may rely on receiving no
+// more requests. An epoch that only adds targets or changes shares is not binding: a proxy
+// that has not applied it yet still serves correctly.
 
-// removesTarget tells whether a target that could be sent to in one epoch can't be in the
-// next, or whether a group is gone. The error is a *DamagedGroupError.
+// removesTarget reports whether a target that is usable in the previous epoch (its weight is
+// above zero) is not usable at the same address in the next one, or whether a group was
+// removed. The error is a *DamagedGroupError.
 func removesTarget(previous, next *EpochState) (bool, error) {
 	for name := range previous.Groups {
 		if _, ok := next.Groups[name]; !ok {
--- a/internal/controlplane/binding_test.go
+++ b/internal/controlplane/binding_test.go
@@ -8,21 +8,21 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-func TestConfigState_OnlyChangeSetsAndRemovedTargetsBind(t *testing.T) {
-	c := NewConfigState()
+func TestConfigState_OnlyChangeSetsAndRemovedTargetsMakeEpochsBinding(t *testing.T) {
+	state := NewConfigState()
 	step := func(change *rpc.ChangeResult, put map[string]any, drop ...string) ids.Epoch {
 		t.Helper()
-		planned := &rpc.EpochEntry{Epoch: c.Current().Epoch + 1, Change: change, Put: map[string]json.RawMessage{}, Remove: drop}
+		planned := &rpc.EpochEntry{Epoch: state.Current().Epoch + 1, Change: change, Put: map[string]json.RawMessage{}, Remove: drop}
 		for name, value := range put {
 			planned.Put[name] = mustMarshal(value)
 		}
-		return apply(t, c, planned).LastBinding
+		return apply(t, state, planned).LastBinding
 	}
 	list := func(targets ...rpc.Target) map[string]any { return map[string]any{TargetsPrefix + "rates": targets} }
 	a, b := rpc.Target{Instance: "a", Address: "10.0.0.1:80", Weight: 100}, rpc.Target{Instance: "b", Address: "10.0.0.2:80", Weight: 100}
 	moved, drained, lighter := b, b, b
 	moved.Address, drained.Weight, lighter.Weight = "10.0.0.3:80", 0, 50
-	for i, one := range []struct {
+	for i, c := range []struct {
 		change *rpc.ChangeResult
 		put    map[string]any
 		drop   []string
@@ -41,11 +41,11 @@
 		{nil, list(b, a), nil, 10},
 		{nil, nil, []string{TargetsPrefix + "rates"}, 12},
 	} {
-		if got := step(one.change, one.put, one.drop...); got != one.want {
-			t.Errorf("step %d: the last epoch that binds is %d, not %d", i+1, got, one.want)
+		if got := step(c.change, c.put, c.drop...); got != c.want {
+			t.Errorf("step %d: the last binding epoch is %d, want %d", i+1, got, c.want)
 		}
 	}
-	if other := restored(t, snapshot(t, c)); other.Current().LastBinding != other.Current().Epoch {
-		t.Error("a member that was sent a snapshot takes an epoch for one that does not bind, though it can't know")
+	if other := restored(t, snapshot(t, state)); other.Current().LastBinding != other.Current().Epoch {
+		t.Error("the epoch of a restored snapshot does not count as binding")
 	}
 }
--- a/internal/controlplane/change.go
+++ b/internal/controlplane/change.go
@@ -9,12 +9,13 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// defaultChangeHistory is how many change sets are remembered where an epoch does not say
-// so itself: those of earlier builds.
+// defaultChangeHistory is how many results of change sets are kept if an entry does not
+// specify it. Entries of earlier builds don't.
 const defaultChangeHistory = 4096
 
-// appendChange adds an accepted change set to those that are remembered. The limit stands
-// in the log entry, so that all members apply it the same whatever their settings say.
+// appendChange returns the history with the result of an accepted change set added, limited
+// to the newest ones. The limit comes from the log entry rather than from the settings, so
+// that all members of the shard apply the same one.
 func appendChange(history []rpc.ChangeResult, change *rpc.ChangeResult, limit int) []rpc.ChangeResult {
 	if limit == 0 {
 		limit = defaultChangeHistory
@@ -25,7 +26,7 @@
 	return append(slices.Clone(history), *change)
 }
 
-// FindChange is the result of an accepted change set, if it is still remembered.
+// FindChange returns the result of an accepted change set by its ID, if it is still kept.
 func (e *EpochState) FindChange(id string) (rpc.ChangeResult, bool) {
 	for i := len(e.Changes) - 1; i >= 0; i-- {
 		if e.Changes[i].ID == id {
@@ -35,11 +36,11 @@
 	return rpc.ChangeResult{}, false
 }
 
-// CheckPrecondition decides whether a change set may follow this epoch. It returns the
-// first result if the set was accepted before, and no result if it is a new one. A new one
-// is refused with errcode.ChangeReused if its id was used for another set, with
-// errcode.ChangeConflict if the epoch or version that it names is not in force any more,
-// and with errcode.InvalidChange if its own version is not above the one in force.
+// CheckPrecondition checks whether a change set may be applied to this epoch. For a change
+// set that was accepted before it returns the result of that time, and for a new one that
+// may be applied nil. The error is errcode.ChangeReused if the ID belongs to a change set
+// with another digest, errcode.ChangeConflict if the base epoch or expected version is not
+// current, and errcode.InvalidChange if the new version is not above the current one.
 func (e *EpochState) CheckPrecondition(change *rpc.ChangeSet, digest string) (*rpc.ChangeResult, error) {
 	if first, ok := e.FindChange(change.ID); ok {
 		if first.Digest != digest {
@@ -59,9 +60,9 @@
 	return nil, nil
 }
 
-// MergeChange merges a change set into a configuration and validates the result. Each
-// fault is named by the path of the item and field, such as "mappings.a.path: ..."; with
-// any fault at all, all of the set is to be refused.
+// MergeChange merges a change set into a configuration and validates the result. It also
+// returns the faults found, each prefixed with the path of the item and field, such as
+// "mappings.a.path: ...". If there is any, the whole change set must be refused.
 func MergeChange(config rpc.Configuration, change *rpc.ChangeSet) (rpc.Configuration, []string) {
 	var v validator
 	if change.ID == "" || len(change.ID) > maxNameBytes {
@@ -70,7 +71,7 @@
 	if change.Complete {
 		config = rpc.Configuration{}
 		if len(change.Remove.Routes)+len(change.Remove.Services)+len(change.Remove.Limits) > 0 {
-			v.fail("drop: has no place in a whole configuration")
+			v.fail("drop: is not allowed in a whole configuration")
 		}
 	}
 	merged := rpc.Configuration{
@@ -86,7 +87,8 @@
 	return merged, v.faults
 }
 
-// mergeItems drops and puts items of one kind, and sorts the result by name.
+// mergeItems returns items without those in drop and with those in put added or replaced,
+// sorted by name. It records a fault for each contradictory or unknown name.
 func mergeItems[T any](v *validator, kind string, items, put []T, drop []string, nameOf func(T) string) []T {
 	existing, dropped, replaced := map[string]bool{}, map[string]bool{}, map[string]bool{}
 	for _, item := range items {
@@ -104,7 +106,7 @@
 			v.fail("put.%s.%d: %q stands twice", kind, i, name)
 		}
 		if dropped[name] {
-			v.fail("put.%s.%d: %q is dropped as well", kind, i, name)
+			v.fail("put.%s.%d: %q is also dropped", kind, i, name)
 		}
 		replaced[name] = true
 	}
--- a/internal/controlplane/change_test.go
+++ b/internal/controlplane/change_test.go
@@ -19,24 +19,24 @@
 		code   errcode.Code
 		repeat bool
 	}{
-		"as today":                      {rpc.ChangeSet{ID: "a", BaseEpoch: 7}, "x", errcode.Code{}, false},
-		"base too old":                  {rpc.ChangeSet{ID: "a", BaseEpoch: 6}, "x", errcode.ChangeConflict, false},
-		"base to come":                  {rpc.ChangeSet{ID: "a", BaseEpoch: 10}, "x", errcode.ChangeConflict, false},
-		"repeat":                        {rpc.ChangeSet{ID: "old", Version: 5, ExpectedVersion: version(1)}, "d", errcode.Code{}, true},
-		"id used again":                 {rpc.ChangeSet{ID: "old", BaseEpoch: 7}, "other", errcode.ChangeReused, false},
-		"over what is in force":         {rpc.ChangeSet{ID: "a", Version: 6, ExpectedVersion: version(5)}, "x", errcode.Code{}, false},
-		"over, and no version":          {rpc.ChangeSet{ID: "a", ExpectedVersion: version(5)}, "x", errcode.Code{}, false},
-		"over what is past":             {rpc.ChangeSet{ID: "a", BaseEpoch: 9, Version: 6, ExpectedVersion: version(4)}, "x", errcode.ChangeConflict, false},
-		"over what is to come":          {rpc.ChangeSet{ID: "a", BaseEpoch: 9, Version: 7, ExpectedVersion: version(6)}, "x", errcode.ChangeConflict, false},
-		"over none":                     {rpc.ChangeSet{ID: "a", Version: 6, ExpectedVersion: version(0)}, "x", errcode.ChangeConflict, false},
-		"version that is there":         {rpc.ChangeSet{ID: "a", BaseEpoch: 9, Version: 5}, "x", errcode.InvalidChange, false},
-		"version below":                 {rpc.ChangeSet{ID: "a", BaseEpoch: 9, Version: 4}, "x", errcode.InvalidChange, false},
-		"version below, over it":        {rpc.ChangeSet{ID: "a", Version: 5, ExpectedVersion: version(5)}, "x", errcode.InvalidChange, false},
-		"version below, over past":      {rpc.ChangeSet{ID: "a", Version: 5, ExpectedVersion: version(4)}, "x", errcode.ChangeConflict, false},
-		"version above":                 {rpc.ChangeSet{ID: "a", BaseEpoch: 9, Version: 60}, "x", errcode.Code{}, false},
-		"version above, base too old":   {rpc.ChangeSet{ID: "a", BaseEpoch: 6, Version: 6}, "x", errcode.ChangeConflict, false},
-		"version below, base too old":   {rpc.ChangeSet{ID: "a", BaseEpoch: 6, Version: 5}, "x", errcode.InvalidChange, false},
-		"over, and base isn't asked of": {rpc.ChangeSet{ID: "a", BaseEpoch: 99, ExpectedVersion: version(5)}, "x", errcode.Code{}, false},
+		"base is the last change":                               {rpc.ChangeSet{ID: "a", BaseEpoch: 7}, "x", errcode.Code{}, false},
+		"base before the last change":                           {rpc.ChangeSet{ID: "a", BaseEpoch: 6}, "x", errcode.ChangeConflict, false},
+		"base above the current epoch":                          {rpc.ChangeSet{ID: "a", BaseEpoch: 10}, "x", errcode.ChangeConflict, false},
+		"repeated change set":                                   {rpc.ChangeSet{ID: "old", Version: 5, ExpectedVersion: version(1)}, "d", errcode.Code{}, true},
+		"ID reused for another change set":                      {rpc.ChangeSet{ID: "old", BaseEpoch: 7}, "other", errcode.ChangeReused, false},
+		"expects the current version":                           {rpc.ChangeSet{ID: "a", Version: 6, ExpectedVersion: version(5)}, "x", errcode.Code{}, false},
+		"expects the current version, sets none":                {rpc.ChangeSet{ID: "a", ExpectedVersion: version(5)}, "x", errcode.Code{}, false},
+		"expects an older version":                              {rpc.ChangeSet{ID: "a", BaseEpoch: 9, Version: 6, ExpectedVersion: version(4)}, "x", errcode.ChangeConflict, false},
+		"expects a newer version":                               {rpc.ChangeSet{ID: "a", BaseEpoch: 9, Version: 7, ExpectedVersion: version(6)}, "x", errcode.ChangeConflict, false},
+		"expects no version":                                    {rpc.ChangeSet{ID: "a", Version: 6, ExpectedVersion: version(0)}, "x", errcode.ChangeConflict, false},
+		"sets the current version":                              {rpc.ChangeSet{ID: "a", BaseEpoch: 9, Version: 5}, "x", errcode.InvalidChange, false},
+		"sets an older version":                                 {rpc.ChangeSet{ID: "a", BaseEpoch: 9, Version: 4}, "x", errcode.InvalidChange, false},
+		"expects and sets the current version":                  {rpc.ChangeSet{ID: "a", Version: 5, ExpectedVersion: version(5)}, "x", errcode.InvalidChange, false},
+		"expects an older version, sets the current one":        {rpc.ChangeSet{ID: "a", Version: 5, ExpectedVersion: version(4)}, "x", errcode.ChangeConflict, false},
+		"sets a newer version":                                  {rpc.ChangeSet{ID: "a", BaseEpoch: 9, Version: 60}, "x", errcode.Code{}, false},
+		"sets a newer version, base before the last change":     {rpc.ChangeSet{ID: "a", BaseEpoch: 6, Version: 6}, "x", errcode.ChangeConflict, false},
+		"sets the current version, base before the last change": {rpc.ChangeSet{ID: "a", BaseEpoch: 6, Version: 5}, "x", errcode.InvalidChange, false},
+		"expects the current version, base is ignored":          {rpc.ChangeSet{ID: "a", BaseEpoch: 99, ExpectedVersion: version(5)}, "x", errcode.Code{}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			first, err := epoch.CheckPrecondition(&c.change, c.digest)
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestMergeChange_ClientLimitsAndDrops(t *testing.T) {
+func TestMergeChange_ClientLimitsAndRemovals(t *testing.T) {
 	old := rpc.Configuration{Services: []rpc.Service{{Name: "a"}, {Name: "b"}}, ClientLimits: &rpc.ClientLimits{BodyBytes: 1}}
 	for name, c := range map[string]struct {
 		change   rpc.ChangeSet
@@ -62,14 +62,14 @@
 		services int
 		faults   int
 	}{
-		"kept":             {rpc.ChangeSet{}, 1, 2, 0},
-		"replaced":         {rpc.ChangeSet{Put: rpc.Configuration{ClientLimits: &rpc.ClientLimits{BodyBytes: 2}}}, 2, 2, 0},
-		"whole":            {rpc.ChangeSet{Complete: true}, 0, 0, 0},
-		"whole with some":  {rpc.ChangeSet{Complete: true, Put: rpc.Configuration{ClientLimits: &rpc.ClientLimits{BodyBytes: 3}}}, 3, 0, 0},
-		"dropped":          {rpc.ChangeSet{Remove: rpc.Removals{Services: []string{"a"}}}, 1, 1, 0},
-		"drop of no item":  {rpc.ChangeSet{Remove: rpc.Removals{Services: []string{"c"}}}, 1, 2, 1},
-		"dropped and put":  {rpc.ChangeSet{Remove: rpc.Removals{Services: []string{"a"}}, Put: rpc.Configuration{Services: []rpc.Service{{Name: "a"}}}}, 1, 2, 1},
-		"two put the same": {rpc.ChangeSet{Put: rpc.Configuration{Services: []rpc.Service{{Name: "c"}, {Name: "c"}}}}, 1, 4, 1},
+		"kept":                            {rpc.ChangeSet{}, 1, 2, 0},
+		"replaced":                        {rpc.ChangeSet{Put: rpc.Configuration{ClientLimits: &rpc.ClientLimits{BodyBytes: 2}}}, 2, 2, 0},
+		"whole configuration without any": {rpc.ChangeSet{Complete: true}, 0, 0, 0},
+		"whole configuration with some":   {rpc.ChangeSet{Complete: true, Put: rpc.Configuration{ClientLimits: &rpc.ClientLimits{BodyBytes: 3}}}, 3, 0, 0},
+		"service dropped":                 {rpc.ChangeSet{Remove: rpc.Removals{Services: []string{"a"}}}, 1, 1, 0},
+		"unknown service dropped":         {rpc.ChangeSet{Remove: rpc.Removals{Services: []string{"c"}}}, 1, 2, 1},
+		"service dropped and put":         {rpc.ChangeSet{Remove: rpc.Removals{Services: []string{"a"}}, Put: rpc.Configuration{Services: []rpc.Service{{Name: "a"}}}}, 1, 2, 1},
+		"service put twice":               {rpc.ChangeSet{Put: rpc.Configuration{Services: []rpc.Service{{Name: "c"}, {Name: "c"}}}}, 1, 4, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c.change.ID = "c"
--- a/internal/controlplane/collect.go
+++ b/internal/controlplane/collect.go
@@ -9,21 +9,21 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// messageReport is the kind of message by which reports are asked for.
+// messageReport is the kind of the message that requests a report.
 const messageReport = "plan.news"
 
 // collectTimeout bounds one round of collecting reports.
 const collectTimeout = 400 * time.Millisecond
 
-// shardReport is the newest report on a shard. Its lists tell when each target was first
-// seen, in microseconds since the planner was made.
+// shardReport is the newest report on a shard. Unlike on the wire, Since in its lists is the
+// time when a target was first seen, in microseconds since the planner's startedAt.
 type shardReport struct {
 	rpc.ShardTargets
-	asOf time.Time // all that was known at this time is in the report
+	asOf time.Time // the report includes everything known to the registry at this time
 }
 
-// collectReports asks every live core node for the reports on the shards that it leads, and
-// waits for them all. Nodes that do not answer in time are left out.
+// collectReports requests from every live core node the reports on the shards that it leads,
+// and merges them. It returns when all nodes have responded or collectTimeout has passed.
 func (p *Planner) collectReports(term ids.Term) {
 	p.mu.Lock()
 	known := map[ids.Shard]string{}
@@ -31,13 +31,13 @@
 		known[shard] = report.Digest
 	}
 	p.mu.Unlock()
-	ctx, end := context.WithTimeout(p.env, collectTimeout)
-	defer end()
-	var all sync.WaitGroup
+	ctx, cancel := context.WithTimeout(p.env, collectTimeout)
+	defer cancel()
+	var calls sync.WaitGroup
 	for _, member := range p.members.CoreMembers() {
-		all.Add(1)
+		calls.Add(1)
 		p.env.Go(func() {
-			defer all.Done()
+			defer calls.Done()
 			sent := p.env.Now()
 			var response rpc.TargetReportResponse
 			if p.transport.Call(ctx, member.RPCAddress, messageReport, &rpc.TargetReportRequest{Known: known}, &response) == nil {
@@ -45,10 +45,10 @@
 			}
 		})
 	}
-	all.Wait()
+	calls.Wait()
 }
 
-// mergeReports takes over what one node reported in answer to a request sent at a time.
+// mergeReports merges a node's response to the request that was sent at the given time.
 func (p *Planner) mergeReports(term ids.Term, sent time.Time, response *rpc.TargetReportResponse) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -56,8 +56,8 @@
 		return
 	}
 	for _, update := range response.Shards {
-		// The age counts from when the request was sent, not from when the answer came: it
-		// may only be told too old.
+		// The age is subtracted from the time when the request was sent, not when the response
+		// arrived: a report may be taken for older than it is, but never for newer.
 		asOf := sent.Add(-time.Duration(update.Age) * time.Microsecond)
 		if err := p.view.merge(&update, asOf, sent.Sub(p.startedAt).Microseconds(), p.state.Current()); err != nil {
 			p.state.reportDamage(err)
@@ -65,10 +65,11 @@
 	}
 }
 
-// merge takes over one report, unless a newer one of its shard is there, or it has no lists
-// and refers to others than are known. The error is a *DamagedGroupError of
-// the epoch in force; the report is not taken over then.
-func (v *plannerView) merge(update *rpc.ShardTargets, asOf time.Time, received int64, epoch *EpochState) error {
+// merge stores a report on a shard. It ignores the report if it already has a newer one, or if
+// the report has no lists and its digest is not that of the lists stored. requestedAt is in
+// microseconds since the planner's startedAt. The error is a *DamagedGroupError of the current
+// epoch; the report is not stored then.
+func (v *plannerView) merge(update *rpc.ShardTargets, asOf time.Time, requestedAt int64, epoch *EpochState) error {
 	last := v.reports[update.Shard]
 	sameTerm := last != nil && last.Term == update.Term
 	switch {
@@ -95,7 +96,7 @@
 	if update.Targets == nil {
 		update.Targets = last.Targets
 	} else {
-		normalizeAges(update, received, v.previousTargets[update.Shard])
+		normalizeAges(update, requestedAt, v.previousTargets[update.Shard])
 	}
 	v.reports[update.Shard] = &shardReport{ShardTargets: *update, asOf: asOf}
 	return nil
--- a/internal/controlplane/doc.go
+++ b/internal/controlplane/doc.go
@@ -2,18 +2,18 @@
 // into epochs: complete, numbered versions of everything that a proxy needs in order to
 // route requests. It has four parts.
 //
-//   - ConfigState is the state machine of the configuration shard. Every entry of that
-//     shard's log is one epoch, written as the groups in which it differs from the epoch
-//     before it. EpochState is one such epoch; it is never written to after it was made.
-//   - A change set is merged into the configuration in force and validated as a whole
-//     (MergeChange) before anything is proposed; EpochState.CheckPrecondition decides
-//     whether it still applies.
+//   - ConfigState is the state machine of the configuration shard. Each entry of that
+//     shard's log is one epoch, encoded as its difference from the previous epoch.
+//     EpochState is one epoch and is immutable.
+//   - Change sets: EpochState.CheckPrecondition decides whether a change set still applies
+//     to the current epoch. MergeChange merges it into the current configuration and
+//     validates the result as a whole before anything is proposed.
 //   - TargetRegistry runs at the leader of each data shard. It keeps, in memory, the last
-//     heartbeat of every target (server instance) of the shard's services. Only draining
-//     and leaving are committed to the shard's log.
+//     heartbeat of every target (server instance) of the shard's services. Only the states
+//     draining and leaving are committed to the shard's log.
 //   - Planner runs at the leader of the configuration shard. It collects the reports of all
 //     registries, resolves address conflicts, and commits a new epoch when one is needed.
 //
-// Ages, never wall-clock times, travel between nodes, each measured on the monotonic clock
-// of the node that sends it.
+// Messages between nodes contain ages instead of wall-clock times. Each age is measured on
+// the monotonic clock of the node that sends it.
 package controlplane
--- a/internal/controlplane/epoch.go
+++ b/internal/controlplane/epoch.go
@@ -13,30 +13,29 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// EpochState is one epoch. It is never written to after it was made, so that it may be
-// read, and shared between goroutines, without a lock.
+// EpochState is one epoch. It is immutable, so goroutines may share it without a lock.
 type EpochState struct {
 	Epoch ids.Epoch
-	// LastBinding is the last epoch, up to this one, that binds (see binding.go).
+	// LastBinding is the last binding epoch up to and including this one (see binding.go).
 	LastBinding ids.Epoch
-	// LastChange is the last epoch, up to this one, that a change set was accepted in.
+	// LastChange is the last epoch, up to and including this one, that has a change set.
 	LastChange ids.Epoch
-	// Version is the operators' own number of the configuration, 0 before they gave one.
+	// Version is the operators' version number of the configuration, 0 if they gave none.
 	Version ids.Version
-	// Groups is everything else, by the names in groups.go.
+	// Groups holds the configuration, targets and shares by group name (see groups.go).
 	Groups map[string]rpc.Group
-	// Changes is the results of the change sets accepted lately, oldest first.
+	// Changes holds the results of the most recently accepted change sets, oldest first.
 	Changes []rpc.ChangeResult
 
 	manifestDigest atomic.Pointer[string] // cache of ManifestDigest
-	appliedAt      time.Time              // zero if it came with a snapshot or a repair
+	appliedAt      time.Time              // zero if the epoch comes from a snapshot or a repair
 }
 
-// Age is for how long this node has held the epoch.
+// Age returns the time since this node applied the epoch.
 func (e *EpochState) Age() time.Duration { return time.Since(e.appliedAt) }
 
-// decode reads a group into a value, which is left as it is if there is no such group.
-// The error is a *DamagedGroupError.
+// decode decodes a group into the given value. It leaves the value unchanged if the epoch
+// has no such group. The error is a *DamagedGroupError.
 func (e *EpochState) decode(name string, into any) error {
 	group, ok := e.Groups[name]
 	if !ok {
@@ -48,13 +47,13 @@
 	return nil
 }
 
-// HasService tells whether there is a service of that name.
+// HasService reports whether the epoch has a target list for the service.
 func (e *EpochState) HasService(service string) bool {
 	_, ok := e.Groups[TargetsPrefix+service]
 	return ok
 }
 
-// Targets is a service's target list; the error is a *DamagedGroupError.
+// Targets returns a service's target list. The error is a *DamagedGroupError.
 func (e *EpochState) Targets(service string) (targets []rpc.Target, err error) {
 	if err := e.decode(TargetsPrefix+service, &targets); err != nil {
 		return nil, err
@@ -62,7 +61,7 @@
 	return targets, nil
 }
 
-// targetServices yields, in no order, the services that have a target list.
+// targetServices yields the services that have a target list, in no particular order.
 func (e *EpochState) targetServices() iter.Seq[string] {
 	return func(yield func(string) bool) {
 		for name := range e.Groups {
@@ -73,7 +72,7 @@
 	}
 }
 
-// PublishedGroup is a group that is distributed to the proxies.
+// PublishedGroup returns a group if it exists and is distributed to the proxies.
 func (e *EpochState) PublishedGroup(name string) (rpc.Group, bool) {
 	if strings.HasPrefix(name, SourcesPrefix) {
 		return rpc.Group{}, false
@@ -82,7 +81,7 @@
 	return group, ok
 }
 
-// Manifest names every group that is distributed, with its digest and revision.
+// Manifest returns the digest and index of every group that is distributed to the proxies.
 func (e *EpochState) Manifest() map[string]rpc.GroupVersion {
 	manifest := make(map[string]rpc.GroupVersion, len(e.Groups))
 	for name := range e.Groups {
@@ -93,7 +92,7 @@
 	return manifest
 }
 
-// ManifestDigest is one digest over everything that is distributed.
+// ManifestDigest returns the digest of the manifest. The digest is cached.
 func (e *EpochState) ManifestDigest() string {
 	if digest := e.manifestDigest.Load(); digest != nil {
 		return *digest
@@ -103,8 +102,8 @@
 	return digest
 }
 
-// Config is the operators' configuration with the texts that they sent. The error is a
-// *DamagedGroupError.
+// Config returns the operators' configuration including its sources (see sources.go). The
+// error is a *DamagedGroupError.
 func (e *EpochState) Config() (rpc.Configuration, error) {
 	config, err := e.configWithoutSources()
 	if err != nil {
@@ -137,11 +136,11 @@
 	return config, nil
 }
 
-// hiddenKey stands in a view where a service has a key.
+// hiddenKey replaces the keys of services in a view.
 const hiddenKey = "(kept secret)"
 
-// View is the epoch as operators see it. The texts that they sent are left out, for those
-// may hold the services' keys. The error is a *DamagedGroupError.
+// View returns the epoch as shown to operators. It omits the sources, which may contain the
+// keys of services. The error is a *DamagedGroupError.
 func (e *EpochState) View() (*rpc.EpochView, error) {
 	config, err := e.configWithoutSources()
 	if err != nil {
--- a/internal/controlplane/errors.go
+++ b/internal/controlplane/errors.go
@@ -8,8 +8,8 @@
 )
 
 // ErrEpochOutOfOrder is the result of applying an epoch that does not directly follow the
-// one in force: another planner's epoch was committed first.
-var ErrEpochOutOfOrder = errors.New("the epoch does not follow the one in force")
+// current one because another planner's epoch was committed first.
+var ErrEpochOutOfOrder = errors.New("the epoch does not directly follow the current one")
 
 // DamagedEntryError reports an entry of the configuration shard's log that cannot be
 // decoded. The entry is skipped.
@@ -19,13 +19,13 @@
 }
 
 func (e *DamagedEntryError) Error() string {
-	return fmt.Sprintf("entry %d of the configuration's log is damaged: %v", e.Index, e.Err)
+	return fmt.Sprintf("entry %d of the configuration shard's log is damaged: %v", e.Index, e.Err)
 }
 
 func (e *DamagedEntryError) Unwrap() error { return e.Err }
 
-// DamagedGroupError reports a group of an epoch whose data cannot be decoded. Nothing is
-// planned from such an epoch, for a group that is taken for empty would remove its targets.
+// DamagedGroupError reports a group of an epoch whose data cannot be decoded. The planner
+// doesn't plan from such an epoch: treating the group as empty would remove its targets.
 type DamagedGroupError struct {
 	Epoch  ids.Epoch
 	Group  string
--- a/internal/controlplane/errors_test.go
+++ b/internal/controlplane/errors_test.go
@@ -9,13 +9,13 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// damagedEpoch is an epoch in which one group holds JSON of the wrong kind.
+// damagedEpoch returns an epoch in which one group contains JSON of the wrong type.
 func damagedEpoch(group string) *EpochState {
 	data := json.RawMessage(`"damaged"`)
 	return &EpochState{Epoch: 7, Groups: map[string]rpc.Group{group: {Digest: Digest(data), Data: data}}}
 }
 
-func TestEpochState_DamagedGroupIsAnError(t *testing.T) {
+func TestEpochState_ReturnsErrorForDamagedGroup(t *testing.T) {
 	services := []rpc.Service{{Name: "s"}}
 	provisional := map[ids.Shard]*shardReport{ids.ShardOf("s"): {ShardTargets: rpc.ShardTargets{Provisional: true, Targets: targetLists{}}}}
 	config := func(e *EpochState) error { _, err := e.Config(); return err }
@@ -58,7 +58,7 @@
 	if len(reported) != 0 {
 		t.Fatal(reported)
 	}
-	// The epoch was committed, so it is in force; it binds, for nobody knows what it removed.
+	// The epoch was committed, so it is applied; it is binding because it may remove targets.
 	if epoch := apply(t, c, &rpc.EpochEntry{Epoch: 2, Put: list(`{}`)}); epoch.Epoch != 2 || epoch.LastBinding != 2 {
 		t.Errorf("epoch %d, binding %d", epoch.Epoch, epoch.LastBinding)
 	}
--- a/internal/controlplane/fixture_test.go
+++ b/internal/controlplane/fixture_test.go
@@ -14,7 +14,7 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// epochWith is an epoch that has target lists and nothing else.
+// epochWith returns an epoch that has only the given target lists.
 func epochWith(t *testing.T, targets map[string][]rpc.Target) *EpochState {
 	t.Helper()
 	epoch := &EpochState{Epoch: 1, Groups: map[string]rpc.Group{}}
@@ -28,7 +28,7 @@
 	return epoch
 }
 
-// apply applies an epoch as an entry of the log.
+// apply applies a log entry and returns the resulting epoch.
 func apply(t *testing.T, c *ConfigState, planned *rpc.EpochEntry) *EpochState {
 	t.Helper()
 	body, err := json.Marshal(planned)
@@ -41,7 +41,7 @@
 	return c.Current()
 }
 
-// snapshot is the encoded state.
+// snapshot returns an encoded snapshot of the state.
 func snapshot(t *testing.T, c *ConfigState) json.RawMessage {
 	t.Helper()
 	raw, err := c.Snapshot()()
@@ -51,7 +51,7 @@
 	return raw
 }
 
-// restored is the state of a member that was sent a snapshot.
+// restored returns a new state restored from a snapshot.
 func restored(t *testing.T, raw json.RawMessage) *ConfigState {
 	t.Helper()
 	c := NewConfigState()
@@ -61,15 +61,15 @@
 	return c
 }
 
-// commit merges a change set into the configuration in force and applies the epoch.
+// commit merges a change set into the current configuration and applies the resulting epoch.
 func commit(t *testing.T, c *ConfigState, change *rpc.ChangeSet) *EpochState {
 	t.Helper()
 	epoch := c.Current()
-	inForce, err := epoch.Config()
+	current, err := epoch.Config()
 	if err != nil {
 		t.Fatal(err)
 	}
-	config, faults := MergeChange(inForce, change)
+	config, faults := MergeChange(current, change)
 	if len(faults) > 0 {
 		t.Fatal(faults)
 	}
@@ -82,14 +82,14 @@
 	return apply(t, c, planned)
 }
 
-// newEnvironment is that of a node without network and disk.
+// newEnvironment returns the environment of a node without network and disk.
 func newEnvironment(t *testing.T) *environment.Environment {
 	t.Helper()
 	settings := &config.Settings{Name: "n", ControlplaneHeartbeatTimeout: time.Hour}
 	return environment.New(t.Context(), settings, eventlog.New(io.Discard, "info", "n"), environment.Host{})
 }
 
-// newRegistry is a registry of a node that leads nothing.
+// newRegistry returns the registry of a node that leads no shard.
 func newRegistry(t *testing.T, onChange func()) *TargetRegistry {
 	t.Helper()
 	var stores []*coordination.Store
@@ -99,17 +99,17 @@
 	return NewTargetRegistry(RegistryConfig{Env: newEnvironment(t), Stores: stores, State: NewConfigState(), OnChange: onChange})
 }
 
-// addTarget has the registry hear a first heartbeat, under the term that it knows.
+// addTarget records a heartbeat in the registry's current term and returns its target.
 func (r *TargetRegistry) addTarget(heartbeat rpc.TargetHeartbeat) *targetRecord {
 	shard := ids.ShardOf(heartbeat.Service)
 	r.record(shard, r.shards[shard].term, &heartbeat, false)
 	return r.shards[shard].services[heartbeat.Service][heartbeat.Instance]
 }
 
-// addDeparture commits that a target departed.
+// addDeparture applies the log entry of a target's departure.
 func addDeparture(t *testing.T, r *TargetRegistry, service, instance, state string) {
 	t.Helper()
-	body, err := json.Marshal(recordDeparture(&rpc.TargetHeartbeat{Service: service, Instance: instance, State: state, Sequence: 1}))
+	body, err := json.Marshal(newDepartureEntry(&rpc.TargetHeartbeat{Service: service, Instance: instance, State: state, Sequence: 1}))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/controlplane/groups.go
+++ b/internal/controlplane/groups.go
@@ -13,46 +13,48 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// An epoch is cut into groups, which are replicated, distributed and compared one by one.
-// These are their names and prefixes of names.
+// An epoch consists of groups, which are replicated, distributed and compared individually.
+// These are the names, or the prefixes of the names, of groups.
 const (
-	// RoutesPrefix begins the groups of routes. Routes are spread over a few groups by a
-	// hash of their names, so that a small change to a large configuration moves little.
+	// RoutesPrefix is the prefix of the groups of routes. Routes are distributed over
+	// several groups by a hash of their names, so that a small change to a large
+	// configuration sends little data.
 	RoutesPrefix = "routes/"
-	// ServicesGroup lists the services.
+	// ServicesGroup contains the services.
 	ServicesGroup = "services"
-	// LimitsGroup lists the load limits of services.
+	// LimitsGroup contains the load limits of services.
 	LimitsGroup = "limits"
-	// SharesGroup maps each proxy to its strength, by which limits are divided.
+	// SharesGroup contains each proxy's strength. Limits are divided among the proxies in
+	// proportion to it.
 	SharesGroup = "shares"
-	// ClientLimitsGroup holds the limits on clients' requests, if the operators set any.
+	// ClientLimitsGroup contains the limits on clients' requests. It is optional.
 	ClientLimitsGroup = "manners"
-	// TargetsPrefix begins the target lists; the rest of the name is the service.
+	// TargetsPrefix is the prefix of the target lists and is followed by the service name.
 	TargetsPrefix = "targets/"
-	// SourcesPrefix begins the groups of the operators' own texts (see sources.go).
+	// SourcesPrefix is the prefix of the groups of sources (see sources.go).
 	SourcesPrefix = "source/"
 
-	routeGroups  = 16
-	sourceGroups = 16
+	routeGroupCount  = 16
+	sourceGroupCount = 16
 )
 
-// routeGroup is the group that a route lies in.
+// routeGroup returns the name of the group that contains a route.
 func routeGroup(route string) string {
-	return fmt.Sprintf("%s%02d", RoutesPrefix, ids.Hash("mapping", route)%routeGroups)
+	return fmt.Sprintf("%s%02d", RoutesPrefix, ids.Hash("mapping", route)%routeGroupCount)
 }
 
-// sourceGroup is the group that the text of an item lies in.
+// sourceGroup returns the name of the group that contains the source of an item.
 func sourceGroup(item string) string {
-	return fmt.Sprintf("%s%02d", SourcesPrefix, ids.Hash("source", item)%sourceGroups)
+	return fmt.Sprintf("%s%02d", SourcesPrefix, ids.Hash("source", item)%sourceGroupCount)
 }
 
-// isOperatorGroup tells whether only a change set writes the group. The other groups, the
-// targets and the shares, are the planner's.
+// isOperatorGroup reports whether the group is written only by change sets. The planner
+// writes the other groups: the target lists and the shares.
 func isOperatorGroup(name string) bool {
 	return name == ServicesGroup || name == LimitsGroup || name == ClientLimitsGroup || strings.HasPrefix(name, RoutesPrefix) || strings.HasPrefix(name, SourcesPrefix)
 }
 
-// encodeGroups cuts a configuration into its groups.
+// encodeGroups encodes a configuration as groups, by group name.
 func encodeGroups(config rpc.Configuration) (map[string]json.RawMessage, error) {
 	config, sources := detachSources(config)
 	values := map[string]any{ServicesGroup: nonNil(config.Services), LimitsGroup: nonNil(config.Limits)}
@@ -89,7 +91,7 @@
 	return groups, nil
 }
 
-// nonNil makes an absent list an empty one, so that it is encoded as [] and not as null.
+// nonNil returns an empty list for a nil one, so that it is encoded as [] and not as null.
 func nonNil[T any](list []T) []T {
 	if list == nil {
 		return []T{}
@@ -97,8 +99,8 @@
 	return list
 }
 
-// mustMarshal encodes values of types that always can be encoded: those that hold neither
-// raw JSON nor floating-point numbers.
+// mustMarshal encodes a value whose type can always be encoded: one without raw JSON and
+// floating-point numbers.
 func mustMarshal(value any) json.RawMessage {
 	data, err := json.Marshal(value)
 	if err != nil {
@@ -107,14 +109,14 @@
 	return data
 }
 
-// Digest is the MD5 digest, in hexadecimal, by which the distribution tells versions of a
-// group apart. It guards against mistakes, not against forgery.
+// Digest returns the MD5 digest, in hexadecimal, that identifies a version of a group. It
+// detects accidental differences and is no protection against forgery.
 func Digest(data []byte) string {
 	sum := md5.Sum(data)
 	return hex.EncodeToString(sum[:])
 }
 
-// DigestManifest is one digest over the digests and revisions of all groups of a manifest.
+// DigestManifest returns the digest of a manifest.
 func DigestManifest(manifest map[string]rpc.GroupVersion) string {
 	return Digest(mustMarshal(manifest))
 }
--- a/internal/controlplane/heartbeat.go
+++ b/internal/controlplane/heartbeat.go
@@ -7,22 +7,22 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// States of a target. The first three are what a server says of itself in its heartbeats.
+// States of a target. Servers send the first three in their heartbeats.
 const (
 	StateServing  = "serving"
 	StateDraining = "draining"
 	StateLeaving  = "leaving"
-	// StateTimedOut is that of a target without a heartbeat for as long as the setting
-	// plan.silence says.
+	// StateTimedOut is the state of a target without a heartbeat for
+	// controlplane.heartbeat_timeout.
 	StateTimedOut = "silent"
 )
 
-// ValidateHeartbeat checks a heartbeat; the error is an errcode.InvalidHeartbeat that names the
-// path of each fault.
+// ValidateHeartbeat checks the fields of a heartbeat. The error is errcode.InvalidHeartbeat with
+// the path of each fault.
 func ValidateHeartbeat(heartbeat *rpc.TargetHeartbeat) error {
 	var v validator
 	for _, field := range []struct{ path, name string }{{"service", heartbeat.Service}, {"instance", heartbeat.Instance}} {
-		if !isName(field.name, "/ ") {
+		if !isValidName(field.name, "/ ") {
 			v.fail("%s: is empty, too long, or holds a slash or a space", field.path)
 		}
 	}
@@ -43,7 +43,8 @@
 	return nil
 }
 
-// changesTarget tells whether a heartbeat says of its server what the last one did not.
+// changesTarget reports whether a heartbeat differs from the last one in a field that
+// affects the target lists.
 func changesTarget(last, heartbeat *rpc.TargetHeartbeat) bool {
 	return last.State != heartbeat.State || last.Address != heartbeat.Address || last.Zone != heartbeat.Zone ||
 		last.Weight != heartbeat.Weight || last.Slots != heartbeat.Slots
--- a/internal/controlplane/leader_change.go
+++ b/internal/controlplane/leader_change.go
@@ -7,18 +7,17 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// When a shard's leader changes, the new one hears every target for the first time, and for
-// a while it has not heard all of them. Its lists are provisional until then: the targets of
-// the epoch in force stay in, but for those that it names as out and those whose address
-// was passed on.
+// A new leader of a shard has no heartbeats yet, and its target lists are incomplete for a
+// while. Until then they are provisional: targets of the current epoch stay in rotation,
+// except those that the new leader reports as out and those whose address another target
+// claims.
 
-// seenInPreviousTerm is the time at which a target was first seen that was in the epoch in
-// force when its shard's leader changed: before all that the new leader heard for the first
-// time.
+// seenInPreviousTerm is the first-seen time of a target that was in the current epoch when its
+// shard's leader changed. It is earlier than that of any target new to the new leader.
 const seenInPreviousTerm = math.MinInt64
 
-// mergePreviousTargets adds to a provisional list the targets in force that it does not name
-// at all.
+// mergePreviousTargets returns a provisional list with the targets of the current epoch added
+// that it does not contain.
 func mergePreviousTargets(previous []rpc.Target, list []rpc.ReportedTarget) []rpc.ReportedTarget {
 	named := map[string]bool{}
 	for _, target := range list {
@@ -33,10 +32,10 @@
 	return merged
 }
 
-// targetKey is a target at an address: one that moved is another.
+// targetKey identifies a target at an address. A target that moves gets another key.
 type targetKey struct{ service, instance, address string }
 
-// previousTargets is the targets of a shard that are in an epoch; the error is a
+// previousTargets returns the targets of a shard in an epoch. The error is a
 // *DamagedGroupError.
 func previousTargets(epoch *EpochState, shard ids.Shard) (map[targetKey]bool, error) {
 	previous := map[targetKey]bool{}
@@ -55,17 +54,18 @@
 	return previous, nil
 }
 
-// normalizeAges turns the ages of targets in a report, in microseconds, into times at which
-// they were first seen, in microseconds since the planner was made; received is when the
-// report was asked for. Targets of the previous term get the earliest time of all. Once the
-// lists are no longer provisional, those that they do not name are taken out of previous.
-func normalizeAges(report *rpc.ShardTargets, received int64, previous map[targetKey]bool) {
+// normalizeAges replaces Since of each target in a report, which is an age in microseconds, by
+// the time when the target was first seen. This time and requestedAt, the time of the request
+// for the report, are in microseconds since the planner's startedAt. Targets in previous get
+// seenInPreviousTerm. If the report is not provisional, targets that it does not contain are
+// removed from previous.
+func normalizeAges(report *rpc.ShardTargets, requestedAt int64, previous map[targetKey]bool) {
 	named := map[targetKey]bool{}
 	for service, list := range report.Targets {
 		for i, target := range list {
 			key := targetKey{service, target.Instance, target.Address}
 			named[key] = true
-			list[i].Since = received - target.Since
+			list[i].Since = requestedAt - target.Since
 			if previous[key] {
 				list[i].Since = seenInPreviousTerm
 			}
--- a/internal/controlplane/leader_change_test.go
+++ b/internal/controlplane/leader_change_test.go
@@ -7,7 +7,7 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-func TestNormalizeAges_PreviousTargetsStayOldestUntilTheyDepart(t *testing.T) {
+func TestNormalizeAges_PreviousTargetsRemainOldestUntilTheyDepart(t *testing.T) {
 	shard := ids.ShardOf("s")
 	epoch := epochWith(t, map[string][]rpc.Target{"s": {{Instance: "a", Address: "A"}, {Instance: "b", Address: "B"}}})
 	previous, err := previousTargets(epoch, shard)
@@ -25,7 +25,7 @@
 	}
 }
 
-func TestPreviousTargets_AreOfOneShard(t *testing.T) {
+func TestPreviousTargets_ExcludesOtherShards(t *testing.T) {
 	epoch := epochWith(t, map[string][]rpc.Target{"s": {{Instance: "a", Address: "A"}}})
 	other, err := previousTargets(epoch, (ids.ShardOf("s")+1)%ids.ShardCount)
 	if err != nil || len(other) != 0 {
--- a/internal/controlplane/plan.go
+++ b/internal/controlplane/plan.go
@@ -14,22 +14,23 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// acceptedChange is a change set that is to be committed with an epoch.
+// acceptedChange is a change set to be committed with the next epoch.
 type acceptedChange struct {
-	result *rpc.ChangeResult // its epoch is filled in
-	config rpc.Configuration // the configuration with the change set
+	result *rpc.ChangeResult // nextEpoch sets its epoch
+	config rpc.Configuration // the configuration with the change set merged in
 }
 
-// planEpoch commits an epoch if what it should say differs from the one in force.
+// planEpoch commits a new epoch if the desired content differs from the current epoch.
 func (p *Planner) planEpoch(ctx context.Context) error {
-	p.planning.Lock()
-	defer p.planning.Unlock()
+	p.planningMu.Lock()
+	defer p.planningMu.Unlock()
 	return p.commitEpoch(ctx, nil)
 }
 
-// commitEpoch is planEpoch while planning is held. A change set is committed in any case.
-// The error is errcode.NotLeader if this node does not lead the configuration shard any
-// more, a *DamagedGroupError, which was reported, or that of the proposal.
+// commitEpoch commits a new epoch if there is a change set or if the desired content differs
+// from the current epoch. The caller holds planningMu. The error is errcode.NotLeader if this
+// node no longer leads the configuration shard, a *DamagedGroupError, which is already
+// reported, or the error of the proposal.
 func (p *Planner) commitEpoch(ctx context.Context, change *acceptedChange) error {
 	term, _, isServing := p.replica.LeadershipSince()
 	if !isServing {
@@ -47,7 +48,7 @@
 		}
 		if err, isError := result.(error); isError {
 			if errors.Is(err, ErrEpochOutOfOrder) {
-				return errcode.New(errcode.NotLeader, "epoch %d was planned by another", planned.Epoch)
+				return errcode.New(errcode.NotLeader, "epoch %d was committed by another planner", planned.Epoch)
 			}
 			return err
 		}
@@ -58,17 +59,17 @@
 		p.Trigger()
 	}
 	if p.view.term == term {
-		for shard, at := range asOf {
-			if p.view.reflectedUpTo[shard].Before(at) {
-				p.view.reflectedUpTo[shard] = at
+		for shard, reportAsOf := range asOf {
+			if p.view.reflectedUpTo[shard].Before(reportAsOf) {
+				p.view.reflectedUpTo[shard] = reportAsOf
 			}
 		}
 	}
 	return nil
 }
 
-// nextEpoch is the epoch to be committed, with nothing in it if the one in force says
-// everything, and the time up to which it reflects each shard.
+// nextEpoch returns the epoch to be committed and the time up to which it reflects each shard.
+// The epoch has no changes if the current one already has the desired content.
 func (p *Planner) nextEpoch(term ids.Term, change *acceptedChange) (planned *rpc.EpochEntry, asOf map[ids.Shard]time.Time, err error) {
 	epoch := p.state.Current()
 	planned = &rpc.EpochEntry{Epoch: epoch.Epoch + 1, Put: map[string]json.RawMessage{}}
@@ -101,7 +102,8 @@
 	return planned, asOf, nil
 }
 
-// diffGroups puts into an epoch what is desired and is not in the one in force.
+// diffGroups sets the planned epoch's Put and Remove to the difference between the current
+// epoch and the desired groups.
 func diffGroups(planned *rpc.EpochEntry, epoch *EpochState, desired map[string]json.RawMessage) {
 	for name, data := range desired {
 		if group, ok := epoch.Groups[name]; !ok || !bytes.Equal(group.Data, data) {
@@ -116,26 +118,26 @@
 	slices.Sort(planned.Remove)
 }
 
-// quotaShares encodes the strength of every proxy, by which limits are divided among them.
-// A proxy that went keeps its share for the time of the setting plan.linger: most come back
-// at once, and shares that are too small do no harm, where an epoch for each coming and
-// going does. For as long after its start this node does not know who is there, and keeps
-// the shares in force.
+// quotaShares encodes the strength of every proxy. Limits are divided among the proxies in
+// proportion to it. A departed proxy keeps its share for controlplane.share_retention: most
+// return quickly, and shares that are too small are harmless, whereas an epoch for each
+// departure and return is not. For the same time after its start this node may not know all
+// members yet, and keeps the current shares of unknown ones.
 func (p *Planner) quotaShares(epoch *EpochState) (json.RawMessage, error) {
 	members := p.members.View()
 	shares := map[ids.NodeName]int{}
 	for name, member := range members {
-		isHere := member.IsLive()
-		if member.ProxyAddress != "" && (isHere || time.Since(member.StateChange) < p.env.Config.ControlplaneShareRetention) {
+		isLive := member.IsLive()
+		if member.ProxyAddress != "" && (isLive || time.Since(member.StateChange) < p.env.Config.ControlplaneShareRetention) {
 			shares[name] = member.Strength
 		}
 	}
 	if p.env.Since(p.startedAt) < p.env.Config.ControlplaneShareRetention {
-		var inForce map[ids.NodeName]int
-		if err := epoch.decode(SharesGroup, &inForce); err != nil {
+		var currentShares map[ids.NodeName]int
+		if err := epoch.decode(SharesGroup, &currentShares); err != nil {
 			return nil, err
 		}
-		for name, strength := range inForce {
+		for name, strength := range currentShares {
 			if _, isKnown := members[name]; !isKnown {
 				shares[name] = strength
 			}
@@ -144,9 +146,9 @@
 	return mustMarshal(shares), nil
 }
 
-// desiredGroups is what every group of the next epoch should hold; mu is held. Without a
-// change set the operators' groups are taken over as they are, and so are the target lists
-// of shards that there is no report on.
+// desiredGroups returns the desired content of every group of the next epoch. Without a
+// change set the operators' groups remain unchanged. The target lists of shards without a
+// report remain unchanged, too. The caller holds mu.
 func (p *Planner) desiredGroups(epoch *EpochState, change *acceptedChange, shares json.RawMessage) (map[string]json.RawMessage, error) {
 	desired, services, err := operatorGroups(epoch, change)
 	if err != nil {
@@ -161,8 +163,8 @@
 	p.logConflicts(resolved.conflicts)
 	for _, service := range services {
 		name := TargetsPrefix + service.Name
-		if inForce, ok := epoch.Groups[name]; ok && p.view.reports[ids.ShardOf(service.Name)] == nil {
-			desired[name] = inForce.Data
+		if current, ok := epoch.Groups[name]; ok && p.view.reports[ids.ShardOf(service.Name)] == nil {
+			desired[name] = current.Data
 			continue
 		}
 		desired[name] = mustMarshal(nonNil(resolved.targets[service.Name]))
@@ -170,7 +172,8 @@
 	return desired, nil
 }
 
-// operatorGroups is the groups that the operators write, and the services in them.
+// operatorGroups returns the groups that operators write, with the change set if there is
+// one, and the services in them.
 func operatorGroups(epoch *EpochState, change *acceptedChange) (groups map[string]json.RawMessage, services []rpc.Service, err error) {
 	if change != nil {
 		groups, err = encodeGroups(change.config)
@@ -186,7 +189,7 @@
 	return groups, services, err
 }
 
-// logConflicts writes an event of each conflict that was not seen before.
+// logConflicts emits an event for each conflict that was not logged before.
 func (p *Planner) logConflicts(conflicts []addressConflict) {
 	for _, conflict := range conflicts {
 		if !p.loggedConflicts[conflict] {
--- a/internal/controlplane/planner.go
+++ b/internal/controlplane/planner.go
@@ -11,7 +11,7 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// PlannerConfig is what a Planner works with.
+// PlannerConfig holds the dependencies of a Planner.
 type PlannerConfig struct {
 	Env       *environment.Environment
 	Transport *rpc.Transport
@@ -20,13 +20,13 @@
 	State     *ConfigState
 }
 
-// Planner plans epochs at the leader of the configuration shard; at other core nodes it
-// waits. It collects the registries' reports on all shards and commits an epoch whenever
-// what one should say differs from the one in force.
+// Planner plans epochs at the leader of the configuration shard and is idle at other core
+// nodes. It collects the registries' reports on all shards, and commits a new epoch if the
+// desired content differs from that of the current epoch.
 //
-// It also knows up to which time each shard is reflected by the epoch in force: a report is
-// reflected once all that it says is in a committed epoch, and not before. Proxies stop
-// serving when that time is too long ago.
+// It also tracks up to which time the current epoch reflects each shard. An epoch reflects a
+// report once it is committed and includes everything in the report. Proxies stop serving
+// when that time is too long ago.
 type Planner struct {
 	env       *environment.Environment
 	transport *rpc.Transport
@@ -35,29 +35,29 @@
 	state     *ConfigState
 
 	startedAt time.Time
-	trigger   chan struct{} // capacity 1: a round of planning is due now
+	trigger   chan struct{} // capacity 1; requests a planning round
 
-	// planning is held from reading the epoch in force until the next one is committed. It
-	// is taken before mu.
-	planning environment.ChanMutex
+	// planningMu is held from reading the current epoch until the next one is committed. It
+	// is acquired before mu.
+	planningMu environment.ChanMutex
 
-	mu              sync.Mutex // guards all below
+	mu              sync.Mutex // guards the fields below
 	view            *plannerView
 	loggedConflicts map[addressConflict]bool
-	awaitsRelease   bool // a target waits for the epoch after the one planned last
+	awaitsRelease   bool // see resolution.awaitsRelease
 }
 
-// plannerView is what the planner knows under one term of the configuration shard. It is
-// forgotten with the term.
+// plannerView is the planner's state in one term of the configuration shard. It is discarded
+// when the term ends.
 type plannerView struct {
 	term    ids.Term
 	reports map[ids.Shard]*shardReport
-	// previousTargets is, for each shard whose leader changed, the targets that were in the
-	// epoch in force when the leader changed, without those that departed since.
+	// previousTargets holds, for each shard whose leader changed, the targets of the epoch
+	// that was current at that time, without those that departed since.
 	previousTargets map[ids.Shard]map[targetKey]bool
-	// reflectedUpTo is the time up to which the epoch in force reflects each shard.
+	// reflectedUpTo is the time up to which the current epoch reflects each shard.
 	reflectedUpTo map[ids.Shard]time.Time
-	// converged is the last epoch that was found to say all that the reports say.
+	// converged is the last epoch found to match all reports; nil if reports changed since.
 	converged *EpochState
 }
 
@@ -70,7 +70,7 @@
 	}
 }
 
-// NewPlanner makes a planner that does nothing until it is started.
+// NewPlanner returns a planner. It is idle until Start is called.
 func NewPlanner(config PlannerConfig) *Planner {
 	return &Planner{
 		env:             config.Env,
@@ -80,16 +80,16 @@
 		state:           config.State,
 		startedAt:       config.Env.Now(),
 		trigger:         make(chan struct{}, 1),
-		planning:        environment.NewChanMutex(),
+		planningMu:      environment.NewChanMutex(),
 		view:            newPlannerView(ids.Term{}),
 		loggedConflicts: map[addressConflict]bool{},
 	}
 }
 
-// Start starts the planner's loop, which ends with the environment.
+// Start starts the planner's loop, which runs until the environment ends.
 func (p *Planner) Start() { p.env.Go(p.run) }
 
-// Trigger has the reports collected at once.
+// Trigger requests a planning round without waiting for the poll interval.
 func (p *Planner) Trigger() {
 	select {
 	case p.trigger <- struct{}{}:
@@ -97,14 +97,14 @@
 	}
 }
 
-// run plans when it is triggered, and once in the time of the setting plan.poll.
+// run plans when triggered, and at least once per controlplane.poll_interval.
 func (p *Planner) run() {
 	due := time.Now().Add(1)
 	for {
 		if _, err := environment.WaitUntil(p.env, due, p.trigger); err != nil {
 			return
 		}
-		// What is triggered together is planned together.
+		// Triggers that arrive within the batch delay share one round.
 		if !p.env.Sleep(p.env.Config.ControlplaneBatchDelay) {
 			return
 		}
@@ -115,14 +115,14 @@
 		due = time.Now().Add(p.env.Config.ControlplanePollInterval)
 		if term, _, isServing := p.replica.LeadershipSince(); isServing {
 			p.collectReports(term)
-			// What keeps an epoch from being planned now may be over by the next round; until
-			// then Freshness tells the growing ages.
+			// An error is not handled here: the next round plans again, and until then the ages
+			// that Freshness reports grow.
 			p.planEpoch(p.env)
 		}
 	}
 }
 
-// viewOf is what is known under a term; mu is held. A new term begins with nothing.
+// viewOf returns the view of a term, which is empty for a new term. The caller holds mu.
 func (p *Planner) viewOf(term ids.Term) *plannerView {
 	if p.view.term != term {
 		p.view = newPlannerView(term)
--- a/internal/controlplane/planner_test.go
+++ b/internal/controlplane/planner_test.go
@@ -18,16 +18,16 @@
 	last := rpc.ShardTargets{Shard: shard, Term: ids.Term{Number: 5}, Digest: "d", Targets: lists}
 	for name, c := range map[string]struct {
 		update    rpc.ShardTargets
-		age       time.Duration // before the last one
-		isTaken   bool
+		age       time.Duration // relative to the last report; below zero is newer
+		isMerged  bool
 		converged bool
 	}{
-		"the same lists, later":             {rpc.ShardTargets{Term: ids.Term{Number: 5}, Digest: "d"}, -time.Second, true, true},
-		"the same lists, earlier":           {rpc.ShardTargets{Term: ids.Term{Number: 5}, Digest: "d"}, time.Second, false, true},
+		"same lists, later":                 {rpc.ShardTargets{Term: ids.Term{Number: 5}, Digest: "d"}, -time.Second, true, true},
+		"same lists, earlier":               {rpc.ShardTargets{Term: ids.Term{Number: 5}, Digest: "d"}, time.Second, false, true},
 		"other lists, later":                {rpc.ShardTargets{Term: ids.Term{Number: 5}, Digest: "e", Targets: targetLists{}}, -time.Second, true, false},
-		"other lists, left out":             {rpc.ShardTargets{Term: ids.Term{Number: 5}, Digest: "e"}, -time.Second, false, true},
+		"other digest without lists, later": {rpc.ShardTargets{Term: ids.Term{Number: 5}, Digest: "e"}, -time.Second, false, true},
 		"older term":                        {rpc.ShardTargets{Term: ids.Term{Number: 4}, Digest: "e", Targets: targetLists{}}, -time.Second, false, true},
-		"newer term, as of an earlier time": {rpc.ShardTargets{Term: ids.Term{Number: 6}, Digest: "e", Targets: targetLists{}}, time.Second, true, false},
+		"newer term, earlier":               {rpc.ShardTargets{Term: ids.Term{Number: 6}, Digest: "e", Targets: targetLists{}}, time.Second, true, false},
 		"newer term, provisional":           {rpc.ShardTargets{Term: ids.Term{Number: 6}, Digest: "d", Provisional: true}, -time.Second, true, false},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -43,8 +43,8 @@
 				t.Fatal(err)
 			}
 			report := view.reports[shard]
-			if isTaken := report.asOf.Equal(asOf); isTaken != c.isTaken {
-				t.Errorf("taken: %v", isTaken)
+			if isMerged := report.asOf.Equal(asOf); isMerged != c.isMerged {
+				t.Errorf("merged: %v", isMerged)
 			}
 			if c.update.Digest == "d" && len(report.Targets["s"]) != 1 {
 				t.Errorf("the lists were lost: %+v", report)
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestPlannerView_DamagedEpochKeepsReportOut(t *testing.T) {
+func TestPlannerView_RejectsProvisionalReportOnDamagedEpoch(t *testing.T) {
 	shard := ids.ShardOf("s")
 	view := newPlannerView(ids.Term{})
 	err := view.merge(&rpc.ShardTargets{Shard: shard, Provisional: true, Targets: targetLists{}}, time.Now(), 0, damagedEpoch(TargetsPrefix+"s"))
@@ -66,7 +66,7 @@
 	}
 }
 
-// newPlanner is the planner of a node that leads nothing.
+// newPlanner returns the planner of a node that leads no shard.
 func newPlanner(t *testing.T) *Planner {
 	t.Helper()
 	return &Planner{env: newEnvironment(t), state: NewConfigState(), view: newPlannerView(ids.Term{}), loggedConflicts: map[addressConflict]bool{}}
@@ -74,12 +74,12 @@
 
 func TestPlanner_DesiredGroups(t *testing.T) {
 	p := newPlanner(t)
-	inForce := []rpc.Target{{Instance: "a", Address: "A", Weight: 1}}
-	epoch := epochWith(t, map[string][]rpc.Target{"known": inForce, "unknown": inForce, "dropped": inForce})
+	currentTargets := []rpc.Target{{Instance: "a", Address: "A", Weight: 1}}
+	epoch := epochWith(t, map[string][]rpc.Target{"known": currentTargets, "unknown": currentTargets, "dropped": currentTargets})
 	services := mustMarshal([]rpc.Service{{Name: "known"}, {Name: "unknown"}, {Name: "new"}})
 	epoch.Groups[ServicesGroup] = rpc.Group{Digest: Digest(services), Data: services}
 	if shards := map[ids.Shard]bool{ids.ShardOf("known"): true, ids.ShardOf("unknown"): true, ids.ShardOf("new"): true}; len(shards) != 3 {
-		t.Fatal("the services share a shard; take other names")
+		t.Fatal("the services share a shard; use other names")
 	}
 	p.view.reports[ids.ShardOf("known")] = &shardReport{ShardTargets: rpc.ShardTargets{Targets: targetLists{"known": {{Instance: "b", Address: "B", Weight: 1}}}}}
 	desired, err := p.desiredGroups(epoch, nil, json.RawMessage(`{}`))
@@ -90,7 +90,7 @@
 		ServicesGroup:             string(services),
 		SharesGroup:               `{}`,
 		TargetsPrefix + "known":   string(mustMarshal([]rpc.Target{{Instance: "b", Address: "B", Weight: 1}})),
-		TargetsPrefix + "unknown": string(mustMarshal(inForce)),
+		TargetsPrefix + "unknown": string(mustMarshal(currentTargets)),
 		TargetsPrefix + "new":     `[]`,
 		TargetsPrefix + "dropped": ``,
 	} {
--- a/internal/controlplane/read.go
+++ b/internal/controlplane/read.go
@@ -8,8 +8,8 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// EpochView is the epoch in force as operators see it. That it was in force after the call
-// came is confirmed with a majority of the configuration shard.
+// EpochView returns the current epoch as shown to operators. The read is linearizable: this
+// node's leadership is first confirmed by a majority of the configuration shard.
 func (p *Planner) EpochView(ctx context.Context) (*rpc.EpochView, error) {
 	if err := p.replica.ConfirmLeadership(ctx, p.env.Now()); err != nil {
 		return nil, err
@@ -19,8 +19,8 @@
 	return view, err
 }
 
-// Config is the operators' configuration as they sent it, keys and all, confirmed as
-// EpochView is.
+// Config returns the operators' configuration, including sources and the keys of services. The
+// read is linearizable, as that of EpochView.
 func (p *Planner) Config(ctx context.Context) (*rpc.ConfigurationView, error) {
 	if err := p.replica.ConfirmLeadership(ctx, p.env.Now()); err != nil {
 		return nil, err
@@ -34,16 +34,16 @@
 	return &rpc.ConfigurationView{Version: epoch.Version, Epoch: epoch.Epoch, Configuration: config}, nil
 }
 
-// unreflected is the age told of a shard that the epoch in force does not reflect at all.
-const unreflected = -1
+// shardNotReflected is the age reported for a shard that the current epoch does not reflect.
+const shardNotReflected = -1
 
-// Freshness tells the epoch in force, and ages in microseconds: how long ago a majority
-// confirmed that this node leads the configuration shard, and up to when the epoch reflects
-// each data shard. It starts no confirmation of its own: the age of the last one counts.
+// Freshness returns the current epoch and ages in microseconds: how long ago a majority last
+// confirmed that this node leads the configuration shard, and how long ago the state of each
+// data shard was that the epoch reflects. It does not start a new confirmation.
 func (p *Planner) Freshness() (*rpc.FreshnessResponse, error) {
-	// What passes from here on makes the confirmation older, also where this process stands
-	// still between two lines; the epoch is read last.
-	began := p.env.Now()
+	// The time since start is added to the confirmation's age, so that a pause of this process
+	// during the call counts. The epoch is read after the confirmation's age.
+	start := p.env.Now()
 	age, isServing := p.replica.ConfirmationAge()
 	if !isServing {
 		return nil, errcode.New(errcode.NotLeader, "configuration shard")
@@ -53,13 +53,13 @@
 	defer p.mu.Unlock()
 	response := &rpc.FreshnessResponse{ShardAgeMicros: make([]int64, ids.ShardCount)}
 	for shard := range response.ShardAgeMicros {
-		response.ShardAgeMicros[shard] = unreflected
-		if at, ok := p.view.reflectedUpTo[ids.Shard(shard)]; ok && p.view.term == term {
-			response.ShardAgeMicros[shard] = p.env.Since(at).Microseconds() + 1
+		response.ShardAgeMicros[shard] = shardNotReflected
+		if asOf, ok := p.view.reflectedUpTo[ids.Shard(shard)]; ok && p.view.term == term {
+			response.ShardAgeMicros[shard] = p.env.Since(asOf).Microseconds() + 1
 		}
 	}
 	epoch := p.state.Current()
 	response.Epoch, response.BindingEpoch = epoch.Epoch, epoch.LastBinding
-	response.AgeMicros = (age + p.env.Since(began)).Microseconds() + 1
+	response.AgeMicros = (age + p.env.Since(start)).Microseconds() + 1
 	return response, nil
 }
--- a/internal/controlplane/registry.go
+++ b/internal/controlplane/registry.go
@@ -16,25 +16,25 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// departedRetention is for how long a target that sends no heartbeats is remembered, and
-// with it the record that it drains or left.
+// departedRetention is how long a target that sends no heartbeats is kept, along with the
+// record that it drains or left.
 const departedRetention = 60 * time.Second
 
-// RegistryConfig is what a TargetRegistry works with.
+// RegistryConfig holds the dependencies of a TargetRegistry.
 type RegistryConfig struct {
 	Env       *environment.Environment
 	Consensus *consensus.Node
 	Stores    []*coordination.Store // the state of each data shard
 	State     *ConfigState
-	// OnChange is called, in a goroutine of its own, after a heartbeat that should change a
-	// target list. It may be nil. Changes that come before it has begun share one call.
+	// OnChange is called in a new goroutine after a heartbeat that may change a target list.
+	// Changes that occur before the call has begun share it. OnChange is optional.
 	OnChange func()
 }
 
-// TargetRegistry keeps the targets of the shards that this core node leads: the last
-// heartbeat of each is held in memory only, and is forgotten with the leader's term. That
-// a target drains or leaves is committed to the shard's log before the heartbeat which
-// says so is answered, so that a later leader knows of it.
+// TargetRegistry keeps the targets of the shards that this core node leads. The last heartbeat
+// of each target is kept only in memory and is discarded when the leader's term ends. If a
+// target drains or leaves, this departure is committed to the shard's log before its heartbeat
+// is acknowledged, so that later leaders know of it.
 type TargetRegistry struct {
 	env       *environment.Environment
 	consensus *consensus.Node
@@ -42,39 +42,39 @@
 	state     *ConfigState
 
 	onChange  func()
-	notifying atomic.Bool // onChange is to be called
+	notifying atomic.Bool // a call of onChange is scheduled and has not begun
 
-	mu     sync.Mutex // guards shards and all that they hold
+	mu     sync.Mutex // guards shards, including the target records
 	shards [ids.ShardCount]shardTargets
 }
 
-// shardTargets is what was heard of one shard's targets under one term.
+// shardTargets holds the targets of one shard that sent heartbeats in one term.
 type shardTargets struct {
 	term       ids.Term
 	services   map[string]map[string]*targetRecord // by service and instance
 	lastReport reportedLists
 }
 
-// targetRecord is one target as the registry knows it.
+// targetRecord is the registry's state of one target.
 type targetRecord struct {
-	heartbeat  rpc.TargetHeartbeat // the newest
-	warmUp     int64               // slow start, in milliseconds, as the first heartbeat named it
-	firstSeen  time.Time
-	lastSeen   time.Time
-	inRotation bool // as last reported, for the events of coming and going
+	heartbeat       rpc.TargetHeartbeat // the one with the highest sequence number
+	slowStartMillis int64               // from the first heartbeat
+	firstSeen       time.Time
+	lastSeen        time.Time
+	inRotation      bool // as of the last report, to detect transitions for the event log
 }
 
-// NewTargetRegistry makes an empty registry.
+// NewTargetRegistry returns an empty registry.
 func NewTargetRegistry(config RegistryConfig) *TargetRegistry {
 	return &TargetRegistry{env: config.Env, consensus: config.Consensus, stores: config.Stores, state: config.State, onChange: config.OnChange}
 }
 
-// HandleHeartbeat takes a heartbeat of a target whose service lies in a shard led here;
-// otherwise the error is errcode.NotLeader. It returns once the heartbeat is in force: a
-// target that drains or leaves may then count on getting nothing more.
+// HandleHeartbeat processes a heartbeat of a target. It returns once the heartbeat is in
+// effect: a target that drains or leaves may then rely on receiving no more requests. The
+// error is errcode.NotLeader if this node does not lead the shard of the target's service.
 func (r *TargetRegistry) HandleHeartbeat(ctx context.Context, heartbeat *rpc.TargetHeartbeat) error {
 	if err := ValidateHeartbeat(heartbeat); err != nil {
-		r.logRefusal(heartbeat, err.Error())
+		r.logRejection(heartbeat, err.Error())
 		return err
 	}
 	shard := ids.ShardOf(heartbeat.Service)
@@ -84,11 +84,11 @@
 		return errcode.New(errcode.NotLeader, "shard %d", shard)
 	}
 	if epoch := r.state.Current(); !r.env.Config.ControlplaneAcceptUnknownServices && epoch.Epoch > 0 && !epoch.HasService(heartbeat.Service) {
-		r.logRefusal(heartbeat, "no such service")
+		r.logRejection(heartbeat, "no such service")
 		return errcode.New(errcode.UnknownService, "%q", heartbeat.Service)
 	}
 	if heartbeat.State != StateServing {
-		// What is known of its departure may be answered from here only by a leader that still is one.
+		// A departure recorded before may be acknowledged only if this node is still the leader.
 		if err := replica.ConfirmLeadership(ctx, r.env.Now()); err != nil {
 			return err
 		}
@@ -101,9 +101,9 @@
 	var entry *rpc.CoordinationRequest
 	switch {
 	case heartbeat.State == StateServing && hasDeparture && departure.Holder == StateDraining && heartbeat.Sequence > departure.Sequence:
-		entry = clearDeparture(heartbeat.Service, heartbeat.Instance, heartbeat.Sequence)
+		entry = newClearDepartureEntry(heartbeat.Service, heartbeat.Instance, heartbeat.Sequence)
 	case heartbeat.State != StateServing && (!hasDeparture || departure.Holder != heartbeat.State && departure.Holder != StateLeaving):
-		entry = recordDeparture(heartbeat)
+		entry = newDepartureEntry(heartbeat)
 	}
 	if entry != nil {
 		if _, _, err := replica.Propose(ctx, entry); err != nil {
@@ -114,28 +114,28 @@
 		r.notifyChange()
 	}
 	if heartbeat.State != StateServing {
-		// The proxies hear of it before whoever goes may count on it. The answer to a repeat may
-		// come before that to the first, so it waits for as long.
+		// The proxies must learn of the departure before it is acknowledged. A repeated heartbeat
+		// waits, too, because its response may arrive before that of the first one.
 		waitForPropagation(ctx, r.env)
 	}
 	return nil
 }
 
-// recordDeparture is the entry by which a shard remembers that a target drains or left: its
-// departure, which is the state that the instance announced last.
-func recordDeparture(heartbeat *rpc.TargetHeartbeat) *rpc.CoordinationRequest {
+// newDepartureEntry returns the log entry that records a target's departure: that it drains or
+// leaves, as its heartbeat says.
+func newDepartureEntry(heartbeat *rpc.TargetHeartbeat) *rpc.CoordinationRequest {
 	return &rpc.CoordinationRequest{Operation: coordination.OpSetInstanceState, Name: heartbeat.Service + "/" + heartbeat.Instance, Holder: heartbeat.State, Sequence: heartbeat.Sequence}
 }
 
-// clearDeparture is the entry by which a shard forgets it.
-func clearDeparture(service, instance string, sequence uint64) *rpc.CoordinationRequest {
+// newClearDepartureEntry returns the log entry that removes the record of a departure.
+func newClearDepartureEntry(service, instance string, sequence uint64) *rpc.CoordinationRequest {
 	return &rpc.CoordinationRequest{Operation: coordination.OpClearInstanceState, Name: service + "/" + instance, Sequence: sequence}
 }
 
-// record notes a heartbeat, unless it is outdated: sent before one that was already taken,
-// or before the target's departure. It tells whether it is, and whether a target list may
-// have changed by it. An outdated one that says that its target serves counts for nothing;
-// any other one still shows that the target is there.
+// record stores a heartbeat unless it is outdated: sent before one already stored, or before
+// the target's departure. An outdated heartbeat with the state serving is ignored; with
+// another state it still updates the time when the target was last seen. record reports
+// whether the heartbeat is outdated and whether it may change a target list.
 func (r *TargetRegistry) record(shard ids.Shard, term ids.Term, heartbeat *rpc.TargetHeartbeat, precedesDeparture bool) (outdated, changed bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -147,7 +147,7 @@
 	}
 	changed = target == nil || r.env.Since(target.lastSeen) >= r.env.Config.ControlplaneHeartbeatTimeout || !outdated && changesTarget(&target.heartbeat, heartbeat)
 	if target == nil {
-		target = &targetRecord{firstSeen: r.env.Now(), warmUp: heartbeat.SlowStartMillis}
+		target = &targetRecord{firstSeen: r.env.Now(), slowStartMillis: heartbeat.SlowStartMillis}
 		instances[heartbeat.Instance] = target
 	}
 	target.lastSeen = r.env.Now()
@@ -157,7 +157,7 @@
 	return outdated, changed
 }
 
-// forTerm forgets what was heard under another term.
+// forTerm discards the targets of another term and returns s.
 func (s *shardTargets) forTerm(term ids.Term) *shardTargets {
 	if s.term != term {
 		s.term, s.services = term, nil
@@ -165,7 +165,7 @@
 	return s
 }
 
-// instances is the targets of a service, which may be added to.
+// instances returns the targets of a service as a map that the caller may modify.
 func (s *shardTargets) instances(service string) map[string]*targetRecord {
 	if s.services == nil {
 		s.services = map[string]map[string]*targetRecord{}
@@ -176,12 +176,11 @@
 	return s.services[service]
 }
 
-func (r *TargetRegistry) logRefusal(heartbeat *rpc.TargetHeartbeat, cause string) {
+func (r *TargetRegistry) logRejection(heartbeat *rpc.TargetHeartbeat, cause string) {
 	r.env.Events.Emit(eventlog.HeartbeatRejected, "service", heartbeat.Service, "instance", heartbeat.Instance, "cause", cause)
 }
 
-// notifyChange calls OnChange in a goroutine of its own, once for all changes that come
-// before it has begun.
+// notifyChange schedules a call of onChange, unless one is scheduled already.
 func (r *TargetRegistry) notifyChange() {
 	if r.onChange != nil && r.notifying.CompareAndSwap(false, true) {
 		r.env.Go(func() {
@@ -191,23 +190,25 @@
 	}
 }
 
-// waitForPropagation lets the time of the setting plan.hold pass between something being in
-// force and the word that it is, so that proxies on busy links have heard of it.
+// waitForPropagation waits for controlplane.acknowledge_delay, or until ctx or the environment
+// ends. It delays the acknowledgement of a change that is in effect, so that proxies on busy
+// links receive the change first.
 func waitForPropagation(ctx context.Context, env *environment.Environment) {
 	if env.Config.ControlplaneAcknowledgeDelay == 0 {
 		return
 	}
-	wakeup := time.NewTimer(env.Config.ControlplaneAcknowledgeDelay)
-	defer wakeup.Stop()
+	timer := time.NewTimer(env.Config.ControlplaneAcknowledgeDelay)
+	defer timer.Stop()
 	select {
-	case <-wakeup.C:
+	case <-timer.C:
 	case <-ctx.Done():
 	case <-env.Done():
 	}
 }
 
-// ServiceOf is the service of an instance, by the heartbeats taken here, the departures
-// recorded here or the epoch in force; empty if none of them names it.
+// ServiceOf returns the service of an instance according to the heartbeats stored here, the
+// departures recorded here, or the current epoch, in this order. It returns an empty string
+// if none of them contains the instance.
 func (r *TargetRegistry) ServiceOf(instance string) string {
 	if service := r.serviceByHeartbeat(instance); service != "" {
 		return service
@@ -224,7 +225,7 @@
 	for service := range epoch.targetServices() {
 		targets, err := epoch.Targets(service)
 		if err != nil {
-			// It may be in another service's list.
+			// The instance may be in another service's list, so the search continues.
 			r.state.reportDamage(err)
 		}
 		for _, target := range targets {
@@ -236,7 +237,8 @@
 	return ""
 }
 
-// serviceByHeartbeat is the service that an instance's latest heartbeat named.
+// serviceByHeartbeat returns the service in the latest heartbeat of an instance, or an empty
+// string if there is none.
 func (r *TargetRegistry) serviceByHeartbeat(instance string) (service string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -251,7 +253,7 @@
 	return service
 }
 
-// eachTarget calls visit, under the lock, for every target of the shards led here.
+// eachTarget calls visit for every target of the shards led here, while holding mu.
 func (r *TargetRegistry) eachTarget(visit func(service, instance string, target *targetRecord)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/controlplane/registry_report.go
+++ b/internal/controlplane/registry_report.go
@@ -13,34 +13,35 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// targetLists is the targets of one shard, by service, as they are reported.
+// targetLists holds the reported targets of one shard by service.
 type targetLists map[string][]rpc.ReportedTarget
 
-// reportedLists is what the last report on a shard said, and its digest.
+// reportedLists holds the target lists of the last report on a shard, and their digest.
 type reportedLists struct {
 	lists  targetLists
 	digest string
 }
 
-// Report is the target lists of all shards led here, each with an age, in microseconds,
-// which proves that everything known at that time is in the list. Lists whose digest the
-// planner already knows are left out.
+// Report returns the target lists of all shards led here. Each has an age, in microseconds: the
+// lists include everything known that long ago, and this node's leadership at that time is
+// confirmed. Lists whose digest the planner already has are omitted.
 //
-// A new leader has to listen for heartbeats for a while before its list is complete. Until
-// then it reports nothing, or, with the setting plan.keep, says that its lists are provisional.
+// The lists of a new leader are incomplete until targets have sent it heartbeats. During
+// controlplane.takeover_delay it reports nothing for the shard, or provisional lists if
+// controlplane.keep_targets_on_takeover is set.
 func (r *TargetRegistry) Report(ctx context.Context, request *rpc.TargetReportRequest) *rpc.TargetReportResponse {
-	began := r.env.Now()
+	start := r.env.Now()
 	response := &rpc.TargetReportResponse{}
 	for i := range r.shards {
 		shard := ids.Shard(i)
 		replica := r.consensus.Replica(shard)
 		term, since, isServing := replica.LeadershipSince()
 		provisional := r.env.Since(since) < r.env.Config.ControlplaneTakeoverDelay
-		if !isServing || provisional && !r.env.Config.ControlplaneKeepTargetsOnTakeover || replica.ConfirmLeadership(ctx, began) != nil {
+		if !isServing || provisional && !r.env.Config.ControlplaneKeepTargetsOnTakeover || replica.ConfirmLeadership(ctx, start) != nil {
 			continue
 		}
 		lists := r.listTargets(shard, term, provisional)
-		report := rpc.ShardTargets{Shard: shard, Term: term, Digest: r.reportDigest(shard, lists), Provisional: provisional, Age: r.env.Since(began).Microseconds() + 1}
+		report := rpc.ShardTargets{Shard: shard, Term: term, Digest: r.reportDigest(shard, lists), Provisional: provisional, Age: r.env.Since(start).Microseconds() + 1}
 		if request.Known[shard] != report.Digest {
 			report.Targets = lists
 		}
@@ -49,11 +50,12 @@
 	return response
 }
 
-// listTargets lists the targets of a shard, forgets those that departed, and writes the
-// events of targets that came into or went out of rotation. A provisional list also names
-// those that are known to have departed and were not heard from yet.
+// listTargets returns the targets of a shard by service, sorted by instance. It discards the
+// targets without a heartbeat for departedRetention, and emits events for targets that entered
+// or left rotation. Provisional lists include targets that have a recorded departure but have
+// not sent a heartbeat in this term.
 func (r *TargetRegistry) listTargets(shard ids.Shard, term ids.Term, provisional bool) targetLists {
-	unheard := r.departures(shard)
+	unlistedDepartures := r.departures(shard)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	services := r.shards[shard].forTerm(term).services
@@ -61,34 +63,34 @@
 	for service, instances := range services {
 		for instance, target := range instances {
 			name := service + "/" + instance
-			departure, hasDeparture := unheard[name]
-			delete(unheard, name)
+			departure, hasDeparture := unlistedDepartures[name]
+			delete(unlistedDepartures, name)
 			sinceLastSeen := r.env.Since(target.lastSeen)
-			outState := ""
+			outReason := ""
 			switch {
 			case hasDeparture:
-				outState = departure.Holder
+				outReason = departure.Holder
 			case target.heartbeat.State != StateServing:
-				outState = target.heartbeat.State
+				outReason = target.heartbeat.State
 			case sinceLastSeen >= r.env.Config.ControlplaneHeartbeatTimeout:
-				outState = StateTimedOut
+				outReason = StateTimedOut
 			}
-			r.logRotation(service, instance, target, outState)
+			r.logRotation(service, instance, target, outReason)
 			if sinceLastSeen > departedRetention {
 				if hasDeparture {
-					r.forgetDeparture(shard, service, instance, departure.Sequence)
+					r.clearDeparture(shard, service, instance, departure.Sequence)
 				}
 				delete(instances, instance)
 				continue
 			}
-			lists[service] = append(lists[service], r.listed(instance, target, outState))
+			lists[service] = append(lists[service], r.reportedTarget(instance, target, outReason))
 		}
 		if len(instances) == 0 {
 			delete(services, service)
 		}
 	}
 	if provisional {
-		for name, departure := range unheard {
+		for name, departure := range unlistedDepartures {
 			service, instance, _ := strings.Cut(name, "/")
 			lists[service] = append(lists[service], rpc.ReportedTarget{Instance: instance, OutReason: departure.Holder})
 		}
@@ -99,7 +101,7 @@
 	return lists
 }
 
-// departures is the committed departures of a shard's targets, by service and instance.
+// departures returns the committed departures of a shard's targets by "service/instance".
 func (r *TargetRegistry) departures(shard ids.Shard) map[string]rpc.CoordinationRecord {
 	records, _ := r.stores[shard].List(coordination.KindInstanceState, "")
 	departures := make(map[string]rpc.CoordinationRecord, len(records))
@@ -109,19 +111,19 @@
 	return departures
 }
 
-// forgetDeparture commits, beside the caller, that a departure is of no use any more. If that
-// fails the record stays, which does no harm, until the target is heard from anew.
-func (r *TargetRegistry) forgetDeparture(shard ids.Shard, service, instance string, sequence uint64) {
+// clearDeparture removes the record of a departure in a new goroutine. If that fails, the
+// record remains until the target sends heartbeats again, which is harmless.
+func (r *TargetRegistry) clearDeparture(shard ids.Shard, service, instance string, sequence uint64) {
 	r.env.Go(func() {
-		limited, end := context.WithTimeout(r.env, time.Second)
-		defer end()
-		r.consensus.Replica(shard).Propose(limited, clearDeparture(service, instance, sequence))
+		ctx, cancel := context.WithTimeout(r.env, time.Second)
+		defer cancel()
+		r.consensus.Replica(shard).Propose(ctx, newClearDepartureEntry(service, instance, sequence))
 	})
 }
 
-// logRotation writes an event if the target came into rotation or went out of it.
-func (r *TargetRegistry) logRotation(service, instance string, target *targetRecord, outState string) {
-	inRotation := outState == ""
+// logRotation emits an event if the target entered or left rotation.
+func (r *TargetRegistry) logRotation(service, instance string, target *targetRecord, outReason string) {
+	inRotation := outReason == ""
 	if inRotation == target.inRotation {
 		return
 	}
@@ -130,18 +132,18 @@
 	if inRotation {
 		event = eventlog.TargetIn
 	}
-	r.env.Events.Emit(event, "service", service, "instance", instance, "address", target.heartbeat.Address, "reason", outState)
+	r.env.Events.Emit(event, "service", service, "instance", instance, "address", target.heartbeat.Address, "reason", outReason)
 }
 
-// listed is a target as it is reported.
-func (r *TargetRegistry) listed(instance string, target *targetRecord, outState string) rpc.ReportedTarget {
+// reportedTarget returns the target as an entry of a report.
+func (r *TargetRegistry) reportedTarget(instance string, target *targetRecord, outReason string) rpc.ReportedTarget {
 	last := &target.heartbeat
 	return rpc.ReportedTarget{Instance: instance, Address: last.Address, Zone: last.Zone, Weight: last.Weight, Slots: last.Slots,
-		SlowStartMillis: target.warmUp, Since: r.env.Since(target.firstSeen).Microseconds(), OutReason: outState}
+		SlowStartMillis: target.slowStartMillis, Since: r.env.Since(target.firstSeen).Microseconds(), OutReason: outReason}
 }
 
-// reportDigest is the digest of a shard's lists. It is computed anew only when they say
-// something else than the last time.
+// reportDigest returns the digest of a shard's lists. It is recomputed only if the lists differ
+// from those of the last report in more than ages.
 func (r *TargetRegistry) reportDigest(shard ids.Shard, lists targetLists) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -152,7 +154,7 @@
 	return last.digest
 }
 
-// equalLists compares lists but for the ages, which change all the time.
+// equalLists reports whether two sets of lists are equal apart from the ages.
 func equalLists(one, two targetLists) bool {
 	return maps.EqualFunc(one, two, func(a, b []rpc.ReportedTarget) bool {
 		return slices.EqualFunc(a, b, func(x, y rpc.ReportedTarget) bool {
@@ -162,7 +164,7 @@
 	})
 }
 
-// digestLists is a digest of lists but for the ages.
+// digestLists returns a digest of the lists that excludes the ages.
 func digestLists(lists targetLists) string {
 	ageless := make(targetLists, len(lists))
 	for service, list := range lists {
--- a/internal/controlplane/registry_test.go
+++ b/internal/controlplane/registry_test.go
@@ -8,7 +8,7 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-func TestTargetRegistry_ReportsSlotsFirstWarmUpAndDepartures(t *testing.T) {
+func TestTargetRegistry_ReportsSlotsInitialSlowStartAndDepartures(t *testing.T) {
 	r, shard, term := newRegistry(t, nil), ids.ShardOf("s"), ids.Term{Number: 1}
 	r.listTargets(shard, term, true)
 	target := r.addTarget(rpc.TargetHeartbeat{Service: "s", Instance: "a", Address: "A", State: StateServing, Slots: 3, SlowStartMillis: 900})
@@ -28,7 +28,7 @@
 	}
 	target.heartbeat.Slots = 4
 	if lists = r.listTargets(shard, term, false); r.reportDigest(shard, lists) == first || r.reportDigest(shard, lists) != digestLists(lists) {
-		t.Fatal("the digest stayed when slots changed")
+		t.Fatal("the digest did not change with the slots")
 	}
 }
 
@@ -45,17 +45,17 @@
 
 func TestTargetRegistry_OutdatedHeartbeats(t *testing.T) {
 	for name, c := range map[string]struct {
-		seq                             uint64
-		state                           string
-		precedesDeparture               bool
-		outdated, changed, isTaken, met bool
+		seq                                 uint64
+		state                               string
+		precedesDeparture                   bool
+		outdated, changed, isStored, isSeen bool
 	}{
-		"newer, the same":              {6, StateServing, false, false, false, true, true},
-		"newer, draining":              {6, StateDraining, false, false, true, true, true},
-		"older, serving":               {4, StateServing, false, true, false, false, false},
-		"older, draining":              {4, StateDraining, false, true, false, false, true},
-		"before its departure":         {6, StateServing, true, true, false, false, false},
-		"before another departure too": {6, StateLeaving, true, true, false, false, true},
+		"newer, unchanged":              {6, StateServing, false, false, false, true, true},
+		"newer, draining":               {6, StateDraining, false, false, true, true, true},
+		"older, serving":                {4, StateServing, false, true, false, false, false},
+		"older, draining":               {4, StateDraining, false, true, false, false, true},
+		"before its departure, serving": {6, StateServing, true, true, false, false, false},
+		"before its departure, leaving": {6, StateLeaving, true, true, false, false, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r, shard := newRegistry(t, nil), ids.ShardOf("s")
@@ -66,11 +66,11 @@
 			if outdated != c.outdated || changed != c.changed {
 				t.Errorf("outdated %v, changed %v", outdated, changed)
 			}
-			if isTaken := target.heartbeat.Sequence == c.seq; isTaken != c.isTaken {
-				t.Errorf("taken %v", isTaken)
+			if isStored := target.heartbeat.Sequence == c.seq; isStored != c.isStored {
+				t.Errorf("stored: %v", isStored)
 			}
-			if met := target.lastSeen.After(before); met != c.met {
-				t.Errorf("counts as seen: %v", met)
+			if isSeen := target.lastSeen.After(before); isSeen != c.isSeen {
+				t.Errorf("updates lastSeen: %v", isSeen)
 			}
 		})
 	}
@@ -88,7 +88,7 @@
 	}
 }
 
-func TestTargetRegistry_OnChangeIsCalledAndMayBeMissing(t *testing.T) {
+func TestTargetRegistry_CallsOnChangeIfSet(t *testing.T) {
 	newRegistry(t, nil).notifyChange()
 	called := make(chan bool, 4)
 	r := newRegistry(t, func() { called <- true })
--- a/internal/controlplane/sources.go
+++ b/internal/controlplane/sources.go
@@ -8,17 +8,16 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// Each item of the configuration may carry the operators' own text of it. The texts are
-// replicated with the configuration but are of no use to a proxy: they lie in groups of
-// their own, which are not distributed, and are put back on the items when the
-// configuration is read. They are kept by item: "mappings/<name>", "services/<name>" or
-// the name of the group of client limits.
+// Each item of the configuration may have a source: the operators' original text of it.
+// Proxies don't need the sources, so these are stored in separate groups that are replicated
+// but not distributed, and are attached to the items when the configuration is read. The key
+// of a source is "mappings/<name>", "services/<name>" or ClientLimitsGroup.
 
 func routeSourceKey(name string) string   { return "mappings/" + name }
 func serviceSourceKey(name string) string { return "services/" + name }
 
-// detachSources takes the texts off a copy of the configuration and returns them by item.
-// The configuration given is not written to.
+// detachSources returns a copy of the configuration without sources, and the sources by key.
+// It does not modify its argument.
 func detachSources(config rpc.Configuration) (rpc.Configuration, map[string]json.RawMessage) {
 	sources := map[string]json.RawMessage{}
 	detach := func(item string, source *json.RawMessage) {
@@ -42,7 +41,7 @@
 	return config, sources
 }
 
-// attachSources puts the texts back on the items of a configuration.
+// attachSources sets the sources of a configuration's items.
 func attachSources(config *rpc.Configuration, sources map[string]json.RawMessage) {
 	for i := range config.Routes {
 		config.Routes[i].Source = sources[routeSourceKey(config.Routes[i].Name)]
@@ -55,7 +54,7 @@
 	}
 }
 
-// sources is the texts of the epoch by item.
+// sources returns the epoch's sources by key. The error is a *DamagedGroupError.
 func (e *EpochState) sources() (map[string]json.RawMessage, error) {
 	sources := map[string]json.RawMessage{}
 	for name := range e.Groups {
--- a/internal/controlplane/sources_test.go
+++ b/internal/controlplane/sources_test.go
@@ -37,18 +37,18 @@
 	if got := sourcesOf(t, epoch); !reflect.DeepEqual(got, want) {
 		t.Errorf("sources %v, want %v", got, want)
 	}
-	kept := 0
+	wantCount := 0
 	for _, text := range want {
 		if text != "" {
-			kept++
+			wantCount++
 		}
 	}
-	if sources, err := epoch.sources(); err != nil || len(sources) != kept {
-		t.Errorf("%d texts are kept, want %d: %v", len(sources), kept, err)
+	if sources, err := epoch.sources(); err != nil || len(sources) != wantCount {
+		t.Errorf("%d sources are stored, want %d: %v", len(sources), wantCount, err)
 	}
 	for name := range epoch.Manifest() {
 		if strings.HasPrefix(name, SourcesPrefix) {
-			t.Errorf("the manifest has %s", name)
+			t.Errorf("the manifest contains %s", name)
 		}
 	}
 	for name := range epoch.Groups {
@@ -67,7 +67,7 @@
 	}
 }
 
-func TestConfigState_SourcesComeBackAndAreNotPublished(t *testing.T) {
+func TestConfigState_ReturnsSourcesWithoutPublishingThem(t *testing.T) {
 	c := NewConfigState()
 	put := rpc.Configuration{
 		Routes:       []rpc.Route{routeFrom("a", `{"x":1}`), routeFrom("b", `{"x":2}`), routeFrom("c", "")},
@@ -78,7 +78,7 @@
 	epoch := commit(t, c, &rpc.ChangeSet{ID: "1", Put: put})
 	wantSources(t, epoch, want)
 	if string(put.Routes[0].Source) == "" || string(put.ClientLimits.Source) == "" {
-		t.Error("the change set itself was written to")
+		t.Error("the change set was modified")
 	}
 	epoch = commit(t, c, &rpc.ChangeSet{ID: "2", Put: rpc.Configuration{Routes: []rpc.Route{routeFrom("a", `{"x":9}`)}}})
 	want["mappings/a"] = `{"x":9}`
@@ -92,7 +92,7 @@
 	wantSources(t, epoch, map[string]string{"services/s": ""})
 	for name := range epoch.Groups {
 		if strings.HasPrefix(name, SourcesPrefix) || name == ClientLimitsGroup {
-			t.Errorf("%s is left", name)
+			t.Errorf("group %s was not removed", name)
 		}
 	}
 }
--- a/internal/controlplane/state.go
+++ b/internal/controlplane/state.go
@@ -11,36 +11,34 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// maxPreviousEpochs is how many epochs before the one in force are kept, so that a proxy
-// that has one of them is sent only what changed since.
+// maxPreviousEpochs is how many epochs before the current one are kept. A proxy that has one
+// of them is sent only the difference.
 const maxPreviousEpochs = 64
 
-// ConfigState is the state machine of the configuration shard: the epoch in force, with the
-// results of the change sets that were accepted. All members of the shard apply the same
-// entries and so hold the same epochs.
+// ConfigState is the state machine of the configuration shard: the current epoch, including
+// the results of accepted change sets, and the epochs before it.
 type ConfigState struct {
-	// OnCommit is called after each epoch that was applied, in their order. OnDamage is
-	// called with a *DamagedEntryError or a *DamagedGroupError, once for each entry and for
-	// each version of a group. Both may be nil and are set before the first entry.
+	// OnCommit is called after each applied epoch, in order. OnDamage is called with a
+	// *DamagedEntryError or a *DamagedGroupError, once per entry and once per version of a
+	// group. Both are optional and must be set before the first entry is applied.
 	OnCommit func(*EpochState, *rpc.EpochEntry)
 	OnDamage func(error)
 
 	mu       sync.RWMutex // guards current and previous
 	current  *EpochState
-	previous []*EpochState // the epochs before, oldest first
+	previous []*EpochState // epochs before the current one, oldest first
 
 	damageMu sync.Mutex      // guards damaged
 	damaged  map[string]bool // versions of groups already reported as damaged
 }
 
-// NewConfigState makes the state before the first epoch.
+// NewConfigState returns the state before the first epoch.
 func NewConfigState() *ConfigState {
 	return &ConfigState{current: &EpochState{Groups: map[string]rpc.Group{}}, damaged: map[string]bool{}}
 }
 
-// Apply applies the entry at an index: one epoch, an encoded rpc.EpochEntry. The result is
-// nil, or the error for which the entry was skipped: ErrEpochOutOfOrder or a
-// *DamagedEntryError.
+// Apply applies the log entry at an index, an encoded rpc.EpochEntry. It returns nil, or the
+// reason why the entry was skipped: ErrEpochOutOfOrder or a *DamagedEntryError.
 func (c *ConfigState) Apply(index ids.Index, body json.RawMessage) any {
 	var planned rpc.EpochEntry
 	if err := json.Unmarshal(body, &planned); err != nil {
@@ -67,14 +65,15 @@
 	return nil
 }
 
-// Current is the epoch in force, as far as this member knows.
+// Current returns the newest epoch that this member has applied.
 func (c *ConfigState) Current() *EpochState {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
 	return c.current
 }
 
-// AtEpoch is an epoch that is in force or was so lately; nil if it is not kept.
+// AtEpoch returns the current epoch or one of the previous epochs by its number, or nil if
+// that epoch is not kept.
 func (c *ConfigState) AtEpoch(epoch ids.Epoch) *EpochState {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -89,7 +88,8 @@
 	return nil
 }
 
-// previousGroup is a group as it was under a digest in one of the previous epochs.
+// previousGroup returns the version of a group that has the given digest, if one of the
+// previous epochs has it.
 func (c *ConfigState) previousGroup(name, digest string) (rpc.Group, bool) {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -101,8 +101,8 @@
 	return rpc.Group{}, false
 }
 
-// Snapshot takes hold of the epoch in force, to be encoded for a snapshot while further
-// entries are applied.
+// Snapshot captures the current epoch and returns a function that encodes it. The function
+// may run while further entries are applied.
 func (c *ConfigState) Snapshot() func() (json.RawMessage, error) {
 	epoch := c.Current()
 	return func() (json.RawMessage, error) {
@@ -112,8 +112,8 @@
 	}
 }
 
-// Restore replaces the state by that of a snapshot. Whether the epoch binds is not in it, so
-// it is taken to do so.
+// Restore replaces the current epoch with that of a snapshot. A snapshot doesn't record
+// whether its epoch is binding (see binding.go), so the epoch counts as binding.
 func (c *ConfigState) Restore(raw json.RawMessage) error {
 	var state rpc.ConfigurationState
 	if err := json.Unmarshal(raw, &state); err != nil {
@@ -130,7 +130,8 @@
 	return nil
 }
 
-// reportDamage hands the damage in an error, if there is any, to OnDamage.
+// reportDamage calls OnDamage if err is a *DamagedEntryError, or a *DamagedGroupError for a
+// version of a group that was not reported before.
 func (c *ConfigState) reportDamage(err error) {
 	var entry *DamagedEntryError
 	var group *DamagedGroupError
@@ -153,8 +154,9 @@
 	}
 }
 
-// next is the epoch that follows this one. Damage in the target lists is reported beside
-// it: the epoch was committed and holds all the same, and is then taken to bind.
+// next returns the epoch that results from applying an entry to this epoch. If a target list
+// is damaged it returns both the epoch and a *DamagedGroupError: the epoch is committed and
+// must be applied, and counts as binding because the removed targets are unknown.
 func (e *EpochState) next(planned *rpc.EpochEntry) (*EpochState, error) {
 	next := &EpochState{
 		Epoch: planned.Epoch, LastBinding: e.LastBinding, LastChange: e.LastChange, Version: e.Version,
--- a/internal/controlplane/state_ranges.go
+++ b/internal/controlplane/state_ranges.go
@@ -8,27 +8,28 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// For repair the state is cut into ranges: each group is one, and the numbers of the epoch
-// with the results of the change sets, its header, are another.
+// The replicas of the configuration shard are compared and repaired by ranges. Each group is
+// one range. The header is another: the numbers of the epoch and the results of change sets.
 const (
 	groupRange  = "group/"
 	headerRange = "head"
 )
 
-// header is the epoch without its groups, as it is stored.
+// header returns the stored form of the epoch without its groups.
 func (e *EpochState) header() rpc.ConfigurationState {
 	return rpc.ConfigurationState{Epoch: e.Epoch, ChangedEpoch: e.LastChange, Version: e.Version, Results: e.Changes}
 }
 
-// setHeader takes over a stored header. Whether its epoch binds is not stored, so it is
-// taken to do so.
+// setHeader sets the epoch's header from its stored form. That doesn't record whether the
+// epoch is binding (see binding.go), so the epoch counts as binding.
 func (e *EpochState) setHeader(header *rpc.ConfigurationState) {
 	e.Epoch, e.LastBinding = header.Epoch, header.Epoch
 	e.LastChange, e.Version, e.Changes = header.ChangedEpoch, header.Version, header.Results
 }
 
-// RangeDigests is a digest of each range. A group's is computed from its data each time, so that
-// damage in memory shows; a range that cannot be encoded has an empty one.
+// RangeDigests returns the digest of each range. Digests of groups are recomputed from the
+// data on each call, so that damage in memory is detected. A range that cannot be encoded
+// has an empty digest.
 func (c *ConfigState) RangeDigests() map[string]string {
 	epoch := c.Current()
 	digests := map[string]string{headerRange: digestRange(epoch.header())}
@@ -46,7 +47,8 @@
 	return Digest(data)
 }
 
-// ExportRange is the content of one range; that of a group which does not exist is null.
+// ExportRange returns the encoded content of one range: JSON null for a group that does not
+// exist.
 func (c *ConfigState) ExportRange(name string) (json.RawMessage, error) {
 	epoch := c.Current()
 	if name, ok := strings.CutPrefix(name, groupRange); ok {
@@ -58,8 +60,8 @@
 	return json.Marshal(epoch.header())
 }
 
-// Repair replaces the content of one range; null removes a group. The previous epochs are
-// forgotten, for they may be damaged as well.
+// Repair replaces the content of one range; JSON null removes a group. It discards the
+// previous epochs, which may be damaged as well.
 func (c *ConfigState) Repair(name string, data json.RawMessage) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/controlplane/state_test.go
+++ b/internal/controlplane/state_test.go
@@ -10,7 +10,7 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-func TestConfigState_VersionIsKept(t *testing.T) {
+func TestConfigState_KeepsVersionAcrossSnapshotAndRepair(t *testing.T) {
 	c := NewConfigState()
 	for i, step := range []struct{ sent, want ids.Version }{{0, 0}, {3, 3}, {0, 3}, {8, 8}} {
 		if got := commit(t, c, &rpc.ChangeSet{ID: string(rune('a' + i)), Version: step.sent}).Version; got != step.want {
@@ -39,7 +39,7 @@
 	for _, epoch := range []ids.Epoch{0, 1, 3} {
 		err, _ := c.Apply(2, mustMarshal(&rpc.EpochEntry{Epoch: epoch})).(error)
 		if !errors.Is(err, ErrEpochOutOfOrder) || c.Current().Epoch != 1 {
-			t.Errorf("epoch %d: %v, epoch %d is in force", epoch, err, c.Current().Epoch)
+			t.Errorf("epoch %d: %v, current epoch %d", epoch, err, c.Current().Epoch)
 		}
 	}
 }
@@ -52,7 +52,7 @@
 	}
 	for epoch, want := range map[ids.Epoch]bool{last: true, last - 1: true, last - maxPreviousEpochs: true, last - maxPreviousEpochs - 1: false, last + 1: false} {
 		if got := c.AtEpoch(epoch); (got != nil) != want || got != nil && got.Epoch != epoch {
-			t.Errorf("epoch %d: %v, want it kept: %v", epoch, got, want)
+			t.Errorf("epoch %d: %v, want kept: %v", epoch, got, want)
 		}
 	}
 	previous := c.AtEpoch(last - 1).Groups[LimitsGroup]
--- a/internal/controlplane/stats.go
+++ b/internal/controlplane/stats.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// PlannerStats is what the planner's metrics show.
+// PlannerStats holds the values of the planner's metrics.
 type PlannerStats struct {
-	Shards       int           // of which there is a report
-	Conflicts    int           // address conflicts seen so far
+	Shards       int           // number of shards with a report
+	Conflicts    int           // distinct address conflicts since the start
 	OldestReport time.Duration // age of the oldest report
 }
 
-// Stats is computed when it is asked for.
+// Stats computes the current values of the metrics.
 func (p *Planner) Stats() PlannerStats {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -20,11 +20,11 @@
 	return stats
 }
 
-// TargetStatus is how targets stand: in rotation ("in") or not ("out"), and what they said
-// of themselves in their last heartbeat.
+// TargetStatus classifies targets by service, by State, which is "in" (in rotation) or "out",
+// and by Reported, the state in the last heartbeat.
 type TargetStatus struct{ Service, State, Reported string }
 
-// TargetCounts counts the targets known here by how they stand.
+// TargetCounts returns the number of targets in this registry by status.
 func (r *TargetRegistry) TargetCounts() map[TargetStatus]int {
 	counts := map[TargetStatus]int{}
 	r.eachTarget(func(service, _ string, target *targetRecord) {
@@ -33,15 +33,15 @@
 	return counts
 }
 
-// TargetRow is one target as the shell shows it.
+// TargetRow is one row of the operator shell's list of targets.
 type TargetRow struct {
 	Service, Instance, Address, Zone string
 	Weight                           int
-	State                            string        // "in" or "out", with what the target said of itself
+	State                            string        // "in" or "out", followed by the reported state in parentheses
 	SinceHeartbeat                   time.Duration // in whole milliseconds
 }
 
-// Rows lists the targets known here, in no order.
+// Rows returns the targets in this registry, in no particular order.
 func (r *TargetRegistry) Rows() (rows []TargetRow) {
 	r.eachTarget(func(service, instance string, target *targetRecord) {
 		last := &target.heartbeat
--- a/internal/controlplane/stats_test.go
+++ b/internal/controlplane/stats_test.go
@@ -7,7 +7,7 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-func TestTargetRegistry_CountsAndRowsTellHowTargetsStand(t *testing.T) {
+func TestTargetRegistry_CountsAndRowsShowRotationAndState(t *testing.T) {
 	r := newRegistry(t, nil)
 	r.addTarget(rpc.TargetHeartbeat{Service: "s", Instance: "a", Address: "A", Zone: "z", Weight: 7, State: StateServing})
 	r.addTarget(rpc.TargetHeartbeat{Service: "s", Instance: "b", Address: "B", State: StateDraining})
--- a/internal/controlplane/submit.go
+++ b/internal/controlplane/submit.go
@@ -13,23 +13,23 @@
 // stateAccepted is the state of a change set in its result.
 const stateAccepted = "accepted"
 
-// Submit accepts a change set as a whole, or refuses it. A set that was accepted before is
-// answered with the first result. A refusal is one of CheckPrecondition's or an
-// errcode.InvalidChange with the paths of the faults; errcode.NotLeader tells that this node does
-// not lead the configuration shard, and errcode.ChangeUnknown that the set may or may not
-// have been accepted: ChangeStatus will tell.
+// Submit accepts or refuses a change set as a whole. For a change set that was accepted before
+// it returns the first result. The error is one of CheckPrecondition's, errcode.InvalidChange
+// with the paths of the faults, errcode.NotLeader if this node does not lead the configuration
+// shard, or errcode.ChangeUnknown if it is unknown whether the change set was accepted:
+// ChangeStatus can be used to find out.
 func (p *Planner) Submit(ctx context.Context, change *rpc.ChangeSet) (*rpc.ChangeResult, error) {
 	result, err := p.submit(ctx, change)
 	if err == nil {
-		// Also where it is a repeat: its answer may come before that to the first.
+		// A repeated change set waits, too: its response may arrive before that of the first.
 		waitForPropagation(ctx, p.env)
 	}
 	return result, err
 }
 
 func (p *Planner) submit(ctx context.Context, change *rpc.ChangeSet) (*rpc.ChangeResult, error) {
-	p.planning.Lock()
-	defer p.planning.Unlock()
+	p.planningMu.Lock()
+	defer p.planningMu.Unlock()
 	if err := p.replica.ConfirmLeadership(ctx, p.env.Now()); err != nil {
 		return nil, err
 	}
@@ -59,39 +59,39 @@
 	return result, nil
 }
 
-// checkChange holds a change set against the epoch in force. It returns the first result of
-// one that was accepted before, or else the configuration with the change set.
+// checkChange checks a change set against the current epoch. It returns the first result of a
+// change set that was accepted before, or else the configuration with the change set merged in.
 func (p *Planner) checkChange(change *rpc.ChangeSet, digest string) (first *rpc.ChangeResult, merged rpc.Configuration, err error) {
 	epoch := p.state.Current()
 	if first, err = epoch.CheckPrecondition(change, digest); first != nil || err != nil {
 		return first, rpc.Configuration{}, err
 	}
-	inForce, err := epoch.Config()
+	current, err := epoch.Config()
 	if err != nil {
 		p.state.reportDamage(err)
 		return nil, rpc.Configuration{}, err
 	}
-	merged, faults := MergeChange(inForce, change)
+	merged, faults := MergeChange(current, change)
 	if len(faults) > 0 {
 		return nil, rpc.Configuration{}, errcode.NewPaths(errcode.InvalidChange, faults)
 	}
 	return nil, merged, nil
 }
 
-// ChangeStatus is the result of a change set that was accepted; errcode.ChangeAbsent tells
-// that it was not. It waits for all that is in the log, so that an absence can't be followed
-// by a late acceptance.
+// ChangeStatus returns the result of an accepted change set. The error is errcode.ChangeAbsent
+// if no change set with this ID was accepted. All entries in the log are committed first, so
+// that the change set cannot be accepted after it was reported absent.
 func (p *Planner) ChangeStatus(ctx context.Context, id string) (*rpc.ChangeResult, error) {
 	result, err := p.changeStatus(ctx, id)
 	if err == nil {
-		waitForPropagation(ctx, p.env) // it acknowledges the change set as Submit does
+		waitForPropagation(ctx, p.env) // the result is an acknowledgement, as in Submit
 	}
 	return result, err
 }
 
 func (p *Planner) changeStatus(ctx context.Context, id string) (*rpc.ChangeResult, error) {
-	p.planning.Lock()
-	defer p.planning.Unlock()
+	p.planningMu.Lock()
+	defer p.planningMu.Unlock()
 	if err := p.replica.Barrier(ctx); err != nil {
 		return nil, err
 	}
--- a/internal/controlplane/target_diff.go
+++ b/internal/controlplane/target_diff.go
@@ -9,14 +9,14 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// Target lists are long and change by a few targets at a time, so a proxy that holds an
-// earlier list is sent the difference. It checks the result against the digest of the list.
+// Target lists are long and usually change by a few targets, so a proxy that has an earlier
+// version of a list is sent only the difference. It checks the result against the digest.
 
-// Delta is a target list as its difference from the version with a digest. It is not ok if
-// the group is no target list, that version is in none of the epochs kept, or the difference
-// is no shorter; the group is to be sent in full then. The difference was checked: it leads
-// from that version to exactly this list. A list that cannot be decoded is reported as
-// damaged, and has no difference.
+// Delta returns a target list as its difference from the version with the given digest.
+// Applying the difference to that version is verified to give exactly this list. ok is false
+// if the group must be sent in full: it is not a target list, none of the previous epochs has
+// that version, the difference is not shorter, or one of the lists cannot be decoded, which
+// is reported as damage.
 func (c *ConfigState) Delta(name, baseDigest string, group rpc.Group) (delta rpc.Group, ok bool) {
 	if baseDigest == "" || !strings.HasPrefix(name, TargetsPrefix) {
 		return rpc.Group{}, false
@@ -42,7 +42,7 @@
 	return rpc.Group{Digest: group.Digest, Index: group.Index, BaseDigest: baseDigest, PutTargets: put, RemovedTargets: removed}, true
 }
 
-// PatchTargets applies a difference to an encoded target list.
+// PatchTargets applies a difference to an encoded target list and returns the encoded result.
 func PatchTargets(from json.RawMessage, put []rpc.Target, removed []string) (json.RawMessage, error) {
 	var before []rpc.Target
 	if err := json.Unmarshal(from, &before); err != nil {
@@ -51,7 +51,7 @@
 	return patchTargets(before, put, removed), nil
 }
 
-// decodeTargets reads a target list; the error is a *DamagedGroupError.
+// decodeTargets decodes a target list. The error is a *DamagedGroupError.
 func decodeTargets(name string, group rpc.Group) (targets []rpc.Target, err error) {
 	if err := json.Unmarshal(group.Data, &targets); err != nil {
 		return nil, &DamagedGroupError{Epoch: ids.Epoch(group.Index), Group: name, Digest: group.Digest, Err: err}
@@ -59,8 +59,8 @@
 	return targets, nil
 }
 
-// diffTargets is the targets that are new or changed in a list, and the instances that are
-// no longer in it.
+// diffTargets returns the targets in after that are new or changed, and, sorted, the instances
+// that are only in before.
 func diffTargets(before, after []rpc.Target) (put []rpc.Target, removed []string) {
 	remaining := make(map[string]rpc.Target, len(before))
 	for _, target := range before {
@@ -79,8 +79,7 @@
 	return put, removed
 }
 
-// patchTargets applies a difference to a list, and encodes the result in the order of its
-// instances.
+// patchTargets applies a difference to a list, and encodes the result sorted by instance.
 func patchTargets(before, put []rpc.Target, removed []string) json.RawMessage {
 	superseded := make(map[string]bool, len(removed)+len(put))
 	for _, instance := range removed {
--- a/internal/controlplane/target_diff_test.go
+++ b/internal/controlplane/target_diff_test.go
@@ -9,7 +9,7 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-func TestPatchTargets_DifferenceLeadsFromOneListToTheOther(t *testing.T) {
+func TestPatchTargets_AppliesResultOfDiffTargets(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
 	draw := func() []rpc.Target {
 		list := []rpc.Target{}
@@ -29,7 +29,7 @@
 		}
 	}
 	if _, err := PatchTargets(json.RawMessage("{"), nil, nil); err == nil {
-		t.Error("a list that can't be read was patched")
+		t.Error("patched a list that cannot be decoded")
 	}
 }
 
@@ -49,14 +49,14 @@
 		ok         bool
 		reports    int
 	}{
-		"shorter":             {name, long, changed, Digest(long), true, 0},
-		"as long as the list": {name, mustMarshal([]rpc.Target{}), long, Digest(mustMarshal([]rpc.Target{})), false, 0},
-		"not the same order":  {name, long, unsorted, Digest(long), false, 0},
-		"no version named":    {name, long, changed, "", false, 0},
-		"unknown version":     {name, long, changed, Digest(changed), false, 0},
-		"no target list":      {LimitsGroup, long, changed, Digest(long), false, 0},
-		"damaged version":     {name, damaged, changed, Digest(damaged), false, 1},
-		"damaged list":        {name, long, damaged, Digest(long), false, 1},
+		"shorter difference":             {name, long, changed, Digest(long), true, 0},
+		"difference as long as the list": {name, mustMarshal([]rpc.Target{}), long, Digest(mustMarshal([]rpc.Target{})), false, 0},
+		"list in another order":          {name, long, unsorted, Digest(long), false, 0},
+		"no base digest":                 {name, long, changed, "", false, 0},
+		"unknown base digest":            {name, long, changed, Digest(changed), false, 0},
+		"not a target list":              {LimitsGroup, long, changed, Digest(long), false, 0},
+		"damaged base list":              {name, damaged, changed, Digest(damaged), false, 1},
+		"damaged list":                   {name, long, damaged, Digest(long), false, 1},
 	} {
 		t.Run(title, func(t *testing.T) {
 			state := NewConfigState()
--- a/internal/controlplane/validate.go
+++ b/internal/controlplane/validate.go
@@ -7,31 +7,32 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// Bounds of what a configuration may hold. Times are in milliseconds.
+// Bounds of a configuration's values. Times are in milliseconds.
 const (
-	maxRoutes         = 20_000
-	maxServices       = 2_000
-	maxNameBytes      = 128
-	maxRouteNameBytes = 256
-	maxWeight         = 1_000_000
-	maxMillis         = 600_000
-	maxAimOverrun     = 60_000 // by which a latency target must stay below deadline + this
-	maxPriority       = 100
-	maxAttempts       = 16
-	maxExtraPercent   = 20
-	maxExtraBase      = 60
-	minHeaderBytes    = 1 << 10
-	maxHeaderBytes    = 1 << 20
+	maxRoutes               = 20_000
+	maxServices             = 2_000
+	maxNameBytes            = 128
+	maxRouteNameBytes       = 256
+	maxWeight               = 1_000_000
+	maxMillis               = 600_000
+	maxLatencyTargetOverrun = 60_000 // a latency target must be below the deadline plus this
+	maxPriority             = 100
+	maxAttempts             = 16
+	maxRetryPercent         = 20
+	maxRetryBase            = 60
+	minHeaderBytes          = 1 << 10
+	maxHeaderBytes          = 1 << 20
 )
 
-// validator collects the faults of a configuration, each as "path: what is wrong".
+// validator collects the faults of a configuration, each in the form "path: fault".
 type validator struct{ faults []string }
 
 func (v *validator) fail(format string, args ...any) {
 	v.faults = append(v.faults, fmt.Sprintf(format, args...))
 }
 
-// within faults a value outside of its bounds.
+// within reports whether a value is between low and high, inclusive, and records a fault
+// otherwise.
 func (v *validator) within(path string, value, low, high int, unit string) bool {
 	if value >= low && value <= high {
 		return true
@@ -40,26 +41,27 @@
 	return false
 }
 
-// notNegative faults a value below zero.
+// notNegative records a fault if the value is below zero.
 func (v *validator) notNegative(path string, value int64) {
 	if value < 0 {
 		v.fail("%s: is below zero", path)
 	}
 }
 
-// isName tells whether a name of a service or instance is one: not empty, not too long,
-// and without the slash that names are joined by.
-func isName(name, forbidden string) bool {
+// isValidName reports whether the name of a service or instance is not empty, not too long,
+// and without the forbidden characters. A slash is always one of these, because it separates
+// the names in "service/instance".
+func isValidName(name, forbidden string) bool {
 	return name != "" && len(name) <= maxNameBytes && !strings.ContainsAny(name, forbidden)
 }
 
 // config checks a configuration as a whole.
 func (v *validator) config(config *rpc.Configuration) {
 	if len(config.Routes) > maxRoutes {
-		v.fail("mappings: %d are more than %d", len(config.Routes), maxRoutes)
+		v.fail("mappings: %d exceed the limit of %d", len(config.Routes), maxRoutes)
 	}
 	if len(config.Services) > maxServices {
-		v.fail("services: %d are more than %d", len(config.Services), maxServices)
+		v.fail("services: %d exceed the limit of %d", len(config.Services), maxServices)
 	}
 	services := map[string]bool{}
 	for _, service := range config.Services {
@@ -80,7 +82,7 @@
 }
 
 func (v *validator) service(service *rpc.Service) {
-	if !isName(service.Name, "/ \t\r\n") {
+	if !isValidName(service.Name, "/ \t\r\n") {
 		v.fail("services.%s.name: is empty, too long, or holds a slash or a space", service.Name)
 	}
 	v.notNegative("services."+service.Name+".pipes", int64(service.MaxConnections))
@@ -96,17 +98,17 @@
 	}
 	v.splits(path, route.Services, services)
 	v.within(path+".deadline", int(route.DeadlineMillis), 0, maxMillis, " ms")
-	if v.within(path+".aim", int(route.LatencyTargetMillis), 0, maxMillis, " ms") && route.LatencyTargetMillis > 0 && route.DeadlineMillis > 0 && route.LatencyTargetMillis >= route.DeadlineMillis+maxAimOverrun {
+	if v.within(path+".aim", int(route.LatencyTargetMillis), 0, maxMillis, " ms") && route.LatencyTargetMillis > 0 && route.DeadlineMillis > 0 && route.LatencyTargetMillis >= route.DeadlineMillis+maxLatencyTargetOverrun {
 		v.fail("%s.aim: is a minute or more above the deadline", path)
 	}
 	v.within(path+".priority", int(route.Priority), 0, maxPriority, "")
 	v.within(path+".tries", int(route.MaxAttempts), 0, maxAttempts, "")
 	if route.Deduplicate != nil && *route.Deduplicate && route.Idempotent {
-		v.fail("%s.once: makes no sense for a repeatable mapping", path)
+		v.fail("%s.once: is not allowed for a repeatable mapping", path)
 	}
 }
 
-// splits checks the services that a route sends to, and their weights.
+// splits checks the weighted services of a route.
 func (v *validator) splits(path string, splits []rpc.WeightedService, services map[string]bool) {
 	if len(splits) == 0 {
 		v.fail("%s.to: is empty", path)
@@ -125,8 +127,9 @@
 	}
 }
 
-// uniqueMatch faults a route that has host, path and a method in common with another one.
-// A route without methods takes all of them.
+// uniqueMatch records a fault for a route that has the same host, path and a method in common
+// with another one. A route without methods accepts all of them and is compared only with
+// other routes without methods. The matches of the route are added to matches.
 func (v *validator) uniqueMatch(route *rpc.Route, matches map[string]string) {
 	path := "mappings." + route.Name
 	methods := route.Methods
@@ -139,7 +142,7 @@
 		}
 		match := route.Host + " " + route.Path + " " + method
 		if other, ok := matches[match]; ok {
-			v.fail("%s.path: is the same as that of %s", path, other)
+			v.fail("%s.path: has the same host, path and method as %s", path, other)
 		}
 		matches[match] = route.Name
 	}
@@ -152,16 +155,16 @@
 	}
 	v.notNegative(path+".inflight", int64(limit.MaxInFlight))
 	if limit.RetryPercent != nil {
-		v.within(path+".extra_percent", *limit.RetryPercent, 0, maxExtraPercent, "")
+		v.within(path+".extra_percent", *limit.RetryPercent, 0, maxRetryPercent, "")
 	}
 	if limit.RetryBase != nil {
-		v.within(path+".extra_base", *limit.RetryBase, 0, maxExtraBase, "")
+		v.within(path+".extra_base", *limit.RetryBase, 0, maxRetryBase, "")
 	}
 }
 
 func (v *validator) clientLimits(limits *rpc.ClientLimits) {
 	if limits.HeaderBytes != 0 && (limits.HeaderBytes < minHeaderBytes || limits.HeaderBytes > maxHeaderBytes) {
-		v.fail("manners.header: is neither 0 nor within %d to %d", minHeaderBytes, maxHeaderBytes)
+		v.fail("manners.header: is neither 0 nor between %d and %d", minHeaderBytes, maxHeaderBytes)
 	}
 	v.notNegative("manners.body", limits.BodyBytes)
 	v.within("manners.header_time", int(limits.HeaderTimeoutMillis), 0, maxMillis, " ms")
