--- a/internal/membership/broadcast.go
+++ b/internal/membership/broadcast.go
@@ -7,52 +7,53 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// nextBroadcasts picks the updates that ride on the next datagram, those sent on least
-// often first, so that what is new goes round before what most know (SWIM, section 4.1).
-// Each update counts as sent.
+// nextBroadcasts returns up to maxUpdatesPerPacket updates to piggyback on the next
+// datagram and counts each as sent. Updates that were sent least often come first, so that
+// new updates take precedence (SWIM, section 4.1).
 func (m *Memberlist) nextBroadcasts() []rpc.Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	limit := m.transmitLimit()
-	var picked []*memberRecord
+	var selected []*memberRecord
 	for _, record := range m.members {
-		if record.isSpread(limit) {
+		if record.isDisseminated(limit) {
 			continue
 		}
-		at := len(picked)
-		for at > 0 && record.transmits < picked[at-1].transmits {
-			at--
+		position := len(selected)
+		for position > 0 && record.transmits < selected[position-1].transmits {
+			position--
 		}
-		if at < maxUpdatesPerPacket {
-			picked = slices.Insert(picked, at, record)
-			picked = picked[:min(len(picked), maxUpdatesPerPacket)]
+		if position < maxUpdatesPerPacket {
+			selected = slices.Insert(selected, position, record)
+			selected = selected[:min(len(selected), maxUpdatesPerPacket)]
 		}
 	}
-	updates := make([]rpc.Member, 0, len(picked))
-	for _, record := range picked {
+	updates := make([]rpc.Member, 0, len(selected))
+	for _, record := range selected {
 		record.transmits++
 		updates = append(updates, record.Member)
 	}
 	return updates
 }
 
-// isSpread reports whether an update need not be sent on any more: it was sent as often
-// as the limit says, or less often but others keep telling this node of it.
-func (r *memberRecord) isSpread(limit int) bool {
+// isDisseminated reports whether an update need not be sent any more: it was sent limit
+// times, or at least minTransmits times while duplicates show that other nodes send it too.
+// Each duplicate then counts as two transmits.
+func (r *memberRecord) isDisseminated(limit int) bool {
 	return r.transmits >= limit || r.transmits >= minTransmits && r.transmits+2*r.duplicates >= limit
 }
 
-// transmitLimit is how often an update is sent on. It grows with the logarithm of the
-// fleet's size, which is how many rounds an infection takes (SWIM, section 4.1). The
-// caller holds mu.
+// transmitLimit returns the number of times an update is sent. It grows with the logarithm
+// of the fleet size, as the number of rounds needed for infection-style dissemination does
+// (SWIM, section 4.1). The caller holds mu.
 func (m *Memberlist) transmitLimit() int {
 	size := uint(len(m.members) + 1)
 	return baseTransmits + bits.Len(size) - 1
 }
 
-// announcesSelf reports whether this node's own record goes with an acknowledgement:
-// often while the record is new, seldom later.
-func (m *Memberlist) announcesSelf() bool {
+// shouldAnnounceSelf reports whether to attach this node's own record to the next
+// acknowledgement, and counts that acknowledgement. See initialAnnouncements.
+func (m *Memberlist) shouldAnnounceSelf() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.announcedIncarnation != m.self.Incarnation {
--- a/internal/membership/broadcast_test.go
+++ b/internal/membership/broadcast_test.go
@@ -13,9 +13,9 @@
 		duplicates int
 		min, max   int
 	}{
-		{"an update that nobody else tells goes round", testMember(500), 0, 10, 16},
-		{"an update that all tell dies down", testMember(500), 50, minTransmits, minTransmits},
-		{"a suspicion goes round though all tell it", inState(testMember(9), StateSuspect), 49, 10, 16},
+		{"without duplicates, sent up to the limit", testMember(500), 0, 10, 16},
+		{"with many duplicates, sent minTransmits times", testMember(500), 50, minTransmits, minTransmits},
+		{"suspicion with many duplicates, sent up to the limit", inState(testMember(9), StateSuspect), 49, 10, 16},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			inCluster(t, func(c *cluster) {
@@ -31,7 +31,7 @@
 					transmits++
 				}
 				if transmits < test.min || transmits > test.max {
-					c.Errorf("sent on %d times in a fleet of 460, want %d to %d", transmits, test.min, test.max)
+					c.Errorf("sent %d times in a fleet of 460, want %d to %d", transmits, test.min, test.max)
 				}
 			})
 		})
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -6,24 +6,25 @@
 	"github.com/sumactrestle/sumactrestle/internal/environment"
 )
 
-// protocolConfig is what the operator sets of the protocol, under SWIM's terms.
+// protocolConfig holds the configurable parameters of the protocol, named as in SWIM.
 type protocolConfig struct {
 	// zone is this node's failure domain.
 	zone string
-	// bindAddress receives the datagrams; advertiseAddress is how others reach it.
+	// bindAddress is the local address of the datagram socket; advertiseAddress is the
+	// address under which other nodes reach it.
 	bindAddress, advertiseAddress string
 
-	// probeInterval is SWIM's protocol period: one member is probed in each.
+	// probeInterval is SWIM's protocol period: one member is probed per interval.
 	probeInterval time.Duration
-	// probeTimeout is how long a direct ping waits for its acknowledgement before others
-	// are asked to ping the member.
+	// probeTimeout is how long a direct ping waits for its acknowledgement before indirect
+	// pings are sent.
 	probeTimeout time.Duration
-	// suspicionTimeout is how long a suspect may refute in a fleet of up to eight; the
-	// function of that name gives it for larger ones.
+	// suspicionTimeout is the time a suspect has to refute in a fleet of up to eight
+	// members. The function suspicionTimeout scales it for larger fleets.
 	suspicionTimeout time.Duration
 }
 
-func protocolConfigOf(env *environment.Environment) protocolConfig {
+func newProtocolConfig(env *environment.Environment) protocolConfig {
 	settings := env.Config
 	return protocolConfig{
 		zone:             settings.Zone,
@@ -37,67 +38,68 @@
 
 // Probing and dissemination.
 const (
-	// indirectProbes is SWIM's k: how many others are asked to ping a member that did not
-	// answer. An indirect ping has indirectTimeoutFactor times the probe timeout, since its
-	// way is twice as long.
+	// indirectProbes is SWIM's k: the number of members that are asked to ping a member
+	// that did not acknowledge a direct ping. The timeout of an indirect ping is
+	// indirectTimeoutFactor times the probe timeout, since its path is twice as long.
 	indirectProbes        = 2
 	indirectTimeoutFactor = 2
-	// minReliableTimeout bounds from below how long the ping over a connection waits.
-	minReliableTimeout = 500 * time.Millisecond
-	// fullProbeLimit is the size of a fleet from which on members of other zones are probed
-	// in one round of farProbeRounds only: members of their own zone probe them too.
-	fullProbeLimit = 24
-	farProbeRounds = 4
-	// maxUpdatesPerPacket is how many members one datagram tells of.
-	maxUpdatesPerPacket = 6
-	// baseTransmits is how often an update is sent on in a fleet of one; the logarithm of
-	// the fleet's size comes on top.
+	// minConnectionPingTimeout is the minimum timeout of a ping over a connection.
+	minConnectionPingTimeout = 500 * time.Millisecond
+	// In a fleet of at least largeFleetSize members, a node probes each member of another
+	// zone only once in crossZoneProbeRounds rounds, since the members of that zone probe it
+	// in every round, and only reconnectorsPerMember nodes try to reconnect to a dead core
+	// member.
+	largeFleetSize       = 24
+	crossZoneProbeRounds = 4
+	maxUpdatesPerPacket  = 6
+	// An update is sent baseTransmits times plus the base-2 logarithm of the fleet size.
 	baseTransmits = 6
-	// minTransmits is how often an update is sent on at the least, also when others keep
-	// telling this node of it.
+	// minTransmits is the minimum number of times an update is sent, no matter how many
+	// duplicates of it this node receives.
 	minTransmits = 4
-	// leaveFanout is how many members a node that leaves notifies itself.
+	// leaveFanout is the number of members that a leaving node notifies directly.
 	leaveFanout = 4
-	// A node's own record goes with its first initialAnnouncements acknowledgements under
-	// an incarnation, and with one of announceEvery after them.
+	// A node attaches its own record to the first initialAnnouncements acknowledgements
+	// that it sends under an incarnation, then to one in announceEvery.
 	initialAnnouncements = 32
 	announceEvery        = 16
 
-	maxPacketBytes   = 64 << 10
-	receiveErrorWait = 10 * time.Millisecond
+	maxPacketBytes    = 64 << 10
+	receiveRetryDelay = 10 * time.Millisecond
 )
 
 // Push/pull.
 const (
 	pushPullInterval = 10 * time.Second
-	// fastPushPullInterval holds while fewer than three members are known, and for
-	// recoveryPeriod after a member that was held for dead came back: whoever was on the
-	// other side of a partition must learn who was on this one.
+	// fastPushPullInterval applies while fewer than three members are known, and for
+	// recoveryPeriod after a dead member was found alive again, so that the two sides of a
+	// healed partition learn of each other's members quickly.
 	fastPushPullInterval = time.Second
 	recoveryPeriod       = 10 * time.Second
 	pushPullTimeout      = time.Second
-	// A node that no seed has answered yet asks again after minJoinRetry. Seeds that turn
-	// it away because of their load double that, up to maxJoinRetry.
-	minJoinRetry = 100 * time.Millisecond
-	maxJoinRetry = 2 * time.Second
+	// A node retries joining after minJoinRetryDelay. Each time a seed refuses because of
+	// its load, the delay doubles, up to maxJoinRetryDelay.
+	minJoinRetryDelay = 100 * time.Millisecond
+	maxJoinRetryDelay = 2 * time.Second
 
-	// Lists are compared by ranges of about membersPerRange members, at most maxRanges.
+	// Lists are compared in at most maxRanges ranges of about membersPerRange members.
 	membersPerRange = 8
 	maxRanges       = 64
-	// maxFullSyncs bounds the complete lists under way from this node at one time.
+	// maxFullSyncs is the maximum number of complete lists that a node sends concurrently.
 	maxFullSyncs = 4
 )
 
 // Reconnecting.
 const (
-	// reconnectTimeout is how long after its death a member is looked for.
+	// reconnectTimeout is how long nodes try to reconnect to a member after declaring it
+	// dead.
 	reconnectTimeout  = 10 * time.Minute
 	reconnectInterval = 300 * time.Millisecond
-	// reconnectors is how many nodes look for one dead member.
-	reconnectors        = 3
-	minReconnectBackoff = time.Second
-	maxReconnectBackoff = 5 * time.Second
-	// In one interval at most so many dead core members are asked, and other members.
+	// reconnectorsPerMember is the number of nodes that try to reconnect to a dead member.
+	reconnectorsPerMember = 3
+	minReconnectBackoff   = time.Second
+	maxReconnectBackoff   = 5 * time.Second
+	// Maximum attempts per interval to reconnect to core members and to other members.
 	maxCoreReconnects  = 3
 	maxOtherReconnects = 1
 )
--- a/internal/membership/digest.go
+++ b/internal/membership/digest.go
@@ -7,11 +7,11 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// Digests of lists are the XOR of their members' digests, so that one change costs one
-// update and the order does not matter.
+// The digest of a list is the XOR of its members' digests. It does not depend on their
+// order and can be updated incrementally.
 
-// memberDigest is a member's share in the digest of a list. Dead members have none: a
-// node that joined later never learns of them, and its list would differ for good.
+// memberDigest returns the digest of a member. It is 0 for dead members: a node that joined
+// later never learns of them, so its digest would differ permanently.
 func memberDigest(member rpc.Member) uint64 {
 	if !isLive(member.State) {
 		return 0
@@ -19,15 +19,17 @@
 	return ids.Hash(string(member.Name), string(member.ID), strconv.FormatUint(member.Incarnation, 10), member.State)
 }
 
-// listDigest is the digest of the complete list, never 0, which stands for none.
+// listDigest returns the digest of the complete list. It is never 0, because 0 in a request
+// means that there is no digest.
 func (m *Memberlist) listDigest() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return max(m.othersDigest^memberDigest(m.self), 1)
 }
 
-// rangeCount is into how many ranges this node has a list cut, a power of two that leaves
-// about membersPerRange members in each. One range asks for the complete list.
+// rangeCount returns the number of ranges in which this node compares lists: a power of
+// two with about membersPerRange members in each range. A request with one range asks for
+// the complete list.
 func (m *Memberlist) rangeCount() int {
 	count := 1
 	for count*membersPerRange < len(m.View()) && count < maxRanges {
@@ -36,22 +38,22 @@
 	return count
 }
 
-// rangeOf returns the range in which a name lies.
-func rangeOf(name ids.NodeName, count int) int {
+// rangeIndex returns the index of the range that contains a name.
+func rangeIndex(name ids.NodeName, count int) int {
 	return int(ids.Hash("range", string(name)) % uint64(count))
 }
 
-// rangeDigests returns the digest of each range, folded to 32 bits.
+// rangeDigests returns the digest of each range, truncated to 32 bits.
 func (m *Memberlist) rangeDigests(count int) []uint32 {
 	digests := make([]uint32, count)
 	for name, member := range m.View() {
-		digests[rangeOf(name, count)] ^= uint32(memberDigest(member.Member))
+		digests[rangeIndex(name, count)] ^= uint32(memberDigest(member.Member))
 	}
 	return digests
 }
 
-// membersInRanges returns the members of the ranges with these indices; an index that
-// does not exist is passed over, as it comes from another node.
+// membersInRanges returns the members of the ranges with the given indices. Invalid indices
+// are ignored, since they come from other nodes.
 func (m *Memberlist) membersInRanges(count int, indices []int) (list []rpc.Member) {
 	selected := make([]bool, count)
 	for _, index := range indices {
@@ -60,7 +62,7 @@
 		}
 	}
 	for name, member := range m.View() {
-		if selected[rangeOf(name, count)] {
+		if selected[rangeIndex(name, count)] {
 			list = append(list, member.Member)
 		}
 	}
--- a/internal/membership/digest_test.go
+++ b/internal/membership/digest_test.go
@@ -8,7 +8,7 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-func TestListDigest_IsThatOfItsMembers(t *testing.T) {
+func TestListDigest_IsXOROfMemberDigests(t *testing.T) {
 	inCluster(t, func(c *cluster) {
 		a, b := c.node(testMember(0)), c.node(testMember(1))
 		for i := range 300 {
@@ -32,7 +32,7 @@
 			want ^= memberDigest(member)
 		}
 		if got := a.listDigest(); got != want {
-			c.Errorf("the digest kept is %x, that of the members %x", got, want)
+			c.Errorf("listDigest is %x, XOR of the member digests is %x", got, want)
 		}
 		for index, got := range a.rangeDigests(8) {
 			want := uint32(0)
@@ -40,7 +40,7 @@
 				want ^= uint32(memberDigest(member))
 			}
 			if got != want {
-				c.Errorf("the digest of range %d is %x, that of its members %x", index, got, want)
+				c.Errorf("digest of range %d is %x, XOR of its member digests is %x", index, got, want)
 			}
 		}
 	})
--- a/internal/membership/memberlist.go
+++ b/internal/membership/memberlist.go
@@ -1,21 +1,23 @@
-// Package membership tells a node which other nodes there are and which of them answer.
+// Package membership maintains a node's list of the other nodes in the fleet and detects
+// which of them have failed.
 //
 // It follows SWIM (Das, Gupta, Motivala: "SWIM: Scalable Weakly-consistent
 // Infection-style Process Group Membership Protocol", DSN 2002):
 //
-//   - each node probes one member after another, directly and then through others
+//   - each node probes one member per interval, first directly, then through other members
 //     (section 3.1), in a shuffled round-robin order (section 4.3): probe.go;
-//   - a member that answers neither way is suspected, and dead only if it does not refute
-//     that in time by a higher incarnation number (section 4.2): state.go, suspicion.go;
-//   - updates ride on the probes and their acknowledgements (section 4.1): broadcast.go.
+//   - a member that does not acknowledge is suspected; it is declared dead unless it refutes
+//     in time with a higher incarnation number (section 4.2): state.go, suspicion.go;
+//   - updates are piggybacked on pings and acknowledgements (section 4.1): broadcast.go.
 //
-// Beside SWIM, as in HashiCorp's memberlist and Serf, nodes exchange complete lists from
-// time to time (push/pull, pushpull.go), ask once more over a connection before they
-// suspect a member, and look for members that died, since after a partition each side
-// holds the other for dead (reconnect.go).
+// In addition to SWIM, as in HashiCorp's memberlist and Serf, nodes periodically compare
+// and exchange their lists (push/pull, pushpull.go), retry a failed probe over a connection
+// before they suspect a member, and try to reconnect to dead members, since after a
+// partition each side has declared the other dead (reconnect.go).
 //
-// What a node holds of others is opinion: it decides whom to ask first. No decision that
-// must be right for all rests on it; those are taken by majorities in package consensus.
+// The list is only a local view and may differ between nodes. It determines which nodes
+// are contacted first. Decisions on which all nodes must agree do not depend on it; they
+// are taken by majorities in package consensus.
 package membership
 
 import (
@@ -32,59 +34,61 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// Kinds of messages over connections. The names are on the wire and stay.
+// Kinds of messages over connections. The values are part of the wire format and must not
+// change.
 const (
-	kindPushPull = "kin.sync"
-	kindHere     = "kin.here" // asks a member for its own record, the ping over a connection
+	kindPushPull     = "kin.sync"
+	kindMemberRecord = "kin.here" // returns the receiver's own record; serves as the ping over a connection
 )
 
-// Memberlist is one node's view of the fleet, kept up to date by the tasks that Start
-// starts in the node's environment.
+// Memberlist is one node's view of the fleet. The goroutines started by Start keep it up
+// to date. Its methods may be called concurrently.
 type Memberlist struct {
 	env       *environment.Environment
 	transport *rpc.Transport
 	config    protocolConfig
 
-	// packetConn sends and receives the datagrams; Start sets it.
+	// packetConn sends and receives datagrams; it is set by Start.
 	packetConn net.PacketConn
-	// seeds are the addresses through which this node joins.
+	// seeds are the addresses of the nodes through which this node joins the fleet.
 	seeds atomic.Pointer[[]string]
 
-	// mu guards the fields down to announcements. It is never held while waiting.
+	// mu guards the fields down to announcements. It is never held during blocking calls.
 	mu   sync.Mutex
 	self rpc.Member
-	// members are all others that were ever heard of, dead ones too.
+	// members holds all other nodes that were ever known, including dead ones.
 	members map[ids.NodeName]*memberRecord
-	// othersDigest is the XOR of the digests of members; see memberDigest.
+	// othersDigest is the XOR of memberDigest over members.
 	othersDigest uint64
-	// zonesChanged says that zoneByHost is out of date.
+	// zonesChanged reports whether zoneByHost is out of date.
 	zonesChanged bool
-	// lastRecovery is when a member that was held for dead was last seen alive.
+	// lastRecovery is the last time a dead member was found alive again.
 	lastRecovery time.Time
-	// ackHandlers are closed by the acknowledgement with their sequence number.
-	ackHandlers map[uint64]chan struct{}
-	sequence    uint64
-	// announcements counts the acknowledgements since self has announcedIncarnation.
+	// ackHandlers holds a channel for each expected acknowledgement, by sequence number.
+	// The acknowledgement closes it.
+	ackHandlers  map[uint64]chan struct{}
+	lastSequence uint64
+	// announcements counts the acknowledgements sent at announcedIncarnation.
 	announcedIncarnation uint64
 	announcements        int
 
-	// view and zoneByHost are copied on write under mu and read without it.
+	// view and zoneByHost are replaced as a whole under mu and read without it.
 	view       atomic.Pointer[map[ids.NodeName]NodeState]
 	zoneByHost atomic.Pointer[map[string]string]
 
-	// introducing says that this node is presenting itself to one that does not know it.
-	introducing atomic.Bool
-	pushPull    pushPullState
+	// announcing is set while announceTo runs an exchange; there is at most one at a time.
+	announcing atomic.Bool
+	pushPull   pushPullState
 }
 
-// New returns the view of the node that self describes, knowing nobody else yet, and
-// registers its messages at the transport. Start must follow once the transport is open.
+// New returns a Memberlist that contains only self and registers its message handlers
+// with the transport. Start must be called after the transport's Start.
 func New(env *environment.Environment, transport *rpc.Transport, self rpc.Member) *Memberlist {
 	self.Incarnation, self.State = 1, StateAlive
 	m := &Memberlist{
 		env:         env,
 		transport:   transport,
-		config:      protocolConfigOf(env),
+		config:      newProtocolConfig(env),
 		self:        self,
 		members:     map[ids.NodeName]*memberRecord{},
 		ackHandlers: map[uint64]chan struct{}{},
@@ -94,12 +98,12 @@
 	rpc.Handle(transport, kindPushPull, func(_ context.Context, request *rpc.MembershipSync) (any, error) {
 		return m.handlePushPull(request)
 	})
-	transport.Handle(kindHere, func(*rpc.Request) (any, error) { return m.Self(), nil })
+	transport.Handle(kindMemberRecord, func(*rpc.Request) (any, error) { return m.Self(), nil })
 	return m
 }
 
-// Start opens the socket for datagrams and starts the protocol. All its tasks end with
-// the environment, whose Shutdown waits for them.
+// Start opens the datagram socket and starts the protocol's goroutines. They end with the
+// environment, whose Shutdown waits for them.
 func (m *Memberlist) Start() error {
 	conn, err := m.env.Host.ListenPacket(m.config.bindAddress)
 	if err != nil {
@@ -114,19 +118,20 @@
 	return nil
 }
 
-// SetSeeds replaces the addresses through which this node joins; settings may change
-// while it runs.
+// SetSeeds replaces the addresses of the seeds. It may be called at any time, since the
+// settings may change while the node runs.
 func (m *Memberlist) SetSeeds(seeds []string) { m.seeds.Store(&seeds) }
 
-// Self returns this node's own record, as others learn it.
+// Self returns this node's own record, as it is sent to other nodes.
 func (m *Memberlist) Self() rpc.Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.self
 }
 
-// UpdateSelf changes this node's own record, under a higher incarnation so that the
-// change wins at the others. It must not call the Memberlist.
+// UpdateSelf applies change to this node's own record and increments the incarnation, so
+// that the new record supersedes the old one at other nodes. change must not call methods
+// of the Memberlist.
 func (m *Memberlist) UpdateSelf(change func(self *rpc.Member)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -135,48 +140,49 @@
 	m.publishView()
 }
 
-// Leave tells a few others that this node goes on purpose; these spread it.
+// Leave sets this node's state to StateLeft and notifies leaveFanout members, which
+// disseminate it.
 func (m *Memberlist) Leave() {
 	m.UpdateSelf(func(self *rpc.Member) { self.State = StateLeft })
-	farewell := rpc.Probe{Kind: packetUpdates, Updates: []rpc.Member{m.Self()}}
+	leaveMessage := rpc.Probe{Kind: packetUpdates, Updates: []rpc.Member{m.Self()}}
 	notified := 0
 	for name, member := range m.View() {
 		if notified == leaveFanout {
 			return
 		}
 		if name != m.env.Name && member.State == StateAlive {
-			m.sendPacket(member.RPCAddress, farewell)
+			m.sendPacket(member.RPCAddress, leaveMessage)
 			notified++
 		}
 	}
 }
 
-// View returns all members by name, this node and dead ones included. It is shared and
-// must not be written to.
+// View returns all members by name, including this node and dead members. The map is
+// shared and must not be modified.
 func (m *Memberlist) View() map[ids.NodeName]NodeState { return *m.view.Load() }
 
-// Lookup returns the member of that name if it is alive or suspect.
+// Lookup returns the member with the given name if it is live.
 func (m *Memberlist) Lookup(name ids.NodeName) (rpc.Member, bool) {
 	member, ok := m.View()[name]
 	return member.Member, ok && member.IsLive()
 }
 
-// IsLive reports whether this very life of a node is alive or suspect: a node that was
-// restarted without its disk has another member ID and is another member.
+// IsLive reports whether the member with the peer's name and member ID is live. A node that
+// was restarted without its disk has another member ID and counts as another member.
 func (m *Memberlist) IsLive(peer rpc.Peer) bool {
 	member, ok := m.Lookup(peer.Name)
 	return ok && member.ID == peer.ID
 }
 
-// InOwnZone reports whether an address is on a machine of this node's zone. An address of
-// no known member counts as in the zone.
+// InOwnZone reports whether the host of an address is in this node's zone. An unknown host
+// counts as in the zone.
 func (m *Memberlist) InOwnZone(address string) bool {
 	zone, ok := (*m.zoneByHost.Load())[hostOf(address)]
 	return !ok || zone == m.config.zone
 }
 
-// CoreMembers returns the live core members: those of the own zone first, then in an
-// order that is fixed for this node and differs between nodes, so that load spreads.
+// CoreMembers returns the live core members, those in this node's zone first. The order
+// is otherwise fixed for a node but differs between nodes, to spread load.
 func (m *Memberlist) CoreMembers() []rpc.Member {
 	var cores []rpc.Member
 	for _, member := range m.View() {
@@ -184,21 +190,22 @@
 			cores = append(cores, member.Member)
 		}
 	}
-	preference := func(member rpc.Member) uint64 { return ids.Hash(string(m.env.Name), string(member.Name)) }
+	nodeHash := func(member rpc.Member) uint64 { return ids.Hash(string(m.env.Name), string(member.Name)) }
 	slices.SortFunc(cores, func(a, b rpc.Member) int {
-		if aNear, bNear := a.Zone == m.config.zone, b.Zone == m.config.zone; aNear != bNear {
-			if aNear {
+		if aInZone, bInZone := a.Zone == m.config.zone, b.Zone == m.config.zone; aInZone != bInZone {
+			if aInZone {
 				return -1
 			}
 			return 1
 		}
-		return cmp.Or(cmp.Compare(preference(a), preference(b)), cmp.Compare(a.Name, b.Name))
+		return cmp.Or(cmp.Compare(nodeHash(a), nodeHash(b)), cmp.Compare(a.Name, b.Name))
 	})
 	return cores
 }
 
 // ConfigReplicas returns the live core members that hold a replica of the configuration
-// shard, in the order of CoreMembers; all core members while none is known to hold one.
+// shard, in the order of CoreMembers. If none is known to hold one, it returns all live
+// core members.
 func (m *Memberlist) ConfigReplicas() []rpc.Member {
 	cores := m.CoreMembers()
 	var replicas []rpc.Member
@@ -213,7 +220,7 @@
 	return replicas
 }
 
-// publishView replaces the view that readers see. The caller holds mu.
+// publishView replaces view, and zoneByHost if zones changed. The caller holds mu.
 func (m *Memberlist) publishView() {
 	view := make(map[ids.NodeName]NodeState, len(m.members)+1)
 	for name, record := range m.members {
--- a/internal/membership/memberlist_test.go
+++ b/internal/membership/memberlist_test.go
@@ -18,25 +18,24 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// memoryNetwork connects nodes by pipes and carries datagrams; each address has a listener
-// and a socket. A link that is cut loses datagrams one way, and connections are refused.
+// memoryNetwork is an in-memory network of listeners and datagram sockets, by address.
 type memoryNetwork struct {
-	mu        sync.Mutex
-	listeners map[string]*memoryListener
-	sockets   map[string]*memorySocket
-	cut       map[link]bool // of datagrams
-	refused   map[link]bool // of connections
+	mu             sync.Mutex
+	listeners      map[string]*memoryListener
+	sockets        map[string]*memorySocket
+	droppedPackets map[link]bool // links that lose all datagrams
+	refusedConns   map[link]bool // links on which dials fail
 }
 
-// link is a way from one node's address to another's.
+// link is one direction between two addresses.
 type link struct{ from, to string }
 
 func newMemoryNetwork() *memoryNetwork {
 	return &memoryNetwork{
-		listeners: map[string]*memoryListener{},
-		sockets:   map[string]*memorySocket{},
-		cut:       map[link]bool{},
-		refused:   map[link]bool{},
+		listeners:      map[string]*memoryListener{},
+		sockets:        map[string]*memorySocket{},
+		droppedPackets: map[link]bool{},
+		refusedConns:   map[link]bool{},
 	}
 }
 
@@ -57,9 +56,9 @@
 func (l *memoryListener) Close() error   { l.once.Do(func() { close(l.closed) }); return nil }
 func (l *memoryListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// memorySocket receives datagrams; one that finds its queue full is lost.
+// memorySocket is a datagram socket. It drops received datagrams while its queue is full.
 type memorySocket struct {
-	net.PacketConn // of the methods not needed here
+	net.PacketConn // nil; provides the methods that are not called
 	network        *memoryNetwork
 	address        string
 	datagrams      chan datagram
@@ -83,9 +82,9 @@
 
 func (s *memorySocket) WriteTo(raw []byte, to net.Addr) (int, error) {
 	s.network.mu.Lock()
-	target, cut := s.network.sockets[to.String()], s.network.cut[link{s.address, to.String()}]
+	target, dropped := s.network.sockets[to.String()], s.network.droppedPackets[link{s.address, to.String()}]
 	s.network.mu.Unlock()
-	if target != nil && !cut {
+	if target != nil && !dropped {
 		from := net.UDPAddrFromAddrPort(netip.MustParseAddrPort(s.address))
 		select {
 		case target.datagrams <- datagram{from, slices.Clone(raw)}:
@@ -97,8 +96,8 @@
 
 func (s *memorySocket) Close() error { s.once.Do(func() { close(s.closed) }); return nil }
 
-// host is the network as the node with that address sees it.
-func (n *memoryNetwork) host(own string) environment.Host {
+// host returns an environment.Host that connects the node at localAddress to the network.
+func (n *memoryNetwork) host(localAddress string) environment.Host {
 	return environment.Host{
 		ListenPacket: func(address string) (net.PacketConn, error) {
 			socket := &memorySocket{network: n, address: address, datagrams: make(chan datagram, 100), closed: make(chan struct{})}
@@ -116,15 +115,15 @@
 		},
 		Dial: func(ctx context.Context, address string) (net.Conn, error) {
 			n.mu.Lock()
-			listener, refused := n.listeners[address], n.refused[link{own, address}]
+			listener, refused := n.listeners[address], n.refusedConns[link{localAddress, address}]
 			n.mu.Unlock()
 			if listener == nil || refused {
 				return nil, net.ErrClosed
 			}
-			near, far := net.Pipe()
+			clientEnd, serverEnd := net.Pipe()
 			select {
-			case listener.conns <- far:
-				return near, nil
+			case listener.conns <- serverEnd:
+				return clientEnd, nil
 			case <-ctx.Done():
 				return nil, ctx.Err()
 			}
@@ -132,25 +131,25 @@
 	}
 }
 
-// cluster makes nodes on one network in a bubble of virtual time.
+// cluster creates nodes on a common memoryNetwork.
 type cluster struct {
 	*testing.T
 	ctx     context.Context
 	network *memoryNetwork
 }
 
-// inCluster runs a test in a bubble of virtual time; its nodes end with it.
-func inCluster(t *testing.T, test func(c *cluster)) {
+// inCluster runs testFunc in a synctest bubble and stops its nodes afterwards.
+func inCluster(t *testing.T, testFunc func(c *cluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
-		test(&cluster{t, ctx, newMemoryNetwork()})
+		testFunc(&cluster{t, ctx, newMemoryNetwork()})
 	})
 }
 
-// node returns a node's view that answers others; it neither probes nor exchanges lists
-// by itself.
+// node returns a Memberlist that answers requests over connections. Its own loops are not
+// running.
 func (c *cluster) node(self rpc.Member) *Memberlist {
 	c.Helper()
 	settings, err := config.Load("", map[string]string{"name": string(self.Name), "zone": self.Zone, "peer.address": self.RPCAddress, "api.address": "10.0.0.9:1", "proxy.address": "10.0.0.9:2"})
@@ -166,8 +165,8 @@
 	return m
 }
 
-// probedNode is a node that also answers datagrams, and still does nothing by itself.
-func (c *cluster) probedNode(self rpc.Member) *Memberlist {
+// nodeWithSocket is like node, but the Memberlist also receives datagrams.
+func (c *cluster) nodeWithSocket(self rpc.Member) *Memberlist {
 	c.Helper()
 	m := c.node(self)
 	conn, err := m.env.Host.ListenPacket(m.config.bindAddress)
@@ -180,22 +179,22 @@
 	return m
 }
 
-// cut loses the datagrams both ways between two nodes.
-func (c *cluster) cut(a, b *Memberlist) {
+// dropPackets drops all datagrams between two nodes, in both directions.
+func (c *cluster) dropPackets(a, b *Memberlist) {
 	c.network.mu.Lock()
 	defer c.network.mu.Unlock()
-	c.network.cut[link{a.config.bindAddress, b.config.bindAddress}] = true
-	c.network.cut[link{b.config.bindAddress, a.config.bindAddress}] = true
+	c.network.droppedPackets[link{a.config.bindAddress, b.config.bindAddress}] = true
+	c.network.droppedPackets[link{b.config.bindAddress, a.config.bindAddress}] = true
 }
 
-// refuse has connections from one node to another fail.
-func (c *cluster) refuse(from, to *Memberlist) {
+// refuseConns makes dials from one node to another fail.
+func (c *cluster) refuseConns(from, to *Memberlist) {
 	c.network.mu.Lock()
 	defer c.network.mu.Unlock()
-	c.network.refused[link{from.config.bindAddress, to.config.bindAddress}] = true
+	c.network.refusedConns[link{from.config.bindAddress, to.config.bindAddress}] = true
 }
 
-// testMember returns the member with that index, alive at incarnation 1.
+// testMember returns the member with the given index, alive at incarnation 1.
 func testMember(index int) rpc.Member {
 	return rpc.Member{
 		Name:        ids.NodeName(fmt.Sprint("node", index)),
@@ -215,7 +214,7 @@
 	return list
 }
 
-// inState returns the member in another state.
+// inState returns the member with the given state.
 func inState(member rpc.Member, state string) rpc.Member {
 	member.State = state
 	return member
@@ -223,16 +222,16 @@
 
 func bytesSent(nodes ...*Memberlist) (bytes int64) {
 	for _, m := range nodes {
-		for _, sent := range m.transport.Traffic() {
-			bytes += sent.Bytes
+		for _, traffic := range m.transport.Traffic() {
+			bytes += traffic.Bytes
 		}
 	}
 	return bytes
 }
 
-// sameLive reports whether both hold the same of all members that are live.
-func sameLive(a, b *Memberlist) bool {
-	live := func(m *Memberlist) map[ids.NodeName]rpc.Member {
+// sameLiveMembers reports whether the live members of both have equal records.
+func sameLiveMembers(a, b *Memberlist) bool {
+	liveMembers := func(m *Memberlist) map[ids.NodeName]rpc.Member {
 		members := map[ids.NodeName]rpc.Member{}
 		for name, member := range m.View() {
 			if member.IsLive() {
@@ -241,17 +240,17 @@
 		}
 		return members
 	}
-	return maps.Equal(live(a), live(b))
+	return maps.Equal(liveMembers(a), liveMembers(b))
 }
 
-func names(members []rpc.Member) (list []ids.NodeName) {
+func namesOf(members []rpc.Member) (list []ids.NodeName) {
 	for _, member := range members {
 		list = append(list, member.Name)
 	}
 	return list
 }
 
-func TestCoreMembers_LiveOnesOfTheOwnZoneFirst(t *testing.T) {
+func TestCoreMembers_ListsOwnZoneFirstAndOmitsDead(t *testing.T) {
 	inCluster(t, func(c *cluster) {
 		m := c.node(testMember(0)) // in zone z0, as members 7 and 14 are
 		members := testMembers(20)
@@ -259,27 +258,27 @@
 			members[index].Core = true
 		}
 		m.mergeList(members)
-		cores := names(m.CoreMembers())
+		cores := namesOf(m.CoreMembers())
 		if len(cores) != 5 || !slices.Contains(cores[:2], "node7") || !slices.Contains(cores[:2], "node14") {
-			c.Fatalf("the order is %v", cores)
+			c.Fatalf("CoreMembers: %v, want node7 and node14 first", cores)
 		}
-		if again := names(m.CoreMembers()); !slices.Equal(cores, again) {
-			c.Errorf("the order is %v now, %v before", again, cores)
+		if second := namesOf(m.CoreMembers()); !slices.Equal(cores, second) {
+			c.Errorf("CoreMembers: %v in the second call, %v in the first", second, cores)
 		}
 		m.applyUpdates([]rpc.Member{inState(members[7], StateDead), inState(members[1], StateSuspect)})
-		cores = names(m.CoreMembers())
+		cores = namesOf(m.CoreMembers())
 		if len(cores) != 4 || slices.Contains(cores, "node7") || !slices.Contains(cores, "node1") {
-			c.Errorf("with one dead and one suspect the core is %v", cores)
+			c.Errorf("CoreMembers with node7 dead and node1 suspect: %v", cores)
 		}
 
-		if replicas := names(m.ConfigReplicas()); !slices.Equal(replicas, cores) {
-			c.Errorf("while none is known to hold the configuration, %v are asked", replicas)
+		if replicas := namesOf(m.ConfigReplicas()); !slices.Equal(replicas, cores) {
+			c.Errorf("ConfigReplicas without known replicas: %v, want all core members", replicas)
 		}
 		holder := members[3]
 		holder.HoldsConfiguration, holder.Incarnation = true, 2
 		m.applyUpdates([]rpc.Member{holder})
-		if replicas := names(m.ConfigReplicas()); !slices.Equal(replicas, []ids.NodeName{"node3"}) {
-			c.Errorf("%v hold the configuration", replicas)
+		if replicas := namesOf(m.ConfigReplicas()); !slices.Equal(replicas, []ids.NodeName{"node3"}) {
+			c.Errorf("ConfigReplicas: %v, want node3", replicas)
 		}
 	})
 }
@@ -288,30 +287,30 @@
 	inCluster(t, func(c *cluster) {
 		m := c.node(testMember(0))
 		m.mergeList(testMembers(10))
-		near, far := testMember(7), testMember(1)
-		if !m.InOwnZone(near.RPCAddress) || m.InOwnZone(far.RPCAddress) || !m.InOwnZone("10.9.9.9:1") {
-			c.Error("zones are taken for others")
+		sameZone, otherZone := testMember(7), testMember(1)
+		if !m.InOwnZone(sameZone.RPCAddress) || m.InOwnZone(otherZone.RPCAddress) || !m.InOwnZone("10.9.9.9:1") {
+			c.Error("wrong zone reported")
 		}
-		far.Zone, far.Incarnation = m.Self().Zone, 2
-		m.applyUpdates([]rpc.Member{far})
-		if !m.InOwnZone(far.RPCAddress) {
-			c.Error("a member that moved is still taken for far")
+		otherZone.Zone, otherZone.Incarnation = m.Self().Zone, 2
+		m.applyUpdates([]rpc.Member{otherZone})
+		if !m.InOwnZone(otherZone.RPCAddress) {
+			c.Error("a member that moved to this zone is still reported in the other zone")
 		}
 	})
 }
 
-func TestLeave_OthersHoldTheNodeForLeftNotDead(t *testing.T) {
+func TestLeave_OthersMarkNodeAsLeft(t *testing.T) {
 	inCluster(t, func(c *cluster) {
-		nodes := probeCluster(c, 3)
+		nodes := newProbeCluster(c, 3)
 		leaving := nodes[0]
 		leaving.Leave()
 		synctest.Wait()
 		for _, m := range nodes[1:] {
 			if state := m.View()[leaving.Self().Name].State; state != StateLeft {
-				c.Errorf("the node is %s", state)
+				c.Errorf("the leaving node is in state %s", state)
 			}
 			if dead := m.RecentlyDead(); len(dead) != 0 {
-				c.Errorf("%v are looked for", names(dead))
+				c.Errorf("RecentlyDead: %v, want none", namesOf(dead))
 			}
 		}
 	})
--- a/internal/membership/packet.go
+++ b/internal/membership/packet.go
@@ -10,24 +10,24 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// Kinds of datagrams, each one line of JSON. The names are on the wire and stay.
+// Kinds of datagrams; each datagram is one line of JSON. The values are part of the wire
+// format and must not change.
 const (
 	packetPing = "ping"
 	packetAck  = "ack"
-	// packetIndirectPing asks the receiver to ping a third node: SWIM's ping-req.
+	// packetIndirectPing asks the receiver to ping another node; SWIM's ping-req.
 	packetIndirectPing = "relay"
-	// packetIdentify asks the sender of a ping, which the receiver does not know, to make
-	// itself known.
+	// packetIdentify asks an unknown sender of a ping for its record.
 	packetIdentify = "who"
-	// packetUpdates carries updates alone.
+	// packetUpdates carries only updates.
 	packetUpdates = "news"
 
-	// packetKind is how all datagrams are counted and logged.
-	packetKind = "kin.probe"
+	// packetTrafficKind is the message kind under which all datagrams are counted and logged.
+	packetTrafficKind = "kin.probe"
 )
 
-// sendPacket sends a datagram, with the next broadcasts unless it has updates already.
-// A datagram may be lost anyhow, so nothing is said of one that can't be sent.
+// sendPacket sends a datagram and attaches the next broadcasts unless it already has
+// updates. Errors are ignored, since datagrams may be lost anyway.
 func (m *Memberlist) sendPacket(address string, packet rpc.Probe) {
 	self := m.Self()
 	packet.From, packet.FromID = self.Name, self.ID
@@ -42,24 +42,24 @@
 	if err != nil {
 		return
 	}
-	m.transport.RecordSent(packetKind, address, len(raw)+1)
+	m.transport.RecordSent(packetTrafficKind, address, len(raw)+1)
 	m.packetConn.WriteTo(append(raw, '\n'), net.UDPAddrFromAddrPort(to))
 }
 
-// receiveLoop handles one datagram after another until the environment ends.
+// receiveLoop handles incoming datagrams until the environment ends.
 func (m *Memberlist) receiveLoop() {
 	buffer := make([]byte, maxPacketBytes)
 	for {
 		n, from, err := m.packetConn.ReadFrom(buffer)
 		if err != nil {
-			if m.env.IsStopping() || !m.env.Sleep(receiveErrorWait) {
+			if m.env.IsStopping() || !m.env.Sleep(receiveRetryDelay) {
 				return
 			}
 			continue
 		}
 		var packet rpc.Probe
 		if err := json.Unmarshal(buffer[:n], &packet); err != nil {
-			m.env.Events.Emit(eventlog.MessageRejected, "kind", packetKind, "from", from.String())
+			m.env.Events.Emit(eventlog.MessageRejected, "kind", packetTrafficKind, "from", from.String())
 			continue
 		}
 		m.handlePacket(from.String(), packet)
@@ -76,28 +76,29 @@
 	case packetIndirectPing:
 		m.handleIndirectPing(from, packet)
 	case packetIdentify:
-		m.introduceTo(packet.From)
+		m.announceTo(packet.From)
 	}
 }
 
-// handlePing acknowledges a ping that is meant for this node. A pinger that holds this
-// node for suspect says so in its updates and gets the refutation at once.
+// handlePing acknowledges a ping addressed to this node. If the sender suspects this node,
+// the ping's updates include the suspicion, and the acknowledgement the refutation.
 func (m *Memberlist) handlePing(from string, ping rpc.Probe) {
 	if ping.To != "" && ping.To != m.env.Name {
-		return // the address was another node's before
+		return // addressed to a former owner of the address
 	}
 	if !m.IsLive(rpc.Peer{Name: ping.From, ID: ping.FromID}) {
 		m.sendPacket(from, rpc.Probe{Kind: packetIdentify})
 	}
 	updates := m.nextBroadcasts()
-	isDoubted := slices.ContainsFunc(ping.Updates, func(update rpc.Member) bool { return update.Name == m.env.Name })
-	if isDoubted || m.announcesSelf() {
+	isSuspected := slices.ContainsFunc(ping.Updates, func(update rpc.Member) bool { return update.Name == m.env.Name })
+	if isSuspected || m.shouldAnnounceSelf() {
 		updates = append(updates, m.Self())
 	}
 	m.sendPacket(from, rpc.Probe{Kind: packetAck, Sequence: ping.Sequence, Updates: updates})
 }
 
-// handleIndirectPing pings a member on another's behalf and passes its acknowledgement on.
+// handleIndirectPing pings a member on behalf of another node and forwards the
+// acknowledgement to it.
 func (m *Memberlist) handleIndirectPing(from string, packet rpc.Probe) {
 	target, ok := m.Lookup(packet.To)
 	if !ok {
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -9,8 +9,8 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// probeLoop is SWIM's failure detector (section 3.1): it probes one member in each
-// interval and suspects it if it answers in no way.
+// probeLoop is SWIM's failure detector (section 3.1). In each interval it probes one
+// member, and suspects it if neither the probe nor a ping over a connection succeeds.
 func (m *Memberlist) probeLoop() {
 	schedule := &probeSchedule{self: m.env.Name, zone: m.config.zone}
 	for m.env.Sleep(m.config.probeInterval) {
@@ -26,11 +26,11 @@
 	}
 }
 
-// probe pings a member, and through others if it does not answer; an acknowledgement of
-// the direct ping that comes late counts too.
+// probe pings a member directly and, if it does not acknowledge in time, through other
+// members. A late acknowledgement of the direct ping counts too.
 func (m *Memberlist) probe(target rpc.Member) bool {
-	sequence, acknowledged, forget := m.expectAck()
-	defer forget()
+	sequence, acknowledged, cancel := m.expectAck()
+	defer cancel()
 	m.sendPing(target, sequence)
 	if m.awaitAck(acknowledged, m.config.probeTimeout) {
 		return true
@@ -42,28 +42,29 @@
 	return m.awaitAck(acknowledged, indirectTimeoutFactor*m.config.probeTimeout)
 }
 
-// ping pings a member directly only.
+// ping sends a direct ping and reports whether it was acknowledged in time.
 func (m *Memberlist) ping(target rpc.Member) bool {
-	sequence, acknowledged, forget := m.expectAck()
-	defer forget()
+	sequence, acknowledged, cancel := m.expectAck()
+	defer cancel()
 	m.sendPing(target, sequence)
 	return m.awaitAck(acknowledged, m.config.probeTimeout)
 }
 
-// pingOverConnection asks a member once more, over a connection: on a full link datagrams
-// are lost first. It must be the same life of the node that answers.
+// pingOverConnection requests a member's record over a connection, since datagrams are
+// lost first on a congested link. It reports whether a node with the same name and member
+// ID answered.
 func (m *Memberlist) pingOverConnection(target rpc.Member) bool {
-	ctx, cancel := context.WithTimeout(m.env, max(2*m.config.probeTimeout, minReliableTimeout))
+	ctx, cancel := context.WithTimeout(m.env, max(2*m.config.probeTimeout, minConnectionPingTimeout))
 	defer cancel()
 	var answer rpc.Member
-	if m.transport.Call(ctx, target.RPCAddress, kindHere, struct{}{}, &answer) != nil || answer.Name != target.Name {
+	if m.transport.Call(ctx, target.RPCAddress, kindMemberRecord, struct{}{}, &answer) != nil || answer.Name != target.Name {
 		return false
 	}
 	m.applyUpdates([]rpc.Member{answer})
 	return answer.ID == target.ID
 }
 
-// sendPing sends the ping itself. A suspect is told so, that it may refute.
+// sendPing sends a ping. A ping to a suspect includes the suspicion, so that it can refute.
 func (m *Memberlist) sendPing(target rpc.Member, sequence uint64) {
 	ping := rpc.Probe{Kind: packetPing, Sequence: sequence, To: target.Name}
 	if member, ok := m.View()[target.Name]; ok && member.State == StateSuspect {
@@ -72,27 +73,27 @@
 	m.sendPacket(target.RPCAddress, ping)
 }
 
-// sendIndirectPings asks others, at random, to ping a member.
+// sendIndirectPings asks up to indirectProbes random members to ping the target.
 func (m *Memberlist) sendIndirectPings(target rpc.Member, sequence uint64) {
-	asked := 0
+	sent := 0
 	for name, member := range m.View() {
-		if asked == indirectProbes {
+		if sent == indirectProbes {
 			return
 		}
 		if name != m.env.Name && name != target.Name && member.State == StateAlive {
 			m.sendPacket(member.RPCAddress, rpc.Probe{Kind: packetIndirectPing, Sequence: sequence, To: target.Name})
-			asked++
+			sent++
 		}
 	}
 }
 
-// expectAck returns a fresh sequence number and the channel that its acknowledgement
-// closes; forget must be called in the end.
-func (m *Memberlist) expectAck() (sequence uint64, acknowledged <-chan struct{}, forget func()) {
+// expectAck returns a new sequence number and a channel that is closed when the
+// acknowledgement with that number is received. The caller must call cancel when done.
+func (m *Memberlist) expectAck() (sequence uint64, acknowledged <-chan struct{}, cancel func()) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.sequence++
-	sequence = m.sequence
+	m.lastSequence++
+	sequence = m.lastSequence
 	handler := make(chan struct{})
 	m.ackHandlers[sequence] = handler
 	return sequence, handler, func() {
@@ -114,19 +115,20 @@
 	return false
 }
 
-// probeSchedule picks the members in turn, in an order that is shuffled in each round, so
-// that the time until a failure is found is bounded (SWIM, section 4.3). The probe loop
-// alone uses it.
+// probeSchedule selects the members to probe round-robin, in an order that is shuffled in
+// each round, so that the time to detect a failure is bounded (SWIM, section 4.3). It is
+// used only by probeLoop and needs no lock.
 type probeSchedule struct {
 	self      ids.NodeName
 	zone      string
-	remaining []ids.NodeName // of this round
+	remaining []ids.NodeName // members still to be probed in this round
 	round     uint64
 }
 
-// next returns the member to probe, if there is any.
+// next returns the next member to probe. It returns false if there is none.
 func (s *probeSchedule) next(view map[ids.NodeName]NodeState) (rpc.Member, bool) {
-	// What remains of a round may be gone by now; then the next round is tried once.
+	// The remaining members of a round may all be dead by now. In that case a new round is
+	// started, once.
 	for range 2 {
 		for len(s.remaining) > 0 {
 			name := s.remaining[0]
@@ -140,12 +142,12 @@
 	return rpc.Member{}, false
 }
 
-// startRound lines up the members of a round. In a large fleet those of other zones are
-// probed in every fourth round only: members of their own zone probe them too.
+// startRound adds the members of the next round in random order. In a large fleet, each
+// member of another zone is included only once in crossZoneProbeRounds rounds.
 func (s *probeSchedule) startRound(view map[ids.NodeName]NodeState) {
 	s.round++
 	for name, member := range view {
-		isDue := member.Zone == s.zone || len(view) < fullProbeLimit || ids.Hash(string(name))%farProbeRounds == s.round%farProbeRounds
+		isDue := member.Zone == s.zone || len(view) < largeFleetSize || ids.Hash(string(name))%crossZoneProbeRounds == s.round%crossZoneProbeRounds
 		if name != s.self && member.IsLive() && isDue {
 			s.remaining = append(s.remaining, name)
 		}
--- a/internal/membership/probe_test.go
+++ b/internal/membership/probe_test.go
@@ -9,12 +9,12 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// probeCluster returns nodes that answer datagrams and know one another.
-func probeCluster(c *cluster, size int) []*Memberlist {
+// newProbeCluster returns nodes that receive datagrams and know one another.
+func newProbeCluster(c *cluster, size int) []*Memberlist {
 	c.Helper()
 	var nodes []*Memberlist
 	for index := range size {
-		m := c.probedNode(testMember(index))
+		m := c.nodeWithSocket(testMember(index))
 		m.mergeList(testMembers(size))
 		nodes = append(nodes, m)
 	}
@@ -23,135 +23,135 @@
 
 func TestProbe_Direct(t *testing.T) {
 	inCluster(t, func(c *cluster) {
-		nodes := probeCluster(c, 2)
-		began := time.Now()
-		if !nodes[0].probe(nodes[1].Self()) || time.Since(began) != 0 {
-			c.Errorf("the probe took %s or failed", time.Since(began))
+		nodes := newProbeCluster(c, 2)
+		start := time.Now()
+		if !nodes[0].probe(nodes[1].Self()) || time.Since(start) != 0 {
+			c.Errorf("the probe took %s or failed", time.Since(start))
 		}
 		if len(nodes[0].ackHandlers) != 0 {
-			c.Error("an acknowledgement is still expected")
+			c.Error("the ack handler was not removed")
 		}
 	})
 }
 
-func TestProbe_IndirectWhenTheDirectWayIsCut(t *testing.T) {
+func TestProbe_PingsIndirectlyWhenDirectPathFails(t *testing.T) {
 	inCluster(t, func(c *cluster) {
-		nodes := probeCluster(c, 3)
-		c.cut(nodes[0], nodes[1])
-		began := time.Now()
+		nodes := newProbeCluster(c, 3)
+		c.dropPackets(nodes[0], nodes[1])
+		start := time.Now()
 		if !nodes[0].probe(nodes[1].Self()) {
-			c.Error("the member is not reached through the third node")
+			c.Error("the indirect probe failed")
 		}
-		if took := time.Since(began); took != nodes[0].config.probeTimeout {
-			c.Errorf("the third node was asked after %s", took)
+		if elapsed := time.Since(start); elapsed != nodes[0].config.probeTimeout {
+			c.Errorf("the indirect probe succeeded after %s", elapsed)
 		}
 		if nodes[0].ping(nodes[1].Self()) {
-			c.Error("a direct ping went over a way that is cut")
+			c.Error("a direct ping succeeded although datagrams are dropped")
 		}
 	})
 }
 
-func TestProbe_FailsWhenNoWayIsLeft(t *testing.T) {
+func TestProbe_FailsWhenDirectAndIndirectPathsFail(t *testing.T) {
 	inCluster(t, func(c *cluster) {
-		nodes := probeCluster(c, 3)
-		c.cut(nodes[0], nodes[1])
-		c.cut(nodes[2], nodes[1])
-		began := time.Now()
+		nodes := newProbeCluster(c, 3)
+		c.dropPackets(nodes[0], nodes[1])
+		c.dropPackets(nodes[2], nodes[1])
+		start := time.Now()
 		if nodes[0].probe(nodes[1].Self()) {
-			c.Error("the member answers without a way to it")
+			c.Error("the probe succeeded although all datagrams to the target are dropped")
 		}
-		if took, want := time.Since(began), (1+indirectTimeoutFactor)*nodes[0].config.probeTimeout; took != want {
-			c.Errorf("the probe took %s, want %s", took, want)
+		if elapsed, want := time.Since(start), (1+indirectTimeoutFactor)*nodes[0].config.probeTimeout; elapsed != want {
+			c.Errorf("the probe took %s, want %s", elapsed, want)
 		}
 	})
 }
 
-// A ping that is meant for the address's former owner is not answered.
-func TestHandlePing_OnlyItsOwn(t *testing.T) {
+// After an address is reused, pings to its former owner must not be acknowledged.
+func TestHandlePing_IgnoresPingForOtherNode(t *testing.T) {
 	inCluster(t, func(c *cluster) {
-		nodes := probeCluster(c, 2)
+		nodes := newProbeCluster(c, 2)
 		other := nodes[1].Self()
 		other.Name = "another"
 		if nodes[0].ping(other) {
-			c.Error("a node answers for another")
+			c.Error("a node acknowledged a ping for another node")
 		}
 	})
 }
 
-func TestHandlePing_SuspectRefutesAtOnce(t *testing.T) {
+func TestHandlePing_SuspectRefutesInAck(t *testing.T) {
 	inCluster(t, func(c *cluster) {
-		nodes := probeCluster(c, 2)
+		nodes := newProbeCluster(c, 2)
 		suspect := nodes[1].Self()
 		nodes[0].applyUpdates([]rpc.Member{inState(suspect, StateSuspect)})
 		if !nodes[0].probe(suspect) {
 			c.Fatal("no acknowledgement")
 		}
-		if now := nodes[0].View()[suspect.Name]; now.State != StateAlive || now.Incarnation != 2 {
-			c.Errorf("it is %s at incarnation %d", now.State, now.Incarnation)
+		if current := nodes[0].View()[suspect.Name]; current.State != StateAlive || current.Incarnation != 2 {
+			c.Errorf("the suspect is %s at incarnation %d", current.State, current.Incarnation)
 		}
 	})
 }
 
-func TestHandlePing_UnknownPingerIsAskedWhoItIs(t *testing.T) {
+func TestHandlePing_IdentifiesUnknownSender(t *testing.T) {
 	inCluster(t, func(c *cluster) {
-		a, b := c.probedNode(testMember(0)), c.probedNode(testMember(1))
+		a, b := c.nodeWithSocket(testMember(0)), c.nodeWithSocket(testMember(1))
 		a.mergeList([]rpc.Member{b.Self()})
 		if !a.ping(b.Self()) {
 			c.Fatal("no acknowledgement")
 		}
 		synctest.Wait()
 		if !b.IsLive(rpc.Peer{Name: a.Self().Name, ID: a.Self().ID}) {
-			c.Error("the pinger is still unknown")
+			c.Error("the sender is still unknown")
 		}
 	})
 }
 
 func TestPingOverConnection(t *testing.T) {
 	inCluster(t, func(c *cluster) {
-		nodes := probeCluster(c, 2)
+		nodes := newProbeCluster(c, 2)
 		target := nodes[1].Self()
-		c.cut(nodes[0], nodes[1])
+		c.dropPackets(nodes[0], nodes[1])
 		if !nodes[0].pingOverConnection(target) {
-			c.Error("no answer though only datagrams are lost")
+			c.Error("the ping over a connection failed although only datagrams are dropped")
 		}
-		formerLife := target
-		formerLife.ID = "a former life"
-		if nodes[0].pingOverConnection(formerLife) {
-			c.Error("another life of the node answers for the former")
+		formerID := target
+		formerID.ID = "former ID"
+		if nodes[0].pingOverConnection(formerID) {
+			c.Error("the ping succeeded for a former member ID")
 		}
 		other := target
 		other.Name = "another"
 		if nodes[0].pingOverConnection(other) {
-			c.Error("a node answers for another")
+			c.Error("the ping succeeded for another name")
 		}
 	})
 }
 
 func TestProbeLoop_SuspectsThenDeclaresDead(t *testing.T) {
 	inCluster(t, func(c *cluster) {
-		nodes := probeCluster(c, 2)
-		prober, silent := nodes[0], nodes[1].Self()
-		c.cut(prober, nodes[1])
-		c.refuse(prober, nodes[1])
-		began := time.Now()
+		nodes := newProbeCluster(c, 2)
+		prober, unresponsive := nodes[0], nodes[1].Self()
+		c.dropPackets(prober, nodes[1])
+		c.refuseConns(prober, nodes[1])
+		start := time.Now()
 		prober.env.Go(prober.probeLoop)
-		await := func(state string) time.Duration {
-			for prober.View()[silent.Name].State != state {
-				if time.Since(began) > time.Minute {
-					c.Fatalf("never %s", state)
+		waitForState := func(state string) time.Duration {
+			for prober.View()[unresponsive.Name].State != state {
+				if time.Since(start) > time.Minute {
+					c.Fatalf("never in state %s", state)
 				}
 				time.Sleep(time.Millisecond)
 			}
-			return time.Since(began)
+			return time.Since(start)
 		}
 		config := prober.config
 		probeTime := config.probeInterval + (1+indirectTimeoutFactor)*config.probeTimeout
-		suspected := await(StateSuspect)
-		if suspected < probeTime || suspected > probeTime+minReliableTimeout {
-			c.Errorf("suspected after %s, a probe takes %s", suspected, probeTime)
+		suspectedAfter := waitForState(StateSuspect)
+		if suspectedAfter < probeTime || suspectedAfter > probeTime+minConnectionPingTimeout {
+			c.Errorf("suspected after %s, want one probe (%s)", suspectedAfter, probeTime)
 		}
-		if dead := await(StateDead) - suspected; dead < config.suspicionTimeout || dead > config.suspicionTimeout+2*probeTime {
-			c.Errorf("declared dead %s after the suspicion, which lasts %s", dead, config.suspicionTimeout)
+		if deadAfter := waitForState(StateDead) - suspectedAfter; deadAfter < config.suspicionTimeout || deadAfter > config.suspicionTimeout+2*probeTime {
+			c.Errorf("declared dead %s after the suspicion, want the suspicion timeout (%s)", deadAfter, config.suspicionTimeout)
 		}
 	})
 }
@@ -170,7 +170,7 @@
 		for range 8 {
 			member, ok := schedule.next(view)
 			if !ok {
-				t.Fatal("nobody to probe")
+				t.Fatal("no member to probe")
 			}
 			probed[member.Name] = true
 		}
@@ -180,8 +180,8 @@
 	}
 }
 
-func TestProbeSchedule_FarMembersOfALargeFleetInOneOfFourRounds(t *testing.T) {
-	const size, rounds = 4 * fullProbeLimit, 8
+func TestProbeSchedule_ProbesOtherZonesEveryFourthRound(t *testing.T) {
+	const size, rounds = 4 * largeFleetSize, 8
 	view := map[ids.NodeName]NodeState{}
 	for _, member := range testMembers(size) {
 		view[member.Name] = NodeState{Member: member}
@@ -195,7 +195,7 @@
 		probes[name]++
 	}
 	for name, member := range view {
-		want := rounds / farProbeRounds
+		want := rounds / crossZoneProbeRounds
 		if member.Zone == "z0" {
 			want = rounds
 		}
@@ -203,7 +203,7 @@
 			want = 0
 		}
 		if probes[name] != want {
-			t.Errorf("%s of zone %s is probed %d times in %d rounds, want %d", name, member.Zone, probes[name], rounds, want)
+			t.Errorf("%s in zone %s is probed %d times in %d rounds, want %d", name, member.Zone, probes[name], rounds, want)
 		}
 	}
 }
--- a/internal/membership/pushpull.go
+++ b/internal/membership/pushpull.go
@@ -13,40 +13,41 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// pushPullState belongs to the exchange of lists.
+// pushPullState is the state of push/pull exchanges.
 type pushPullState struct {
-	// refused says that a member turned the last exchange away because of its load.
+	// refused is set when a node refuses an exchange because of its load. pushPullLoop
+	// resets it before each attempt.
 	refused atomic.Bool
-	// fullSyncs counts the complete lists under way.
+	// fullSyncs counts the complete lists that are being sent.
 	fullSyncs atomic.Int64
-	// encoded is the last complete list that was encoded.
+	// encoded caches the last complete list that was encoded.
 	encoded atomic.Pointer[encodedView]
 }
 
-// encodedView is a view's complete list as it goes out.
+// encodedView is a view with its list encoded as a MembershipSync.
 type encodedView struct {
 	view *map[ids.NodeName]NodeState
 	raw  json.RawMessage
 }
 
-// pushPullLoop exchanges lists: with the seeds until one answers, then with one member at
-// random from time to time. Gossip alone may miss a member; this does not.
+// pushPullLoop exchanges lists with the seeds until one answers, then periodically with a
+// random member, which also spreads updates that gossip missed.
 func (m *Memberlist) pushPullLoop() {
-	joined, joinRetry := false, minJoinRetry
+	joined, retryDelay := false, minJoinRetryDelay
 	for {
 		m.pushPull.refused.Store(false)
 		if m.pushPullAny(m.pushPullAddresses(joined)) {
 			joined = true
 		}
 		refused := m.pushPull.refused.Load()
-		pause := joinRetry
+		pause := retryDelay
 		switch {
 		case joined && (len(m.View()) < 3 || m.recentlyRecovered()):
 			pause = fastPushPullInterval
 		case joined:
 			pause = pushPullInterval
 		case refused:
-			joinRetry = min(2*joinRetry, maxJoinRetry)
+			retryDelay = min(2*retryDelay, maxJoinRetryDelay)
 		}
 		if joined || refused {
 			pause = environment.Jitter(pause)
@@ -57,9 +58,10 @@
 	}
 }
 
-// pushPullAddresses returns whom to exchange lists with next: all seeds before this node
-// has joined; then one member at random and, in one of four exchanges or if there is no
-// member, one seed, which joins fleets that were founded apart.
+// pushPullAddresses returns the addresses for the next exchange. Before this node has
+// joined these are all seeds, afterwards one random live member. A random seed is added in
+// one of four exchanges, or if there is no live member, to merge fleets that formed
+// separately.
 func (m *Memberlist) pushPullAddresses(joined bool) []string {
 	seeds := *m.seeds.Load()
 	if !joined {
@@ -80,19 +82,20 @@
 	return addresses
 }
 
-// pushPullAny exchanges lists with all addresses at once, since a dead one says nothing
-// for as long as a dial may take, and returns true as soon as one has answered.
+// pushPullAny exchanges lists with all addresses concurrently and returns true as soon as
+// one has answered. It does so concurrently because a dead node delays its exchange until
+// the dial times out.
 func (m *Memberlist) pushPullAny(addresses []string) bool {
 	answers := make(chan bool, len(addresses))
-	asked := 0
+	attempts := 0
 	for _, address := range addresses {
 		if address == m.config.bindAddress || address == m.config.advertiseAddress {
 			continue
 		}
-		asked++
+		attempts++
 		m.env.Go(func() { answers <- m.PushPull(address) })
 	}
-	for range asked {
+	for range attempts {
 		if <-answers {
 			return true
 		}
@@ -106,37 +109,37 @@
 	return !m.lastRecovery.IsZero() && time.Since(m.lastRecovery) < recoveryPeriod
 }
 
-// PushPull makes this node's list and that of the node at the address the same, as far as
-// members are live. It exchanges once more if the first time showed this node that it was
-// held for suspect or dead, to hand over the refutation. It reports whether the other
-// answered.
+// PushPull synchronizes the live members of this node's list and the list of the node at
+// an address, and reports whether that node answered. If the exchange made this node refute
+// its own suspicion or death, a second exchange delivers the refutation.
 func (m *Memberlist) PushPull(address string) bool {
-	before := m.Self().Incarnation
+	incarnation := m.Self().Incarnation
 	if !m.pushPullNode(address, false) {
 		return false
 	}
-	if m.Self().Incarnation != before {
+	if m.Self().Incarnation != incarnation {
 		m.pushPullNode(address, true)
 	}
 	return true
 }
 
-// introduceTo makes this node, and all it knows, known to one that asked who it is:
-// machines that come back together find one another first, and nobody else.
-func (m *Memberlist) introduceTo(name ids.NodeName) {
+// announceTo starts an exchange with a node that asked for this node's record. The exchange
+// covers the complete lists, because nodes that restart together at first discover only one
+// another.
+func (m *Memberlist) announceTo(name ids.NodeName) {
 	member, ok := m.Lookup(name)
-	if !ok || !m.introducing.CompareAndSwap(false, true) {
+	if !ok || !m.announcing.CompareAndSwap(false, true) {
 		return
 	}
 	m.env.Go(func() {
-		defer m.introducing.Store(false)
+		defer m.announcing.Store(false)
 		m.pushPullNode(member.RPCAddress, true)
 	})
 }
 
-// AnnounceSelf tells all live core members of this node's own record at once, over
-// connections. Gossip spreads it too, but takes as long as it takes until somebody probes
-// this node: too long for what the core waits for.
+// AnnounceSelf sends this node's own record to all live core members over connections.
+// Gossip spreads the record only after another member has probed this node. That is too
+// late for a leader that needs to know a node that has joined to replace a lost voter.
 func (m *Memberlist) AnnounceSelf() {
 	for _, member := range m.CoreMembers() {
 		if member.Name != m.env.Name {
@@ -145,11 +148,12 @@
 	}
 }
 
-// pushPullNode is one exchange. A digest of the complete list goes first. If the other's
-// differs, it answers with a digest of each range of names, and only members of ranges
-// that differ travel: an exchange costs what has changed, not what the fleet is. A node
-// that knows next to nobody gets the complete list instead. With announce set, this
-// node's own record goes first.
+// pushPullNode runs one exchange. The request contains a digest of the complete list. If
+// the other node's digest differs, it answers with a digest per range of names, and only
+// the members of differing ranges are sent, so that the cost depends on the number of
+// changes and not on the fleet size. A node that knows at most membersPerRange members
+// requests the complete list instead. The request includes this node's own record if
+// announce is set or the complete list is requested.
 func (m *Memberlist) pushPullNode(address string, announce bool) bool {
 	ctx, cancel := context.WithTimeout(m.env, pushPullTimeout)
 	defer cancel()
@@ -174,11 +178,12 @@
 	return m.pushMissing(ctx, address, response.Members)
 }
 
-// pushPullRanges exchanges the members of the ranges whose digests differ.
-func (m *Memberlist) pushPullRanges(ctx context.Context, address string, theirs []uint32) bool {
-	request := &rpc.MembershipSync{RangeCount: len(theirs)}
-	for index, digest := range m.rangeDigests(len(theirs)) {
-		if digest != theirs[index] {
+// pushPullRanges exchanges the members of the ranges whose digests differ from those of the
+// node at the address.
+func (m *Memberlist) pushPullRanges(ctx context.Context, address string, remoteDigests []uint32) bool {
+	request := &rpc.MembershipSync{RangeCount: len(remoteDigests)}
+	for index, digest := range m.rangeDigests(len(remoteDigests)) {
+		if digest != remoteDigests[index] {
 			request.DifferingRanges = append(request.DifferingRanges, index)
 		}
 	}
@@ -193,16 +198,16 @@
 	return ok
 }
 
-// pushMissing tells the other what its complete list lacks. In its answer the other
-// refutes what this node holds of it, if it must.
-func (m *Memberlist) pushMissing(ctx context.Context, address string, theirs []rpc.Member) bool {
-	missing := supersedingMembers(m.allMembers(), theirs)
+// pushMissing sends the records that supersede those in the other node's complete list. If
+// one of them is a suspicion or death of that node, its response contains the refutation.
+func (m *Memberlist) pushMissing(ctx context.Context, address string, remoteMembers []rpc.Member) bool {
+	missing := supersedingMembers(m.allMembers(), remoteMembers)
 	if len(missing) == 0 {
 		return true
 	}
 	request := &rpc.MembershipSync{Members: missing, Digest: m.listDigest(), RangeCount: maxRanges}
 	for _, member := range missing {
-		if index := rangeOf(member.Name, maxRanges); !slices.Contains(request.DifferingRanges, index) {
+		if index := rangeIndex(member.Name, maxRanges); !slices.Contains(request.DifferingRanges, index) {
 			request.DifferingRanges = append(request.DifferingRanges, index)
 		}
 	}
@@ -218,9 +223,9 @@
 	return response, err == nil
 }
 
-// handlePushPull answers an exchange: with the members of the ranges that the request
-// names as differing, with digests of ranges, or with the complete list. Of complete
-// lists only maxFullSyncs are under way at once; who asks for one more comes again.
+// handlePushPull merges the members in a request and returns the response: Same if the
+// digests match, otherwise the members of the differing ranges that the request names, the
+// digests of all ranges, or the complete list.
 func (m *Memberlist) handlePushPull(request *rpc.MembershipSync) (any, error) {
 	if len(request.Members) > 1 {
 		m.mergeList(request.Members)
@@ -235,31 +240,33 @@
 	}
 	if request.RangeCount > 1 {
 		if len(request.DifferingRanges) > 0 {
-			ours := m.membersInRanges(request.RangeCount, request.DifferingRanges)
-			return &rpc.MembershipSync{Members: supersedingMembers(ours, request.Members)}, nil
+			localMembers := m.membersInRanges(request.RangeCount, request.DifferingRanges)
+			return &rpc.MembershipSync{Members: supersedingMembers(localMembers, request.Members)}, nil
 		}
 		return &rpc.MembershipSync{RangeDigests: m.rangeDigests(request.RangeCount)}, nil
 	}
-	return m.sendFullList(request.RangeCount == 1)
+	return m.fullListResponse(request.RangeCount == 1)
 }
 
-// sendFullList answers with the complete list, or with when to come again. Older builds
-// don't know of the latter and are given the list in any case.
-func (m *Memberlist) sendFullList(mayRetry bool) (any, error) {
-	if m.pushPull.fullSyncs.Add(1) > maxFullSyncs && mayRetry {
+// fullListResponse returns the complete list. If maxFullSyncs lists are being sent already,
+// it returns a delay after which to retry, unless the requester is an older build, which
+// does not support that.
+func (m *Memberlist) fullListResponse(supportsRetry bool) (any, error) {
+	if m.pushPull.fullSyncs.Add(1) > maxFullSyncs && supportsRetry {
 		m.pushPull.fullSyncs.Add(-1)
-		return &rpc.MembershipSync{RetryAfterMillis: minJoinRetry.Milliseconds()}, nil
+		return &rpc.MembershipSync{RetryAfterMillis: minJoinRetryDelay.Milliseconds()}, nil
 	}
-	done := func() { m.pushPull.fullSyncs.Add(-1) }
+	release := func() { m.pushPull.fullSyncs.Add(-1) }
 	raw, err := m.encodedMembers()
 	if err != nil {
-		done()
+		release()
 		return nil, err
 	}
-	return &rpc.EncodedResponse{Body: raw, Release: done}, nil
+	return &rpc.EncodedResponse{Body: raw, Release: release}, nil
 }
 
-// encodedMembers returns the complete list encoded, once for each view.
+// encodedMembers returns the complete list as an encoded MembershipSync, which is cached
+// until the view changes.
 func (m *Memberlist) encodedMembers() (json.RawMessage, error) {
 	view := m.view.Load()
 	if encoded := m.pushPull.encoded.Load(); encoded != nil && encoded.view == view {
@@ -283,15 +290,15 @@
 	return list
 }
 
-// supersedingMembers returns the members of which ours says something that theirs does
-// not. Unlike in supersedes, another life of a node counts in any state: the receiver
-// judges it by supersedes itself.
-func supersedingMembers(ours, theirs []rpc.Member) (superseding []rpc.Member) {
-	known := make(map[ids.NodeName]rpc.Member, len(theirs))
-	for _, member := range theirs {
+// supersedingMembers returns the local members that supersede the remote ones. Unlike in
+// supersedes, a member with another member ID is always included: the receiver applies
+// supersedes itself.
+func supersedingMembers(local, remote []rpc.Member) (superseding []rpc.Member) {
+	known := make(map[ids.NodeName]rpc.Member, len(remote))
+	for _, member := range remote {
 		known[member.Name] = member
 	}
-	for _, member := range ours {
+	for _, member := range local {
 		other, isKnown := known[member.Name]
 		if isKnown && other.ID != member.ID || supersedes(member, other, isKnown) {
 			superseding = append(superseding, member)
--- a/internal/membership/reconnect_test.go
+++ b/internal/membership/reconnect_test.go
@@ -8,33 +8,33 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-func TestReconnect_FewNodesLookForADeadMember(t *testing.T) {
+func TestReconnect_LimitsReconnectorsPerMember(t *testing.T) {
 	inCluster(t, func(c *cluster) {
-		const size, lostIndex = 60, 33
-		lost := testMember(lostIndex)
-		looking := 0
-		var searcher *Memberlist
+		const size, deadIndex = 60, 33
+		dead := testMember(deadIndex)
+		reconnecting := 0
+		var reconnector *Memberlist
 		for index := range size {
-			if index == lostIndex {
+			if index == deadIndex {
 				continue
 			}
 			m := c.node(testMember(index))
 			m.mergeList(testMembers(size))
-			m.applyUpdates([]rpc.Member{inState(lost, StateDead)})
-			if due := m.dueReconnects(map[ids.NodeName]*reconnectState{}, time.Now()); len(due) == 1 && due[0].Name == lost.Name {
-				looking++
-				searcher = m
+			m.applyUpdates([]rpc.Member{inState(dead, StateDead)})
+			if due := m.dueReconnects(map[ids.NodeName]*reconnectState{}, time.Now()); len(due) == 1 && due[0].Name == dead.Name {
+				reconnecting++
+				reconnector = m
 			}
 		}
-		if looking != reconnectors {
-			c.Fatalf("%d nodes look for one dead member", looking)
+		if reconnecting != reconnectorsPerMember {
+			c.Fatalf("%d nodes try to reconnect to one dead member", reconnecting)
 		}
 
-		// The pauses grow up to a bound, and the search ends.
-		searches := map[ids.NodeName]*reconnectState{}
+		// The backoff grows to its maximum, and the attempts end after reconnectTimeout.
+		reconnects := map[ids.NodeName]*reconnectState{}
 		var attempts []time.Time
 		for range 2 * int(reconnectTimeout/time.Second) {
-			if len(searcher.dueReconnects(searches, time.Now())) > 0 {
+			if len(reconnector.dueReconnects(reconnects, time.Now())) > 0 {
 				attempts = append(attempts, time.Now())
 			}
 			time.Sleep(time.Second)
@@ -42,53 +42,53 @@
 		if n := len(attempts); n < int(reconnectTimeout/maxReconnectBackoff)*2/3 || n > int(reconnectTimeout/maxReconnectBackoff)*3/2 {
 			c.Fatalf("%d attempts", n)
 		}
-		if first, later := attempts[1].Sub(attempts[0]), attempts[9].Sub(attempts[8]); later < 2*first {
-			c.Errorf("the first pause was %s, a later one %s", first, later)
+		if firstPause, laterPause := attempts[1].Sub(attempts[0]), attempts[9].Sub(attempts[8]); laterPause < 2*firstPause {
+			c.Errorf("the first pause is %s, a later one %s", firstPause, laterPause)
 		}
-		if last := attempts[len(attempts)-1].Sub(attempts[0]); last > reconnectTimeout {
-			c.Errorf("still asked after %s", last)
+		if duration := attempts[len(attempts)-1].Sub(attempts[0]); duration > reconnectTimeout {
+			c.Errorf("still trying to reconnect after %s", duration)
 		}
 
-		back := lost
-		back.Incarnation = 9
-		searcher.applyUpdates([]rpc.Member{back})
-		if len(searcher.dueReconnects(searches, time.Now())) > 0 || len(searches) != 0 {
-			c.Error("looked for though it is back")
+		recovered := dead
+		recovered.Incarnation = 9
+		reconnector.applyUpdates([]rpc.Member{recovered})
+		if len(reconnector.dueReconnects(reconnects, time.Now())) > 0 || len(reconnects) != 0 {
+			c.Error("still trying to reconnect to a live member")
 		}
 	})
 }
 
-func TestReconnect_DeadCoreMemberIsAskedEverySecond(t *testing.T) {
+func TestReconnect_RetriesDeadCoreMemberEverySecond(t *testing.T) {
 	for _, test := range []struct {
-		name            string
-		size, searchers int
+		name               string
+		size, reconnectors int
 	}{
 		{"small fleet", 10, 9},
-		{"large fleet", 60, reconnectors},
+		{"large fleet", 60, reconnectorsPerMember},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			inCluster(t, func(c *cluster) {
 				members := testMembers(test.size)
 				members[0].Core = true
 				dead := inState(members[0], StateDead)
-				var searchers []*Memberlist
+				var reconnectors []*Memberlist
 				for _, self := range members[1:] {
 					m := c.node(self)
 					m.mergeList(members)
 					m.applyUpdates([]rpc.Member{dead})
 					if m.reconnectsTo(m.View(), dead) {
-						searchers = append(searchers, m)
+						reconnectors = append(reconnectors, m)
 					}
 				}
-				if len(searchers) != test.searchers {
-					c.Fatalf("%d of %d nodes look for a dead core member", len(searchers), test.size)
+				if len(reconnectors) != test.reconnectors {
+					c.Fatalf("%d of %d nodes try to reconnect to a dead core member", len(reconnectors), test.size)
 				}
-				searches, last := map[ids.NodeName]*reconnectState{}, time.Now()
+				reconnects, lastAttempt := map[ids.NodeName]*reconnectState{}, time.Now()
 				for range 1200 {
-					if len(searchers[0].dueReconnects(searches, time.Now())) > 0 {
-						last = time.Now()
-					} else if pause := time.Since(last); pause > minReconnectBackoff*5/4 {
-						c.Fatalf("a core member was not asked for %s", pause)
+					if len(reconnectors[0].dueReconnects(reconnects, time.Now())) > 0 {
+						lastAttempt = time.Now()
+					} else if pause := time.Since(lastAttempt); pause > minReconnectBackoff*5/4 {
+						c.Fatalf("no attempt to reconnect to a core member for %s", pause)
 					}
 					time.Sleep(reconnectInterval / 4)
 				}
--- a/internal/membership/state.go
+++ b/internal/membership/state.go
@@ -7,8 +7,9 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// States of a member, as in SWIM; a member that left on purpose is dead under its own
-// name. The values are on the wire and stay.
+// States of a member, as in SWIM. A member in StateLeft left deliberately: it is treated
+// like a dead one, except that no node tries to reconnect to it. The values are part of the
+// wire format and must not change.
 const (
 	StateAlive   = "alive"
 	StateSuspect = "suspect"
@@ -16,41 +17,43 @@
 	StateLeft    = "left"
 )
 
-// NodeState is a member as this node sees it.
+// NodeState is a member's record as known to this node.
 type NodeState struct {
 	rpc.Member
-	// StateChange is when the member came into its state, by this node's clock; zero for
-	// this node itself.
+	// StateChange is the local time at which the member entered its state; zero for this
+	// node itself.
 	StateChange time.Time
 }
 
-// IsLive reports whether the member is alive or suspect: a suspect is still asked, until
-// it is declared dead.
+// IsLive reports whether the member is alive or suspect. A suspect still receives
+// requests until it is declared dead.
 func (n NodeState) IsLive() bool { return isLive(n.State) }
 
 func isLive(state string) bool { return state == StateAlive || state == StateSuspect }
 
-// memberRecord is a member with what this node alone counts of it.
+// memberRecord is a member with this node's bookkeeping about it.
 type memberRecord struct {
 	NodeState
+	// digest is memberDigest of the member.
 	digest uint64
-	// transmits is how often this node sent the update on; duplicates is how often others
-	// told it of what it knew already.
+	// transmits counts how often this node sent the update; duplicates counts how often it
+	// received an update that it already knew.
 	transmits, duplicates int
 }
 
-// updateSource tells how updates came to this node.
+// updateSource identifies how an update reached this node.
 type updateSource int
 
 const (
-	// fromGossip are updates on datagrams and this node's own findings. They are sent on.
+	// fromGossip marks updates received in datagrams or detected by this node. They are
+	// disseminated.
 	fromGossip updateSource = iota
-	// fromList are the members of a list. Others know these already, so a member that was
-	// not known is sent on once at most.
+	// fromList marks the members of a list. Other nodes know these already, so a member
+	// that is new to this node is sent at most once.
 	fromList
 )
 
-// statePrecedence orders states of one incarnation: the worse state wins.
+// statePrecedence orders the states at one incarnation: the higher value wins.
 func statePrecedence(state string) int {
 	switch state {
 	case StateAlive:
@@ -61,10 +64,11 @@
 	return 2
 }
 
-// supersedes reports whether an update says more than what is known of a member, if it
-// is known at all. Of one life, the higher incarnation wins, and at the same one the
-// worse state (SWIM, section 4.2). Another life wins only as alive, at a higher
-// incarnation. Nothing is learnt of a member that is gone already when first heard of.
+// supersedes reports whether an update replaces the known record of a member; known is
+// ignored unless isKnown. Under the same member ID, the higher incarnation wins, and at
+// the same incarnation the state of higher precedence (SWIM, section 4.2). Under another
+// member ID, an update wins only if it is alive at a higher incarnation. An unknown
+// member is added only if it is live. Incomplete updates never win.
 func supersedes(update, known rpc.Member, isKnown bool) bool {
 	switch {
 	case update.Name == "" || update.ID == "" || update.RPCAddress == "":
@@ -79,29 +83,30 @@
 	return statePrecedence(update.State) > statePrecedence(known.State)
 }
 
-// refutingIncarnation returns the incarnation under which a node refutes an update about
-// itself: above the update's, which would win otherwise. It is 0 if there is nothing to
-// refute. An update of another life under the node's name is refuted too.
+// refutingIncarnation returns the incarnation with which a node refutes an update about
+// itself, or 0 if the update need not be refuted. It is higher than the update's
+// incarnation, so that the refutation supersedes the update. An update with the node's
+// name but another member ID is refuted too.
 func refutingIncarnation(self, update rpc.Member) uint64 {
-	doubted := update.ID == self.ID && update.State != StateAlive && self.State == StateAlive
-	if update.Incarnation >= self.Incarnation && (doubted || update.ID != self.ID) {
+	reportedNotAlive := update.ID == self.ID && update.State != StateAlive && self.State == StateAlive
+	if update.Incarnation >= self.Incarnation && (reportedNotAlive || update.ID != self.ID) {
 		return update.Incarnation + 1
 	}
 	return 0
 }
 
-// applyUpdates takes in updates that came with a datagram, or that this node found out.
+// applyUpdates merges updates that were received in a datagram or detected by this node.
 func (m *Memberlist) applyUpdates(updates []rpc.Member) { m.merge(updates, fromGossip) }
 
-// mergeList takes in the members of a list. A list that says nothing new is found out
-// without the lock, so that such lists don't wait for one another.
+// mergeList merges the members of a list. A list without updates is detected without
+// taking the lock, so that such lists don't contend for it.
 func (m *Memberlist) mergeList(list []rpc.Member) {
 	if m.hasUpdates(list) {
 		m.merge(list, fromList)
 	}
 }
 
-// hasUpdates reports whether a list says anything that is not known.
+// hasUpdates reports whether merging a list would change a record.
 func (m *Memberlist) hasUpdates(list []rpc.Member) bool {
 	view := m.View()
 	for _, update := range list {
@@ -133,8 +138,9 @@
 	}
 }
 
-// refute answers an update about this node itself; others learn the new incarnation from
-// its acknowledgements and lists. It reports whether there was a need. The caller holds mu.
+// refute raises this node's incarnation if an update about it must be refuted, and
+// reports whether it did. Other nodes learn the new incarnation from this node's
+// acknowledgements and lists. The caller holds mu.
 func (m *Memberlist) refute(update rpc.Member) bool {
 	incarnation := refutingIncarnation(m.self, update)
 	if incarnation == 0 {
@@ -144,8 +150,8 @@
 	return true
 }
 
-// mergeMember takes in an update about another member and reports whether it changed
-// anything. The caller holds mu.
+// mergeMember merges an update about another member and reports whether it changed the
+// member's record. The caller holds mu.
 func (m *Memberlist) mergeMember(update rpc.Member, source updateSource) bool {
 	record, isKnown := m.members[update.Name]
 	var known rpc.Member
@@ -161,28 +167,28 @@
 	}
 	m.logChange(known, isKnown, update)
 
-	fresh := &memberRecord{NodeState: NodeState{Member: update, StateChange: time.Now()}, digest: memberDigest(update)}
+	newRecord := &memberRecord{NodeState: NodeState{Member: update, StateChange: time.Now()}, digest: memberDigest(update)}
 	switch {
 	case isKnown:
 		m.othersDigest ^= record.digest
 		if known.ID == update.ID && statePrecedence(known.State) == statePrecedence(update.State) {
-			fresh.StateChange = record.StateChange
+			newRecord.StateChange = record.StateChange
 		}
 		if known.ID == update.ID && known.State == StateDead && update.State == StateAlive {
 			m.lastRecovery = time.Now()
 		}
 	case source == fromList:
-		fresh.transmits = m.transmitLimit() - 1
+		newRecord.transmits = m.transmitLimit() - 1
 	}
-	m.othersDigest ^= fresh.digest
+	m.othersDigest ^= newRecord.digest
 	if !isKnown || known.RPCAddress != update.RPCAddress || known.Zone != update.Zone {
 		m.zonesChanged = true
 	}
-	m.members[update.Name] = fresh
+	m.members[update.Name] = newRecord
 	return true
 }
 
-// logChange writes the event of an update that superseded what was known.
+// logChange logs the event of an update that superseded the known record.
 func (m *Memberlist) logChange(known rpc.Member, isKnown bool, update rpc.Member) {
 	name := string(update.Name)
 	switch {
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -7,14 +7,15 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// suspicionTimeout is how long a suspect may refute. Updates take longer to go round in a
-// larger fleet, by the logarithm of its size; base holds up to eight members.
+// suspicionTimeout returns the time a suspect has to refute. It is base for up to eight
+// members and grows with the logarithm of the fleet size, as the time to disseminate an
+// update does.
 func suspicionTimeout(base time.Duration, members int) time.Duration {
 	return time.Duration(float64(base) * max(1, math.Log2(float64(members))/3))
 }
 
-// expireSuspicions declares those dead that did not refute their suspicion in time
-// (SWIM, section 4.2).
+// expireSuspicions declares dead the suspects that did not refute in time (SWIM, section
+// 4.2).
 func (m *Memberlist) expireSuspicions() {
 	view := m.View()
 	timeout := suspicionTimeout(m.config.suspicionTimeout, len(view))
--- a/internal/membership/suspicion_test.go
+++ b/internal/membership/suspicion_test.go
@@ -7,13 +7,13 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-func TestSuspicionTimeout_GrowsWithTheLogarithmOfTheFleet(t *testing.T) {
+func TestSuspicionTimeout_GrowsLogarithmicallyWithFleetSize(t *testing.T) {
 	for _, test := range []struct {
 		members int
 		want    time.Duration
 	}{{1, time.Second}, {8, time.Second}, {64, 2 * time.Second}, {512, 3 * time.Second}} {
 		if got := suspicionTimeout(time.Second, test.members); got != test.want {
-			t.Errorf("%d members have %s, want %s", test.members, got, test.want)
+			t.Errorf("%d members: %s, want %s", test.members, got, test.want)
 		}
 	}
 }
@@ -27,14 +27,14 @@
 		time.Sleep(m.config.suspicionTimeout)
 		m.expireSuspicions()
 		if !m.IsLive(rpc.Peer{Name: suspect.Name, ID: suspect.ID}) {
-			c.Error("declared dead before its time was over")
+			c.Error("declared dead before the suspicion timeout")
 		}
 		refuting.Incarnation++
 		m.applyUpdates([]rpc.Member{refuting})
 		time.Sleep(time.Millisecond)
 		m.expireSuspicions()
 		if state := m.View()[suspect.Name].State; state != StateDead {
-			c.Errorf("the suspect that said nothing is %s", state)
+			c.Errorf("the suspect that did not refute is %s", state)
 		}
 		if state := m.View()[refuting.Name].State; state != StateAlive {
 			c.Errorf("the suspect that refuted is %s", state)
