--- a/internal/rpc/client.go
+++ b/internal/rpc/client.go
@@ -9,16 +9,16 @@
 	"github.com/sumactrestle/sumactrestle/internal/errcode"
 )
 
-// MaxHops is how often a request may be forwarded from node to node.
+// MaxHops is the maximum number of times a request may be forwarded between nodes.
 const MaxHops = 4
 
 // Call sends a request and waits for its response, which it unmarshals into response
-// unless that is nil. The deadline of ctx travels with the request.
+// unless that is nil. The request includes the deadline of ctx.
 func (t *Transport) Call(ctx context.Context, address, kind string, request, response any) error {
 	return t.Forward(ctx, address, kind, 0, request, response)
 }
 
-// Forward is Call for a request that has made so many hops already.
+// Forward is like Call, for a request that was already forwarded hops times.
 func (t *Transport) Forward(ctx context.Context, address, kind string, hops int, request, response any) error {
 	body, err := json.Marshal(request)
 	if err != nil {
@@ -26,44 +26,44 @@
 	}
 	frame := &Frame{Version: Version, Kind: kind, Hops: hops, Body: body}
 	if deadline, ok := ctx.Deadline(); ok {
-		left := time.Until(deadline)
-		if left <= 0 {
-			return errcode.New(errcode.Unreachable, "%s: no time left", address)
+		remaining := time.Until(deadline)
+		if remaining <= 0 {
+			return errcode.New(errcode.Unreachable, "%s: deadline exceeded", address)
 		}
-		frame.Deadline = left.Microseconds() + 1 // at least 1, as 0 is no deadline
+		frame.Deadline = remaining.Microseconds() + 1 // at least 1, since 0 means no deadline
 	}
-	answer, err := t.roundTrip(ctx, address, frame)
+	reply, err := t.roundTrip(ctx, address, frame)
 	if err != nil {
 		return err
 	}
-	if answer.Version != Version {
-		return errcode.New(errcode.ReplyLost, "%s %s: answered in version %d of the wire, not %d", address, kind, answer.Version, Version)
+	if reply.Version != Version {
+		return errcode.New(errcode.ReplyLost, "%s %s: response has protocol version %d, want %d", address, kind, reply.Version, Version)
 	}
-	if answer.Code != 0 {
-		return answer.problem()
+	if reply.Code != 0 {
+		return reply.responseError()
 	}
 	if response != nil {
-		if err := json.Unmarshal(answer.Body, response); err != nil {
+		if err := json.Unmarshal(reply.Body, response); err != nil {
 			return errcode.New(errcode.InvalidMessage, "%s from %s: %v", kind, address, err)
 		}
 	}
 	return nil
 }
 
-// problem returns the error that a response carries. A code that this build does not know
-// is an errcode.Internal.
-func (f *Frame) problem() error {
+// responseError returns the error in a response. A code that is unknown to this build
+// becomes errcode.Internal.
+func (f *Frame) responseError() error {
 	code, ok := errcode.Codes[f.Code]
 	if !ok {
 		code = errcode.Internal
 	}
-	problem := errcode.New(code, "%s", f.Note)
-	errcode.From(problem).Paths = f.Paths
-	return problem
+	result := errcode.New(code, "%s", f.Note)
+	errcode.From(result).Paths = f.Paths
+	return result
 }
 
-// roundTrip sends a frame over the connection to an address, and over a new one if that was
-// closed as idle just then.
+// roundTrip sends a request over the connection to an address and waits for its response.
+// If the connection was just closed as idle, it uses a new one.
 func (t *Transport) roundTrip(ctx context.Context, address string, frame *Frame) (*Frame, error) {
 	for {
 		conn, err := t.clientConn(ctx, address)
--- a/internal/rpc/client_conn.go
+++ b/internal/rpc/client_conn.go
@@ -13,38 +13,39 @@
 )
 
 const (
-	// requestWriteTimeout bounds the writing of one request.
+	// requestWriteTimeout is the timeout for writing one request.
 	requestWriteTimeout = 5 * time.Second
-	// dialAttempts is how many dials are begun for one connection. The system repeats an
-	// unanswered SYN only after a second, so a peer that was down at the first is asked anew.
+	// dialAttempts is the maximum number of dials per connection. The kernel retransmits an
+	// unanswered SYN only after a second; additional dials connect sooner to a peer that
+	// was down during the first.
 	dialAttempts = 3
 )
 
-// clientConn is the calling end of a connection to a peer. It is dialled when it is first
-// needed, shared by all calls to that peer, and closed at the first failure, upon which
-// every pending call fails with errcode.ReplyLost.
+// clientConn is an outgoing connection to a peer. It is shared by all calls to that peer and
+// closed on the first failure; every pending call then fails with errcode.ReplyLost.
 type clientConn struct {
 	transport *Transport
 	address   string
 
-	// ready is closed after the dial; dialError and conn are set before and not changed.
-	ready     chan struct{}
-	dialError error
-	conn      net.Conn
+	// ready is closed after the dial. dialErr and conn are set before that and not changed
+	// afterwards.
+	ready   chan struct{}
+	dialErr error
+	conn    net.Conn
 
-	writeLock environment.ChanMutex // held while a frame is written
+	writeLock environment.ChanMutex // held while writing a frame
 
-	// mu guards all below.
+	// mu guards the fields below.
 	mu         sync.Mutex
 	lastID     uint64
-	pending    map[uint64]chan *Frame // calls by the ID of their frame; closed when the response is lost
+	pending    map[uint64]chan *Frame // by frame ID; closed when the response is lost
 	closed     bool
 	closedIdle bool
-	lastRead   time.Time // when a byte last came
-	lastUsed   time.Time // when a call last began or ended
+	lastRead   time.Time // when bytes were last received
+	lastUsed   time.Time // when a call last started or ended
 }
 
-// clientConn returns the connection to an address, dialling it if there is none.
+// clientConn returns the connection to an address. It dials if there is none.
 func (t *Transport) clientConn(ctx context.Context, address string) (*clientConn, error) {
 	t.mu.Lock()
 	conn, ok := t.clientConns[address]
@@ -66,15 +67,15 @@
 	t.mu.Unlock()
 	select {
 	case <-conn.ready:
-		return conn, conn.dialError
+		return conn, conn.dialErr
 	case <-ctx.Done():
 		return nil, errcode.New(errcode.Unreachable, "%s: %v", address, ctx.Err())
 	}
 }
 
-// run dials, and then reads responses until the connection fails.
+// run dials and then reads responses until the connection fails.
 func (c *clientConn) run() {
-	if c.dialError = c.connect(); c.dialError != nil {
+	if c.dialErr = c.connect(); c.dialErr != nil {
 		c.unregister()
 		close(c.ready)
 		return
@@ -99,51 +100,51 @@
 	return nil
 }
 
-// dial opens a connection within the setting peer.dial_timeout. As long as none is open and none
-// was refused, another dial is begun beside it after a part of that time; the first to end
-// decides.
+// dial opens a connection within peer.dial_timeout. While no dial has finished, it starts
+// up to dialAttempts concurrent dials, evenly spaced over the timeout. The first to finish
+// determines the result, whether it succeeds or fails.
 func (c *clientConn) dial() (net.Conn, error) {
 	env := c.transport.env
 	ctx, cancel := context.WithTimeout(env, env.Config.PeerDialTimeout)
 	defer cancel()
-	type result struct {
+	type dialResult struct {
 		conn net.Conn
 		err  error
 	}
-	results := make(chan result, dialAttempts)
-	begin := func() {
+	results := make(chan dialResult, dialAttempts)
+	startDial := func() {
 		env.Go(func() {
 			conn, err := env.Host.Dial(ctx, c.address)
-			results <- result{conn, err}
+			results <- dialResult{conn, err}
 		})
 	}
-	again := time.NewTicker(env.Config.PeerDialTimeout / dialAttempts)
-	defer again.Stop()
-	begin()
-	begun := 1
+	ticker := time.NewTicker(env.Config.PeerDialTimeout / dialAttempts)
+	defer ticker.Stop()
+	startDial()
+	started := 1
 	for {
 		select {
 		case first := <-results:
-			left := begun - 1
+			remaining := started - 1
 			env.Go(func() {
-				for range left {
-					if late := <-results; late.conn != nil {
-						late.conn.Close()
+				for range remaining {
+					if other := <-results; other.conn != nil {
+						other.conn.Close()
 					}
 				}
 			})
 			return first.conn, first.err
-		case <-again.C:
-			if begun < dialAttempts {
-				begin()
-				begun++
+		case <-ticker.C:
+			if started < dialAttempts {
+				startDial()
+				started++
 			}
 		}
 	}
 }
 
-// readResponses hands each response to the call that waits for it. It returns at the first
-// thing that is no response.
+// readResponses delivers each response to its pending call. It returns on the first read
+// error or malformed response.
 func (c *clientConn) readResponses() {
 	reader := bufio.NewReaderSize(activityReader{c}, readBufferSize)
 	for {
@@ -166,7 +167,7 @@
 	}
 }
 
-// activityReader reads from the connection and notes when bytes last came.
+// activityReader reads from the connection and sets its lastRead.
 type activityReader struct{ conn *clientConn }
 
 func (r activityReader) Read(buffer []byte) (int, error) {
@@ -179,7 +180,7 @@
 	return n, err
 }
 
-// roundTrip sends a request and waits for its response until ctx ends.
+// roundTrip sends a request and waits for its response or the end of ctx.
 func (c *clientConn) roundTrip(ctx context.Context, request *Frame) (*Frame, error) {
 	call, err := c.register(request)
 	if err != nil {
@@ -189,7 +190,7 @@
 	if err != nil {
 		return nil, errcode.New(errcode.Internal, "%v", err)
 	}
-	sent := time.Now()
+	sentAt := time.Now()
 	c.transport.RecordSent(request.Kind, c.address, encoded.size())
 	if err := c.write(encoded); err != nil {
 		c.close()
@@ -202,14 +203,14 @@
 		}
 		return response, nil
 	case <-ctx.Done():
-		if c.abandon(request.ID, sent) {
+		if c.abandon(request.ID, sentAt) {
 			c.close()
 		}
 		return nil, errcode.New(errcode.ReplyLost, "%s %s: %v", c.address, request.Kind, ctx.Err())
 	}
 }
 
-// register gives the request its ID and returns the channel on which its response comes.
+// register assigns the request an ID and returns the channel that receives its response.
 func (c *clientConn) register(request *Frame) (chan *Frame, error) {
 	c.mu.Lock()
 	if c.closedIdle {
@@ -236,19 +237,20 @@
 	return frame.writeTo(c.conn)
 }
 
-// abandon forgets a call that ran out of time. It reports whether the connection is dead: no
-// byte came since the call was sent, for longer than the setting peer.silence_timeout. A
-// connection that lived through a partition may otherwise stay silent for as long as TCP's
-// growing retransmission pauses last. One that is in the midst of a long response is not dead:
-// to begin that anew would fill the link that made it late.
-func (c *clientConn) abandon(id uint64, sent time.Time) (dead bool) {
+// abandon removes a call that timed out. It reports whether the connection is dead: no byte
+// was received since the call was sent, which is more than peer.silence_timeout ago.
+// Without this check, a connection that outlives a partition could stall for as long as
+// TCP's retransmission backoff lasts. A connection that is receiving a long response is not
+// dead; repeating that response would only add load to a slow link.
+func (c *clientConn) abandon(id uint64, sentAt time.Time) (isDead bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.pending, id)
-	return c.lastRead.Before(sent) && time.Since(sent) > c.transport.env.Config.PeerSilenceTimeout
+	return c.lastRead.Before(sentAt) && time.Since(sentAt) > c.transport.env.Config.PeerSilenceTimeout
 }
 
-// unregister has the next call to this address dial anew.
+// unregister removes the connection from the transport, so that the next call to its
+// address dials a new one.
 func (c *clientConn) unregister() {
 	c.transport.mu.Lock()
 	defer c.transport.mu.Unlock()
@@ -257,7 +259,7 @@
 	}
 }
 
-// close closes the connection; every pending call has lost its response.
+// close closes the connection and fails every pending call.
 func (c *clientConn) close() {
 	c.unregister()
 	c.transport.closeConn(c.conn)
--- a/internal/rpc/client_test.go
+++ b/internal/rpc/client_test.go
@@ -15,14 +15,15 @@
 
 const peerAddress = "10.0.0.1:1"
 
-// newPeer returns a dial to a peer that reads requests and writes what answer returns,
-// nothing if that is nil; and, if the last result is false, closes the connection.
-func newPeer(answer func(request *Frame) (response *Frame, stay bool)) func(context.Context) (net.Conn, error) {
+// peerDialer returns a dial function that connects to a simulated peer. For each request the
+// peer writes the response that answer returns, unless that is nil, and closes the
+// connection unless keepOpen.
+func peerDialer(answer func(request *Frame) (response *Frame, keepOpen bool)) func(context.Context) (net.Conn, error) {
 	return func(context.Context) (net.Conn, error) {
-		here, there := net.Pipe()
+		local, remote := net.Pipe()
 		go func() {
-			defer there.Close()
-			reader := bufio.NewReader(there)
+			defer remote.Close()
+			reader := bufio.NewReader(remote)
 			for {
 				line, err := readLine(reader, 1<<20)
 				if err != nil {
@@ -32,40 +33,40 @@
 				if json.Unmarshal(line, request) != nil {
 					return
 				}
-				response, stay := answer(request)
+				response, keepOpen := answer(request)
 				if response != nil {
 					response.ID = request.ID
-					if encoded, err := encodeFrame(response); err != nil || encoded.writeTo(there) != nil {
+					if encoded, err := encodeFrame(response); err != nil || encoded.writeTo(remote) != nil {
 						return
 					}
 				}
-				if !stay {
+				if !keepOpen {
 					return
 				}
 			}
 		}()
-		return here, nil
+		return local, nil
 	}
 }
 
-func TestCall_ErrorSaysWhatBecameOfTheRequest(t *testing.T) {
+func TestCall_ReturnsErrorCodeOfFailure(t *testing.T) {
 	refused := func(context.Context) (net.Conn, error) { return nil, errors.New("refused") }
 	for _, test := range []struct {
 		name string
 		dial func(context.Context) (net.Conn, error)
 		want errcode.Code
 	}{
-		{"not dialled", refused, errcode.Unreachable},
-		{"closed without a response", newPeer(func(*Frame) (*Frame, bool) { return nil, false }), errcode.ReplyLost},
-		{"no response in time", newPeer(func(*Frame) (*Frame, bool) { return nil, true }), errcode.ReplyLost},
-		{"response of another version", newPeer(func(*Frame) (*Frame, bool) { return &Frame{Version: Version + 1, Body: json.RawMessage(`1`)}, true }), errcode.ReplyLost},
-		{"response of another type", newPeer(func(*Frame) (*Frame, bool) { return &Frame{Version: Version, Body: json.RawMessage(`"one"`)}, true }), errcode.InvalidMessage},
-		{"a code", newPeer(func(*Frame) (*Frame, bool) { return &Frame{Version: Version, Code: errcode.NoLeader.Number}, true }), errcode.NoLeader},
-		{"an unknown code", newPeer(func(*Frame) (*Frame, bool) { return &Frame{Version: Version, Code: 999_999}, true }), errcode.Internal},
+		{"dial refused", refused, errcode.Unreachable},
+		{"closed without a response", peerDialer(func(*Frame) (*Frame, bool) { return nil, false }), errcode.ReplyLost},
+		{"timeout without a response", peerDialer(func(*Frame) (*Frame, bool) { return nil, true }), errcode.ReplyLost},
+		{"response with another version", peerDialer(func(*Frame) (*Frame, bool) { return &Frame{Version: Version + 1, Body: json.RawMessage(`1`)}, true }), errcode.ReplyLost},
+		{"response of the wrong type", peerDialer(func(*Frame) (*Frame, bool) { return &Frame{Version: Version, Body: json.RawMessage(`"one"`)}, true }), errcode.InvalidMessage},
+		{"response with a code", peerDialer(func(*Frame) (*Frame, bool) { return &Frame{Version: Version, Code: errcode.NoLeader.Number}, true }), errcode.NoLeader},
+		{"response with an unknown code", peerDialer(func(*Frame) (*Frame, bool) { return &Frame{Version: Version, Code: 999_999}, true }), errcode.Internal},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				transport, env, _ := newDialer(t, test.dial)
+				transport, env, _ := newTestTransport(t, test.dial)
 				defer env.Shutdown()
 				go func() { <-env.Done(); transport.closeAllConns() }()
 				ctx, cancel := context.WithTimeout(env, 3*time.Second)
@@ -79,24 +80,24 @@
 	}
 }
 
-func TestCall_SilentConnectionIsClosedAndABusyOneIsNot(t *testing.T) {
+func TestCall_TimeoutClosesOnlyUnresponsiveConnection(t *testing.T) {
 	for _, test := range []struct {
 		name      string
 		isBusy    bool
 		wantDials int64
 	}{
-		{"silent", false, 2},
-		{"busy with another response", true, 1},
+		{"no bytes received", false, 2},
+		{"another response received", true, 1},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				peer := newPeer(func(request *Frame) (*Frame, bool) {
-					if request.Kind == "silent" {
+				peer := peerDialer(func(request *Frame) (*Frame, bool) {
+					if request.Kind == "unanswered" {
 						return nil, true
 					}
 					return &Frame{Version: Version}, true
 				})
-				transport, env, dials := newDialer(t, peer)
+				transport, env, dialCount := newTestTransport(t, peer)
 				defer env.Shutdown()
 				go func() { <-env.Done(); transport.closeAllConns() }()
 				timeout := 2 * env.Config.PeerSilenceTimeout
@@ -111,11 +112,11 @@
 						call("answered")
 					}()
 				}
-				if err := call("silent"); !errors.Is(err, errcode.ReplyLost) {
+				if err := call("unanswered"); !errors.Is(err, errcode.ReplyLost) {
 					t.Error(err)
 				}
-				if err := call("answered"); err != nil || dials.Load() != test.wantDials {
-					t.Errorf("%d dials, want %d; %v", dials.Load(), test.wantDials, err)
+				if err := call("answered"); err != nil || dialCount.Load() != test.wantDials {
+					t.Errorf("%d dials, want %d; %v", dialCount.Load(), test.wantDials, err)
 				}
 			})
 		})
--- a/internal/rpc/frame.go
+++ b/internal/rpc/frame.go
@@ -8,43 +8,43 @@
 	"github.com/sumactrestle/sumactrestle/internal/errcode"
 )
 
-// Version is that of the protocol. It grows when a message no longer means to an older
-// build what it means to this one; peers of another version are refused.
+// Version is the protocol version. It is increased when older builds would misinterpret a
+// message. Requests and responses of any other version are rejected.
 const Version = 3
 
 const (
-	// maxJoinedBody is the length of a body, in bytes, up to which it is copied so that
-	// the frame is one write.
-	maxJoinedBody = 64 << 10
-	// readBufferSize is that of each connection, in bytes; longer lines are put together.
+	// maxInlineBodyBytes is the maximum length of a body that is copied into its frame, so
+	// that the frame is written at once.
+	maxInlineBodyBytes = 64 << 10
+	// readBufferSize is the size in bytes of each connection's read buffer. Longer lines are
+	// assembled from several reads.
 	readBufferSize = 16 << 10
 )
 
-// encodedFrame is the line of a frame in pieces: a large body is not copied, but stays the
-// one that all who get it share.
+// encodedFrame is the encoded line of a frame in pieces. A large body is a piece of its
+// own, so that it is shared between recipients instead of copied.
 type encodedFrame [][]byte
 
-// encodeFrame marshals a frame. Its body is JSON already, marshalled once for all who get
-// it, and is put into the line as it stands: json.Marshal would check and copy all of it
-// again for each frame.
+// encodeFrame encodes a frame. It inserts the body, which already is JSON, without changes,
+// since json.Marshal would validate and copy it for each recipient.
 func encodeFrame(frame *Frame) (encodedFrame, error) {
-	bare := *frame
-	bare.Body = nil
-	head, err := json.Marshal(&bare)
+	header := *frame
+	header.Body = nil
+	line, err := json.Marshal(&header)
 	if err != nil {
 		return nil, err
 	}
 	if len(frame.Body) == 0 {
-		return encodedFrame{append(head, '\n')}, nil
+		return encodedFrame{append(line, '\n')}, nil
 	}
-	head = append(head[:len(head)-1], `,"body":`...)
-	if len(frame.Body) > maxJoinedBody {
-		return encodedFrame{head, frame.Body, []byte("}\n")}, nil
+	line = append(line[:len(line)-1], `,"body":`...)
+	if len(frame.Body) > maxInlineBodyBytes {
+		return encodedFrame{line, frame.Body, []byte("}\n")}, nil
 	}
-	return encodedFrame{append(append(head, frame.Body...), "}\n"...)}, nil
+	return encodedFrame{append(append(line, frame.Body...), "}\n"...)}, nil
 }
 
-// size returns the length in bytes.
+// size returns the total length in bytes.
 func (f encodedFrame) size() (sum int) {
 	for _, piece := range f {
 		sum += len(piece)
@@ -61,8 +61,8 @@
 	return nil
 }
 
-// readLine returns the next line, with its end. It is valid until the next read. A line
-// longer than limit bytes is an errcode.MessageTooLong.
+// readLine returns the next line including the newline. The slice is valid until the next
+// read. A line longer than limit bytes yields errcode.MessageTooLong.
 func readLine(reader *bufio.Reader, limit int) ([]byte, error) {
 	var line []byte
 	for {
--- a/internal/rpc/frame_test.go
+++ b/internal/rpc/frame_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-func TestEncodeFrame_IsTheFrameAsJSON(t *testing.T) {
-	large, _ := json.Marshal(strings.Repeat("a<b", maxJoinedBody))
+func TestEncodeFrame_MatchesJSONMarshal(t *testing.T) {
+	large, _ := json.Marshal(strings.Repeat("a<b", maxInlineBodyBytes))
 	for _, frame := range []*Frame{
 		{Version: Version, ID: 1, Code: 4004, Note: "gone <&>", Paths: []string{"a"}},
 		{Version: Version, ID: 2, Kind: "kin.sync", Deadline: 9, Body: json.RawMessage(`{"digest":7}`)},
@@ -24,10 +24,10 @@
 		}
 		var line bytes.Buffer
 		if err := got.writeTo(&line); err != nil || line.String() != string(want)+"\n" || got.size() != line.Len() {
-			t.Errorf("%v: %.200s is not %.200s", err, line.String(), want)
+			t.Errorf("%v: got %.200s, want %.200s", err, line.String(), want)
 		}
-		if len(frame.Body) > maxJoinedBody && &got[1][0] != &frame.Body[0] {
-			t.Error("a large body is copied")
+		if len(frame.Body) > maxInlineBodyBytes && &got[1][0] != &frame.Body[0] {
+			t.Error("a large body was copied")
 		}
 	}
 }
--- a/internal/rpc/idle.go
+++ b/internal/rpc/idle.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// errClosedIdle is that of a call on a connection that was closed as idle just before;
-// nothing was written.
+// errClosedIdle is returned for a call on a connection that was just closed as idle. Nothing
+// of the call was written.
 var errClosedIdle = errors.New("connection closed as idle")
 
-// closeIdleConns closes the outgoing connections on which nothing was asked for a while
-// (peer.idle_timeout). Each costs keep-alives at both ends, and a node that calls a random peer now
-// and then would in time keep a connection to each of them.
+// closeIdleConns closes outgoing connections that were not used for peer.idle_timeout. Each
+// connection costs keep-alives at both ends, and a node that regularly calls random peers
+// would otherwise end up connected to all of them.
 func (t *Transport) closeIdleConns() {
 	for t.env.Sleep(t.env.Config.PeerIdleTimeout / 4) {
 		t.mu.Lock()
@@ -21,16 +21,16 @@
 		}
 		t.mu.Unlock()
 		for _, conn := range conns {
-			if conn.retireIfIdle() {
+			if conn.markClosedIfIdle() {
 				conn.close()
 			}
 		}
 	}
 }
 
-// retireIfIdle marks the connection as closed if it is idle, and reports whether it did. From
-// then on no call can start on it.
-func (c *clientConn) retireIfIdle() bool {
+// markClosedIfIdle marks the connection as closed if it is idle, so that no call can start on
+// it, and reports whether it did. The caller then closes it.
+func (c *clientConn) markClosedIfIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed || len(c.pending) > 0 || c.lastUsed.IsZero() || time.Since(c.lastUsed) < c.transport.env.Config.PeerIdleTimeout {
--- a/internal/rpc/idle_test.go
+++ b/internal/rpc/idle_test.go
@@ -15,97 +15,97 @@
 	"github.com/sumactrestle/sumactrestle/internal/eventlog"
 )
 
-// socket is a listener whose connections come from memory.
-type socket struct {
-	conns chan net.Conn
-	over  chan struct{}
-	once  sync.Once
+// memoryListener is a listener that accepts in-memory connections.
+type memoryListener struct {
+	conns  chan net.Conn
+	closed chan struct{}
+	once   sync.Once
 }
 
-func (s *socket) Accept() (net.Conn, error) {
+func (l *memoryListener) Accept() (net.Conn, error) {
 	select {
-	case conn := <-s.conns:
+	case conn := <-l.conns:
 		return conn, nil
-	case <-s.over:
+	case <-l.closed:
 		return nil, net.ErrClosed
 	}
 }
-func (s *socket) Close() error   { s.once.Do(func() { close(s.over) }); return nil }
-func (s *socket) Addr() net.Addr { return &net.TCPAddr{} }
+func (l *memoryListener) Close() error   { l.once.Do(func() { close(l.closed) }); return nil }
+func (l *memoryListener) Addr() net.Addr { return &net.TCPAddr{} }
 
 func TestTransport_ClosesIdleConnectionsWithoutLosingCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		far := &socket{conns: make(chan net.Conn), over: make(chan struct{})}
-		dialled := 0
-		node := func(address string, listen *socket) *Transport {
+		remoteListener := &memoryListener{conns: make(chan net.Conn), closed: make(chan struct{})}
+		dials := 0
+		startTransport := func(address string, listener *memoryListener) *Transport {
 			settings, err := config.Load("", map[string]string{"name": "n", "zone": "a", "peer.address": address, "api.address": "10.0.0.1:2", "proxy.address": "10.0.0.1:3"})
 			if err != nil {
 				t.Fatal(err)
 			}
 			transport := New(environment.New(ctx, settings, eventlog.New(t.Output(), "error", "n"), environment.Host{
-				Listen: func(string) (net.Listener, error) { return listen, nil },
+				Listen: func(string) (net.Listener, error) { return listener, nil },
 				Dial: func(context.Context, string) (net.Conn, error) {
-					dialled++
-					mine, its := net.Pipe()
-					far.conns <- its
-					return mine, nil
+					dials++
+					clientEnd, serverEnd := net.Pipe()
+					remoteListener.conns <- serverEnd
+					return clientEnd, nil
 				},
 			}))
-			transport.Handle("now", func(c *Request) (any, error) { return 1, nil })
-			transport.Handle("held", func(c *Request) (any, error) { time.Sleep(5 * time.Minute); return 1, nil })
+			transport.Handle("quick", func(request *Request) (any, error) { return 1, nil })
+			transport.Handle("slow", func(request *Request) (any, error) { time.Sleep(5 * time.Minute); return 1, nil })
 			if err := transport.Start(); err != nil {
 				t.Fatal(err)
 			}
 			return transport
 		}
-		const its = "10.0.0.2:1"
-		node(its, far)
-		caller := node("10.0.0.1:1", &socket{conns: make(chan net.Conn), over: make(chan struct{})})
-		idle := caller.env.Config.PeerIdleTimeout
-		open := func() int { caller.mu.Lock(); defer caller.mu.Unlock(); return len(caller.clientConns) }
+		const remoteAddress = "10.0.0.2:1"
+		startTransport(remoteAddress, remoteListener)
+		caller := startTransport("10.0.0.1:1", &memoryListener{conns: make(chan net.Conn), closed: make(chan struct{})})
+		idleTimeout := caller.env.Config.PeerIdleTimeout
+		openConns := func() int { caller.mu.Lock(); defer caller.mu.Unlock(); return len(caller.clientConns) }
 		call := func(kind string) {
 			t.Helper()
-			if err := caller.Call(ctx, its, kind, struct{}{}, nil); err != nil {
+			if err := caller.Call(ctx, remoteAddress, kind, struct{}{}, nil); err != nil {
 				t.Fatal(err)
 			}
 		}
 		for range 20 {
-			call("now")
-			time.Sleep(idle / 2)
+			call("quick")
+			time.Sleep(idleTimeout / 2)
 		}
-		if dialled != 1 || open() != 1 {
-			t.Fatalf("%d dialled, %d open while in use", dialled, open())
+		if dials != 1 || openConns() != 1 {
+			t.Fatalf("%d dials, %d open connections while in use", dials, openConns())
 		}
-		call("held")
-		if dialled != 1 {
-			t.Fatal("closed while a call was held")
+		call("slow")
+		if dials != 1 {
+			t.Fatal("connection closed during a call")
 		}
-		time.Sleep(2 * idle)
-		if open() != 0 {
-			t.Fatal("still open")
+		time.Sleep(2 * idleTimeout)
+		if openConns() != 0 {
+			t.Fatal("connection still open after the idle timeout")
 		}
-		call("now")
-		if dialled != 2 {
-			t.Fatal("dialled", dialled)
+		call("quick")
+		if dials != 2 {
+			t.Fatal(dials, "dials, want 2")
 		}
-		// A call that finds the connection just marked as idle goes over a new one.
+		// A call on a connection that was just marked as idle must use a new one.
 		caller.mu.Lock()
-		conn := caller.clientConns[its]
+		conn := caller.clientConns[remoteAddress]
 		caller.mu.Unlock()
 		conn.mu.Lock()
-		conn.lastUsed = conn.lastUsed.Add(-idle)
+		conn.lastUsed = conn.lastUsed.Add(-idleTimeout)
 		conn.mu.Unlock()
-		if !conn.retireIfIdle() {
-			t.Fatal("not idle")
+		if !conn.markClosedIfIdle() {
+			t.Fatal("connection not idle")
 		}
-		call("now")
+		call("quick")
 		conn.close()
-		if call("now"); dialled != 3 || open() != 1 {
-			t.Errorf("%d dialled, %d open", dialled, open())
+		if call("quick"); dials != 3 || openConns() != 1 {
+			t.Errorf("%d dials, %d open connections", dials, openConns())
 		}
-		if err := caller.Call(ctx, its, "nothing", struct{}{}, nil); !errors.Is(err, errcode.UnknownKind) {
+		if err := caller.Call(ctx, remoteAddress, "unregistered", struct{}{}, nil); !errors.Is(err, errcode.UnknownKind) {
 			t.Error(err)
 		}
 	})
--- a/internal/rpc/server.go
+++ b/internal/rpc/server.go
@@ -13,18 +13,18 @@
 	"github.com/sumactrestle/sumactrestle/internal/eventlog"
 )
 
-// responseWriteTimeout bounds the writing of one response.
+// responseWriteTimeout is the timeout for writing one response.
 const responseWriteTimeout = 10 * time.Second
 
-// Request is a received request as its handler sees it. As a context it ends when the
-// caller's deadline passes, the connection is closed or the node stops.
+// Request is a received request. As a context it is done when the caller's deadline passes,
+// the connection is closed or the node stops.
 type Request struct {
 	context.Context
-	Hops int // how often it was forwarded before it came here
+	Hops int // number of times it was forwarded
 	body json.RawMessage
 }
 
-// Decode unmarshals the body; the error is an errcode.InvalidMessage.
+// Decode unmarshals the body. It fails with errcode.InvalidMessage.
 func (r *Request) Decode(into any) error {
 	if err := json.Unmarshal(r.body, into); err != nil {
 		return errcode.New(errcode.InvalidMessage, "%v", err)
@@ -32,12 +32,12 @@
 	return nil
 }
 
-// Handler answers requests of one kind. What it returns is marshalled, unless it is an
-// *EncodedResponse. It runs in a goroutine of its own for each request.
+// Handler handles requests of one kind. It is called in a new goroutine for each request.
+// Its result is marshalled unless it is an *EncodedResponse.
 type Handler func(*Request) (any, error)
 
-// EncodedResponse is a response that was marshalled before, once for all who ask for it.
-// Release, if set, is called exactly once, after the response was written or given up.
+// EncodedResponse is an already marshalled response, which can be shared between requests.
+// Release, if not nil, is called exactly once, after the response was written or dropped.
 type EncodedResponse struct {
 	Body    json.RawMessage
 	Release func()
@@ -46,8 +46,8 @@
 // Handle registers the handler of a message kind. It must not be called after Start.
 func (t *Transport) Handle(kind string, handler Handler) { t.handlers[kind] = handler }
 
-// Handle registers a handler of a message kind whose requests have the type Body. Requests
-// that are no Body are refused with errcode.InvalidMessage.
+// Handle registers the handler of a message kind whose requests have the type Body. Requests
+// that cannot be unmarshalled as Body are rejected with errcode.InvalidMessage.
 func Handle[Body, Response any](t *Transport, kind string, handler func(context.Context, *Body) (Response, error)) {
 	t.Handle(kind, func(request *Request) (any, error) {
 		body := new(Body)
@@ -58,8 +58,8 @@
 	})
 }
 
-// serveConn reads requests from one incoming connection and answers each in a goroutine of
-// its own, so that a request that is held delays no other.
+// serveConn reads requests from an incoming connection and handles each in a new goroutine,
+// so that a long-polling request delays no other.
 func (t *Transport) serveConn(conn net.Conn) {
 	defer t.closeConn(conn)
 	ctx, cancel := context.WithCancel(t.env)
@@ -104,20 +104,21 @@
 	}
 }
 
-// dispatch has a request handled. Its deadline counts from when it was received: a request
-// whose caller has given up is not begun, and a response that comes too late goes out
-// without its body, as a sign of life. The caller must call release, unless it is nil, when
-// it is done with the response.
+// dispatch calls the handler of a request and returns the response. The deadline is relative
+// to received. A request whose deadline has passed is not executed. If the deadline passes
+// during execution, the response has no body, but is still sent to show the caller that the
+// connection is alive. The caller must call release, unless it is nil, after writing or
+// dropping the response.
 func (t *Transport) dispatch(ctx context.Context, request *Frame, received time.Time) (response *Frame, release func()) {
 	response = &Frame{Version: Version, ID: request.ID}
 	fail := func(err error) (*Frame, func()) {
-		problem := errcode.From(err)
-		response.Code, response.Note, response.Paths = problem.Code.Number, problem.Note, problem.Paths
+		failure := errcode.From(err)
+		response.Code, response.Note, response.Paths = failure.Code.Number, failure.Note, failure.Paths
 		return response, release
 	}
 	if request.Version != Version {
 		t.env.Events.Emit(eventlog.MessageRejected, "code", errcode.WrongVersion.Number, "kind", request.Kind, "version", request.Version)
-		return fail(errcode.New(errcode.WrongVersion, "%d, not %d", request.Version, Version))
+		return fail(errcode.New(errcode.WrongVersion, "protocol version %d, want %d", request.Version, Version))
 	}
 	handler, ok := t.handlers[request.Kind]
 	if !ok {
@@ -125,12 +126,12 @@
 		return fail(errcode.New(errcode.UnknownKind, "%q", request.Kind))
 	}
 	if request.Deadline > 0 {
-		limited, cancel := context.WithDeadline(ctx, received.Add(time.Duration(request.Deadline)*time.Microsecond))
+		withDeadline, cancel := context.WithDeadline(ctx, received.Add(time.Duration(request.Deadline)*time.Microsecond))
 		defer cancel()
-		ctx = limited
+		ctx = withDeadline
 	}
 	if ctx.Err() != nil {
-		return fail(errcode.New(errcode.ReplyLost, "%s: not begun, its time is over", request.Kind))
+		return fail(errcode.New(errcode.ReplyLost, "%s: not executed, deadline exceeded", request.Kind))
 	}
 	body, err := handler(&Request{Context: ctx, Hops: request.Hops, body: request.Body})
 	encoded, isEncoded := body.(*EncodedResponse)
@@ -138,13 +139,13 @@
 		release = encoded.Release
 	}
 	if err != nil {
-		if problem := errcode.From(err); problem.Code.Number == errcode.InvalidMessage.Number {
-			t.env.Events.Emit(eventlog.MessageRejected, "code", problem.Code.Number, "kind", request.Kind, "note", problem.Note)
+		if failure := errcode.From(err); failure.Code.Number == errcode.InvalidMessage.Number {
+			t.env.Events.Emit(eventlog.MessageRejected, "code", failure.Code.Number, "kind", request.Kind, "note", failure.Note)
 		}
 		return fail(err)
 	}
 	if ctx.Err() != nil {
-		return fail(errcode.New(errcode.ReplyLost, "%s: its time is over", request.Kind))
+		return fail(errcode.New(errcode.ReplyLost, "%s: deadline exceeded", request.Kind))
 	}
 	if isEncoded {
 		response.Body = encoded.Body
--- a/internal/rpc/server_test.go
+++ b/internal/rpc/server_test.go
@@ -14,7 +14,7 @@
 	"github.com/sumactrestle/sumactrestle/internal/eventlog"
 )
 
-func TestDispatch_DoesNotBeginExpiredRequests(t *testing.T) {
+func TestDispatch_SkipsExpiredRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		settings, err := config.Load("", map[string]string{"name": "n", "zone": "a", "peer.address": "10.0.0.1:1", "api.address": "10.0.0.1:2", "proxy.address": "10.0.0.1:3"})
 		if err != nil {
@@ -23,31 +23,31 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		transport := New(environment.New(ctx, settings, eventlog.New(t.Output(), "error", "n"), environment.Host{}))
-		begun, released := 0, 0
+		handlerCalls, releaseCalls := 0, 0
 		transport.Handle("slow", func(request *Request) (any, error) {
-			begun++
+			handlerCalls++
 			<-request.Done()
-			return &EncodedResponse{Body: json.RawMessage(`{"large":true}`), Release: func() { released++ }}, nil
+			return &EncodedResponse{Body: json.RawMessage(`{"large":true}`), Release: func() { releaseCalls++ }}, nil
 		})
 		request := &Frame{Version: Version, ID: 5, Kind: "slow", Deadline: 20_000}
 		received := time.Now()
 		response, release := transport.dispatch(ctx, request, received)
-		if begun != 1 || response.Body != nil || response.Code != errcode.ReplyLost.Number || response.ID != 5 || release == nil {
-			t.Errorf("begun %d, %+v", begun, response)
+		if handlerCalls != 1 || response.Body != nil || response.Code != errcode.ReplyLost.Number || response.ID != 5 || release == nil {
+			t.Errorf("handler calls: %d, %+v", handlerCalls, response)
 		}
 		release()
-		if released != 1 {
-			t.Error("the handler is not told that its response is done with")
+		if releaseCalls != 1 {
+			t.Error("release did not call the handler's Release")
 		}
-		// Read from the connection, but not begun until its caller had given up.
+		// The deadline has passed before the handler is called.
 		response, release = transport.dispatch(ctx, request, received)
-		if begun != 1 || release != nil || !reflect.DeepEqual(response, &Frame{Version: Version, ID: 5, Code: errcode.ReplyLost.Number, Note: "slow: not begun, its time is over"}) {
-			t.Errorf("begun %d, %+v", begun, response)
+		if handlerCalls != 1 || release != nil || !reflect.DeepEqual(response, &Frame{Version: Version, ID: 5, Code: errcode.ReplyLost.Number, Note: "slow: not executed, deadline exceeded"}) {
+			t.Errorf("handler calls: %d, %+v", handlerCalls, response)
 		}
 	})
 }
 
-func TestHandle_RefusesBodiesOfAnotherType(t *testing.T) {
+func TestHandle_RejectsBodyOfWrongType(t *testing.T) {
 	settings, err := config.Load("", map[string]string{"name": "n", "zone": "a", "peer.address": "10.0.0.1:1", "api.address": "10.0.0.1:2", "proxy.address": "10.0.0.1:3"})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/rpc/traffic.go
+++ b/internal/rpc/traffic.go
@@ -2,22 +2,22 @@
 
 import "sync/atomic"
 
-// OtherZoneSuffix ends the kinds of messages that Traffic counts as sent to another zone.
+// OtherZoneSuffix is appended to the message kind for messages sent to another zone.
 const OtherZoneSuffix = " between"
 
-// responseSuffix ends the kinds that Traffic counts responses under.
+// responseSuffix is appended to the message kind for responses.
 const responseSuffix = ".receipt"
 
-// Traffic is what was sent of one kind of messages.
+// Traffic is the number and size of sent messages of one kind.
 type Traffic struct{ Messages, Bytes int64 }
 
-// trafficCounter counts the messages of one kind that were sent.
+// trafficCounter counts sent messages of one kind.
 type trafficCounter struct {
 	messages, bytes atomic.Int64
 }
 
-// RecordSent counts a message sent to an address. Other packages call it for what they
-// send by themselves, such as datagrams.
+// RecordSent counts a message sent to an address. Other packages call it for messages that
+// they send without the transport, such as datagrams.
 func (t *Transport) RecordSent(kind, address string, bytes int) {
 	if t.IsSameZone != nil && !t.IsSameZone(address) {
 		kind += OtherZoneSuffix
@@ -30,8 +30,8 @@
 	counter.(*trafficCounter).bytes.Add(int64(bytes))
 }
 
-// Traffic returns what was sent so far, by kind. A kind that ends in ".receipt" counts
-// responses, one that ends in OtherZoneSuffix what went to another zone.
+// Traffic returns the messages sent so far, by kind. Kinds with the suffix ".receipt" are
+// responses, those with OtherZoneSuffix were sent to another zone.
 func (t *Transport) Traffic() map[string]Traffic {
 	sent := map[string]Traffic{}
 	t.traffic.Range(func(kind, counter any) bool {
--- a/internal/rpc/transport.go
+++ b/internal/rpc/transport.go
@@ -9,28 +9,28 @@
 	"github.com/sumactrestle/sumactrestle/internal/errcode"
 )
 
-// acceptRetry is the pause after a connection could not be accepted, as when the process
-// has run out of file descriptors.
-const acceptRetry = 10 * time.Millisecond
+// acceptRetryDelay is the pause after a failed accept, for example when the process has run
+// out of file descriptors.
+const acceptRetryDelay = 10 * time.Millisecond
 
-// Transport is a node's end of all its connections. Its handlers and IsSameZone are set
-// before Start and not changed afterwards.
+// Transport manages a node's connections to its peers. Its handlers and IsSameZone must be
+// set before Start and not be changed afterwards.
 type Transport struct {
 	env      *environment.Environment
 	handlers map[string]Handler
-	// IsSameZone reports whether an address lies in this node's zone; it only tells
-	// traffic apart. If it is nil, all addresses do.
+	// IsSameZone reports whether an address is in this node's zone. It affects only the
+	// traffic counters. If it is nil, all addresses count as in the zone.
 	IsSameZone func(address string) bool
 
 	traffic sync.Map // message kind -> *trafficCounter
 
-	// mu guards the connections.
+	// mu guards the fields below.
 	mu          sync.Mutex
 	clientConns map[string]*clientConn // outgoing, by address
-	openConns   map[net.Conn]bool      // incoming and outgoing, closed at the end
+	openConns   map[net.Conn]bool      // incoming and outgoing; closed on shutdown
 }
 
-// New returns a transport that does not listen yet.
+// New returns a transport. It accepts connections only after Start.
 func New(env *environment.Environment) *Transport {
 	return &Transport{
 		env:         env,
@@ -60,7 +60,7 @@
 	for {
 		conn, err := listener.Accept()
 		if err != nil {
-			if t.env.IsStopping() || !t.env.Sleep(acceptRetry) {
+			if t.env.IsStopping() || !t.env.Sleep(acceptRetryDelay) {
 				return
 			}
 			continue
@@ -71,8 +71,8 @@
 	}
 }
 
-// trackConn has a connection closed at the end of the node's life. If that has come
-// already, it closes the connection and reports false.
+// trackConn registers a connection to be closed on shutdown. If the node is already
+// stopping, it closes the connection and returns false.
 func (t *Transport) trackConn(conn net.Conn) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
