--- a/internal/membership/memberlist.go
+++ b/internal/membership/memberlist.go
@@ -64,9 +64,9 @@
 	zonesChanged bool
 	// lastRecovery is the last time a dead member was found alive again.
 	lastRecovery time.Time
-	// ackHandlers holds a channel for each expected acknowledgement, by sequence number.
+	// pendingAcks holds a channel for each expected acknowledgement, by sequence number.
 	// The acknowledgement closes it.
-	ackHandlers  map[uint64]chan struct{}
+	pendingAcks  map[uint64]chan struct{}
 	lastSequence uint64
 	// announcements counts the acknowledgements sent at announcedIncarnation.
 	announcedIncarnation uint64
@@ -91,7 +91,7 @@
 		config:      newProtocolConfig(env),
 		self:        self,
 		members:     map[ids.NodeName]*memberRecord{},
-		ackHandlers: map[uint64]chan struct{}{},
+		pendingAcks: map[uint64]chan struct{}{},
 	}
 	m.publishView()
 	m.SetSeeds(env.Config.Seeds)
--- a/internal/membership/packet.go
+++ b/internal/membership/packet.go
@@ -114,8 +114,8 @@
 func (m *Memberlist) handleAck(sequence uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if acknowledged, ok := m.ackHandlers[sequence]; ok {
-		delete(m.ackHandlers, sequence)
+	if acknowledged, ok := m.pendingAcks[sequence]; ok {
+		delete(m.pendingAcks, sequence)
 		close(acknowledged)
 	}
 }
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -94,12 +94,12 @@
 	defer m.mu.Unlock()
 	m.lastSequence++
 	sequence = m.lastSequence
-	handler := make(chan struct{})
-	m.ackHandlers[sequence] = handler
-	return sequence, handler, func() {
+	ack := make(chan struct{})
+	m.pendingAcks[sequence] = ack
+	return sequence, ack, func() {
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		delete(m.ackHandlers, sequence)
+		delete(m.pendingAcks, sequence)
 	}
 }
 
--- a/internal/membership/probe_test.go
+++ b/internal/membership/probe_test.go
@@ -28,8 +28,8 @@
 		if !nodes[0].probe(nodes[1].Self()) || time.Since(start) != 0 {
 			c.Errorf("the probe took %s or failed", time.Since(start))
 		}
-		if len(nodes[0].ackHandlers) != 0 {
-			c.Error("the ack handler was not removed")
+		if len(nodes[0].pendingAcks) != 0 {
+			c.Error("the pending acknowledgement was not removed")
 		}
 	})
 }
--- a/internal/rpc/client_conn.go
+++ b/internal/rpc/client_conn.go
@@ -52,7 +52,7 @@
 	if !ok {
 		if t.env.IsStopping() {
 			t.mu.Unlock()
-			return nil, errcode.New(errcode.Unreachable, "%s: stopping", address)
+			return nil, errcode.New(errcode.Unreachable, "%s: this node is stopping", address)
 		}
 		conn = &clientConn{
 			transport: t,
@@ -94,7 +94,7 @@
 		return errcode.New(errcode.Unreachable, "%s: %v", c.address, err)
 	}
 	if !c.transport.trackConn(conn) {
-		return errcode.New(errcode.Unreachable, "%s: stopping", c.address)
+		return errcode.New(errcode.Unreachable, "%s: this node is stopping", c.address)
 	}
 	c.conn = conn
 	return nil
