--- a/internal/consensus/model/explore.go
+++ b/internal/consensus/model/explore.go
@@ -5,39 +5,39 @@
 	"hash/maphash"
 )
 
-// Invariants, by the names under which a breach is reported.
+// Invariants, by the texts with which violations are reported.
 const (
 	CommittedEntriesDiffer = "committed prefixes differ"
-	AcknowledgedEntryLost  = "a later leader lacks what was acknowledged"
-	StaleRead              = "a confirmed leader would answer a read with old state"
-	CommitDecreased        = "a commit index went down on one disk"
-	QuorumsDisjoint        = "successive voters share no quorum"
-	TwoLeadersInTerm       = "two leaders of one term"
-	EntryAboveCurrentTerm  = "an entry is above its member's current term"
+	AcknowledgedEntryLost  = "a later leader lacks an acknowledged entry"
+	StaleRead              = "a confirmed leader would answer a read with stale state"
+	CommitDecreased        = "a member's commit index decreased without a restart"
+	QuorumsDisjoint        = "successive voters have disjoint quorums"
+	TwoLeadersInTerm       = "two leaders in one term"
+	EntryAboveCurrentTerm  = "an entry's term is above its member's current term"
 )
 
-// Breach is a broken invariant and the shortest way to it.
-type Breach struct {
+// Violation is a violated invariant and a shortest schedule of actions that leads to it.
+type Violation struct {
 	Invariant string
 	Schedule  []string
 }
 
-// Result is what an exploration came to.
+// Result is the result of an exploration.
 type Result struct {
 	States     int
 	Depth      int
-	IsComplete bool // the whole scope was walked
-	Breach     *Breach
+	IsComplete bool // every state in the scope was visited
+	Violation  *Violation
 }
 
-// origin is how a state was reached first.
+// origin is the state and the action from which a state was first reached.
 type origin struct {
 	from   uint64
 	action action
 }
 
-// Explore visits the states of a protocol in order of their distance from the first, until
-// the scope is exhausted or an invariant is broken.
+// Explore visits the states of the protocol breadth-first, until the scope is exhausted or an
+// invariant is violated.
 func Explore(rules Rules, scope Scope) Result {
 	seed := maphash.MakeSeed()
 	key := func(s *state) uint64 { return maphash.Comparable(seed, *s) }
@@ -45,14 +45,14 @@
 	origins := map[uint64]origin{key(&first): {}}
 	frontier := []state{first}
 	result := Result{IsComplete: true}
-	for len(frontier) > 0 && result.Breach == nil {
-		var following []state
+	for len(frontier) > 0 && result.Violation == nil {
+		var nextFrontier []state
 		for i := range frontier {
 			before := &frontier[i]
 			from := key(before)
 			w := &walker{rules: rules, scope: scope}
 			w.visit = func(a action, after state) {
-				if result.Breach != nil {
+				if result.Violation != nil {
 					return
 				}
 				invariant := after.observe(before, a, w)
@@ -68,131 +68,134 @@
 				}
 				origins[id] = origin{from: from, action: a}
 				if invariant != "" {
-					result.Breach = &Breach{Invariant: invariant, Schedule: schedule(origins, id, key(&first))}
+					result.Violation = &Violation{Invariant: invariant, Schedule: schedule(origins, id, key(&first))}
 					return
 				}
-				following = append(following, after)
+				nextFrontier = append(nextFrontier, after)
 			}
 			w.next(before)
 		}
-		frontier = following
+		frontier = nextFrontier
 		result.Depth++
 	}
 	result.States = len(origins)
 	return result
 }
 
-func schedule(origins map[uint64]origin, at, first uint64) (steps []string) {
-	for at != first {
-		steps = append([]string{origins[at].action.String()}, steps...)
-		at = origins[at].from
+// schedule returns the actions that lead from the first state to a state.
+func schedule(origins map[uint64]origin, id, firstID uint64) (steps []string) {
+	for id != firstID {
+		steps = append([]string{origins[id].action.String()}, steps...)
+		id = origins[id].from
 	}
 	return steps
 }
 
-// observe checks the invariants after an action, and notes what it acknowledged.
+// observe records what an action acknowledged, and returns the invariant that the action
+// violated, or an empty string.
 func (s *state) observe(before *state, a action, w *walker) string {
 	for m := range w.scope.Members {
-		now, old := &s.members[m], &before.members[m]
-		if now.commit < old.commit && now.memberID == old.memberID && a.name != restarts {
+		current, previous := &s.members[m], &before.members[m]
+		if current.commit < previous.commit && current.memberID == previous.memberID && a.name != restarts {
 			return CommitDecreased
 		}
-		if now.log.last().term > now.currentTerm {
+		if current.log.last().term > current.currentTerm {
 			return EntryAboveCurrentTerm
 		}
 	}
-	if g := s.members[a.who].log; a.name != replicatesTo && g.length > before.members[a.who].log.length && g.last().kind == kindMembershipChange {
-		if !quorumsIntersect(g.last().voters, before.members[a.who].log.last().voters) {
+	if actorLog := s.members[a.actor].log; a.name != replicatesTo && actorLog.length > before.members[a.actor].log.length && actorLog.last().kind == kindMembershipChange {
+		if !quorumsIntersect(actorLog.last().voters, before.members[a.actor].log.last().voters) {
 			return QuorumsDisjoint
 		}
 	}
 	switch a.name {
 	case becomesLeader:
-		if invariant := s.checkLeader(a.who, w); invariant != "" {
+		if invariant := s.checkLeader(a.actor, w); invariant != "" {
 			return invariant
 		}
 	case commits:
-		if invariant := s.acknowledge(a.who); invariant != "" {
+		if invariant := s.acknowledge(a.actor); invariant != "" {
 			return invariant
 		}
 	}
 	return s.checkReads(w)
 }
 
-// checkLeader demands that a new leader has what older terms acknowledged, and that no
-// other has its term.
+// checkLeader checks that a new leader has all entries acknowledged in older terms, and that
+// no other leader has its term.
 func (s *state) checkLeader(m int, w *walker) string {
-	o := &s.members[m]
+	newLeader := &s.members[m]
 	for other := range w.scope.Members {
-		if p := &s.members[other]; other != m && p.role == leader && p.currentTerm == o.currentTerm {
+		if otherMember := &s.members[other]; other != m && otherMember.role == leader && otherMember.currentTerm == newLeader.currentTerm {
 			return TwoLeadersInTerm
 		}
 	}
 	for i := range s.acknowledged.length {
-		isOlder := s.acknowledgedBy[i] < o.currentTerm
-		if isOlder && (i >= o.log.length || o.log.entries[i] != s.acknowledged.entries[i]) {
+		isOlder := s.acknowledgedBy[i] < newLeader.currentTerm
+		if isOlder && (i >= newLeader.log.length || newLeader.log.entries[i] != s.acknowledged.entries[i]) {
 			return AcknowledgedEntryLost
 		}
 	}
 	return ""
 }
 
-// acknowledge holds a commit against all that was committed before.
+// acknowledge checks a leader's committed prefix against the acknowledged entries, and adds
+// newly committed ones to them.
 func (s *state) acknowledge(m int) string {
-	o := &s.members[m]
-	for i := range o.commit {
+	self := &s.members[m]
+	for i := range self.commit {
 		if i < s.acknowledged.length {
-			if s.acknowledged.entries[i] != o.log.entries[i] {
+			if s.acknowledged.entries[i] != self.log.entries[i] {
 				return CommittedEntriesDiffer
 			}
 			continue
 		}
-		s.acknowledged.append(o.log.entries[i])
-		s.acknowledgedBy[i] = o.currentTerm
+		s.acknowledged.append(self.log.entries[i])
+		s.acknowledgedBy[i] = self.currentTerm
 	}
 	return ""
 }
 
-// checkReads demands that a leader whose term a quorum would confirm now has all that was
-// acknowledged.
+// checkReads checks that every leader that could confirm a read now has all acknowledged
+// entries.
 func (s *state) checkReads(w *walker) string {
 	for m := range w.scope.Members {
-		o := &s.members[m]
-		if o.role != leader || o.commit < o.firstIndex {
+		reader := &s.members[m]
+		if reader.role != leader || reader.commit < reader.firstIndex {
 			continue
 		}
 		var confirmed peerSet
 		for v := range w.scope.Members {
-			if s.members[v].currentTerm <= o.currentTerm {
+			if s.members[v].currentTerm <= reader.currentTerm {
 				confirmed |= w.identityOf(s, v)
 			}
 		}
-		if !w.rules.UnconfirmedReads && !w.hasQuorum(s.votersOf(&o.log), confirmed) {
+		if !w.rules.UnconfirmedReads && !w.hasQuorum(s.votersOf(&reader.log), confirmed) {
 			continue
 		}
-		if o.commit < s.acknowledged.length && !s.hasAcknowledged(o) {
+		if reader.commit < s.acknowledged.length && !s.hasAcknowledged(reader) {
 			return StaleRead
 		}
 	}
 	return ""
 }
 
-// hasAcknowledged tells whether a leader's log holds all that was acknowledged, even if its
-// commit index is behind.
-func (s *state) hasAcknowledged(o *member) bool {
+// hasAcknowledged reports whether a leader's log contains all acknowledged entries, even if its
+// commit index is lower.
+func (s *state) hasAcknowledged(reader *member) bool {
 	for i := range s.acknowledged.length {
-		if i >= o.log.length || o.log.entries[i] != s.acknowledged.entries[i] {
+		if i >= reader.log.length || reader.log.entries[i] != s.acknowledged.entries[i] {
 			return false
 		}
 	}
 	return true
 }
 
-// quorumsIntersect tells whether every quorum of a shares a member with every quorum of b.
+// quorumsIntersect reports whether every quorum of a shares a member with every quorum of b.
 func quorumsIntersect(a, b voters) bool {
-	all := a.all() | b.all()
-	for members := all; ; members = (members - 1) & all {
-		if a.hasQuorum(members) && b.hasQuorum(all&^members) {
+	union := a.all() | b.all()
+	for members := union; ; members = (members - 1) & union {
+		if a.hasQuorum(members) && b.hasQuorum(union&^members) {
 			return false
 		}
 		if members == 0 {
@@ -201,4 +204,4 @@
 	}
 }
 
-func (b *Breach) String() string { return fmt.Sprintf("%s: %q", b.Invariant, b.Schedule) }
+func (b *Violation) String() string { return fmt.Sprintf("%s: %q", b.Invariant, b.Schedule) }
--- a/internal/simulator/fleet.go
+++ b/internal/simulator/fleet.go
@@ -74,7 +74,7 @@
 	ctx, end := context.WithCancel(context.Background())
 	f := &Fleet{Network: NewNetwork(seed), History: checker.NewHistory(nil), Shape: shape, Log: log, Rand: rand.New(&lockedSource{pcg: rand.NewPCG(seed, 7)}), ctx: ctx, cancel: end}
 	f.loadRunning.Store(true)
-	f.conformance.OnBreach = func(invariant, detail string) {
+	f.conformance.OnViolation = func(invariant, detail string) {
 		f.History.Add(checker.Record{Kind: checker.ReplicaDivergence, Note: invariant + ": " + detail})
 	}
 	f.History.Add(checker.Record{Kind: checker.ScenarioStarted, Note: fmt.Sprint("seed ", seed)})
