--- a/internal/consensus/heartbeat.go
+++ b/internal/consensus/heartbeat.go
@@ -43,7 +43,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for peer, h := range n.heartbeaters {
-		if _, ok := n.memberOf(peer); !ok {
+		if _, ok := n.memberState(peer); !ok {
 			h.cancel()
 			delete(n.heartbeaters, peer)
 			delete(n.receivedClaims, peer)
@@ -169,7 +169,7 @@
 func (r *Replica) recordAck(peer rpc.Peer, sent time.Time, term, higher ids.Term, isRejected bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.leads(term) {
+	if !r.isLeaderOfTerm(term) {
 		return
 	}
 	if isRejected {
--- a/internal/consensus/leadership.go
+++ b/internal/consensus/leadership.go
@@ -62,7 +62,7 @@
 	}
 	last, _ := r.log.last()
 	l.firstIndex = last + 1
-	r.appendOwn(batch, rpc.Entry{Kind: entryEmpty})
+	r.appendAsLeader(batch, rpc.Entry{Kind: entryEmpty})
 	r.replicateToAll()
 	r.node.kickAllHeartbeats()
 }
--- a/internal/consensus/leadership_transfer_test.go
+++ b/internal/consensus/leadership_transfer_test.go
@@ -9,8 +9,8 @@
 
 // What comes in while a member catches up would keep it from ever having the whole log.
 func TestReplica_TransferringLeaderTakesNoProposals(t *testing.T) {
-	runReplica(t, func(t *testing.T, r *Replica, _ *recordingMachine) {
-		withTwoEntries(t, r)
+	runReplicaTest(t, func(t *testing.T, r *Replica, _ *recordingMachine) {
+		appendTwoEntries(t, r)
 		r.leadership.isLeader, r.leadership.isServing = true, true
 		if _, _, err := r.appendProposal(command(`1`)); err != nil {
 			t.Fatal(err)
--- a/internal/consensus/learner.go
+++ b/internal/consensus/learner.go
@@ -8,14 +8,13 @@
 )
 
 const (
-	// A learner is waited for as long as it comes closer, and given up after so long
-	// without progress.
 	learnerPollInterval = 50 * time.Millisecond
-	learnerStallTimeout = 2 * time.Second
-	maxLearnerLag       = 16 // entries that a learner may lack when it becomes a voter
+	learnerStallTimeout = 2 * time.Second // without progress, after which catching up fails
+	maxLearnerLag       = 16              // entries that a learner may lack when it becomes a voter
 )
 
-// catchUpLearners replicates to all newcomers side by side, and tells which came close behind.
+// catchUpLearners replicates to all incoming members in parallel, and reports for each whether
+// it caught up.
 func (r *Replica) catchUpLearners(replacements []voterReplacement) []bool {
 	caughtUp := make([]bool, len(replacements))
 	var learners sync.WaitGroup
@@ -30,7 +29,8 @@
 	return caughtUp
 }
 
-// catchUpLearner replicates to a learner, and tells whether it came close behind.
+// catchUpLearner replicates to a learner until it lacks at most maxLearnerLag entries, and
+// reports whether it caught up. It waits as long as the learner makes progress.
 func (r *Replica) catchUpLearner(peer rpc.Peer) bool {
 	r.mu.Lock()
 	if !r.leadership.isServing {
@@ -39,13 +39,13 @@
 	}
 	r.startReplicating(peer)
 	r.mu.Unlock()
-	for since := r.node.env.Now(); r.node.env.Since(since) < learnerStallTimeout; {
+	for lastProgress := r.node.env.Now(); r.node.env.Since(lastProgress) < learnerStallTimeout; {
 		r.mu.Lock()
 		last, _ := r.log.last()
 		p, isServing := *r.leadership.progressOf(peer), r.leadership.isServing
 		r.mu.Unlock()
-		if p.lastAdvance.After(since) {
-			since = p.lastAdvance
+		if p.lastAdvance.After(lastProgress) {
+			lastProgress = p.lastAdvance
 		}
 		switch {
 		case !isServing:
--- a/internal/consensus/log.go
+++ b/internal/consensus/log.go
@@ -14,25 +14,26 @@
 // Kinds of entries.
 const (
 	entryCommand          = ""      // a command of the state machine
-	entryEmpty            = "own"   // the first entry of a leader, and barriers
-	entryMembershipChange = "group" // names the voters from this entry on
+	entryEmpty            = "own"   // no command: a leader's first entry, and barriers
+	entryMembershipChange = "group" // sets the voters from this entry on
 )
 
-// Keys of a shard's records in the store.
+// Store keys of the records of a shard.
 const (
 	currentTermKey = "promised"
 	snapshotKey    = "base"
 	entryKeyPrefix = "e/"
 )
 
-// replicaLog is a replica's log: a snapshot and the entries above it. Its methods change
-// memory at once and add the same change to a batch; the caller submits the batch.
+// replicaLog is a replica's log: a snapshot and the entries after it. Methods that take a
+// batch change the log in memory and add the same change to the batch, which the caller
+// submits.
 type replicaLog struct {
 	shard    ids.Shard
 	snapshot rpc.Snapshot
 	entries  []rpc.Entry // entries[i] has the index snapshot.Index+1+i
-	// retained is the newest entries that the snapshot covers, in memory only, for
-	// members that are a little behind.
+	// retained holds the newest entries that the snapshot covers, so that a member that lags
+	// only slightly needs no snapshot. It is not persisted.
 	retained  []rpc.Entry
 	committed ids.Index
 	applied   ids.Index // at most committed
@@ -44,46 +45,46 @@
 	return shardKey(l.shard, fmt.Sprintf("%s%016x", entryKeyPrefix, uint64(index)))
 }
 
-// encodeRecord encodes a term, an entry or a snapshot; their types always can be.
+// encodeRecord encodes a term, an entry or a snapshot, which can't fail for these types.
 func encodeRecord(record any) []byte {
 	raw, _ := json.Marshal(record)
 	return raw
 }
 
-// loadRecord reads one of a shard's records into target, which stays as it is if there is none.
+// loadRecord reads a record of a shard into target; without a record, target is unchanged.
 func loadRecord(store *storage.Store, shard ids.Shard, kind string, target any) error {
 	raw, err := store.Get(shardKey(shard, kind))
 	if err == nil && raw != nil {
 		err = json.Unmarshal(raw, target)
 	}
 	if err != nil {
-		return damaged(shard, "%s: %v", kind, err)
+		return storageBrokenError(shard, "%s: %v", kind, err)
 	}
 	return nil
 }
 
-// damaged is the error for a store whose records can't be right.
-func damaged(shard ids.Shard, format string, args ...any) error {
+// storageBrokenError returns the error for invalid records in the store.
+func storageBrokenError(shard ids.Shard, format string, args ...any) error {
 	return errcode.New(errcode.StorageBroken, "shard %d: %s", shard, fmt.Sprintf(format, args...))
 }
 
-// rejected is the error for a message whose content can't be right.
-func rejected(shard ids.Shard, format string, args ...any) error {
+// invalidMessageError returns the error for a message with invalid content.
+func invalidMessageError(shard ids.Shard, format string, args ...any) error {
 	return errcode.New(errcode.InvalidMessage, "shard %d: %s", shard, fmt.Sprintf(format, args...))
 }
 
-// committedConflictError says that a leader sent an entry that differs from one that is
-// committed here, which the protocol rules out.
+// committedConflictError is returned when a leader's entry differs from a committed entry at
+// the same index, which the protocol rules out.
 type committedConflictError struct {
 	shard ids.Shard
 	index ids.Index
 }
 
 func (e *committedConflictError) Error() string {
-	return fmt.Sprintf("shard %d: entry %d is committed and differs", e.shard, e.index)
+	return fmt.Sprintf("shard %d: entry %d differs from the committed one", e.shard, e.index)
 }
 
-// load reads the log from the store; currentTerm bounds the terms of its entries.
+// load reads the log from the store. An entry of a term above currentTerm is an error.
 func (l *replicaLog) load(store *storage.Store, currentTerm ids.Term) error {
 	if err := loadRecord(store, l.shard, snapshotKey, &l.snapshot); err != nil {
 		return err
@@ -91,13 +92,13 @@
 	err := store.Scan(shardKey(l.shard, entryKeyPrefix), func(key string, value []byte) error {
 		var entry rpc.Entry
 		if err := json.Unmarshal(value, &entry); err != nil {
-			return damaged(l.shard, "%s: %v", key, err)
+			return storageBrokenError(l.shard, "%s: %v", key, err)
 		}
 		if last, _ := l.last(); entry.Index != last+1 {
-			return damaged(l.shard, "entry %d where %d should be", entry.Index, last+1)
+			return storageBrokenError(l.shard, "found entry %d, want %d", entry.Index, last+1)
 		}
 		if currentTerm.Less(entry.Term) {
-			return damaged(l.shard, "entry %d is above the current term", entry.Index)
+			return storageBrokenError(l.shard, "entry %d has a term above the current one", entry.Index)
 		}
 		l.entries = append(l.entries, entry)
 		return nil
@@ -109,7 +110,8 @@
 	return nil
 }
 
-// last returns index and term of the last entry, or of the snapshot if there is none.
+// last returns the index and term of the last entry, or of the snapshot if there are no
+// entries.
 func (l *replicaLog) last() (ids.Index, ids.Term) {
 	if n := len(l.entries); n > 0 {
 		return l.entries[n-1].Index, l.entries[n-1].Term
@@ -117,10 +119,11 @@
 	return l.snapshot.Index, l.snapshot.Term
 }
 
-// entry returns the entry at an index above the snapshot.
+// entry returns the entry at an index, which must be in the log and above the snapshot.
 func (l *replicaLog) entry(index ids.Index) rpc.Entry { return l.entries[index-l.snapshot.Index-1] }
 
-// termAt returns the term of an entry; false if the index is beyond the log or below the snapshot.
+// termAt returns the term of the entry at an index; false if the index is past the end of the
+// log or below the snapshot's.
 func (l *replicaLog) termAt(index ids.Index) (term ids.Term, found bool) {
 	if index == l.snapshot.Index {
 		return l.snapshot.Term, true
@@ -131,27 +134,28 @@
 	return l.entry(index).Term, true
 }
 
-// contains tells whether the log runs through an entry.
+// contains reports whether the entry at an index is in the log with the given term.
 func (l *replicaLog) contains(index ids.Index, term ids.Term) bool {
-	found, ok := l.termAt(index)
-	return ok && found == term
+	localTerm, ok := l.termAt(index)
+	return ok && localTerm == term
 }
 
-// isLessAdvanced compares two logs by their last entries: term first, then index.
+// isLessAdvanced reports whether a log whose last entry has the given index and term is less
+// up-to-date than another: the term decides first, then the index.
 func isLessAdvanced(index ids.Index, term ids.Term, otherIndex ids.Index, otherTerm ids.Term) bool {
 	return term.Less(otherTerm) || term == otherTerm && index < otherIndex
 }
 
-// after returns a copy of the entries above an index, and above the snapshot. It is made
-// by slices.Concat, as a Clone of nothing would keep the old array alive.
-func (l *replicaLog) after(index ids.Index) []rpc.Entry {
+// entriesAfter returns a copy of the entries above both an index and the snapshot. It uses
+// slices.Concat because slices.Clone of an empty slice would keep the old array alive.
+func (l *replicaLog) entriesAfter(index ids.Index) []rpc.Entry {
 	index = max(index, l.snapshot.Index)
 	return slices.Concat(l.entries[index-l.snapshot.Index:])
 }
 
-// from returns the entries from an index on, with the term of the one before; false if
-// some of them are only in the snapshot.
-func (l *replicaLog) from(next ids.Index) (prevTerm ids.Term, entries []rpc.Entry, found bool) {
+// entriesFrom returns the entries from index next on, and the term of the entry before next;
+// false if these are no longer all in memory and the snapshot is needed.
+func (l *replicaLog) entriesFrom(next ids.Index) (prevTerm ids.Term, entries []rpc.Entry, found bool) {
 	if next > l.snapshot.Index {
 		prevTerm, found = l.termAt(next - 1)
 		return prevTerm, l.entries[next-1-l.snapshot.Index:], found
@@ -163,8 +167,8 @@
 	return l.retained[next-1-firstRetained].Term, slices.Concat(l.retained[next-firstRetained:], l.entries), true
 }
 
-// votersAt returns the voters that the log names as of an index, and the index of the
-// entry or snapshot that names them.
+// votersAt returns the voters in effect at an index, and the index of the entry or snapshot
+// that set them.
 func (l *replicaLog) votersAt(index ids.Index) (Voters, ids.Index) {
 	for ; index > l.snapshot.Index; index-- {
 		if entry := l.entry(index); entry.Kind == entryMembershipChange {
@@ -174,7 +178,7 @@
 	return Voters{Current: l.snapshot.Voters, Outgoing: l.snapshot.OutgoingVoters}, l.snapshot.Index
 }
 
-// append adds entries that follow the last one.
+// append adds entries, whose indexes must follow the last one.
 func (l *replicaLog) append(batch *storage.Batch, entries ...rpc.Entry) {
 	l.entries = append(l.entries, entries...)
 	for _, entry := range entries {
@@ -182,28 +186,28 @@
 	}
 }
 
-// truncateAfter drops the entries above an index.
+// truncateAfter removes the entries above an index.
 func (l *replicaLog) truncateAfter(batch *storage.Batch, index ids.Index) {
-	keep := index - l.snapshot.Index
-	for _, entry := range l.entries[keep:] {
+	kept := index - l.snapshot.Index
+	for _, entry := range l.entries[kept:] {
 		batch.Delete(l.entryKey(entry.Index))
 	}
-	l.entries = slices.Concat(l.entries[:keep])
+	l.entries = slices.Concat(l.entries[:kept])
 }
 
-// merge adds a leader's entries, of which some may be here already. The first one that
-// differs displaces everything from it on; its index is returned, or zero if nothing is
-// displaced. An entry that is committed is never displaced (committedConflictError).
-func (l *replicaLog) merge(batch *storage.Batch, entries []rpc.Entry) (displaced ids.Index, err error) {
+// merge adds a leader's entries, some of which may be in the log already. From the first one
+// that conflicts on, the log's entries are replaced; firstReplaced is that index, or zero if
+// there is no conflict. A conflict with a committed entry is a committedConflictError.
+func (l *replicaLog) merge(batch *storage.Batch, entries []rpc.Entry) (firstReplaced ids.Index, err error) {
 	for i, entry := range entries {
 		if entry.Index <= l.snapshot.Index || l.contains(entry.Index, entry.Term) {
 			continue
 		}
 		last, _ := l.last()
 		if entry.Index > last+1 {
-			return 0, rejected(l.shard, "entry %d does not follow %d", entry.Index, last)
+			return 0, invalidMessageError(l.shard, "entry %d does not follow %d", entry.Index, last)
 		}
-		if err := l.checkFollowing(entry.Index-1, entries[i:]); err != nil {
+		if err := l.checkSequence(entry.Index-1, entries[i:]); err != nil {
 			return 0, err
 		}
 		if entry.Index <= last {
@@ -211,36 +215,36 @@
 				return 0, &committedConflictError{l.shard, entry.Index}
 			}
 			l.truncateAfter(batch, entry.Index-1)
-			displaced = entry.Index
+			firstReplaced = entry.Index
 		}
 		l.append(batch, entries[i:]...)
 		break
 	}
-	return displaced, nil
+	return firstReplaced, nil
 }
 
-// checkFollowing rejects entries that don't follow one another after an index, or that
+// checkSequence returns an error if entries don't have consecutive indexes from index+1 on, or
 // skip a step of a membership change.
-func (l *replicaLog) checkFollowing(index ids.Index, entries []rpc.Entry) error {
+func (l *replicaLog) checkSequence(index ids.Index, entries []rpc.Entry) error {
 	voters, _ := l.votersAt(index)
 	for _, entry := range entries {
 		index++
 		if entry.Index != index {
-			return rejected(l.shard, "entry %d where %d should be", entry.Index, index)
+			return invalidMessageError(l.shard, "found entry %d, want %d", entry.Index, index)
 		}
 		if entry.Kind != entryMembershipChange {
 			continue
 		}
 		next := votersOf(entry)
 		if !voters.canBecome(next) {
-			return rejected(l.shard, "entry %d skips a step from %s to %s", entry.Index, voters, next)
+			return invalidMessageError(l.shard, "entry %d skips a step of the membership change from %s to %s", entry.Index, voters, next)
 		}
 		voters = next
 	}
 	return nil
 }
 
-// install replaces the whole log by a snapshot.
+// install replaces the whole log by a snapshot, whose index becomes the commit index.
 func (l *replicaLog) install(batch *storage.Batch, snapshot *rpc.Snapshot) {
 	l.truncateAfter(batch, l.snapshot.Index)
 	l.putSnapshot(batch, *snapshot)
@@ -248,17 +252,18 @@
 	l.committed, l.applied = snapshot.Index, snapshot.Index
 }
 
-// compact puts the state as of an applied index in the place of the entries up to it, and
-// retains the newest of them: at most as many, and as many bytes.
+// compact replaces the entries up to an applied index by a snapshot with the state at that
+// index. The newest of them are retained in memory, up to retainedEntries entries and
+// retainedBytes of bodies.
 func (l *replicaLog) compact(batch *storage.Batch, index ids.Index, state json.RawMessage, retainedEntries, retainedBytes int) {
 	term, _ := l.termAt(index)
 	voters, _ := l.votersAt(index)
-	compacted, rest := l.entries[:index-l.snapshot.Index], l.after(index)
+	compacted, remaining := l.entries[:index-l.snapshot.Index], l.entriesAfter(index)
 	for _, entry := range compacted {
 		batch.Delete(l.entryKey(entry.Index))
 	}
-	l.retained = newestWithin(slices.Concat(l.retained, compacted), retainedEntries, retainedBytes)
-	l.entries = rest
+	l.retained = newestEntries(slices.Concat(l.retained, compacted), retainedEntries, retainedBytes)
+	l.entries = remaining
 	l.putSnapshot(batch, rpc.Snapshot{Index: index, Term: term, Voters: voters.Current, OutgoingVoters: voters.Outgoing, State: state})
 }
 
@@ -267,8 +272,9 @@
 	batch.Put(shardKey(l.shard, snapshotKey), encodeRecord(snapshot))
 }
 
-// newestWithin returns a copy of the newest entries within bounds of number and bytes.
-func newestWithin(entries []rpc.Entry, maxEntries, maxBytes int) []rpc.Entry {
+// newestEntries returns a copy of the newest entries, at most maxEntries of them and maxBytes
+// of bodies.
+func newestEntries(entries []rpc.Entry, maxEntries, maxBytes int) []rpc.Entry {
 	start, size := len(entries), 0
 	for start > 0 && len(entries)-start < maxEntries {
 		if size += len(entries[start-1].Body); size > maxBytes {
@@ -279,7 +285,7 @@
 	return slices.Concat(entries[start:])
 }
 
-// bodyBytes is the size of the bodies of entries.
+// bodyBytes returns the total size of the entries' bodies.
 func bodyBytes(entries []rpc.Entry) (size int) {
 	for _, entry := range entries {
 		size += len(entry.Body)
--- a/internal/consensus/log_test.go
+++ b/internal/consensus/log_test.go
@@ -12,14 +12,15 @@
 	"github.com/sumactrestle/sumactrestle/internal/storage"
 )
 
-// logOf makes a log above a snapshot at index 4 of term 1, of entries of these terms.
+// logOf returns a log with a snapshot at index 4 of term 1, followed by entries of the given
+// terms.
 func logOf(terms ...uint64) *replicaLog {
 	l := &replicaLog{snapshot: rpc.Snapshot{Index: 4, Term: testTerm(1), Voters: peers("ABC")}, committed: 4, applied: 4}
 	l.entries = entriesOf(5, terms...)
 	return l
 }
 
-// entriesOf makes entries of these terms from an index on.
+// entriesOf returns entries of the given terms, from index first on.
 func entriesOf(first ids.Index, terms ...uint64) (entries []rpc.Entry) {
 	for i, number := range terms {
 		entries = append(entries, rpc.Entry{Index: first + ids.Index(i), Term: testTerm(number), Body: json.RawMessage(`"x"`)})
@@ -27,7 +28,7 @@
 	return entries
 }
 
-// termsOf is the term numbers of entries.
+// termsOf returns the entries' term numbers.
 func termsOf(entries []rpc.Entry) (terms []uint64) {
 	for _, entry := range entries {
 		terms = append(terms, entry.Term.Number)
@@ -44,27 +45,27 @@
 
 func TestReplicaLog_Merge(t *testing.T) {
 	for _, test := range []struct {
-		name      string
-		committed ids.Index
-		entries   []rpc.Entry
-		want      []uint64
-		displaced ids.Index
+		name          string
+		committed     ids.Index
+		entries       []rpc.Entry
+		want          []uint64
+		firstReplaced ids.Index
 	}{
-		{"nothing", 4, nil, []uint64{2, 2, 3}, 0},
-		{"what is there", 7, entriesOf(5, 2, 2, 3), []uint64{2, 2, 3}, 0},
-		{"what is there, in part", 7, entriesOf(5, 2), []uint64{2, 2, 3}, 0},
-		{"what follows", 7, entriesOf(8, 3, 4), []uint64{2, 2, 3, 3, 4}, 0},
-		{"what overlaps", 5, entriesOf(6, 2, 3, 5), []uint64{2, 2, 3, 5}, 0},
-		{"what reaches below the snapshot", 4, entriesOf(3, 1, 1, 2, 2, 3, 3), []uint64{2, 2, 3, 3}, 0},
-		{"what differs", 5, entriesOf(6, 4), []uint64{2, 4}, 6},
-		{"what differs later", 5, entriesOf(6, 2, 4, 4), []uint64{2, 2, 4, 4}, 7},
+		{"no entries", 4, nil, []uint64{2, 2, 3}, 0},
+		{"all present already", 7, entriesOf(5, 2, 2, 3), []uint64{2, 2, 3}, 0},
+		{"a prefix of those present", 7, entriesOf(5, 2), []uint64{2, 2, 3}, 0},
+		{"new entries", 7, entriesOf(8, 3, 4), []uint64{2, 2, 3, 3, 4}, 0},
+		{"overlap with new entries", 5, entriesOf(6, 2, 3, 5), []uint64{2, 2, 3, 5}, 0},
+		{"start below the snapshot", 4, entriesOf(3, 1, 1, 2, 2, 3, 3), []uint64{2, 2, 3, 3}, 0},
+		{"conflict at the first entry", 5, entriesOf(6, 4), []uint64{2, 4}, 6},
+		{"conflict at a later entry", 5, entriesOf(6, 2, 4, 4), []uint64{2, 2, 4, 4}, 7},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			l := logOf(2, 2, 3)
 			l.committed = test.committed
-			displaced, err := l.merge(&storage.Batch{}, test.entries)
-			if err != nil || displaced != test.displaced {
-				t.Errorf("displaced from %d (%v), want %d", displaced, err, test.displaced)
+			firstReplaced, err := l.merge(&storage.Batch{}, test.entries)
+			if err != nil || firstReplaced != test.firstReplaced {
+				t.Errorf("first replaced entry %d (%v), want %d", firstReplaced, err, test.firstReplaced)
 			}
 			requireTerms(t, l.entries, test.want...)
 		})
@@ -72,14 +73,14 @@
 }
 
 func TestReplicaLog_MergeRejects(t *testing.T) {
-	gap := entriesOf(8, 3, 3)
-	gap[1].Index++
+	withGap := entriesOf(8, 3, 3)
+	withGap[1].Index++
 	for _, test := range []struct {
 		name    string
 		entries []rpc.Entry
 	}{
-		{"entries that do not follow", entriesOf(9, 3)},
-		{"entries with a gap", gap},
+		{"entries that do not follow the last one", entriesOf(9, 3)},
+		{"entries with a gap", withGap},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			l := logOf(2, 2, 3)
@@ -89,7 +90,7 @@
 			requireTerms(t, l.entries, 2, 2, 3)
 		})
 	}
-	t.Run("an entry that differs from a committed one", func(t *testing.T) {
+	t.Run("conflict with a committed entry", func(t *testing.T) {
 		l := logOf(2, 2, 3)
 		l.committed = 6
 		var conflict *committedConflictError
@@ -104,7 +105,7 @@
 	l := logOf(2, 3)
 	for index, want := range map[ids.Index]uint64{3: 0, 4: 1, 5: 2, 6: 3, 7: 0} {
 		if term, found := l.termAt(index); term.Number != want || found != (want > 0) {
-			t.Errorf("at %d: %s, %v", index, term, found)
+			t.Errorf("termAt(%d) = %s, %v", index, term, found)
 		}
 	}
 }
@@ -115,8 +116,8 @@
 		maxEntries, maxByte int
 		want                []uint64
 	}{
-		{"by number", 2, 100, []uint64{3, 3}},
-		{"by bytes", 100, 4, []uint64{3}}, // each body has three bytes
+		{"limited by number", 2, 100, []uint64{3, 3}},
+		{"limited by bytes", 100, 4, []uint64{3}}, // each body has three bytes
 		{"none", 0, 100, nil},
 		{"all", 100, 100, []uint64{2, 2, 3, 3}},
 	} {
@@ -127,10 +128,10 @@
 			requireTerms(t, l.entries, 4)
 			requireTerms(t, l.retained, test.want...)
 			if l.snapshot.Index != 8 || l.snapshot.Term != testTerm(3) || len(l.snapshot.Voters) != 3 {
-				t.Errorf("the snapshot is %+v", l.snapshot)
+				t.Errorf("snapshot is %+v", l.snapshot)
 			}
 			if index, term := l.last(); index != 9 || term != testTerm(4) {
-				t.Errorf("the log ends at %d of %s", index, term)
+				t.Errorf("last entry is %d of term %s", index, term)
 			}
 		})
 	}
@@ -138,7 +139,7 @@
 
 func TestReplicaLog_From(t *testing.T) {
 	l := logOf(2, 2, 3, 3, 4)
-	l.compact(&storage.Batch{}, 8, json.RawMessage(`{}`), 2, 100) // 7 and 8 are retained, 9 is left
+	l.compact(&storage.Batch{}, 8, json.RawMessage(`{}`), 2, 100) // 7 and 8 are retained, 9 is in the log
 	for _, test := range []struct {
 		next     ids.Index
 		prevTerm uint64
@@ -148,12 +149,12 @@
 		{10, 4, nil, true},
 		{9, 3, []uint64{4}, true},
 		{8, 3, []uint64{3, 4}, true},
-		{7, 0, nil, false}, // the term of 6 is not known any more
+		{7, 0, nil, false}, // the term of entry 6 is no longer known
 		{5, 0, nil, false},
 	} {
-		prevTerm, entries, found := l.from(test.next)
+		prevTerm, entries, found := l.entriesFrom(test.next)
 		if prevTerm.Number != test.prevTerm || found != test.found {
-			t.Errorf("from %d: after term %s, found %v", test.next, prevTerm, found)
+			t.Errorf("from %d: previous term %s, found %v", test.next, prevTerm, found)
 		}
 		requireTerms(t, entries, test.want...)
 	}
--- a/internal/consensus/membership_change.go
+++ b/internal/consensus/membership_change.go
@@ -10,30 +10,30 @@
 )
 
 const (
-	// membershipChangeTimeout bounds one step of a change.
-	membershipChangeTimeout = 3 * time.Second
+	membershipChangeTimeout = 3 * time.Second // for one step of a change
 
-	// The preferred leader gets the shard back after it was live, and this member served,
-	// for so long. It is polled so often for the entry that shows that its disk works.
-	stableAfter            = 15 * time.Second
-	preferredLeaderPolls   = 6
-	preferredLeaderPause   = 50 * time.Millisecond
-	preferredLeaderTimeout = time.Second
+	// Leadership returns to the preferred leader once it has been live, and this member has
+	// served, for preferredLeaderStablePeriod. The polls wait until it has synced an entry,
+	// which shows that its disk works.
+	preferredLeaderStablePeriod = 15 * time.Second
+	preferredLeaderPolls        = 6
+	preferredLeaderPollInterval = 50 * time.Millisecond
+	preferredLeaderTimeout      = time.Second
 )
 
-// superviseVoters is one look of the leader at the voters.
+// superviseVoters runs one check of the voters by the leader: it finishes a membership change,
+// replaces lost voters, or transfers leadership to the preferred leader.
 //
-// The voters change through the shard's own log, by joint consensus: the first entry of a
-// change names the new voters beside the outgoing ones, and from it on every decision
-// needs a quorum of both; once it is committed, the second entry drops the outgoing ones.
-// Whoever leads after the first entry finishes the change, so the death of a leader
-// leaves no replacement half done. A voter that lost its disk, or is dead for long, gives
-// way to a learner that has caught up.
+// Voters change through the shard's log by joint consensus. The first entry of a change names
+// the new and the outgoing voters, and from it on every decision needs a quorum of both.
+// Once it is committed, the second entry removes the outgoing voters. If the leader fails in
+// between, the next leader finishes the change. A voter that lost its disk, or has not
+// answered for consensus.replacement_delay, is replaced by a learner that has caught up.
 func (r *Replica) superviseVoters() {
 	r.mu.Lock()
-	voters, isStable := r.voters, r.hasStableVoters()
+	voters, isCommitted := r.voters, r.hasCommittedVoters()
 	r.mu.Unlock()
-	if !isStable {
+	if !isCommitted {
 		return
 	}
 	if voters.IsJoint() {
@@ -45,22 +45,22 @@
 	if len(replacements) > 0 {
 		r.replaceVoters(voters.Current, replacements)
 	} else if len(lost) == 0 {
-		r.returnToPreferredLeader(voters.Current)
+		r.transferToPreferredLeader(voters.Current)
 	}
 }
 
-// replaceVoters has the newcomers catch up side by side as learners, and makes voters of
-// those that did in one change.
+// replaceVoters lets the incoming members catch up as learners in parallel, and makes those
+// that did voters in one change.
 func (r *Replica) replaceVoters(voters []rpc.Peer, replacements []voterReplacement) {
-	begun := r.node.env.Now()
+	startTime := r.node.env.Now()
 	r.logReplacements(replacements)
 	caughtUp := r.catchUpLearners(replacements)
 	next := slices.Clone(voters)
 	for i, change := range replacements {
 		if caughtUp[i] {
-			next = append(without(next, change.out), change.in)
+			next = append(withoutPeer(next, change.out), change.in)
 		} else {
-			r.logEvent(eventlog.ReplacementFailed, "in", string(change.in.Name), "cause", "it did not catch up")
+			r.logEvent(eventlog.ReplacementFailed, "in", string(change.in.Name), "cause", "the new member did not catch up")
 		}
 	}
 	if slices.Equal(next, voters) {
@@ -68,16 +68,16 @@
 	}
 	joint, final := Voters{Current: next, Outgoing: voters}, Voters{Current: next}
 	if !r.proposeVoters(joint) || !r.proposeVoters(final) {
-		r.logEvent(eventlog.ReplacementFailed, "members", joint.String(), "cause", "the change was not committed")
+		r.logEvent(eventlog.ReplacementFailed, "members", joint.String(), "cause", "the membership change was not committed")
 		return
 	}
 	if replacements[0].isForLostVoter() {
-		r.logEvent(eventlog.ReplacementFinished, "members", final.String(), "took", r.node.env.Since(begun).String())
+		r.logEvent(eventlog.ReplacementFinished, "members", final.String(), "took", r.node.env.Since(startTime).String())
 	}
 }
 
-// logReplacements logs that lost voters begin to be replaced. That the voters grow is no news
-// beside the change itself.
+// logReplacements logs the start of each replacement of a lost voter. An added voter is not
+// logged here, as the change of the voters is logged anyway.
 func (r *Replica) logReplacements(replacements []voterReplacement) {
 	for _, change := range replacements {
 		if change.isForLostVoter() {
@@ -86,12 +86,13 @@
 	}
 }
 
-// returnToPreferredLeader transfers the shard to the first in election order once that one
-// is stable again and has shown that its disk works, so that leaders stay spread.
-func (r *Replica) returnToPreferredLeader(voters []rpc.Peer) {
+// transferToPreferredLeader transfers leadership to the first voter in election order, once that
+// voter has been live for long enough and has synced a new entry. This keeps the leaders of
+// the shards spread over the nodes.
+func (r *Replica) transferToPreferredLeader(voters []rpc.Peer) {
 	preferred := ElectionOrder(r.shard, voters)[0]
-	isStable := r.node.members.IsLive(preferred) && time.Since(r.node.members.View()[preferred.Name].StateChange) >= stableAfter
-	if preferred == r.node.self || !isStable || r.node.env.Since(r.servingStart()) < stableAfter {
+	isStable := r.node.members.IsLive(preferred) && time.Since(r.node.members.View()[preferred.Name].StateChange) >= preferredLeaderStablePeriod
+	if preferred == r.node.self || !isStable || r.node.env.Since(r.servingSince()) < preferredLeaderStablePeriod {
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.node.env, preferredLeaderTimeout)
@@ -108,21 +109,21 @@
 			r.transferLeadership(ctx)
 			return
 		}
-		if !r.node.env.Sleep(preferredLeaderPause) {
+		if !r.node.env.Sleep(preferredLeaderPollInterval) {
 			return
 		}
 	}
 }
 
-// servingStart returns since when this member serves, or served last.
-func (r *Replica) servingStart() time.Time {
+// servingSince returns when this member began to serve the shard, now or most recently.
+func (r *Replica) servingSince() time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.leadership.servingSince
 }
 
-// without returns peers but for one.
-func without(peers []rpc.Peer, removed rpc.Peer) (remaining []rpc.Peer) {
+// withoutPeer returns the peers except removed.
+func withoutPeer(peers []rpc.Peer, removed rpc.Peer) (remaining []rpc.Peer) {
 	for _, peer := range peers {
 		if peer != removed {
 			remaining = append(remaining, peer)
@@ -131,7 +132,9 @@
 	return remaining
 }
 
-// proposeVoters writes one step of a change, and tells whether it is committed.
+// proposeVoters proposes one step of a membership change, and reports whether it was committed.
+// It starts replication to the new voters, and stops it to members without a vote once the
+// voters are committed.
 func (r *Replica) proposeVoters(next Voters) bool {
 	ctx, cancel := context.WithTimeout(r.node.env, membershipChangeTimeout)
 	defer cancel()
@@ -142,7 +145,7 @@
 		return false
 	}
 	for peer, p := range r.leadership.progress {
-		if !r.voters.Contains(peer) && r.hasStableVoters() {
+		if !r.voters.Contains(peer) && r.hasCommittedVoters() {
 			p.isReplicating = false
 		}
 	}
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -16,58 +16,58 @@
 	"github.com/sumactrestle/sumactrestle/internal/storage"
 )
 
-// StateMachine is what a shard's commands are applied to. All its methods are called
-// under the replica's lock, except the function that Snapshot returns.
+// StateMachine is the state of one shard, to which the committed commands are applied. All
+// methods are called under the replica's lock, except the function that Snapshot returns.
 type StateMachine interface {
-	// Apply applies a committed command. It must come out the same on every member. The
-	// response goes to whoever proposed the command.
+	// Apply applies a committed command. It must be deterministic, so that all replicas
+	// reach the same state. The response is returned to the proposer.
 	Apply(index ids.Index, command json.RawMessage) any
-	// Snapshot captures the state as it is now. The function it returns encodes that, while
-	// further commands are applied.
+	// Snapshot captures the current state. The returned function encodes the captured state;
+	// it may run while further commands are applied.
 	Snapshot() func() (json.RawMessage, error)
-	// Restore replaces the state by one that was encoded. An error leaves it as it was.
+	// Restore replaces the state by an encoded one. On an error the state is unchanged.
 	Restore(state json.RawMessage) error
 }
 
-// Node is the replicas of one core node, one for each shard.
+// Node holds the replicas of one core node, one for each shard.
 type Node struct {
 	env       *environment.Environment
 	transport *rpc.Transport
 	members   *membership.Memberlist
 	store     *storage.Store
 	self      rpc.Peer
-	replicas  []*Replica // by shard
+	replicas  []*Replica // indexed by shard
 	started   time.Time
-	// isPrevoting says that a pre-vote for silent leaders is under way; one at a time.
+	// isPrevoting is set while a pre-vote runs, so that there is at most one at a time.
 	isPrevoting atomic.Bool
 
-	// mu guards everything below. A replica's lock may be held when it is taken, never
-	// the other way round.
+	// mu guards the fields below. Lock order: Replica.mu before Node.mu.
 	mu             sync.Mutex
-	charter        *rpc.Charter // accepted, maybe not open yet
-	bootstrapTerm  ids.Term     // promised in the course of bootstrap
+	charter        *rpc.Charter // accepted, possibly not open yet
+	bootstrapTerm  ids.Term     // highest term accepted during bootstrap
 	leaders        map[ids.Shard]leaderRecord
 	heartbeaters   map[rpc.Peer]*heartbeater
 	receivedClaims map[rpc.Peer]claimState
-	busy           map[ids.Shard]bool // shards with a task of runOnce
+	busyShards     map[ids.Shard]bool // shards with a task started by runUnlessBusy
 	isStopping     bool
-	snapshotSlots  map[rpc.Peer]chan struct{} // held while a snapshot is sent to a member
+	snapshotSlots  map[rpc.Peer]chan struct{} // capacity 1; filled while a snapshot is sent to the member
 
-	// Bootstrapped is closed when the cluster's charter is open here.
+	// Bootstrapped is closed when this node has an open cluster charter.
 	Bootstrapped chan struct{}
 }
 
-// Config is what a Node is made of.
+// Config holds the dependencies of a Node.
 type Config struct {
 	Environment *environment.Environment
 	Transport   *rpc.Transport
 	Members     *membership.Memberlist
 	Store       *storage.Store
-	// StateMachines has one for each shard, by number.
+	// StateMachines is indexed by shard.
 	StateMachines []StateMachine
 }
 
-// LoadOrCreateMemberID reads the member id from the store; an empty store gets a new one.
+// LoadOrCreateMemberID returns the member id in the store. If there is none, it creates one
+// and syncs it first.
 func LoadOrCreateMemberID(store *storage.Store) (ids.MemberID, error) {
 	raw, err := store.Get(memberIDKey)
 	if err != nil {
@@ -83,15 +83,15 @@
 	return id, batch.Wait()
 }
 
-// Keys of a node's own records in the store.
+// Store keys of the records of a node, as opposed to those of a shard.
 const (
 	memberIDKey      = "birth"
 	charterKey       = "charter"
 	bootstrapTermKey = "pledge"
 )
 
-// New loads a node from its store and registers its handlers. It does nothing of itself
-// before Start. The error is StorageBroken if the store is damaged.
+// New loads a node from its store and registers its message handlers. No task runs before
+// Start. The error is StorageBroken if the store is damaged.
 func New(config Config) (*Node, error) {
 	self := config.Members.Self()
 	n := &Node{
@@ -104,7 +104,7 @@
 		leaders:        map[ids.Shard]leaderRecord{},
 		heartbeaters:   map[rpc.Peer]*heartbeater{},
 		receivedClaims: map[rpc.Peer]claimState{},
-		busy:           map[ids.Shard]bool{},
+		busyShards:     map[ids.Shard]bool{},
 		snapshotSlots:  map[rpc.Peer]chan struct{}{},
 		Bootstrapped:   make(chan struct{}),
 	}
@@ -153,14 +153,15 @@
 }
 
 // Start starts the node's tasks, which end with its environment. The transport and the
-// member list are open by then.
+// member list must be open.
 func (n *Node) Start() {
 	n.env.Go(n.supervise)
 	n.env.Go(n.prevoteAfterStart)
 	n.env.Go(n.repairLoop)
 }
 
-// Kinds of messages between nodes. Their names on the wire are older than the terms here.
+// Kinds of messages between nodes. The wire names are kept for compatibility and differ from
+// the terms used in the code.
 const (
 	kindVote          = "pact.promise"
 	kindPrevote       = "pact.prevote"
@@ -174,33 +175,33 @@
 	kindCharter       = "pact.charter"
 )
 
-// registerHandlers registers the handlers of all kinds of messages.
 func (n *Node) registerHandlers() {
-	rpc.Handle(n.transport, kindVote, onReplica(n.votingReplica, func(m *rpc.VoteRequest) ids.Shard { return m.Shard }, (*Replica).handleVote))
-	rpc.Handle(n.transport, kindAppend, onReplica(n.votingReplica, func(m *rpc.AppendRequest) ids.Shard { return m.Shard }, (*Replica).handleAppend))
-	rpc.Handle(n.transport, kindSnapshotChunk, onReplica(n.votingReplica, func(m *rpc.SnapshotChunkRequest) ids.Shard { return m.Shard }, (*Replica).handleSnapshotChunk))
-	rpc.Handle(n.transport, kindTransfer, onReplica(n.replica, func(m *rpc.CampaignRequest) ids.Shard { return m.Shard }, (*Replica).handleTransfer))
-	rpc.Handle(n.transport, kindCompare, onReplica(n.replica, func(m *rpc.RangeDigestRequest) ids.Shard { return m.Shard }, (*Replica).handleCompare))
-	rpc.Handle(n.transport, kindRepair, onReplica(n.replica, func(m *rpc.RepairRequest) ids.Shard { return m.Shard }, (*Replica).handleRepair))
-	rpc.Handle(n.transport, kindPrevote, onNode(n.handlePrevote))
-	rpc.Handle(n.transport, kindHeartbeat, onNode(n.handleHeartbeat))
-	rpc.Handle(n.transport, kindBootstrap, onNode(n.handleBootstrap))
-	rpc.Handle(n.transport, kindCharter, onNode(n.handleCharter))
+	rpc.Handle(n.transport, kindVote, replicaHandler(n.votingReplica, func(m *rpc.VoteRequest) ids.Shard { return m.Shard }, (*Replica).handleVote))
+	rpc.Handle(n.transport, kindAppend, replicaHandler(n.votingReplica, func(m *rpc.AppendRequest) ids.Shard { return m.Shard }, (*Replica).handleAppend))
+	rpc.Handle(n.transport, kindSnapshotChunk, replicaHandler(n.votingReplica, func(m *rpc.SnapshotChunkRequest) ids.Shard { return m.Shard }, (*Replica).handleSnapshotChunk))
+	rpc.Handle(n.transport, kindTransfer, replicaHandler(n.replica, func(m *rpc.CampaignRequest) ids.Shard { return m.Shard }, (*Replica).handleTransfer))
+	rpc.Handle(n.transport, kindCompare, replicaHandler(n.replica, func(m *rpc.RangeDigestRequest) ids.Shard { return m.Shard }, (*Replica).handleCompare))
+	rpc.Handle(n.transport, kindRepair, replicaHandler(n.replica, func(m *rpc.RepairRequest) ids.Shard { return m.Shard }, (*Replica).handleRepair))
+	rpc.Handle(n.transport, kindPrevote, nodeHandler(n.handlePrevote))
+	rpc.Handle(n.transport, kindHeartbeat, nodeHandler(n.handleHeartbeat))
+	rpc.Handle(n.transport, kindBootstrap, nodeHandler(n.handleBootstrap))
+	rpc.Handle(n.transport, kindCharter, nodeHandler(n.handleCharter))
 }
 
-// onNode makes a handler of a method that needs no context.
-func onNode[Request, Response any](method func(*Request) (Response, error)) func(context.Context, *Request) (Response, error) {
+// nodeHandler returns a message handler that calls a method without a context.
+func nodeHandler[Request, Response any](method func(*Request) (Response, error)) func(context.Context, *Request) (Response, error) {
 	return func(_ context.Context, request *Request) (Response, error) { return method(request) }
 }
 
-// onReplica makes a handler of a method of the replica that a request is for.
-func onReplica[Request, Response any](
-	find func(ids.Shard) (*Replica, error),
+// replicaHandler returns a message handler that calls a method on the replica of the
+// request's shard.
+func replicaHandler[Request, Response any](
+	replicaOf func(ids.Shard) (*Replica, error),
 	shardOf func(*Request) ids.Shard,
 	method func(*Replica, *Request) (Response, error),
 ) func(context.Context, *Request) (Response, error) {
 	return func(_ context.Context, request *Request) (response Response, err error) {
-		r, err := find(shardOf(request))
+		r, err := replicaOf(shardOf(request))
 		if err != nil {
 			return response, err
 		}
@@ -208,7 +209,8 @@
 	}
 }
 
-// replica returns the replica of a shard that somebody else named.
+// replica returns the replica of a shard; unlike Replica, it checks the number, which may
+// come from a message.
 func (n *Node) replica(shard ids.Shard) (*Replica, error) {
 	if shard < 0 || int(shard) >= len(n.replicas) {
 		return nil, errcode.New(errcode.InvalidMessage, "no shard %d", shard)
@@ -216,23 +218,24 @@
 	return n.replicas[shard], nil
 }
 
-// diskStallTimeout is how long a write may take before this node steps down everywhere and
-// takes nothing from others: it has no vote that it can't sync.
+// diskStallTimeout is how long a write may take before this node steps down in all shards
+// and rejects votes, entries and snapshots, which it could not sync.
 const diskStallTimeout = time.Second
 
 func (n *Node) isDiskStalled() bool { return n.store.StallTime() > diskStallTimeout }
 
-// votingReplica returns a replica that may vote and take entries. It may not before the
-// charter is open here, as the charter may yet give way to another.
+// votingReplica returns the replica of a shard for a message that asks for a vote or carries
+// log data. It fails until this node's charter is open, because a charter that is only
+// accepted may still be replaced by another, and while the disk is stalled.
 func (n *Node) votingReplica(shard ids.Shard) (*Replica, error) {
 	r, err := n.replica(shard)
 	switch {
 	case err != nil:
 		return nil, err
 	case n.Charter() == nil:
-		return nil, errcode.New(errcode.NotLeader, "shard %d: no charter is open here", shard)
+		return nil, errcode.New(errcode.NotLeader, "shard %d: this node has no open charter", shard)
 	case n.isDiskStalled():
-		return nil, errcode.New(errcode.StorageBroken, "shard %d: the disk takes nothing", shard)
+		return nil, errcode.New(errcode.StorageBroken, "shard %d: disk writes are stalled", shard)
 	}
 	return r, nil
 }
@@ -240,43 +243,43 @@
 // Replica returns the replica of a shard, whose number must be valid.
 func (n *Node) Replica(shard ids.Shard) *Replica { return n.replicas[shard] }
 
-// Replicas returns all replicas, by shard.
+// Replicas returns all replicas, indexed by shard.
 func (n *Node) Replicas() []*Replica { return n.replicas }
 
-// runOnce runs a task for a shard unless one is under way.
-func (n *Node) runOnce(shard ids.Shard, task func()) {
+// runUnlessBusy starts a task for a shard, unless an earlier one for the shard still runs.
+func (n *Node) runUnlessBusy(shard ids.Shard, task func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.busy[shard] {
+	if n.busyShards[shard] {
 		return
 	}
-	n.busy[shard] = true
+	n.busyShards[shard] = true
 	n.env.Go(func() {
 		task()
 		n.mu.Lock()
-		n.busy[shard] = false
+		n.busyShards[shard] = false
 		n.mu.Unlock()
 	})
 }
 
-// memberOf returns a peer as the member list has it; false if it is unknown, or known
-// under another member id.
-func (n *Node) memberOf(peer rpc.Peer) (membership.NodeState, bool) {
+// memberState returns a peer's entry in the member list; false if the peer is unknown or
+// listed with another member id.
+func (n *Node) memberState(peer rpc.Peer) (membership.NodeState, bool) {
 	m, ok := n.members.View()[peer.Name]
 	return m, ok && m.ID == peer.ID
 }
 
-// addressOf returns the address for messages to a peer.
+// addressOf returns a peer's RPC address; false as for memberState.
 func (n *Node) addressOf(peer rpc.Peer) (address string, ok bool) {
-	m, ok := n.memberOf(peer)
+	m, ok := n.memberState(peer)
 	return m.RPCAddress, ok
 }
 
-// call sends one message and decodes the response.
+// call sends a request and decodes the response into response, within timeout.
 func (n *Node) call(ctx context.Context, timeout time.Duration, address, kind string, request, response any) error {
-	limited, cancel := context.WithTimeout(ctx, timeout)
+	callCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	return n.transport.Call(limited, address, kind, request, response)
+	return n.transport.Call(callCtx, address, kind, request, response)
 }
 
 func (n *Node) logEvent(event eventlog.Event, fields ...any) { n.env.Events.Emit(event, fields...) }
--- a/internal/consensus/prevote.go
+++ b/internal/consensus/prevote.go
@@ -66,7 +66,7 @@
 		responses := n.requestPrevotes(unaware)
 		for _, r := range unaware {
 			if r.isUnaware() && r.mayCampaignAfterStart(responses) {
-				n.runOnce(r.shard, func() { r.campaign(false) })
+				n.runUnlessBusy(r.shard, func() { r.campaign(false) })
 			}
 		}
 	}
@@ -84,7 +84,7 @@
 		responses := n.requestPrevotes(due)
 		for _, r := range due {
 			if r.isElectionDue() && r.hasPrevoteQuorum(responses) {
-				n.runOnce(r.shard, func() { r.campaign(false) })
+				n.runUnlessBusy(r.shard, func() { r.campaign(false) })
 			}
 		}
 	})
--- a/internal/consensus/proposal.go
+++ b/internal/consensus/proposal.go
@@ -9,18 +9,18 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// proposal is an entry that somebody here waits for.
+// proposal is an appended entry whose proposer on this node waits for the result.
 type proposal struct {
 	term ids.Term
-	// done gets the state machine's response; it is closed without one if the entry of
-	// this term may be lost.
+	// done receives the state machine's response; it is closed without one if the entry may
+	// be lost.
 	done chan any
 }
 
 // Propose appends a command, waits until it is committed and applied, and returns its
 // index and the state machine's response. The error is NotLeader if this member does not
-// serve the shard, and nothing is written then; WriteUnknown if the entry was appended and it
-// is not known whether it will be committed.
+// serve the shard, in which case nothing was written; WriteUnknown if the entry was appended
+// and it is not known whether it will be committed.
 func (r *Replica) Propose(ctx context.Context, command any) (index ids.Index, response any, err error) {
 	raw, err := json.Marshal(command)
 	if err != nil {
@@ -29,7 +29,7 @@
 	return r.propose(ctx, rpc.Entry{Kind: entryCommand, Body: raw})
 }
 
-// Barrier returns once everything that is in the log now is committed. Errors are those
+// Barrier returns once all entries now in the log are committed and applied. Errors are those
 // of Propose.
 func (r *Replica) Barrier(ctx context.Context) error {
 	_, _, err := r.propose(ctx, rpc.Entry{Kind: entryEmpty})
@@ -50,28 +50,29 @@
 	case <-ctx.Done():
 		return index, nil, errcode.New(errcode.WriteUnknown, "shard %d: %v", r.shard, ctx.Err())
 	case <-r.node.env.Done():
-		return index, nil, errcode.New(errcode.WriteUnknown, "shard %d: stopping", r.shard)
+		return index, nil, errcode.New(errcode.WriteUnknown, "shard %d: the node is stopping", r.shard)
 	}
 }
 
-// appendProposal appends an entry that is waited for.
+// appendProposal appends an entry and registers a proposal for it.
 func (r *Replica) appendProposal(entry rpc.Entry) (ids.Index, proposal, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.leadership.isServing || r.leadership.isTransferring {
 		return 0, proposal{}, errcode.New(errcode.NotLeader, "shard %d", r.shard)
 	}
-	if entry.Kind == entryMembershipChange && !(r.hasStableVoters() && r.voters.canBecome(votersOf(entry))) {
-		return 0, proposal{}, errcode.New(errcode.NotLeader, "shard %d: the voters have changed meanwhile", r.shard)
+	if entry.Kind == entryMembershipChange && !(r.hasCommittedVoters() && r.voters.canBecome(votersOf(entry))) {
+		return 0, proposal{}, errcode.New(errcode.NotLeader, "shard %d: the voters changed before this membership change was appended", r.shard)
 	}
 	batch := r.node.store.NewBatch()
 	proposed := proposal{term: r.currentTerm, done: make(chan any, 1)}
 	last, _ := r.log.last()
 	r.proposals[last+1] = proposed
-	return r.appendOwn(batch, entry), proposed, nil
+	return r.appendAsLeader(batch, entry), proposed, nil
 }
 
-// resolveProposal answers whoever waits for an entry that is applied now.
+// resolveProposal sends the response of an applied entry to its proposer. If another entry was
+// committed at the index, the proposal fails.
 func (r *Replica) resolveProposal(entry rpc.Entry, response any) {
 	proposed, ok := r.proposals[entry.Index]
 	if !ok {
@@ -85,7 +86,7 @@
 	}
 }
 
-// failProposals leaves those unsure who wait for an entry from an index on.
+// failProposals fails the proposals from an index on with WriteUnknown.
 func (r *Replica) failProposals(from ids.Index) {
 	for index, proposed := range r.proposals {
 		if index >= from {
--- a/internal/consensus/read.go
+++ b/internal/consensus/read.go
@@ -8,13 +8,13 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// confirmFallback is how long the nearest members that make a quorum are waited for before
-// all are asked.
-const confirmFallback = 40 * time.Millisecond
+// confirmFallbackDelay is how long ConfirmLeadership waits for the nearest quorum before it
+// requests heartbeats from all voters.
+const confirmFallbackDelay = 40 * time.Millisecond
 
-// ConfirmLeadership waits until a quorum has confirmed the leader's term as of a moment.
-// A read that began then may be answered from the state machine, as in ReadIndex. The
-// error is NotLeader if this member does not serve the shard, NoLeader if ctx ends first.
+// ConfirmLeadership waits until a quorum has confirmed the leader's term at or after since. A
+// read that began at since may then be answered from the state machine, as with ReadIndex.
+// The error is NotLeader if this member does not serve the shard, NoLeader if ctx ends first.
 func (r *Replica) ConfirmLeadership(ctx context.Context, since time.Time) error {
 	var fallback <-chan time.Time
 	isRequested := false
@@ -33,7 +33,7 @@
 		r.mu.Unlock()
 		if !isRequested {
 			isRequested = true
-			timer := time.NewTimer(confirmFallback)
+			timer := time.NewTimer(confirmFallbackDelay)
 			defer timer.Stop()
 			fallback = timer.C
 			r.node.kickHeartbeats(r.node.nearestQuorum(voters))
@@ -44,7 +44,7 @@
 			fallback = nil
 			r.node.kickHeartbeats(voters.All())
 		case <-ctx.Done():
-			return errcode.New(errcode.NoLeader, "shard %d can't be confirmed: %v", r.shard, ctx.Err())
+			return errcode.New(errcode.NoLeader, "shard %d: leadership not confirmed: %v", r.shard, ctx.Err())
 		}
 	}
 }
@@ -60,7 +60,7 @@
 	return r.node.env.Since(r.confirmedAt()), true
 }
 
-// confirmedAt is the moment as of which a quorum confirms the leader's term.
+// confirmedAt returns the latest time as of which a quorum has confirmed the leader's term.
 func (r *Replica) confirmedAt() time.Time {
 	now := r.node.env.Now()
 	age := r.voters.QuorumValue(func(peer rpc.Peer) int64 {
@@ -72,8 +72,8 @@
 	return now.Add(time.Duration(age))
 }
 
-// nearestQuorum is the members that make a quorum with this node: of its own zone first,
-// and those that seem live. In a joint step it is all of them.
+// nearestQuorum returns the live voters that form a quorum with this node, those in its zone
+// first. During a joint step it returns all voters.
 func (n *Node) nearestQuorum(voters Voters) []rpc.Peer {
 	if voters.IsJoint() {
 		return voters.All()
--- a/internal/consensus/replacement.go
+++ b/internal/consensus/replacement.go
@@ -12,7 +12,7 @@
 // have left the leader's questions unanswered for consensus.replacement_delay. A leader that
 // has just begun to serve waits until each voter had time to answer it.
 func (r *Replica) lostVoters(voters []rpc.Peer) (lost []rpc.Peer) {
-	view, served := r.node.members.View(), r.node.env.Since(r.servingStart())
+	view, served := r.node.members.View(), r.node.env.Since(r.servingSince())
 	for _, peer := range voters {
 		m, isKnown := view[peer.Name]
 		hasNewID := isKnown && m.ID != peer.ID
@@ -29,7 +29,7 @@
 func (r *Replica) isGone(peer rpc.Peer, isKnown bool) bool {
 	silence := r.node.silenceOf(peer)
 	if !isKnown {
-		silence = r.node.env.Since(r.servingStart())
+		silence = r.node.env.Since(r.servingSince())
 	}
 	return silence > r.node.env.Config.ConsensusReplacementDelay
 }
--- a/internal/consensus/replica.go
+++ b/internal/consensus/replica.go
@@ -16,14 +16,14 @@
 	shard        ids.Shard
 	stateMachine StateMachine
 
-	// mu guards everything below, and the calls into stateMachine.
+	// mu guards the fields below and the calls into stateMachine.
 	mu      sync.Mutex
 	changed chan struct{} // closed and replaced at each change
-	// currentTerm is the highest term accepted, by a vote or from a leader. Messages
-	// below it are rejected. It is persisted.
+	// currentTerm is the highest term accepted, by a vote or from a leader. Messages of lower
+	// terms are rejected. It is persisted.
 	currentTerm ids.Term
 	log         replicaLog
-	voters      Voters    // the newest ones in the log, committed or not
+	voters      Voters    // the newest in the log, committed or not
 	votersIndex ids.Index // of the entry or snapshot that names voters
 	election    electionState
 	follower    followerState
@@ -32,31 +32,33 @@
 	proposals   map[ids.Index]proposal
 }
 
-// electionState is what decides whether and when this member campaigns.
+// electionState determines whether and when this member campaigns.
 type electionState struct {
-	// highestTermNumber is the highest number heard of; a campaign must exceed it.
+	// highestTermNumber is the highest term number that other members reported; a campaign
+	// must exceed it.
 	highestTermNumber uint64
-	// timerStart is when the election timer was last reset other than by a leader.
+	// timerStart is when the election timer was last reset by an event other than a leader's
+	// message.
 	timerStart time.Time
-	// lastLeaderContact is when a leader was last heard; zero since the start of the process.
+	// lastLeaderContact is when a leader's message was last accepted; zero if none was since
+	// the process started.
 	lastLeaderContact time.Time
-	// startedAt is when this replica was made; until a leader is heard its silence counts
-	// from then.
+	// startedAt is when this replica was created. The time without a leader counts from here
+	// until there has been contact with one.
 	startedAt time.Time
-	// isLeaderless says that the leader's silence has been reported.
+	// isLeaderless is set while the shard is reported as having no leader.
 	isLeaderless bool
-	// isRemoved says that a voter answered that this member has no vote any more. It
-	// does not campaign until a leader sends it entries again.
+	// isRemoved is set when a voter answered that this member is no longer a voter. The member
+	// does not campaign until a leader sends it entries or a snapshot.
 	isRemoved bool
 }
 
-// followerState is how far the log is known to equal that of a term's leader.
+// followerState is the prefix of the log that is known to match the leader's.
 type followerState struct {
-	// matchTerm is the term that was voted for or followed last in this process; zero
-	// if there is none.
+	// matchTerm is the term that this process last voted for or followed; zero if none.
 	matchTerm ids.Term
-	// matchIndex is the last entry that the leader of matchTerm is known to have too.
-	// Only entries up to it may be committed on the leader's word.
+	// matchIndex is the last entry known to be in the log of matchTerm's leader too. A
+	// leader's commit index takes effect only up to it.
 	matchIndex ids.Index
 }
 
@@ -73,8 +75,8 @@
 	}
 }
 
-// load reads the replica from the store. Gaps, unreadable records and entries above the
-// current term are damage (StorageBroken).
+// load reads the replica from the store. The error is StorageBroken for gaps, unreadable
+// records and entries of a term above the current one.
 func (r *Replica) load() error {
 	if err := loadRecord(r.node.store, r.shard, currentTermKey, &r.currentTerm); err != nil {
 		return err
@@ -84,14 +86,14 @@
 	}
 	if state := r.log.snapshot.State; state != nil {
 		if err := r.stateMachine.Restore(state); err != nil {
-			return damaged(r.shard, "state: %v", err)
+			return storageBrokenError(r.shard, "state: %v", err)
 		}
 	}
 	r.updateVoters()
 	return nil
 }
 
-// raiseTerm makes a higher term the current one and adds it to a batch.
+// raiseTerm sets a higher current term and adds it to the batch.
 func (r *Replica) raiseTerm(batch *storage.Batch, term ids.Term) {
 	r.currentTerm = term
 	r.follower = followerState{matchTerm: term}
@@ -99,30 +101,30 @@
 	batch.Put(shardKey(r.shard, currentTermKey), encodeRecord(term))
 }
 
-// updateVoters takes the newest voters from the log.
+// updateVoters sets voters from the newest membership change in the log, and logs a change.
 func (r *Replica) updateVoters() {
-	before := r.votersIndex
+	previousIndex := r.votersIndex
 	last, _ := r.log.last()
 	r.voters, r.votersIndex = r.log.votersAt(last)
-	if before != r.votersIndex {
+	if previousIndex != r.votersIndex {
 		r.logEvent(eventlog.ReplicasChanged, "members", r.voters.String(), "index", uint64(r.votersIndex))
 	}
 }
 
-// currentVoters returns the newest voters.
+// currentVoters returns the newest voters, committed or not.
 func (r *Replica) currentVoters() Voters {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.voters
 }
 
-// hasStableVoters tells whether the newest voters are known to be committed.
-func (r *Replica) hasStableVoters() bool { return r.log.committed >= r.votersIndex }
+// hasCommittedVoters reports whether the newest voters are known to be committed.
+func (r *Replica) hasCommittedVoters() bool { return r.log.committed >= r.votersIndex }
 
-// installSnapshot replaces the state and the whole log by a snapshot.
+// installSnapshot replaces the state machine's state and the whole log by a snapshot.
 func (r *Replica) installSnapshot(batch *storage.Batch, snapshot *rpc.Snapshot) error {
 	if err := r.stateMachine.Restore(snapshot.State); err != nil {
-		return rejected(r.shard, "snapshot: %v", err)
+		return invalidMessageError(r.shard, "snapshot: %v", err)
 	}
 	r.log.install(batch, snapshot)
 	r.updateVoters()
@@ -130,21 +132,21 @@
 }
 
 // mergeEntries merges a leader's entries into the log, and fails the proposals whose
-// entries they displace.
+// entries they replace.
 func (r *Replica) mergeEntries(batch *storage.Batch, entries []rpc.Entry) error {
-	displaced, err := r.log.merge(batch, entries)
+	firstReplaced, err := r.log.merge(batch, entries)
 	if err != nil {
 		return err
 	}
-	if displaced > 0 {
-		r.failProposals(displaced)
+	if firstReplaced > 0 {
+		r.failProposals(firstReplaced)
 	}
 	r.updateVoters()
 	return nil
 }
 
-// advanceCommit commits up to an index, as far as the log goes, and applies what is newly
-// committed.
+// advanceCommit raises the commit index to index, or to the end of the log if that is lower,
+// and applies the newly committed entries.
 func (r *Replica) advanceCommit(index ids.Index) {
 	last, _ := r.log.last()
 	index = min(index, last)
@@ -165,7 +167,7 @@
 	r.maybeCompact()
 }
 
-// apply applies a committed entry and answers whoever proposed it.
+// apply applies a committed entry and resolves its proposal.
 func (r *Replica) apply(entry rpc.Entry) {
 	r.trace(TraceEvent{
 		Kind: TraceCommitted, Term: r.currentTerm, Index: entry.Index, EntryTerm: entry.Term, IsLeader: r.leadership.isLeader,
@@ -178,48 +180,49 @@
 	r.resolveProposal(entry, response)
 }
 
-// notifyChanged wakes whoever waits for a change.
+// notifyChanged wakes the goroutines that wait on Changed.
 func (r *Replica) notifyChanged() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-// logEvent logs an event of this shard.
+// logEvent logs an event with the shard's number.
 func (r *Replica) logEvent(event eventlog.Event, fields ...any) {
 	r.node.logEvent(event, append([]any{"shard", int(r.shard)}, fields...)...)
 }
 
-// IsLeader tells whether this member leads the shard, serving or not.
+// IsLeader reports whether this member is the shard's leader, even if it does not serve yet.
 func (r *Replica) IsLeader() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.leadership.isLeader
 }
 
-// IsServing tells whether this member leads the shard and has committed an entry of its
-// own term, so that its state machine has everything that was acknowledged.
+// IsServing reports whether this member is the shard's leader and has committed an entry of
+// its own term, so that its state machine contains every acknowledged write.
 func (r *Replica) IsServing() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.leadership.isServing
 }
 
-// LeadershipSince tells under which term and since when this member serves the shard.
+// LeadershipSince returns the current term and since when this member has served the shard;
+// since is meaningful only if isServing is true.
 func (r *Replica) LeadershipSince() (term ids.Term, since time.Time, isServing bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.currentTerm, r.leadership.servingSince, r.leadership.isServing
 }
 
-// Changed returns a channel that is closed at the next change of the replica: an entry
-// appended or committed, an acknowledgement, or the end of a leadership.
+// Changed returns a channel that is closed at the next change of the replica: an appended or
+// committed entry, a member's acknowledgement, or the end of its leadership.
 func (r *Replica) Changed() <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.changed
 }
 
-// Status is a replica as operators and metrics see it.
+// Status is a summary of a replica for operators and metrics.
 type Status struct {
 	Shard           ids.Shard
 	CurrentTerm     ids.Term
@@ -228,11 +231,11 @@
 	IsLeader        bool
 	IsServing       bool
 	Voters          []rpc.Peer
-	OutgoingVoters  []rpc.Peer    // not empty while a membership change is under way
-	ConfirmationAge time.Duration // of the leader's term; below zero if this member does not lead
+	OutgoingVoters  []rpc.Peer    // empty unless a membership change is in progress
+	ConfirmationAge time.Duration // time since a quorum confirmed the leader's term; -1 if not leader
 }
 
-// Status returns the replica's status.
+// Status returns the current status.
 func (r *Replica) Status() Status {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/consensus/replica_test.go
+++ b/internal/consensus/replica_test.go
@@ -1,5 +1,5 @@
-// These tests drive one replica by messages as they come over the wire. What is damaged,
-// late or skips a step is rejected with an event, and changes nothing.
+// These tests call the message handlers of one replica. Invalid messages must be rejected with
+// an event and change nothing.
 package consensus
 
 import (
@@ -22,7 +22,7 @@
 	"github.com/sumactrestle/sumactrestle/internal/storage"
 )
 
-// recordingMachine is a state machine that keeps its commands.
+// recordingMachine is a state machine that records the applied commands.
 type recordingMachine struct{ commands []string }
 
 func (m *recordingMachine) Apply(_ ids.Index, body json.RawMessage) any {
@@ -30,20 +30,20 @@
 	return nil
 }
 func (m *recordingMachine) Snapshot() func() (json.RawMessage, error) {
-	all := slices.Clone(m.commands)
-	return func() (json.RawMessage, error) { return json.Marshal(all) }
+	commands := slices.Clone(m.commands)
+	return func() (json.RawMessage, error) { return json.Marshal(commands) }
 }
 func (m *recordingMachine) Restore(state json.RawMessage) error {
-	var all []string
-	if err := json.Unmarshal(state, &all); err != nil {
+	var commands []string
+	if err := json.Unmarshal(state, &commands); err != nil {
 		return err
 	}
-	m.commands = all
+	m.commands = commands
 	return nil
 }
 
-// runReplica runs a test on member A of a shard whose first voters are A, B and C.
-func runReplica(t *testing.T, play func(t *testing.T, r *Replica, machine *recordingMachine)) {
+// runReplicaTest runs a test in virtual time on member A of a shard with voters A, B and C.
+func runReplicaTest(t *testing.T, run func(t *testing.T, r *Replica, machine *recordingMachine)) {
 	synctest.Test(t, func(t *testing.T) {
 		p, err := config.Load("", map[string]string{"name": "core-A", "zone": "z", "peer.address": "10.0.0.1:7000", "api.address": "10.0.0.1:7001", "data.folder": "/part", "seeds": "10.0.0.2:7000"})
 		if err != nil {
@@ -51,7 +51,7 @@
 		}
 		disk := leveldbstorage.NewMemStorage()
 		env := environment.New(context.Background(), p, eventlog.New(io.Discard, "debug", "core-A"), environment.Host{OpenStorage: func(string) (leveldbstorage.Storage, error) { return disk, nil }})
-		defer time.Sleep(time.Minute) // of virtual time: the store closes behind its last task
+		defer time.Sleep(time.Minute) // in virtual time: lets the store close after its last task
 		defer env.Shutdown()
 		store, err := storage.Open(env)
 		if err != nil {
@@ -63,7 +63,7 @@
 		node.replicas = []*Replica{r}
 		r.log.snapshot.Voters = peers("ABC")
 		r.updateVoters()
-		play(t, r, machine)
+		run(t, r, machine)
 	})
 }
 
@@ -87,24 +87,24 @@
 	return rpc.Entry{Kind: entryMembershipChange, Voters: peers(current), OutgoingVoters: peers(outgoing)}
 }
 
-// requireRejected demands that a message is rejected with an event, and changes nothing.
+// requireRejected checks that sending a message fails, logs MessageRejected and changes nothing.
 func requireRejected(t *testing.T, r *Replica, machine *recordingMachine, send func() error) {
 	t.Helper()
-	before, had := r.Status(), len(machine.commands)
-	counted := r.node.env.Events.Counts()["MessageRefused"]
+	statusBefore, commandsBefore := r.Status(), len(machine.commands)
+	rejectedBefore := r.node.env.Events.Counts()["MessageRefused"]
 	if err := send(); err == nil {
-		t.Error("accepted")
+		t.Error("the message was accepted")
 	}
-	if r.node.env.Events.Counts()["MessageRefused"] != counted+1 {
-		t.Error("no event tells of it")
+	if r.node.env.Events.Counts()["MessageRefused"] != rejectedBefore+1 {
+		t.Error("the rejection was not logged")
 	}
-	if after := r.Status(); !cmp.Equal(before, after) || len(machine.commands) != had {
-		t.Errorf("it changed the replica: %s", cmp.Diff(before, after))
+	if statusAfter := r.Status(); !cmp.Equal(statusBefore, statusAfter) || len(machine.commands) != commandsBefore {
+		t.Errorf("the message changed the replica: %s", cmp.Diff(statusBefore, statusAfter))
 	}
 }
 
-// withTwoEntries appends an empty entry and a command under term 3.
-func withTwoEntries(t *testing.T, r *Replica) {
+// appendTwoEntries appends an empty entry and a command of term 3.
+func appendTwoEntries(t *testing.T, r *Replica) {
 	t.Helper()
 	if _, err := r.handleAppend(appendRequest(3, 0, rpc.Entry{Kind: entryEmpty}, command(`1`))); err != nil {
 		t.Fatal(err)
@@ -115,19 +115,19 @@
 	gap := appendRequest(3, 2, command(`2`), command(`3`))
 	gap.Entries[1].Index = 9
 	for name, request := range map[string]*rpc.AppendRequest{
-		"two members at once without the joint step": appendRequest(3, 2, membershipChange("ABD", "")),
-		"a joint step from other voters":             appendRequest(3, 2, membershipChange("ABD", "ABE")),
-		"a joint step that is followed by another":   appendRequest(3, 2, membershipChange("ABD", "ABC"), membershipChange("ABE", "ABD")),
-		"a change that ends in other voters":         appendRequest(3, 2, membershipChange("ABD", "ABC"), command(`2`), membershipChange("ABE", "")),
-		"no voters":                                  appendRequest(3, 2, membershipChange("", "")),
-		"a gap":                                      gap,
+		"change of two members without the joint step": appendRequest(3, 2, membershipChange("ABD", "")),
+		"joint step from other voters":                 appendRequest(3, 2, membershipChange("ABD", "ABE")),
+		"joint step followed by another joint step":    appendRequest(3, 2, membershipChange("ABD", "ABC"), membershipChange("ABE", "ABD")),
+		"change that ends with other voters":           appendRequest(3, 2, membershipChange("ABD", "ABC"), command(`2`), membershipChange("ABE", "")),
+		"no voters":                                    appendRequest(3, 2, membershipChange("", "")),
+		"gap in the indexes":                           gap,
 	} {
 		t.Run(name, func(t *testing.T) {
-			runReplica(t, func(t *testing.T, r *Replica, machine *recordingMachine) {
-				withTwoEntries(t, r)
+			runReplicaTest(t, func(t *testing.T, r *Replica, machine *recordingMachine) {
+				appendTwoEntries(t, r)
 				requireRejected(t, r, machine, func() error { _, err := r.handleAppend(request); return err })
 				if _, err := r.handleAppend(appendRequest(3, 2, membershipChange("ABD", "ABC"), command(`2`), membershipChange("ABD", ""))); err != nil {
-					t.Errorf("a complete change is rejected: %v", err)
+					t.Errorf("a complete membership change was rejected: %v", err)
 				}
 			})
 		})
@@ -135,31 +135,31 @@
 }
 
 func TestReplica_RejectsDamagedSnapshots(t *testing.T) {
-	for name, change := range map[string]func(s *rpc.Snapshot, request *rpc.SnapshotChunkRequest){
-		"a foreign state":         func(s *rpc.Snapshot, _ *rpc.SnapshotChunkRequest) { s.State = json.RawMessage(`{"foreign":true}`) },
-		"a snapshot of no voters": func(s *rpc.Snapshot, _ *rpc.SnapshotChunkRequest) { s.Voters = nil },
-		"another's index":         func(_ *rpc.Snapshot, request *rpc.SnapshotChunkRequest) { request.Index = 8 },
-		"a wrong digest":          func(_ *rpc.Snapshot, request *rpc.SnapshotChunkRequest) { request.Digest = "00" },
-		"a byte turned":           func(_ *rpc.Snapshot, request *rpc.SnapshotChunkRequest) { request.Data[len(request.Data)/2] ^= 1 },
-		"more than was said":      func(_ *rpc.Snapshot, request *rpc.SnapshotChunkRequest) { request.Size-- },
-		"a size out of bounds":    func(_ *rpc.Snapshot, request *rpc.SnapshotChunkRequest) { request.Size = maxPackedSnapshot + 1 },
-		"an offset below zero":    func(_ *rpc.Snapshot, request *rpc.SnapshotChunkRequest) { request.Offset = -1 },
-		"a term from the future":  func(_ *rpc.Snapshot, request *rpc.SnapshotChunkRequest) { request.Term = testTerm(1 << 60) },
+	for name, damage := range map[string]func(s *rpc.Snapshot, request *rpc.SnapshotChunkRequest){
+		"state of another format":           func(s *rpc.Snapshot, _ *rpc.SnapshotChunkRequest) { s.State = json.RawMessage(`{"foreign":true}`) },
+		"no voters":                         func(s *rpc.Snapshot, _ *rpc.SnapshotChunkRequest) { s.Voters = nil },
+		"index differs from the snapshot's": func(_ *rpc.Snapshot, request *rpc.SnapshotChunkRequest) { request.Index = 8 },
+		"wrong digest":                      func(_ *rpc.Snapshot, request *rpc.SnapshotChunkRequest) { request.Digest = "00" },
+		"corrupted byte":                    func(_ *rpc.Snapshot, request *rpc.SnapshotChunkRequest) { request.Data[len(request.Data)/2] ^= 1 },
+		"more data than the size":           func(_ *rpc.Snapshot, request *rpc.SnapshotChunkRequest) { request.Size-- },
+		"size too large":                    func(_ *rpc.Snapshot, request *rpc.SnapshotChunkRequest) { request.Size = maxPackedSnapshotBytes + 1 },
+		"negative offset":                   func(_ *rpc.Snapshot, request *rpc.SnapshotChunkRequest) { request.Offset = -1 },
+		"term number too high":              func(_ *rpc.Snapshot, request *rpc.SnapshotChunkRequest) { request.Term = testTerm(1 << 60) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			runReplica(t, func(t *testing.T, r *Replica, machine *recordingMachine) {
-				withTwoEntries(t, r)
+			runReplicaTest(t, func(t *testing.T, r *Replica, machine *recordingMachine) {
+				appendTwoEntries(t, r)
 				snapshot := &rpc.Snapshot{Index: 9, Term: testTerm(3), Voters: peers("ABC"), State: json.RawMessage(`["1","2"]`)}
-				change(snapshot, &rpc.SnapshotChunkRequest{Data: make([]byte, 3)})
+				damage(snapshot, &rpc.SnapshotChunkRequest{Data: make([]byte, 3)})
 				chunk := chunksOf(snapshot, 1<<20)[0]
-				change(snapshot, chunk)
+				damage(snapshot, chunk)
 				requireRejected(t, r, machine, func() error { _, err := r.handleSnapshotChunk(chunk); return err })
 				if n := entryCount(r); n != 2 {
-					t.Errorf("%d entries are left of 2", n)
+					t.Errorf("the log has %d entries, want 2", n)
 				}
 				intact := &rpc.Snapshot{Index: 9, Term: testTerm(3), Voters: peers("ABC"), State: json.RawMessage(`["1","2"]`)}
 				if got, err := r.handleSnapshotChunk(chunksOf(intact, 1<<20)[0]); err != nil || got.MatchIndex != 9 {
-					t.Errorf("the same snapshot undamaged: %+v, %v", got, err)
+					t.Errorf("the undamaged snapshot: %+v, %v", got, err)
 				}
 			})
 		})
@@ -172,7 +172,7 @@
 	return len(r.log.entries)
 }
 
-// chunksOf cuts a snapshot as a leader of its term would send it.
+// chunksOf returns the chunks in which a leader of the snapshot's term would send it.
 func chunksOf(snapshot *rpc.Snapshot, size int) (requests []*rpc.SnapshotChunkRequest) {
 	packed := packSnapshot(snapshot)
 	for offset := 0; offset < len(packed.data); offset += size {
@@ -183,7 +183,7 @@
 }
 
 func TestReplica_ReassemblesSnapshotChunks(t *testing.T) {
-	runReplica(t, func(t *testing.T, r *Replica, machine *recordingMachine) {
+	runReplicaTest(t, func(t *testing.T, r *Replica, machine *recordingMachine) {
 		chunks := chunksOf(&rpc.Snapshot{Index: 9, Term: testTerm(3), Voters: peers("ABC"), State: json.RawMessage(`["1","2","3"]`)}, 20)
 		send := func(i int) *rpc.SnapshotChunkResponse {
 			response, err := r.handleSnapshotChunk(chunks[i])
@@ -194,15 +194,15 @@
 		}
 		last := len(chunks) - 1
 		if got := send(last); got.Received != 0 || got.MatchIndex != 0 {
-			t.Errorf("the last chunk alone: %+v", got)
+			t.Errorf("response to the last chunk alone: %+v", got)
 		}
 		for _, i := range []int{0, 2, 0, 1, 1} {
 			send(i)
 		}
 		if got := send(0); got.Received != 40 {
-			t.Errorf("%d bytes are there of 40", got.Received)
+			t.Errorf("%d bytes received, want 40", got.Received)
 		}
-		// Another leader with the same snapshot goes on where the first one was.
+		// Another leader continues the transfer of the same snapshot.
 		for _, chunk := range chunks[2:] {
 			chunk.Term = testTerm(5)
 		}
@@ -210,16 +210,16 @@
 			send(i)
 		}
 		if got := send(last); got.MatchIndex != 9 || len(machine.commands) != 3 {
-			t.Errorf("%+v, state %q", got, machine.commands)
+			t.Errorf("response to the last chunk: %+v, state %q", got, machine.commands)
 		}
 		if got := send(last); got.MatchIndex != 9 {
-			t.Errorf("what is there already: %+v", got)
+			t.Errorf("response to a chunk of an installed snapshot: %+v", got)
 		}
 	})
 }
 
 func TestReplica_IgnoresStaleAndImpossibleTerms(t *testing.T) {
-	runReplica(t, func(t *testing.T, r *Replica, machine *recordingMachine) {
+	runReplicaTest(t, func(t *testing.T, r *Replica, machine *recordingMachine) {
 		if _, err := r.handleAppend(appendRequest(3, 0, rpc.Entry{Kind: entryEmpty})); err != nil {
 			t.Fatal(err)
 		}
@@ -230,35 +230,35 @@
 			return err
 		})
 		if r.isTransferFromLeader(&rpc.CampaignRequest{Term: testTerm(2)}) || !r.isTransferFromLeader(&rpc.CampaignRequest{Term: testTerm(3)}) {
-			t.Error("a transfer counts that is not of the current term")
+			t.Error("only a leadership transfer of the current term must be accepted")
 		}
 		response, err := r.handleAppend(appendRequest(2, 1, command(`1`)))
 		if err != nil || response.Success || response.CurrentTerm != testTerm(3) {
-			t.Errorf("an entry of an old term: %+v, %v", response, err)
+			t.Errorf("response to an entry of an old term: %+v, %v", response, err)
 		}
 	})
 }
 
-// TestReplica_RejectedSnapshotKeepsTerm: the term that comes with it must be on disk, or the
-// entries of that term would be above what a restart finds.
+// TestReplica_RejectedSnapshotKeepsTerm checks that the term of a rejected snapshot is persisted.
+// Otherwise a restart would find later entries of that term above the current term.
 func TestReplica_RejectedSnapshotKeepsTerm(t *testing.T) {
-	runReplica(t, func(t *testing.T, r *Replica, machine *recordingMachine) {
+	runReplicaTest(t, func(t *testing.T, r *Replica, machine *recordingMachine) {
 		request := chunksOf(&rpc.Snapshot{Index: 9, Term: testTerm(4), Voters: peers("ABC"), State: json.RawMessage(`7`)}, 1<<20)[0]
 		if _, err := r.handleSnapshotChunk(request); err == nil {
-			t.Fatal("a foreign snapshot is accepted")
+			t.Fatal("an invalid snapshot was accepted")
 		}
 		if _, err := r.handleAppend(appendRequest(4, 0, rpc.Entry{Kind: entryEmpty})); err != nil {
 			t.Fatal(err)
 		}
-		again := newReplica(r.node, 0, &recordingMachine{})
-		if err := again.load(); err != nil {
+		restarted := newReplica(r.node, 0, &recordingMachine{})
+		if err := restarted.load(); err != nil {
 			t.Error(err)
 		}
 	})
 }
 
 func TestReplica_RemovedMemberDoesNotCampaign(t *testing.T) {
-	runReplica(t, func(t *testing.T, r *Replica, machine *recordingMachine) {
+	runReplicaTest(t, func(t *testing.T, r *Replica, machine *recordingMachine) {
 		request := appendRequest(3, 0, rpc.Entry{Kind: entryEmpty}, membershipChange("ABD", "ABC"), membershipChange("ABD", ""))
 		if _, err := r.handleAppend(request); err != nil {
 			t.Fatal(err)
@@ -266,29 +266,29 @@
 		r.election.lastLeaderContact = time.Time{}
 		stale := &rpc.VoteRequest{Term: testTerm(9), From: peers("C")[0], LastIndex: 1, LastTerm: testTerm(3)}
 		if response, err := r.handleVote(stale); err != nil || response.NotMember || !response.Granted {
-			t.Fatalf("a change that is not known to be committed shut a member out: %+v, %v", response, err)
+			t.Fatalf("a member removed by an uncommitted change got no vote: %+v, %v", response, err)
 		}
-		again := appendRequest(10, 3)
-		again.PrevTerm, again.Commit = testTerm(3), 3
-		if _, err := r.handleAppend(again); err != nil {
+		commitRequest := appendRequest(10, 3)
+		commitRequest.PrevTerm, commitRequest.Commit = testTerm(3), 3
+		if _, err := r.handleAppend(commitRequest); err != nil {
 			t.Fatal(err)
 		}
-		before := r.Status().CurrentTerm
+		termBefore := r.Status().CurrentTerm
 		stale.Term = testTerm(20)
 		if response, err := r.handleVote(stale); err != nil || response.Granted || !response.NotMember {
-			t.Errorf("a removed member gets a vote: %+v, %v", response, err)
+			t.Errorf("a removed member got a vote: %+v, %v", response, err)
 		}
-		if r.Status().CurrentTerm != before {
-			t.Error("its term deposes the leader")
+		if r.Status().CurrentTerm != termBefore {
+			t.Error("a removed member's request raised the term")
 		}
 		ahead := &rpc.VoteRequest{Term: testTerm(21), From: peers("C")[0], LastIndex: 9, LastTerm: testTerm(12)}
 		r.election.lastLeaderContact = time.Time{}
 		if response, err := r.handleVote(ahead); err != nil || !response.Granted {
-			t.Errorf("one that may have been put back since is shut out: %+v, %v", response, err)
+			t.Errorf("a candidate with a newer log, which may have been added again, got no vote: %+v, %v", response, err)
 		}
 		r.markRemoved()
 		if !r.election.isRemoved || r.node.env.Events.Counts()["MemberRemoved"] != 1 {
-			t.Error("a member that was told does not rest")
+			t.Error("markRemoved did not mark the member, or not log it once")
 		}
 	})
 }
--- a/internal/consensus/replication.go
+++ b/internal/consensus/replication.go
@@ -12,21 +12,23 @@
 )
 
 const (
-	// appendTimeout bounds an append; a large one, as a single entry may make it, has
-	// longer by what it takes over the slowest link.
+	// The timeout of an append is appendTimeout plus the time that its entries take over the
+	// slowest supported link, as a single entry may be large.
 	appendTimeout         = 3 * time.Second
 	minLinkBytesPerSecond = 64 << 10
-	// An append takes no further entry once it has this many, or more than so many bytes.
+	// No further entry is added to an append that has maxAppendEntries entries, or more than
+	// maxAppendBytes of bodies.
 	maxAppendEntries = 256
 	maxAppendBytes   = 64 << 10
-	// Pauses before a member is tried again that failed, or that the member list lacks.
-	appendRetryPause = 100 * time.Millisecond
-	unknownPeerPause = 200 * time.Millisecond
+	// Pauses before a retry: after a failed request, and for a member that is not in the
+	// member list.
+	appendRetryPause      = 100 * time.Millisecond
+	unknownPeerRetryPause = 200 * time.Millisecond
 )
 
-// appendOwn appends an entry of the leader's own term and submits the batch. The leader's
-// own sync counts as one among the voters', in its time.
-func (r *Replica) appendOwn(batch *storage.Batch, entry rpc.Entry) ids.Index {
+// appendAsLeader appends an entry of the leader's term and submits the batch. The leader's own
+// match index rises once its disk has synced the entry.
+func (r *Replica) appendAsLeader(batch *storage.Batch, entry rpc.Entry) ids.Index {
 	last, _ := r.log.last()
 	entry.Index, entry.Term = last+1, r.currentTerm
 	r.log.append(batch, entry)
@@ -40,8 +42,8 @@
 		}
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		if own := r.leadership.progressOf(r.node.self); r.leads(entry.Term) && own.matchIndex < entry.Index {
-			own.matchIndex = entry.Index
+		if self := r.leadership.progressOf(r.node.self); r.isLeaderOfTerm(entry.Term) && self.matchIndex < entry.Index {
+			self.matchIndex = entry.Index
 			r.maybeCommit()
 		}
 	})
@@ -49,11 +51,13 @@
 	return entry.Index
 }
 
-// leads tells whether this member is the leader of a term.
-func (r *Replica) leads(term ids.Term) bool { return r.leadership.isLeader && r.currentTerm == term }
+// isLeaderOfTerm reports whether this member is the leader of a term.
+func (r *Replica) isLeaderOfTerm(term ids.Term) bool {
+	return r.leadership.isLeader && r.currentTerm == term
+}
 
-// maybeCommit commits what a quorum has synced, if the last of it is of the leader's own
-// term (section 5.4.2 of the Raft paper).
+// maybeCommit commits the entries that a quorum has synced, if the last of them is of the
+// leader's own term (section 5.4.2 of the Raft paper).
 func (r *Replica) maybeCommit() {
 	if !r.leadership.isLeader {
 		return
@@ -64,14 +68,14 @@
 	}
 }
 
-// replicateToAll has a stream to every voter.
+// replicateToAll starts a stream to every voter that has none.
 func (r *Replica) replicateToAll() {
 	for _, peer := range r.voters.All() {
 		r.startReplicating(peer)
 	}
 }
 
-// startReplicating starts the stream to one member, a voter or a learner.
+// startReplicating starts a stream to a voter or learner, unless it has one.
 func (r *Replica) startReplicating(peer rpc.Peer) {
 	p := r.leadership.progressOf(peer)
 	if peer == r.node.self || p.isReplicating {
@@ -82,16 +86,16 @@
 	r.node.env.Go(s.run)
 }
 
-// stream keeps one member up to date while its leader's term lasts.
+// stream replicates the log to one member during a leader's term.
 type stream struct {
 	replica *Replica
 	ctx     context.Context
 	term    ids.Term
 	peer    rpc.Peer
 
-	next       ids.Index // the first entry to send
-	isMatched  bool      // the member's log is known to equal this one below next
-	sentCommit ids.Index // the commit index that the member has been told
+	next       ids.Index // first entry to send
+	isMatched  bool      // the member's log is known to equal the leader's below next
+	sentCommit ids.Index // last commit index that the member acknowledged
 }
 
 func (s *stream) run() {
@@ -102,12 +106,12 @@
 	}
 }
 
-// step sends what the member lacks, or waits until there is something; false if the stream
-// is over.
+// step sends one append or snapshot, or waits for a change of the replica if the member is up
+// to date. It returns false when the stream must end.
 func (s *stream) step() bool {
 	r := s.replica
 	r.mu.Lock()
-	if !r.leads(s.term) || !r.leadership.progressOf(s.peer).isReplicating {
+	if !r.isLeaderOfTerm(s.term) || !r.leadership.progressOf(s.peer).isReplicating {
 		r.mu.Unlock()
 		return false
 	}
@@ -133,7 +137,7 @@
 	}
 	address, ok := r.node.addressOf(s.peer)
 	if !ok {
-		s.pause(unknownPeerPause)
+		s.pause(unknownPeerRetryPause)
 		return true
 	}
 	var response rpc.AppendResponse
@@ -147,18 +151,19 @@
 	return true
 }
 
-// isUpToDate tells whether the member has everything. Only of the configuration it needs
-// the commit index at once, as it gives its state out; elsewhere heartbeats carry it.
+// isUpToDate reports whether there is nothing to send to the member. In the configuration
+// shard, the commit index is sent at once, because members serve reads from their own state;
+// in the other shards heartbeats carry it.
 func (s *stream) isUpToDate() bool {
 	last, _ := s.replica.log.last()
 	isCommitSent := s.replica.shard != ids.ConfigShard || s.sentCommit >= s.replica.log.committed
 	return s.isMatched && s.next > last && isCommitSent
 }
 
-// nextRequest is the next append; false if the member needs the snapshot.
+// nextRequest returns the next append; false if the member needs the snapshot.
 func (s *stream) nextRequest() (*rpc.AppendRequest, bool) {
 	r := s.replica
-	prevTerm, entries, found := r.log.from(s.next)
+	prevTerm, entries, found := r.log.entriesFrom(s.next)
 	if !found {
 		return nil, false
 	}
@@ -180,11 +185,11 @@
 	defer r.mu.Unlock()
 	last, _ := r.log.last()
 	switch {
-	case r.leads(s.term) && response.CurrentTerm == s.term && response.MatchIndex > last:
-		r.reportCorruption("a member has entries that its leader lacks", "member", string(s.peer.Name), "match", uint64(response.MatchIndex), "last", uint64(last))
+	case r.isLeaderOfTerm(s.term) && response.CurrentTerm == s.term && response.MatchIndex > last:
+		r.reportCorruption("a member acknowledged entries beyond the end of the leader's log", "member", string(s.peer.Name), "match", uint64(response.MatchIndex), "last", uint64(last))
 	case response.Success:
 		s.isMatched, s.sentCommit, s.next = true, request.Commit, response.MatchIndex+1
-		if p := r.leadership.progressOf(s.peer); r.leads(s.term) && p.matchIndex < response.MatchIndex {
+		if p := r.leadership.progressOf(s.peer); r.isLeaderOfTerm(s.term) && p.matchIndex < response.MatchIndex {
 			p.matchIndex, p.lastAdvance = response.MatchIndex, r.node.env.Now()
 			r.maybeCommit()
 			r.notifyChanged()
@@ -205,10 +210,11 @@
 	}
 }
 
-// acceptLeader is the beginning of every message from a leader: it checks the term and
-// follows it. The batch bears the term if it is new, and must be submitted whatever comes
-// of the rest of the message, as memory has the term already. There is none if the term
-// is below the current one; the leader is answered with that.
+// acceptLeader handles the term of a message with log data from a leader: it adopts a higher
+// term and resets the election timer. The returned batch contains the term if it is new. It
+// must be submitted even if the rest of the message is rejected, as the term is already
+// changed in memory. The batch is nil if the term is below the current one; the caller then
+// responds with the current term.
 func (r *Replica) acceptLeader(term ids.Term, from rpc.Peer) (*storage.Batch, error) {
 	if err := r.checkTerm(term, from); err != nil {
 		return nil, err
@@ -218,7 +224,7 @@
 	}
 	batch := r.node.store.NewBatch()
 	if r.currentTerm.Less(term) {
-		r.stepDown("a higher term has a leader")
+		r.stepDown("the leader of a higher term sent entries or a snapshot")
 		r.raiseTerm(batch, term)
 	}
 	if r.follower.matchTerm != term {
@@ -228,7 +234,7 @@
 	return batch, nil
 }
 
-// handleAppend answers a leader's append once its entries are synced.
+// handleAppend handles a leader's append and returns once its entries are synced.
 func (r *Replica) handleAppend(request *rpc.AppendRequest) (*rpc.AppendResponse, error) {
 	response, batch, err := r.acceptEntries(request)
 	if err != nil || batch == nil {
@@ -240,8 +246,8 @@
 	return response, batch.Wait()
 }
 
-// acceptEntries merges an append into the log. The batch is submitted; none means that
-// nothing is to be waited for.
+// acceptEntries merges an append into the log and submits the returned batch. The batch is nil
+// if there is nothing to wait for.
 func (r *Replica) acceptEntries(request *rpc.AppendRequest) (*rpc.AppendResponse, *storage.Batch, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/consensus/shutdown.go
+++ b/internal/consensus/shutdown.go
@@ -62,7 +62,7 @@
 		voters := r.currentVoters()
 		var remaining []rpc.Peer
 		for _, peer := range voters.All() {
-			m, ok := n.memberOf(peer)
+			m, ok := n.memberState(peer)
 			if ok && m.State == membership.StateAlive && answering[peer] != nil {
 				remaining = append(remaining, peer)
 			}
--- a/internal/consensus/snapshot.go
+++ b/internal/consensus/snapshot.go
@@ -6,17 +6,16 @@
 	"github.com/sumactrestle/sumactrestle/internal/ids"
 )
 
-// logGrowthWhileSending is how many times its usual length the log may reach while a
-// snapshot is on its way to a member, so that the entries after it are still there when
-// it arrives.
-const logGrowthWhileSending = 8
+// logGrowthFactorWhileSending multiplies the log length that triggers compaction while a snapshot
+// is being sent, so that the entries after it are still in the log when the transfer ends.
+const logGrowthFactorWhileSending = 8
 
-// maybeCompact takes a snapshot when the log has grown long. The state is captured at
-// once, and encoded while further entries are applied.
+// maybeCompact takes a snapshot if the log has reached the length that triggers compaction. The
+// state is captured at once and encoded in the background while further entries are applied.
 func (r *Replica) maybeCompact() {
 	threshold := r.node.env.Config.ConsensusSnapshotEntries
 	if r.transfer.inFlight > 0 {
-		threshold *= logGrowthWhileSending
+		threshold *= logGrowthFactorWhileSending
 	}
 	if r.transfer.isCompacting || int(r.log.applied-r.log.snapshot.Index) < threshold {
 		return
@@ -34,14 +33,14 @@
 	})
 }
 
-// compactNow takes a snapshot of what is applied now.
+// compactNow takes a snapshot at the applied index, without a background task.
 func (r *Replica) compactNow() {
 	if state, err := r.stateMachine.Snapshot()(); err == nil {
 		r.compactTo(r.log.applied, state)
 	}
 }
 
-// compactTo puts the state as of an index in the place of the entries up to it.
+// compactTo replaces the entries up to an index by a snapshot with the state at that index.
 func (r *Replica) compactTo(index ids.Index, state json.RawMessage) {
 	config := r.node.env.Config
 	batch := r.node.store.NewBatch()
--- a/internal/consensus/snapshot_transfer.go
+++ b/internal/consensus/snapshot_transfer.go
@@ -17,22 +17,20 @@
 )
 
 const (
-	// maxPackedSnapshot bounds what a member holds of a snapshot that is on its way, packed.
-	maxPackedSnapshot = 128 << 20
-	// maxSnapshot bounds the snapshot itself, unpacked.
-	maxSnapshot = 1 << 30
+	maxPackedSnapshotBytes = 128 << 20 // compressed size; bounds the receiver's buffer
+	maxSnapshotBytes       = 1 << 30   // uncompressed size
 )
 
-// snapshotTransfer is what a replica has to do with snapshots, as sender and as receiver.
+// snapshotTransfer is a replica's state for taking, sending and receiving snapshots.
 type snapshotTransfer struct {
-	isCompacting bool            // the state is being encoded
-	inFlight     int             // snapshots on their way to members
-	packed       *packedSnapshot // the one that was sent last, kept for the next member
-	incoming     *packedSnapshot // what has arrived of one from the leader
+	isCompacting bool            // a background task encodes the state
+	inFlight     int             // snapshots being sent to members, or waiting for a slot
+	lastPacked   *packedSnapshot // last snapshot sent, cached for other members
+	incoming     *packedSnapshot // received part of a leader's snapshot; nil if none
 }
 
-// packedSnapshot is a snapshot, or the beginning of one, as it is sent: JSON under deflate.
-// The digest is the SHA-256 of all of its data.
+// packedSnapshot is a snapshot as it is sent, or the received beginning of one: JSON compressed
+// with deflate. The digest is the SHA-256 of the complete data.
 type packedSnapshot struct {
 	index  ids.Index
 	term   ids.Term
@@ -42,8 +40,8 @@
 
 func packSnapshot(snapshot *rpc.Snapshot) *packedSnapshot {
 	var data bytes.Buffer
-	writer, _ := flate.NewWriter(&data, flate.BestSpeed) // the level is a valid one
-	writer.Write(encodeRecord(snapshot))                 // a buffer takes everything
+	writer, _ := flate.NewWriter(&data, flate.BestSpeed) // the error is for invalid levels only
+	writer.Write(encodeRecord(snapshot))                 // writes to a bytes.Buffer don't fail
 	writer.Close()
 	return &packedSnapshot{index: snapshot.Index, term: snapshot.Term, digest: digestOf(data.Bytes()), data: data.Bytes()}
 }
@@ -53,12 +51,12 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// unpack checks a snapshot that is complete, and decodes it.
+// unpack checks and decodes a complete snapshot.
 func (p *packedSnapshot) unpack() (*rpc.Snapshot, error) {
 	if digest := digestOf(p.data); digest != p.digest {
-		return nil, errcode.New(errcode.InvalidMessage, "snapshot %d is damaged: its digest is %.8s, not %.8s", p.index, digest, p.digest)
+		return nil, errcode.New(errcode.InvalidMessage, "snapshot %d: digest is %.8s, want %.8s", p.index, digest, p.digest)
 	}
-	raw, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(p.data)), maxSnapshot))
+	raw, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(p.data)), maxSnapshotBytes))
 	if err != nil {
 		return nil, errcode.New(errcode.InvalidMessage, "snapshot %d: %v", p.index, err)
 	}
@@ -67,32 +65,32 @@
 		return nil, errcode.New(errcode.InvalidMessage, "snapshot %d: %v", p.index, err)
 	}
 	if snapshot.Index != p.index || snapshot.Term != p.term || len(snapshot.Voters) == 0 {
-		return nil, errcode.New(errcode.InvalidMessage, "snapshot %d of %s is another's: %d of %s", p.index, p.term, snapshot.Index, snapshot.Term)
+		return nil, errcode.New(errcode.InvalidMessage, "snapshot %d of term %s contains index %d of term %s, or no voters", p.index, p.term, snapshot.Index, snapshot.Term)
 	}
 	return snapshot, nil
 }
 
-// packedCurrent is the current snapshot as it is sent, packed once for all members. The
-// lock is not held while it is packed.
-func (r *Replica) packedCurrent() *packedSnapshot {
+// packCurrentSnapshot returns the current snapshot as it is sent. The result is cached for all
+// members. The lock is not held while the snapshot is packed.
+func (r *Replica) packCurrentSnapshot() *packedSnapshot {
 	r.mu.Lock()
-	snapshot, cached := r.log.snapshot, r.transfer.packed
+	snapshot, cached := r.log.snapshot, r.transfer.lastPacked
 	r.mu.Unlock()
 	if cached != nil && cached.index == snapshot.Index && cached.term == snapshot.Term {
 		return cached
 	}
 	packed := packSnapshot(&snapshot)
 	r.mu.Lock()
-	r.transfer.packed = packed
+	r.transfer.lastPacked = packed
 	r.mu.Unlock()
 	return packed
 }
 
-// sendSnapshot sends the snapshot to a member in chunks, beginning with what it lacks of
-// it, and returns up to where the member's log is synced then.
+// sendSnapshot sends the current snapshot to a member in chunks, skipping the part that the
+// member already has. It returns the member's match index once the snapshot is installed.
 func (r *Replica) sendSnapshot(ctx context.Context, term ids.Term, peer rpc.Peer) (match ids.Index, err error) {
-	r.countTransfer(1)
-	defer r.countTransfer(-1)
+	r.addInFlight(1)
+	defer r.addInFlight(-1)
 	slot := r.node.snapshotSlot(peer)
 	select {
 	case slot <- struct{}{}:
@@ -100,7 +98,7 @@
 		return 0, ctx.Err()
 	}
 	defer func() { <-slot }()
-	snapshot, offset := r.packedCurrent(), int64(0)
+	snapshot, offset := r.packCurrentSnapshot(), int64(0)
 	size := int64(len(snapshot.data))
 	for ctx.Err() == nil {
 		address, ok := r.node.addressOf(peer)
@@ -120,7 +118,7 @@
 		case err != nil:
 			return 0, err
 		case response.From != peer:
-			return 0, errcode.New(errcode.Unreachable, "%s is %s now", peer.Name, response.From.Name)
+			return 0, errcode.New(errcode.Unreachable, "response to %s came from %s", peer.Name, response.From.Name)
 		case term.Less(response.CurrentTerm):
 			r.mu.Lock()
 			r.stepDownForTerm(term, response.CurrentTerm)
@@ -129,30 +127,31 @@
 		case response.MatchIndex > 0:
 			return response.MatchIndex, nil
 		case response.Received < 0 || response.Received > size:
-			return 0, errcode.New(errcode.InvalidMessage, "%d bytes of %d", response.Received, size)
+			return 0, errcode.New(errcode.InvalidMessage, "member reports %d bytes received of a snapshot of %d", response.Received, size)
 		}
 		if offset = response.Received; offset > 0 {
-			r.recordAdvance(peer)
+			r.recordSnapshotProgress(peer)
 		}
 	}
 	return 0, ctx.Err()
 }
 
-func (r *Replica) countTransfer(n int) {
+func (r *Replica) addInFlight(n int) {
 	r.mu.Lock()
 	r.transfer.inFlight += n
 	r.mu.Unlock()
 }
 
-// recordAdvance notes that a member took a part of a snapshot.
-func (r *Replica) recordAdvance(peer rpc.Peer) {
+// recordSnapshotProgress records that a member received a part of a snapshot, which counts as
+// progress of a learner.
+func (r *Replica) recordSnapshotProgress(peer rpc.Peer) {
 	r.mu.Lock()
 	r.leadership.progressOf(peer).lastAdvance = r.node.env.Now()
 	r.mu.Unlock()
 }
 
-// snapshotSlot is the turn to send a member a snapshot: one shard at a time, so that small
-// messages find room on its link between two chunks.
+// snapshotSlot returns the semaphore for sending snapshots to a member. It limits them to one
+// shard at a time, so that small messages can pass between two chunks on the member's link.
 func (n *Node) snapshotSlot(peer rpc.Peer) chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -162,7 +161,8 @@
 	return n.snapshotSlots[peer]
 }
 
-// handleSnapshotChunk answers a leader's chunk; what is complete is installed and synced first.
+// handleSnapshotChunk handles a leader's chunk. With the last chunk, it returns once the snapshot
+// is installed and synced.
 func (r *Replica) handleSnapshotChunk(request *rpc.SnapshotChunkRequest) (*rpc.SnapshotChunkResponse, error) {
 	response, batch, err := r.acceptChunk(request)
 	if err != nil || batch == nil {
@@ -171,8 +171,8 @@
 	return response, batch.Wait()
 }
 
-// acceptChunk takes a chunk. The batch is submitted; none means that nothing is to be
-// waited for.
+// acceptChunk adds a chunk and submits the returned batch. The batch is nil if there is nothing
+// to wait for.
 func (r *Replica) acceptChunk(request *rpc.SnapshotChunkRequest) (*rpc.SnapshotChunkResponse, *storage.Batch, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -195,31 +195,32 @@
 	return response, batch, nil
 }
 
-// addChunk adds a chunk to what has arrived, and installs the snapshot when that is all
-// of it. A chunk that does not follow is answered with how much is there. What has
-// arrived is kept over a change of leaders, as long as the next one sends the same.
+// addChunk appends a chunk to the received part of the snapshot, and installs the snapshot when
+// it is complete. A chunk that does not start where the received part ends is ignored, and
+// the response has the size of that part. The part is kept across a change of leader if the
+// next leader sends the same snapshot.
 func (r *Replica) addChunk(batch *storage.Batch, request *rpc.SnapshotChunkRequest, response *rpc.SnapshotChunkResponse) error {
-	if request.Size <= 0 || request.Size > maxPackedSnapshot || request.Offset < 0 || request.Offset+int64(len(request.Data)) > request.Size {
-		return rejected(r.shard, "chunk of %d bytes at %d of %d", len(request.Data), request.Offset, request.Size)
+	if request.Size <= 0 || request.Size > maxPackedSnapshotBytes || request.Offset < 0 || request.Offset+int64(len(request.Data)) > request.Size {
+		return invalidMessageError(r.shard, "invalid snapshot chunk: %d bytes at offset %d of %d", len(request.Data), request.Offset, request.Size)
 	}
-	// A snapshot that comes late must not replace what was synced since.
+	// A delayed snapshot must not replace entries that were synced after it.
 	if request.Index <= r.log.committed || r.log.contains(request.Index, request.SnapshotTerm) {
 		r.finishTransfer(request.Index, response)
 		return nil
 	}
-	in := r.transfer.incoming
-	if in == nil || in.digest != request.Digest || in.index != request.Index || in.term != request.SnapshotTerm {
-		in = &packedSnapshot{index: request.Index, term: request.SnapshotTerm, digest: request.Digest}
-		r.transfer.incoming = in
+	incoming := r.transfer.incoming
+	if incoming == nil || incoming.digest != request.Digest || incoming.index != request.Index || incoming.term != request.SnapshotTerm {
+		incoming = &packedSnapshot{index: request.Index, term: request.SnapshotTerm, digest: request.Digest}
+		r.transfer.incoming = incoming
 	}
-	if request.Offset == int64(len(in.data)) {
-		in.data = append(in.data, request.Data...)
+	if request.Offset == int64(len(incoming.data)) {
+		incoming.data = append(incoming.data, request.Data...)
 	}
-	response.Received = int64(len(in.data))
+	response.Received = int64(len(incoming.data))
 	if response.Received < request.Size {
 		return nil
 	}
-	snapshot, err := in.unpack()
+	snapshot, err := incoming.unpack()
 	if err != nil {
 		return err
 	}
@@ -230,7 +231,8 @@
 	return nil
 }
 
-// finishTransfer answers that the log is synced up to a snapshot's index.
+// finishTransfer discards the received part, and sets the response's match index to the
+// snapshot's.
 func (r *Replica) finishTransfer(index ids.Index, response *rpc.SnapshotChunkResponse) {
 	r.transfer.incoming = nil
 	r.follower.matchIndex = max(r.follower.matchIndex, index)
--- a/internal/consensus/supervise.go
+++ b/internal/consensus/supervise.go
@@ -41,7 +41,7 @@
 	}
 	for _, r := range n.replicas {
 		if r.IsServing() {
-			n.runOnce(r.shard, r.superviseVoters)
+			n.runUnlessBusy(r.shard, r.superviseVoters)
 		}
 	}
 }
--- a/internal/consensus/vote.go
+++ b/internal/consensus/vote.go
@@ -22,7 +22,7 @@
 	if term.Number <= r.currentTerm.Number || term.Number-r.currentTerm.Number <= maxTermJump {
 		return nil
 	}
-	err := rejected(r.shard, "term %s is out of all order after %s", term, r.currentTerm)
+	err := invalidMessageError(r.shard, "term %s is out of all order after %s", term, r.currentTerm)
 	r.logEvent(eventlog.MessageRejected, "code", errcode.InvalidMessage.Number, "from", string(from.Name), "cause", err.Error())
 	return err
 }
@@ -55,7 +55,7 @@
 	if r.isFarAheadOf(request) {
 		// The candidate has voted for its own term, so only a higher one passes there.
 		r.election.highestTermNumber = max(r.election.highestTermNumber, request.Term.Number)
-		r.node.runOnce(r.shard, func() { r.campaign(false) })
+		r.node.runUnlessBusy(r.shard, func() { r.campaign(false) })
 		return response, nil, nil
 	}
 	if !r.currentTerm.Less(request.Term) || !request.LeadershipTransfer && r.knowsWorkingLeader() {
@@ -81,7 +81,7 @@
 		response.Snapshot = &snapshot
 	}
 	if from := r.commonIndex(request); from < response.LastIndex {
-		response.Entries = r.log.after(from)
+		response.Entries = r.log.entriesAfter(from)
 	}
 }
 
@@ -103,7 +103,7 @@
 func (r *Replica) isRemovedCandidate(request *rpc.VoteRequest) bool {
 	last, lastTerm := r.log.last()
 	isAhead := isLessAdvanced(last, lastTerm, request.LastIndex, request.LastTerm)
-	return !isAhead && r.hasStableVoters() && !r.voters.Contains(request.From)
+	return !isAhead && r.hasCommittedVoters() && !r.voters.Contains(request.From)
 }
 
 // isFarAheadOf tells whether a candidate lacks more of this log than can come with a vote:
@@ -116,7 +116,7 @@
 	if !isLessAdvanced(request.LastIndex, request.LastTerm, last, lastTerm) {
 		return false
 	}
-	return request.LastIndex < r.log.snapshot.Index || bodyBytes(r.log.after(r.commonIndex(request))) > maxVoteBytes
+	return request.LastIndex < r.log.snapshot.Index || bodyBytes(r.log.entriesAfter(r.commonIndex(request))) > maxVoteBytes
 }
 
 // commonIndex is up to where a candidate surely has the entries of this log: all of its own
