--- a/internal/consensus/log_test.go
+++ b/internal/consensus/log_test.go
@@ -137,7 +137,7 @@
 	}
 }
 
-func TestReplicaLog_From(t *testing.T) {
+func TestReplicaLog_EntriesFrom(t *testing.T) {
 	l := logOf(2, 2, 3, 3, 4)
 	l.compact(&storage.Batch{}, 8, json.RawMessage(`{}`), 2, 100) // 7 and 8 are retained, 9 is in the log
 	for _, test := range []struct {
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -219,7 +219,7 @@
 }
 
 // diskStallTimeout is how long a write may take before this node steps down in all shards
-// and rejects votes, entries and snapshots, which it could not sync.
+// and rejects vote requests, entries and snapshots, as it could not sync them.
 const diskStallTimeout = time.Second
 
 func (n *Node) isDiskStalled() bool { return n.store.StallTime() > diskStallTimeout }
--- a/internal/consensus/read.go
+++ b/internal/consensus/read.go
@@ -63,13 +63,13 @@
 // confirmedAt returns the latest time as of which a quorum has confirmed the leader's term.
 func (r *Replica) confirmedAt() time.Time {
 	now := r.node.env.Now()
-	age := r.voters.QuorumValue(func(peer rpc.Peer) int64 {
+	offset := r.voters.QuorumValue(func(peer rpc.Peer) int64 {
 		if peer == r.node.self {
 			return 0
 		}
 		return -int64(now.Sub(r.leadership.progressOf(peer).lastAck))
 	})
-	return now.Add(time.Duration(age))
+	return now.Add(time.Duration(offset))
 }
 
 // nearestQuorum returns the live voters that form a quorum with this node, those in its zone
--- a/internal/consensus/replica_test.go
+++ b/internal/consensus/replica_test.go
@@ -257,7 +257,7 @@
 	})
 }
 
-func TestReplica_RemovedMemberDoesNotCampaign(t *testing.T) {
+func TestReplica_RejectsRemovedCandidates(t *testing.T) {
 	runReplicaTest(t, func(t *testing.T, r *Replica, machine *recordingMachine) {
 		request := appendRequest(3, 0, rpc.Entry{Kind: entryEmpty}, membershipChange("ABD", "ABC"), membershipChange("ABD", ""))
 		if _, err := r.handleAppend(request); err != nil {
