--- a/internal/consensus/heartbeat.go
+++ b/internal/consensus/heartbeat.go
@@ -44,7 +44,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for peer, h := range n.heartbeaters {
-		if _, ok := n.memberOf(peer); !ok {
+		if _, ok := n.memberState(peer); !ok {
 			h.cancel()
 			delete(n.heartbeaters, peer)
 			delete(n.receivedClaims, peer)
@@ -172,7 +172,7 @@
 func (r *Replica) recordAck(peer rpc.Peer, sentAt time.Time, term, higherTerm ids.Term, isRejected bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.leads(term) {
+	if !r.isLeaderOfTerm(term) {
 		return
 	}
 	if isRejected {
--- a/internal/consensus/leadership.go
+++ b/internal/consensus/leadership.go
@@ -63,7 +63,7 @@
 	}
 	last, _ := r.log.last()
 	l.firstIndex = last + 1
-	r.appendOwn(batch, rpc.Entry{Kind: entryEmpty})
+	r.appendAsLeader(batch, rpc.Entry{Kind: entryEmpty})
 	r.replicateToAll()
 	r.node.triggerAllHeartbeats()
 }
--- a/internal/consensus/prevote.go
+++ b/internal/consensus/prevote.go
@@ -68,7 +68,7 @@
 		responses := n.requestPrevotes(due)
 		for _, r := range due {
 			if r.isStartupPrevoteDue() && r.canCampaignAtStartup(responses) {
-				n.runOnce(r.shard, func() { r.campaign(false) })
+				n.runUnlessBusy(r.shard, func() { r.campaign(false) })
 			}
 		}
 	}
@@ -86,7 +86,7 @@
 		responses := n.requestPrevotes(due)
 		for _, r := range due {
 			if r.isElectionDue() && r.hasPrevoteQuorum(responses) {
-				n.runOnce(r.shard, func() { r.campaign(false) })
+				n.runUnlessBusy(r.shard, func() { r.campaign(false) })
 			}
 		}
 	})
--- a/internal/consensus/replacement.go
+++ b/internal/consensus/replacement.go
@@ -12,7 +12,7 @@
 // the leader for consensus.replacement_delay. A leader that has just started serving first
 // waits for heartbeatTimeout, so that each voter has had time to respond.
 func (r *Replica) lostVoters(voters []rpc.Peer) (lost []rpc.Peer) {
-	view, servingFor := r.node.members.View(), r.node.env.Since(r.servingStart())
+	view, servingFor := r.node.members.View(), r.node.env.Since(r.servingSince())
 	for _, peer := range voters {
 		m, isKnown := view[peer.Name]
 		hasNewID := isKnown && m.ID != peer.ID
@@ -30,7 +30,7 @@
 func (r *Replica) isUnresponsive(peer rpc.Peer, isKnown bool) bool {
 	unresponsiveFor := r.node.unresponsiveFor(peer)
 	if !isKnown {
-		unresponsiveFor = r.node.env.Since(r.servingStart())
+		unresponsiveFor = r.node.env.Since(r.servingSince())
 	}
 	return unresponsiveFor > r.node.env.Config.ConsensusReplacementDelay
 }
--- a/internal/consensus/vote.go
+++ b/internal/consensus/vote.go
@@ -22,7 +22,7 @@
 	if term.Number <= r.currentTerm.Number || term.Number-r.currentTerm.Number <= maxTermJump {
 		return nil
 	}
-	err := rejected(r.shard, "term %s is implausibly far above the current term %s", term, r.currentTerm)
+	err := invalidMessageError(r.shard, "term %s is implausibly far above the current term %s", term, r.currentTerm)
 	r.logEvent(eventlog.MessageRejected, "code", errcode.InvalidMessage.Number, "from", string(from.Name), "cause", err.Error())
 	return err
 }
@@ -55,7 +55,7 @@
 	if r.isTooFarAheadOf(request) {
 		// The candidate has voted in its own term and grants votes only in higher ones.
 		r.election.highestTermNumber = max(r.election.highestTermNumber, request.Term.Number)
-		r.node.runOnce(r.shard, func() { r.campaign(false) })
+		r.node.runUnlessBusy(r.shard, func() { r.campaign(false) })
 		return response, nil, nil
 	}
 	if !r.currentTerm.Less(request.Term) || !request.LeadershipTransfer && r.knowsActiveLeader() {
@@ -81,7 +81,7 @@
 		response.Snapshot = &snapshot
 	}
 	if from := r.commonIndex(request); from < response.LastIndex {
-		response.Entries = r.log.after(from)
+		response.Entries = r.log.entriesAfter(from)
 	}
 }
 
@@ -104,7 +104,7 @@
 func (r *Replica) isRemovedCandidate(request *rpc.VoteRequest) bool {
 	last, lastTerm := r.log.last()
 	isAhead := isLessAdvanced(last, lastTerm, request.LastIndex, request.LastTerm)
-	return !isAhead && r.hasStableVoters() && !r.voters.Contains(request.From)
+	return !isAhead && r.hasCommittedVoters() && !r.voters.Contains(request.From)
 }
 
 // isTooFarAheadOf reports whether a candidate lacks more of this log than can be attached to
@@ -118,7 +118,7 @@
 	if !isLessAdvanced(request.LastIndex, request.LastTerm, last, lastTerm) {
 		return false
 	}
-	return request.LastIndex < r.log.snapshot.Index || bodyBytes(r.log.after(r.commonIndex(request))) > maxVoteBytes
+	return request.LastIndex < r.log.snapshot.Index || bodyBytes(r.log.entriesAfter(r.commonIndex(request))) > maxVoteBytes
 }
 
 // commonIndex returns the last index up to which the candidate's log is known to equal this
