--- a/internal/proxy/endpoint/endpoint.go
+++ b/internal/proxy/endpoint/endpoint.go
@@ -1,16 +1,16 @@
-// Package endpoint chooses the target for a request.
+// Package endpoint selects the target of a request.
 //
-// Of each endpoint the proxy keeps what it saw itself: how long responses take, what is in
-// flight, the load that the target reported, and whether it failed. The endpoint whose
-// response is expected first is selected; one in another zone must be better by a part of
-// the request's latency target, more so for a large body. An endpoint that can't be reached
-// or stays silent is ejected for a while on this evidence alone, whatever the epoch says.
+// For each endpoint the proxy records what it observes itself: response latency, requests in
+// flight, the load that the target reported, and failures. It selects the endpoint with the
+// lowest expected latency. An endpoint in another zone must be faster by a percentage of the
+// request's latency target, and by more for a large body. An unreachable or unresponsive
+// endpoint is temporarily unusable on these observations alone, even if the epoch lists it.
 //
-// Beside that each endpoint has a failure score, to which the proxies of a zone contribute
-// together (package outlier). Being an outlier is relative: where all endpoints of a service
-// fail alike, or a large part of them, none is ejected, for nothing is gained by crowding
-// the rest. An outlier is ejected at first, and merely expensive later, so that it comes
-// back slowly and is ejected again by the first few failures.
+// Each endpoint also has a failure score, which the proxies of a zone build up together
+// (package outlier). It is compared with the average of the endpoint's peers: if all or many
+// endpoints of a service fail, none is ejected, because that would only overload the others.
+// An outlier is ejected first. As its score decays it becomes usable again at a raised cost,
+// so its traffic returns gradually and a few new failures eject it again.
 package endpoint
 
 import (
@@ -23,57 +23,57 @@
 )
 
 const (
-	// defaultSlots is how many requests a target serves at once, if it doesn't say.
+	// defaultSlots is the number of concurrent requests of a target that declares no slots.
 	defaultSlots = 8
 
-	// An endpoint with requests in flight from which nothing came for minUnresponsive, and for
-	// unresponsiveFactor times its latency, is not usable.
+	// An endpoint with requests in flight is unusable once it has sent no response for
+	// minUnresponsive and for unresponsiveFactor times its latency.
 	minUnresponsive    = 400 * time.Millisecond
 	unresponsiveFactor = 6
 
-	// An endpoint that can't be reached, or failed more than toleratedFailures times in a
-	// row, is ejected, each time for twice as long.
+	// An endpoint that is unreachable, or failed more than toleratedFailures times in a row,
+	// is ejected. The ejection time doubles with each further failure.
 	toleratedFailures = 2
 	firstEjection     = 500 * time.Millisecond
 	maxEjection       = 4 * time.Second
 	maxEjectionShift  = 4
 
-	// An endpoint that refused a request is left alone for half the typical latency, each
-	// time for twice as long.
+	// An endpoint that refused a request is unusable for half the typical latency. The
+	// back-off doubles with each further refusal.
 	minRefusalBackoff = 10 * time.Millisecond
 	maxRefusalBackoff = time.Second
 	maxRefusalShift   = 6
 
-	// latencyWeight is the divisor by which one response counts in an endpoint's latency.
-	latencyWeight = 8
+	// latencyDivisor is the inverse weight of one response in an endpoint's moving average.
+	latencyDivisor = 8
 
-	// latencyLifetime is after how long without a response an endpoint's own latency counts
-	// only half, if it is above the typical one.
+	// latencyLifetime is the time without a response after which a latency above the
+	// typical one is averaged with it.
 	latencyLifetime = 3 * time.Second
 
-	// loadReportLifetime is how long a reported load counts.
+	// loadReportLifetime is how long a load report is used.
 	loadReportLifetime = 250 * time.Millisecond
 
-	// slowStartFactor is by how much an endpoint is more expensive while it starts slowly.
+	// slowStartFactor multiplies the expected latency of an endpoint in slow start.
 	slowStartFactor = 2
 )
 
-// Endpoint is one target of a service as this proxy knows it. It is safe for concurrent use,
-// and outlives the epoch that it came with as long as later ones name it too.
+// Endpoint is one target of a service with this proxy's observations of it. It is safe for
+// concurrent use, and is kept across epochs as long as each of them lists the target.
 type Endpoint struct {
-	Key      string // names it within this proxy
-	ReportID string // names it among proxies
+	Key      string // identifies the endpoint within this proxy
+	ReportID string // identifies the endpoint in reports between proxies
 	Target   rpc.Target
-	SameZone bool // as this proxy
+	SameZone bool // whether the target is in this proxy's zone
 
-	mu                  sync.Mutex    // guards all that follows
-	inFlight            int           // requests from here
-	overdue             int           // those of them whose responses are overdue
-	latency             time.Duration // moving average over responses; zero before the first
+	mu                  sync.Mutex    // guards the fields below
+	inFlight            int           // requests from this proxy
+	overdue             int           // requests in flight whose responses are overdue
+	latency             time.Duration // moving average; zero before the first response
 	lastResponse        time.Time
-	unresponsiveSince   time.Time // since when requests are in flight without any response
+	unresponsiveSince   time.Time // last response, or first request in flight if later
 	ejectedUntil        time.Time
-	barred              bool // another instance has its address
+	barred              bool // another instance has the address
 	consecutiveFailures int
 	refusingUntil       time.Time
 	consecutiveRefusals int
@@ -85,23 +85,23 @@
 
 // loadReport is the load that a target reported with a response.
 type loadReport struct {
-	requests int // running and waiting there
-	inFlight int // of them from here
-	at       time.Time
+	requests   int // running and waiting at the target
+	inFlight   int // in flight from this proxy when the report arrived
+	reportedAt time.Time
 }
 
-// Key names an endpoint within this proxy.
+// Key returns the identifier of an endpoint within this proxy.
 func Key(service, instance, address string) string {
 	return service + "\n" + instance + "\n" + address
 }
 
-// reportID names an endpoint among proxies.
+// reportID returns the identifier of an endpoint in reports between proxies.
 func reportID(key string) string { return strconv.FormatUint(ids.Hash(key), 36) }
 
-// expectedLatency is how long a response should take, and whether the endpoint is usable.
-// Zero and false is an endpoint that may not be used at all. typical is the latency of the
-// service, proxies how many share the endpoint, totalScore the sum of the failure scores of
-// the endpoint and its peers.
+// expectedLatency returns the expected latency of a response and whether the endpoint is
+// usable. It returns zero and false for a barred endpoint, which may not be used even as a
+// fallback. typical is the latency of the service, proxies the number of proxies that share
+// the endpoint, and totalScore the sum of the failure scores of the endpoint and its peers.
 func (e *Endpoint) expectedLatency(now time.Time, typical time.Duration, proxies int, totalScore float64, peers int) (expectation time.Duration, usable bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -121,7 +121,7 @@
 	}
 	capacity := max(1, float64(slots)/float64(proxies)) * float64(e.Target.Weight) / 100
 	expected := float64(latency) * (1 + float64(e.inFlight)/capacity)
-	if e.load.at != (time.Time{}) && now.Sub(e.load.at) < loadReportLifetime {
+	if e.load.reportedAt != (time.Time{}) && now.Sub(e.load.reportedAt) < loadReportLifetime {
 		reported := float64(e.load.requests + e.inFlight - e.load.inFlight)
 		if waiting := reported + 1 - float64(slots); waiting > 0 {
 			expected = max(expected, float64(latency)*(1+waiting/float64(slots)))
@@ -139,13 +139,13 @@
 	return time.Duration(expected), usable
 }
 
-// Usable reports whether the endpoint is neither ejected nor refusing nor silent.
+// Usable reports whether the endpoint is neither barred, ejected, refusing nor unresponsive.
 func (e *Endpoint) Usable(now time.Time) bool {
 	_, ok := e.expectedLatency(now, time.Second, 1, 0, 1)
 	return ok
 }
 
-// BeginAttempt records that a request is sent to the endpoint.
+// BeginAttempt records that a request to the endpoint is in flight.
 func (e *Endpoint) BeginAttempt(now time.Time) {
 	e.mu.Lock()
 	if e.inFlight == 0 {
@@ -155,7 +155,7 @@
 	e.mu.Unlock()
 }
 
-// EndAttempt records that a request is not in flight any more, however it ended.
+// EndAttempt records that a request is no longer in flight, whatever its outcome.
 func (e *Endpoint) EndAttempt() {
 	e.mu.Lock()
 	e.inFlight--
@@ -169,9 +169,9 @@
 	e.mu.Unlock()
 }
 
-// RecordResponse records a response. Only one of a request that ran says anything of the
-// latency (ran): a refusal or a failure may come sooner than any other response. A healthy
-// one ends an ejection. load is the load report that came with it, empty if none did.
+// RecordResponse records a response. Only the response of a request that ran updates the
+// latency, because a refusal or a failure may arrive much faster. A healthy response ends an
+// ejection. load is the load report of the response, empty if it has none.
 func (e *Endpoint) RecordResponse(now time.Time, took time.Duration, ran, healthy bool, load string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -184,10 +184,10 @@
 		if e.latency == 0 {
 			e.latency = took
 		}
-		e.latency += (took - e.latency) / latencyWeight
+		e.latency += (took - e.latency) / latencyDivisor
 	}
 	if running, waiting, ok := parseLoad(load); ok {
-		e.load = loadReport{requests: running + waiting, inFlight: e.inFlight, at: now}
+		e.load = loadReport{requests: running + waiting, inFlight: e.inFlight, reportedAt: now}
 	}
 }
 
@@ -199,8 +199,8 @@
 	e.mu.Unlock()
 }
 
-// RecordFailure records a failed attempt. An endpoint that can't be reached is ejected at
-// once, others after a few failures in a row.
+// RecordFailure records a failed attempt. It ejects an unreachable endpoint immediately, and
+// any other endpoint after more than toleratedFailures failures in a row.
 func (e *Endpoint) RecordFailure(now time.Time, unreachable bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -210,24 +210,24 @@
 	}
 }
 
-// Bar ejects the endpoint for good: its address belongs to another instance.
+// Bar excludes the endpoint permanently, because another instance has its address.
 func (e *Endpoint) Bar() {
 	e.mu.Lock()
 	e.barred = true
 	e.mu.Unlock()
 }
 
-// Status is whether requests may be sent to an endpoint.
+// Status is the availability of an endpoint.
 type Status int
 
 // The statuses.
 const (
 	Available Status = iota
-	Ejected
-	Barred
+	Ejected          // temporarily, after failures
+	Barred           // permanently, see Endpoint.Bar
 )
 
-// Status is whether requests may be sent to the endpoint, its failure score aside.
+// Status returns the endpoint's availability, without regard to its failure score.
 func (e *Endpoint) Status(now time.Time) Status {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/proxy/endpoint/load.go
+++ b/internal/proxy/endpoint/load.go
@@ -6,7 +6,7 @@
 )
 
 // parseLoad parses a load report: the numbers of running requests, waiting requests and
-// slots, separated by commas. The slots are known from the epoch and not looked at.
+// slots, separated by commas. The slots are ignored, because the epoch contains them.
 func parseLoad(header string) (running, waiting int, ok bool) {
 	if header == "" {
 		return 0, 0, false
--- a/internal/proxy/endpoint/pool.go
+++ b/internal/proxy/endpoint/pool.go
@@ -9,54 +9,55 @@
 )
 
 const (
-	// Divisors by which one response counts in the service's latency, and that latency in
-	// the baseline where it is above it.
-	typicalWeight  = 32
-	baselineWeight = 512
+	// Inverse weights of moving averages: of one response in the service's latency, and of
+	// that latency in a baseline below it.
+	poolLatencyDivisor = 32
+	baselineDivisor    = 512
 
-	// baselinePercent is how much of the baseline the latency may reach in calm times.
+	// baselinePercent is the latency, as a percentage of the baseline, up to which it counts
+	// as near the baseline.
 	baselinePercent = 140
 
-	// maxHedgeAllowance is how many requests of a service may be hedged at once.
+	// maxHedgeAllowance bounds the unused allowance for hedged requests of a service.
 	maxHedgeAllowance = 3
 )
 
 // Config describes the pool of one service in one epoch.
 type Config struct {
 	Service      string
-	Zone         string                  // of this proxy
-	Targets      []rpc.Target            // as the epoch names them
-	HedgePercent int                     // of the idempotent requests, that may be hedged
-	Durations    *metrics.ServiceLatency // where the durations of requests are counted
-	// Previous is the pool of the epoch before, whose knowledge is taken over; nil if none.
+	Zone         string                  // this proxy's zone
+	Targets      []rpc.Target            // the service's targets in the epoch
+	HedgePercent int                     // allowance for hedged requests, in percent of responses
+	Durations    *metrics.ServiceLatency // records the durations of requests
+	// Previous is the pool of the previous epoch, whose observations are kept; nil if none.
 	Previous *Pool
 }
 
-// Pool is the endpoints of one service in one epoch, with what is known of the service as a
-// whole. It is safe for concurrent use.
+// Pool holds the endpoints of one service in one epoch, and the observations of the service
+// as a whole. It is safe for concurrent use.
 type Pool struct {
 	Endpoints []*Endpoint             // not changed after NewPool
 	Durations *metrics.ServiceLatency // not changed after NewPool
 
-	hedgeRatio float64 // allowance that each response adds
+	hedgeRatio float64 // added to hedgeAllowance by each response
 
-	mu             sync.Mutex    // guards all that follows; an endpoint's is taken inside it
-	latency        time.Duration // moving average over responses of all endpoints
-	baseline       time.Duration // the latency of calm times
+	mu             sync.Mutex    // guards the fields below; locked before an endpoint's mu
+	latency        time.Duration // moving average over all endpoints
+	baseline       time.Duration // follows a falling latency at once, a rising one slowly
 	totalScore     float64       // see totalFailureScore
 	totalScoreAt   time.Time
-	hedgeAllowance float64 // requests that may be hedged now
+	hedgeAllowance float64 // hedged requests that may be sent now
 }
 
-// NewPool returns the pool for an epoch. Targets of weight zero get no requests. One that is
-// new in an epoch other than the first starts slowly, if it says so.
+// NewPool returns the pool for an epoch, without targets of weight zero. A target that is new
+// in an epoch other than the first goes through slow start if it declares one.
 func NewPool(config Config, now time.Time) *Pool {
 	p := &Pool{Durations: config.Durations, hedgeRatio: float64(config.HedgePercent) / 100}
-	known := map[string]*Endpoint{}
+	previousEndpoints := map[string]*Endpoint{}
 	if previous := config.Previous; previous != nil {
 		p.latency, p.baseline, p.hedgeAllowance = previous.inherited()
 		for _, endpoint := range previous.Endpoints {
-			known[endpoint.Key] = endpoint
+			previousEndpoints[endpoint.Key] = endpoint
 		}
 	}
 	for _, target := range config.Targets {
@@ -64,7 +65,7 @@
 			continue
 		}
 		key := Key(config.Service, target.Instance, target.Address)
-		endpoint := known[key]
+		endpoint := previousEndpoints[key]
 		if endpoint == nil {
 			endpoint = &Endpoint{Key: key, ReportID: reportID(key), Target: target, SameZone: target.Zone == config.Zone}
 			if target.SlowStartMillis > 0 && config.Previous != nil {
@@ -76,47 +77,49 @@
 	return p
 }
 
-// inherited is what the pool of the next epoch takes over.
+// inherited returns the observations that the pool of the next epoch keeps.
 func (p *Pool) inherited() (latency, baseline time.Duration, hedgeAllowance float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.latency, p.baseline, p.hedgeAllowance
 }
 
-// TypicalLatency is how long responses of the service take; zero before the first.
+// TypicalLatency returns the moving average of the service's latency; zero before the first
+// response.
 func (p *Pool) TypicalLatency() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.latency
 }
 
-// NearBaseline reports whether responses take about as long as in calm times. If not, that
-// one of them is overdue says little about its endpoint.
+// NearBaseline reports whether the service's latency is close to its baseline. If it is not,
+// an overdue response says little about the endpoint.
 func (p *Pool) NearBaseline() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.latency <= p.baseline*baselinePercent/100
 }
 
-// RecordLatency records how long the response of a request took that ran.
+// RecordLatency records the latency of a request that ran.
 func (p *Pool) RecordLatency(took time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.latency == 0 {
 		p.latency = took
 	}
-	p.latency += (took - p.latency) / typicalWeight
+	p.latency += (took - p.latency) / poolLatencyDivisor
 	switch {
 	case p.baseline == 0 || p.latency < p.baseline:
 		p.baseline = p.latency
 	default:
-		p.baseline += (p.latency - p.baseline) / baselineWeight
+		p.baseline += (p.latency - p.baseline) / baselineDivisor
 	}
 	p.hedgeAllowance = min(p.hedgeAllowance+p.hedgeRatio, maxHedgeAllowance)
 }
 
-// TakeHedge takes one hedged request out of the allowance, which is a part of the requests:
-// where all endpoints are slow, hedging would make them slower.
+// TakeHedge takes one hedged request from the allowance, and reports whether it could. The
+// allowance is a percentage of the responses, because hedging slows the endpoints further
+// when all of them are slow.
 func (p *Pool) TakeHedge() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/proxy/endpoint/score.go
+++ b/internal/proxy/endpoint/score.go
@@ -5,21 +5,21 @@
 )
 
 const (
-	// scoreHalfLife is the time in which a failure score falls to a half.
+	// scoreHalfLife is the time in which a failure score decays to half.
 	scoreHalfLife = 5 * time.Second
 	maxScore      = 8
 
-	// A score of toleratedScore counts for nothing, nor does toleratedFactor times the
-	// average score of the endpoint's peers.
+	// A score is tolerated up to toleratedScore plus toleratedFactor times the average score
+	// of the endpoint's peers.
 	toleratedScore  = 1.5
 	toleratedFactor = 2
 
-	// totalScoreLifetime is how long the sum of all scores is used before it is taken anew.
+	// totalScoreLifetime is how long the sum of all scores is cached.
 	totalScoreLifetime = 50 * time.Millisecond
 )
 
-// failureScore is the number of failures, faded by age: by half in each scoreHalfLife, and
-// linearly between. e.mu is held.
+// failureScore returns the number of failures, decayed by age: by half in each scoreHalfLife,
+// linearly within one. The caller holds e.mu.
 func (e *Endpoint) failureScore(now time.Time) float64 {
 	if e.failures == 0 {
 		return 0
@@ -36,7 +36,7 @@
 	return score * (1 - float64(age)/float64(2*scoreHalfLife))
 }
 
-// AddToFailureScore adds failures to the score, seen here or reported by another proxy.
+// AddToFailureScore adds failures that this proxy observed or another proxy reported.
 func (e *Endpoint) AddToFailureScore(now time.Time, count float64) {
 	e.mu.Lock()
 	e.failures = min(e.failureScore(now)+count, maxScore)
@@ -44,8 +44,9 @@
 	e.mu.Unlock()
 }
 
-// excessScore is by how much the score exceeds what is tolerated, where the scores of the
-// endpoint and its peers have that sum. One or more makes an outlier. e.mu is held.
+// excessScore returns the part of the score above the tolerated one; totalScore is the sum of
+// the scores of the endpoint and its peers. From one on the endpoint is an outlier. The caller
+// holds e.mu.
 func (e *Endpoint) excessScore(now time.Time, totalScore float64, peers int) float64 {
 	score := e.failureScore(now)
 	if score <= toleratedScore {
@@ -54,8 +55,8 @@
 	return max(0, score-toleratedScore-toleratedFactor*max(0, totalScore-score)/float64(max(peers, 1)))
 }
 
-// totalFailureScore is the sum of the scores of all endpoints, as of totalScoreLifetime ago
-// at most.
+// totalFailureScore returns the sum of the scores of all endpoints, which is at most
+// totalScoreLifetime old.
 func (p *Pool) totalFailureScore(now time.Time) float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/proxy/endpoint/selection.go
+++ b/internal/proxy/endpoint/selection.go
@@ -5,18 +5,17 @@
 	"time"
 )
 
-// crossZoneBodyUnit is the size of a body, in bytes, that makes another zone twice as
-// expensive.
+// crossZoneBodyUnit is the body size, in bytes, that doubles the cost of another zone.
 const crossZoneBodyUnit = 4096
 
-// Selection is what Select needs to know of a request.
+// Selection holds the properties of a request that Select uses.
 type Selection struct {
-	Tried         []*Endpoint   // not to be selected again
-	LatencyTarget time.Duration // of the request
+	Tried         []*Endpoint   // excluded from the selection
+	LatencyTarget time.Duration // latency target of the request
 	BodySize      int64         // in bytes
-	Proxies       int           // that share the endpoints of this zone
-	// CrossZonePercent is by how many hundredths of the latency target an endpoint in
-	// another zone must be better.
+	Proxies       int           // number of proxies that share the endpoints of this zone
+	// CrossZonePercent is the latency advantage, in percent of the latency target, that an
+	// endpoint in another zone must have.
 	CrossZonePercent int
 }
 
@@ -29,10 +28,10 @@
 	return false
 }
 
-// Select returns the usable endpoint whose response is expected first, among those not tried
-// yet. If none is usable, it returns the least bad one; nil if there is none at all.
-// Expectations are blurred a little, so that proxies that know the same don't all choose
-// the same.
+// Select returns the usable endpoint with the lowest expected latency among those not tried
+// yet. If none is usable, it returns the unusable one with the lowest; nil if there is none
+// or all are barred. Costs are randomized by up to 5 %, so that proxies with the same
+// observations don't all select the same endpoint.
 func (p *Pool) Select(selection Selection) *Endpoint {
 	now := time.Now()
 	typical := p.TypicalLatency()
--- a/internal/proxy/retry/budget.go
+++ b/internal/proxy/retry/budget.go
@@ -1,14 +1,14 @@
-// Package retry bounds how many extra requests a proxy may send to targets: retries, hedged
-// requests, and repeats of a request by its own client.
+// Package retry limits the extra requests that proxies send to targets: retries, hedged
+// requests, and repeats of a request by its client.
 //
-// The bound holds per service and for all proxies together: in any window (ten seconds by
-// default) at most Limits.Percent of the first requests plus Limits.Base. Each proxy keeps
-// it with a token bucket of its own. A first request deposits a fraction of a token, time
-// refills the bucket at a steady rate up to half of this proxy's share of the base, and each
-// extra request takes one token; no window can therefore hold more than the bound. Counting
-// back over a sliding window would not do: first requests may have left the window while the
-// extra requests that they paid for are still in it. A new proxy starts with an empty
-// bucket, so that proxies which come and go can't raise the bound.
+// The limit applies per service to all proxies together: in any window (ten seconds by
+// default) at most Limits.Percent of the first requests plus Limits.Base. Each proxy enforces
+// it with a token bucket. A first request adds a fraction of a token, time refills the bucket
+// at a steady rate up to half of this proxy's share of the base, and each extra request takes
+// one token, so no window can exceed the limit. Counting requests in a sliding window would
+// not ensure this: first requests may have left the window while the extra requests that they
+// allowed are still in it. A new proxy starts with an empty bucket, so that proxies that join
+// and leave can't raise the limit.
 package retry
 
 import (
@@ -17,38 +17,39 @@
 )
 
 const (
-	// minTokens is how far a bucket may be overdrawn.
+	// minTokens is the lowest balance of a bucket; its absolute value also bounds the debt.
 	minTokens = -200
 
-	// keyLifetime is how many windows an idempotency key is remembered for.
+	// keyLifetime is how long an idempotency key is remembered, in windows.
 	keyLifetime = 3
 )
 
-// Limits bound the extra requests of one service.
+// Limits configures how many extra requests of one service are allowed.
 type Limits struct {
 	Percent int // extra requests per hundred first requests
-	Base    int // further ones in a window, for all proxies together
+	Base    int // additional extra requests per window, for all proxies together
 }
 
-// tokenBucket is the account of one service.
+// tokenBucket is the token bucket of one service.
 type tokenBucket struct {
-	tokens float64 // extra requests that may be sent at once
-	// unreported counts lost requests of which the other proxies have not been told; debt
-	// counts those of which some were told in vain. Retries of either may reach a proxy that
-	// takes them for first requests.
+	tokens float64 // extra requests that may be sent now; negative if overdrawn
+	// unreported counts lost requests whose report to the other proxies is pending; debt
+	// counts those whose report did not reach all of them. A repeat of either may reach a
+	// proxy that takes it for a first request.
 	unreported float64
 	debt       float64
 	refilledAt time.Time
 }
 
-// keyRecord is an idempotency key under which a request was forwarded, here or elsewhere.
+// keyRecord describes an idempotency key with which this proxy or another one forwarded a
+// request.
 type keyRecord struct {
 	seenAt   time.Time
-	service  string // set while the request counts as a first one here
-	reported bool   // the other proxies were told that it was lost
+	service  string // service of the first request at this proxy; empty if none is counted
+	reported bool   // this proxy reported the request as lost
 }
 
-// proxyCount is a number of proxies and until when it held; zero means that it still holds.
+// proxyCount is a number of proxies, valid until the given time; zero if it is still valid.
 type proxyCount struct {
 	count int
 	until time.Time
@@ -58,20 +59,20 @@
 type Budget struct {
 	window time.Duration
 
-	mu          sync.Mutex // guards all that follows
+	mu          sync.Mutex // guards the fields below
 	services    map[string]*tokenBucket
 	keys        map[uint64]keyRecord
-	expiredAt   time.Time // when keys were last expired
+	expiredAt   time.Time // time of the last sweep of keys
 	proxyCounts []proxyCount
 }
 
-// NewBudget returns an empty budget that bounds any window of the given length.
+// NewBudget returns an empty budget for windows of the given length.
 func NewBudget(window time.Duration) *Budget {
 	return &Budget{window: window, services: map[string]*tokenBucket{}, keys: map[uint64]keyRecord{}}
 }
 
-// SetProxyCount sets how many proxies share the base. A smaller number takes effect after
-// one window, for a proxy that has gone may have used its share.
+// SetProxyCount sets the number of proxies that share the base. A smaller number takes effect
+// after one window, because a proxy that left may have used its share.
 func (b *Budget) SetProxyCount(count int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -88,7 +89,8 @@
 	b.proxyCounts = append(recent, proxyCount{count: count})
 }
 
-// maxProxyCount is the largest number of proxies within the last window. b.mu is held.
+// maxProxyCount returns the largest number of proxies within the last window, at least one.
+// The caller holds b.mu.
 func (b *Budget) maxProxyCount() int {
 	largest := 1
 	for _, past := range b.proxyCounts {
@@ -99,13 +101,14 @@
 	return largest
 }
 
-// capacity is this proxy's share of the base that its bucket may hold. b.mu is held.
+// capacity returns the number of tokens up to which time refills the bucket: half of this
+// proxy's share of the base. The caller holds b.mu.
 func (b *Budget) capacity(limits Limits) float64 {
 	return float64(limits.Base) / 2 / float64(b.maxProxyCount())
 }
 
-// refill returns the service's bucket, refilled up to now and with its debt paid from what
-// it holds. b.mu is held.
+// refill returns the service's bucket after refilling it and paying its debt from the tokens.
+// The caller holds b.mu.
 func (b *Budget) refill(service string, limits Limits) *tokenBucket {
 	now := time.Now()
 	bucket := b.services[service]
@@ -124,7 +127,7 @@
 	return bucket
 }
 
-// Withdraw takes one token for an extra request; it returns false if there is none.
+// Withdraw takes one token for an extra request, and reports whether there was one.
 func (b *Budget) Withdraw(service string, limits Limits) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -136,8 +139,8 @@
 	return true
 }
 
-// RecordRequest records that a request is forwarded. A first request (retry is false)
-// makes its deposit. The key is the hash of the request's idempotency key, zero if it has
+// RecordRequest records that a request is forwarded. A first request (retry is false) adds
+// a fraction of a token. The key is the hash of the request's idempotency key, zero if it has
 // none.
 func (b *Budget) RecordRequest(service string, limits Limits, key uint64, retry bool) {
 	b.mu.Lock()
@@ -158,8 +161,8 @@
 	b.expireKeys()
 }
 
-// expireKeys drops keys that were not seen for a while, at most once in a window. b.mu is
-// held.
+// expireKeys deletes keys that were not seen for keyLifetime windows. It sweeps at most once
+// per window. The caller holds b.mu.
 func (b *Budget) expireKeys() {
 	now := time.Now()
 	if now.Sub(b.expiredAt) < b.window {
@@ -173,9 +176,9 @@
 	}
 }
 
-// RecordLoss records a request with a key that was forwarded and got no response. Until all
-// proxies have been told (RecordReported), its retry may reach one that takes it for a first
-// request.
+// RecordLoss records a request with a key that was forwarded and got no response. Until the
+// loss has been reported to all proxies (RecordReported), a repeat may reach one that takes
+// it for a first request.
 func (b *Budget) RecordLoss(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -184,9 +187,9 @@
 	}
 }
 
-// RecordReported records that the other proxies were told of these lost requests; services
-// counts them by service. If not all proxies were reached, they are charged as a debt, which
-// is paid before any extra request is.
+// RecordReported records that lost requests were reported to the other proxies; services holds
+// their number by service. If the report did not reach all proxies (complete is false), the
+// losses are added to the debt, which is paid before any extra request.
 func (b *Budget) RecordReported(keys []uint64, services map[string]int, complete bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -208,9 +211,9 @@
 	}
 }
 
-// CoversLosses reports whether the bucket could pay for the retries of all lost requests
-// that may go unrecognised. While it can't, no request with a key may be forwarded, for its
-// loss might go unreported too.
+// CoversLosses reports whether the bucket could pay for the repeats of all lost requests that
+// may go unrecognized. If it could not, no request with a key may be forwarded, because its
+// loss might go unreported as well.
 func (b *Budget) CoversLosses(service string, limits Limits) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -218,9 +221,9 @@
 	return bucket.unreported+bucket.debt <= max(0, bucket.tokens)+1+float64(limits.Base)/8/float64(b.maxProxyCount())
 }
 
-// RecordPeerLosses takes the keys of requests that another proxy lost. One that counted as a
-// first request here, because the retry was faster than the report, is charged as the extra
-// request that it was.
+// RecordPeerLosses records the keys of requests that another proxy lost. A repeat that this
+// proxy counted as a first request, because it arrived before the report, is charged as an
+// extra request.
 func (b *Budget) RecordPeerLosses(keys []uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -237,8 +240,8 @@
 	b.expireKeys()
 }
 
-// Visit calls visit for each service with what its bucket held when it was last refilled.
-// The budget is locked meanwhile.
+// Visit calls visit for each service with the tokens and debt of its bucket as of its last
+// refill or charge. The budget is locked during the calls.
 func (b *Budget) Visit(visit func(service string, tokens, debt float64)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/proxy/retry/budget_test.go
+++ b/internal/proxy/retry/budget_test.go
@@ -8,8 +8,9 @@
 
 const window = 10 * time.Second
 
-// withdrawals is how many extra requests the budget allows now, up to ten more than wanted.
-func withdrawals(budget *Budget, limits Limits, wanted int) (count int) {
+// countWithdrawals returns the number of extra requests that the budget allows now, up to ten
+// more than wanted.
+func countWithdrawals(budget *Budget, limits Limits, wanted int) (count int) {
 	for range wanted + 10 {
 		if budget.Withdraw("s", limits) {
 			count++
@@ -20,8 +21,8 @@
 
 func expectWithdrawals(t *testing.T, budget *Budget, limits Limits, want int) {
 	t.Helper()
-	if got := withdrawals(budget, limits, want); got != want {
-		t.Errorf("%d extra requests, not %d", got, want)
+	if got := countWithdrawals(budget, limits, want); got != want {
+		t.Errorf("%d extra requests allowed, want %d", got, want)
 	}
 }
 
@@ -73,8 +74,8 @@
 		complete bool
 		want     int
 	}{
-		"all were told":     {true, 30},
-		"not all were told": {false, 28},
+		"all proxies reached":     {true, 30},
+		"not all proxies reached": {false, 28},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -91,13 +92,13 @@
 	}
 }
 
-func TestBudget_RetryFasterThanTheReportIsCharged(t *testing.T) {
+func TestBudget_RetryBeforeReportIsCharged(t *testing.T) {
 	for name, test := range map[string]struct {
-		reported bool // by this proxy, as its own loss
+		reported bool // this proxy lost the first request and reported it
 		want     int
 	}{
-		"its first request was another proxy's": {false, 29},
-		"its first request was lost here":       {true, 30},
+		"first request lost by another proxy": {false, 29},
+		"first request lost by this proxy":    {true, 30},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -115,7 +116,7 @@
 	}
 }
 
-func TestBudget_CoversLossesOnlyAsFarAsItCanPay(t *testing.T) {
+func TestBudget_CoversLimitedNumberOfLosses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		budget, limits := NewBudget(window), Limits{Base: 8}
 		for losses := range 3 {
@@ -129,19 +130,19 @@
 		}
 		budget.RecordReported(nil, map[string]int{"s": 3}, true)
 		if !budget.CoversLosses("s", limits) {
-			t.Error("losses of which all were told have to be covered")
+			t.Error("an empty bucket does not cover losses that were reported to all proxies")
 		}
 	})
 }
 
-func TestBudget_KeysAreForgotten(t *testing.T) {
+func TestBudget_KeysExpire(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		budget, limits := NewBudget(window), Limits{Base: 60}
 		budget.RecordRequest("s", limits, 7, false)
 		time.Sleep(keyLifetime*window + time.Second)
 		budget.RecordRequest("s", limits, 8, false)
 		if len(budget.keys) != 1 {
-			t.Errorf("%d keys are held", len(budget.keys))
+			t.Errorf("%d keys are stored, want 1", len(budget.keys))
 		}
 	})
 }
