--- a/internal/proxy/admit.go
+++ b/internal/proxy/admit.go
@@ -29,13 +29,13 @@
 		}
 	}
 	state := p.keyed.tracker.Begin(plan.keyHash, plan.recordName != "")
-	plan.clientRetry = state != idempotency.Unheard
+	plan.clientRetry = state != idempotency.Unrecorded
 	if plan.clientRetry && plan.recordName != "" {
 		release()
 		return nil, idempotency.Conflict(state, "this proxy handed it over")
 	}
 	if plan.clientRetry && !p.withdrawRetry(plan) {
-		p.keyed.tracker.End(plan.keyHash, idempotency.Unheard)
+		p.keyed.tracker.End(plan.keyHash, idempotency.Unrecorded)
 		release()
 		return nil, errcode.New(errcode.BudgetExhausted, "%s: a repeat of a request", plan.service.Name)
 	}
--- a/internal/proxy/idempotency/loss_report.go
+++ b/internal/proxy/idempotency/loss_report.go
@@ -14,29 +14,29 @@
 )
 
 const (
-	reportInterval = 2 * time.Millisecond // between two batches
+	reportInterval = 2 * time.Millisecond // least time between two batches
 	reportTimeout  = 500 * time.Millisecond
 	maxReportBatch = 512
 
-	// lossReportKind is the kind of the messages between proxies.
+	// lossReportKind is the message kind of reports.
 	lossReportKind = "gate.seen"
 )
 
-// LossReporterConfig is what a LossReporter needs.
+// LossReporterConfig holds the dependencies of a LossReporter.
 type LossReporterConfig struct {
 	Environment *environment.Environment
 	RPC         *rpc.Transport
 	Membership  *membership.Memberlist
 	Budget      *retry.Budget
 	Tracker     *Tracker
-	Snapshot    func() *distribution.Snapshot // of the configuration in use; nil before the first
+	Snapshot    func() *distribution.Snapshot // returns the active configuration; nil before the first
 }
 
-// LossReporter tells the other proxies of requests with a key that were forwarded and got no
-// response, so that a repeat is recognised whichever proxy it comes to. Only hashes are
-// sent, the first loss at once and those that follow in batches; no request waits for it.
-// A loss that could not be reported to every proxy of the epoch may be repeated
-// unrecognised, so it is charged to this proxy's own retry budget.
+// LossReporter reports losses to the other proxies: requests with a key that were forwarded
+// and got no response. Any proxy can then recognize a repeat. Reports contain only hashes; the
+// first loss is sent at once, later ones in batches, and no request waits for a report. If a
+// loss can't be reported to every proxy of the epoch, its repeat may go unrecognized, so the
+// loss is charged to this proxy's retry budget.
 type LossReporter struct {
 	config LossReporterConfig
 	queue  chan loss
@@ -48,7 +48,7 @@
 }
 
 // NewLossReporter returns a reporter, registers it as the handler of other proxies' reports,
-// and starts its task of the environment.
+// and starts its goroutine in the environment.
 func NewLossReporter(config LossReporterConfig) *LossReporter {
 	l := &LossReporter{config: config, queue: make(chan loss, maxReportBatch)}
 	rpc.Handle(config.RPC, lossReportKind, l.receive)
@@ -56,15 +56,15 @@
 	return l
 }
 
-// receive takes the report of another proxy.
+// receive handles the report of another proxy.
 func (l *LossReporter) receive(_ context.Context, report *rpc.UnansweredRequests) (struct{}, error) {
 	l.config.Budget.RecordPeerLosses(report.Keys)
 	l.config.Tracker.RecordPeerLosses(report.Keys)
 	return struct{}{}, nil
 }
 
-// Report reports a request of a service by its hash. It never waits: if the queue is full,
-// the loss is charged to the budget unreported.
+// Report queues the hash of a lost request of a service. It never blocks: if the queue is
+// full, the loss is not reported but charged to the budget.
 func (l *LossReporter) Report(hash uint64, service string) {
 	l.config.Budget.RecordLoss(service)
 	select {
@@ -91,8 +91,8 @@
 	}
 }
 
-// send reports a batch to every proxy, and records in the budget whether all that the epoch
-// names were reached.
+// send reports a batch to every proxy, and records in the budget whether it reached all
+// proxies of the epoch.
 func (l *LossReporter) send(batch []loss) {
 	var hashes []uint64
 	services := map[string]int{}
@@ -108,7 +108,7 @@
 	}
 	env := l.config.Environment
 	for name, member := range l.config.Membership.View() {
-		_, named := snapshot.Shares[name]
+		_, inSnapshot := snapshot.Shares[name]
 		if name == env.Name || member.ProxyAddress == "" || member.State == membership.StateLeft {
 			continue
 		}
@@ -117,7 +117,7 @@
 			defer pending.Done()
 			ctx, cancel := context.WithTimeout(env, reportTimeout)
 			defer cancel()
-			if l.config.RPC.Call(ctx, member.RPCAddress, lossReportKind, &rpc.UnansweredRequests{Keys: hashes}, nil) != nil && named {
+			if l.config.RPC.Call(ctx, member.RPCAddress, lossReportKind, &rpc.UnansweredRequests{Keys: hashes}, nil) != nil && inSnapshot {
 				unreached.Add(1)
 			}
 		})
--- a/internal/proxy/idempotency/records.go
+++ b/internal/proxy/idempotency/records.go
@@ -16,15 +16,15 @@
 
 const (
 	acquireTimeout = 2 * time.Second
-	writeTimeout   = 10 * time.Second // of a release, or of one batch of outcomes
+	writeTimeout   = 10 * time.Second // for a release or one batch of outcomes
 	retryInterval  = 100 * time.Millisecond
 
-	outcomeInterval = time.Second // between two batches of outcomes
-	maxOutcomeBatch = 1024
-	outcomeQueue    = 4096
+	outcomeInterval  = time.Second // time in which outcomes are collected into a batch
+	maxOutcomeBatch  = 1024
+	outcomeQueueSize = 4096
 )
 
-// RecordsConfig is what Records needs.
+// RecordsConfig holds the dependencies of Records.
 type RecordsConfig struct {
 	Environment *environment.Environment
 	Membership  *membership.Memberlist
@@ -32,14 +32,15 @@
 	Coordinate func(context.Context, *rpc.CoordinationRequest) (*rpc.CoordinationResponse, error)
 }
 
-// Records holds the idempotency records of the replicated state. A request that has to be
-// deduplicated is forwarded only after its record was acquired; a repeat, through whatever
-// proxy, finds the record and is answered with what became of the request. A record whose
-// request was surely not run is released. One whose proxy has gone stays, and its request's
-// state is unknown. Outcomes are written in batches, once a second.
+// Records manages the idempotency records in the replicated state. A request that must be
+// deduplicated is forwarded only after its record has been acquired. A repeat through any
+// proxy finds the record and is rejected with the request's state. A record is released if
+// its request certainly did not run. A record without an outcome whose proxy is no longer
+// live is kept, and its request's state is unknown. Outcomes are written in batches, once a
+// second.
 type Records struct {
 	config   RecordsConfig
-	outcomes chan recordedOutcome // not written yet; further ones are dropped, and stay unknown
+	outcomes chan recordedOutcome // not written yet; if full, outcomes are dropped and stay unknown
 }
 
 type recordedOutcome struct {
@@ -48,17 +49,17 @@
 	state  State
 }
 
-// NewRecords returns the records, and starts the task of the environment that writes
+// NewRecords returns the records, and starts the goroutine in the environment that writes
 // outcomes.
 func NewRecords(config RecordsConfig) *Records {
-	r := &Records{config: config, outcomes: make(chan recordedOutcome, outcomeQueue)}
+	r := &Records{config: config, outcomes: make(chan recordedOutcome, outcomeQueueSize)}
 	config.Environment.Go(r.writeOutcomes)
 	return r
 }
 
-// Acquire acquires a record for a request, within the deadline. If it fails, the request may
-// not be forwarded: the record is another request's (Conflict), or it is not known whose it
-// is (errcode.NoLeader).
+// Acquire acquires a record for a request, within the deadline. If it fails, the request must
+// not be forwarded: either another request holds the record (Conflict), or the holder is not
+// known (errcode.NoLeader).
 func (r *Records) Acquire(name, requestID string, deadline time.Time) error {
 	if limit := time.Now().Add(acquireTimeout); limit.Before(deadline) {
 		deadline = limit
@@ -73,20 +74,20 @@
 	if response.Code == 0 {
 		return nil
 	}
-	state := Unheard
+	state := Unrecorded
 	if len(response.Value) > 0 {
 		if err := json.Unmarshal(response.Value, &state); err != nil {
 			return Conflict(Unknown, "request "+response.Holder+": its record can't be read: "+err.Error())
 		}
 	}
-	if state == Unheard && !r.isHolderAlive(response.Holder) {
+	if state == Unrecorded && !r.isHolderAlive(response.Holder) {
 		state = Unknown
 	}
 	return Conflict(state, "request "+response.Holder)
 }
 
-// Finish records how a request ended whose record was acquired. One that surely did not run
-// gives the record back.
+// Finish records the outcome of a request whose record was acquired. It releases the record
+// if the request certainly did not run.
 func (r *Records) Finish(name, requestID string, err error) {
 	state := Ran
 	switch {
@@ -103,25 +104,25 @@
 	}
 }
 
-// holder names a request together with the incarnation of the proxy that it came to.
+// holder identifies a request together with the incarnation of the proxy that received it.
 func (r *Records) holder(requestID string) string {
 	self := r.config.Membership.Self()
 	return string(self.Name) + " " + string(self.ID) + " " + requestID
 }
 
-// isHolderAlive reports whether the proxy that acquired a record still lives. If not, it
-// won't write the outcome any more.
+// isHolderAlive reports whether the proxy that acquired a record is live. If it is not, it
+// will not write the outcome.
 func (r *Records) isHolderAlive(holder string) bool {
 	fields := strings.Split(holder, " ")
 	return len(fields) != 3 || r.config.Membership.IsLive(rpc.Peer{Name: ids.NodeName(fields[0]), ID: ids.MemberID(fields[1])})
 }
 
-// release gives back the record of a request of which nothing was written.
+// release releases the record of a request that certainly did not run.
 func (r *Records) release(name, requestID string) {
 	r.write(&rpc.CoordinationRequest{Operation: coordination.OpCancelReservation, Name: name, Holder: r.holder(requestID)})
 }
 
-// write sends a request until it succeeds, within writeTimeout.
+// write sends a request, and retries until it succeeds or writeTimeout has passed.
 func (r *Records) write(request *rpc.CoordinationRequest) {
 	ctx, cancel := context.WithTimeout(r.config.Environment, writeTimeout)
 	defer cancel()
@@ -133,7 +134,7 @@
 	}
 }
 
-// writeOutcomes writes outcomes in batches, one request for each shard.
+// writeOutcomes writes outcomes in batches, with one request per shard.
 func (r *Records) writeOutcomes() {
 	for {
 		var batch []recordedOutcome
@@ -162,7 +163,7 @@
 	}
 }
 
-// drain appends what is queued to the batch, up to limit values in all, without waiting.
+// drain appends queued values to the batch until it has limit values, without blocking.
 func drain[T any](queue <-chan T, batch []T, limit int) []T {
 	for len(batch) < limit {
 		select {
--- a/internal/proxy/idempotency/tracker.go
+++ b/internal/proxy/idempotency/tracker.go
@@ -1,10 +1,9 @@
-// Package idempotency keeps requests that may not run twice from doing so, although their
-// clients repeat them under the same Idempotency-Key
-// (draft-ietf-httpapi-idempotency-key-header).
+// Package idempotency prevents requests from running twice when clients repeat them with the
+// same Idempotency-Key (draft-ietf-httpapi-idempotency-key-header).
 //
-// Tracker is what one proxy knows of such requests, Records is what all proxies agree on
-// through the replicated state, and LossReporter is how proxies tell one another of requests
-// that got no response.
+// Tracker holds the state of such requests at one proxy, Records holds the state that all
+// proxies agree on through the replicated state, and LossReporter notifies the other proxies
+// of requests that got no response.
 package idempotency
 
 import (
@@ -16,21 +15,21 @@
 	"github.com/sumactrestle/sumactrestle/internal/errcode"
 )
 
-// State is what is known of a request with a key.
+// State is the known state of a request with a key.
 type State string
 
-// The states. Unknown and Ran are stored in the replicated state.
+// The states. Unknown and Ran are also stored in the replicated state.
 const (
-	Unheard State = ""          // nothing is known of it, or it surely did not run
-	Running State = "under way" // an attempt has been forwarded and not ended
-	Unknown State = "unknown"   // forwarded, and got no response
-	Ran     State = "ran"
+	Unrecorded State = ""          // no attempt is known that ran or may have run
+	Running    State = "under way" // an attempt is in progress
+	Unknown    State = "unknown"   // forwarded without a response; may have run
+	Ran        State = "ran"
 )
 
-// outcomeNotRun is the outcome of error codes that say that a request surely did not run.
+// outcomeNotRun is the outcome of error codes for requests that certainly did not run.
 const outcomeNotRun = "not run"
 
-// StateAfter is the state that an attempt leaves behind which ended with err.
+// StateAfter returns the state of a request after an attempt that ended with err.
 func StateAfter(err error) State {
 	switch {
 	case err == nil || errors.Is(err, errcode.OrderRan):
@@ -38,11 +37,10 @@
 	case errcode.From(err).Code.Outcome == "unknown" && !errors.Is(err, errcode.OrderInFlight):
 		return Unknown
 	}
-	return Unheard
+	return Unrecorded
 }
 
-// Conflict is the error by which a repeat of a request is rejected, of which something is
-// known.
+// Conflict returns the error with which a repeat is rejected if the request has a known state.
 func Conflict(state State, note string) error {
 	switch state {
 	case Ran:
@@ -53,37 +51,37 @@
 	return errcode.New(errcode.OrderInFlight, "%s", note)
 }
 
-// Refusal turns the error of one attempt into what is true of its request: one that was
-// forwarded before is never called "not run" any more, whatever the reason for which its
-// repeat is rejected.
-func Refusal(state State, problem *errcode.Error) *errcode.Error {
+// Rejection returns the error with which an attempt of a request is rejected, where state is
+// the request's state and problem the error of this attempt. If another attempt ran or may
+// have run, the error never says "not run", whatever the reason for the rejection.
+func Rejection(state State, problem *errcode.Error) *errcode.Error {
 	budgetSpent := problem.Code.Number == errcode.BudgetExhausted.Number
-	if state == Unheard || problem.Code.Outcome != outcomeNotRun && !budgetSpent || budgetSpent && state != Ran {
+	if state == Unrecorded || problem.Code.Outcome != outcomeNotRun && !budgetSpent || budgetSpent && state != Ran {
 		return problem
 	}
-	return errcode.From(Conflict(state, fmt.Sprintf("a repeat, refused with %d %s", problem.Code.Number, problem.Code.Name)))
+	return errcode.From(Conflict(state, fmt.Sprintf("repeat rejected with %d %s", problem.Code.Number, problem.Code.Name)))
 }
 
 const (
-	// memory is how long a request is remembered after its last attempt or report.
-	memory = 3 * expiryInterval
+	// retention is how long a request is remembered after its last attempt or report.
+	retention = 3 * expiryInterval
 
-	// expiryInterval is the least time between two sweeps over what is remembered.
+	// expiryInterval is the least time between two sweeps of expired requests.
 	expiryInterval = 10 * time.Second
 )
 
-// trackedRequest is a request with a key, by all its attempts.
+// trackedRequest is the combined state of all attempts of a request with a key.
 type trackedRequest struct {
 	lastSeen time.Time
-	running  int   // attempts that have not ended
-	outcome  State // of those that have
+	running  int   // attempts in progress
+	outcome  State // combined outcome of the ended attempts
 }
 
-// state is what is known of the request; the receiver may be nil.
+// state returns the state of the request; the receiver may be nil.
 func (r *trackedRequest) state() State {
 	switch {
-	case r == nil || time.Since(r.lastSeen) > memory:
-		return Unheard
+	case r == nil || time.Since(r.lastSeen) > retention:
+		return Unrecorded
 	case r.outcome == Ran:
 		return Ran
 	case r.running > 0:
@@ -92,36 +90,37 @@
 	return r.outcome
 }
 
-// Tracker remembers for a while the requests with a key that came to this proxy, or that
-// another one lost, by their hashes (HashOf). It is safe for concurrent use.
+// Tracker holds, for the retention period, the requests with a key that this proxy received
+// or that another proxy reported as lost, by their hashes (HashOf). It is safe for concurrent
+// use.
 type Tracker struct {
-	mu        sync.Mutex // guards all that follows
+	mu        sync.Mutex // guards the fields below
 	requests  map[uint64]*trackedRequest
-	expiredAt time.Time // when requests were last expired
+	expiredAt time.Time // time of the last sweep
 }
 
 // NewTracker returns an empty tracker.
 func NewTracker() *Tracker { return &Tracker{requests: map[uint64]*trackedRequest{}} }
 
-// State is what is known of a request.
+// State returns the state of a request.
 func (t *Tracker) State(hash uint64) State {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.requests[hash].state()
 }
 
-// Begin records that an attempt of a request begins, and returns the state before it. If the
-// request has to be deduplicated and anything is known of it, the attempt may not be made
-// and is not recorded. A hash of zero is a request without a key.
+// Begin records the start of an attempt, and returns the state before it. If the request must
+// be deduplicated and that state is not Unrecorded, the attempt is not recorded and must not
+// be made. A hash of zero means a request without a key, which is not tracked.
 func (t *Tracker) Begin(hash uint64, deduplicate bool) State {
 	if hash == 0 {
-		return Unheard
+		return Unrecorded
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	request := t.requests[hash]
 	before := request.state()
-	if before != Unheard && deduplicate {
+	if before != Unrecorded && deduplicate {
 		return before
 	}
 	if request == nil {
@@ -134,8 +133,8 @@
 	return before
 }
 
-// End records how an attempt ended that Begin recorded; Unheard says that nothing was
-// written.
+// End records the outcome of an attempt that Begin recorded; Unrecorded means that it
+// certainly did not run.
 func (t *Tracker) End(hash uint64, outcome State) {
 	if hash == 0 {
 		return
@@ -148,15 +147,15 @@
 	}
 	request.lastSeen = time.Now()
 	request.running--
-	if request.outcome != Ran && outcome != Unheard {
+	if request.outcome != Ran && outcome != Unrecorded {
 		request.outcome = outcome
 	}
-	if request.running == 0 && request.outcome == Unheard {
+	if request.running == 0 && request.outcome == Unrecorded {
 		delete(t.requests, hash)
 	}
 }
 
-// RecordPeerLosses takes requests that another proxy forwarded without getting a response.
+// RecordPeerLosses records requests that another proxy forwarded without getting a response.
 func (t *Tracker) RecordPeerLosses(hashes []uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -167,14 +166,15 @@
 			t.requests[hash] = request
 		}
 		request.lastSeen = time.Now()
-		if request.outcome == Unheard {
+		if request.outcome == Unrecorded {
 			request.outcome = Unknown
 		}
 	}
 	t.expire()
 }
 
-// expire forgets requests that were not seen for a while. t.mu is held.
+// expire deletes requests that have exceeded the retention period, at most once per
+// expiryInterval. The caller holds t.mu.
 func (t *Tracker) expire() {
 	now := time.Now()
 	if now.Sub(t.expiredAt) < expiryInterval {
@@ -182,7 +182,7 @@
 	}
 	t.expiredAt = now
 	for hash, request := range t.requests {
-		if now.Sub(request.lastSeen) > memory && request.running == 0 {
+		if now.Sub(request.lastSeen) > retention && request.running == 0 {
 			delete(t.requests, hash)
 		}
 	}
--- a/internal/proxy/idempotency/tracker_test.go
+++ b/internal/proxy/idempotency/tracker_test.go
@@ -14,25 +14,25 @@
 		act  func(tracker *Tracker)
 		want State
 	}{
-		"nothing":             {func(*Tracker) {}, Unheard},
-		"begun":               {func(t *Tracker) { t.Begin(1, false) }, Running},
-		"not written":         {func(t *Tracker) { t.Begin(1, false); t.End(1, Unheard) }, Unheard},
-		"lost":                {func(t *Tracker) { t.Begin(1, false); t.End(1, Unknown) }, Unknown},
-		"ran":                 {func(t *Tracker) { t.Begin(1, false); t.End(1, Ran) }, Ran},
-		"ran, then lost":      {func(t *Tracker) { t.Begin(1, false); t.End(1, Ran); t.Begin(1, false); t.End(1, Unknown) }, Ran},
-		"lost, then running":  {func(t *Tracker) { t.Begin(1, false); t.End(1, Unknown); t.Begin(1, false) }, Running},
-		"lost, then unsent":   {func(t *Tracker) { t.Begin(1, false); t.End(1, Unknown); t.Begin(1, false); t.End(1, Unheard) }, Unknown},
-		"two, one of them in": {func(t *Tracker) { t.Begin(1, false); t.Begin(1, false); t.End(1, Unheard) }, Running},
-		"lost elsewhere":      {func(t *Tracker) { t.RecordPeerLosses([]uint64{1}) }, Unknown},
-		"ran, lost elsewhere": {func(t *Tracker) { t.Begin(1, false); t.End(1, Ran); t.RecordPeerLosses([]uint64{1}) }, Ran},
-		"another request":     {func(t *Tracker) { t.Begin(2, false); t.End(2, Ran) }, Unheard},
-		"an end without one":  {func(t *Tracker) { t.End(1, Ran) }, Unheard},
+		"no attempt":              {func(*Tracker) {}, Unrecorded},
+		"running":                 {func(t *Tracker) { t.Begin(1, false) }, Running},
+		"not run":                 {func(t *Tracker) { t.Begin(1, false); t.End(1, Unrecorded) }, Unrecorded},
+		"lost":                    {func(t *Tracker) { t.Begin(1, false); t.End(1, Unknown) }, Unknown},
+		"ran":                     {func(t *Tracker) { t.Begin(1, false); t.End(1, Ran) }, Ran},
+		"ran, then lost":          {func(t *Tracker) { t.Begin(1, false); t.End(1, Ran); t.Begin(1, false); t.End(1, Unknown) }, Ran},
+		"lost, then running":      {func(t *Tracker) { t.Begin(1, false); t.End(1, Unknown); t.Begin(1, false) }, Running},
+		"lost, then not run":      {func(t *Tracker) { t.Begin(1, false); t.End(1, Unknown); t.Begin(1, false); t.End(1, Unrecorded) }, Unknown},
+		"two attempts, one ended": {func(t *Tracker) { t.Begin(1, false); t.Begin(1, false); t.End(1, Unrecorded) }, Running},
+		"lost by a peer":          {func(t *Tracker) { t.RecordPeerLosses([]uint64{1}) }, Unknown},
+		"ran, lost by a peer":     {func(t *Tracker) { t.Begin(1, false); t.End(1, Ran); t.RecordPeerLosses([]uint64{1}) }, Ran},
+		"another request":         {func(t *Tracker) { t.Begin(2, false); t.End(2, Ran) }, Unrecorded},
+		"End without Begin":       {func(t *Tracker) { t.End(1, Ran) }, Unrecorded},
 	} {
 		t.Run(name, func(t *testing.T) {
 			tracker := NewTracker()
 			test.act(tracker)
 			if got := tracker.State(1); got != test.want {
-				t.Errorf("%q, not %q", got, test.want)
+				t.Errorf("state %q, want %q", got, test.want)
 			}
 		})
 	}
@@ -40,14 +40,14 @@
 
 func TestTracker_DeduplicatedRequestHasNoSecondAttempt(t *testing.T) {
 	tracker := NewTracker()
-	if before := tracker.Begin(1, true); before != Unheard {
-		t.Fatalf("before the first attempt it is %q", before)
+	if before := tracker.Begin(1, true); before != Unrecorded {
+		t.Fatalf("state %q before the first attempt", before)
 	}
 	if before := tracker.Begin(1, true); before != Running {
-		t.Errorf("before the second attempt it is %q", before)
+		t.Errorf("state %q before the second attempt", before)
 	}
-	tracker.End(1, Unheard)
-	if got := tracker.State(1); got != Unheard {
+	tracker.End(1, Unrecorded)
+	if got := tracker.State(1); got != Unrecorded {
 		t.Errorf("the second attempt was recorded: %q", got)
 	}
 }
@@ -55,56 +55,56 @@
 func TestTracker_RequestWithoutKeyIsNotTracked(t *testing.T) {
 	tracker := NewTracker()
 	for range 2 {
-		if before := tracker.Begin(0, true); before != Unheard {
-			t.Errorf("it is %q", before)
+		if before := tracker.Begin(0, true); before != Unrecorded {
+			t.Errorf("state %q, want Unrecorded", before)
 		}
 	}
 	tracker.End(0, Ran)
 	if len(tracker.requests) > 0 {
-		t.Error("it is held")
+		t.Error("a request without a key is tracked")
 	}
 }
 
-func TestTracker_ForgetsWhatHasEnded(t *testing.T) {
+func TestTracker_ExpiresEndedRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		tracker := NewTracker()
 		tracker.Begin(1, false)
 		tracker.End(1, Ran)
 		tracker.Begin(2, false) // never ends
-		time.Sleep(memory)
+		time.Sleep(retention)
 		if got := tracker.State(1); got != Ran {
-			t.Errorf("at the end of the memory it is %q", got)
+			t.Errorf("state %q at the end of the retention period", got)
 		}
 		time.Sleep(time.Second)
-		if got := tracker.State(1); got != Unheard {
-			t.Errorf("after the end of the memory it is %q", got)
+		if got := tracker.State(1); got != Unrecorded {
+			t.Errorf("state %q after the retention period", got)
 		}
 		tracker.Begin(3, false)
 		if tracker.requests[1] != nil || tracker.requests[2] == nil {
-			t.Error("held are", tracker.requests)
+			t.Error("wrong requests after the sweep:", tracker.requests)
 		}
 	})
 }
 
-func TestRefusal_IsTrueOfTheRequest(t *testing.T) {
-	overload, spent := errcode.From(errcode.New(errcode.Overload, "")), errcode.From(errcode.New(errcode.BudgetExhausted, ""))
-	lost := errcode.From(errcode.New(errcode.ResponseLost, ""))
+func TestRejection_ConsidersEarlierAttempts(t *testing.T) {
+	overload, budgetExhausted := errcode.From(errcode.New(errcode.Overload, "")), errcode.From(errcode.New(errcode.BudgetExhausted, ""))
+	responseLost := errcode.From(errcode.New(errcode.ResponseLost, ""))
 	for name, test := range map[string]struct {
 		state   State
 		problem *errcode.Error
 		want    int
 	}{
-		"a first request":                 {Unheard, overload, errcode.Overload.Number},
-		"a repeat of one that runs":       {Running, overload, errcode.OrderInFlight.Number},
-		"a repeat of a lost one":          {Unknown, overload, errcode.OrderUnknown.Number},
-		"a repeat of one that ran":        {Ran, overload, errcode.OrderRan.Number},
-		"over budget, and it was lost":    {Unknown, spent, errcode.BudgetExhausted.Number},
-		"over budget, and it ran":         {Ran, spent, errcode.OrderRan.Number},
-		"unknown already, and it was too": {Unknown, lost, errcode.ResponseLost.Number},
+		"first request":                {Unrecorded, overload, errcode.Overload.Number},
+		"repeat of a running request":  {Running, overload, errcode.OrderInFlight.Number},
+		"repeat of a lost request":     {Unknown, overload, errcode.OrderUnknown.Number},
+		"repeat of a request that ran": {Ran, overload, errcode.OrderRan.Number},
+		"over budget, request lost":    {Unknown, budgetExhausted, errcode.BudgetExhausted.Number},
+		"over budget, request ran":     {Ran, budgetExhausted, errcode.OrderRan.Number},
+		"attempt lost, request lost":   {Unknown, responseLost, errcode.ResponseLost.Number},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if got := Refusal(test.state, test.problem).Code.Number; got != test.want {
-				t.Errorf("code %d, not %d", got, test.want)
+			if got := Rejection(test.state, test.problem).Code.Number; got != test.want {
+				t.Errorf("code %d, want %d", got, test.want)
 			}
 		})
 	}
@@ -115,40 +115,40 @@
 		err  error
 		want State
 	}{
-		"a response":              {nil, Ran},
-		"nothing written":         {errcode.New(errcode.NotWritten, ""), Unheard},
-		"a lost response":         {errcode.New(errcode.ResponseLost, ""), Unknown},
-		"a repeat of what ran":    {errcode.New(errcode.OrderRan, ""), Ran},
-		"a repeat of what runs":   {errcode.New(errcode.OrderInFlight, ""), Unheard},
-		"a repeat of a lost one":  {errcode.New(errcode.OrderUnknown, ""), Unknown},
-		"the proxy is overloaded": {errcode.New(errcode.Overload, ""), Unheard},
+		"response":                     {nil, Ran},
+		"nothing written":              {errcode.New(errcode.NotWritten, ""), Unrecorded},
+		"lost response":                {errcode.New(errcode.ResponseLost, ""), Unknown},
+		"repeat of a request that ran": {errcode.New(errcode.OrderRan, ""), Ran},
+		"repeat of a running request":  {errcode.New(errcode.OrderInFlight, ""), Unrecorded},
+		"repeat of a lost request":     {errcode.New(errcode.OrderUnknown, ""), Unknown},
+		"overloaded proxy":             {errcode.New(errcode.Overload, ""), Unrecorded},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := StateAfter(test.err); got != test.want {
-				t.Errorf("%q, not %q", got, test.want)
+				t.Errorf("state %q, want %q", got, test.want)
 			}
 		})
 	}
 }
 
-func TestKey_IsOfMethodPathAndHeader(t *testing.T) {
-	of := func(method, path, key string) (uint64, string) {
+func TestKey_DependsOnMethodPathAndHeader(t *testing.T) {
+	hashAndName := func(method, path, key string) (uint64, string) {
 		r := httptest.NewRequest(method, path, nil)
 		if key != "" {
 			r.Header.Set(HeaderKey, key)
 		}
 		return HashOf(r), RecordName(r)
 	}
-	hash, name := of("POST", "/bookings?a=1", "k")
-	if otherHash, otherName := of("POST", "/bookings?a=2", "k"); otherHash != hash || otherName != name {
-		t.Error("the query makes another request of it")
+	hash, name := hashAndName("POST", "/bookings?a=1", "k")
+	if otherHash, otherName := hashAndName("POST", "/bookings?a=2", "k"); otherHash != hash || otherName != name {
+		t.Error("the query changes the hash or the record name")
 	}
 	for _, other := range [][3]string{{"PUT", "/bookings", "k"}, {"POST", "/booking", "k"}, {"POST", "/bookings", "l"}} {
-		if otherHash, otherName := of(other[0], other[1], other[2]); otherHash == hash || otherName == name {
-			t.Error("the same request as", other)
+		if otherHash, otherName := hashAndName(other[0], other[1], other[2]); otherHash == hash || otherName == name {
+			t.Error("same hash or record name for", other)
 		}
 	}
-	if hash, _ := of("POST", "/bookings", ""); hash != 0 {
-		t.Error("a request without a key has the hash", hash)
+	if hash, _ := hashAndName("POST", "/bookings", ""); hash != 0 {
+		t.Error("hash of a request without a key:", hash)
 	}
 }
--- a/internal/proxy/respond.go
+++ b/internal/proxy/respond.go
@@ -78,7 +78,7 @@
 func (p *Proxy) reject(w http.ResponseWriter, r *http.Request, plan *requestPlan, err error) {
 	problem := errcode.From(err)
 	if hash := idempotency.HashOf(r); hash != 0 {
-		problem = idempotency.Refusal(p.keyed.tracker.State(hash), problem)
+		problem = idempotency.Rejection(p.keyed.tracker.State(hash), problem)
 	}
 	p.countOutcome(problem.Code.Name)
 	header := w.Header()
--- a/internal/proxy/upstream/connection.go
+++ b/internal/proxy/upstream/connection.go
@@ -1,11 +1,10 @@
-// Package upstream holds the proxy's connections to targets. It speaks HTTP/1.1 on them
-// itself, without net/http's Transport, because the proxy must know of each request whether
-// a first byte of it was written, and nothing may ever write a request a second time.
+// Package upstream manages the proxy's connections to targets. It speaks HTTP/1.1 without
+// net/http's Transport, because the proxy must know for each request whether its first byte
+// was written, and nothing may write a request a second time.
 //
-// Where the framing of a response leaves room (RFC 9112, sections 6 and 9.3), the strict
-// reading is taken: a response that is not complete is none, a connection on which anything
-// unasked was received is not used again, and a response that names another request goes to
-// nobody.
+// Where the framing of a response is ambiguous (RFC 9112, sections 6 and 9.3), it is
+// interpreted strictly: an incomplete response is an error, a connection that received
+// unsolicited data is not reused, and a response that names another request is not delivered.
 package upstream
 
 import (
@@ -23,44 +22,45 @@
 const (
 	readBufferSize = 8 << 10
 
-	// maxKeepAlive is the longest timeout, in seconds, that a Keep-Alive field is heeded with.
+	// maxKeepAlive bounds the timeout of a Keep-Alive field, in seconds. From this value on the
+	// field is ignored.
 	maxKeepAlive = 86400
 )
 
-// ErrContinueTimeout is returned where a server did not take the head of a request in time
-// (no 100 Continue, RFC 9110, section 10.1.1). Nothing ran then, for the body was not sent.
-var ErrContinueTimeout = errors.New("the server did not take the head in time")
+// ErrContinueTimeout is returned if a server did not send 100 Continue in time (RFC 9110,
+// section 10.1.1). The request did not run, because its body was not sent.
+var ErrContinueTimeout = errors.New("the server did not send 100 Continue in time")
 
-// Connection is one HTTP/1.1 connection to a target. It carries one request at a time:
-// Begin, Write, RequestWritten, and the response on the channel that Begin returned. Its
-// goroutine, owned by the environment of the pool, waits for a byte at all times: one that
-// comes while no request is pending, or the end of the connection, marks it dead. So only a
-// connection that is known to be idle is used again.
+// Connection is one HTTP/1.1 connection to a target. It carries one request at a time: the
+// caller uses Begin, Write and RequestWritten, and receives the response from the channel that
+// Begin returned. A goroutine of the pool's environment reads at all times: data received
+// while no request is pending, or the end of the connection, marks the connection dead. A
+// connection is therefore reused only if it is known to be idle.
 type Connection struct {
 	conn net.Conn
-	// correlationHeader is the header field by which a response names its request; empty if
-	// there is none.
+	// correlationHeader is the header field in which a response names its request; empty if
+	// responses name none.
 	correlationHeader string
 
-	// The fields up to mu belong to whoever holds the connection: the pool or one attempt.
+	// The fields up to mu are accessed only by the current owner: the pool or one attempt.
 	idleSince   time.Time
-	idleTimeout time.Duration // how long it may be idle
-	idledFor    time.Duration // how long it was idle before its request; zero for a new one
-	userTimeout time.Duration // as last set by SetUserTimeout
+	idleTimeout time.Duration // longest idle time
+	idledFor    time.Duration // idle time before the current request; zero for a new connection
+	userTimeout time.Duration // last value set by SetUserTimeout
 
-	mu        sync.Mutex    // guards all that follows
+	mu        sync.Mutex    // guards the fields below
 	request   *http.Request // pending; nil while the connection is idle
-	maxBody   int           // of the response, in bytes
+	maxBody   int           // largest response body, in bytes
 	responses chan Response
-	continued chan struct{} // closed when the server wants the body, or has responded
-	// writing is set while the request is being written. A response that comes before it is
-	// out ends the connection: the server may never read the rest, and the next request
-	// would be taken for it.
+	continued chan struct{} // closed when the server asks for the body, or has responded
+	// writing is set while the request is being written. A response that arrives meanwhile ends
+	// the connection: the server may not have read the rest of the request, and would take the
+	// next request for that rest.
 	writing bool
 	dead    bool
 }
 
-// readLoop reads the responses until the connection ends.
+// readLoop reads responses until the connection ends.
 func (c *Connection) readLoop() {
 	defer c.Abort()
 	reader := bufio.NewReaderSize(c.conn, readBufferSize)
@@ -81,20 +81,20 @@
 		}
 		response := readResponse(reader, request, maxBody, continued, c.correlationHeader)
 		c.mu.Lock()
-		last := response.Err != nil || response.HTTP.Close || reader.Buffered() > 0 || c.writing
+		isLast := response.Err != nil || response.HTTP.Close || reader.Buffered() > 0 || c.writing
 		c.request = nil
-		c.dead = last
+		c.dead = isLast
 		c.mu.Unlock()
 		responses <- response
-		if last {
+		if isLast {
 			return
 		}
 	}
 }
 
-// Begin makes a request the pending one, and returns the channel on which its one response
-// will come. The body of the response may have maxBody bytes. It returns false if the
-// connection has died meanwhile; then nothing may be written.
+// Begin makes a request the pending one, and returns the channel that will receive its
+// response. maxBody is the largest response body, in bytes. Begin returns false if the
+// connection is dead; nothing may be written then.
 func (c *Connection) Begin(request *http.Request, maxBody int) (<-chan Response, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -106,7 +106,7 @@
 	return c.responses, true
 }
 
-// Write writes a part of the pending request.
+// Write writes part of the pending request.
 func (c *Connection) Write(data []byte) (int, error) { return c.conn.Write(data) }
 
 // RequestWritten marks the pending request as written completely.
@@ -116,30 +116,30 @@
 	c.mu.Unlock()
 }
 
-// AwaitContinue waits until the server wants the body of the pending request, for
-// UnackedTimeout at most. From then on what is sent may stay unacknowledged for longer.
+// AwaitContinue waits until the server asks for the body of the pending request, for at most
+// UnackedTimeout. It then raises the user timeout to UnackedStreamTimeout.
 func (c *Connection) AwaitContinue(ctx context.Context) error {
 	c.mu.Lock()
 	continued := c.continued
 	c.mu.Unlock()
-	wakeup := time.NewTimer(UnackedTimeout)
-	defer wakeup.Stop()
+	timer := time.NewTimer(UnackedTimeout)
+	defer timer.Stop()
 	select {
 	case <-continued:
 		c.SetUserTimeout(UnackedStreamTimeout)
 		return nil
-	case <-wakeup.C:
+	case <-timer.C:
 		return ErrContinueTimeout
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// SetDeadline bounds reads and writes, as net.Conn does; the zero time is no bound.
+// SetDeadline sets the deadline of reads and writes, as in net.Conn; the zero time means none.
 func (c *Connection) SetDeadline(deadline time.Time) { c.conn.SetDeadline(deadline) }
 
-// SetUserTimeout bounds how long sent bytes may stay unacknowledged before the operating
-// system gives the connection up.
+// SetUserTimeout sets how long sent bytes may stay unacknowledged before the operating system
+// drops the connection.
 func (c *Connection) SetUserTimeout(timeout time.Duration) {
 	if c.userTimeout != timeout {
 		c.userTimeout = timeout
@@ -147,8 +147,8 @@
 	}
 }
 
-// ApplyKeepAlive heeds the timeout parameter of a response's Keep-Alive field (RFC 2068,
-// section 19.7.1.1) by a tenth less, so that the server is never the first to close.
+// ApplyKeepAlive limits the idle time to 90 % of the timeout parameter of a response's
+// Keep-Alive field (RFC 2068, section 19.7.1.1), so that the server is never the first to close.
 func (c *Connection) ApplyKeepAlive(header string) {
 	_, value, ok := strings.Cut(header, "timeout=")
 	if !ok {
@@ -160,7 +160,7 @@
 	}
 }
 
-// IdledFor is how long the connection was idle before its request; zero for a new one.
+// IdledFor returns the idle time before the current request; zero for a new connection.
 func (c *Connection) IdledFor() time.Duration { return c.idledFor }
 
 // isIdle reports whether the connection is alive and has no pending request.
@@ -170,7 +170,7 @@
 	return !c.dead && c.request == nil
 }
 
-// Abort ends the connection; what was written but not sent yet is thrown away.
+// Abort closes the connection and discards written data that has not been sent yet.
 func (c *Connection) Abort() {
 	c.mu.Lock()
 	c.dead = true
--- a/internal/proxy/upstream/pool.go
+++ b/internal/proxy/upstream/pool.go
@@ -12,32 +12,32 @@
 const (
 	maxIdlePerEndpoint = 64
 
-	// After a stale connection, none is used for idleLimitDuration that was idle for more
-	// than a part (1/staleIdleDivisor) of its idle time, or MinIdleLimit if that is more.
+	// For idleLimitDuration after a stale connection, the idle time of connections is limited
+	// to 1/staleIdleDivisor of the stale connection's idle time, but at least MinIdleLimit.
 	staleIdleDivisor  = 4
 	idleLimitDuration = 8 * time.Second
 
-	// MinIdleLimit is the shortest idle time that can make a connection stale.
+	// MinIdleLimit is the idle time below which a connection is not considered stale.
 	MinIdleLimit = 100 * time.Millisecond
 )
 
-// Config is what a Pool needs.
+// Config holds the dependencies and settings of a Pool.
 type Config struct {
 	Environment *environment.Environment
-	IdleTimeout time.Duration // how long a connection may be idle, unless its target says less
-	// CorrelationHeader is the header field by which a response names its request; empty if
-	// there is none.
+	IdleTimeout time.Duration // longest idle time of a connection, unless its target sets a shorter one
+	// CorrelationHeader is the header field in which a response names its request; empty if
+	// responses name none.
 	CorrelationHeader string
 }
 
-// Pool keeps the idle connections by endpoint key. It is safe for concurrent use.
+// Pool holds the idle connections by endpoint key. It is safe for concurrent use.
 type Pool struct {
 	config Config
 
-	mu   sync.Mutex // guards all that follows
+	mu   sync.Mutex // guards the fields below
 	idle map[string][]*Connection
-	// idleLimit bounds, until idleLimitUntil, how long connections may be idle, whatever
-	// their targets say.
+	// idleLimit bounds the idle time of all connections until idleLimitUntil, in addition to
+	// their own idle timeouts.
 	idleLimit      time.Duration
 	idleLimitUntil time.Time
 }
@@ -47,15 +47,15 @@
 	return &Pool{config: config, idle: map[string][]*Connection{}}
 }
 
-// Get returns the connection to the endpoint that was idle last, or dials its address within
-// the timeout. After an error nothing has been written; it is errcode.NotWritten.
+// Get returns the most recently used idle connection to the endpoint, or dials the address
+// within the timeout. Its error is errcode.NotWritten, as nothing has been written.
 func (p *Pool) Get(ctx context.Context, key, address string, timeout time.Duration) (*Connection, error) {
 	if connection := p.takeIdle(key); connection != nil {
 		return connection, nil
 	}
-	limited, cancel := context.WithTimeout(ctx, timeout)
+	dialCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	conn, err := p.config.Environment.Host.Dial(limited, address)
+	conn, err := p.config.Environment.Host.Dial(dialCtx, address)
 	if err != nil {
 		return nil, errcode.New(errcode.NotWritten, "%s: %v", address, err)
 	}
@@ -64,8 +64,8 @@
 	return connection, nil
 }
 
-// takeIdle takes an idle connection to the endpoint out of the pool; nil if there is none
-// that may still be used.
+// takeIdle removes a usable idle connection to the endpoint from the pool and returns it; nil
+// if there is none.
 func (p *Pool) takeIdle(key string) *Connection {
 	for {
 		p.mu.Lock()
@@ -86,7 +86,7 @@
 	}
 }
 
-// idleTimeout is how long a connection may be idle as things stand. p.mu is held.
+// idleTimeout returns how long a connection may currently be idle. The caller holds p.mu.
 func (p *Pool) idleTimeout(connection *Connection, now time.Time) time.Duration {
 	if now.Before(p.idleLimitUntil) {
 		return min(connection.idleTimeout, p.idleLimit)
@@ -94,10 +94,10 @@
 	return connection.idleTimeout
 }
 
-// RecordStale records that a target had dropped a connection which was idle for so long, and
-// said so only when a request was sent on it. Targets that do so do it to all connections,
-// and a request that is lost so is lost for good: for a while only connections that were
-// idle for much less are used.
+// RecordStale records that a target had dropped a connection after the given idle time, and
+// that the proxy learned of it only when it sent a request. Such a target does this to all its
+// connections, and a request lost this way can't be recovered, so for idleLimitDuration only
+// connections with a much shorter idle time are used.
 func (p *Pool) RecordStale(idledFor time.Duration, now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -108,7 +108,8 @@
 	p.idleLimitUntil = now.Add(idleLimitDuration)
 }
 
-// Put gives a connection back whose response has been read.
+// Put returns a connection to the pool after its response has been read. It closes the
+// connection if it can't be reused or the pool holds enough.
 func (p *Pool) Put(key string, connection *Connection) {
 	if !connection.isIdle() {
 		connection.Abort()
@@ -124,8 +125,8 @@
 	p.idle[key] = append(p.idle[key], connection)
 }
 
-// Prune closes the idle connections of endpoints that are not to be kept, and those that may
-// not be used any more.
+// Prune closes the idle connections of endpoints for which keep returns false, and those that
+// are dead or have exceeded their idle timeout.
 func (p *Pool) Prune(keep func(key string) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -149,7 +150,7 @@
 // Close closes all idle connections.
 func (p *Pool) Close() { p.Prune(func(string) bool { return false }) }
 
-// Idle is how many idle connections there are.
+// Idle returns the number of idle connections.
 func (p *Pool) Idle() (count int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/proxy/upstream/pool_test.go
+++ b/internal/proxy/upstream/pool_test.go
@@ -11,42 +11,42 @@
 	"github.com/sumactrestle/sumactrestle/internal/environment"
 )
 
-func TestPool_AfterStaleConnectionNoneThatIdledLongIsUsed(t *testing.T) {
+func TestPool_IdleTimeIsLimitedAfterStaleConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		dials := 0
-		r := environment.New(t.Context(), &config.Settings{}, nil, environment.Host{Dial: func(context.Context, string) (net.Conn, error) {
+		env := environment.New(t.Context(), &config.Settings{}, nil, environment.Host{Dial: func(context.Context, string) (net.Conn, error) {
 			dials++
-			near, _ := net.Pipe()
-			return near, nil
+			clientSide, _ := net.Pipe()
+			return clientSide, nil
 		}})
-		defer r.Shutdown()
-		o := NewPool(Config{Environment: r, IdleTimeout: 20 * time.Second})
-		defer o.Prune(func(string) bool { return false })
-		// use takes a connection, and leaves it idle for a while.
-		use := func(rest time.Duration) *Connection {
-			p, err := o.Get(r, "s", "t", time.Second)
+		defer env.Shutdown()
+		pool := NewPool(Config{Environment: env, IdleTimeout: 20 * time.Second})
+		defer pool.Prune(func(string) bool { return false })
+		// use gets a connection, returns it to the pool, and waits.
+		use := func(idle time.Duration) *Connection {
+			connection, err := pool.Get(env, "s", "t", time.Second)
 			if err != nil {
 				t.Fatal(err)
 			}
-			o.Put("s", p)
-			time.Sleep(rest)
-			return p
+			pool.Put("s", connection)
+			time.Sleep(idle)
+			return connection
 		}
 		use(time.Second)
-		if p := use(time.Second); dials != 1 || p.IdledFor() != time.Second {
-			t.Fatalf("%d dials; idled for %s", dials, p.IdledFor())
+		if connection := use(time.Second); dials != 1 || connection.IdledFor() != time.Second {
+			t.Fatalf("%d dials, idle for %s; want 1 dial, idle for 1s", dials, connection.IdledFor())
 		}
-		o.RecordStale(time.Second, time.Now())
+		pool.RecordStale(time.Second, time.Now())
 		use(200 * time.Millisecond)
 		if dials != 2 {
-			t.Error("a connection that was idle as long as a stale one was used")
+			t.Error("a connection was used after the idle time of a stale one")
 		}
 		if use(time.Second); dials != 2 {
-			t.Error("a connection that was idle for a moment was not used")
+			t.Error("a connection was not used after a short idle time")
 		}
 		time.Sleep(idleLimitDuration)
 		if use(time.Second); dials != 2 {
-			t.Error("long after, connections still may not be idle")
+			t.Error("the idle limit still applies after idleLimitDuration")
 		}
 	})
 }
--- a/internal/proxy/upstream/response.go
+++ b/internal/proxy/upstream/response.go
@@ -8,31 +8,30 @@
 	"sync"
 )
 
-// maxStrayResponses is how many responses to other requests are read past before the one
-// that is awaited.
+// maxStrayResponses is the largest number of responses to other requests that are skipped
+// before the awaited one.
 const maxStrayResponses = 3
 
-// Errors of responses that are not usable.
+// Errors of unusable responses.
 var (
 	ErrTooLarge          = errors.New("response too large")
 	ErrSwitchedProtocols = errors.New("the server switched protocols")
 )
 
-// Response is a complete response, or why there is none: either HTTP and Body are set, or
-// Err is.
+// Response is a complete response or an error: either HTTP and Body are set, or Err is.
 type Response struct {
-	HTTP *http.Response // its Body has been read and closed
+	HTTP *http.Response // HTTP.Body has been read and closed
 	Body []byte
 	Err  error
 }
 
-// readResponse reads the final response to a request. Interim responses (RFC 9110, section
-// 15.2) are read past; continued is closed at the first 100 Continue, and in any case when
-// readResponse returns. A complete response whose correlationHeader names another request is
-// a stray one that came late: it goes to nobody, and the next one is read.
+// readResponse reads the final response to a request. It skips interim responses (RFC 9110,
+// section 15.2). It closes continued at the first 100 Continue, at the latest when it returns.
+// A complete response whose correlationHeader names another request is a late stray one: it
+// is skipped, and the next response is read.
 func readResponse(reader *bufio.Reader, request *http.Request, maxBody int, continued chan struct{}, correlationHeader string) Response {
-	announce := sync.OnceFunc(func() { close(continued) })
-	defer announce()
+	closeContinued := sync.OnceFunc(func() { close(continued) })
+	defer closeContinued()
 	for strays := 0; ; {
 		response, err := http.ReadResponse(reader, request)
 		if err != nil {
@@ -43,7 +42,7 @@
 				return Response{Err: ErrSwitchedProtocols}
 			}
 			if response.StatusCode == http.StatusContinue {
-				announce()
+				closeContinued()
 			}
 			continue
 		}
@@ -52,7 +51,7 @@
 			return Response{Err: err}
 		}
 		response.Body.Close()
-		if named := response.Header.Get(correlationHeader); correlationHeader != "" && named != "" && named != request.Header.Get(correlationHeader) && strays < maxStrayResponses && !response.Close {
+		if requestID := response.Header.Get(correlationHeader); correlationHeader != "" && requestID != "" && requestID != request.Header.Get(correlationHeader) && strays < maxStrayResponses && !response.Close {
 			strays++
 			continue
 		}
@@ -60,7 +59,7 @@
 	}
 }
 
-// readBody reads the complete body of a response, of maxBody bytes at most.
+// readBody reads the complete body of a response, which may have at most maxBody bytes.
 func readBody(response *http.Response, maxBody int) ([]byte, error) {
 	if length := response.ContentLength; length >= 0 {
 		if length > int64(maxBody) {
--- a/internal/proxy/upstream/response_test.go
+++ b/internal/proxy/upstream/response_test.go
@@ -11,33 +11,33 @@
 )
 
 const (
-	namer = "Names-Request"
-	asked = "r1"
-	limit = 64
+	namesRequestHeader = "Names-Request"
+	awaitedID          = "r1"
+	maxBodyBytes       = 64
 )
 
-func readBytes(raw []byte, method, names string) (Response, *bufio.Reader, chan struct{}) {
+func readBytes(raw []byte, method, correlationHeader string) (Response, *bufio.Reader, chan struct{}) {
 	request, _ := http.NewRequest(method, "http://server.example/x", nil)
-	request.Header.Set(namer, asked)
-	reader, more := bufio.NewReader(bytes.NewReader(raw)), make(chan struct{})
-	return readResponse(reader, request, limit, more, names), reader, more
+	request.Header.Set(namesRequestHeader, awaitedID)
+	reader, continued := bufio.NewReader(bytes.NewReader(raw)), make(chan struct{})
+	return readResponse(reader, request, maxBodyBytes, continued, correlationHeader), reader, continued
 }
 
-func reply(id string, length int, body string) string {
-	return "HTTP/1.1 200 OK\r\n" + namer + ": " + id + "\r\nContent-Length: " + strconv.Itoa(length) + "\r\n\r\n" + body
+func rawResponse(id string, length int, body string) string {
+	return "HTTP/1.1 200 OK\r\n" + namesRequestHeader + ": " + id + "\r\nContent-Length: " + strconv.Itoa(length) + "\r\n\r\n" + body
 }
 
-// FuzzReadResponse holds that reading a response ends, whatever a target sends: with an error,
-// or with a complete body that is no longer than the limit and belongs to the request, unless
-// nothing that belongs to it follows.
+// FuzzReadResponse checks that readResponse terminates on any input, with an error or with a
+// complete body within the limit, and that a stray response before the awaited one does not
+// change the result.
 func FuzzReadResponse(f *testing.F) {
 	for _, text := range []string{
-		reply(asked, 2, "ok"), reply(asked, 9, "short"), reply("r0", 4, "late") + reply(asked, 2, "ok"), reply(asked, 99, strings.Repeat("x", 99)),
-		"HTTP/1.1 100 Continue\r\n\r\n" + reply(asked, 2, "ok"),
-		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n" + namer + ": r1\r\n\r\n2\r\nok\r\n0\r\n\r\n",
-		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n" + namer + ": r1\r\n\r\n2\r\nok\r\n",
-		"HTTP/1.1 101 Switching Protocols\r\n\r\n", "HTTP/1.0 200 OK\r\n\r\nto the end", "HTTP/1.1 204 No Content\r\n" + namer + ": r1\r\n\r\n",
-		reply("r0", 0, "") + reply("r0", 0, "") + reply("r0", 0, "") + reply("r0", 0, "") + reply(asked, 0, ""),
+		rawResponse(awaitedID, 2, "ok"), rawResponse(awaitedID, 9, "short"), rawResponse("r0", 4, "late") + rawResponse(awaitedID, 2, "ok"), rawResponse(awaitedID, 99, strings.Repeat("x", 99)),
+		"HTTP/1.1 100 Continue\r\n\r\n" + rawResponse(awaitedID, 2, "ok"),
+		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n" + namesRequestHeader + ": r1\r\n\r\n2\r\nok\r\n0\r\n\r\n",
+		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n" + namesRequestHeader + ": r1\r\n\r\n2\r\nok\r\n",
+		"HTTP/1.1 101 Switching Protocols\r\n\r\n", "HTTP/1.0 200 OK\r\n\r\nto the end", "HTTP/1.1 204 No Content\r\n" + namesRequestHeader + ": r1\r\n\r\n",
+		rawResponse("r0", 0, "") + rawResponse("r0", 0, "") + rawResponse("r0", 0, "") + rawResponse("r0", 0, "") + rawResponse(awaitedID, 0, ""),
 		"\x00\x01 what is this\r\n\r\n", "",
 	} {
 		f.Add([]byte(text), false)
@@ -48,46 +48,46 @@
 		if isHead {
 			method = http.MethodHead
 		}
-		got, _, more := readBytes(raw, method, namer)
+		got, _, continued := readBytes(raw, method, namesRequestHeader)
 		select {
-		case <-more:
+		case <-continued:
 		default:
-			t.Fatal("whoever waits for the server's word waits on")
+			t.Fatal("continued is not closed")
 		}
 		if got.Err != nil {
 			if got.HTTP != nil || got.Body != nil {
-				t.Fatal("a problem came with an answer")
+				t.Fatal("both an error and a response were returned")
 			}
 			return
 		}
 		if got.HTTP.StatusCode < 200 {
-			t.Fatalf("%d is no last answer", got.HTTP.StatusCode)
+			t.Fatalf("status %d is not final", got.HTTP.StatusCode)
 		}
-		if len(got.Body) > limit {
-			t.Fatalf("%d bytes are more than %d", len(got.Body), limit)
+		if len(got.Body) > maxBodyBytes {
+			t.Fatalf("body of %d bytes exceeds the limit of %d", len(got.Body), maxBodyBytes)
 		}
 		if n := got.HTTP.ContentLength; n >= 0 && !isHead && int64(len(got.Body)) != n {
-			t.Fatalf("%d bytes of %d pass for whole", len(got.Body), n)
+			t.Fatalf("body of %d bytes returned as complete, content length %d", len(got.Body), n)
 		}
-		// An answer in front that names another request leaves the right one in its place.
-		if got.HTTP.Header.Get(namer) != asked {
+		// A preceding response that names another request must not change the result.
+		if got.HTTP.Header.Get(namesRequestHeader) != awaitedID {
 			return
 		}
-		front := reply("r0", 4, "late")
+		stray := rawResponse("r0", 4, "late")
 		if isHead {
-			front = reply("r0", 4, "")
+			stray = rawResponse("r0", 4, "")
 		}
-		after, _, _ := readBytes(append([]byte(front), raw...), method, namer)
-		if after.Err != nil || after.HTTP.Header.Get(namer) != asked || !bytes.Equal(after.Body, got.Body) {
-			if straysIn(raw, method) < maxStrayResponses {
-				t.Fatalf("behind a surplus answer: %v %q", after.Err, after.Body)
+		second, _, _ := readBytes(append([]byte(stray), raw...), method, namesRequestHeader)
+		if second.Err != nil || second.HTTP.Header.Get(namesRequestHeader) != awaitedID || !bytes.Equal(second.Body, got.Body) {
+			if countStrays(raw, method) < maxStrayResponses {
+				t.Fatalf("after a stray response: error %v, body %q", second.Err, second.Body)
 			}
 		}
 	})
 }
 
-// straysIn counts the responses before the one asked for.
-func straysIn(raw []byte, method string) (n int) {
+// countStrays returns the number of final responses before the awaited one.
+func countStrays(raw []byte, method string) (n int) {
 	request := &http.Request{Method: method}
 	reader := bufio.NewReader(bytes.NewReader(raw))
 	for {
@@ -99,36 +99,36 @@
 			continue
 		}
 		io.Copy(io.Discard, response.Body)
-		if response.Header.Get(namer) == asked {
+		if response.Header.Get(namesRequestHeader) == awaitedID {
 			return n
 		}
 		n++
 	}
 }
 
-// TestReadResponse_StrayResponses holds what is read past, and that each answer is told by the
-// request it names.
+// TestReadResponse_StrayResponses checks that responses to other requests are skipped, and that
+// incomplete and too large responses are errors.
 func TestReadResponse_StrayResponses(t *testing.T) {
-	for name, c := range map[string]struct {
-		raw, names, body string
-		isFailed         bool
+	for name, test := range map[string]struct {
+		raw, correlationHeader, body string
+		wantErr                      bool
 	}{
-		"its own":                         {reply(asked, 2, "ok"), namer, "ok", false},
-		"one before it":                   {reply("r0", 4, "late") + reply(asked, 2, "ok"), namer, "ok", false},
-		"one before it, that ends early":  {reply("r0", 9, "late") + reply(asked, 2, "ok"), namer, "", true},
-		"three before it":                 {strings.Repeat(reply("r0", 0, ""), 3) + reply(asked, 2, "ok"), namer, "ok", false},
-		"only another's":                  {reply("r0", 4, "late"), namer, "", true},
-		"another's, where none are named": {reply("r0", 4, "late") + reply(asked, 2, "ok"), "", "late", false},
-		"short":                           {reply(asked, 9, "short"), namer, "", true},
-		"too long":                        {reply(asked, limit+1, strings.Repeat("x", limit+1)), namer, "", true},
-		"too long, in chunks":             {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n" + namer + ": r1\r\n\r\n42\r\n" + strings.Repeat("x", limit+2) + "\r\n0\r\n\r\n", namer, "", true},
-		"as long as may be":               {reply(asked, limit, strings.Repeat("x", limit)), namer, strings.Repeat("x", limit), false},
-		"chunks that are cut off":         {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n" + namer + ": r1\r\n\r\n2\r\nok\r\n", namer, "", true},
+		"awaited response":                {rawResponse(awaitedID, 2, "ok"), namesRequestHeader, "ok", false},
+		"one stray response first":        {rawResponse("r0", 4, "late") + rawResponse(awaitedID, 2, "ok"), namesRequestHeader, "ok", false},
+		"incomplete stray response first": {rawResponse("r0", 9, "late") + rawResponse(awaitedID, 2, "ok"), namesRequestHeader, "", true},
+		"three stray responses first":     {strings.Repeat(rawResponse("r0", 0, ""), 3) + rawResponse(awaitedID, 2, "ok"), namesRequestHeader, "ok", false},
+		"only a stray response":           {rawResponse("r0", 4, "late"), namesRequestHeader, "", true},
+		"no correlation header":           {rawResponse("r0", 4, "late") + rawResponse(awaitedID, 2, "ok"), "", "late", false},
+		"incomplete":                      {rawResponse(awaitedID, 9, "short"), namesRequestHeader, "", true},
+		"too large":                       {rawResponse(awaitedID, maxBodyBytes+1, strings.Repeat("x", maxBodyBytes+1)), namesRequestHeader, "", true},
+		"too large, chunked":              {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n" + namesRequestHeader + ": r1\r\n\r\n42\r\n" + strings.Repeat("x", maxBodyBytes+2) + "\r\n0\r\n\r\n", namesRequestHeader, "", true},
+		"as large as allowed":             {rawResponse(awaitedID, maxBodyBytes, strings.Repeat("x", maxBodyBytes)), namesRequestHeader, strings.Repeat("x", maxBodyBytes), false},
+		"incomplete, chunked":             {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n" + namesRequestHeader + ": r1\r\n\r\n2\r\nok\r\n", namesRequestHeader, "", true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			got, _, _ := readBytes([]byte(c.raw), http.MethodGet, c.names)
-			if (got.Err != nil) != c.isFailed || string(got.Body) != c.body {
-				t.Errorf("%q, %v", got.Body, got.Err)
+			got, _, _ := readBytes([]byte(test.raw), http.MethodGet, test.correlationHeader)
+			if (got.Err != nil) != test.wantErr || string(got.Body) != test.body {
+				t.Errorf("got body %q, error %v", got.Body, got.Err)
 			}
 		})
 	}
--- a/internal/proxy/upstream/sockopt.go
+++ b/internal/proxy/upstream/sockopt.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// A request that was written but not taken by the other side must not arrive much later: a
-// network partition or a stalled link would deliver it under a configuration that is long
-// past. So the operating system is told to give a connection up when sent bytes stay
-// unacknowledged (TCP_USER_TIMEOUT, RFC 5482), and to throw away what was not sent yet when
-// a connection is aborted (SO_LINGER of zero).
+// A request that was written but not yet received by the target must not arrive much later:
+// after a network partition or a stalled link it would run under an outdated configuration.
+// Therefore the operating system drops a connection whose sent bytes stay unacknowledged
+// (TCP_USER_TIMEOUT, RFC 5482), and discards unsent data when a connection is aborted
+// (SO_LINGER of zero).
 const (
-	// UnackedTimeout holds for a request whose head, and body if any, is sent at once.
+	// UnackedTimeout applies to a request that is sent at once: a head, or a head and a body.
 	UnackedTimeout = time.Second
 
-	// UnackedStreamTimeout holds for a body that streams, once the server has taken the head.
+	// UnackedStreamTimeout applies to a streamed body, after the server has accepted the head.
 	UnackedStreamTimeout = 10 * time.Second
 
-	tcpUserTimeout = 18 // TCP_USER_TIMEOUT of Linux, in milliseconds
+	tcpUserTimeout = 18 // Linux's TCP_USER_TIMEOUT; its value is in milliseconds
 )
 
-// setUserTimeout bounds how long sent bytes may stay unacknowledged. Connections that are
-// neither TCP nor the simulator's are left as they are.
+// setUserTimeout sets how long sent bytes may stay unacknowledged. It has no effect on
+// connections that are neither TCP connections nor the simulator's.
 func setUserTimeout(conn net.Conn, timeout time.Duration) {
 	switch c := conn.(type) {
 	case *net.TCPConn:
@@ -36,7 +36,7 @@
 	}
 }
 
-// closeAbruptly closes a connection without sending what is still buffered.
+// closeAbruptly closes a connection without sending data that is still buffered.
 func closeAbruptly(conn net.Conn) {
 	if c, ok := conn.(interface{ SetLinger(int) error }); ok {
 		c.SetLinger(0)
