--- a/fencing/fence.go
+++ b/fencing/fence.go
@@ -1,10 +1,11 @@
-// Package fencing is for programs that serve requests behind the gateway.
+// Package fencing lets targets, the programs that serve requests behind the gateway, reject
+// requests that were routed under an outdated epoch.
 //
-// A proxy asks whether its epoch is fresh right before it writes a request. It may stand still
-// between the two, and what it has written may wait in the target's socket. So only the target
-// can tell how old the epoch of a request is when it begins to work on it. Fence does that: the
-// epoch of a request is its fencing token, and the responses to the target's heartbeats tell
-// which tokens have been superseded.
+// A proxy checks that its epoch is fresh right before it writes a request. But its process may
+// be suspended after the check, and a written request may wait in the target's socket. So only
+// the target can determine the age of a request's epoch at the time of execution. Fence does
+// that: the epoch is the request's fencing token, and the responses to the target's heartbeats
+// contain the current epoch.
 package fencing
 
 import (
@@ -13,48 +14,51 @@
 	"time"
 )
 
-// MaxConfirmationAge bounds how old the confirmation may be by which a request is judged, and how
-// long after the word of its drain a target takes requests. It stays below the two seconds after which a superseded epoch must not be used any more.
+// MaxConfirmationAge is the maximum age of the confirmation by which a request is checked, and
+// the maximum time for which a target accepts requests after it has reported that it drains. It
+// is less than the two seconds after which a superseded epoch must no longer be used.
 const MaxConfirmationAge = 1900 * time.Millisecond
 
-// A request for which Check returns one of these errors must not be executed. Neither error
-// says anything of later requests.
+// Errors returned by Check. The request must not be executed. They say nothing about later
+// requests.
 var (
 	// ErrSuperseded is returned for a request whose epoch was superseded too long ago.
 	ErrSuperseded = errors.New("the request's epoch is superseded")
-	// ErrUnconfirmed is returned while the epoch in force has not been confirmed for longer
-	// than MaxConfirmationAge, for instance after this process stood still.
-	ErrUnconfirmed = errors.New("the epoch in force is not confirmed")
-	// ErrDraining is returned for what comes too long after the target said that it drains.
+	// ErrUnconfirmed is returned if the current epoch has not been confirmed for longer than
+	// MaxConfirmationAge, for example after this process was suspended.
+	ErrUnconfirmed = errors.New("the current epoch is not confirmed")
+	// ErrDraining is returned for requests that arrive more than MaxConfirmationAge after the
+	// target reported that it drains.
 	ErrDraining = errors.New("the target has been draining for too long")
 )
 
-// confirmation says that an epoch was in force at a time; any later one was not acknowledged then.
+// confirmation records that an epoch was current at a time: no later epoch was acknowledged
+// before then.
 type confirmation struct {
 	epoch uint64
 	asOf  time.Time
 }
 
-// Fence judges requests by the epochs that they name. The zero value lets every request pass until
-// Announce. It is safe for concurrent use. All times must be of one clock that goes on while the
-// machine is suspended (CLOCK_BOOTTIME on Linux).
+// Fence checks requests by the epochs that they name. The zero value accepts every request
+// until Announce is called. A Fence is safe for concurrent use. All times must be from one clock
+// that continues while the machine is suspended (CLOCK_BOOTTIME on Linux).
 //
-// The invariant, for a target that was answered with an epoch: a request that passes at a time t names an epoch that no acknowledged epoch had
-// superseded at t - MaxConfirmationAge, and comes no later than MaxConfirmationAge after the target
-// said that it drains.
+// Invariant, once a response to a heartbeat has named an epoch: a request accepted at time t
+// names an epoch that no acknowledged epoch had superseded at t - MaxConfirmationAge, and t is
+// at most MaxConfirmationAge after the target reported that it drains.
 type Fence struct {
 	mu sync.Mutex
-	// confirmations are in the order of their times, the oldest first.
+	// confirmations are sorted by time, the oldest first.
 	confirmations []confirmation
-	// announcedAt is when the target began to send its first heartbeat; no epoch that names it is
-	// older. isUnanswered is set from then until the first answer.
-	announcedAt   time.Time
-	isUnanswered  bool
-	drainingSince time.Time // zero while the target does not drain
+	// firstHeartbeatAt is when the target started to send its first heartbeat; no epoch that
+	// includes the target is older. isAwaitingResponse is set from then until the first response.
+	firstHeartbeatAt   time.Time
+	isAwaitingResponse bool
+	drainingSince      time.Time // zero unless the target drains
 }
 
-// Confirm takes over that an epoch was in force at a time. A time that is earlier than that of a
-// confirmation before is ignored: responses may overtake each other.
+// Confirm records that an epoch was current at a time. It ignores a confirmation that is not
+// later than the last one, because responses may arrive out of order.
 func (f *Fence) Confirm(epoch uint64, asOf time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -62,45 +66,47 @@
 		return
 	}
 	f.confirmations = append(f.confirmations, confirmation{epoch, asOf})
-	f.isUnanswered = false
-	f.dropExpired(asOf) // it is not later than now
+	f.isAwaitingResponse = false
+	f.dropExpired(asOf) // asOf is not later than now
 }
 
-// Announce says that the target began to send its first heartbeat at a time. Only the first counts.
-func (f *Fence) Announce(at time.Time) {
+// Announce records when the target started to send its first heartbeat. Later calls have no
+// effect.
+func (f *Fence) Announce(sentAt time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.announcedAt.IsZero() {
-		f.announcedAt, f.isUnanswered = at, true
+	if f.firstHeartbeatAt.IsZero() {
+		f.firstHeartbeatAt, f.isAwaitingResponse = sentAt, true
 	}
 }
 
-// Lift says that a gateway answered a heartbeat without naming an epoch. Nothing is refused then
-// until the next confirmation, but for what comes long after a drain.
+// Lift records that a gateway responded to a heartbeat without naming an epoch. Until the next
+// confirmation, Check rejects requests only because of a drain.
 func (f *Fence) Lift() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.confirmations, f.isUnanswered = nil, false
+	f.confirmations, f.isAwaitingResponse = nil, false
 }
 
-// Drain says that the target told, or began to tell, the gateway at a time that it drains or leaves.
-// Only the first such time counts.
-func (f *Fence) Drain(at time.Time) {
+// Drain records when the target started to report to the gateway that it drains or leaves. Later
+// calls have no effect until Serve is called.
+func (f *Fence) Drain(drainingSince time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.drainingSince.IsZero() {
-		f.drainingSince = at
+		f.drainingSince = drainingSince
 	}
 }
 
-// Serve says that the target serves again after it drained.
+// Serve records that the target serves again after a drain.
 func (f *Fence) Serve() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.drainingSince = time.Time{}
 }
 
-// Check returns why a request that names an epoch must not be executed now; nil if it may be.
+// Check returns nil if a request that names an epoch may be executed now, and otherwise the
+// reason why not.
 func (f *Fence) Check(epoch uint64, now time.Time) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -108,7 +114,7 @@
 		return ErrDraining
 	}
 	if len(f.confirmations) == 0 {
-		if f.isUnanswered && now.Sub(f.announcedAt) > MaxConfirmationAge {
+		if f.isAwaitingResponse && now.Sub(f.firstHeartbeatAt) > MaxConfirmationAge {
 			return ErrUnconfirmed
 		}
 		return nil
@@ -123,7 +129,7 @@
 	return nil
 }
 
-// dropExpired drops the confirmations that are too old to judge by, but for the last.
+// dropExpired drops the confirmations older than MaxConfirmationAge, except the last one.
 func (f *Fence) dropExpired(now time.Time) {
 	for len(f.confirmations) > 1 && now.Sub(f.confirmations[0].asOf) > MaxConfirmationAge {
 		f.confirmations = f.confirmations[1:]
--- a/fencing/fence_test.go
+++ b/fencing/fence_test.go
@@ -6,10 +6,12 @@
 	"time"
 )
 
-// at is a time some milliseconds after the beginning of a test.
-func at(millis int) time.Time { return time.Unix(0, 0).Add(time.Duration(millis) * time.Millisecond) }
+// atMillis returns the time a number of milliseconds after the start of the test.
+func atMillis(millis int) time.Time {
+	return time.Unix(0, 0).Add(time.Duration(millis) * time.Millisecond)
+}
 
-func TestFence_RefusesWhatWasSupersededTooLongAgo(t *testing.T) {
+func TestFence_RejectsEpochsSupersededTooLongAgo(t *testing.T) {
 	type heartbeat struct {
 		epoch uint64
 		asOf  int // milliseconds
@@ -22,93 +24,94 @@
 		now        int // milliseconds
 		want       error
 	}{
-		{"nothing was confirmed", nil, 0, 10_000, nil},
-		{"the epoch in force", regular, 8, 2450, nil},
+		{"no confirmation at all", nil, 0, 10_000, nil},
+		{"the current epoch", regular, 8, 2450, nil},
 		{"a newer epoch than any confirmed", regular, 9, 2450, nil},
-		{"an epoch that was in force within the bound", regular, 7, 2200, nil},
-		{"an epoch that was superseded before the bound", regular, 7, 2450, ErrSuperseded},
-		{"right at the bound", []heartbeat{{8, 0}}, 8, 1900, nil},
-		{"no confirmation within the bound", regular, 8, 4301, ErrUnconfirmed},
-		{"a newer epoch than any confirmed, but no confirmation", regular, 9, 4301, ErrUnconfirmed},
-		{"a first confirmation after a long silence", []heartbeat{{7, 0}, {8, 5000}}, 7, 5010, ErrSuperseded},
-		{"the epoch in force after a long silence", []heartbeat{{7, 0}, {8, 5000}}, 8, 5010, nil},
-		{"responses that overtook each other", []heartbeat{{7, 0}, {8, 600}, {7, 300}}, 8, 2450, nil},
-		{"a superseded epoch after responses that overtook each other", []heartbeat{{8, 600}, {7, 300}}, 7, 2150, ErrSuperseded},
+		{"an epoch that was current within MaxConfirmationAge", regular, 7, 2200, nil},
+		{"an epoch superseded longer ago than MaxConfirmationAge", regular, 7, 2450, ErrSuperseded},
+		{"a confirmation exactly MaxConfirmationAge old", []heartbeat{{8, 0}}, 8, 1900, nil},
+		{"last confirmation too old", regular, 8, 4301, ErrUnconfirmed},
+		{"a newer epoch than any confirmed, last confirmation too old", regular, 9, 4301, ErrUnconfirmed},
+		{"a superseded epoch at the first confirmation after a gap", []heartbeat{{7, 0}, {8, 5000}}, 7, 5010, ErrSuperseded},
+		{"the current epoch at the first confirmation after a gap", []heartbeat{{7, 0}, {8, 5000}}, 8, 5010, nil},
+		{"responses out of order", []heartbeat{{7, 0}, {8, 600}, {7, 300}}, 8, 2450, nil},
+		{"a superseded epoch after responses out of order", []heartbeat{{8, 600}, {7, 300}}, 7, 2150, ErrSuperseded},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var fence Fence
 			for _, h := range c.heartbeats {
 				if h.asOf <= c.now {
-					fence.Confirm(h.epoch, at(h.asOf))
+					fence.Confirm(h.epoch, atMillis(h.asOf))
 				}
 			}
-			if got := fence.Check(c.epoch, at(c.now)); !errors.Is(got, c.want) {
+			if got := fence.Check(c.epoch, atMillis(c.now)); !errors.Is(got, c.want) {
 				t.Errorf("got %v, want %v", got, c.want)
 			}
 		})
 	}
 }
 
-// A new target that stands still between its first heartbeat and the answer to it.
-func TestFence_RefusesWhatWaitedWhileTheFirstHeartbeatWasUnanswered(t *testing.T) {
+// A new target is suspended between its first heartbeat and the response to it.
+func TestFence_RejectsRequestsWhileFirstHeartbeatIsUnanswered(t *testing.T) {
 	var fence Fence
-	fence.Announce(at(1000))
-	fence.Announce(at(2000)) // the next heartbeat
-	if err := fence.Check(7, at(2900)); err != nil {
+	fence.Announce(atMillis(1000))
+	fence.Announce(atMillis(2000)) // the next heartbeat
+	if err := fence.Check(7, atMillis(2900)); err != nil {
 		t.Error(err)
 	}
-	if err := fence.Check(7, at(2901)); !errors.Is(err, ErrUnconfirmed) {
+	if err := fence.Check(7, atMillis(2901)); !errors.Is(err, ErrUnconfirmed) {
 		t.Error(err)
 	}
-	for _, answer := range []func(){fence.Lift, func() { fence.Confirm(7, at(2950)) }} {
-		answer()
-		if err := fence.Check(7, at(3000)); err != nil {
-			t.Error("after an answer:", err)
+	for _, respond := range []func(){fence.Lift, func() { fence.Confirm(7, atMillis(2950)) }} {
+		respond()
+		if err := fence.Check(7, atMillis(3000)); err != nil {
+			t.Error("after a response:", err)
 		}
 	}
 }
 
-// In a fleet of two builds only some of the answers to heartbeats name an epoch.
-func TestFence_JudgesNothingWhereTheGatewayNamesNoEpoch(t *testing.T) {
+// In a fleet with nodes of two builds, only some responses to heartbeats name an epoch.
+func TestFence_AcceptsAnyEpochAfterLift(t *testing.T) {
 	var fence Fence
-	fence.Confirm(8, at(0))
+	fence.Confirm(8, atMillis(0))
 	fence.Lift()
-	if err := fence.Check(7, at(5000)); err != nil {
+	if err := fence.Check(7, atMillis(5000)); err != nil {
 		t.Error(err)
 	}
-	fence.Confirm(8, at(5000))
-	if err := fence.Check(7, at(5010)); !errors.Is(err, ErrSuperseded) {
+	fence.Confirm(8, atMillis(5000))
+	if err := fence.Check(7, atMillis(5010)); !errors.Is(err, ErrSuperseded) {
 		t.Error(err)
 	}
 }
 
-// A drain is in an epoch only a moment after it was acknowledged, so no epoch bounds it.
-func TestFence_RefusesAllThatComesLongAfterADrain(t *testing.T) {
+// A drain is acknowledged shortly before an epoch includes it, so checking epochs does not limit
+// how long after a drain requests are accepted.
+func TestFence_RejectsAllRequestsLongAfterDrain(t *testing.T) {
 	var fence Fence
 	check := func(now int, want error) {
 		t.Helper()
-		if got := fence.Check(7, at(now)); !errors.Is(got, want) {
+		if got := fence.Check(7, atMillis(now)); !errors.Is(got, want) {
 			t.Errorf("at %d ms: got %v, want %v", now, got, want)
 		}
 	}
-	fence.Drain(at(1000))
-	fence.Drain(at(2000)) // said once more
+	fence.Drain(atMillis(1000))
+	fence.Drain(atMillis(2000)) // reported again, without effect
 	check(2900, nil)
 	check(2901, ErrDraining)
 	fence.Serve()
 	check(3000, nil)
-	fence.Drain(at(4000))
+	fence.Drain(atMillis(4000))
 	check(5900, nil)
 	check(5901, ErrDraining)
 }
 
-// A target without requests confirms on and on.
-func TestFence_KeepsNoMoreConfirmationsThanItNeeds(t *testing.T) {
+// A target that receives no requests still receives confirmations, and must not keep them all.
+func TestFence_DropsExpiredConfirmations(t *testing.T) {
 	var fence Fence
 	for i := range 1000 {
-		fence.Confirm(uint64(i), at(i*300))
+		fence.Confirm(uint64(i), atMillis(i*300))
 	}
-	if held := len(fence.confirmations); held > 8 {
-		t.Errorf("it holds %d confirmations", held)
+	if count := len(fence.confirmations); count > 8 {
+		t.Errorf("the fence keeps %d confirmations, want at most 8", count)
 	}
 }
--- a/internal/coordination/completed.go
+++ b/internal/coordination/completed.go
@@ -2,14 +2,15 @@
 
 import "github.com/sumactrestle/sumactrestle/internal/rpc"
 
-// maxCompleted is how many request IDs a shard remembers; the oldest is forgotten first.
+// maxCompleted is the number of completed request IDs that a shard keeps. The oldest are
+// dropped first.
 const maxCompleted = 8192
 
-// completedRequests is the responses given under request IDs, oldest first, so that a
-// repeated request gets the first response again.
+// completedRequests keeps responses by request ID, so that a repeated request gets the
+// response to the first one.
 type completedRequests struct {
 	responses map[string]rpc.CoordinationResponse
-	order     []string
+	order     []string // request IDs, oldest first
 }
 
 func newCompletedRequests(list []rpc.CompletedRequest) completedRequests {
@@ -21,7 +22,7 @@
 	return c
 }
 
-// lookup returns the response that was given under an ID; none was under the empty one.
+// lookup returns the response kept for a request ID. There is none for the empty ID.
 func (c *completedRequests) lookup(id string) (rpc.CoordinationResponse, bool) {
 	response, ok := c.responses[id]
 	return response, ok && id != ""
@@ -47,7 +48,7 @@
 	return list
 }
 
-// IsCompleted tells whether a response is kept for a request ID.
+// IsCompleted reports whether a response is kept for a request ID.
 func (s *Store) IsCompleted(id string) bool {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
--- a/internal/coordination/counter.go
+++ b/internal/coordination/counter.go
@@ -8,7 +8,8 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// add adds to a counter, which starts at zero. Watches see the new count as the value.
+// add adds the request's Delta to a counter, which starts at zero. The event's value is the
+// new count.
 func (s *Store) add(index ids.Index, request *rpc.CoordinationRequest) *rpc.CoordinationResponse {
 	count := s.records[KindCounter][request.Name].Count + request.Delta
 	value := json.RawMessage(strconv.FormatInt(count, 10))
--- a/internal/coordination/doc.go
+++ b/internal/coordination/doc.go
@@ -1,16 +1,16 @@
-// Package coordination holds the primitives that applications coordinate by: locks and
+// Package coordination provides coordination primitives for applications: locks and
 // elections with fencing tokens, counters, keys with revisions, watches, and idempotency
 // records for requests that must not run twice.
 //
-// A name belongs to the space that stands before its first slash, and a space lies in one
-// shard. Each shard has two halves here:
+// The part of a name before its first slash is its space. All names of a space are in the
+// same shard. Each shard is implemented by two types:
 //
-//   - Store is the replicated state machine. It applies committed log entries in the same
-//     way on every replica and knows no clock, apart from the retention of events.
-//   - Service is the leader's half. It validates requests, confirms its leadership before a
-//     read, runs the leases of locks on its monotonic clock, holds long polls open, and
-//     proposes what has to be written.
+//   - Store is the replicated state machine. It applies committed log entries
+//     deterministically on every replica. It uses the clock only for the retention of events.
+//   - Service runs on the shard's leader. It validates requests, confirms its leadership
+//     before reads, measures the leases of locks on its monotonic clock, serves long polls,
+//     and proposes writes.
 //
-// A request and a log entry share one message, rpc.CoordinationRequest; its Operation is one
-// of the Op constants.
+// Requests and log entries have the same type, rpc.CoordinationRequest, whose Operation is
+// one of the Op constants.
 package coordination
--- a/internal/coordination/event.go
+++ b/internal/coordination/event.go
@@ -9,17 +9,17 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// eventRetention is how long an event is kept, so that a watch can resume after its
-// connection or the shard's leader was lost.
+// eventRetention is how long events are kept, so that a watch can resume after a lost
+// connection or a change of leader.
 const eventRetention = time.Minute
 
-// eventLog is the recent events of a shard in the order of their index. Its clock is the
-// replica's own: replicas may keep a different number of events, and none a wrong one.
+// eventLog holds the recent events of a shard, ordered by index. Retention uses the local
+// clock, so replicas may keep different numbers of events; the events themselves are the same.
 type eventLog struct {
-	events []rpc.WatchEvent
-	times  []time.Time // when each event was added here
-	// compactedIndex is the index of the last event that was dropped, and
-	// compactedRevisions the last revision that was dropped of each space.
+	events  []rpc.WatchEvent
+	addedAt []time.Time // when this replica added each event
+	// compactedIndex is the index of the last dropped event. compactedRevisions has the last
+	// dropped revision of each space.
 	compactedIndex     ids.Index
 	compactedRevisions map[string]ids.Index
 }
@@ -28,29 +28,29 @@
 	return eventLog{compactedRevisions: map[string]ids.Index{}}
 }
 
-// restoreEventLog takes over events from a snapshot; their retention starts anew.
+// restoreEventLog returns the event log of a snapshot. The retention of its events restarts.
 func restoreEventLog(state *rpc.CoordinationState) eventLog {
 	l := newEventLog()
 	l.events, l.compactedIndex = state.Events, state.Start
 	if state.Starts != nil {
 		l.compactedRevisions = state.Starts
 	}
-	l.times = make([]time.Time, len(l.events))
-	for i := range l.times {
-		l.times[i] = time.Now()
+	l.addedAt = make([]time.Time, len(l.events))
+	for i := range l.addedAt {
+		l.addedAt[i] = time.Now()
 	}
 	return l
 }
 
 func (l *eventLog) add(event rpc.WatchEvent) {
 	l.events = append(l.events, event)
-	l.times = append(l.times, time.Now())
+	l.addedAt = append(l.addedAt, time.Now())
 }
 
-// compact drops the events that are older than the retention.
+// compact drops the events that are older than eventRetention.
 func (l *eventLog) compact() {
 	n := 0
-	for n < len(l.times) && time.Since(l.times[n]) > eventRetention {
+	for n < len(l.addedAt) && time.Since(l.addedAt[n]) > eventRetention {
 		n++
 	}
 	if n == 0 {
@@ -63,11 +63,11 @@
 		}
 	}
 	l.events = append([]rpc.WatchEvent(nil), l.events[n:]...)
-	l.times = append([]time.Time(nil), l.times[n:]...)
+	l.addedAt = append([]time.Time(nil), l.addedAt[n:]...)
 }
 
-// EventsSince returns at most limit events under a prefix after an index, and the index to
-// resume from. It is not complete if events after that index were dropped.
+// EventsSince returns at most limit events after an index whose names have the prefix, and
+// the index to resume from. complete is false if events after that index were dropped.
 func (s *Store) EventsSince(prefix string, after ids.Index, limit int) (events []rpc.WatchEvent, next ids.Index, complete bool) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
--- a/internal/coordination/event_test.go
+++ b/internal/coordination/event_test.go
@@ -10,7 +10,7 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-func TestEventLog_EventsAreKeptForTheRetention(t *testing.T) {
+func TestEventLog_KeepsEventsForRetentionPeriod(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := NewStore()
 		put := func(index ids.Index) {
@@ -19,16 +19,16 @@
 		put(1)
 		time.Sleep(40 * time.Second)
 		put(2)
-		if list, next, ok := store.EventsSince("a/", 0, 10); !ok || len(list) != 2 || next != 2 {
-			t.Fatal(list, next, ok)
+		if events, next, ok := store.EventsSince("a/", 0, 10); !ok || len(events) != 2 || next != 2 {
+			t.Fatal(events, next, ok)
 		}
 		time.Sleep(30 * time.Second)
 		put(3)
 		if _, _, ok := store.EventsSince("a/", 0, 10); ok {
-			t.Fatal("a watch from before the kept events was not told")
+			t.Fatal("a watch from before the retained events was reported as complete")
 		}
-		if list, _, ok := store.EventsSince("a/", 1, 10); !ok || len(list) != 2 {
-			t.Fatal(list, ok)
+		if events, _, ok := store.EventsSince("a/", 1, 10); !ok || len(events) != 2 {
+			t.Fatal(events, ok)
 		}
 	})
 }
--- a/internal/coordination/idempotency.go
+++ b/internal/coordination/idempotency.go
@@ -8,47 +8,49 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// IdempotencyRetention is how long the record of an idempotency key is kept, at least. It
-// is also how long a request under that key surely does not run twice.
+// IdempotencyRetention is the minimum time for which the record of an idempotency key is
+// kept. Within this time, a request with the same key does not run twice.
 const IdempotencyRetention = 10 * time.Minute
 
-// cancelled is the value of a reservation that was given up because nothing of the request
-// was handed over. The string stands in snapshots.
-const cancelled = `"given back"`
+// cancelledValue is the value of the record of a cancelled reservation: none of its request
+// was sent to a target. The string is stored in snapshots.
+const cancelledValue = `"given back"`
 
-// kindReserved tells, in the response to a batch, a key that is another request's.
-const kindReserved = "held"
+// kindReservedByOther is the kind of a record in the response to a batch whose key is
+// reserved by another request.
+const kindReservedByOther = "held"
 
-// reserve takes a batch of idempotency keys, each for the request that its record names as
-// the holder. A key that is another request's gets that one's holder and outcome. A
-// reservation that was cancelled before it came is not taken: its caller lost patience.
+// reserve reserves a batch of idempotency keys. The holder of each record in the batch is the
+// request that reserves the key. If the key is reserved by another request, the response has
+// that request's holder and outcome. A reservation that arrives after its cancellation is
+// rejected, because its caller has given up.
 func (s *Store) reserve(index ids.Index, request *rpc.CoordinationRequest) *rpc.CoordinationResponse {
 	response := &rpc.CoordinationResponse{Index: index}
-	for _, wanted := range request.Records {
-		current, ok := s.records[KindIdempotency][wanted.Name]
-		isCancelled := string(current.Value) == cancelled
-		isOthers := current.Holder != wanted.Holder
-		if !ok || isOthers == isCancelled {
-			s.records.put(rpc.CoordinationRecord{Name: wanted.Name, Kind: KindIdempotency, Holder: wanted.Holder, Index: index})
-			response.Records = append(response.Records, rpc.CoordinationRecord{Name: wanted.Name, Holder: wanted.Holder})
+	for _, reservation := range request.Records {
+		current, ok := s.records[KindIdempotency][reservation.Name]
+		isCancelled := string(current.Value) == cancelledValue
+		isOtherHolder := current.Holder != reservation.Holder
+		if !ok || isOtherHolder == isCancelled {
+			s.records.put(rpc.CoordinationRecord{Name: reservation.Name, Kind: KindIdempotency, Holder: reservation.Holder, Index: index})
+			response.Records = append(response.Records, rpc.CoordinationRecord{Name: reservation.Name, Holder: reservation.Holder})
 			continue
 		}
-		response.Records = append(response.Records, rpc.CoordinationRecord{Name: wanted.Name, Kind: kindReserved, Holder: current.Holder, Value: current.Value})
+		response.Records = append(response.Records, rpc.CoordinationRecord{Name: reservation.Name, Kind: kindReservedByOther, Holder: current.Holder, Value: current.Value})
 	}
 	return response
 }
 
-// cancelReservation frees a key whose request was not handed over. It leaves a record, so
-// that a reservation that comes after its cancellation is not taken.
+// cancelReservation frees the key of a request that was not sent to a target. It keeps a
+// record of the cancellation, so that reserve rejects a reservation that arrives after it.
 func (s *Store) cancelReservation(index ids.Index, request *rpc.CoordinationRequest) *rpc.CoordinationResponse {
 	current, ok := s.records[KindIdempotency][request.Name]
 	if !ok || current.Holder == request.Holder && current.Value == nil {
-		s.records.put(rpc.CoordinationRecord{Name: request.Name, Kind: KindIdempotency, Holder: request.Holder, Value: []byte(cancelled), Index: index})
+		s.records.put(rpc.CoordinationRecord{Name: request.Name, Kind: KindIdempotency, Holder: request.Holder, Value: []byte(cancelledValue), Index: index})
 	}
 	return &rpc.CoordinationResponse{Index: index}
 }
 
-// complete records the outcomes of a batch of reserved requests.
+// complete records the outcomes of a batch of requests that hold their keys' reservations.
 func (s *Store) complete(index ids.Index, request *rpc.CoordinationRequest) *rpc.CoordinationResponse {
 	for _, completed := range request.Records {
 		if current, ok := s.records[KindIdempotency][completed.Name]; ok && current.Holder == completed.Holder {
@@ -59,7 +61,7 @@
 	return &rpc.CoordinationResponse{Index: index}
 }
 
-// sweep removes the records up to an index, which the request bears as its fencing token.
+// sweep removes the idempotency records up to an index, given as the request's fencing token.
 func (s *Store) sweep(index ids.Index, request *rpc.CoordinationRequest) *rpc.CoordinationResponse {
 	records := s.records[KindIdempotency]
 	for name, record := range records {
@@ -70,39 +72,40 @@
 	return &rpc.CoordinationResponse{Index: index}
 }
 
-// indexAges is how far a shard's log had come at past moments, oldest first. Records bear
-// indexes and no times, which replicas would not agree on.
-type indexAges []indexAge
+// indexSamples holds a shard's applied index at past times, oldest first. The age of a record
+// follows from its index: records have no times, because replicas would not agree on them.
+type indexSamples []indexSample
 
-type indexAge struct {
-	at    time.Time
-	index ids.Index
+type indexSample struct {
+	sampledAt time.Time
+	index     ids.Index
 }
 
-// sweepIdempotencyRecords has the records removed that are older than the retention. It is
-// called at intervals while this node leads the shard, and knows no age from before.
+// sweepIdempotencyRecords samples the applied index and proposes the removal of records that
+// are older than IdempotencyRetention. It is called periodically. The samples start with this
+// node's leadership, so records from before count as created then.
 func (s *shard) sweepIdempotencyRecords() {
 	if !s.replica.IsServing() {
-		s.ages = nil
+		s.indexSamples = nil
 		return
 	}
-	records, applied := s.store.List(KindIdempotency, "")
-	s.ages = append(s.ages, indexAge{s.env.Now(), applied})
-	var expired ids.Index
-	for len(s.ages) > 0 && s.env.Since(s.ages[0].at) > IdempotencyRetention {
-		expired = s.ages[0].index
-		s.ages = s.ages[1:]
+	records, appliedIndex := s.store.List(KindIdempotency, "")
+	s.indexSamples = append(s.indexSamples, indexSample{s.env.Now(), appliedIndex})
+	var expiredIndex ids.Index
+	for len(s.indexSamples) > 0 && s.env.Since(s.indexSamples[0].sampledAt) > IdempotencyRetention {
+		expiredIndex = s.indexSamples[0].index
+		s.indexSamples = s.indexSamples[1:]
 	}
 	for _, record := range records {
-		if record.Index <= expired {
-			s.proposeSweep(expired)
+		if record.Index <= expiredIndex {
+			s.proposeSweep(expiredIndex)
 			return
 		}
 	}
 }
 
-// proposeSweep writes the removal of the records up to an index. If that fails, records
-// stay until a later sweep.
+// proposeSweep proposes the removal of the records up to an index in the background. If the
+// proposal fails, the records remain until a later sweep.
 func (s *shard) proposeSweep(upTo ids.Index) {
 	s.env.Go(func() {
 		ctx, cancel := context.WithTimeout(s.env, maintenanceTimeout)
--- a/internal/coordination/instance_state.go
+++ b/internal/coordination/instance_state.go
@@ -6,12 +6,12 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// stateLeaving is the announced state that is final: an instance that leaves does not
-// come back under the same id.
+// stateLeaving is the final announced state: an instance that leaves does not return with
+// the same ID.
 const stateLeaving = "leaving"
 
-// setInstanceState records the state that an instance announced, by the sequence of the
-// heartbeat that bore it; an older heartbeat changes nothing. Watches do not see it.
+// setInstanceState records the state that an instance announced in a heartbeat. It rejects
+// heartbeats with a lower sequence number than the recorded one. It publishes no event.
 func (s *Store) setInstanceState(index ids.Index, request *rpc.CoordinationRequest) *rpc.CoordinationResponse {
 	current, ok := s.records[KindInstanceState][request.Name]
 	if ok && (current.Sequence > request.Sequence || current.Holder == stateLeaving) {
@@ -21,8 +21,8 @@
 	return &rpc.CoordinationResponse{Index: index, Holder: request.Holder}
 }
 
-// clearInstanceState removes the announced state of an instance that serves again or is
-// long gone.
+// clearInstanceState removes the announced state of an instance that serves again or has been
+// absent for long. It rejects heartbeats with a lower sequence number than the recorded one.
 func (s *Store) clearInstanceState(index ids.Index, request *rpc.CoordinationRequest) *rpc.CoordinationResponse {
 	current, ok := s.records[KindInstanceState][request.Name]
 	if !ok || current.Sequence > request.Sequence {
--- a/internal/coordination/instance_state_test.go
+++ b/internal/coordination/instance_state_test.go
@@ -7,7 +7,7 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-func TestInstanceState_FollowsTheSequenceAndLeavingIsFinal(t *testing.T) {
+func TestInstanceState_RejectsOlderSequencesAndLeavingIsFinal(t *testing.T) {
 	store := NewStore()
 	for i, step := range []struct {
 		operation, state string
@@ -32,6 +32,6 @@
 		t.Fatal(record, ok)
 	}
 	if events, _, _ := store.EventsSince("", 0, 10); len(events) != 0 {
-		t.Fatal("a watch sees", events)
+		t.Fatal("instance states published events", events)
 	}
 }
--- a/internal/coordination/key.go
+++ b/internal/coordination/key.go
@@ -6,8 +6,8 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// put writes a key. On a condition it is done only if the key's index is the one named;
-// zero stands for a key that is not there.
+// put writes a key. If the request has an IfIndex, the key's current index must equal it;
+// zero means that the key must not exist.
 func (s *Store) put(index ids.Index, request *rpc.CoordinationRequest) *rpc.CoordinationResponse {
 	current := s.records[KindKey][request.Name]
 	if request.IfIndex != nil && *request.IfIndex != current.Index {
@@ -17,7 +17,7 @@
 	return &rpc.CoordinationResponse{Index: index, Value: request.Value}
 }
 
-// delete removes a key, on the same condition as put.
+// delete removes a key, under the same condition as put.
 func (s *Store) delete(index ids.Index, request *rpc.CoordinationRequest) *rpc.CoordinationResponse {
 	current, ok := s.records[KindKey][request.Name]
 	if request.IfIndex != nil && *request.IfIndex != current.Index {
--- a/internal/coordination/lease.go
+++ b/internal/coordination/lease.go
@@ -9,28 +9,28 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// lease is the time for which a lock is held, by the leader's monotonic clock. It counts
-// from the end of the write that granted it, and the holder counts from when it sent the
-// request, so the holder's time is over first.
+// lease is the period for which a lock is held, on the leader's monotonic clock. It starts
+// when the write that granted it has completed. The holder counts from when it sent the
+// request, so it considers the lease expired before the leader does.
 type lease struct {
 	token     ids.Index
 	expiresAt time.Time
-	// revoking is set once the lease has run out: from then on it can't be renewed, also
-	// if the entry that releases the lock has to be proposed again.
-	revoking bool
-	revoked  chan struct{} // closed when the entry under way has ended; nil if there is none
+	// revoking is set when revocation of the expired lease starts. The lease can't be renewed
+	// after that, even if the entry that releases the lock has to be proposed again.
+	revoking   bool
+	revokeDone chan struct{} // closed when the current attempt to revoke has ended; nil if there is none
 }
 
-// leaseTable is the leases of a shard's locks by name, within one term of this node's
-// leadership. A lock that a leader sees for the first time starts with its full time.
+// leaseTable holds the leases of a shard's locks during one term of this node's leadership.
+// A new leader starts the lease of every existing lock with its full TTL.
 type leaseTable struct {
 	term   ids.Term
 	byName map[string]*lease
 }
 
-// leasesIn returns the leases in a term, none at the beginning of a new one; nil if the
-// term is over. The caller holds s.mu.
-func (s *shard) leasesIn(term ids.Term) map[string]*lease {
+// leasesForTerm returns the leases of a term, an empty map at the start of a new term, or nil
+// if the term has ended. The caller holds s.mu.
+func (s *shard) leasesForTerm(term ids.Term) map[string]*lease {
 	if term.Less(s.leases.term) {
 		return nil
 	}
@@ -40,25 +40,26 @@
 	return s.leases.byName
 }
 
-// leaseOf returns the lease of a lock as the store has it, and begins it if this leader
-// has not seen it. The caller holds s.mu.
-func (s *shard) leaseOf(leases map[string]*lease, lock rpc.CoordinationRecord) *lease {
+// ensureLease returns the lease of a lock, and starts it if leases has none for the lock's
+// fencing token. The caller holds s.mu.
+func (s *shard) ensureLease(leases map[string]*lease, lock rpc.CoordinationRecord) *lease {
 	if l := leases[lock.Name]; l == nil || l.token != lock.FencingToken {
-		leases[lock.Name] = &lease{token: lock.FencingToken, expiresAt: s.after(lock.TTL)}
+		leases[lock.Name] = &lease{token: lock.FencingToken, expiresAt: s.expiryTime(lock.TTL)}
 	}
 	return leases[lock.Name]
 }
 
-func (s *shard) after(ttl int64) time.Time {
+// expiryTime returns the expiry time of a lease that starts now. ttl is in milliseconds.
+func (s *shard) expiryTime(ttl int64) time.Time {
 	return s.env.Now().Add(time.Duration(ttl) * time.Millisecond)
 }
 
-func (s *shard) hasEnded(l *lease) bool { return l.revoking || !s.env.Now().Before(l.expiresAt) }
+func (s *shard) isExpired(l *lease) bool { return l.revoking || !s.env.Now().Before(l.expiresAt) }
 
-// acquire takes a lock. While another's lease lasts it writes nothing; a lease that has
-// run out is revoked first.
+// acquire acquires a lock. It writes nothing while another holder's lease is valid. If that
+// lease has expired, it is revoked first.
 func (s *shard) acquire(ctx context.Context, request *rpc.CoordinationRequest) (*rpc.CoordinationResponse, error) {
-	began := s.env.Now()
+	startedAt := s.env.Now()
 	for isRepeat := s.store.IsCompleted(request.ID); !isRepeat; {
 		term, _, isServing := s.replica.LeadershipSince()
 		if !isServing {
@@ -67,22 +68,22 @@
 		if lock, ok := s.store.Get(KindLock, request.Name); !ok || lock.Holder == request.Holder {
 			break
 		}
-		if err := s.replica.ConfirmLeadership(ctx, began); err != nil {
+		if err := s.replica.ConfirmLeadership(ctx, startedAt); err != nil {
 			return nil, err
 		}
-		rejection, revoked := s.conflict(term, request)
+		rejection, revokeDone := s.conflict(term, request)
 		if rejection != nil {
 			return rejection, nil
 		}
-		if revoked == nil {
+		if revokeDone == nil {
 			continue
 		}
 		select {
-		case <-revoked:
+		case <-revokeDone:
 		case <-ctx.Done():
 		}
 		if ctx.Err() != nil || s.env.IsStopping() {
-			return nil, errcode.New(errcode.NoLeader, "shard %d: the old lease can't be revoked", s.id)
+			return nil, errcode.New(errcode.NoLeader, "shard %d: the expired lease of the current holder was not revoked in time", s.id)
 		}
 	}
 	granted, err := s.propose(ctx, request)
@@ -96,25 +97,27 @@
 	return granted, nil
 }
 
-// conflict returns the rejection while another holds the lock; or, if the other's lease has
-// run out, a channel that is closed when it is revoked; or neither, if nobody else holds it.
-func (s *shard) conflict(term ids.Term, request *rpc.CoordinationRequest) (rejection *rpc.CoordinationResponse, revoked <-chan struct{}) {
+// conflict checks whether another holder has the lock. If its lease is valid, conflict returns
+// the rejection. If its lease has expired, conflict starts to revoke it and returns a channel
+// that is closed when the attempt has ended. Otherwise it returns nil, also if the term has
+// ended.
+func (s *shard) conflict(term ids.Term, request *rpc.CoordinationRequest) (rejection *rpc.CoordinationResponse, revokeDone <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	leases := s.leasesIn(term)
+	leases := s.leasesForTerm(term)
 	lock, ok := s.store.Get(KindLock, request.Name)
 	if leases == nil || !ok || lock.Holder == request.Holder {
 		return nil, nil
 	}
-	if l := s.leaseOf(leases, lock); s.hasEnded(l) {
+	if l := s.ensureLease(leases, lock); s.isExpired(l) {
 		return nil, s.revoke(term, lock, l)
 	}
 	return &rpc.CoordinationResponse{Code: errcode.LockHeld.Number, Index: lock.Index, Holder: lock.Holder, FencingToken: lock.FencingToken, TTL: lock.TTL}, nil
 }
 
-// renew extends the holder's lease, by the lock's own time if the request names none. A
-// longer time than the lock's is written first, so that a new leader does not end the
-// lease early; any other renewal writes nothing.
+// renew extends the holder's lease by the request's TTL, or by the lock's TTL if the request
+// has none. A TTL longer than the lock's is written first, so that a new leader does not end
+// the lease early. Other renewals write nothing.
 func (s *shard) renew(ctx context.Context, term ids.Term, request *rpc.CoordinationRequest) (*rpc.CoordinationResponse, error) {
 	lock, ok := s.store.Get(KindLock, request.Name)
 	if !ok || lock.Holder != request.Holder || lock.FencingToken != request.FencingToken {
@@ -139,8 +142,9 @@
 	return s.extendLease(request.Name, request.FencingToken, ttl)
 }
 
-// extendLease makes a lease last for so many milliseconds from now, unless the lock has
-// passed on meanwhile. A lease is never cut shorter than an earlier request made it.
+// extendLease sets a lease to expire ttl milliseconds from now, but never earlier than it
+// already does. It rejects the request if the lock has another fencing token by now or its
+// lease is being revoked.
 func (s *shard) extendLease(name string, token ids.Index, ttl int64) (*rpc.CoordinationResponse, error) {
 	term, _, isServing := s.replica.LeadershipSince()
 	if !isServing {
@@ -148,7 +152,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	leases := s.leasesIn(term)
+	leases := s.leasesForTerm(term)
 	if leases == nil {
 		return nil, s.writeUnknown()
 	}
@@ -156,11 +160,11 @@
 	if !ok || lock.FencingToken != token {
 		return notHeld(token), nil
 	}
-	l := s.leaseOf(leases, lock)
+	l := s.ensureLease(leases, lock)
 	if l.revoking {
 		return notHeld(token), nil
 	}
-	if expiresAt := s.after(ttl); expiresAt.After(l.expiresAt) {
+	if expiresAt := s.expiryTime(ttl); expiresAt.After(l.expiresAt) {
 		l.expiresAt = expiresAt
 	}
 	return &rpc.CoordinationResponse{FencingToken: token, TTL: ttl, Index: token}, nil
@@ -170,16 +174,16 @@
 	return &rpc.CoordinationResponse{Code: errcode.NotLockHolder.Number, FencingToken: token}
 }
 
-// revoke proposes the entry that releases a lock whose lease has run out, one entry at a
-// time, and returns a channel that is closed when it has ended. The caller holds s.mu and
-// looks at the lock anew then: the entry may have failed.
+// revoke proposes the entry that releases a lock whose lease has expired, unless such a
+// proposal is in progress. It returns a channel that is closed when the proposal has ended.
+// The proposal may fail, so the caller must check the lock again. The caller holds s.mu.
 func (s *shard) revoke(term ids.Term, lock rpc.CoordinationRecord, l *lease) <-chan struct{} {
 	l.revoking = true
-	if l.revoked != nil {
-		return l.revoked
+	if l.revokeDone != nil {
+		return l.revokeDone
 	}
-	revoked := make(chan struct{})
-	l.revoked = revoked
+	done := make(chan struct{})
+	l.revokeDone = done
 	s.env.Go(func() {
 		ctx, cancel := context.WithTimeout(s.env, maintenanceTimeout)
 		defer cancel()
@@ -188,14 +192,14 @@
 		}
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		l.revoked = nil
-		close(revoked)
+		l.revokeDone = nil
+		close(done)
 	})
-	return revoked
+	return done
 }
 
-// expireLeases revokes the leases that have run out, and forgets those whose locks are
-// gone.
+// expireLeases starts to revoke expired leases, and drops the leases of locks that no longer
+// exist.
 func (s *shard) expireLeases() {
 	term, _, isServing := s.replica.LeadershipSince()
 	if !isServing {
@@ -207,13 +211,13 @@
 		clear(s.leases.byName)
 		return
 	}
-	leases := s.leasesIn(term)
+	leases := s.leasesForTerm(term)
 	if leases == nil {
 		return
 	}
 	locks, _ := s.store.List(KindLock, "")
 	for _, lock := range locks {
-		if l := s.leaseOf(leases, lock); s.hasEnded(l) {
+		if l := s.ensureLease(leases, lock); s.isExpired(l) {
 			s.revoke(term, lock, l)
 		}
 	}
--- a/internal/coordination/lock.go
+++ b/internal/coordination/lock.go
@@ -6,9 +6,10 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// acquire gives a free lock to the holder, under the entry's index as its fencing token:
-// the tokens of a lock grow from holder to holder. A holder that acquires again keeps its
-// token. The store knows no time; a lease that ran out is released by the leader's entry.
+// acquire grants a free lock to the request's holder. The entry's index becomes the fencing
+// token, so the tokens of a lock increase with each grant. A holder that acquires the lock
+// again keeps its token. The store has no clock: the leader proposes an entry that releases
+// the lock when its lease has expired.
 func (s *Store) acquire(index ids.Index, request *rpc.CoordinationRequest) *rpc.CoordinationResponse {
 	lock, ok := s.records[KindLock][request.Name]
 	if ok && lock.Holder != request.Holder {
@@ -22,7 +23,7 @@
 	return &rpc.CoordinationResponse{Index: index, Holder: request.Holder, FencingToken: index, TTL: request.TTL, Value: request.Value}
 }
 
-// extend records a longer time to live for the lock's holder.
+// extend raises the lock's TTL at the request of its holder.
 func (s *Store) extend(_ ids.Index, request *rpc.CoordinationRequest) *rpc.CoordinationResponse {
 	lock, ok := s.records[KindLock][request.Name]
 	if !ok || lock.FencingToken != request.FencingToken || lock.Holder != request.Holder {
@@ -32,15 +33,15 @@
 	return &rpc.CoordinationResponse{Index: lock.Index, Holder: lock.Holder, FencingToken: lock.FencingToken, TTL: request.TTL}
 }
 
-// extendTTL raises the time that a lock's lease starts with under a new leader. It never
-// falls: a request that asked for more may still count on it.
+// extendTTL raises the TTL in milliseconds with which a new leader starts the lock's lease.
+// The TTL never decreases, because the holder may rely on an earlier, longer one.
 func (s *Store) extendTTL(lock rpc.CoordinationRecord, ttl int64) {
 	lock.TTL = max(lock.TTL, ttl)
 	s.records.put(lock)
 }
 
-// release frees a lock: at its holder's request, or by the leader (OpExpire) when the
-// lease under that fencing token ran out.
+// release frees a lock, at the request of its holder (OpRelease) or when the lease for its
+// fencing token has expired (OpExpire).
 func (s *Store) release(index ids.Index, request *rpc.CoordinationRequest) *rpc.CoordinationResponse {
 	lock, ok := s.records[KindLock][request.Name]
 	if !ok || lock.FencingToken != request.FencingToken || request.Operation == OpRelease && lock.Holder != request.Holder {
--- a/internal/coordination/lock_test.go
+++ b/internal/coordination/lock_test.go
@@ -7,25 +7,25 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-func TestLock_TokensGrowAndOnlyTheHolderReleases(t *testing.T) {
+func TestLock_TokensIncreaseAndOnlyHolderReleases(t *testing.T) {
 	store := NewStore()
-	one := apply(store, 5, rpc.CoordinationRequest{Operation: "acquire", Name: "l", Holder: "a", TTL: 1000})
+	first := apply(store, 5, rpc.CoordinationRequest{Operation: "acquire", Name: "l", Holder: "a", TTL: 1000})
 	if held := apply(store, 6, rpc.CoordinationRequest{Operation: "acquire", Name: "l", Holder: "b", TTL: 1000}); held.Code != errcode.LockHeld.Number || held.Holder != "a" {
 		t.Fatal(held)
 	}
-	if rejected := apply(store, 7, rpc.CoordinationRequest{Operation: "release", Name: "l", Holder: "b", FencingToken: one.FencingToken}); rejected.Code != errcode.NotLockHolder.Number {
+	if rejected := apply(store, 7, rpc.CoordinationRequest{Operation: "release", Name: "l", Holder: "b", FencingToken: first.FencingToken}); rejected.Code != errcode.NotLockHolder.Number {
 		t.Fatal(rejected)
 	}
-	if rejected := apply(store, 8, rpc.CoordinationRequest{Operation: "expire", Name: "l", FencingToken: one.FencingToken - 1}); rejected.Code != errcode.NotLockHolder.Number {
-		t.Fatal("an old lease's end took the new one", rejected)
+	if rejected := apply(store, 8, rpc.CoordinationRequest{Operation: "expire", Name: "l", FencingToken: first.FencingToken - 1}); rejected.Code != errcode.NotLockHolder.Number {
+		t.Fatal("expire with an older fencing token released the lock", rejected)
 	}
-	apply(store, 9, rpc.CoordinationRequest{Operation: "release", Name: "l", Holder: "a", FencingToken: one.FencingToken})
-	if two := apply(store, 10, rpc.CoordinationRequest{Operation: "acquire", Name: "l", Holder: "b", TTL: 1000}); two.FencingToken <= one.FencingToken {
-		t.Fatal(one, two)
+	apply(store, 9, rpc.CoordinationRequest{Operation: "release", Name: "l", Holder: "a", FencingToken: first.FencingToken})
+	if second := apply(store, 10, rpc.CoordinationRequest{Operation: "acquire", Name: "l", Holder: "b", TTL: 1000}); second.FencingToken <= first.FencingToken {
+		t.Fatal(first, second)
 	}
 }
 
-func TestLock_TTLOnlyGrows(t *testing.T) {
+func TestLock_TTLNeverDecreases(t *testing.T) {
 	store := NewStore()
 	first := apply(store, 5, rpc.CoordinationRequest{Operation: "acquire", Name: "l", Holder: "a", TTL: 1000})
 	expect := func(ttl int64) {
--- a/internal/coordination/operation.go
+++ b/internal/coordination/operation.go
@@ -10,13 +10,14 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// Operations that a caller may request. The strings stand on the wire and in the log.
+// Operations that a client may request. The strings are sent between nodes and stored in the
+// log.
 const (
-	// Reads. They are answered by a confirmed leader and write nothing.
+	// Reads. The leader serves them once its leadership is confirmed, and writes nothing.
 	OpGet    = "get"
 	OpList   = "list"
 	OpWatch  = "watch"  // long poll for events under a prefix
-	OpFollow = "follow" // long poll for the counted writes of a space
+	OpFollow = "follow" // long poll for the sets in a space
 
 	// Keys and counters.
 	OpPut    = "put"
@@ -28,14 +29,14 @@
 	OpAcquire = "acquire"
 	OpRenew   = "renew"
 	OpRelease = "release"
-	OpExpire  = "expire" // proposed by the leader when a lease has run out
+	OpExpire  = "expire" // proposed by the leader when a lease has expired
 
 	// Idempotency records.
 	OpReserve           = "claim"
 	OpCancelReservation = "unclaim"
 	OpComplete          = "settle"
 
-	// Announced states of service instances.
+	// States announced by service instances.
 	OpSetInstanceState   = "mark"
 	OpClearInstanceState = "unmark"
 )
@@ -47,7 +48,7 @@
 	opSweep        = "sweep"
 )
 
-// Limits of a request.
+// Limits on requests.
 const (
 	maxNameBytes  = 512
 	maxValueBytes = 64 << 10
@@ -55,18 +56,19 @@
 	maxTTL        = time.Hour
 )
 
-// operation is how a requested operation is checked and served.
+// operation has the functions that validate and serve a requested operation. Each may be nil.
 type operation struct {
-	// validate names the fields that are wrong, beyond the checks of every request.
+	// validate describes each invalid field, in addition to the checks made for every request.
 	validate func(*rpc.CoordinationRequest) []string
-	// read answers under a confirmed term of leadership, and proposes nothing as a rule.
+	// read serves the request in a term for which leadership has been confirmed. Only renew
+	// may propose a write.
 	read func(s *shard, ctx context.Context, term ids.Term, request *rpc.CoordinationRequest) (*rpc.CoordinationResponse, error)
-	// write does more than to propose the request.
+	// write serves a request that needs more than a proposal.
 	write func(s *shard, ctx context.Context, request *rpc.CoordinationRequest) (*rpc.CoordinationResponse, error)
 }
 
-// operations is every operation that a caller may request; one without functions is
-// proposed as it stands.
+// operations has every operation that a client may request. Requests for an operation without
+// read and write functions are proposed unchanged.
 var operations = map[string]operation{
 	OpGet:    {read: (*shard).get},
 	OpList:   {read: (*shard).list},
@@ -91,74 +93,75 @@
 	OpClearInstanceState: {},
 }
 
-// validate returns an InvalidCall that names every field that is wrong, or nil.
+// validate returns an InvalidCall error that lists every invalid field, or nil.
 func validate(request *rpc.CoordinationRequest) error {
-	var faults []string
+	var problems []string
 	if request.Name == "" || len(request.Name) > maxNameBytes {
-		faults = append(faults, "name: is missing or longer than 512 bytes")
+		problems = append(problems, "name: is missing or longer than 512 bytes")
 	}
 	if len(request.Value) > maxValueBytes {
-		faults = append(faults, "value: is larger than 64 KiB")
+		problems = append(problems, "value: is larger than 64 KiB")
 	}
 	switch operation, ok := operations[request.Operation]; {
 	case !ok:
-		faults = append(faults, "op: "+request.Operation+" is not known")
+		problems = append(problems, "op: "+request.Operation+" is not known")
 	case operation.validate != nil:
-		faults = append(faults, operation.validate(request)...)
+		problems = append(problems, operation.validate(request)...)
 	}
-	if len(faults) > 0 {
-		return errcode.NewPaths(errcode.InvalidCall, faults)
+	if len(problems) > 0 {
+		return errcode.NewPaths(errcode.InvalidCall, problems)
 	}
 	return nil
 }
 
-func validateSet(request *rpc.CoordinationRequest) (faults []string) {
-	if space, rest, _ := strings.Cut(request.Name, "/"); space == "" || rest == "" {
-		faults = append(faults, "name: is not of the form space/rest")
+func validateSet(request *rpc.CoordinationRequest) (problems []string) {
+	if space, key, _ := strings.Cut(request.Name, "/"); space == "" || key == "" {
+		problems = append(problems, "name: is not of the form space/rest")
 	}
 	if len(request.Value) == 0 {
-		faults = append(faults, "value: is missing")
+		problems = append(problems, "value: is missing")
 	}
-	return faults
+	return problems
 }
 
-func validateFollow(request *rpc.CoordinationRequest) (faults []string) {
-	if space, rest, hasSlash := strings.Cut(request.Name, "/"); space == "" || !hasSlash || rest != "" {
-		faults = append(faults, "name: is not of the form space/")
+func validateFollow(request *rpc.CoordinationRequest) (problems []string) {
+	if space, key, hasSlash := strings.Cut(request.Name, "/"); space == "" || !hasSlash || key != "" {
+		problems = append(problems, "name: is not of the form space/")
 	}
-	return faults
+	return problems
 }
 
-func validateAcquire(request *rpc.CoordinationRequest) (faults []string) {
+func validateAcquire(request *rpc.CoordinationRequest) (problems []string) {
 	if request.Holder == "" {
-		faults = append(faults, "holder: is missing")
+		problems = append(problems, "holder: is missing")
 	}
-	return append(faults, validateTTL(request)...)
+	return append(problems, validateTTL(request)...)
 }
 
-func validateHolder(request *rpc.CoordinationRequest) (faults []string) {
+func validateHolder(request *rpc.CoordinationRequest) (problems []string) {
 	if request.Holder == "" || request.FencingToken == 0 {
-		faults = append(faults, "holder, fence: are missing")
+		problems = append(problems, "holder, fence: are missing")
 	}
-	return faults
+	return problems
 }
 
 func validateRenew(request *rpc.CoordinationRequest) []string {
-	faults := validateHolder(request)
+	problems := validateHolder(request)
 	if request.TTL != 0 {
-		faults = append(faults, validateTTL(request)...)
+		problems = append(problems, validateTTL(request)...)
 	}
-	return faults
+	return problems
 }
 
-func validateTTL(request *rpc.CoordinationRequest) (faults []string) {
+func validateTTL(request *rpc.CoordinationRequest) (problems []string) {
 	if request.TTL < minTTL.Milliseconds() || request.TTL > maxTTL.Milliseconds() {
-		faults = append(faults, "ttl: is outside 10 ms to 1 h")
+		problems = append(problems, "ttl: is outside 10 ms to 1 h")
 	}
-	return faults
+	return problems
 }
 
-// transitions applies each operation of a log entry to the store, which holds its lock.
+// transitions has the function that applies each operation of log entries to the store. The
+// caller holds the store's mu.
 var transitions = map[string]func(*Store, ids.Index, *rpc.CoordinationRequest) *rpc.CoordinationResponse{
 	OpPut:                (*Store).put,
 	OpDelete:             (*Store).delete,
--- a/internal/coordination/operation_test.go
+++ b/internal/coordination/operation_test.go
@@ -10,33 +10,33 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-func TestValidate_NamesEachFault(t *testing.T) {
+func TestValidate_ReportsEachInvalidField(t *testing.T) {
 	for name, test := range map[string]struct {
-		request rpc.CoordinationRequest
-		faults  []string // nil for a valid request
+		request  rpc.CoordinationRequest
+		problems []string // nil for a valid request
 	}{
 		"get":                       {rpc.CoordinationRequest{Operation: "get", Name: "k"}, nil},
 		"expire":                    {rpc.CoordinationRequest{Operation: "expire", Name: "l"}, nil},
 		"shortest lease":            {rpc.CoordinationRequest{Operation: "acquire", Name: "l", Holder: "a", TTL: 10}, nil},
 		"longest lease":             {rpc.CoordinationRequest{Operation: "acquire", Name: "l", Holder: "a", TTL: 3600_000}, nil},
-		"renewal without a time":    {rpc.CoordinationRequest{Operation: "renew", Name: "l", Holder: "a", FencingToken: 1}, nil},
+		"renewal without a TTL":     {rpc.CoordinationRequest{Operation: "renew", Name: "l", Holder: "a", FencingToken: 1}, nil},
 		"longest name":              {rpc.CoordinationRequest{Operation: "put", Name: strings.Repeat("n", 512)}, nil},
 		"no name":                   {rpc.CoordinationRequest{Operation: "put"}, []string{"name: is missing or longer than 512 bytes"}},
 		"long name":                 {rpc.CoordinationRequest{Operation: "put", Name: strings.Repeat("n", 513)}, []string{"name: is missing or longer than 512 bytes"}},
 		"large value":               {rpc.CoordinationRequest{Operation: "put", Name: "k", Value: json.RawMessage(strings.Repeat("1", 64<<10+1))}, []string{"value: is larger than 64 KiB"}},
 		"unknown operation":         {rpc.CoordinationRequest{Operation: "steal", Name: "l"}, []string{"op: steal is not known"}},
-		"the leader's own extend":   {rpc.CoordinationRequest{Operation: "stretch", Name: "l"}, []string{"op: stretch is not known"}},
-		"the leader's own batch":    {rpc.CoordinationRequest{Operation: "claims", Name: "l"}, []string{"op: claims is not known"}},
-		"the leader's own sweep":    {rpc.CoordinationRequest{Operation: "sweep", Name: "l"}, []string{"op: sweep is not known"}},
+		"internal operation extend": {rpc.CoordinationRequest{Operation: "stretch", Name: "l"}, []string{"op: stretch is not known"}},
+		"internal operation batch":  {rpc.CoordinationRequest{Operation: "claims", Name: "l"}, []string{"op: claims is not known"}},
+		"internal operation sweep":  {rpc.CoordinationRequest{Operation: "sweep", Name: "l"}, []string{"op: sweep is not known"}},
 		"set of a space":            {rpc.CoordinationRequest{Operation: "set", Name: "s/"}, []string{"name: is not of the form space/rest", "value: is missing"}},
 		"follow of a key":           {rpc.CoordinationRequest{Operation: "follow", Name: "s/a"}, []string{"name: is not of the form space/"}},
 		"acquire without a holder":  {rpc.CoordinationRequest{Operation: "acquire", Name: "l"}, []string{"holder: is missing", "ttl: is outside 10 ms to 1 h"}},
 		"release without its token": {rpc.CoordinationRequest{Operation: "release", Name: "l", Holder: "a"}, []string{"holder, fence: are missing"}},
-		"renewal that is too short": {rpc.CoordinationRequest{Operation: "renew", Name: "l", Holder: "a", FencingToken: 1, TTL: 9}, []string{"ttl: is outside 10 ms to 1 h"}},
+		"renewal with a short TTL":  {rpc.CoordinationRequest{Operation: "renew", Name: "l", Holder: "a", FencingToken: 1, TTL: 9}, []string{"ttl: is outside 10 ms to 1 h"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			err := validate(&test.request)
-			if test.faults == nil {
+			if test.problems == nil {
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -45,18 +45,18 @@
 			if !errors.Is(err, errcode.InvalidCall) {
 				t.Fatal(err)
 			}
-			if got := errcode.From(err).Paths; strings.Join(got, "; ") != strings.Join(test.faults, "; ") {
-				t.Fatalf("got %q, want %q", got, test.faults)
+			if got := errcode.From(err).Paths; strings.Join(got, "; ") != strings.Join(test.problems, "; ") {
+				t.Fatalf("got %q, want %q", got, test.problems)
 			}
 		})
 	}
 }
 
-// Every operation that may be requested is answered by the leader or known to the store.
-func TestOperations_EachIsServed(t *testing.T) {
+// Every operation that a client may request is served by the leader or applied by the store.
+func TestOperations_EachHasHandlerOrTransition(t *testing.T) {
 	for name, operation := range operations {
 		if operation.read == nil && operation.write == nil && transitions[name] == nil {
-			t.Errorf("%s is proposed, and the store does not know it", name)
+			t.Errorf("%s would be proposed, but has no transition", name)
 		}
 	}
 }
--- a/internal/coordination/repair.go
+++ b/internal/coordination/repair.go
@@ -11,21 +11,24 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// The state is cut into ranges, so that replicas can compare digests and repair only what
-// differs: the records by the hash of their name, and the completed requests as one range.
+// The state is divided into ranges, so that replicas can compare digests and repair only the
+// ranges that differ. Records are assigned to a range by the hash of their name; the completed
+// requests form a range of their own.
 const (
-	recordRanges   = 16
-	completedRange = "receipts"
+	recordRangeCount = 16
+	completedRange   = "receipts"
 )
 
-func rangeOf(name string) string { return fmt.Sprint("names/", ids.Hash("range", name)%recordRanges) }
+func rangeName(name string) string {
+	return fmt.Sprint("names/", ids.Hash("range", name)%recordRangeCount)
+}
 
-// recordsByRange returns the records of each range that has any, in order.
+// recordsByRange returns the records of each non-empty range, sorted by kind and name.
 func (s *Store) recordsByRange() map[string][]rpc.CoordinationRecord {
 	ranges := map[string][]rpc.CoordinationRecord{}
 	for _, kind := range s.records {
 		for _, record := range kind {
-			name := rangeOf(record.Name)
+			name := rangeName(record.Name)
 			ranges[name] = append(ranges[name], record)
 		}
 	}
@@ -35,16 +38,16 @@
 	return ranges
 }
 
-// digestOf returns the MD5 digest of a value's JSON, in hex. It guards against errors, not
-// against an adversary. Values are JSON that was read before, so they can be written.
+// digestOf returns the MD5 digest of a value's JSON, in hexadecimal. It detects errors, not
+// tampering. Encoding can't fail, because the values were decoded from JSON.
 func digestOf(value any) string {
 	raw, _ := json.Marshal(value)
 	sum := md5.Sum(raw)
 	return hex.EncodeToString(sum[:])
 }
 
-// RangeDigests returns a digest of each range that holds anything, and of the completed
-// requests.
+// RangeDigests returns the digests of the completed requests and of each non-empty range of
+// records, by the name of the range.
 func (s *Store) RangeDigests() map[string]string {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -55,7 +58,7 @@
 	return digests
 }
 
-// ExportRange returns the contents of one range.
+// ExportRange returns the contents of one range in the form that Repair takes.
 func (s *Store) ExportRange(name string) (json.RawMessage, error) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -65,8 +68,8 @@
 	return json.Marshal(s.recordsByRange()[name])
 }
 
-// Repair replaces one range by contents that another replica exported. It publishes no
-// events: a follower of a space is told that it missed some, by the gap in the revisions.
+// Repair replaces the contents of one range with those exported by another replica. It
+// publishes no events: followers of a space detect missed sets by the gap in the revisions.
 func (s *Store) Repair(name string, contents json.RawMessage) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -84,7 +87,7 @@
 	}
 	for _, kind := range s.records {
 		for key, record := range kind {
-			if rangeOf(record.Name) == name {
+			if rangeName(record.Name) == name {
 				delete(kind, key)
 			}
 		}
--- a/internal/coordination/reservation.go
+++ b/internal/coordination/reservation.go
@@ -11,21 +11,21 @@
 const (
 	// batchDelay is how long reservations are collected for one entry.
 	batchDelay = 8 * time.Millisecond
-	// batchTimeout bounds the writing of that entry.
+	// batchTimeout limits the time for writing that entry.
 	batchTimeout = 3 * time.Second
 )
 
-// reservationBatch is reservations of idempotency keys that came within a moment. They
-// share one log entry, and so its messages and its syncs of the disk.
+// reservationBatch collects the reservations of idempotency keys that arrive within
+// batchDelay. They share one log entry, and so its messages and disk syncs.
 type reservationBatch struct {
 	records []rpc.CoordinationRecord // guarded by the shard's mu until the batch is closed
 	done    chan struct{}            // closed once response and err are set
-	// response has one record for each of records, in their order.
+	// response has one record for each record of the batch, in the same order.
 	response *rpc.CoordinationResponse
 	err      error
 }
 
-// reserve joins the shard's batch and picks its own response out of the batch's.
+// reserve adds a reservation to the shard's batch and returns its part of the batch's response.
 func (s *shard) reserve(ctx context.Context, request *rpc.CoordinationRequest) (*rpc.CoordinationResponse, error) {
 	if !s.replica.IsServing() {
 		return nil, s.notLeader()
@@ -44,14 +44,14 @@
 	}
 	record := batch.response.Records[position]
 	response := &rpc.CoordinationResponse{Index: batch.response.Index, Holder: record.Holder, Value: record.Value}
-	if record.Kind == kindReserved {
+	if record.Kind == kindReservedByOther {
 		response.Code = errcode.LockHeld.Number
 	}
 	return response, nil
 }
 
-// joinBatch adds a reservation to the open batch, or to a new one, and returns the batch
-// and the reservation's position in it.
+// joinBatch adds a reservation to the open batch, or to a new one if there is none. It returns
+// the batch and the reservation's position in it.
 func (s *shard) joinBatch(record rpc.CoordinationRecord) (batch *reservationBatch, position int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -64,7 +64,7 @@
 	return s.batch, len(s.batch.records) - 1
 }
 
-// writeBatch waits for more reservations, closes the batch and writes it.
+// writeBatch waits for batchDelay, closes the batch to further reservations and writes it.
 func (s *shard) writeBatch(batch *reservationBatch) {
 	defer close(batch.done)
 	isRunning := s.env.Sleep(batchDelay)
--- a/internal/coordination/service.go
+++ b/internal/coordination/service.go
@@ -13,12 +13,11 @@
 )
 
 const (
-	// maintenanceInterval is the pause between two looks at the leases that ran out.
+	// maintenanceInterval is the period of the check for expired leases.
 	maintenanceInterval = 100 * time.Millisecond
-	// sweepEvery is the number of those looks from one sweep of the idempotency records to
-	// the next.
-	sweepEvery = 100
-	// maintenanceTimeout bounds an entry that maintenance proposes.
+	// ticksPerSweep is the number of those checks per sweep of the idempotency records.
+	ticksPerSweep = 100
+	// maintenanceTimeout limits the time for an entry proposed by maintenance.
 	maintenanceTimeout = 5 * time.Second
 )
 
@@ -28,22 +27,22 @@
 	shards []*shard
 }
 
-// shard is the leader's half of one data shard.
+// shard is the leader's side of one data shard.
 type shard struct {
 	id      ids.Shard
 	env     *environment.Environment
 	replica *consensus.Replica
 	store   *Store
 
-	mu     sync.Mutex // guards leases, what it points to, and batch
+	mu     sync.Mutex // guards batch, leases and each lease in it
 	leases leaseTable
-	batch  *reservationBatch // collects reservations; nil if none waits
+	batch  *reservationBatch // the open batch; nil if there is none
 
-	ages indexAges // of the maintenance task alone
+	indexSamples indexSamples // used by the maintenance task only
 }
 
-// NewService makes the service over the data shards' replicas and their stores, which are
-// given in the order of the shards.
+// NewService returns the service for the data shards. stores has one store for each data
+// shard, in the order of their numbers.
 func NewService(env *environment.Environment, node *consensus.Node, stores []*Store) *Service {
 	s := &Service{env: env}
 	for id, store := range stores {
@@ -52,14 +51,14 @@
 	return s
 }
 
-// Start begins the maintenance of leases and idempotency records. It ends with the
-// environment, which waits for it.
+// Start starts the maintenance of leases and idempotency records in the background. It runs
+// until the environment stops; the environment waits for it to end.
 func (s *Service) Start() {
 	s.env.Go(func() {
 		for tick := 0; s.env.Sleep(maintenanceInterval); tick++ {
 			for _, shard := range s.shards {
 				shard.expireLeases()
-				if tick%sweepEvery == 0 {
+				if tick%ticksPerSweep == 0 {
 					shard.sweepIdempotencyRecords()
 				}
 			}
@@ -67,10 +66,10 @@
 	})
 }
 
-// Handle serves one request. It fails with InvalidCall if the request is not valid, with
-// NotLeader if this node does not lead the shard of the name, and with WriteUnknown if it is
-// not known whether the request was written. A request that the state does not allow is no
-// error: its response bears a code and the state in force.
+// Handle serves one request. It returns InvalidCall if the request is invalid, NotLeader if
+// this node does not lead the shard of the name, and WriteUnknown if it is not known whether
+// the request was written. A request that conflicts with the current state is not an error:
+// the response has a code and the current state.
 func (s *Service) Handle(ctx context.Context, request *rpc.CoordinationRequest) (*rpc.CoordinationResponse, error) {
 	if err := validate(request); err != nil {
 		return nil, err
@@ -89,18 +88,19 @@
 	return shard.propose(ctx, request)
 }
 
-// confirmLeadership returns the term in which a majority has confirmed, since the call
-// began, that this node leads the shard. What the store shows from then on is not stale.
+// confirmLeadership waits until a majority has confirmed, after the start of the call, that
+// this node leads the shard, and returns the term. Reads from the store after that are not
+// stale.
 func (s *shard) confirmLeadership(ctx context.Context) (ids.Term, error) {
-	began := s.env.Now()
+	startedAt := s.env.Now()
 	term, _, isServing := s.replica.LeadershipSince()
 	if !isServing {
 		return term, s.notLeader()
 	}
-	return term, s.replica.ConfirmLeadership(ctx, began)
+	return term, s.replica.ConfirmLeadership(ctx, startedAt)
 }
 
-// propose writes a request to the shard's log and returns its response once it is applied.
+// propose writes a request to the shard's log and returns the response once it is applied.
 func (s *shard) propose(ctx context.Context, request *rpc.CoordinationRequest) (*rpc.CoordinationResponse, error) {
 	_, result, err := s.replica.Propose(ctx, request)
 	if err != nil {
@@ -117,8 +117,8 @@
 
 func (s *shard) writeUnknown() error { return errcode.New(errcode.WriteUnknown, "shard %d", s.id) }
 
-// get reads one record. The holder of the request names its kind, a key if it is empty. A
-// counter that was never added to is zero.
+// get reads one record. The request's holder is the kind of the record, KindKey if it is
+// empty. A counter that does not exist reads as zero.
 func (s *shard) get(_ context.Context, _ ids.Term, request *rpc.CoordinationRequest) (*rpc.CoordinationResponse, error) {
 	kind := KindKey
 	if request.Holder != "" {
@@ -134,7 +134,7 @@
 	return &rpc.CoordinationResponse{Index: record.Index, Revision: record.Revision, Value: record.Value, Count: record.Count, Holder: record.Holder, FencingToken: record.FencingToken, TTL: record.TTL}, nil
 }
 
-// list reads the keys under a prefix.
+// list reads the keys whose names have a prefix.
 func (s *shard) list(_ context.Context, _ ids.Term, request *rpc.CoordinationRequest) (*rpc.CoordinationResponse, error) {
 	keys, index := s.store.List(KindKey, request.Name)
 	return &rpc.CoordinationResponse{Index: index, Records: keys}, nil
--- a/internal/coordination/service_test.go
+++ b/internal/coordination/service_test.go
@@ -16,16 +16,16 @@
 	"github.com/sumactrestle/sumactrestle/internal/simulator"
 )
 
-// serviceTest runs requests against the leaders of a small simulated fleet.
+// serviceTest sends requests to the shards' leaders in a small simulated fleet.
 type serviceTest struct {
 	*testing.T
 	fleet *simulator.Fleet
 }
 
-// leader returns the machine that leads the shard of a name.
+// leader waits for a leader of the shard of a name and returns its machine.
 func (s *serviceTest) leader(name string) (leader *simulator.Machine) {
 	s.Helper()
-	found := s.fleet.WaitUntil(30*time.Second, func() bool {
+	hasLeader := s.fleet.WaitUntil(30*time.Second, func() bool {
 		for _, m := range s.fleet.Cores() {
 			if n := m.Node(); n != nil && n.Consensus.Replica(ids.ShardOf(name)).IsServing() {
 				leader = m
@@ -34,8 +34,8 @@
 		}
 		return false
 	})
-	if !found {
-		s.Fatal("no leader")
+	if !hasLeader {
+		s.Fatal("no leader within 30 s")
 	}
 	return leader
 }
@@ -51,7 +51,7 @@
 	return response
 }
 
-// lastIndex returns the last index of the log of a name's shard, at its leader.
+// lastIndex returns the last log index of the shard of a name, on its leader.
 func (s *serviceTest) lastIndex(name string) ids.Index {
 	return s.leader(name).Node().Consensus.Replica(ids.ShardOf(name)).Status().LastIndex
 }
@@ -59,12 +59,12 @@
 func (s *serviceTest) expect(got *rpc.CoordinationResponse, code errcode.Code) *rpc.CoordinationResponse {
 	s.Helper()
 	if got.Code != code.Number {
-		s.Fatalf("%+v; wanted %s", got, code.Name)
+		s.Fatalf("got %+v, want code %s", got, code.Name)
 	}
 	return got
 }
 
-// done is the code of a response to a request that was carried out.
+// done is the code of a response to a successful request.
 var done errcode.Code
 
 func runServiceTest(t *testing.T, test func(s *serviceTest)) {
@@ -78,48 +78,48 @@
 	})
 }
 
-func TestService_ShortLeases(t *testing.T) {
+func TestService_LeaseRenewalAndExpiry(t *testing.T) {
 	runServiceTest(t, func(s *serviceTest) {
 		acquire := func(holder string, ttl int64) *rpc.CoordinationResponse {
 			s.Helper()
 			return s.do(rpc.CoordinationRequest{Operation: "acquire", Name: "l", Holder: holder, TTL: ttl})
 		}
-		renew := func(fence ids.Index, ttl int64) *rpc.CoordinationResponse {
+		renew := func(token ids.Index, ttl int64) *rpc.CoordinationResponse {
 			s.Helper()
-			return s.do(rpc.CoordinationRequest{Operation: "renew", Name: "l", Holder: "a", FencingToken: fence, TTL: ttl})
+			return s.do(rpc.CoordinationRequest{Operation: "renew", Name: "l", Holder: "a", FencingToken: token, TTL: ttl})
 		}
-		one := s.expect(acquire("a", 1000), done)
+		first := s.expect(acquire("a", 1000), done)
 		before := s.lastIndex("l")
 		for range 10 {
-			if held := s.expect(acquire("b", 1000), errcode.LockHeld); held.Holder != "a" || held.FencingToken != one.FencingToken {
+			if held := s.expect(acquire("b", 1000), errcode.LockHeld); held.Holder != "a" || held.FencingToken != first.FencingToken {
 				s.Fatal(held)
 			}
 		}
-		s.expect(renew(one.FencingToken, 400), done)
-		s.expect(renew(one.FencingToken, 0), done)
+		s.expect(renew(first.FencingToken, 400), done)
+		s.expect(renew(first.FencingToken, 0), done)
 		if s.lastIndex("l") != before {
-			s.Fatal("a refusal or a renewal was written")
+			s.Fatal("a rejected acquire or a renewal was written to the log")
 		}
-		if got := s.expect(acquire("a", 20), done); got.FencingToken != one.FencingToken || got.TTL != 20 {
+		if got := s.expect(acquire("a", 20), done); got.FencingToken != first.FencingToken || got.TTL != 20 {
 			s.Fatal(got)
 		}
 		time.Sleep(800 * time.Millisecond)
 		s.expect(acquire("b", 1000), errcode.LockHeld)
-		if got := s.expect(renew(one.FencingToken, 5000), done); got.TTL != 5000 {
+		if got := s.expect(renew(first.FencingToken, 5000), done); got.TTL != 5000 {
 			s.Fatal(got)
 		}
 		time.Sleep(4800 * time.Millisecond)
 		s.expect(acquire("b", 1000), errcode.LockHeld)
 		time.Sleep(300 * time.Millisecond)
-		two := s.expect(acquire("b", 10), done)
-		if two.FencingToken <= one.FencingToken {
-			s.Fatal(one, two)
+		second := s.expect(acquire("b", 10), done)
+		if second.FencingToken <= first.FencingToken {
+			s.Fatal(first, second)
 		}
-		s.expect(renew(one.FencingToken, 0), errcode.NotLockHolder)
-		s.expect(s.do(rpc.CoordinationRequest{Operation: "release", Name: "l", Holder: "a", FencingToken: one.FencingToken}), errcode.NotLockHolder)
+		s.expect(renew(first.FencingToken, 0), errcode.NotLockHolder)
+		s.expect(s.do(rpc.CoordinationRequest{Operation: "release", Name: "l", Holder: "a", FencingToken: first.FencingToken}), errcode.NotLockHolder)
 		time.Sleep(10 * time.Millisecond)
-		if three := s.expect(acquire("a", 50), done); three.FencingToken <= two.FencingToken {
-			s.Fatal(two, three)
+		if third := s.expect(acquire("a", 50), done); third.FencingToken <= second.FencingToken {
+			s.Fatal(second, third)
 		}
 		time.Sleep(time.Second)
 		s.expect(s.do(rpc.CoordinationRequest{Operation: "get", Name: "l", Holder: "lock"}), errcode.KeyNotFound)
@@ -129,45 +129,45 @@
 func TestService_OneHolderAtATime(t *testing.T) {
 	runServiceTest(t, func(s *serviceTest) {
 		const ttl = 30 * time.Millisecond
-		type holding struct {
+		type holdPeriod struct {
 			from, to time.Time
-			fence    ids.Index
+			token    ids.Index
 		}
-		holdings := make(chan holding, 10000)
-		ended := make(chan struct{})
+		periods := make(chan holdPeriod, 10000)
+		finished := make(chan struct{})
 		for i := range 6 {
 			go func() {
-				defer func() { ended <- struct{}{} }()
+				defer func() { finished <- struct{}{} }()
 				for n := range 60 {
 					sent := time.Now()
 					ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 					response, err := s.leader("l").Node().Coordination.Handle(ctx, &rpc.CoordinationRequest{Operation: "acquire", Name: "l", Holder: fmt.Sprint(i, "/", n), TTL: ttl.Milliseconds()})
 					cancel()
 					if got := time.Now(); err == nil && response.Code == 0 && got.Before(sent.Add(ttl)) {
-						holdings <- holding{got, sent.Add(ttl), response.FencingToken}
+						periods <- holdPeriod{got, sent.Add(ttl), response.FencingToken}
 					}
 					time.Sleep(7 * time.Millisecond)
 				}
 			}()
 		}
 		for range 6 {
-			<-ended
+			<-finished
 		}
-		close(holdings)
-		var all []holding
-		for h := range holdings {
-			all = append(all, h)
+		close(periods)
+		var allPeriods []holdPeriod
+		for h := range periods {
+			allPeriods = append(allPeriods, h)
 		}
-		if len(all) < 10 {
-			s.Fatal("held only", len(all), "times")
+		if len(allPeriods) < 10 {
+			s.Fatal("lock was granted only", len(allPeriods), "times")
 		}
-		for i, a := range all {
-			for _, z := range all[:i] {
-				if a.from.Before(z.to) && z.from.Before(a.to) {
-					s.Fatal("two held it at once", a, z)
+		for i, a := range allPeriods {
+			for _, b := range allPeriods[:i] {
+				if a.from.Before(b.to) && b.from.Before(a.to) {
+					s.Fatal("two holders at the same time", a, b)
 				}
-				if a.fence == z.fence || (a.fence < z.fence) != a.from.Before(z.from) {
-					s.Fatal("fences do not rise", a, z)
+				if a.token == b.token || (a.token < b.token) != a.from.Before(b.from) {
+					s.Fatal("fencing tokens do not increase", a, b)
 				}
 			}
 		}
@@ -176,8 +176,8 @@
 
 func TestService_NewLeaderKeepsAnExtendedLease(t *testing.T) {
 	runServiceTest(t, func(s *serviceTest) {
-		one := s.expect(s.do(rpc.CoordinationRequest{Operation: "acquire", Name: "l", Holder: "a", TTL: 100}), done)
-		s.expect(s.do(rpc.CoordinationRequest{Operation: "renew", Name: "l", Holder: "a", FencingToken: one.FencingToken, TTL: 60_000}), done)
+		first := s.expect(s.do(rpc.CoordinationRequest{Operation: "acquire", Name: "l", Holder: "a", TTL: 100}), done)
+		s.expect(s.do(rpc.CoordinationRequest{Operation: "renew", Name: "l", Holder: "a", FencingToken: first.FencingToken, TTL: 60_000}), done)
 		sent := time.Now()
 		old := s.leader("l")
 		old.Kill(false)
@@ -189,8 +189,8 @@
 			s.Fatal("the leader did not change")
 		}
 		time.Sleep(30 * time.Second)
-		if two := s.expect(s.do(rpc.CoordinationRequest{Operation: "acquire", Name: "l", Holder: "b", TTL: 100}), done); two.FencingToken <= one.FencingToken {
-			s.Fatal(one, two)
+		if second := s.expect(s.do(rpc.CoordinationRequest{Operation: "acquire", Name: "l", Holder: "b", TTL: 100}), done); second.FencingToken <= first.FencingToken {
+			s.Fatal(first, second)
 		}
 	})
 }
@@ -200,8 +200,8 @@
 		set := func(value int) *rpc.CoordinationResponse {
 			return s.expect(s.do(rpc.CoordinationRequest{Operation: "set", Name: "s/a", Value: json.RawMessage(fmt.Sprint(value))}), done)
 		}
-		follow := func(from ids.Index, hold int64) *rpc.CoordinationResponse {
-			return s.expect(s.do(rpc.CoordinationRequest{Operation: "follow", Name: "s/", FromIndex: from, Wait: hold}), done)
+		follow := func(from ids.Index, wait int64) *rpc.CoordinationResponse {
+			return s.expect(s.do(rpc.CoordinationRequest{Operation: "follow", Name: "s/", FromIndex: from, Wait: wait}), done)
 		}
 		set(1)
 		if got := s.do(rpc.CoordinationRequest{Operation: "get", Name: "s/a"}); got.Revision != 1 || string(got.Value) != "1" {
@@ -210,19 +210,19 @@
 		if got := follow(0, 1000); got.Revision != 1 || len(got.Events) != 0 {
 			s.Fatal(got)
 		}
-		began := time.Now()
-		if got := follow(1, 1000); got.Revision != 1 || len(got.Events) != 0 || time.Since(began) < time.Second {
+		start := time.Now()
+		if got := follow(1, 1000); got.Revision != 1 || len(got.Events) != 0 || time.Since(start) < time.Second {
 			s.Fatal(got)
 		}
 		if got := follow(9, 100); got.Revision != 9 || len(got.Events) != 0 {
 			s.Fatal(got)
 		}
-		answer := make(chan *rpc.CoordinationResponse)
-		began = time.Now()
-		go func() { answer <- follow(1, 4000) }()
+		response := make(chan *rpc.CoordinationResponse)
+		start = time.Now()
+		go func() { response <- follow(1, 4000) }()
 		time.Sleep(500 * time.Millisecond)
 		set(2)
-		if got := <-answer; got.Revision != 2 || len(got.Events) != 1 || got.Events[0].Revision != 2 || time.Since(began) > time.Second {
+		if got := <-response; got.Revision != 2 || len(got.Events) != 1 || got.Events[0].Revision != 2 || time.Since(start) > time.Second {
 			s.Fatal(got)
 		}
 		s.leader("s/").Kill(false)
@@ -259,49 +259,49 @@
 		put := s.expect(s.do(rpc.CoordinationRequest{Operation: "put", Name: "w/a", Value: json.RawMessage("1")}), done)
 		first := s.expect(s.do(rpc.CoordinationRequest{Operation: "watch", Name: "w/"}), done)
 		if len(first.Records) != 1 || first.Records[0].Index != put.Index {
-			s.Fatal("a watch without an index does not list the keys", first)
+			s.Fatal("a watch from index zero does not list the keys", first)
 		}
-		answer := make(chan *rpc.CoordinationResponse)
-		began := time.Now()
+		response := make(chan *rpc.CoordinationResponse)
+		start := time.Now()
 		go func() {
-			answer <- s.do(rpc.CoordinationRequest{Operation: "watch", Name: "w/", FromIndex: first.Index, Wait: 4000})
+			response <- s.do(rpc.CoordinationRequest{Operation: "watch", Name: "w/", FromIndex: first.Index, Wait: 4000})
 		}()
 		time.Sleep(500 * time.Millisecond)
 		s.expect(s.do(rpc.CoordinationRequest{Operation: "add", Name: "w/n", Delta: 3}), done)
-		got := <-answer
-		if len(got.Events) != 1 || got.Events[0].Name != "w/n" || string(got.Events[0].Value) != "3" || time.Since(began) > time.Second {
+		got := <-response
+		if len(got.Events) != 1 || got.Events[0].Name != "w/n" || string(got.Events[0].Value) != "3" || time.Since(start) > time.Second {
 			s.Fatal(got)
 		}
-		began = time.Now()
-		if got := s.do(rpc.CoordinationRequest{Operation: "watch", Name: "w/", FromIndex: got.Index, Wait: 1000}); len(got.Events) != 0 || time.Since(began) < time.Second {
+		start = time.Now()
+		if got := s.do(rpc.CoordinationRequest{Operation: "watch", Name: "w/", FromIndex: got.Index, Wait: 1000}); len(got.Events) != 0 || time.Since(start) < time.Second {
 			s.Fatal("a watch without events did not wait", got)
 		}
 	})
 }
 
-func TestService_ReservationsShareOneEntry(t *testing.T) {
+func TestService_ConcurrentReservationsShareOneLogEntry(t *testing.T) {
 	runServiceTest(t, func(s *serviceTest) {
 		before := s.lastIndex("orders/")
 		const requests = 20
-		answers := make(chan *rpc.CoordinationResponse, requests)
+		responses := make(chan *rpc.CoordinationResponse, requests)
 		for i := range requests {
 			go func() {
-				answers <- s.do(rpc.CoordinationRequest{Operation: "claim", Name: fmt.Sprint("orders/", i%2), Holder: fmt.Sprint("request", i)})
+				responses <- s.do(rpc.CoordinationRequest{Operation: "claim", Name: fmt.Sprint("orders/", i%2), Holder: fmt.Sprint("request", i)})
 			}()
 		}
-		taken := 0
+		granted := 0
 		for range requests {
-			if got := <-answers; got.Code == 0 {
-				taken++
+			if got := <-responses; got.Code == 0 {
+				granted++
 			} else {
 				s.expect(got, errcode.LockHeld)
 			}
 		}
-		if taken != 2 {
-			s.Fatal(taken, "requests hold two keys")
+		if granted != 2 {
+			s.Fatal(granted, "requests hold reservations of two keys")
 		}
 		if entries := s.lastIndex("orders/") - before; entries != 1 {
-			s.Fatal(entries, "entries were written")
+			s.Fatal(entries, "log entries were written, want 1")
 		}
 	})
 }
--- a/internal/coordination/snapshot.go
+++ b/internal/coordination/snapshot.go
@@ -9,8 +9,8 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// Snapshot copies the state and returns a function that writes the copy out later. Values
-// are shared, for they are never written to.
+// Snapshot copies the state and returns a function that encodes the copy. The copy shares the
+// values of records, which are never modified in place.
 func (s *Store) Snapshot() func() (json.RawMessage, error) {
 	state := s.state()
 	return func() (json.RawMessage, error) {
@@ -37,7 +37,7 @@
 	return state
 }
 
-// Restore replaces the complete state by one that Snapshot wrote.
+// Restore replaces the complete state with one that was encoded by Snapshot.
 func (s *Store) Restore(raw json.RawMessage) error {
 	var state rpc.CoordinationState
 	if err := json.Unmarshal(raw, &state); err != nil {
--- a/internal/coordination/space_test.go
+++ b/internal/coordination/space_test.go
@@ -12,20 +12,20 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-func set(store *Store, index ids.Index, name, value string, rev ...ids.Index) *rpc.CoordinationResponse {
-	op := rpc.CoordinationRequest{Operation: "set", ID: value, Name: name, Value: json.RawMessage(value)}
-	if len(rev) > 0 {
-		op.IfRevision = &rev[0]
+func set(store *Store, index ids.Index, name, value string, revision ...ids.Index) *rpc.CoordinationResponse {
+	request := rpc.CoordinationRequest{Operation: "set", ID: value, Name: name, Value: json.RawMessage(value)}
+	if len(revision) > 0 {
+		request.IfRevision = &revision[0]
 	}
-	return apply(store, index, op)
+	return apply(store, index, request)
 }
 
-func TestSpace_CountsItsSets(t *testing.T) {
+func TestSpace_EachSetIncrementsRevision(t *testing.T) {
 	store := NewStore()
-	expect := func(got *rpc.CoordinationResponse, code int, rev ids.Index) {
+	expect := func(got *rpc.CoordinationResponse, code int, revision ids.Index) {
 		t.Helper()
-		if got.Code != code || got.Revision != rev {
-			t.Fatalf("code %d, rev %d; wanted %d, %d", got.Code, got.Revision, code, rev)
+		if got.Code != code || got.Revision != revision {
+			t.Fatalf("code %d, revision %d; want %d, %d", got.Code, got.Revision, code, revision)
 		}
 	}
 	expect(set(store, 10, "s/a", "1", 0), 0, 1)
@@ -42,11 +42,11 @@
 		t.Fatal(record)
 	}
 	if keys, _ := store.List(KindKey, "s"); len(keys) != 4 {
-		t.Fatal("a listing of keys shows", keys)
+		t.Fatal("unexpected list of keys", keys)
 	}
 }
 
-func TestSpace_ValueIsSetAgainWithoutAnID(t *testing.T) {
+func TestSpace_SetWithoutIDIsNeverARepeat(t *testing.T) {
 	store := NewStore()
 	for i, value := range []string{"1", "2", "1"} {
 		got := apply(store, ids.Index(i+1), rpc.CoordinationRequest{Operation: "set", Name: "s/a", Value: json.RawMessage(value)})
@@ -55,7 +55,7 @@
 		}
 	}
 	if record, _ := store.Get(KindKey, "s/a"); record.Revision != 3 || string(record.Value) != "1" {
-		t.Fatal("a value that was set back is not there", record)
+		t.Fatal("the last value was not stored", record)
 	}
 }
 
@@ -69,23 +69,23 @@
 		}
 	}
 	if record, _ := store.Get(KindKey, "s/a"); string(record.Value) != `"y"` || record.Revision != 2 {
-		t.Fatal("a repeat wrote", record)
+		t.Fatal("a repeated set changed the record", record)
 	}
 	if rejected := set(store, 6, "s/a", `"z"`, 1); rejected.Code != errcode.RevisionMismatch.Number || rejected.Revision != 2 {
 		t.Fatal(rejected)
 	}
-	if yes := set(store, 7, "s/a", `"z"`, 2); yes.Code != 0 || yes.Revision != 3 {
-		t.Fatal("a failure was remembered", yes)
+	if accepted := set(store, 7, "s/a", `"z"`, 2); accepted.Code != 0 || accepted.Revision != 3 {
+		t.Fatal("the response of a rejected set was kept", accepted)
 	}
 	if store.Len(KindSpace) != 1 {
 		t.Fatal(store.Len(KindSpace))
 	}
 }
 
-func TestSpace_FollowerSeesEverySetInOrder(t *testing.T) {
+func TestSpace_FollowerReceivesEverySetInOrder(t *testing.T) {
 	store := NewStore()
-	if list, rev, ok := store.RevisionsSince("s", 0, 10); !ok || len(list) != 0 || rev != 0 {
-		t.Fatal(list, rev, ok)
+	if events, revision, ok := store.RevisionsSince("s", 0, 10); !ok || len(events) != 0 || revision != 0 {
+		t.Fatal(events, revision, ok)
 	}
 	for i := range 9 {
 		index := ids.Index(3 * i)
@@ -93,21 +93,21 @@
 		set(store, index+2, fmt.Sprint("t/", i), "1")
 		apply(store, index+3, rpc.CoordinationRequest{Operation: "add", Name: "s/n", Delta: 1})
 	}
-	if list, rev, ok := store.RevisionsSince("s", 0, 10); !ok || len(list) != 0 || rev != 9 {
-		t.Fatal(list, rev, ok)
+	if events, revision, ok := store.RevisionsSince("s", 0, 10); !ok || len(events) != 0 || revision != 9 {
+		t.Fatal(events, revision, ok)
 	}
 	for from := ids.Index(1); from <= 12; from++ {
-		list, rev, ok := store.RevisionsSince("s", from, 4)
-		if wanted := min(4, 9-min(int(from), 9)); !ok || len(list) != wanted {
-			t.Fatal(from, list, ok)
+		events, revision, ok := store.RevisionsSince("s", from, 4)
+		if want := min(4, 9-min(int(from), 9)); !ok || len(events) != want {
+			t.Fatal(from, events, ok)
 		}
-		for i, e := range list {
+		for i, e := range events {
 			if e.Revision != from+ids.Index(i)+1 || e.Name != fmt.Sprint("s/", e.Revision-1) || e.Kind != KindKey || string(e.Value) != "1" {
 				t.Fatal(from, i, e)
 			}
 		}
-		if len(list) == 4 && rev != list[3].Revision || len(list) < 4 && rev != max(9, from) {
-			t.Fatal(from, rev)
+		if len(events) == 4 && revision != events[3].Revision || len(events) < 4 && revision != max(9, from) {
+			t.Fatal(from, revision)
 		}
 	}
 }
@@ -124,14 +124,14 @@
 		set(store, 5, "s/a", "3")
 		check := func(store *Store) {
 			t.Helper()
-			if _, rev, ok := store.RevisionsSince("s", 1, 10); ok || rev != 4 {
-				t.Fatal("a follower that missed a set was not told", rev, ok)
+			if _, revision, ok := store.RevisionsSince("s", 1, 10); ok || revision != 4 {
+				t.Fatal("a gap in the revisions was not reported", revision, ok)
 			}
-			if list, rev, ok := store.RevisionsSince("s", 2, 10); !ok || rev != 4 || len(list) != 2 || list[0].Revision != 3 {
-				t.Fatal(list, rev, ok)
+			if events, revision, ok := store.RevisionsSince("s", 2, 10); !ok || revision != 4 || len(events) != 2 || events[0].Revision != 3 {
+				t.Fatal(events, revision, ok)
 			}
-			if list, rev, ok := store.RevisionsSince("t", 1, 10); !ok || rev != 1 || len(list) != 0 {
-				t.Fatal(list, rev, ok)
+			if events, revision, ok := store.RevisionsSince("t", 1, 10); !ok || revision != 1 || len(events) != 0 {
+				t.Fatal(events, revision, ok)
 			}
 		}
 		check(store)
@@ -151,7 +151,7 @@
 			t.Fatal(next)
 		}
 		if again := set(other, 7, "s/a", "1"); again.Revision != 1 {
-			t.Fatal("a loaded state forgot a set", again)
+			t.Fatal("the restored state lacks a completed set", again)
 		}
 		if err := other.Restore(json.RawMessage(`{"records":[],"seen":[],"events":[],"start":0,"applied":0}`)); err != nil {
 			t.Fatal(err)
--- a/internal/coordination/store.go
+++ b/internal/coordination/store.go
@@ -11,7 +11,7 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// Kinds of records. The strings stand in snapshots and on the wire.
+// Kinds of records. The strings are stored in snapshots and sent between nodes.
 const (
 	KindKey           = "key"
 	KindLock          = "lock"
@@ -22,22 +22,22 @@
 )
 
 // Store is the replicated state machine of one data shard. Every replica applies the same
-// log entries in the same order and comes to the same records and responses.
+// log entries in the same order, and so has the same records and responses.
 type Store struct {
-	mu           sync.RWMutex // guards all that follows
+	mu           sync.RWMutex // guards the fields below
 	appliedIndex ids.Index
 	records      recordTable
 	completed    completedRequests
 	events       eventLog
 }
 
-// NewStore makes an empty store.
+// NewStore returns an empty store.
 func NewStore() *Store {
 	return &Store{records: recordTable{}, completed: newCompletedRequests(nil), events: newEventLog()}
 }
 
-// recordTable is the records by kind and name. The kinds lie apart, so that looking
-// through one of them does not cost what the others weigh.
+// recordTable holds the records by kind and name. Each kind has a map, so that listing one
+// kind does not scan the records of the others.
 type recordTable map[string]map[string]rpc.CoordinationRecord
 
 func (t recordTable) put(record rpc.CoordinationRecord) {
@@ -54,9 +54,9 @@
 	return a.Name < b.Name
 }
 
-// Apply applies one committed log entry and returns its *rpc.CoordinationResponse. An
-// entry under a request ID that was applied before changes nothing and gets the first
-// response again.
+// Apply applies one committed log entry and returns its *rpc.CoordinationResponse. If an
+// entry with the same request ID was applied before, Apply changes no record and returns the
+// response to that entry.
 func (s *Store) Apply(index ids.Index, body json.RawMessage) any {
 	var request rpc.CoordinationRequest
 	if err := json.Unmarshal(body, &request); err != nil {
@@ -66,13 +66,13 @@
 	defer s.mu.Unlock()
 	s.appliedIndex = index
 	if request.Operation == OpSet && request.ID != "" {
-		request.ID = setRequestID(&request)
+		request.ID = requestIDForSet(&request)
 	}
 	if first, ok := s.completed.lookup(request.ID); ok {
 		return &first
 	}
 	response := s.transition(index, &request)
-	// A set that failed its condition may be sent again under its ID, on another condition.
+	// A set whose condition failed may be repeated with the same ID and another condition.
 	if request.Operation != OpSet || response.Code == 0 {
 		s.completed.add(request.ID, *response)
 	}
@@ -88,24 +88,24 @@
 	return apply(s, index, request)
 }
 
-// reject is the response to a request that the record in force does not allow.
+// reject returns the response to a request that conflicts with the current record.
 func reject(code errcode.Code, current rpc.CoordinationRecord) *rpc.CoordinationResponse {
 	return &rpc.CoordinationResponse{Code: code.Number, Index: current.Index, Revision: current.Revision, Holder: current.Holder, FencingToken: current.FencingToken, TTL: current.TTL}
 }
 
-// putRecord stores a record and publishes its value to watches.
+// putRecord stores a record and adds an event with the value.
 func (s *Store) putRecord(record rpc.CoordinationRecord, value json.RawMessage) {
 	s.records.put(record)
 	s.events.add(rpc.WatchEvent{Index: record.Index, Revision: record.Revision, Name: record.Name, Kind: record.Kind, Value: value})
 }
 
-// removeRecord deletes a record and publishes its removal to watches.
+// removeRecord deletes a record and adds an event for its deletion.
 func (s *Store) removeRecord(index ids.Index, record rpc.CoordinationRecord) {
 	delete(s.records[record.Kind], record.Name)
 	s.events.add(rpc.WatchEvent{Index: index, Name: record.Name, Kind: record.Kind, Deleted: true})
 }
 
-// Get returns the record of a name.
+// Get returns the record of a kind and name, and whether it exists.
 func (s *Store) Get(kind, name string) (rpc.CoordinationRecord, bool) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
@@ -113,15 +113,15 @@
 	return record, ok
 }
 
-// Len returns how many records of a kind there are.
+// Len returns the number of records of a kind.
 func (s *Store) Len(kind string) int {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return len(s.records[kind])
 }
 
-// List returns the records of a kind whose names have the prefix, by name, and the index
-// as of which they hold.
+// List returns the records of a kind whose names have the prefix, sorted by name, and the
+// index of the last applied entry.
 func (s *Store) List(kind, prefix string) ([]rpc.CoordinationRecord, ids.Index) {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
--- a/internal/coordination/store_test.go
+++ b/internal/coordination/store_test.go
@@ -23,8 +23,8 @@
 	apply(store, 20001, rpc.CoordinationRequest{Operation: "mark", Name: "rates/i1", Holder: "draining", Sequence: 1})
 	b.ResetTimer()
 	for b.Loop() {
-		if list, _ := store.List(KindInstanceState, ""); len(list) != 1 {
-			b.Fatal(list)
+		if states, _ := store.List(KindInstanceState, ""); len(states) != 1 {
+			b.Fatal(states)
 		}
 	}
 }
@@ -45,14 +45,14 @@
 		t.Fatal(err)
 	}
 	if again := apply(other, 3, rpc.CoordinationRequest{Operation: "add", ID: "r", Name: "n", Delta: 2}); again.Count != 2 {
-		t.Fatal("a restored state forgot the response", again)
+		t.Fatal("the restored state lacks a completed request", again)
 	}
 	if next := apply(other, 4, rpc.CoordinationRequest{Operation: "add", Name: "n", Delta: 2}); next.Count != 4 {
 		t.Fatal(next)
 	}
 }
 
-func TestStore_ForgetsTheOldestResponses(t *testing.T) {
+func TestStore_DropsOldestResponses(t *testing.T) {
 	store := NewStore()
 	add := func(i int) *rpc.CoordinationResponse {
 		return apply(store, ids.Index(i), rpc.CoordinationRequest{Operation: "add", ID: fmt.Sprint("r", i%(maxCompleted+1)), Name: "n", Delta: 1})
@@ -61,14 +61,14 @@
 		add(i)
 	}
 	if store.IsCompleted("r1") || !store.IsCompleted("r2") || store.IsCompleted("") {
-		t.Fatal("not just the oldest was forgotten")
+		t.Fatal("not exactly the oldest request ID was dropped")
 	}
 	if again := add(maxCompleted + 3); again.Index != 2 {
-		t.Fatal("a kept request was carried out again", again)
+		t.Fatal("a completed request was executed again", again)
 	}
 }
 
-func TestStore_EntryThatCannotBeReadIsAnInvalidCall(t *testing.T) {
+func TestStore_MalformedEntryIsInvalidCall(t *testing.T) {
 	store := NewStore()
 	for _, body := range []string{`{"op":`, `{"op":"steal","name":"l"}`} {
 		if got := store.Apply(1, json.RawMessage(body)).(*rpc.CoordinationResponse); got.Code != errcode.InvalidCall.Number {
--- a/internal/coordination/watch.go
+++ b/internal/coordination/watch.go
@@ -10,11 +10,12 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// maxEventsPerResponse bounds the events of one response; the next call gets the rest.
+// maxEventsPerResponse limits the events in one response. Later requests return the others.
 const maxEventsPerResponse = 256
 
-// watch is a long poll for the events of every kind under a prefix, by the indexes of the
-// shard's log. A watch from index zero gets the keys as they are, and the index to watch from.
+// watch is a long poll for events of every kind whose names have a prefix. Its position is an
+// index of the shard's log. A watch from index zero returns the current keys and the index to
+// watch from.
 func (s *shard) watch(ctx context.Context, term ids.Term, request *rpc.CoordinationRequest) (*rpc.CoordinationResponse, error) {
 	if request.FromIndex == 0 {
 		return s.list(ctx, term, request)
@@ -28,8 +29,8 @@
 	})
 }
 
-// follow is a long poll for the sets in a space, by the space's revisions. A follower from
-// revision zero gets the revision to follow from.
+// follow is a long poll for the sets in a space. Its position is a revision of the space. A
+// request from revision zero returns the revision to follow from.
 func (s *shard) follow(ctx context.Context, _ ids.Term, request *rpc.CoordinationRequest) (*rpc.CoordinationResponse, error) {
 	return s.longPoll(ctx, request.Wait, func() (*rpc.CoordinationResponse, bool) {
 		events, revision, complete := s.store.RevisionsSince(spaceOf(request.Name), request.FromIndex, maxEventsPerResponse)
@@ -40,21 +41,21 @@
 	})
 }
 
-// longPoll returns the first response that poll calls ready, or the last one once the wait
-// of so many milliseconds is over or the caller has gone. It polls at each change of the
-// shard, and ends when this node does not lead the shard any more.
+// longPoll calls poll at the start and after each change of the shard. It returns the first
+// response that is ready, or the last response when wait milliseconds have passed or ctx is
+// done. It returns NotLeader if this node no longer leads the shard.
 func (s *shard) longPoll(ctx context.Context, wait int64, poll func() (response *rpc.CoordinationResponse, ready bool)) (*rpc.CoordinationResponse, error) {
-	due := time.Now().Add(time.Duration(wait) * time.Millisecond)
+	deadline := time.Now().Add(time.Duration(wait) * time.Millisecond)
 	for {
-		changed := s.replica.Changed() // before poll, so that no change falls in between
+		changed := s.replica.Changed() // before poll, so that no change is missed
 		response, ready := poll()
 		if ready {
 			return response, nil
 		}
 		if !s.replica.IsServing() {
-			return nil, errcode.New(errcode.NotLeader, "shard %d changed its leader", s.id)
+			return nil, errcode.New(errcode.NotLeader, "shard %d: the leader changed", s.id)
 		}
-		if isChanged, err := environment.WaitUntil(ctx, due, changed); err != nil || !isChanged {
+		if isChanged, err := environment.WaitUntil(ctx, deadline, changed); err != nil || !isChanged {
 			return response, nil
 		}
 	}
--- a/internal/ids/ids.go
+++ b/internal/ids/ids.go
@@ -1,5 +1,5 @@
-// Package ids holds the small types that identify things across the fleet: nodes and their
-// lives, shards, terms, log indexes, epochs and configuration versions.
+// Package ids defines the identifiers used across the fleet: node names, member IDs, shards,
+// terms, log indexes, epochs and configuration versions.
 package ids
 
 import (
@@ -10,40 +10,41 @@
 	"strings"
 )
 
-// NodeName is a node's lasting name, unique in the fleet.
+// NodeName is a node's permanent name, unique in the fleet.
 type NodeName string
 
-// MemberID is the random number of one life of a node: of its data folder, or of its process
-// if it has none. The same name with another member ID is another member.
+// MemberID is the random ID of one incarnation of a node. It lasts as long as the node's data
+// folder, or as its process if it has no data folder. A node with the same name and another
+// member ID is another member.
 type MemberID string
 
-// Shard numbers the replicated state machines: the data shards from 0, then ConfigShard.
+// Shard is the number of a replicated state machine: the data shards from 0, then ConfigShard.
 type Shard int
 
-// Index is the place of an entry in a shard's log, from 1.
+// Index is the position of an entry in a shard's log, starting at 1.
 type Index uint64
 
-// Epoch numbers the complete states by which proxies serve; it only grows.
+// Epoch is the number of a complete routing state that proxies serve from. It only increases.
 type Epoch uint64
 
-// Version is the operators' own number of a configuration; it only grows.
+// Version is the number that operators assign to a configuration. It only increases.
 type Version uint64
 
 const (
 	// ShardCount is the number of data shards.
 	ShardCount = 16
-	// ConfigShard is the shard of the configuration; it comes after the data shards.
+	// ConfigShard is the shard of the configuration.
 	ConfigShard = Shard(ShardCount)
 )
 
-// Term orders the leaders of a shard: by number, then by the leader's name (Raft's term, made
-// unique by the name).
+// Term is a leader's term of a shard, as in Raft. Terms are ordered by number and then by the
+// leader's name, which makes each term unique to one leader.
 type Term struct {
 	Number uint64   `json:"round"`
 	Node   NodeName `json:"node"`
 }
 
-// Less reports whether t is below the other term.
+// Less reports whether t is earlier than other.
 func (t Term) Less(other Term) bool {
 	if t.Number != other.Number {
 		return t.Number < other.Number
@@ -51,13 +52,13 @@
 	return t.Node < other.Node
 }
 
-// String is the term as logs show it: number, dot, name.
+// String returns the term in the form "number.name", as in log lines.
 func (t Term) String() string { return fmt.Sprintf("%d.%s", t.Number, t.Node) }
 
-// NewMemberID draws a member ID at random.
+// NewMemberID returns a random member ID.
 func NewMemberID() MemberID { return MemberID(NewID()) }
 
-// NewID draws 64 random bits, in hexadecimal.
+// NewID returns 64 random bits in hexadecimal.
 func NewID() string {
 	raw := make([]byte, 8)
 	if _, err := rand.Read(raw); err != nil {
@@ -66,19 +67,19 @@
 	return hex.EncodeToString(raw)
 }
 
-// ShardOf returns the shard of a name by the hash of its space, which is what stands before
-// its first slash: a space lies in one shard as a whole and can be watched there.
+// ShardOf returns the shard of a name, by the hash of its space: the part before the first
+// slash. All names of a space are in one shard, so the space can be watched there.
 func ShardOf(name string) Shard {
 	space, _, _ := strings.Cut(name, "/")
 	return Shard(Hash(space) % ShardCount)
 }
 
-// Hash is the hash for placement: FNV-1a over the words, each ended by a zero byte, with the
-// finalizer of MurmurHash3. Every build must compute the same.
-func Hash(words ...string) uint64 {
+// Hash returns the hash used for placement: FNV-1a over the parts, each followed by a zero byte,
+// with the finalizer of MurmurHash3. The result must be the same in every build.
+func Hash(parts ...string) uint64 {
 	h := fnv.New64a()
-	for _, word := range words {
-		h.Write([]byte(word))
+	for _, part := range parts {
+		h.Write([]byte(part))
 		h.Write([]byte{0})
 	}
 	x := h.Sum64()
