--- a/fencing/fence.go
+++ b/fencing/fence.go
@@ -22,7 +22,8 @@
 // Errors returned by Check. The request must not be executed. They say nothing about later
 // requests.
 var (
-	// ErrSuperseded is returned for a request whose epoch was superseded too long ago.
+	// ErrSuperseded is returned for a request whose epoch may have been superseded more than
+	// MaxConfirmationAge ago.
 	ErrSuperseded = errors.New("the request's epoch is superseded")
 	// ErrUnconfirmed is returned if the current epoch has not been confirmed for longer than
 	// MaxConfirmationAge, for example after this process was suspended.
--- a/internal/coordination/instance_state.go
+++ b/internal/coordination/instance_state.go
@@ -22,7 +22,7 @@
 }
 
 // clearInstanceState removes the announced state of an instance that serves again or has been
-// absent for long. It rejects heartbeats with a lower sequence number than the recorded one.
+// absent for a long time. It rejects requests with a lower sequence number than the recorded one.
 func (s *Store) clearInstanceState(index ids.Index, request *rpc.CoordinationRequest) *rpc.CoordinationResponse {
 	current, ok := s.records[KindInstanceState][request.Name]
 	if !ok || current.Sequence > request.Sequence {
--- a/internal/coordination/operation.go
+++ b/internal/coordination/operation.go
@@ -67,8 +67,8 @@
 	write func(s *shard, ctx context.Context, request *rpc.CoordinationRequest) (*rpc.CoordinationResponse, error)
 }
 
-// operations has every operation that a client may request. Requests for an operation without
-// read and write functions are proposed unchanged.
+// operations maps each operation that a client may request to its functions. Requests for an
+// operation without read and write functions are proposed unchanged.
 var operations = map[string]operation{
 	OpGet:    {read: (*shard).get},
 	OpList:   {read: (*shard).list},
@@ -160,8 +160,8 @@
 	return problems
 }
 
-// transitions has the function that applies each operation of log entries to the store. The
-// caller holds the store's mu.
+// transitions maps each operation in log entries to the function that applies it to the store.
+// The caller holds the store's mu.
 var transitions = map[string]func(*Store, ids.Index, *rpc.CoordinationRequest) *rpc.CoordinationResponse{
 	OpPut:                (*Store).put,
 	OpDelete:             (*Store).delete,
--- a/internal/coordination/repair.go
+++ b/internal/coordination/repair.go
@@ -12,8 +12,8 @@
 )
 
 // The state is divided into ranges, so that replicas can compare digests and repair only the
-// ranges that differ. Records are assigned to a range by the hash of their name; the completed
-// requests form a range of their own.
+// ranges that differ. Records are assigned to a range by the hash of their name. The completed
+// requests form one more range.
 const (
 	recordRangeCount = 16
 	completedRange   = "receipts"
--- a/internal/coordination/space.go
+++ b/internal/coordination/space.go
@@ -10,8 +10,8 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// spaceOf returns the space of a name, the part before its first slash. Each space has its
-// revisions, which increase by one with each set, so a follower can detect a missed set. The
+// spaceOf returns the space of a name, the part before its first slash. Each space has a
+// revision, which increases by one with each set, so a follower can detect a missed set. The
 // indexes of the shard's log increase with every entry and can't show that.
 func spaceOf(name string) string {
 	space, _, _ := strings.Cut(name, "/")
--- a/internal/coordination/space_test.go
+++ b/internal/coordination/space_test.go
@@ -139,27 +139,27 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		other := NewStore()
-		if err := other.Restore(raw); err != nil {
+		restored := NewStore()
+		if err := restored.Restore(raw); err != nil {
 			t.Fatal(err)
 		}
-		check(other)
-		if other.events.compactedRevisions["s"] != 2 || other.events.compactedRevisions["t"] != 1 {
-			t.Fatal(other.events.compactedRevisions)
+		check(restored)
+		if restored.events.compactedRevisions["s"] != 2 || restored.events.compactedRevisions["t"] != 1 {
+			t.Fatal(restored.events.compactedRevisions)
 		}
-		if next := set(other, 6, "s/a", "4", 4); next.Code != 0 || next.Revision != 5 {
+		if next := set(restored, 6, "s/a", "4", 4); next.Code != 0 || next.Revision != 5 {
 			t.Fatal(next)
 		}
-		if again := set(other, 7, "s/a", "1"); again.Revision != 1 {
+		if again := set(restored, 7, "s/a", "1"); again.Revision != 1 {
 			t.Fatal("the restored state lacks a completed set", again)
 		}
-		if err := other.Restore(json.RawMessage(`{"records":[],"seen":[],"events":[],"start":0,"applied":0}`)); err != nil {
+		if err := restored.Restore(json.RawMessage(`{"records":[],"seen":[],"events":[],"start":0,"applied":0}`)); err != nil {
 			t.Fatal(err)
 		}
-		set(other, 8, "s/a", "1")
+		set(restored, 8, "s/a", "1")
 		time.Sleep(61 * time.Second)
-		if next := set(other, 9, "s/a", "2"); next.Revision != 2 || other.events.compactedRevisions["s"] != 1 {
-			t.Fatal(next, other.events.compactedRevisions)
+		if next := set(restored, 9, "s/a", "2"); next.Revision != 2 || restored.events.compactedRevisions["s"] != 1 {
+			t.Fatal(next, restored.events.compactedRevisions)
 		}
 	})
 }
--- a/internal/coordination/store_test.go
+++ b/internal/coordination/store_test.go
@@ -40,15 +40,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	other := NewStore()
-	if err := other.Restore(raw); err != nil {
+	restored := NewStore()
+	if err := restored.Restore(raw); err != nil {
 		t.Fatal(err)
 	}
-	if again := apply(other, 3, rpc.CoordinationRequest{Operation: "add", ID: "r", Name: "n", Delta: 2}); again.Count != 2 {
+	if again := apply(restored, 3, rpc.CoordinationRequest{Operation: "add", ID: "r", Name: "n", Delta: 2}); again.Count != 2 {
 		t.Fatal("the restored state lacks a completed request", again)
 	}
-	if next := apply(other, 4, rpc.CoordinationRequest{Operation: "add", Name: "n", Delta: 2}); next.Count != 4 {
-		t.Fatal(next)
+	if second := apply(restored, 4, rpc.CoordinationRequest{Operation: "add", Name: "n", Delta: 2}); second.Count != 4 {
+		t.Fatal(second)
 	}
 }
 
--- a/internal/ids/ids.go
+++ b/internal/ids/ids.go
@@ -24,7 +24,7 @@
 // Index is the position of an entry in a shard's log, starting at 1.
 type Index uint64
 
-// Epoch is the number of a complete routing state that proxies serve from. It only increases.
+// Epoch is the number of a complete state from which proxies serve. It only increases.
 type Epoch uint64
 
 // Version is the number that operators assign to a configuration. It only increases.
