--- a/internal/node/api.go
+++ b/internal/node/api.go
@@ -11,11 +11,11 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// longPollWait is how long a watch waits that names no time, in milliseconds.
-const longPollWait = 20000
+// defaultWatchWaitMillis is the long-poll timeout of a watch request that names none.
+const defaultWatchWaitMillis = 20000
 
-// apiHandler is the generated API's handler: it turns requests of the API into the node's
-// calls, and errors into numbered answers.
+// apiHandler implements the generated API: it maps API requests to methods of the node, and
+// errors to responses with a code.
 type apiHandler struct{ n *Node }
 
 var _ api.Handler = (*apiHandler)(nil)
@@ -25,12 +25,12 @@
 	if _, err := h.n.Heartbeat(ctx, beat); err != nil {
 		return nil, err
 	}
-	taken := &api.Taken{Again: int(h.n.Env.Config.ControlplaneHeartbeatPeriod.Milliseconds())}
+	response := &api.Taken{Again: int(h.n.Env.Config.ControlplaneHeartbeatPeriod.Milliseconds())}
 	if h.n.fencesTargets() {
 		epoch, age := h.n.confirmedEpoch(ctx)
-		taken.Epoch, taken.Age = api.NewOptUint64(uint64(epoch)), api.NewOptInt64(age.Milliseconds()+1)
+		response.Epoch, response.Age = api.NewOptUint64(uint64(epoch)), api.NewOptInt64(age.Milliseconds()+1)
 	}
-	return taken, nil
+	return response, nil
 }
 
 func (h *apiHandler) Submit(ctx context.Context, req *api.Change) (*api.ChangeReceipt, error) {
@@ -42,23 +42,23 @@
 	if err != nil {
 		return nil, err
 	}
-	out := &api.ChangeReceipt{}
-	return out, convert(receipt, out)
+	response := &api.ChangeReceipt{}
+	return response, convert(receipt, response)
 }
 
 func (h *apiHandler) AskChange(ctx context.Context, params api.AskChangeParams) (*api.ChangeReceipt, error) {
-	limited, end := context.WithTimeout(ctx, callTimeout)
-	defer end()
+	limited, cancel := context.WithTimeout(ctx, callTimeout)
+	defer cancel()
 	return changeStatusOperation.call(limited, h.n, ids.ConfigShard, &params.ID)
 }
 
 func (h *apiHandler) Epoch(ctx context.Context) (*api.EpochView, error) {
-	limited, end := context.WithTimeout(ctx, callTimeout)
-	defer end()
+	limited, cancel := context.WithTimeout(ctx, callTimeout)
+	defer cancel()
 	return epochOperation.call(limited, h.n, ids.ConfigShard, nil)
 }
 
-// coordinate makes a coordination call; a code in the response becomes an error.
+// coordinate executes a coordination call, and returns a code in the response as an error.
 func (h *apiHandler) coordinate(ctx context.Context, request *rpc.CoordinationRequest) (*api.Receipt, error) {
 	response, err := h.n.Coordinate(ctx, request)
 	if err != nil {
@@ -71,16 +71,16 @@
 		}
 		return nil, &coordinationError{errcode.Error{Code: code, Note: response.Note}, *response}
 	}
-	out := &api.Receipt{}
-	return out, convert(response, out)
+	receipt := &api.Receipt{}
+	return receipt, convert(response, receipt)
 }
 
-// coordinationRequest is the coordination call of an API request.
+// coordinationRequest converts an API request to a coordination request.
 func coordinationRequest(op string, req *api.Call) *rpc.CoordinationRequest {
 	call := &rpc.CoordinationRequest{Operation: op, ID: req.ID.Or(""), Name: req.Name, Value: json.RawMessage(req.Value), Delta: req.Delta.Or(1), Holder: req.Holder.Or(""), TTL: req.TTL.Or(0), FencingToken: ids.Index(req.Fence.Or(0))}
 	if stamp, ok := req.If.Get(); ok {
-		wanted := ids.Index(stamp)
-		call.IfIndex = &wanted
+		ifIndex := ids.Index(stamp)
+		call.IfIndex = &ifIndex
 	}
 	return call
 }
@@ -127,7 +127,7 @@
 }
 
 func (h *apiHandler) Watch(ctx context.Context, params api.WatchParams) (*api.Receipt, error) {
-	return h.coordinate(ctx, &rpc.CoordinationRequest{Operation: coordination.OpWatch, Name: params.Name, FromIndex: ids.Index(params.From), Wait: params.Hold.Or(longPollWait)})
+	return h.coordinate(ctx, &rpc.CoordinationRequest{Operation: coordination.OpWatch, Name: params.Name, FromIndex: ids.Index(params.From), Wait: params.Hold.Or(defaultWatchWaitMillis)})
 }
 
 func (h *apiHandler) Health(ctx context.Context) (*api.Health, error) {
@@ -145,12 +145,12 @@
 	return health, nil
 }
 
-// NewError returns the numbered answer of an error.
+// NewError converts an error to a response with its code.
 func (h *apiHandler) NewError(_ context.Context, err error) *api.ProblemStatusCodeWithHeaders {
 	return problemOf(err)
 }
 
-// convert turns one shape of data into another that has the same JSON.
+// convert copies a value to another type that has the same JSON encoding.
 func convert(from, into any) error {
 	raw, err := json.Marshal(from)
 	if err == nil {
--- a/internal/node/calls.go
+++ b/internal/node/calls.go
@@ -14,10 +14,10 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// The calls below are what targets, operators and applications ask of any node. Whatever
-// serves a node, its own API included, is made of them alone.
+// The methods below execute the calls of targets, operators and applications. Any node accepts
+// them. The handlers of a node, such as its API, are built on these methods.
 
-// How long calls take at most, unless the caller's context ends before.
+// Time limits of calls. The caller's context may end a call earlier.
 const (
 	callTimeout      = 3 * time.Second
 	submitTimeout    = 2 * callTimeout
@@ -25,18 +25,20 @@
 	lookupTimeout    = 500 * time.Millisecond
 )
 
-// messageLookup asks a core node for the service of an instance.
+// messageLookup is the kind of the message that requests the service of an instance from a
+// core node.
 const messageLookup = "plan.whose"
 
-// maxSequence is above every number that an instance gives its heartbeats.
+// maxSequence is greater than any sequence number in an instance's heartbeats.
 const maxSequence = 1 << 62
 
-// Heartbeat takes a target's heartbeat. The address returned is the API of the node that
-// takes later ones without forwarding them; it is empty if that is this one, or not known.
-func (n *Node) Heartbeat(ctx context.Context, heartbeat *rpc.TargetHeartbeat) (betterAddress string, err error) {
+// Heartbeat processes a target's heartbeat. leaderAPIAddress is the API address of the shard's
+// leader, which processes later heartbeats without forwarding; it is empty if this node is the
+// leader or the leader is not known.
+func (n *Node) Heartbeat(ctx context.Context, heartbeat *rpc.TargetHeartbeat) (leaderAPIAddress string, err error) {
 	n.heartbeats.Add(1)
-	limited, end := context.WithTimeout(ctx, heartbeatTimeout)
-	defer end()
+	limited, cancel := context.WithTimeout(ctx, heartbeatTimeout)
+	defer cancel()
 	if err := controlplane.ValidateHeartbeat(heartbeat); err != nil {
 		n.Env.Events.Emit(eventlog.HeartbeatRejected, "service", heartbeat.Service, "instance", heartbeat.Instance, "cause", err.Error())
 		return "", err
@@ -54,11 +56,11 @@
 	return "", nil
 }
 
-// Deregister takes an instance out that names itself alone. It is an errcode.UnknownService
-// if no core node knows the instance.
+// Deregister removes an instance whose service the caller does not name. It returns an
+// errcode.UnknownService if no core node knows the instance.
 func (n *Node) Deregister(ctx context.Context, instance string) error {
-	limited, end := context.WithTimeout(ctx, heartbeatTimeout)
-	defer end()
+	limited, cancel := context.WithTimeout(ctx, heartbeatTimeout)
+	defer cancel()
 	service := n.serviceOf(limited, instance)
 	if service == "" {
 		return errcode.New(errcode.UnknownService, "of instance %q", instance)
@@ -69,8 +71,8 @@
 	return err
 }
 
-// serviceOf finds the service of an instance, here first, then at all core nodes; it is
-// empty if none knows it.
+// serviceOf returns the service of an instance, from this node's registry or else from the
+// first core node that knows it. It is empty if none does.
 func (n *Node) serviceOf(ctx context.Context, instance string) string {
 	if n.Targets != nil {
 		if service := n.Targets.ServiceOf(instance); service != "" {
@@ -78,10 +80,10 @@
 		}
 	}
 	cores := n.Members.CoreMembers()
-	found := make(chan string, len(cores))
+	services := make(chan string, len(cores))
 	var lookups sync.WaitGroup
-	limited, end := context.WithTimeout(ctx, lookupTimeout)
-	defer end()
+	limited, cancel := context.WithTimeout(ctx, lookupTimeout)
+	defer cancel()
 	for _, m := range cores {
 		if m.Name == n.Env.Name {
 			continue
@@ -91,20 +93,20 @@
 			defer lookups.Done()
 			var response rpc.InstanceLookupResponse
 			if n.RPC.Call(limited, m.RPCAddress, messageLookup, &rpc.InstanceLookupRequest{Instance: instance}, &response) == nil && response.Service != "" {
-				found <- response.Service
+				services <- response.Service
 			}
 		})
 	}
-	n.Env.Go(func() { lookups.Wait(); close(found) })
-	return <-found
+	n.Env.Go(func() { lookups.Wait(); close(services) })
+	return <-services
 }
 
-// Submit submits a change set. Only the leader can say that one was not accepted: any other
-// node can't know whether it was when it was sent before under its id. So an error that
-// tells an outcome becomes an errcode.ChangeUnknown.
+// Submit submits a change set. Only the leader can state that a change set was not accepted:
+// it may have been accepted in an earlier attempt under the same ID. So an error whose code
+// has an outcome, such as NoLeader, becomes an errcode.ChangeUnknown.
 func (n *Node) Submit(ctx context.Context, change *rpc.ChangeSet) (*rpc.ChangeResult, error) {
-	limited, end := context.WithTimeout(ctx, submitTimeout)
-	defer end()
+	limited, cancel := context.WithTimeout(ctx, submitTimeout)
+	defer cancel()
 	result, err := submitOperation.call(limited, n, ids.ConfigShard, change)
 	if err != nil && errcode.From(err).Code.Outcome != "" {
 		err = errcode.New(errcode.ChangeUnknown, "%v", err)
@@ -112,26 +114,26 @@
 	return result, err
 }
 
-// Config returns the configuration in force, as the operators sent it.
+// Config returns the active configuration in the form in which operators submitted it.
 func (n *Node) Config(ctx context.Context) (*rpc.ConfigurationView, error) {
-	limited, end := context.WithTimeout(ctx, callTimeout)
-	defer end()
+	limited, cancel := context.WithTimeout(ctx, callTimeout)
+	defer cancel()
 	return configOperation.call(limited, n, ids.ConfigShard, nil)
 }
 
-// Coordinate makes a coordination call. One with an id may repeat one that was executed, so
-// that only the leader can say that it was not: any other error of it, and any reply that
-// was lost, becomes an errcode.WriteUnknown.
+// Coordinate executes a coordination call. A call with an ID may repeat one that was already
+// executed, which only the leader knows. So an error that says such a call did not run, and
+// a lost reply to any call, become an errcode.WriteUnknown.
 func (n *Node) Coordinate(ctx context.Context, request *rpc.CoordinationRequest) (*rpc.CoordinationResponse, error) {
-	limited, end := context.WithTimeout(ctx, callTimeout+time.Duration(request.Wait)*time.Millisecond)
-	defer end()
+	limited, cancel := context.WithTimeout(ctx, callTimeout+time.Duration(request.Wait)*time.Millisecond)
+	defer cancel()
 	if request.Operation != coordination.OpWatch && request.Operation != coordination.OpFollow {
 		defer n.observeCall(time.Now())
 	}
 	response, err := n.coordinate(limited, request)
 	if err != nil {
-		notRun := errcode.From(err).Code.Outcome == "not run"
-		if errors.Is(err, errcode.ReplyLost) || notRun && request.ID != "" {
+		isNotRun := errcode.From(err).Code.Outcome == "not run"
+		if errors.Is(err, errcode.ReplyLost) || isNotRun && request.ID != "" {
 			err = errcode.New(errcode.WriteUnknown, "%v", err)
 		}
 		return nil, err
@@ -139,12 +141,12 @@
 	return response, nil
 }
 
-// coordinate makes a coordination call, whose errors are as they come.
+// coordinate executes a coordination call and returns errors unchanged.
 func (n *Node) coordinate(ctx context.Context, request *rpc.CoordinationRequest) (*rpc.CoordinationResponse, error) {
 	return coordinationOperation.call(ctx, n, ids.ShardOf(request.Name), request)
 }
 
-// Ready returns nil if this node can do its work now, or else what keeps it from it.
+// Ready returns nil if this node can serve, or else the reason why not.
 func (n *Node) Ready() error {
 	if n.stopping.Load() {
 		return errcode.New(errcode.Stopping, "")
@@ -153,7 +155,7 @@
 		return errcode.New(errcode.NotFresh, "")
 	}
 	if n.Consensus != nil && n.Consensus.Charter() == nil {
-		return errcode.New(errcode.NoLeader, "no fleet yet")
+		return errcode.New(errcode.NoLeader, "the fleet is not bootstrapped yet")
 	}
 	return nil
 }
--- a/internal/node/collector.go
+++ b/internal/node/collector.go
@@ -17,12 +17,12 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// observeCall counts how long a coordination call took.
+// observeCall records the latency of a coordination call.
 func (n *Node) observeCall(began time.Time) {
 	n.Env.Latencies.CoordinationCall.Observe(time.Since(began))
 }
 
-// withMetrics puts /metrics before the API, if the settings say so.
+// withMetrics adds /metrics to the API if metrics.serve is set.
 func (n *Node) withMetrics(api http.Handler) http.Handler {
 	if !n.Env.Config.MetricsServe {
 		return api
@@ -35,8 +35,8 @@
 	return mux
 }
 
-// Collector shows one node to Prometheus. It reads, when it is asked and only then, what the
-// node counts in any case, and the latency histograms.
+// Collector is a prometheus.Collector of one node's metrics. It only reads counters and
+// latency histograms that the node keeps anyway, and does so at each scrape.
 type Collector struct {
 	n     *Node
 	descs map[string]*prometheus.Desc
@@ -55,38 +55,38 @@
 	return c
 }
 
-// Describe sends the descriptions of all metrics.
-func (c *Collector) Describe(out chan<- *prometheus.Desc) {
+// Describe implements prometheus.Collector.
+func (c *Collector) Describe(ch chan<- *prometheus.Desc) {
 	for _, desc := range c.descs {
-		out <- desc
+		ch <- desc
 	}
 }
 
-// collection is one scrape under way.
+// collection is one scrape in progress.
 type collection struct {
 	*Collector
-	out chan<- prometheus.Metric
+	ch chan<- prometheus.Metric
 }
 
-// add sends a metric of one value.
+// add sends a gauge or counter.
 func (c collection) add(m metrics.Metric, value float64, labels ...string) {
 	kind := prometheus.GaugeValue
 	if m.Kind == "counter" {
 		kind = prometheus.CounterValue
 	}
-	one, err := prometheus.NewConstMetric(c.descs[m.Name], kind, value, labels...)
-	c.send(m, one, err)
+	metric, err := prometheus.NewConstMetric(c.descs[m.Name], kind, value, labels...)
+	c.send(m, metric, err)
 }
 
-// send hands a metric on; one that can't be made is an error of the scrape alone.
-func (c collection) send(m metrics.Metric, one prometheus.Metric, err error) {
+// send sends a metric. One that could not be created is reported as an error of this scrape.
+func (c collection) send(m metrics.Metric, metric prometheus.Metric, err error) {
 	if err != nil {
-		one = prometheus.NewInvalidMetric(c.descs[m.Name], err)
+		metric = prometheus.NewInvalidMetric(c.descs[m.Name], err)
 	}
-	c.out <- one
+	c.ch <- metric
 }
 
-// boolValue is 1 for true and 0 for false.
+// boolValue returns 1 for true and 0 for false.
 func boolValue(value bool) float64 {
 	if value {
 		return 1
@@ -94,14 +94,14 @@
 	return 0
 }
 
-// Collect sends all metrics that the node has.
-func (c *Collector) Collect(out chan<- prometheus.Metric) {
-	n, scrape := c.n, collection{c, out}
+// Collect implements prometheus.Collector.
+func (c *Collector) Collect(ch chan<- prometheus.Metric) {
+	n, scrape := c.n, collection{c, ch}
 	scrape.add(metrics.NodeInfo, 1, string(n.Env.Name), n.Env.Config.Zone, strconv.FormatBool(n.Consensus != nil), strconv.FormatBool(n.Proxy != nil))
 	scrape.add(metrics.NodeReady, boolValue(n.Ready() == nil))
 	scrape.add(metrics.Heartbeats, float64(n.heartbeats.Load()))
 	scrape.add(metrics.LogLinesDropped, float64(n.Env.Events.DroppedLines()))
-	scrape.add(metrics.ProcessStalled, n.stalls.stalledFor().Seconds())
+	scrape.add(metrics.ProcessStalled, n.stalls.totalStall().Seconds())
 	counts := n.Env.Events.Counts()
 	for _, e := range eventlog.Events {
 		if counts[e.Name] > 0 {
@@ -112,8 +112,8 @@
 	for _, m := range n.Members.View() {
 		members[[2]string{m.State, roleOf(m.Core, m.ProxyAddress)}]++
 	}
-	for at, count := range members {
-		scrape.add(metrics.Members, float64(count), at[0], at[1])
+	for key, count := range members {
+		scrape.add(metrics.Members, float64(count), key[0], key[1])
 	}
 	scrape.traffic()
 	if n.Proxy != nil {
@@ -128,7 +128,7 @@
 	})
 }
 
-// roleOf is what a member is for, in a word.
+// roleOf returns a member's role as shown in metrics and tables.
 func roleOf(core bool, proxyAddress string) string {
 	switch {
 	case core && proxyAddress != "":
@@ -139,10 +139,10 @@
 	return "proxy"
 }
 
-// attemptKind is the kind of traffic to targets.
+// attemptKind is the kind under which traffic to targets is counted.
 const attemptKind = "gate.try"
 
-// traffic sends what went to other processes and to targets.
+// traffic sends the counts of messages and bytes sent to other processes and to targets.
 func (c collection) traffic() {
 	for kind, sent := range c.n.RPC.Traffic() {
 		kind, otherZone := strings.CutSuffix(kind, rpc.OtherZoneSuffix)
@@ -162,29 +162,29 @@
 
 // proxy sends the metrics of a proxy.
 func (c collection) proxy() {
-	g := c.n.Proxy
-	c.add(metrics.ProxyInflight, float64(g.InFlight()))
-	c.add(metrics.ProxyIdleConnections, float64(g.IdleConnections()))
+	proxy := c.n.Proxy
+	c.add(metrics.ProxyInflight, float64(proxy.InFlight()))
+	c.add(metrics.ProxyIdleConnections, float64(proxy.IdleConnections()))
 	c.add(metrics.ProxyFailedAttempts, float64(c.n.Env.Events.Counts()[eventlog.AttemptFailed.Name]))
-	answers := map[metrics.Outcome]int64{metrics.OutcomeRan: 0, metrics.OutcomeNotRun: 0, metrics.OutcomeUnknown: 0}
-	g.VisitOutcomes(func(name string, count int64) {
+	responses := map[metrics.Outcome]int64{metrics.OutcomeRan: 0, metrics.OutcomeNotRun: 0, metrics.OutcomeUnknown: 0}
+	proxy.VisitOutcomes(func(name string, count int64) {
 		code, isCode := c.codes[name]
 		if !isCode {
-			answers[metrics.OutcomeRan] += count
+			responses[metrics.OutcomeRan] += count
 			return
 		}
-		answers[metrics.ParseOutcome(code.Outcome)] += count
+		responses[metrics.ParseOutcome(code.Outcome)] += count
 		c.add(metrics.ProxyRejections, float64(count), strconv.Itoa(code.Number), code.Name)
 	})
-	for outcome, count := range answers {
+	for outcome, count := range responses {
 		c.add(metrics.ProxyResponses, float64(count), outcome.String())
 	}
-	for _, p := range g.EndpointCounts() {
-		c.add(metrics.ProxyEndpoints, float64(p.Available), p.Service, "in")
-		c.add(metrics.ProxyEndpoints, float64(p.Ejected), p.Service, "out")
-		c.add(metrics.ProxyEndpoints, float64(p.Barred), p.Service, "barred")
+	for _, endpoints := range proxy.EndpointCounts() {
+		c.add(metrics.ProxyEndpoints, float64(endpoints.Available), endpoints.Service, "in")
+		c.add(metrics.ProxyEndpoints, float64(endpoints.Ejected), endpoints.Service, "out")
+		c.add(metrics.ProxyEndpoints, float64(endpoints.Barred), endpoints.Service, "barred")
 	}
-	g.VisitRetryBudgets(func(service string, tries, debt float64) {
+	proxy.VisitRetryBudgets(func(service string, tries, debt float64) {
 		c.add(metrics.RetryBudget, tries, service)
 		c.add(metrics.RetryBudgetDebt, debt, service)
 	})
@@ -198,7 +198,7 @@
 
 // core sends the metrics of a core node.
 func (c collection) core() {
-	n, led := c.n, 0
+	n, ledShards := c.n, 0
 	for _, replica := range n.Consensus.Replicas() {
 		status := replica.Status()
 		shard := shardLabel(status.Shard)
@@ -210,28 +210,28 @@
 			c.add(metrics.ShardConfirmationAge, status.ConfirmationAge.Seconds(), shard)
 		}
 		if status.IsServing {
-			led++
+			ledShards++
 		}
-		if silence, isVoter := replica.LeaderContactAge(); isVoter {
-			c.add(metrics.ShardLeaderSilence, silence.Seconds(), shard)
+		if contactAge, isVoter := replica.LeaderContactAge(); isVoter {
+			c.add(metrics.ShardLeaderSilence, contactAge.Seconds(), shard)
 		}
 	}
-	c.add(metrics.ShardsLed, float64(led))
-	c.add(metrics.EpochCommitted, float64(n.Plan.Current().Epoch))
+	c.add(metrics.ShardsLed, float64(ledShards))
+	c.add(metrics.EpochCommitted, float64(n.ConfigState.Current().Epoch))
 	c.add(metrics.StoreSyncs, float64(n.Store.SyncCount()))
 	c.add(metrics.StoreStalled, n.Store.StallTime().Seconds())
-	for at, count := range n.Targets.TargetCounts() {
-		c.add(metrics.Targets, float64(count), at.Service, at.State, at.Reported)
+	for key, count := range n.Targets.TargetCounts() {
+		c.add(metrics.Targets, float64(count), key.Service, key.State, key.Reported)
 	}
 	if n.Consensus.Replica(ids.ConfigShard).IsServing() {
-		v := n.Planner.Stats()
-		c.add(metrics.PlannerShards, float64(v.Shards))
-		c.add(metrics.PlannerOldestReport, v.OldestReport.Seconds())
-		c.add(metrics.PlannerAddressConflicts, float64(v.Conflicts))
+		stats := n.Planner.Stats()
+		c.add(metrics.PlannerShards, float64(stats.Shards))
+		c.add(metrics.PlannerOldestReport, stats.OldestReport.Seconds())
+		c.add(metrics.PlannerAddressConflicts, float64(stats.Conflicts))
 	}
 }
 
-// shardLabel is a shard's number, or "config" for the configuration's.
+// shardLabel returns a shard's number, or "config" for the configuration shard.
 func shardLabel(shard ids.Shard) string {
 	if shard == ids.ConfigShard {
 		return "config"
--- a/internal/node/confirmed_epoch.go
+++ b/internal/node/confirmed_epoch.go
@@ -8,25 +8,26 @@
 	"github.com/sumactrestle/sumactrestle/internal/ids"
 )
 
-// confirmationTimeout bounds the wait for a confirmation that goes with the response to a
-// heartbeat. A response without one is as good for all but the target's fence.
+// confirmationTimeout limits how long the response to a heartbeat waits for a confirmation.
+// Only the target's fence needs the confirmation; the heartbeat takes effect without it.
 const confirmationTimeout = 150 * time.Millisecond
 
-// heartbeatsPerConfirmation is how many periods of heartbeats have to fit into the age of the
-// confirmation by which a target judges.
+// heartbeatsPerConfirmation is the number of heartbeat periods that must fit into
+// fencing.MaxConfirmationAge, so that a lost heartbeat does not leave a target without a
+// confirmation.
 const heartbeatsPerConfirmation = 3
 
-// fencesTargets tells whether targets are told the epoch in force, so that they refuse requests under
-// one that is long past. With the setting distribution.offline_grace proxies may go on under an
-// older epoch, so no target may refuse it; and where heartbeats are rare, one that is lost would
-// leave a target without a confirmation.
+// fencesTargets reports whether responses to heartbeats carry the epoch in force, by which
+// targets reject requests sent under an outdated epoch. They don't if distribution.offline_grace
+// is set, because proxies may then keep using an older epoch, or if the heartbeat period is too
+// long for heartbeatsPerConfirmation.
 func (n *Node) fencesTargets() bool {
 	settings := n.Env.Config
 	return settings.DistributionOfflineGrace == 0 && heartbeatsPerConfirmation*settings.ControlplaneHeartbeatPeriod <= fencing.MaxConfirmationAge
 }
 
-// confirmedEpoch returns the epoch in force, and how long ago that was confirmed; epoch zero if
-// that is not known.
+// confirmedEpoch returns the epoch in force and the time since it was confirmed. The epoch is
+// zero if it is not known.
 func (n *Node) confirmedEpoch(ctx context.Context) (ids.Epoch, time.Duration) {
 	if n.Distribution != nil {
 		latest := n.Distribution.LatestConfirmation()
@@ -35,8 +36,8 @@
 	if n.configServer == nil {
 		return 0, 0
 	}
-	limited, end := context.WithTimeout(ctx, confirmationTimeout)
-	defer end()
+	limited, cancel := context.WithTimeout(ctx, confirmationTimeout)
+	defer cancel()
 	epoch, age, err := n.configServer.Confirmation(limited)
 	if err != nil {
 		return 0, 0
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -14,47 +14,47 @@
 )
 
 const (
-	// messageTrigger tells the leader of the configuration that targets changed.
+	// messageTrigger notifies the leader of the configuration shard that targets changed.
 	messageTrigger = "plan.stir"
-	// messageReport asks a core node for the targets that it hears.
+	// messageReport requests from a core node the targets of the shards that it leads.
 	messageReport = "plan.news"
 
 	triggerTimeout = 500 * time.Millisecond
 )
 
-// newCore makes what a core node has: the shards' replicas over their state machines, and
-// the services on them.
+// newCore creates the components of a core node: the replicas of the shards with their state
+// machines, and the services on top of them.
 func (n *Node) newCore() error {
-	var machines []consensus.StateMachine
+	var stateMachines []consensus.StateMachine
 	for range ids.ShardCount {
 		store := coordination.NewStore()
 		n.Stores = append(n.Stores, store)
-		machines = append(machines, store)
+		stateMachines = append(stateMachines, store)
 	}
-	n.Plan = controlplane.NewConfigState()
-	n.Plan.OnCommit = n.logEpoch
-	n.Plan.OnDamage = func(err error) { n.Env.Events.Emit(eventlog.GroupDamaged, "cause", err.Error()) }
-	machines = append(machines, n.Plan)
+	n.ConfigState = controlplane.NewConfigState()
+	n.ConfigState.OnCommit = n.logEpoch
+	n.ConfigState.OnDamage = func(err error) { n.Env.Events.Emit(eventlog.GroupDamaged, "cause", err.Error()) }
+	stateMachines = append(stateMachines, n.ConfigState)
 	var err error
-	if n.Consensus, err = consensus.New(consensus.Config{Environment: n.Env, Transport: n.RPC, Members: n.Members, Store: n.Store, StateMachines: machines}); err != nil {
+	if n.Consensus, err = consensus.New(consensus.Config{Environment: n.Env, Transport: n.RPC, Members: n.Members, Store: n.Store, StateMachines: stateMachines}); err != nil {
 		return err
 	}
 	n.Coordination = coordination.NewService(n.Env, n.Consensus, n.Stores)
-	n.Targets = controlplane.NewTargetRegistry(controlplane.RegistryConfig{Env: n.Env, Consensus: n.Consensus, Stores: n.Stores, State: n.Plan, OnChange: n.notifyPlanner})
-	n.Planner = controlplane.NewPlanner(controlplane.PlannerConfig{Env: n.Env, Transport: n.RPC, Members: n.Members, Consensus: n.Consensus, State: n.Plan})
+	n.Targets = controlplane.NewTargetRegistry(controlplane.RegistryConfig{Env: n.Env, Consensus: n.Consensus, Stores: n.Stores, State: n.ConfigState, OnChange: n.notifyPlanner})
+	n.Planner = controlplane.NewPlanner(controlplane.PlannerConfig{Env: n.Env, Transport: n.RPC, Members: n.Members, Consensus: n.Consensus, State: n.ConfigState})
 	n.configServer = distribution.NewServer(distribution.ServerConfig{
 		Environment: n.Env,
 		Transport:   n.RPC,
 		Members:     n.Members,
 		Consensus:   n.Consensus,
-		State:       n.Plan,
+		State:       n.ConfigState,
 		Planner:     n.Planner,
 	})
 	n.handleCoreMessages()
 	return nil
 }
 
-// handleCoreMessages sets the handlers of the messages about targets.
+// handleCoreMessages registers the handlers of the messages about targets.
 func (n *Node) handleCoreMessages() {
 	rpc.Handle(n.RPC, messageLookup, func(_ context.Context, request *rpc.InstanceLookupRequest) (*rpc.InstanceLookupResponse, error) {
 		return &rpc.InstanceLookupResponse{Service: n.Targets.ServiceOf(request.Instance)}, nil
@@ -77,8 +77,8 @@
 	n.Env.Events.Emit(eventlog.EpochCommitted, "epoch", uint64(state.Epoch), "change", change, "groups", len(entry.Put)+len(entry.Remove))
 }
 
-// notifyPlanner tells the leader of the configuration shard that targets changed; one such
-// message is under way at a time.
+// notifyPlanner notifies the leader of the configuration shard that targets changed. Only one
+// such message is in flight at a time.
 func (n *Node) notifyPlanner() {
 	if n.Consensus.Replica(ids.ConfigShard).IsServing() {
 		n.Planner.Trigger()
@@ -92,7 +92,7 @@
 		if address := n.leaderAddress(ids.ConfigShard, 0); address != "" {
 			ctx, cancel := context.WithTimeout(n.Env, triggerTimeout)
 			defer cancel()
-			// A lost message costs no more than the time to the planner's next poll.
+			// A lost message only delays the change until the planner's next poll.
 			_ = n.RPC.Call(ctx, address, messageTrigger, struct{}{}, nil)
 		}
 	})
--- a/internal/node/forward.go
+++ b/internal/node/forward.go
@@ -15,27 +15,28 @@
 const (
 	// messageForward is the kind of the message that carries a call to another node.
 	messageForward = "seat.pass"
-	// leaderCheckInterval is how often a node that forwarded a long poll looks whether
-	// the shard has another leader.
+	// leaderCheckInterval is how often a node that forwarded a long poll checks whether the
+	// shard has another leader.
 	leaderCheckInterval = 200 * time.Millisecond
-	// The pause between two attempts to reach a leader grows by the first up to the second.
+	// Linear back-off between attempts to reach a leader.
 	retryDelayStep, maxRetryDelay = 20 * time.Millisecond, 150 * time.Millisecond
 )
 
-// errLeaderMoved ends the wait for a node that no longer leads the shard.
-var errLeaderMoved = errors.New("part has another owner")
+// errLeaderChanged cancels a long poll that was forwarded to a node which no longer leads the
+// shard.
+var errLeaderChanged = errors.New("another node leads the part")
 
-// call is one call on its way to the leader of its shard.
+// call is a call to be executed by the leader of its shard.
 type call struct {
 	shard     ids.Shard
 	operation string
 	body      json.RawMessage
-	// longPoll is the request if it waits until something happens, or else nil. It only
-	// reads, so that it may be asked again of another leader.
+	// longPoll is the decoded request of a long poll, otherwise nil. A long poll only reads,
+	// so it may be repeated at another leader.
 	longPoll *rpc.CoordinationRequest
 }
 
-// longPollOf returns the request if it is a long poll.
+// longPollOf returns the request if it is a long poll, otherwise nil.
 func longPollOf(request *rpc.CoordinationRequest) *rpc.CoordinationRequest {
 	if request.Wait <= 0 || request.Operation != coordination.OpFollow && request.Operation != coordination.OpWatch {
 		return nil
@@ -43,21 +44,21 @@
 	return request
 }
 
-// forward has a call executed here, if this node leads its shard, or forwards it to the
-// leader, or to the core nodes in turn while that is not known. Until the context ends it
-// looks for the leader again, as long as the call is known not to have run; one that was
-// forwarded to this node (hops above zero) is tried once.
+// forward executes a call on this node if it leads the call's shard. Otherwise it forwards the
+// call to the leader, or to each core node in turn while the leader is not known. It retries
+// until the context ends, as long as the call certainly did not run. A call that was forwarded
+// to this node (hops above zero) is tried once.
 func (n *Node) forward(ctx context.Context, c call, hops int) (*rpc.ForwardResponse, error) {
 	began := n.Env.Now()
 	var err error
 	for attempt := 0; ctx.Err() == nil; attempt++ {
 		if n.Consensus != nil && n.Consensus.HasLostQuorum(c.shard) {
-			return nil, errcode.New(errcode.NoLeader, "part %d: no word of a majority here; ask another node", c.shard)
+			return nil, errcode.New(errcode.NoLeader, "part %d: this node has no contact with a majority; retry at another node", c.shard)
 		}
 		if c.longPoll != nil && attempt > 0 {
-			rest := *c.longPoll
-			rest.Wait = max(0, c.longPoll.Wait-n.Env.Since(began).Milliseconds())
-			body, err := marshal(&rest)
+			remaining := *c.longPoll
+			remaining.Wait = max(0, c.longPoll.Wait-n.Env.Since(began).Milliseconds())
+			body, err := marshal(&remaining)
 			if err != nil {
 				return nil, err
 			}
@@ -88,7 +89,7 @@
 	return nil, err
 }
 
-// execute executes a call at the leader of its shard, which is this node.
+// execute executes a call on this node, the leader of its shard.
 func (n *Node) execute(ctx context.Context, c call) (*rpc.ForwardResponse, error) {
 	execute, ok := executors[c.operation]
 	if !ok {
@@ -101,29 +102,30 @@
 	return &rpc.ForwardResponse{Body: body, LeaderAddress: n.Members.Self().RPCAddress}, nil
 }
 
-// forwardTo sends a call to the node at an address, and remembers the leader that executed
-// it. A long poll is given up, as one without a leader, when the leader changes.
+// forwardTo sends a call to the node at an address and records the leader that executed it. A
+// long poll ends with an errcode.NoLeader, which is retried, when the leader changes or the
+// reply is lost.
 func (n *Node) forwardTo(ctx context.Context, c call, hops int, address string) (*rpc.ForwardResponse, error) {
 	limited, cancel := ctx, context.CancelFunc(func() {})
 	if c.longPoll != nil {
-		limited, cancel = n.whileLedAt(ctx, c.shard, address)
+		limited, cancel = n.cancelOnLeaderChange(ctx, c.shard, address)
 	}
 	defer cancel()
 	var response rpc.ForwardResponse
 	err := n.RPC.Forward(limited, address, messageForward, hops+1, &rpc.ForwardRequest{Shard: c.shard, Operation: c.operation, Body: c.body}, &response)
 	if err != nil {
 		wasReached := !errors.Is(err, errcode.Unreachable) && !errors.Is(err, errcode.ReplyLost)
-		if c.longPoll != nil && (context.Cause(limited) == errLeaderMoved || errors.Is(err, errcode.ReplyLost)) {
+		if c.longPoll != nil && (context.Cause(limited) == errLeaderChanged || errors.Is(err, errcode.ReplyLost)) {
 			err = errcode.New(errcode.NoLeader, "part %d: %v", c.shard, err)
 		}
-		n.leaders.NoteError(c.shard, address, wasReached)
+		n.leaders.RecordError(c.shard, address, wasReached)
 		return nil, err
 	}
-	n.leaders.NoteAnswer(c.shard, address, response.LeaderAddress)
+	n.leaders.RecordResponse(c.shard, address, response.LeaderAddress)
 	return &response, nil
 }
 
-// handleForward executes a call that another node forwarded, or forwards it further.
+// handleForward executes a call that another node forwarded, or forwards it again.
 func (n *Node) handleForward(r *rpc.Request) (any, error) {
 	var request rpc.ForwardRequest
 	if err := r.Decode(&request); err != nil {
@@ -137,32 +139,32 @@
 	}
 	c := call{shard: request.Shard, operation: request.Operation, body: request.Body}
 	if c.operation == coordinationOperation.name {
-		// One that can't be read is refused by the leader.
-		var coordinate rpc.CoordinationRequest
-		if json.Unmarshal(c.body, &coordinate) == nil {
-			c.longPoll = longPollOf(&coordinate)
+		// The leader rejects a request that can't be decoded.
+		var decoded rpc.CoordinationRequest
+		if json.Unmarshal(c.body, &decoded) == nil {
+			c.longPoll = longPollOf(&decoded)
 		}
 	}
 	return n.forward(r, c, r.Hops)
 }
 
-// whileLedAt returns a context that ends with errLeaderMoved once another node leads the
-// shard: a leader that lost its power answers nothing, and a long poll is silent for so
-// long that silence says nothing.
-func (n *Node) whileLedAt(ctx context.Context, shard ids.Shard, address string) (context.Context, context.CancelFunc) {
+// cancelOnLeaderChange returns a context that is cancelled with errLeaderChanged once another
+// node leads the shard. Without it a long poll to a leader that crashed would wait until its
+// own timeout, because a missing reply is normal for that long.
+func (n *Node) cancelOnLeaderChange(ctx context.Context, shard ids.Shard, address string) (context.Context, context.CancelFunc) {
 	limited, cancel := context.WithCancelCause(ctx)
 	if n.Consensus != nil {
 		n.Env.Go(func() {
-			check := time.NewTicker(leaderCheckInterval)
-			defer check.Stop()
+			ticker := time.NewTicker(leaderCheckInterval)
+			defer ticker.Stop()
 			for {
 				select {
 				case <-limited.Done():
 					return
-				case <-check.C:
+				case <-ticker.C:
 				}
 				if n.isLedElsewhere(shard, address) {
-					cancel(errLeaderMoved)
+					cancel(errLeaderChanged)
 					return
 				}
 			}
@@ -184,7 +186,7 @@
 	return ok && m.RPCAddress != address
 }
 
-// isRetryable reports whether the call certainly did not run.
+// isRetryable reports whether a call that failed with err certainly did not run.
 func isRetryable(err error) bool {
 	for _, code := range []errcode.Code{errcode.NotLeader, errcode.NoLeader, errcode.Unreachable, errcode.TooManyHops, errcode.Stopping} {
 		if errors.Is(err, code) {
@@ -194,8 +196,8 @@
 	return false
 }
 
-// leaderAddress is where to send a call: the known leader, or a core node in turn; empty
-// if there is none.
+// leaderAddress returns the RPC address to send a call to: the leader's if it is known, or else
+// that of a core node, chosen by the number of the attempt. It is empty if there is none.
 func (n *Node) leaderAddress(shard ids.Shard, attempt int) string {
 	if n.Consensus != nil {
 		if name, ok := n.Consensus.Leader(shard); ok && name != n.Env.Name {
@@ -204,8 +206,8 @@
 			}
 		}
 	}
-	if known := n.leaders.Address(shard); known != "" {
-		return known
+	if address := n.leaders.Address(shard); address != "" {
+		return address
 	}
 	var cores []rpc.Member
 	for _, m := range n.Members.CoreMembers() {
@@ -219,7 +221,7 @@
 	return cores[attempt%len(cores)].RPCAddress
 }
 
-// leaderAPIAddress is the API address of the node that leads a shard, if it is known.
+// leaderAPIAddress returns the API address of a shard's leader, or "" if it is not known.
 func (n *Node) leaderAPIAddress(shard ids.Shard) string {
 	if n.Consensus != nil {
 		if name, ok := n.Consensus.Leader(shard); ok {
@@ -228,12 +230,12 @@
 			}
 		}
 	}
-	known := n.leaders.Address(shard)
-	if known == "" {
+	rpcAddress := n.leaders.Address(shard)
+	if rpcAddress == "" {
 		return ""
 	}
 	for _, m := range n.Members.CoreMembers() {
-		if m.RPCAddress == known {
+		if m.RPCAddress == rpcAddress {
 			return m.APIAddress
 		}
 	}
--- a/internal/node/http.go
+++ b/internal/node/http.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	// maxAPIBody is the largest body of an API request, in bytes.
+	// maxAPIBody is the size limit of API request bodies, in bytes.
 	maxAPIBody = 32 << 20
 
 	headerTimeout = 10 * time.Second
@@ -23,8 +23,8 @@
 	proxyAddressKey = "proxy.address"
 )
 
-// serve serves HTTP on the address that a setting names, until the environment ends. An
-// address that can't be taken is an errcode.InvalidSettings.
+// serve serves HTTP on an address until the environment ends. key is the setting that names
+// the address. It returns an errcode.InvalidSettings if it can't listen on the address.
 func (n *Node) serve(address, key string, handler http.Handler) error {
 	listener, err := n.Env.Host.Listen(address)
 	if err != nil {
@@ -52,27 +52,27 @@
 	return nil
 }
 
-// prepareConnection sets the receive buffer of clients' connections, where the settings name
-// one; nil for nothing to do.
+// prepareConnection returns a function that sets the receive buffer of client connections to
+// proxy.receive_buffer_bytes. It returns nil for other addresses and if that is not set.
 func (n *Node) prepareConnection(key string) func(net.Conn) {
 	size := n.Env.Config.ProxyReceiveBufferBytes
 	if key != proxyAddressKey || size == 0 {
 		return nil
 	}
 	return func(conn net.Conn) {
-		if c, ok := conn.(interface{ SetReadBuffer(int) error }); ok {
-			_ = c.SetReadBuffer(size) // else the system's own size serves
+		if buffered, ok := conn.(interface{ SetReadBuffer(int) error }); ok {
+			_ = buffered.SetReadBuffer(size) // on failure the system's default size applies
 		}
 	}
 }
 
-// nodeServer is one of a node's servers.
+// nodeServer is an HTTP server of a node.
 type nodeServer struct {
 	*httpserver.Server
-	key string // the setting that names its address
+	key string // setting that names its address
 }
 
-// serveAPI serves the API, and the metrics beside it.
+// serveAPI serves the API and the metrics.
 func (n *Node) serveAPI() error {
 	server, err := api.NewServer(&apiHandler{n}, api.WithErrorHandler(writeInvalidCall), api.WithNotFound(writeNotFound))
 	if err != nil {
@@ -81,26 +81,26 @@
 	return n.serve(n.Env.Config.APIAddress, "api.address", http.MaxBytesHandler(n.withMetrics(server), maxAPIBody))
 }
 
-// shutdownServers finishes the requests in flight and ends every connection. Those of the proxy's
-// clients end once everything is given up and answered, the others with their context. It returns
-// how many clients' connections are left, with requests that get no answer.
-func (n *Node) shutdownServers(givenUp, others context.Context) (unanswered int) {
+// shutdownServers waits for requests in flight and closes all connections. The proxy's server
+// waits until proxyCtx ends and the requests abandoned then are answered; the others wait until
+// otherCtx ends. It returns the number of client connections whose requests got no response.
+func (n *Node) shutdownServers(proxyCtx, otherCtx context.Context) (unanswered int) {
 	n.mu.Lock()
 	servers := n.servers
 	n.mu.Unlock()
-	var all sync.WaitGroup
+	var shutdowns sync.WaitGroup
 	for _, server := range servers {
-		all.Add(1)
+		shutdowns.Add(1)
 		n.Env.Go(func() {
-			defer all.Done()
+			defer shutdowns.Done()
 			if server.key != proxyAddressKey {
-				server.Shutdown(others)
+				server.Shutdown(otherCtx)
 				return
 			}
-			server.Shutdown(givenUp)
-			unanswered = server.Finish() // one server at most is the proxy's
+			server.Shutdown(proxyCtx)
+			unanswered = server.Finish() // no data race: at most one server is the proxy's
 		})
 	}
-	all.Wait()
+	shutdowns.Wait()
 	return unanswered
 }
--- a/internal/node/leader_directory.go
+++ b/internal/node/leader_directory.go
@@ -7,25 +7,25 @@
 	"github.com/sumactrestle/sumactrestle/internal/ids"
 )
 
-// leaderRetryInterval is for how long a node that could not be reached is not called directly
-// because another node names it as the leader: each attempt may cost the call a dial.
+// leaderRetryInterval is how long an unreachable leader is not called directly, even if another
+// node names it as the leader. Each attempt may cost the call a dial timeout.
 const leaderRetryInterval = 5 * time.Second
 
-// leaderDirectory knows for each shard where calls are sent to. It is what a node goes by that
-// is no voter of the shard, and hears of the leader only from responses.
+// leaderDirectory holds for each shard the address to send calls to. It is used by nodes that
+// are not voters of the shard and learn the leader only from responses.
 type leaderDirectory struct {
 	now     func() time.Time
 	entries [ids.ShardCount + 1]atomic.Pointer[leaderEntry]
 }
 
-// leaderEntry is what is known of one shard; it is not changed once it is stored.
+// leaderEntry is the entry of one shard. It is immutable once stored.
 type leaderEntry struct {
-	address     string // RPC address that calls are sent to; empty if there is none
-	unreachable string // RPC address that last could not be reached
-	failedAt    time.Time
+	address     string    // RPC address to send calls to; empty if not known
+	unreachable string    // RPC address of the last node that could not be reached
+	failedAt    time.Time // when unreachable could not be reached
 }
 
-// entry returns what is known of a shard.
+// entry returns the entry of a shard, which is empty if none was stored.
 func (d *leaderDirectory) entry(shard ids.Shard) leaderEntry {
 	if entry := d.entries[shard].Load(); entry != nil {
 		return *entry
@@ -33,13 +33,13 @@
 	return leaderEntry{}
 }
 
-// Address is where to send a call of a shard; empty if that is not known.
+// Address returns the RPC address to send calls of a shard to, or "" if it is not known.
 func (d *leaderDirectory) Address(shard ids.Shard) string { return d.entry(shard).address }
 
-// NoteAnswer notes that the node at an address answered a call, which the node at leader
-// executed; leader is empty if the response does not tell. Calls go to the leader from now on, or
-// to the node that answered while the leader is taken for unreachable.
-func (d *leaderDirectory) NoteAnswer(shard ids.Shard, address, leader string) {
+// RecordResponse records that the node at address answered a call which the node at leader
+// executed. leader is empty if the response doesn't name it. Later calls are sent to the leader,
+// or to the node that answered while the leader is considered unreachable.
+func (d *leaderDirectory) RecordResponse(shard ids.Shard, address, leader string) {
 	entry := d.entry(shard)
 	isAvoided := leader != address && leader == entry.unreachable && d.now().Sub(entry.failedAt) < leaderRetryInterval
 	if leader == "" || isAvoided {
@@ -52,9 +52,9 @@
 	d.entries[shard].Store(&entry)
 }
 
-// NoteError notes that a call to the node at an address ended with an error: calls are not sent
-// there any more. wasReached tells that the node answered it.
-func (d *leaderDirectory) NoteError(shard ids.Shard, address string, wasReached bool) {
+// RecordError records that a call to the node at address failed. Later calls are not sent there
+// until a response names it again. wasReached reports whether the node returned the error itself.
+func (d *leaderDirectory) RecordError(shard ids.Shard, address string, wasReached bool) {
 	entry := d.entry(shard)
 	entry.address = ""
 	if !wasReached {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,7 +1,7 @@
-// Package node puts one node together: its transport and member list, its replicas of the
-// shards if it has a data folder, and its proxy if it has an address for clients. It takes
-// the calls of targets, operators and applications, and has each executed by the leader of
-// its shard, with a bound on hops and on time.
+// Package node assembles one node: its transport and member list, its replicas of the shards
+// if it has a data folder, and its proxy if it has an address for clients. It accepts calls
+// of targets, operators and applications and routes each to the leader of its shard, with a
+// limit on hops and on time.
 package node
 
 import (
@@ -26,23 +26,24 @@
 	"github.com/sumactrestle/sumactrestle/internal/storage"
 )
 
-// Node is one running node. Its goroutines are the environment's, which waits for them.
+// Node is one running node. It starts its goroutines with Env.Go, so that Env.Shutdown waits
+// for them.
 type Node struct {
 	Env     *environment.Environment
 	RPC     *rpc.Transport
 	Members *membership.Memberlist
 
-	// A core node has these; they are nil on any other.
+	// Set on core nodes only, otherwise nil.
 	Store        *storage.Store
 	Consensus    *consensus.Node
-	Stores       []*coordination.Store // by shard
+	Stores       []*coordination.Store // indexed by shard
 	Coordination *coordination.Service
-	Plan         *controlplane.ConfigState
+	ConfigState  *controlplane.ConfigState
 	Targets      *controlplane.TargetRegistry
 	Planner      *controlplane.Planner
 	configServer *distribution.Server
 
-	// A proxy has these; they are nil on any other node.
+	// Set on proxies only, otherwise nil.
 	Distribution *distribution.Client
 	Proxy        *proxy.Proxy
 
@@ -52,18 +53,18 @@
 	leaders          leaderDirectory
 	stopping         atomic.Bool
 	notifyingPlanner atomic.Bool
-	heartbeats       atomic.Int64 // of targets, since the start
-	stalls           *stallWatch
+	heartbeats       atomic.Int64 // received from targets since the start
+	stalls           *stallMonitor
 }
 
-// Listener is an address of its own for a handler that is made of the node's calls.
+// Listener is an additional address that serves a handler built on the node's methods.
 type Listener struct {
 	Address string
 	Handler func(*Node) http.Handler
 }
 
-// Start brings a node up, with listeners beside its own API. A fault of its settings is an
-// errcode.InvalidSettings; the environment must be shut down then.
+// Start starts a node with additional listeners. Invalid settings are reported as an
+// errcode.InvalidSettings. After an error the caller must shut down the environment.
 func Start(env *environment.Environment, listeners ...Listener) (*Node, error) {
 	n, err := open(env)
 	if err != nil {
@@ -75,15 +76,15 @@
 	return n, nil
 }
 
-// open makes a node and opens its data folder, which may wait for room on the disk.
+// open creates a node and opens its data folder. It may block while the disk is full.
 func open(env *environment.Environment) (*Node, error) {
-	n := &Node{Env: env, RPC: rpc.New(env), stalls: &stallWatch{env: env}}
+	n := &Node{Env: env, RPC: rpc.New(env), stalls: &stallMonitor{env: env}}
 	n.leaders.now = env.Now
 	settings := env.Config
 	if len(settings.Renamed) > 0 {
 		env.Events.Emit(eventlog.SettingsRenamed, "settings", settings.Renamed)
 	}
-	self, err := n.openStore(selfOf(env))
+	self, err := n.openStore(newSelf(env))
 	if err != nil {
 		return nil, err
 	}
@@ -101,7 +102,7 @@
 	return n, nil
 }
 
-// start opens the addresses and starts the tasks of a node that is open.
+// start opens the addresses and starts the background tasks of a node returned by open.
 func (n *Node) start(listeners []Listener) error {
 	self := n.Members.Self()
 	n.Env.Go(n.stalls.run)
@@ -123,8 +124,9 @@
 	return nil
 }
 
-// selfOf is the node's own record in the member list, but for what its data folder adds.
-func selfOf(env *environment.Environment) rpc.Member {
+// newSelf returns the node's own record for the member list. openStore adds the fields that
+// depend on the data folder.
+func newSelf(env *environment.Environment) rpc.Member {
 	settings := env.Config
 	self := rpc.Member{
 		Name:         env.Name,
@@ -144,7 +146,8 @@
 	return self
 }
 
-// openStore opens the data folder, if there is one, which makes the node a core node.
+// openStore opens the data folder, if the settings name one, and returns self with the fields
+// of a core node.
 func (n *Node) openStore(self rpc.Member) (rpc.Member, error) {
 	settings := n.Env.Config
 	if settings.DataFolder == "" {
@@ -158,14 +161,14 @@
 		return self, err
 	}
 	self.Core, self.Founders = true, settings.BootstrapCores
-	// A core node whose state was lost must not bootstrap a second fleet.
+	// A core node that lost its state must not bootstrap a second cluster.
 	if n.Store.ReplacesCorrupt() {
 		self.Founders = 0
 	}
 	return self, nil
 }
 
-// newProxy makes the proxy and the client that keeps its configuration up to date.
+// newProxy creates the proxy and the client that keeps its configuration up to date.
 func (n *Node) newProxy() {
 	n.Distribution = distribution.NewClient(n.Env, n.RPC, n.Members)
 	n.Proxy = proxy.New(proxy.Config{
@@ -177,7 +180,7 @@
 	})
 }
 
-// serveAll opens the addresses of the API, of profiles, of the proxy and of the listeners.
+// serveAll opens the addresses of the API, the profiler, the proxy and the listeners.
 func (n *Node) serveAll(listeners []Listener) error {
 	if err := n.serveAPI(); err != nil {
 		return err
@@ -191,25 +194,25 @@
 		}
 	}
 	if n.Proxy != nil {
-		planned := make(chan struct{})
-		announce := sync.OnceFunc(func() { close(planned) })
-		n.Distribution.Cache.Subscribe(func(*distribution.Snapshot) { announce() })
+		configured := make(chan struct{})
+		notifyConfigured := sync.OnceFunc(func() { close(configured) })
+		n.Distribution.Cache.Subscribe(func(*distribution.Snapshot) { notifyConfigured() })
 		n.Distribution.Start()
-		if err := n.serveProxy(planned); err != nil {
+		if err := n.serveProxy(configured); err != nil {
 			return err
 		}
 	}
 	for _, l := range listeners {
-		if err := n.serve(l.Address, "face", l.Handler(n)); err != nil {
+		if err := n.serve(l.Address, "listener", l.Handler(n)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// serveProxy takes connections of clients: at once, or, with proxy.startup_wait, when there
-// is a first epoch or that time is over.
-func (n *Node) serveProxy(planned <-chan struct{}) error {
+// serveProxy starts accepting client connections. With proxy.startup_wait it does so once
+// configured is closed, at the first epoch, or after that time at the latest.
+func (n *Node) serveProxy(configured <-chan struct{}) error {
 	address, wait := n.Env.Config.ProxyAddress, n.Env.Config.ProxyStartupWait
 	if wait == 0 {
 		return n.serve(address, proxyAddressKey, n.Proxy)
@@ -218,7 +221,7 @@
 		timeout := time.NewTimer(wait)
 		defer timeout.Stop()
 		select {
-		case <-planned:
+		case <-configured:
 		case <-timeout.C:
 		case <-n.Env.Done():
 			return
@@ -233,11 +236,13 @@
 	return nil
 }
 
-// Stop stops the node as planned, within shutdown.grace_period: it hands over the shards
-// that it leads; a proxy says that it is not ready and serves on for proxy.drain_delay
-// whoever has not heard, and then takes nothing new; requests in flight are finished, and
-// the others are told that it leaves. What is not finished then is given up, answered, and only
-// after that are connections closed, however late this process comes to it. It ends the environment.
+// Stop shuts the node down gracefully within shutdown.grace_period, and then ends the
+// environment. It transfers the leadership of its shards. A proxy reports that it is not
+// ready, still serves clients that have not noticed for proxy.drain_delay, and then rejects
+// new requests. The node announces to the other members that it leaves, and finishes
+// requests in flight. A proxy abandons the requests that are not finished in time, answers
+// them, and only then closes their connections, even if that happens after the grace period
+// because this process was stalled.
 func (n *Node) Stop() {
 	n.Env.Events.Emit(eventlog.NodeStopping)
 	n.stopping.Store(true)
--- a/internal/node/operation.go
+++ b/internal/node/operation.go
@@ -10,14 +10,15 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// operation is a kind of call that the leader of a shard executes. Its name stands in
-// forwarded messages. Response is what the result's JSON is read as where the call came in.
+// operation is a kind of call that the leader of a shard executes. Forwarded messages contain
+// its name. Response is the type into which the node that received the call decodes the
+// result's JSON.
 type operation[Request, Response any] struct {
 	name    string
 	execute func(ctx context.Context, n *Node, request *Request) (any, error)
 }
 
-// The operations. Two builds in one fleet know them by their names.
+// The operations. Their names are part of the protocol between nodes of different versions.
 var (
 	heartbeatOperation = operation[rpc.TargetHeartbeat, struct{}]{"beat", func(ctx context.Context, n *Node, heartbeat *rpc.TargetHeartbeat) (any, error) {
 		return struct{}{}, n.Targets.HandleHeartbeat(ctx, heartbeat)
@@ -31,18 +32,18 @@
 	changeStatusOperation = operation[string, api.ChangeReceipt]{"change", func(ctx context.Context, n *Node, id *string) (any, error) {
 		return n.Planner.ChangeStatus(ctx, *id)
 	}}
-	configOperation = operation[none, rpc.ConfigurationView]{"config", func(ctx context.Context, n *Node, _ *none) (any, error) {
+	configOperation = operation[noRequest, rpc.ConfigurationView]{"config", func(ctx context.Context, n *Node, _ *noRequest) (any, error) {
 		return n.Planner.Config(ctx)
 	}}
-	epochOperation = operation[none, api.EpochView]{"epoch", func(ctx context.Context, n *Node, _ *none) (any, error) {
+	epochOperation = operation[noRequest, api.EpochView]{"epoch", func(ctx context.Context, n *Node, _ *noRequest) (any, error) {
 		return n.Planner.EpochView(ctx)
 	}}
 )
 
-// none is the request of an operation that takes none; it travels as null.
-type none struct{}
+// noRequest is the request type of operations without a request, encoded as null.
+type noRequest struct{}
 
-// executors execute an operation by its name, from and to JSON.
+// executors maps the names of operations to functions that execute them, from and to JSON.
 var executors = map[string]func(ctx context.Context, n *Node, body json.RawMessage) (json.RawMessage, error){
 	heartbeatOperation.name:    heartbeatOperation.executeJSON,
 	coordinationOperation.name: coordinationOperation.executeJSON,
@@ -52,11 +53,11 @@
 	epochOperation.name:        epochOperation.executeJSON,
 }
 
-// executeJSON executes the operation at the leader. A request that can't be read is an
-// errcode.InvalidMessage.
+// executeJSON executes the operation on this node, the leader. It returns an
+// errcode.InvalidMessage if the request can't be decoded.
 func (o operation[Request, Response]) executeJSON(ctx context.Context, n *Node, body json.RawMessage) (json.RawMessage, error) {
 	request := new(Request)
-	if _, takesNone := any(request).(*none); !takesNone {
+	if _, hasNoRequest := any(request).(*noRequest); !hasNoRequest {
 		if err := json.Unmarshal(body, request); err != nil {
 			return nil, errcode.New(errcode.InvalidMessage, "%s: %v", o.name, err)
 		}
@@ -68,20 +69,20 @@
 	return marshal(result)
 }
 
-// call has the operation executed by the shard's leader, wherever it is, and returns the
-// result, which is never nil.
+// call executes the operation on the shard's leader, which may be any node. The response is
+// never nil.
 func (o operation[Request, Response]) call(ctx context.Context, n *Node, shard ids.Shard, request *Request) (*Response, error) {
 	response := new(Response)
 	var body json.RawMessage
 	var err error
-	if _, takesNone := any(request).(*none); takesNone {
+	if _, hasNoRequest := any(request).(*noRequest); hasNoRequest {
 		body = json.RawMessage("null")
 	} else if body, err = marshal(request); err != nil {
 		return response, err
 	}
 	c := call{shard: shard, operation: o.name, body: body}
-	if coordinate, ok := any(request).(*rpc.CoordinationRequest); ok {
-		c.longPoll = longPollOf(coordinate)
+	if coordinationCall, ok := any(request).(*rpc.CoordinationRequest); ok {
+		c.longPoll = longPollOf(coordinationCall)
 	}
 	result, err := n.forward(ctx, c, 0)
 	if err != nil {
@@ -93,7 +94,7 @@
 	return response, nil
 }
 
-// marshal encodes a value of this program; that it can't is an errcode.Internal.
+// marshal encodes a value as JSON, and returns an errcode.Internal if that fails.
 func marshal(value any) (json.RawMessage, error) {
 	body, err := json.Marshal(value)
 	if err != nil {
--- a/internal/node/problem.go
+++ b/internal/node/problem.go
@@ -15,8 +15,8 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// coordinationError is a refused coordination call. Its answer tells the revision, the fencing
-// token and the holder in force too.
+// coordinationError is the error of a rejected coordination call. Its API response also contains
+// the current revision, fencing token and holder.
 type coordinationError struct {
 	problem  errcode.Error
 	response rpc.CoordinationResponse
@@ -25,44 +25,44 @@
 func (e *coordinationError) Error() string { return e.problem.Error() }
 func (e *coordinationError) Unwrap() error { return &e.problem }
 
-// problemOf is the numbered answer of an error. It asks for a retry after one to three seconds
-// where a later one may succeed.
+// problemOf converts an error to an API response with its code. If a retry may succeed, it sets
+// Retry-After to one to three seconds, chosen at random.
 func problemOf(err error) *api.ProblemStatusCodeWithHeaders {
 	e := errcode.From(err)
-	out := &api.ProblemStatusCodeWithHeaders{StatusCode: e.Code.Status, Response: api.Problem{Code: e.Code.Number, Name: e.Code.Name, Text: e.Code.Text, Paths: e.Paths}}
+	problem := &api.ProblemStatusCodeWithHeaders{StatusCode: e.Code.Status, Response: api.Problem{Code: e.Code.Number, Name: e.Code.Name, Text: e.Code.Text, Paths: e.Paths}}
 	if e.Note != "" {
-		out.Response.Note = api.NewOptString(e.Note)
+		problem.Response.Note = api.NewOptString(e.Note)
 	}
 	if e.Code.Outcome != "" {
-		out.Response.Outcome = api.NewOptString(e.Code.Outcome)
+		problem.Response.Outcome = api.NewOptString(e.Code.Outcome)
 	}
-	var refused *coordinationError
-	if errors.As(err, &refused) {
-		out.Response.Stamp = api.NewOptUint64(uint64(refused.response.Index))
-		out.Response.Fence = api.NewOptUint64(uint64(refused.response.FencingToken))
-		if refused.response.Holder != "" {
-			out.Response.Holder = api.NewOptString(refused.response.Holder)
+	var rejected *coordinationError
+	if errors.As(err, &rejected) {
+		problem.Response.Stamp = api.NewOptUint64(uint64(rejected.response.Index))
+		problem.Response.Fence = api.NewOptUint64(uint64(rejected.response.FencingToken))
+		if rejected.response.Holder != "" {
+			problem.Response.Holder = api.NewOptString(rejected.response.Holder)
 		}
 	}
 	if e.Code.Status >= 500 || e.Code == errcode.LockHeld {
-		out.RetryAfter = api.NewOptInt(1 + rand.IntN(3))
+		problem.RetryAfter = api.NewOptInt(1 + rand.IntN(3))
 	}
-	return out
+	return problem
 }
 
-// writeProblem answers a request that the generated code does not.
+// writeProblem writes the error response to a request that the generated code did not answer.
 func writeProblem(w http.ResponseWriter, err error) {
-	out := problemOf(err)
-	raw, _ := out.Response.MarshalJSON()
+	problem := problemOf(err)
+	raw, _ := problem.Response.MarshalJSON()
 	w.Header().Set("Content-Type", "application/json")
-	if wait, ok := out.RetryAfter.Get(); ok {
+	if wait, ok := problem.RetryAfter.Get(); ok {
 		w.Header().Set("Retry-After", strconv.Itoa(wait))
 	}
-	w.WriteHeader(out.StatusCode)
+	w.WriteHeader(problem.StatusCode)
 	w.Write(raw)
 }
 
-// writeInvalidCall answers a request that the generated code could not read.
+// writeInvalidCall answers a request that the generated code could not decode.
 func writeInvalidCall(_ context.Context, w http.ResponseWriter, r *http.Request, err error) {
 	code := errcode.InvalidCall
 	switch {
@@ -77,7 +77,7 @@
 	writeProblem(w, errcode.New(code, "%v", err))
 }
 
-// writeNotFound answers a request for which the API has no path.
+// writeNotFound answers a request whose path is not part of the API.
 func writeNotFound(w http.ResponseWriter, r *http.Request) {
 	writeProblem(w, &errcode.Error{Code: errcode.Code{Number: errcode.InvalidCall.Number, Name: errcode.InvalidCall.Name, Status: 404, Text: errcode.InvalidCall.Text}, Note: "no such call: " + r.Method + " " + r.URL.Path})
 }
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -12,21 +12,21 @@
 	"github.com/sumactrestle/sumactrestle/internal/eventlog"
 )
 
-// settingsPollInterval is between two looks whether the settings file has changed.
+// settingsPollInterval is how often the settings file is checked for changes.
 const settingsPollInterval = 5 * time.Second
 
-// LogFlushTime is how long a process that ends waits until its last log lines are written.
+// LogFlushTime limits how long an exiting process waits for its last log lines to be written.
 const LogFlushTime = 100 * time.Millisecond
 
-// Signals are those that a node heeds. The two kinds have a channel each, so that a series of
-// the one never displaces the other.
+// Signals receives the signals that a node handles. Stop and reload signals have separate
+// channels, so that a burst of one kind never displaces the other.
 type Signals struct {
 	stop   chan os.Signal // SIGTERM, SIGINT
 	reload chan os.Signal // SIGHUP
 }
 
-// NotifySignals has this process's signals delivered. It is called first of all, for a signal
-// that nobody waits for ends the process.
+// NotifySignals starts delivering this process's signals. Call it first: until then a signal
+// terminates the process.
 func NotifySignals() *Signals {
 	s := &Signals{stop: make(chan os.Signal, 1), reload: make(chan os.Signal, 1)}
 	signal.Notify(s.stop, syscall.SIGTERM, syscall.SIGINT)
@@ -35,21 +35,21 @@
 	return s
 }
 
-// RunConfig is what Run needs beside an environment.
+// RunConfig configures Run.
 type RunConfig struct {
 	Signals   *Signals
 	Listeners []Listener
-	// SettingsFile is looked at for changes without a signal; none if empty.
+	// SettingsFile is polled for changes; no file is polled if it is empty.
 	SettingsFile string
-	// Reload takes over what may change while the node runs. It is called at SIGHUP, and
-	// when the settings file has changed.
+	// Reload applies the settings that may change while the node runs. It is called on
+	// SIGHUP and when the settings file has changed.
 	Reload func(*Node)
 }
 
-// Run brings a node up, and keeps it until SIGTERM or SIGINT, which stop it as planned, or
-// until its disk fails. A signal that comes while the data folder is opened, which may wait
-// for room on the disk, ends the run at once; one that comes later finds a node that serves,
-// and that is stopped like any other. The environment is shut down when it returns.
+// Run starts a node and runs it until SIGTERM or SIGINT, which stop it gracefully, or until its
+// disk fails. A stop signal received while the data folder is being opened, which may block
+// while the disk is full, makes Run return at once. One received during the rest of the start
+// is handled after it. The environment is shut down when Run returns.
 func Run(env *environment.Environment, options RunConfig) error {
 	n, err := openUntilStopped(env, options.Signals)
 	if err == nil && n != nil {
@@ -62,7 +62,7 @@
 	return n.runUntilStopped(options)
 }
 
-// openUntilStopped opens a node's data folder; the node is nil if a signal came before.
+// openUntilStopped calls open. Node and error are nil if a stop signal is received first.
 func openUntilStopped(env *environment.Environment, signals *Signals) (*Node, error) {
 	type result struct {
 		node *Node
@@ -74,20 +74,20 @@
 		opened <- result{n, err}
 	})
 	select {
-	case got := <-opened:
-		return got.node, got.err
+	case r := <-opened:
+		return r.node, r.err
 	case <-signals.stop:
 		return nil, nil
 	}
 }
 
-// runUntilStopped heeds signals until one stops the node, or its disk fails.
+// runUntilStopped handles signals until one stops the node or its disk fails.
 func (n *Node) runUntilStopped(options RunConfig) error {
-	var diskFailed <-chan struct{} // never, without a disk
+	var diskFailed <-chan struct{} // nil, and thus never ready, without a disk
 	if n.Store != nil {
 		diskFailed = n.Store.Corrupted()
 	}
-	// Nobody waits for this task: a file that is being read can't be given up.
+	// A plain goroutine, which shutdown doesn't wait for: reading a file can't be cancelled.
 	go n.reloadSettings(options)
 	select {
 	case <-options.Signals.stop:
@@ -99,7 +99,7 @@
 	}
 }
 
-// reloadSettings reads the settings again at each signal to do so, and when their file has changed,
+// reloadSettings calls Reload on each reload signal and when the settings file has changed,
 // until the environment ends.
 func (n *Node) reloadSettings(options RunConfig) {
 	poll := time.NewTicker(settingsPollInterval)
@@ -112,26 +112,26 @@
 		case <-options.Signals.reload:
 			options.Reload(n)
 		case <-poll.C:
-			if now := modificationTime(options.SettingsFile); now != modified {
-				modified = now
+			if current := modificationTime(options.SettingsFile); current != modified {
+				modified = current
 				options.Reload(n)
 			}
 		}
 	}
 }
 
-// ApplySettings takes over what may change while a node runs: the addresses that it asks first.
-func (n *Node) ApplySettings(changed *config.Settings) {
-	n.Members.SetSeeds(changed.Seeds)
-	n.Env.Events.Emit(eventlog.SettingsReloaded, "seeds", len(changed.Seeds))
+// ApplySettings applies the settings that may change while a node runs: the seeds.
+func (n *Node) ApplySettings(settings *config.Settings) {
+	n.Members.SetSeeds(settings.Seeds)
+	n.Env.Events.Emit(eventlog.SettingsReloaded, "seeds", len(settings.Seeds))
 }
 
-// RejectSettings logs that changed settings have faults. They change nothing.
+// RejectSettings logs that changed settings are invalid and were not applied.
 func (n *Node) RejectSettings(err error) {
 	n.Env.Events.Emit(eventlog.SettingsRejected, "cause", err.Error())
 }
 
-// modificationTime tells one state of a file from another. It is empty if there is no file.
+// modificationTime returns a file's modification time, or "" if there is no such file.
 func modificationTime(path string) string {
 	info, err := os.Stat(path)
 	if err != nil {
--- a/internal/node/run_test.go
+++ b/internal/node/run_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func TestModificationTime_TellsStatesOfAFileApart(t *testing.T) {
+func TestModificationTime_ChangesWithTheFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "settings")
 	if err := os.WriteFile(path, []byte("name: core1"), 0o600); err != nil {
 		t.Fatal(err)
@@ -16,10 +16,10 @@
 	if err := os.Chtimes(path, time.Time{}, time.Unix(1, 0)); err != nil {
 		t.Fatal(err)
 	}
-	if now := modificationTime(path); now == first || now != modificationTime(path) {
-		t.Error(first, now)
+	if second := modificationTime(path); second == first || second != modificationTime(path) {
+		t.Error(first, second)
 	}
 	if modificationTime(path+".none") != "" {
-		t.Error("there is no such file")
+		t.Error("a missing file has a modification time")
 	}
 }
--- a/internal/node/settings_test.go
+++ b/internal/node/settings_test.go
@@ -1,4 +1,3 @@
-// What a node says of its settings when it starts.
 package node
 
 import (
@@ -13,7 +12,7 @@
 	"github.com/sumactrestle/sumactrestle/internal/eventlog"
 )
 
-// freeAddress is a loopback address on which nothing listened a moment ago.
+// freeAddress returns a loopback address with a port that is currently unused.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -24,7 +23,7 @@
 	return l.Addr().String()
 }
 
-func TestStart_NamesFormerSettingsOnce(t *testing.T) {
+func TestStart_LogsRenamedSettingsOnce(t *testing.T) {
 	for name, c := range map[string]struct {
 		extra map[string]string
 		want  []any
@@ -34,11 +33,11 @@
 		"current names": {map[string]string{"proxy.max_inflight": "7"}, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
-			given := map[string]string{"name": "n", "peer.address": freeAddress(t), "api.address": freeAddress(t), "proxy.address": freeAddress(t), "shutdown.grace_period": "100ms"}
+			flags := map[string]string{"name": "n", "peer.address": freeAddress(t), "api.address": freeAddress(t), "proxy.address": freeAddress(t), "shutdown.grace_period": "100ms"}
 			for key, value := range c.extra {
-				given[key] = value
+				flags[key] = value
 			}
-			settings, err := config.Load("", given)
+			settings, err := config.Load("", flags)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/node/show.go
+++ b/internal/node/show.go
@@ -11,10 +11,10 @@
 	"github.com/sumactrestle/sumactrestle/internal/metrics"
 )
 
-// recentEvents is how many log events the shell shows.
-const recentEvents = 200
+// maxShownEvents is the number of log events that the shell shows.
+const maxShownEvents = 200
 
-// table is rows of words under columns, each made of the live state at the time of the call.
+// table is the result of a shell query, a snapshot of the node's current state.
 type table struct{ api.Rows }
 
 func newTable(columns ...string) *table {
@@ -29,7 +29,8 @@
 	t.Rows.Rows = append(t.Rows.Rows, row)
 }
 
-// sort orders the rows by their first word; numbers, which are shorter, before others.
+// sort sorts the rows by their first column. shorterFirst sorts shorter values first, which puts
+// numbers in numeric order.
 func (t *table) sort(shorterFirst bool) {
 	sort.SliceStable(t.Rows.Rows, func(i, j int) bool {
 		a, b := t.Rows.Rows[i][0], t.Rows.Rows[j][0]
@@ -40,8 +41,8 @@
 	})
 }
 
-// Show answers a query of the shell for what this node sees. Rows are sorted by their first
-// word, but for events, which are in the order in which they were logged.
+// Show answers a shell query from this node's view. Rows are sorted by their first column,
+// except events, which are in the order in which they were logged.
 func (h *apiHandler) Show(_ context.Context, params api.ShowParams) (*api.Rows, error) {
 	t := newTable()
 	switch params.What {
@@ -103,7 +104,8 @@
 	return t
 }
 
-// showAges shows how long ago the proxy's epoch was confirmed, by the shards it is made of.
+// showAges shows the time since the latest epoch was confirmed, for the configuration and for
+// each shard.
 func (n *Node) showAges() *table {
 	t := newTable("what", "epoch", "age")
 	if n.Distribution == nil {
@@ -144,7 +146,7 @@
 func (n *Node) showLatency() *table {
 	t := newTable("what", "service", "outcome", "count", "median", "99", "99.9", "most")
 	n.Env.Latencies.Each(func(m metrics.Metric, labels []string, summary metrics.Summary) {
-		labels = append(labels, "", "") // a histogram of the whole node has neither
+		labels = append(labels, "", "") // histograms of the whole node have no labels
 		name := strings.TrimSuffix(strings.TrimPrefix(m.Name, "sumac_"), "_seconds")
 		t.add(name, labels[0], labels[1], summary.Count, summary.Median, summary.P99, summary.P999, summary.Max)
 	})
@@ -153,7 +155,7 @@
 
 func (n *Node) showEvents() *table {
 	t := newTable("time", "event", "name", "what")
-	for _, e := range n.Env.Events.Recent(recentEvents) {
+	for _, e := range n.Env.Events.Recent(maxShownEvents) {
 		fields := ""
 		for i := 0; i+1 < len(e.Fields); i += 2 {
 			fields += fmt.Sprintf("%v=%v ", e.Fields[i], e.Fields[i+1])
--- a/internal/node/stall.go
+++ b/internal/node/stall.go
@@ -9,63 +9,63 @@
 )
 
 const (
-	// stallInterval is between two looks whether the process runs in time.
-	stallInterval = 100 * time.Millisecond
-	// waitsInterval is between two readings of what the kernel tells, from which those of a stall
-	// are counted.
-	waitsInterval = 5 * time.Second
-	// minStall is from how long on a delay counts as a stall.
+	// stallCheckInterval is the length of the sleeps whose delay is measured.
+	stallCheckInterval = 100 * time.Millisecond
+	// waitsReadInterval is how often the kernel's wait times are read. The waits reported with a
+	// stall are counted from the last reading.
+	waitsReadInterval = 5 * time.Second
+	// minStall is the shortest delay that counts as a stall.
 	minStall = 100 * time.Millisecond
 )
 
-// stallWatch tells by how much the machine holds this process up, and what the process and its
-// machine have waited for meanwhile. What takes too long in a process that was not held up is the
-// process's own fault.
-type stallWatch struct {
+// stallMonitor measures how long the machine keeps this process from running, and what the
+// process and its machine were waiting for meanwhile. It separates delays caused by the machine
+// from those caused by the process itself.
+type stallMonitor struct {
 	env   *environment.Environment
 	total atomic.Int64 // nanoseconds
 
-	waits  environment.Waits // when they were last read
-	readAt time.Time
+	lastWaits environment.Waits
+	readAt    time.Time // when lastWaits was read
 }
 
-// run looks until the environment ends.
-func (w *stallWatch) run() {
+// run measures until the environment ends.
+func (w *stallMonitor) run() {
 	w.readWaits()
 	for {
-		if w.env.Since(w.readAt) >= waitsInterval {
+		if w.env.Since(w.readAt) >= waitsReadInterval {
 			w.readWaits()
 		}
 		began := w.env.Now()
-		goesOn := w.env.Sleep(stallInterval)
-		w.observe(w.env.Since(began) - stallInterval)
-		if !goesOn {
+		isRunning := w.env.Sleep(stallCheckInterval)
+		w.observe(w.env.Since(began) - stallCheckInterval)
+		if !isRunning {
 			return
 		}
 	}
 }
 
-// observe counts and reports a delay that is long enough to count.
-func (w *stallWatch) observe(delay time.Duration) {
+// observe counts and logs a delay of at least minStall.
+func (w *stallMonitor) observe(delay time.Duration) {
 	if delay < minStall {
 		return
 	}
 	w.total.Add(int64(delay))
-	before, since := w.waits, w.env.Since(w.readAt)
+	previous, elapsed := w.lastWaits, w.env.Since(w.readAt)
 	w.readWaits()
-	waits := w.waits.Since(before)
+	waits := w.lastWaits.Since(previous)
 	w.env.Events.Emit(eventlog.ProcessStalled, "ms", delay.Milliseconds(),
 		"processor_wait_ms", waits.Processor.Milliseconds(), "disk_wait_ms", waits.Disk.Milliseconds(),
-		"stolen_ms", waits.Stolen.Milliseconds(), "within_ms", since.Milliseconds())
+		"stolen_ms", waits.Stolen.Milliseconds(), "within_ms", elapsed.Milliseconds())
 }
 
-// readWaits asks the kernel for the process's waits so far.
-func (w *stallWatch) readWaits() {
+// readWaits reads the process's total wait times from the kernel.
+func (w *stallMonitor) readWaits() {
 	w.readAt = w.env.Now()
 	if w.env.Host.Waits != nil {
-		w.waits = w.env.Host.Waits()
+		w.lastWaits = w.env.Host.Waits()
 	}
 }
 
-// stalledFor is the sum of all stalls since the start.
-func (w *stallWatch) stalledFor() time.Duration { return time.Duration(w.total.Load()) }
+// totalStall returns the total length of all stalls since the start.
+func (w *stallMonitor) totalStall() time.Duration { return time.Duration(w.total.Load()) }
--- a/internal/node/stop_test.go
+++ b/internal/node/stop_test.go
@@ -15,7 +15,7 @@
 	"github.com/sumactrestle/sumactrestle/internal/eventlog"
 )
 
-// pipeListener is an address within a bubble of virtual time.
+// pipeListener is an in-memory listener that works in a synctest bubble.
 type pipeListener struct {
 	net.Listener
 	conns  chan net.Conn
@@ -44,14 +44,14 @@
 	return nil
 }
 
-// dial opens a connection to the address.
+// dial opens a connection to the listener.
 func (l *pipeListener) dial() net.Conn {
-	ours, theirs := net.Pipe()
-	l.conns <- theirs
-	return ours
+	client, server := net.Pipe()
+	l.conns <- server
+	return client
 }
 
-// serveClients has a node serve clients at a listener of virtual time.
+// serveClients returns a node that serves clients on the listener.
 func serveClients(t *testing.T, listener *pipeListener, handler http.HandlerFunc) *Node {
 	t.Helper()
 	host := environment.Host{Listen: func(string) (net.Listener, error) { return listener, nil }}
@@ -62,38 +62,38 @@
 	return n
 }
 
-const wholeRequest = "GET / HTTP/1.1\r\nHost: x\r\n\r\n"
+const testRequest = "GET / HTTP/1.1\r\nHost: x\r\n\r\n"
 
-// In a soak of 20 proxies beside load the machine withheld the processor for up to 9.2 s, and a proxy
-// ended half a second after it had given its last request up, and that one without an answer. The
-// time for the answer was counted from then, whether or not whoever wrote it was run.
-func TestShutdownServers_AnswersWhatIsGivenUpHoweverLateItsTaskRuns(t *testing.T) {
-	// Before a request is given up, and from then to its answer.
-	for _, heldUpFor := range []struct{ before, after time.Duration }{{time.Hour, 0}, {0, time.Second}} {
+// A proxy that is starved of processor time (up to 9.2 s in a soak run) must still answer its
+// abandoned requests before it ends. It used to end half a second after it had abandoned the last
+// one, even if the goroutine that writes the answer had not run by then.
+func TestShutdownServers_AnswersAbandonedRequestsWhenTasksRunLate(t *testing.T) {
+	// Delays before a request is abandoned, and from then until it is answered.
+	for _, delay := range []struct{ before, after time.Duration }{{time.Hour, 0}, {0, time.Second}} {
 		synctest.Test(t, func(t *testing.T) {
 			listener := newPipeListener()
-			givenUp, giveUp := context.WithCancel(t.Context())
+			proxyCtx, abandon := context.WithCancel(t.Context())
 			n := serveClients(t, listener, func(w http.ResponseWriter, _ *http.Request) {
-				<-givenUp.Done()
-				time.Sleep(heldUpFor.after)
+				<-proxyCtx.Done()
+				time.Sleep(delay.after)
 				w.WriteHeader(http.StatusServiceUnavailable)
 			})
 			conn := listener.dial()
 			defer conn.Close()
-			if _, err := io.WriteString(conn, wholeRequest); err != nil {
+			if _, err := io.WriteString(conn, testRequest); err != nil {
 				t.Fatal(err)
 			}
 			go func() {
-				n.shutdownServers(givenUp, n.Env)
+				n.shutdownServers(proxyCtx, n.Env)
 				n.Env.Shutdown()
 			}()
 			go func() {
-				time.Sleep(heldUpFor.before)
-				giveUp()
+				time.Sleep(delay.before)
+				abandon()
 			}()
 			response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			if err != nil || response.StatusCode != http.StatusServiceUnavailable {
-				t.Errorf("held up for %+v: a request that was read got no answer: %v %v", heldUpFor, response, err)
+				t.Errorf("delays %+v: a request that was read got no answer: %v %v", delay, response, err)
 			}
 			<-n.Env.Done()
 			synctest.Wait()
@@ -101,22 +101,22 @@
 	}
 }
 
-func TestShutdownServers_EndsAlthoughAClientTakesNothing(t *testing.T) {
-	const limit = time.Second
+func TestShutdownServers_ReturnsWhenClientDoesNotRead(t *testing.T) {
+	const timeout = time.Second
 	synctest.Test(t, func(t *testing.T) {
 		listener := newPipeListener()
 		n := serveClients(t, listener, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
 		conn := listener.dial()
 		defer conn.Close()
-		if _, err := io.WriteString(conn, wholeRequest); err != nil {
+		if _, err := io.WriteString(conn, testRequest); err != nil {
 			t.Fatal(err)
 		}
-		givenUp, giveUp := context.WithCancel(t.Context())
-		giveUp()
+		proxyCtx, abandon := context.WithCancel(t.Context())
+		abandon()
 		began := time.Now()
-		unanswered := n.shutdownServers(givenUp, n.Env)
-		if took := time.Since(began); unanswered != 1 || took > limit {
-			t.Errorf("%d clients are left after %s", unanswered, took)
+		unanswered := n.shutdownServers(proxyCtx, n.Env)
+		if took := time.Since(began); unanswered != 1 || took > timeout {
+			t.Errorf("got %d unanswered clients after %s", unanswered, took)
 		}
 		n.Env.Shutdown()
 	})
--- a/internal/simulator/contact_test.go
+++ b/internal/simulator/contact_test.go
@@ -48,7 +48,7 @@
 func (f *Fleet) servedKinds(t *testing.T, m *Machine) (kinds []string) {
 	t.Helper()
 	var some []string
-	for name := range m.Node().Plan.Current().Manifest() {
+	for name := range m.Node().ConfigState.Current().Manifest() {
 		some = append(some, name)
 	}
 	for kind, ask := range map[string]any{
--- a/internal/simulator/planner_test.go
+++ b/internal/simulator/planner_test.go
@@ -22,7 +22,7 @@
 			if owner == nil {
 				return false
 			}
-			targets, err := owner.Node().Plan.Current().Targets(service)
+			targets, err := owner.Node().ConfigState.Current().Targets(service)
 			if err != nil {
 				t.Error(err)
 			}
--- a/internal/simulator/repair_test.go
+++ b/internal/simulator/repair_test.go
@@ -57,18 +57,18 @@
 		}
 		c := follower(f, ids.ConfigShard)
 		routes := ""
-		for name := range c.Node().Plan.Current().Groups {
+		for name := range c.Node().ConfigState.Current().Groups {
 			if strings.HasPrefix(name, controlplane.RoutesPrefix) {
 				routes = name
 			}
 		}
-		if err := c.Node().Plan.Repair("group/"+routes, json.RawMessage(`{"digest":"x","stamp":1,"data":[]}`)); err != nil {
+		if err := c.Node().ConfigState.Repair("group/"+routes, json.RawMessage(`{"digest":"x","stamp":1,"data":[]}`)); err != nil {
 			t.Fatal(err)
 		}
 		isRepaired := func() bool {
 			record, ok := m.Node().Stores[shard].Get("key", "app/a")
 			_, isForged := m.Node().Stores[shard].Get("key", "app/forged")
-			config, err := c.Node().Plan.Current().Config()
+			config, err := c.Node().ConfigState.Current().Config()
 			return ok && !isForged && string(record.Value) == `"right"` && err == nil && len(config.Routes) == 2
 		}
 		if isRepaired() {
--- a/internal/simulator/snapshot_test.go
+++ b/internal/simulator/snapshot_test.go
@@ -112,7 +112,7 @@
 				if !f.WaitUntil(20*time.Second, f.isRepaired) {
 					t.Fatalf("not recovered after %d changes", n+1)
 				}
-				state, _ := f.leader(ids.ConfigShard).Node().Plan.Snapshot()()
+				state, _ := f.leader(ids.ConfigShard).Node().ConfigState.Snapshot()()
 				sizes, times = append(sizes, len(state)), append(times, time.Since(began))
 			}
 		}
