--- a/cmd/harness/main.go
+++ b/cmd/harness/main.go
@@ -1,5 +1,5 @@
-// Command harness runs fleets of real `sumac node` processes on loopback addresses, with
-// stand-ins around them, and judges what happened.
+// Command harness runs clusters of real `sumac node` processes on loopback addresses with
+// simulated clients and targets, and checks the recorded history.
 package main
 
 import "github.com/sumactrestle/sumactrestle/internal/harness/command"
--- a/cmd/sumac/change.go
+++ b/cmd/sumac/change.go
@@ -21,7 +21,8 @@
 	"github.com/sumactrestle/sumactrestle/internal/ids"
 )
 
-// readChange takes a change set from YAML or JSON, by koanf, strictly.
+// readChange reads a change set from a YAML or JSON file, or from Kubernetes-style objects.
+// Unknown fields are errors.
 func readChange(path string, objects bool) (*api.Change, error) {
 	if objects {
 		return readObjects(path)
@@ -52,21 +53,21 @@
 	return change, nil
 }
 
-// readObjects takes a change set from Kubernetes-style objects.
+// readObjects reads a change set from a file of Kubernetes-style objects.
 func readObjects(path string) (*api.Change, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return nil, errcode.New(errcode.InvalidChange, "%v", err)
 	}
-	set, err := gatewayapi.Read(raw)
+	changeSet, err := gatewayapi.Read(raw)
 	if err != nil {
 		return nil, err
 	}
 	change := &api.Change{}
-	return change, convert(set, change)
+	return change, convert(changeSet, change)
 }
 
-// runSubmit submits a change set and prints what became of it.
+// runSubmit submits a change set and prints the result.
 func runSubmit(ctx context.Context, cmd *cli.Command) error {
 	change, err := readChange(cmd.Args().First(), cmd.Bool("objects"))
 	if err != nil {
@@ -103,7 +104,7 @@
 	if err != nil {
 		problem := fromAPI(err)
 		if errors.Is(problem, errcode.ChangeUnknown) || errors.Is(problem, errcode.Unreachable) {
-			fmt.Fprintf(os.Stderr, "sumac: ask with: sumac ask %s\n", change.ID)
+			fmt.Fprintf(os.Stderr, "sumac: to query the outcome, run: sumac ask %s\n", change.ID)
 		}
 		return problem
 	}
@@ -111,23 +112,24 @@
 	return nil
 }
 
-// dropKnownServices takes services out of a change set that are there already: objects
-// only name them, and must not put them back without their key.
+// dropKnownServices removes from a change set the services that already exist. Objects contain
+// only the names of services, so submitting them would overwrite the services' other fields,
+// such as the key.
 func dropKnownServices(change *api.Change, view *api.EpochView) {
 	known := map[string]bool{}
 	for _, s := range view.Config.Services {
 		known[s.Name] = true
 	}
-	var fresh []api.Service
+	var added []api.Service
 	for _, s := range change.Put.Value.Services {
 		if !known[s.Name] {
-			fresh = append(fresh, s)
+			added = append(added, s)
 		}
 	}
-	change.Put.Value.Services = fresh
+	change.Put.Value.Services = added
 }
 
-// runAsk prints what became of a change set.
+// runAsk prints the result of a change set submitted earlier.
 func runAsk(ctx context.Context, cmd *cli.Command) error {
 	client, err := newClient(cmd)
 	if err != nil {
--- a/cmd/sumac/check.go
+++ b/cmd/sumac/check.go
@@ -12,7 +12,7 @@
 	"github.com/sumactrestle/sumactrestle/platform"
 )
 
-// runCheck checks settings, the platform's settings file or a change set.
+// runCheck checks a node's settings, the platform's settings file or a change set.
 func runCheck(ctx context.Context, cmd *cli.Command) error {
 	change, settings := cmd.String("change"), cmd.String("settings")
 	givesSettings := cmd.IsSet("props") || cmd.IsSet("set")
@@ -28,15 +28,16 @@
 	case settings != "":
 		return platform.Check(settings, cmd.Root().Writer)
 	}
-	p, err := readSettings(cmd)
+	nodeSettings, err := readSettings(cmd)
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(cmd.Root().Writer, "%s: the settings are in order\n", p.Name)
+	fmt.Fprintf(cmd.Root().Writer, "%s: the settings are valid\n", nodeSettings.Name)
 	return nil
 }
 
-// checkChange lays a change set over the fleet's configuration, or over none.
+// checkChange checks a change set against the cluster's configuration if --api is given, or else
+// against an empty one.
 func checkChange(ctx context.Context, cmd *cli.Command, path string) error {
 	change, err := readChange(path, cmd.Bool("objects"))
 	if err != nil {
@@ -45,8 +46,8 @@
 	if change.ID == "" {
 		change.ID = "check"
 	}
-	var set rpc.ChangeSet
-	if err := convert(change, &set); err != nil {
+	var changeSet rpc.ChangeSet
+	if err := convert(change, &changeSet); err != nil {
 		return err
 	}
 	var config rpc.Configuration
@@ -63,10 +64,10 @@
 			return err
 		}
 	}
-	next, paths := controlplane.MergeChange(config, &set)
+	merged, paths := controlplane.MergeChange(config, &changeSet)
 	if len(paths) > 0 {
 		return errcode.NewPaths(errcode.InvalidChange, paths)
 	}
-	fmt.Printf("%s: the change set is in order; with it there are %d mappings and %d services\n", path, len(next.Routes), len(next.Services))
+	fmt.Printf("%s: the change set is valid; with it the configuration has %d mappings and %d services\n", path, len(merged.Routes), len(merged.Services))
 	return nil
 }
--- a/cmd/sumac/client.go
+++ b/cmd/sumac/client.go
@@ -10,27 +10,28 @@
 	"github.com/sumactrestle/sumactrestle/internal/errcode"
 )
 
-// newClient is a client of the API at --api.
+// newClient returns a client of the API at the address given by --api.
 func newClient(cmd *cli.Command) (*api.Client, error) {
 	if cmd.String("api") == "" {
 		return nil, errcode.New(errcode.InvalidCall, "--api names no address; see %s --help", cmd.FullName())
 	}
-	c, err := api.NewClient("http://" + cmd.String("api"))
+	client, err := api.NewClient("http://" + cmd.String("api"))
 	if err != nil {
 		return nil, errcode.New(errcode.InvalidCall, "--api: %v", err)
 	}
-	return c, nil
+	return client, nil
 }
 
-// fromAPI turns a refused call back into its problem.
+// fromAPI converts an error of the API client to an errcode.Error. An error without a response
+// becomes an errcode.Unreachable.
 func fromAPI(err error) error {
-	var p *api.ProblemStatusCodeWithHeaders
-	if errors.As(err, &p) {
-		code, ok := errcode.Codes[p.Response.Code]
+	var problem *api.ProblemStatusCodeWithHeaders
+	if errors.As(err, &problem) {
+		code, ok := errcode.Codes[problem.Response.Code]
 		if !ok {
 			code = errcode.Internal
 		}
-		return &errcode.Error{Code: code, Note: p.Response.Note.Or(""), Paths: p.Response.Paths}
+		return &errcode.Error{Code: code, Note: problem.Response.Note.Or(""), Paths: problem.Response.Paths}
 	}
 	if err != nil {
 		return errcode.New(errcode.Unreachable, "%v", err)
@@ -38,7 +39,7 @@
 	return nil
 }
 
-// convert turns one shape of data into another that has the same JSON.
+// convert copies a value to another type that has the same JSON encoding.
 func convert(from, into any) error {
 	raw, err := json.Marshal(from)
 	if err == nil {
--- a/cmd/sumac/judge.go
+++ b/cmd/sumac/judge.go
@@ -10,7 +10,7 @@
 	"github.com/sumactrestle/sumactrestle/internal/errcode"
 )
 
-// runJudge holds a recorded history against the checkers' rules.
+// runJudge checks a recorded history against the rules of the checkers and prints the verdict.
 func runJudge(ctx context.Context, cmd *cli.Command) error {
 	records, err := checker.ReadHistory(cmd.Args().First())
 	if err != nil {
--- a/cmd/sumac/main.go
+++ b/cmd/sumac/main.go
@@ -1,5 +1,5 @@
-// Command sumac is the one program of sumactrestle: a node, and the commands by which
-// an operator checks settings, submits change sets and looks at the fleet.
+// Command sumac runs a node of the API gateway. Its other commands check settings, submit change
+// sets and query the state of the cluster.
 package main
 
 import (
@@ -20,7 +20,7 @@
 	"github.com/sumactrestle/sumactrestle/platform"
 )
 
-// Version is set when a release is built.
+// Version is set at link time in release builds.
 var Version = "0.1.0-dev"
 
 func main() {
@@ -85,8 +85,8 @@
 	return config.Load(cmd.String("props"), flags)
 }
 
-// runNode runs a node until a signal stops it or its storage fails. SIGHUP, or a change of
-// the settings file, has the seeds read again.
+// runNode runs a node until a signal stops it or its storage fails. It reloads the seeds on SIGHUP
+// and when the settings file changes.
 func runNode(ctx context.Context, cmd *cli.Command) error {
 	signals := node.NotifySignals()
 	settings, err := readSettings(cmd)
--- a/cmd/sumac/main_test.go
+++ b/cmd/sumac/main_test.go
@@ -1,5 +1,3 @@
-// The commands as an operator gives them: what is wrong is named, and the exit
-// tells what was not done from what can't be read.
 package main
 
 import (
@@ -35,45 +33,45 @@
 	return string(raw)
 }
 
-func TestCommandsNameWhatIsWrong(t *testing.T) {
+func TestCommands_ReportFaults(t *testing.T) {
 	t.Setenv(platform.Variable, "")
 	for name, c := range map[string]struct {
-		args []string
-		exit int
-		says []string
+		args  []string
+		exit  int
+		texts []string
 	}{
-		"node with faulty settings":                {[]string{"node", "--set", "name=a", "--set", "strenght=3"}, 2, []string{"5001", "strenght: no such setting", "peer.address: is missing"}},
-		"a setting without a value":                {[]string{"node", "--set", "name"}, 2, []string{"5001", "KEY=VALUE"}},
-		"check of a change set":                    {[]string{"check", "--change", write(t, "c.yaml", "put: {mappings: [{name: m, path: x, to: [{service: none, weight: 1}]}]}")}, 2, []string{"2001", "mappings.m.path", "mappings.m.to.0.service"}},
-		"a misspelt key":                           {[]string{"check", "--change", write(t, "c.yaml", "putt: {}")}, 2, []string{"2001", "putt"}},
-		"faulty settings of the platform":          {[]string{"platform", "--check", "--settings", "../../platform/testdata/faulty.toml"}, 2, []string{"5001", read(t, "../../platform/testdata/faulty.txt")}},
-		"check of faulty settings of the platform": {[]string{"check", "--settings", "../../platform/testdata/faulty.toml"}, 2, []string{"5001", read(t, "../../platform/testdata/faulty.txt")}},
-		"no settings of the platform":              {[]string{"platform", "--check"}, 2, []string{"5001", "--settings"}},
-		"settings of the platform not there":       {[]string{"platform", "--check", "--settings", "none.toml"}, 2, []string{"5001", "none.toml"}},
-		"faulty settings to run on":                {[]string{"platform", "--settings", "../../platform/testdata/faulty.toml"}, 2, []string{"5001", "nodeName: is missing"}},
-		"no node to ask":                           {[]string{"epoch", "--api", "127.0.0.1:1"}, 1, []string{"4003"}},
-		"no such query":                            {[]string{"shell", "--api", "127.0.0.1:1", "weather"}, 2, []string{"2008", "weather"}},
-		"a history that is none":                   {[]string{"judge", write(t, "h", "what\n")}, 2, []string{"2008", "line 1"}},
-		"a history without end":                    {[]string{"judge", write(t, "h", `{"kind":"began","at":1}`+"\n")}, 2, []string{"breaks a rule"}},
+		"node with invalid settings":                {[]string{"node", "--set", "name=a", "--set", "strenght=3"}, 2, []string{"5001", "strenght: no such setting", "peer.address: is missing"}},
+		"setting without a value":                   {[]string{"node", "--set", "name"}, 2, []string{"5001", "KEY=VALUE"}},
+		"check of an invalid change set":            {[]string{"check", "--change", write(t, "c.yaml", "put: {mappings: [{name: m, path: x, to: [{service: none, weight: 1}]}]}")}, 2, []string{"2001", "mappings.m.path", "mappings.m.to.0.service"}},
+		"misspelt key":                              {[]string{"check", "--change", write(t, "c.yaml", "putt: {}")}, 2, []string{"2001", "putt"}},
+		"invalid settings of the platform":          {[]string{"platform", "--check", "--settings", "../../platform/testdata/faulty.toml"}, 2, []string{"5001", read(t, "../../platform/testdata/faulty.txt")}},
+		"check of invalid settings of the platform": {[]string{"check", "--settings", "../../platform/testdata/faulty.toml"}, 2, []string{"5001", read(t, "../../platform/testdata/faulty.txt")}},
+		"no settings of the platform":               {[]string{"platform", "--check"}, 2, []string{"5001", "--settings"}},
+		"missing settings file of the platform":     {[]string{"platform", "--check", "--settings", "none.toml"}, 2, []string{"5001", "none.toml"}},
+		"platform started with invalid settings":    {[]string{"platform", "--settings", "../../platform/testdata/faulty.toml"}, 2, []string{"5001", "nodeName: is missing"}},
+		"unreachable node":                          {[]string{"epoch", "--api", "127.0.0.1:1"}, 1, []string{"4003"}},
+		"unknown query":                             {[]string{"shell", "--api", "127.0.0.1:1", "weather"}, 2, []string{"2008", "weather"}},
+		"file without a history":                    {[]string{"judge", write(t, "h", "what\n")}, 2, []string{"2008", "line 1"}},
+		"history of an incomplete run":              {[]string{"judge", write(t, "h", `{"kind":"began","at":1}`+"\n")}, 2, []string{"breaks a rule"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			err := run(c.args...)
 			if err == nil {
-				t.Fatal("it was done")
+				t.Fatal("command succeeded, want an error")
 			}
 			if exit := commandline.ExitCode(err); exit != c.exit {
 				t.Errorf("exit %d, want %d", exit, c.exit)
 			}
-			for _, word := range c.says {
+			for _, word := range c.texts {
 				if !strings.Contains(commandline.Describe(err), word) {
-					t.Errorf("%q does not say %q", commandline.Describe(err), word)
+					t.Errorf("error %q does not contain %q", commandline.Describe(err), word)
 				}
 			}
 		})
 	}
 }
 
-func TestChecksPass(t *testing.T) {
+func TestCheck_AcceptsValidInput(t *testing.T) {
 	if err := run("check", "--set", "name=a", "--set", "peer.address=127.0.0.1:1", "--set", "api.address=127.0.0.1:2", "--set", "proxy.address=127.0.0.1:3", "--set", "seeds=127.0.0.1:1,127.0.0.1:4"); err != nil {
 		t.Error(err)
 	}
--- a/cmd/sumac/node_test.go
+++ b/cmd/sumac/node_test.go
@@ -11,19 +11,20 @@
 	"time"
 )
 
-// testLimit bounds a start or a stop of a node.
-const testLimit = 10 * time.Second
+// testTimeout limits the time for starting or stopping a node.
+const testTimeout = 10 * time.Second
 
-// A log that takes no lines, as on a disk that stands still: each line was written by the task that
-// had something to tell, so that none of them went on, neither a proxy's answers nor its stop.
-func TestNode_ServesAndStopsWhileItsLogTakesNoLines(t *testing.T) {
+// A log file that blocks writes, as on a disk that hangs, must not block the node. When each
+// goroutine wrote its own log lines, all of them blocked, including those that answer requests
+// and that stop the node.
+func TestNode_ServesAndStopsWhileLogFileBlocks(t *testing.T) {
 	ended := startNode(t, "--set", "log.file="+fullPipe(t))
 	stopNode(t, ended)
 }
 
-// A settings file that can't be read to its end, as on a disk that stands still: the task that read
-// it again was the one that heeds SIGTERM.
-func TestNode_StopsWhileItsSettingsAreReadAgain(t *testing.T) {
+// A settings file whose reading blocks, as on a disk that hangs, must not block the stop. The
+// goroutine that reloaded the settings used to be the one that handles SIGTERM.
+func TestNode_StopsWhileSettingsReloadBlocks(t *testing.T) {
 	settings := write(t, "settings.yaml", "strength: 100\n")
 	ended := startNode(t, "--props", settings)
 	if err := os.Remove(settings); err != nil {
@@ -35,7 +36,7 @@
 	if err := syscall.Kill(os.Getpid(), syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
-	// Whoever opens the pipe for writing gets on when the node has opened it for reading.
+	// Opening the pipe for writing blocks until the node has opened it for reading.
 	pipe, err := os.OpenFile(settings, os.O_WRONLY, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -44,7 +45,8 @@
 	stopNode(t, ended)
 }
 
-// startNode runs a node in this process and returns when it serves; its end is sent.
+// startNode runs a node in this process and returns once it serves. The channel receives the
+// result of the run.
 func startNode(t *testing.T, args ...string) <-chan error {
 	t.Helper()
 	api := unusedAddress(t)
@@ -52,20 +54,20 @@
 		"--set", "api.address=" + api, "--set", "proxy.address=" + unusedAddress(t), "--set", "shutdown.grace_period=2s", "--set", "proxy.drain_delay=100ms"}, args...)
 	ended := make(chan error, 1)
 	go func() { ended <- run(args...) }()
-	client := http.Client{Timeout: testLimit}
+	client := http.Client{Timeout: testTimeout}
 	for began := time.Now(); ; {
 		response, err := client.Get("http://" + api + "/metrics")
 		if err == nil {
 			response.Body.Close()
 			return ended
 		}
-		if time.Since(began) > testLimit {
-			t.Fatal("the node does not serve:", err)
+		if time.Since(began) > testTimeout {
+			t.Fatal("the node did not start serving:", err)
 		}
 	}
 }
 
-// stopNode has the node stop as planned.
+// stopNode sends SIGTERM and waits until the node has stopped.
 func stopNode(t *testing.T, ended <-chan error) {
 	t.Helper()
 	if err := syscall.Kill(os.Getpid(), syscall.SIGTERM); err != nil {
@@ -76,12 +78,12 @@
 		if err != nil {
 			t.Error(err)
 		}
-	case <-time.After(testLimit):
-		t.Error("the node does not stop")
+	case <-time.After(testTimeout):
+		t.Error("the node did not stop")
 	}
 }
 
-// fullPipe is the path of a named pipe that takes no more bytes.
+// fullPipe returns the path of a named pipe whose buffer is full, so that writes block.
 func fullPipe(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "log")
@@ -102,7 +104,7 @@
 	return path
 }
 
-// unusedAddress is one that nobody listens at.
+// unusedAddress returns a loopback address with a port that is currently unused.
 func unusedAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/cmd/sumac/shell.go
+++ b/cmd/sumac/shell.go
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// runShell answers one query, or reads queries from standard input.
+// runShell runs the query given as arguments, or else queries read from standard input.
 func runShell(ctx context.Context, cmd *cli.Command) error {
 	client, err := newClient(cmd)
 	if err != nil {
@@ -46,7 +46,7 @@
 		return query(ctx, client, cmd.Args().Slice(), os.Stdout)
 	}
 	input := bufio.NewScanner(os.Stdin)
-	var last error
+	var lastErr error
 	for fmt.Print("sumac> "); input.Scan(); fmt.Print("sumac> ") {
 		words := strings.Fields(input.Text())
 		if len(words) == 0 {
@@ -55,14 +55,14 @@
 		if words[0] == "quit" || words[0] == "exit" {
 			break
 		}
-		if last = query(ctx, client, words, os.Stdout); last != nil {
-			fmt.Fprintln(os.Stderr, commandline.Describe(last))
+		if lastErr = query(ctx, client, words, os.Stdout); lastErr != nil {
+			fmt.Fprintln(os.Stderr, commandline.Describe(lastErr))
 		}
 	}
-	return last
+	return lastErr
 }
 
-// shellHelp is what the query help prints.
+// shellHelp is the output of the query help.
 const shellHelp = `members   who is there, as this node sees it
 parts     the replicated parts: owner, term, commit, age of the confirmation
 targets   the servers this node hears, and whether each is in
@@ -74,7 +74,8 @@
 A query may be followed by words; only rows holding all of them are shown.
 `
 
-// query answers one query of the shell: its name and the words that rows must hold.
+// query runs one query. The first word is its name; only rows that contain all other words are
+// printed.
 func query(ctx context.Context, c *api.Client, words []string, out io.Writer) error {
 	limited, cancel := context.WithTimeout(ctx, 5*time.Second)
 	defer cancel()
@@ -108,11 +109,11 @@
 	fmt.Fprintln(table, strings.Join(rows.Columns, "\t"))
 	for _, row := range rows.Rows {
 		line := strings.Join(row, "\t")
-		shown := true
+		matches := true
 		for _, word := range words[1:] {
-			shown = shown && strings.Contains(line, word)
+			matches = matches && strings.Contains(line, word)
 		}
-		if shown {
+		if matches {
 			fmt.Fprintln(table, line)
 		}
 	}
--- a/cmd/sumac/usage_test.go
+++ b/cmd/sumac/usage_test.go
@@ -1,5 +1,3 @@
-// The help of every command, and what is said to calls that can't be read, as
-// approved transcripts. Run with -approve to take over what is said now.
 package main
 
 import (
@@ -16,7 +14,7 @@
 
 func TestTranscriptRefused(t *testing.T) {
 	for _, name := range []string{"SUMAC_API", platform.Variable} {
-		t.Setenv(name, "") // has it put back
+		t.Setenv(name, "") // restores the variable after the test
 		os.Unsetenv(name)
 	}
 	commandlinetest.Refused(t, app, []string{
--- a/cmd/troupe/main.go
+++ b/cmd/troupe/main.go
@@ -1,4 +1,4 @@
-// Command troupe is the former name of the command harness, and does the same.
+// Command troupe is an alias of the command harness, kept for its former name.
 package main
 
 import "github.com/sumactrestle/sumactrestle/internal/harness/command"
--- a/internal/commandline/commandline.go
+++ b/internal/commandline/commandline.go
@@ -1,7 +1,7 @@
-// Package commandline makes the commands of the project's programs strict: unknown commands,
-// flags and arguments, unreadable values and missing flags are rejected with a numbered error
-// that names the help to look at, and nothing is run. A call that can't be read ends with exit
-// code 2, one that was not done with 1.
+// Package commandline adds strict argument checking to the project's programs. Unknown commands,
+// flags and arguments, invalid values and missing flags are rejected before the command runs,
+// with an error code and a reference to the help. The exit code is 2 for invalid usage and 1 for
+// a command that failed.
 package commandline
 
 import (
@@ -16,7 +16,7 @@
 	"github.com/sumactrestle/sumactrestle/internal/errcode"
 )
 
-// Strict makes a program and all its commands strict, and returns it.
+// Strict adds the checks to a program and all its commands, and returns it.
 func Strict(root *cli.Command) *cli.Command {
 	root.DisableSliceFlagSeparator = true
 	root.ExitErrHandler = func(context.Context, *cli.Command, error) {}
@@ -45,34 +45,34 @@
 	return errcode.New(errcode.InvalidCall, "%v; see %s --help", err, cmd.FullName())
 }
 
-// checkArguments holds the arguments against what the command's help says of them: none,
-// NAME for just one, NAME... for one at least, and anything in brackets.
+// checkArguments checks the number of arguments against the command's ArgsUsage: an empty one
+// allows none, NAME exactly one, NAME... at least one, and one in brackets any number.
 func checkArguments(cmd *cli.Command) error {
-	n, says := cmd.Args().Len(), cmd.ArgsUsage
-	isEnough, need := true, ""
+	count, usage := cmd.Args().Len(), cmd.ArgsUsage
+	isValid, expected := true, ""
 	switch {
-	case says == "":
-		isEnough, need = n == 0, "it takes no argument"
-	case strings.HasPrefix(says, "["):
-	case strings.HasSuffix(says, "..."):
-		isEnough, need = n > 0, "it takes "+says
+	case usage == "":
+		isValid, expected = count == 0, "it takes no argument"
+	case strings.HasPrefix(usage, "["):
+	case strings.HasSuffix(usage, "..."):
+		isValid, expected = count > 0, "it takes "+usage
 	default:
-		isEnough, need = n == 1, "it takes one "+says
+		isValid, expected = count == 1, "it takes one "+usage
 	}
-	if !isEnough {
+	if !isValid {
 		given := ""
-		if n > 0 {
+		if count > 0 {
 			given = fmt.Sprintf(", not %s", strings.Join(cmd.Args().Slice(), " "))
 		}
-		return errcode.New(errcode.InvalidCall, "%s%s; see %s --help", need, given, cmd.FullName())
+		return errcode.New(errcode.InvalidCall, "%s%s; see %s --help", expected, given, cmd.FullName())
 	}
 	return nil
 }
 
-// ExitCode is 1 for what the command did not do, 2 for what can't be read.
+// ExitCode returns 2 if err reports invalid usage, settings or changes, and 1 for any other error.
 func ExitCode(err error) int {
-	var unknown cli.ExitCoder // a help topic that is not there
-	if errors.As(err, &unknown) {
+	var exitCoder cli.ExitCoder // returned for an unknown help topic
+	if errors.As(err, &exitCoder) {
 		return 2
 	}
 	switch errcode.From(err).Code.Number {
@@ -82,41 +82,41 @@
 	return 1
 }
 
-// Describe is a problem as an operator reads it: its number, its text, and a line
+// Describe formats an error for an operator: the code's number and text, the note, and one line
 // for each path.
 func Describe(err error) string {
-	p := errcode.From(err)
-	if p.Code.Number == errcode.Internal.Number {
+	problem := errcode.From(err)
+	if problem.Code.Number == errcode.Internal.Number {
 		return err.Error()
 	}
-	text := fmt.Sprintf("%d %s", p.Code.Number, p.Code.Text)
-	if p.Note != "" {
-		text += ": " + p.Note
+	text := fmt.Sprintf("%d %s", problem.Code.Number, problem.Code.Text)
+	if problem.Note != "" {
+		text += ": " + problem.Note
 	}
-	for _, path := range p.Paths {
+	for _, path := range problem.Paths {
 		text += "\n  " + path
 	}
 	return text
 }
 
-// WriteHelp writes the help of a program and of all its commands that are not hidden.
+// WriteHelp writes the help texts of a program and of its commands, except hidden ones.
 func WriteHelp(app func() *cli.Command, out io.Writer) error {
-	show := func(words ...string) error {
+	writeCommand := func(names ...string) error {
 		root := app()
 		root.Writer = out
-		fmt.Fprintf(out, "$ %s\n", strings.Join(append([]string{root.Name}, append(words, "--help")...), " "))
-		err := root.Run(context.Background(), append([]string{root.Name}, append(words, "--help")...))
+		fmt.Fprintf(out, "$ %s\n", strings.Join(append([]string{root.Name}, append(names, "--help")...), " "))
+		err := root.Run(context.Background(), append([]string{root.Name}, append(names, "--help")...))
 		fmt.Fprintln(out)
 		return err
 	}
-	if err := show(); err != nil {
+	if err := writeCommand(); err != nil {
 		return err
 	}
 	for _, cmd := range app().Commands {
 		if cmd.Hidden {
 			continue
 		}
-		if err := show(cmd.Name); err != nil {
+		if err := writeCommand(cmd.Name); err != nil {
 			return err
 		}
 	}
--- a/internal/commandline/commandlinetest/commandlinetest.go
+++ b/internal/commandline/commandlinetest/commandlinetest.go
@@ -1,6 +1,6 @@
-// Package commandlinetest holds the checks that every program's commands share: their
-// help and what is said to calls that can't be read, as approved transcripts, and that
-// the help leaves nothing out. Tests run with -approve take over what is said now.
+// Package commandlinetest contains the tests that all programs share: the help texts and the
+// errors for invalid command lines match the approved transcripts, and every command and flag is
+// documented. The test flag -approve rewrites the transcripts from the current output.
 package commandlinetest
 
 import (
@@ -18,7 +18,7 @@
 	"github.com/sumactrestle/sumactrestle/internal/commandline"
 )
 
-// Help holds the help of a program and of its commands against testdata/help.txt.
+// Help compares the help texts of a program and of its commands with testdata/help.txt.
 func Help(t *testing.T, app func() *cli.Command) {
 	t.Helper()
 	var out bytes.Buffer
@@ -28,7 +28,7 @@
 	transcript.Compare(t, "help.txt", out.String())
 }
 
-// HelpIsComplete tells of every command and flag that is shown without a description.
+// HelpIsComplete reports an error for every visible command and flag without a description.
 func HelpIsComplete(t *testing.T, app func() *cli.Command) {
 	t.Helper()
 	for _, cmd := range app().Commands {
@@ -36,18 +36,18 @@
 			continue
 		}
 		if cmd.Usage == "" || cmd.Description == "" {
-			t.Errorf("%s says too little of itself", cmd.Name)
+			t.Errorf("command %s has no usage or description", cmd.Name)
 		}
 		for _, f := range cmd.Flags {
 			if text, ok := f.(interface{ GetUsage() string }); !ok || text.GetUsage() == "" {
-				t.Errorf("%s --%s says nothing of itself", cmd.Name, f.Names()[0])
+				t.Errorf("flag %s --%s has no usage text", cmd.Name, f.Names()[0])
 			}
 		}
 	}
 }
 
-// Refused makes calls that can't be read, each a line of words, and holds what is said
-// and the exit codes against testdata/refused.txt. A call that is done is a failure.
+// Refused runs invalid command lines, and compares the error messages and exit codes with
+// testdata/refused.txt. It reports an error for a command line that succeeds.
 func Refused(t *testing.T, app func() *cli.Command, calls []string) {
 	t.Helper()
 	var out strings.Builder
@@ -58,7 +58,7 @@
 		if err := root.Run(context.Background(), append([]string{root.Name}, strings.Fields(call)...)); err != nil {
 			fmt.Fprintf(&out, "%s\nexit %d\n\n", commandline.Describe(err), commandline.ExitCode(err))
 		} else {
-			t.Errorf("%s was done", call)
+			t.Errorf("%s: succeeded, want an error", call)
 		}
 	}
 	transcript.Compare(t, "refused.txt", out.String())
--- a/internal/gatewayapi/gatewayapi.go
+++ b/internal/gatewayapi/gatewayapi.go
@@ -1,6 +1,6 @@
-// Package gatewayapi reads HTTPRoute objects of the Kubernetes Gateway API (v1) as a change
-// set of routes and services. A field that has no counterpart here is an error that names
-// the field's path; none is passed over.
+// Package gatewayapi converts HTTPRoute objects of the Kubernetes Gateway API (v1) to a change
+// set of routes and services. Unsupported fields are never ignored: each is an error that
+// names the field's path.
 package gatewayapi
 
 import (
@@ -17,26 +17,26 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// Annotations by which a route says what the Gateway API has no field for.
+// Annotations of an HTTPRoute for settings without a field in the Gateway API.
 const (
-	RepeatableAnnotation = "sumactrestle/repeatable" // "true": rpc.Route.Idempotent
-	OnceAnnotation       = "sumactrestle/once"       // "true" or not: rpc.Route.Deduplicate
+	RepeatableAnnotation = "sumactrestle/repeatable" // "true" sets rpc.Route.Idempotent
+	OnceAnnotation       = "sumactrestle/once"       // "true" or any other value sets rpc.Route.Deduplicate to true or false
 )
 
-// converter collects what the objects of one file amount to.
+// converter collects the change set and the problems of one file.
 type converter struct {
 	changeSet rpc.ChangeSet
-	services  map[string]bool // that routes refer to
-	problems  []string        // each begins with the path of the field at fault
+	services  map[string]bool // referenced by routes
+	problems  []string        // each starts with the field's path
 }
 
-// reject adds a problem with the field at the path.
+// reject records a problem with the field at a path.
 func (c *converter) reject(path, format string, args ...any) {
 	c.problems = append(c.problems, path+": "+fmt.Sprintf(format, args...))
 }
 
 // Read converts a file of YAML documents, one object each, to a change set without ID and
-// base. An error is errcode.InvalidChange and names all problems by the paths of their fields.
+// base. It returns an errcode.InvalidChange that lists all problems with their field paths.
 func Read(raw []byte) (*rpc.ChangeSet, error) {
 	c := &converter{services: map[string]bool{}}
 	for i, document := range bytes.Split(raw, []byte("\n---")) {
@@ -50,7 +50,7 @@
 	}
 	sort.Slice(c.changeSet.Put.Services, func(i, j int) bool { return c.changeSet.Put.Services[i].Name < c.changeSet.Put.Services[j].Name })
 	if len(c.changeSet.Put.Routes) == 0 && len(c.problems) == 0 {
-		c.reject("objects", "there is none")
+		c.reject("objects", "the file contains none")
 	}
 	if len(c.problems) > 0 {
 		return nil, errcode.NewPaths(errcode.InvalidChange, c.problems)
@@ -66,7 +66,7 @@
 		return
 	}
 	if route.Kind != "HTTPRoute" || route.APIVersion != gateway.GroupVersion.String() {
-		c.reject(path+".kind", "%s %s is not taken; HTTPRoute %s is", route.APIVersion, route.Kind, gateway.GroupVersion)
+		c.reject(path+".kind", "%s %s is not supported; use HTTPRoute %s", route.APIVersion, route.Kind, gateway.GroupVersion)
 		return
 	}
 	if route.Name == "" {
@@ -78,7 +78,7 @@
 	}
 	for i, host := range hosts {
 		if strings.Contains(string(host), "*") {
-			c.reject(fmt.Sprintf("%s.spec.hostnames.%d", path, i), "wildcards are not taken")
+			c.reject(fmt.Sprintf("%s.spec.hostnames.%d", path, i), "wildcards are not supported")
 		}
 	}
 	for i, rule := range route.Spec.Rules {
@@ -86,25 +86,25 @@
 	}
 }
 
-// convertRule converts the rule with that index: one route for each match and host.
+// convertRule converts a rule to one route for each match and host.
 func (c *converter) convertRule(path string, route *gateway.HTTPRoute, index int, rule gateway.HTTPRouteRule, hosts []gateway.Hostname) {
 	if len(rule.Filters) > 0 {
-		c.reject(path+".filters", "are not taken")
+		c.reject(path+".filters", "are not supported")
 	}
 	if rule.Retry != nil {
-		c.reject(path+".retry", "is not taken; the annotation %s is", RepeatableAnnotation)
+		c.reject(path+".retry", "is not supported; use the annotation %s", RepeatableAnnotation)
 	}
 	if rule.SessionPersistence != nil {
-		c.reject(path+".sessionPersistence", "is not taken")
+		c.reject(path+".sessionPersistence", "is not supported")
 	}
 	base := rpc.Route{Idempotent: route.Annotations[RepeatableAnnotation] == "true"}
 	if value, ok := route.Annotations[OnceAnnotation]; ok {
-		once := value == "true"
-		base.Deduplicate = &once
+		deduplicate := value == "true"
+		base.Deduplicate = &deduplicate
 	}
 	if rule.Timeouts != nil {
 		if rule.Timeouts.BackendRequest != nil {
-			c.reject(path+".timeouts.backendRequest", "is not taken; request is")
+			c.reject(path+".timeouts.backendRequest", "is not supported; use timeouts.request")
 		}
 		if rule.Timeouts.Request != nil {
 			timeout, err := time.ParseDuration(string(*rule.Timeouts.Request))
@@ -117,7 +117,7 @@
 	for i, ref := range rule.BackendRefs {
 		refPath := fmt.Sprintf("%s.backendRefs.%d", path, i)
 		if len(ref.Filters) > 0 || ref.Namespace != nil || ref.Kind != nil && *ref.Kind != "Service" {
-			c.reject(refPath, "only a Service of the same space, without filters, is taken")
+			c.reject(refPath, "only a Service in the same namespace, without filters, is supported")
 		}
 		weight := 1
 		if ref.Weight != nil {
@@ -135,20 +135,20 @@
 	}
 }
 
-// convertMatch adds the routes of one match of a rule: the rule's route, with what the match
-// says, for each host. Routes are named by namespace, object, rule, match and, if there are
-// more hosts than one, the host's number.
+// convertMatch adds one route for each host: the rule's route with the conditions of the match.
+// Routes are named by namespace, object, index of the rule, index of the match and, if there is
+// more than one host, index of the host.
 func (c *converter) convertMatch(path, name string, route rpc.Route, match gateway.HTTPRouteMatch, hosts []gateway.Hostname) {
 	if len(match.Headers) > 0 {
-		c.reject(path+".headers", "are not taken")
+		c.reject(path+".headers", "are not supported")
 	}
 	if len(match.QueryParams) > 0 {
-		c.reject(path+".queryParams", "are not taken")
+		c.reject(path+".queryParams", "are not supported")
 	}
 	route.Path = "/"
 	if match.Path != nil {
 		if match.Path.Type != nil && *match.Path.Type != gateway.PathMatchPathPrefix {
-			c.reject(path+".path.type", "%s is not taken; PathPrefix is", *match.Path.Type)
+			c.reject(path+".path.type", "%s is not supported; use PathPrefix", *match.Path.Type)
 		}
 		if match.Path.Value != nil {
 			route.Path = *match.Path.Value
--- a/internal/gatewayapi/gatewayapi_test.go
+++ b/internal/gatewayapi/gatewayapi_test.go
@@ -49,7 +49,7 @@
 	}
 }
 
-func TestRead_UnsupportedFieldsAreErrorsWithTheirPaths(t *testing.T) {
+func TestRead_RejectsUnsupportedFieldsByPath(t *testing.T) {
 	_, err := Read([]byte(`
 apiVersion: gateway.networking.k8s.io/v1
 kind: HTTPRoute
@@ -71,16 +71,16 @@
 spec: {rulez: []}
 `))
 	want := []string{
-		`objects.0.spec.hostnames.0: wildcards are not taken`,
-		`objects.0.spec.rules.0.filters: are not taken`,
-		`objects.0.spec.rules.0.backendRefs.0: only a Service of the same space, without filters, is taken`,
-		`objects.0.spec.rules.0.matches.0.headers: are not taken`,
-		`objects.0.spec.rules.0.matches.0.path.type: Exact is not taken; PathPrefix is`,
-		`objects.1.kind: v1 HTTPRoute is not taken; HTTPRoute gateway.networking.k8s.io/v1 is`,
+		`objects.0.spec.hostnames.0: wildcards are not supported`,
+		`objects.0.spec.rules.0.filters: are not supported`,
+		`objects.0.spec.rules.0.backendRefs.0: only a Service in the same namespace, without filters, is supported`,
+		`objects.0.spec.rules.0.matches.0.headers: are not supported`,
+		`objects.0.spec.rules.0.matches.0.path.type: Exact is not supported; use PathPrefix`,
+		`objects.1.kind: v1 HTTPRoute is not supported; use HTTPRoute gateway.networking.k8s.io/v1`,
 		`objects.2: error unmarshaling JSON: while decoding JSON: json: unknown field "rulez"`,
 	}
 	if err == nil {
-		t.Fatal("taken")
+		t.Fatal("unsupported fields were accepted")
 	}
 	if diff := cmp.Diff(want, errcode.From(err).Paths); diff != "" {
 		t.Fatal(diff)
