--- a/internal/proxy/admission/admission.go
+++ b/internal/proxy/admission/admission.go
@@ -1,9 +1,9 @@
-// Package admission schedules large request bodies on a narrow link. What is large would
-// hold up all that is small there, updates of the configuration included. So each large
-// body gets its turn before any of it is read, is read when its turn has come, and is
-// forwarded right after: one token bucket bounds the link in both directions. A body whose
-// turn would come too late is rejected at once and left unread, since reading it would take
-// as much of the link as serving it.
+// Package admission schedules large request bodies on a link of limited bandwidth, where they
+// would otherwise delay all small traffic, including configuration updates. Each large body is
+// assigned a start time before any of it is read. At that time it is read and then immediately
+// forwarded, so that one token bucket limits the link in both directions. A body whose start time
+// would be too late is rejected immediately and not read, since reading it would use as much
+// bandwidth as serving it.
 package admission
 
 import (
@@ -12,89 +12,89 @@
 	"time"
 )
 
-// LargeBody is from how many bytes on a body needs a turn.
-const LargeBody = 16 << 10
+// LargeBodyBytes is the minimum size of a body that is scheduled.
+const LargeBodyBytes = 16 << 10
 
-// Config holds the bounds of Uploads.
+// Config holds the limits of Uploads.
 type Config struct {
-	KilobytesPerSecond int // link rate for large bodies; zero is no bound
-	ConcurrentReads    int // large bodies read at once; zero is no bound
+	KilobytesPerSecond int // link rate for large bodies; zero means no limit
+	ConcurrentReads    int // large bodies read concurrently; zero means no limit
 }
 
-// Uploads admits large request bodies in turn. It is safe for concurrent use.
+// Uploads admits large request bodies one after another. It is safe for concurrent use.
 type Uploads struct {
-	rate    float64       // bytes a second; zero is no bound
-	readers chan struct{} // holds one value per body that is being read; nil is no bound
+	bytesPerSecond float64       // zero means no limit
+	readSlots      chan struct{} // semaphore with one value per body being read; nil means no limit
 
-	mu     sync.Mutex
-	freeAt time.Time // when the link is free for the next large body; guarded by mu
+	mu         sync.Mutex
+	linkFreeAt time.Time // start time of the next large body; guarded by mu
 }
 
-// New returns Uploads with the given bounds.
-func New(bounds Config) *Uploads {
-	u := &Uploads{rate: float64(bounds.KilobytesPerSecond) * 1000}
-	if bounds.ConcurrentReads > 0 {
-		u.readers = make(chan struct{}, bounds.ConcurrentReads)
+// New returns Uploads with the given limits.
+func New(config Config) *Uploads {
+	u := &Uploads{bytesPerSecond: float64(config.KilobytesPerSecond) * 1000}
+	if config.ConcurrentReads > 0 {
+		u.readSlots = make(chan struct{}, config.ConcurrentReads)
 	}
 	return u
 }
 
-// IsLarge reports whether a body of that size in bytes needs a turn. One of unknown size,
-// which is negative as in http.Request.ContentLength, does.
-func IsLarge(size int64) bool { return size < 0 || size >= LargeBody }
+// IsLarge reports whether a body of the given size in bytes is scheduled. A negative size means
+// unknown, as in http.Request.ContentLength, and counts as large.
+func IsLarge(size int64) bool { return size < 0 || size >= LargeBodyBytes }
 
-// IsBounded reports whether the link has a rate that bodies must not exceed.
-func (u *Uploads) IsBounded() bool { return u.rate > 0 }
+// IsBounded reports whether the link rate is limited.
+func (u *Uploads) IsBounded() bool { return u.bytesPerSecond > 0 }
 
-// reserve takes the next turn for a body of that size, unless it comes later than latest.
-// The link is taken for as long as the body needs.
-func (u *Uploads) reserve(now time.Time, size int64, latest time.Time) (at time.Time, ok bool) {
-	if u.rate <= 0 || !IsLarge(size) {
+// reserve reserves the link for the time that a body of the given size in bytes takes, and
+// returns when it may start. It returns false, without a reservation, if that is after latest.
+func (u *Uploads) reserve(now time.Time, size int64, latest time.Time) (start time.Time, ok bool) {
+	if u.bytesPerSecond <= 0 || !IsLarge(size) {
 		return now, true
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	at = now
-	if u.freeAt.After(now) {
-		at = u.freeAt
+	start = now
+	if u.linkFreeAt.After(now) {
+		start = u.linkFreeAt
 	}
-	if at.After(latest) {
-		return at, false
+	if start.After(latest) {
+		return start, false
 	}
-	u.freeAt = at.Add(time.Duration(float64(max(size, LargeBody)) / u.rate * float64(time.Second)))
-	return at, true
+	u.linkFreeAt = start.Add(time.Duration(float64(max(size, LargeBodyBytes)) / u.bytesPerSecond * float64(time.Second)))
+	return start, true
 }
 
-// Admit waits until it is the turn of a body of that size. It returns false at once if
-// that would be later than latest, and when ctx ends.
+// Admit waits until a body of the given size in bytes may be transferred. It returns false
+// immediately if that would be after latest, and when ctx is done.
 func (u *Uploads) Admit(ctx context.Context, size int64, latest time.Time) bool {
 	now := time.Now()
-	at, ok := u.reserve(now, size, latest)
-	if !ok || !at.After(now) {
+	start, ok := u.reserve(now, size, latest)
+	if !ok || !start.After(now) {
 		return ok
 	}
-	wakeup := time.NewTimer(at.Sub(now))
-	defer wakeup.Stop()
+	timer := time.NewTimer(start.Sub(now))
+	defer timer.Stop()
 	select {
-	case <-wakeup.C:
+	case <-timer.C:
 		return true
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// BeginRead waits, until latest at most, for a place among the bodies that are being read. It
-// returns false when ctx ends. The caller gives the place back with release.
+// BeginRead waits until fewer than ConcurrentReads large bodies are being read. It returns false
+// at latest, and when ctx is done. The caller must call release when the body has been read.
 func (u *Uploads) BeginRead(ctx context.Context, size int64, latest time.Time) (release func(), ok bool) {
-	if u.readers == nil || !IsLarge(size) {
+	if u.readSlots == nil || !IsLarge(size) {
 		return func() {}, true
 	}
-	wakeup := time.NewTimer(time.Until(latest))
-	defer wakeup.Stop()
+	timer := time.NewTimer(time.Until(latest))
+	defer timer.Stop()
 	select {
-	case u.readers <- struct{}{}:
-		return func() { <-u.readers }, true
-	case <-wakeup.C:
+	case u.readSlots <- struct{}{}:
+		return func() { <-u.readSlots }, true
+	case <-timer.C:
 	case <-ctx.Done():
 	}
 	return nil, false
--- a/internal/proxy/admission/admission_test.go
+++ b/internal/proxy/admission/admission_test.go
@@ -5,53 +5,53 @@
 	"time"
 )
 
-func TestUploads_LargeBodiesInTurn(t *testing.T) {
+func TestUploads_LargeBodiesAreSerialized(t *testing.T) {
 	uploads, now := New(Config{KilobytesPerSecond: 100, ConcurrentReads: 1}), time.Now()
-	late := now.Add(time.Hour)
+	latest := now.Add(time.Hour)
 	reserve := func(at time.Time, size int64) time.Duration {
-		got, ok := uploads.reserve(at, size, late)
+		got, ok := uploads.reserve(at, size, latest)
 		if !ok {
-			t.Error("no place for", size)
+			t.Error("reservation rejected for size", size)
 		}
 		return got.Sub(at)
 	}
-	if d := reserve(now, 50_000); d != 0 {
-		t.Error("the first waits", d)
+	if delay := reserve(now, 50_000); delay != 0 {
+		t.Error("the first body is delayed by", delay)
 	}
-	if d := reserve(now, 50_000); d != 500*time.Millisecond {
-		t.Error("the second goes after", d)
+	if delay := reserve(now, 50_000); delay != 500*time.Millisecond {
+		t.Error("the second body is not delayed by 500ms, but by", delay)
 	}
-	if d := reserve(now, 400); d != 0 {
-		t.Error("a small one waits", d)
+	if delay := reserve(now, 400); delay != 0 {
+		t.Error("a small body is delayed by", delay)
 	}
 	if _, ok := uploads.reserve(now, 50_000, now.Add(999*time.Millisecond)); ok {
-		t.Error("one that comes too late got a place")
+		t.Error("a body that would start too late is admitted")
 	}
-	if d := reserve(now, 50_000); d != time.Second {
-		t.Error("the refused one took a place: the next goes after", d)
+	if delay := reserve(now, 50_000); delay != time.Second {
+		t.Error("the rejected body reserved the link: the next one is delayed by", delay)
 	}
-	if d := reserve(now.Add(2*time.Second), 50_000); d != 0 {
-		t.Error("an idle link holds one up", d)
+	if delay := reserve(now.Add(2*time.Second), 50_000); delay != 0 {
+		t.Error("a body on an idle link is delayed by", delay)
 	}
-	end, ok := uploads.BeginRead(t.Context(), 50_000, now.Add(time.Hour))
+	release, ok := uploads.BeginRead(t.Context(), 50_000, now.Add(time.Hour))
 	if !ok {
-		t.Fatal("the first is not read")
+		t.Fatal("the first body is not read")
 	}
 	if _, ok := uploads.BeginRead(t.Context(), 50_000, now); ok {
-		t.Error("a second is read beside the first")
+		t.Error("a second body is read concurrently")
 	}
 	if _, ok := uploads.BeginRead(t.Context(), 400, now); !ok {
-		t.Error("a small one is not read")
+		t.Error("a small body is not read")
 	}
-	end()
+	release()
 	if _, ok := uploads.BeginRead(t.Context(), -1, now.Add(time.Hour)); !ok {
-		t.Error("the place was not given back")
+		t.Error("release did not free the read slot")
 	}
-	free := New(Config{})
-	if _, ok := free.BeginRead(t.Context(), 1<<20, now); !ok {
-		t.Error("one without bounds bounds")
+	unbounded := New(Config{})
+	if _, ok := unbounded.BeginRead(t.Context(), 1<<20, now); !ok {
+		t.Error("a body is not read although reads are unlimited")
 	}
-	if at, ok := free.reserve(now, 1<<20, now); !ok || at != now {
-		t.Error("one without bounds holds up")
+	if at, ok := unbounded.reserve(now, 1<<20, now); !ok || at != now {
+		t.Error("a body is delayed although the rate is unlimited")
 	}
 }
--- a/internal/proxy/outlier/outlier.go
+++ b/internal/proxy/outlier/outlier.go
@@ -1,10 +1,10 @@
-// Package outlier spreads failures of endpoints among the proxies of a zone: endpoints that
-// fail although they send heartbeats and say that they are healthy.
+// Package outlier shares request failures of endpoints among the proxies of a zone, to detect
+// endpoints that fail although their heartbeats report them as healthy.
 //
-// What counts is what became of requests: each failure (a server error, a response that was
-// lost or is none, a long silence) adds to the endpoint's failure score, which fades
-// (package endpoint). One proxy sees few requests of each endpoint, so proxies report
-// failures to one another, a few times a second at most.
+// Each failure (a server error, a lost or invalid response, or an unresponsive endpoint) adds to
+// the endpoint's failure score, which decays over time (package endpoint). A single proxy sends
+// few requests to each endpoint, so proxies report failures to one another, at most once per
+// reportInterval.
 package outlier
 
 import (
@@ -19,35 +19,35 @@
 )
 
 const (
-	reportInterval = 250 * time.Millisecond // between two reports
-	reportTimeout  = 500 * time.Millisecond
-	maxEndpoints   = 64 // in one report; failures of further ones count here only
+	reportInterval       = 250 * time.Millisecond // between two reports
+	reportTimeout        = 500 * time.Millisecond
+	maxReportedEndpoints = 64 // per report; failures of further endpoints count only in this proxy
 
-	// reportKind is the kind of the messages between proxies.
+	// reportKind is the message kind of reports between proxies.
 	reportKind = "gate.ill"
 )
 
-// Config is what a Reporter needs.
+// Config holds the dependencies of a Reporter.
 type Config struct {
 	Environment *environment.Environment
 	RPC         *rpc.Transport
 	Membership  *membership.Memberlist
-	// Lookup finds an endpoint of the epoch in use by its ReportID; nil if there is none.
+	// Lookup returns an endpoint of the current epoch by its ReportID, or nil if there is none.
 	Lookup func(reportID string) *endpoint.Endpoint
 }
 
-// Reporter counts the failures seen here, reports them to the other proxies of the zone, and
-// takes their reports. It is safe for concurrent use.
+// Reporter counts local failures, reports them to the other proxies of the zone, and applies
+// their reports. It is safe for concurrent use.
 type Reporter struct {
 	config Config
-	wake   chan struct{} // has a value if there may be failures to report
+	wake   chan struct{} // holds a value if there may be failures to report
 
 	mu       sync.Mutex
-	failures map[string]int // not reported yet, by ReportID; guarded by mu
+	failures map[string]int // unreported failure counts by ReportID; guarded by mu
 }
 
-// NewReporter returns a reporter, registers it as the handler of other proxies' reports, and
-// starts its task of the environment.
+// NewReporter returns a reporter, registers it as the RPC handler of other proxies' reports, and
+// starts its background task in the environment.
 func NewReporter(config Config) *Reporter {
 	r := &Reporter{config: config, failures: map[string]int{}, wake: make(chan struct{}, 1)}
 	rpc.Handle(config.RPC, reportKind, r.receive)
@@ -55,11 +55,12 @@
 	return r
 }
 
-// Report records one failure of an endpoint, here and for the other proxies. It never waits.
+// Report records one failure of an endpoint and queues it for the other proxies. It does not
+// block.
 func (r *Reporter) Report(failed *endpoint.Endpoint) {
 	failed.AddToFailureScore(time.Now(), 1)
 	r.mu.Lock()
-	if len(r.failures) < maxEndpoints {
+	if len(r.failures) < maxReportedEndpoints {
 		r.failures[failed.ReportID]++
 	}
 	r.mu.Unlock()
@@ -69,7 +70,7 @@
 	}
 }
 
-// receive takes the report of another proxy.
+// receive applies the report of another proxy to the local failure scores.
 func (r *Reporter) receive(_ context.Context, report *rpc.FailureReport) (struct{}, error) {
 	now := time.Now()
 	for id, count := range report.Failures {
@@ -80,7 +81,7 @@
 	return struct{}{}, nil
 }
 
-// run reports the first failure at once, and those that follow together a little later.
+// run sends the first failure immediately, and batches later ones per reportInterval.
 func (r *Reporter) run() {
 	for {
 		select {
@@ -99,8 +100,8 @@
 	}
 }
 
-// send reports failures to the proxies of the zone, without waiting for them. A report that
-// is lost is not repeated: the failures count here in any case.
+// send sends failures to the other live proxies of the zone, without waiting for responses. Lost
+// reports are not repeated, because the failures already count in this proxy.
 func (r *Reporter) send(failures map[string]int) {
 	if len(failures) == 0 {
 		return
--- a/internal/proxy/routing/routing.go
+++ b/internal/proxy/routing/routing.go
@@ -1,4 +1,4 @@
-// Package routing finds the route of a request.
+// Package routing matches requests to routes.
 package routing
 
 import (
@@ -10,12 +10,12 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// Table finds routes by path. It is not changed after New.
+// Table holds routes by path. It is immutable.
 type Table struct {
-	byPath map[string][]*rpc.Route // by path without a slash at its end
+	byPath map[string][]*rpc.Route // by path without a trailing slash
 }
 
-// New returns the table of the routes, which are given by group. It keeps pointers to them.
+// New returns a table of the routes in all groups. It keeps pointers to them.
 func New(groups map[string][]rpc.Route) *Table {
 	t := &Table{byPath: map[string][]*rpc.Route{}}
 	for _, routes := range groups {
@@ -27,10 +27,10 @@
 	return t
 }
 
-// Match returns the route with the longest path that is a prefix of the request's, by whole
-// segments, and whose host and methods fit; one with a host goes before one without. It
-// returns nil if there is none. The port of the Host field is not looked at (RFC 9110,
-// section 7.2).
+// Match returns the route whose host and methods match the request, and whose path is the longest
+// prefix of the request's path by whole segments. Among routes of the same path, one with a host
+// takes precedence. Match returns nil if there is none. It ignores the port of the Host field
+// (RFC 9110, section 7.2).
 func (t *Table) Match(r *http.Request) *rpc.Route {
 	host := r.Host
 	if strings.IndexByte(host, ':') >= 0 {
@@ -41,7 +41,7 @@
 	requestPath := r.URL.Path
 	path := strings.TrimSuffix(requestPath, "/")
 	for {
-		var best *rpc.Route
+		var match *rpc.Route
 		for _, route := range t.byPath[path] {
 			if route.Host != "" && route.Host != host || !allowsMethod(route, r.Method) {
 				continue
@@ -49,12 +49,12 @@
 			if len(requestPath) < len(route.Path) && len(route.Path) > 1 && strings.HasSuffix(route.Path, "/") {
 				continue
 			}
-			if best == nil || best.Host == "" && route.Host != "" {
-				best = route
+			if match == nil || match.Host == "" && route.Host != "" {
+				match = route
 			}
 		}
-		if best != nil {
-			return best
+		if match != nil {
+			return match
 		}
 		slash := strings.LastIndexByte(path, '/')
 		if slash < 0 {
@@ -64,7 +64,7 @@
 	}
 }
 
-// allowsMethod reports whether the route takes the method; one without methods takes all.
+// allowsMethod reports whether the route allows the method. A route without methods allows all.
 func allowsMethod(route *rpc.Route, method string) bool {
 	if len(route.Methods) == 0 {
 		return true
@@ -77,7 +77,8 @@
 	return false
 }
 
-// ChooseService chooses one of the route's services at random, by their weights.
+// ChooseService returns one of the route's services at random, in proportion to their weights. If
+// all weights are zero, it returns the first.
 func ChooseService(route *rpc.Route) string {
 	total := 0
 	for _, split := range route.Services {
--- a/internal/proxy/routing/routing_test.go
+++ b/internal/proxy/routing/routing_test.go
@@ -38,16 +38,16 @@
 		t.Run(test.method+" "+test.host+test.path, func(t *testing.T) {
 			r := httptest.NewRequest(test.method, "http://"+test.host+test.path, nil)
 			if got := table.Match(r); got == nil || got.Name != test.want {
-				t.Errorf("%+v, not %s", got, test.want)
+				t.Errorf("got %+v, want %s", got, test.want)
 			}
 		})
 	}
 	if got := New(nil).Match(httptest.NewRequest("GET", "/", nil)); got != nil {
-		t.Error("an empty table matches", got)
+		t.Error("an empty table returned", got)
 	}
 }
 
-func TestChooseService_FollowsTheWeights(t *testing.T) {
+func TestChooseService_FollowsWeights(t *testing.T) {
 	route := &rpc.Route{Services: []rpc.WeightedService{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}, {Service: "c"}}}
 	counts := map[string]int{}
 	for range 10_000 {
@@ -58,6 +58,6 @@
 	}
 	route = &rpc.Route{Services: []rpc.WeightedService{{Service: "a"}, {Service: "b"}}}
 	if got := ChooseService(route); got != "a" {
-		t.Error("without weights it is", got)
+		t.Error("without weights, got", got)
 	}
 }
