--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -256,7 +256,7 @@
 	if n.Proxy == nil {
 		n.shutdownServers(ctx, ctx)
 	} else {
-		if count := n.shutdownServers(n.Proxy.GivenUp(), ctx); count > 0 {
+		if count := n.shutdownServers(n.Proxy.AbortContext(), ctx); count > 0 {
 			n.Env.Events.Emit(eventlog.RequestsCutOff, "requests", count)
 		}
 		n.Proxy.Close()
--- a/internal/proxy/admit.go
+++ b/internal/proxy/admit.go
@@ -10,8 +10,8 @@
 )
 
 // admit checks a request against this proxy's share of the service's quota and, if it has an
-// idempotency key, against what is known of that key. The caller ends an admitted request
-// with release.
+// idempotency key, against the state of that key. The caller must call release when an
+// admitted request ends.
 func (p *Proxy) admit(plan *requestPlan) (release func(), err error) {
 	inFlight := p.serviceInFlight(plan.service.Name)
 	count := inFlight.Add(1)
@@ -23,7 +23,7 @@
 		}
 	}
 	if plan.keyHash != 0 && plan.recordName == "" && !plan.idempotent {
-		if err := p.checkLossCover(plan); err != nil {
+		if err := p.checkLossCoverage(plan); err != nil {
 			release()
 			return nil, err
 		}
@@ -37,49 +37,50 @@
 	if plan.clientRetry && !p.withdrawRetry(plan) {
 		p.keyed.tracker.End(plan.keyHash, idempotency.Unheard)
 		release()
-		return nil, errcode.New(errcode.BudgetExhausted, "%s: a repeat of a request", plan.service.Name)
+		return nil, errcode.New(errcode.BudgetExhausted, "%s: retry of a request with a known idempotency key", plan.service.Name)
 	}
 	return release, nil
 }
 
-// checkLossCover checks whether a request with a key may be forwarded although it may get no
-// response, and its repeat come to a proxy that has not been told of that. Proxies tell
-// those that the epoch names, so it must name this one, and the retry budget must be able to
-// pay for the repeats.
-func (p *Proxy) checkLossCover(plan *requestPlan) error {
+// checkLossCoverage rejects a request with a key if its loss couldn't be accounted for: the
+// client's retry may reach a proxy that has not received the loss report. Reports go only to
+// proxies that the epoch lists, so it must list this one, and the retry budget must cover
+// retries that go unrecognized.
+func (p *Proxy) checkLossCoverage(plan *requestPlan) error {
 	if _, ok := plan.snapshot.Shares[p.environment.Name]; !ok {
-		return errcode.New(errcode.Overload, "epoch %d does not name this proxy yet", plan.snapshot.Epoch)
+		return errcode.New(errcode.Overload, "epoch %d does not list this proxy yet", plan.snapshot.Epoch)
 	}
 	if !p.retryBudget.CoversLosses(plan.service.Name, p.retryLimits(plan)) {
-		return errcode.New(errcode.Overload, "%s: lost requests are not known to all proxies yet", plan.service.Name)
+		return errcode.New(errcode.Overload, "%s: not all proxies have received the reports of lost requests yet", plan.service.Name)
 	}
 	return nil
 }
 
-// quotaShare is this proxy's share of a limit for all proxies together, by their strengths;
-// at least one. A proxy that the epoch does not name counts as one more of strength one.
+// quotaShare returns this proxy's share, at least one, of a limit for all proxies together. It
+// is proportional to the proxy's strength. A proxy that the epoch doesn't list gets the limit
+// divided by the number of listed proxies plus one.
 func (p *Proxy) quotaShare(snapshot *distribution.Snapshot, limit int) int64 {
 	total := 0
 	for _, strength := range snapshot.Shares {
 		total += strength
 	}
-	mine := snapshot.Shares[p.environment.Name]
-	if total == 0 || mine == 0 {
-		mine, total = 1, len(snapshot.Shares)+1
+	ownStrength := snapshot.Shares[p.environment.Name]
+	if total == 0 || ownStrength == 0 {
+		ownStrength, total = 1, len(snapshot.Shares)+1
 	}
-	return max(1, int64(limit)*int64(mine)/int64(total))
+	return max(1, int64(limit)*int64(ownStrength)/int64(total))
 }
 
-// serviceInFlight is the number of the service's requests in flight.
+// serviceInFlight returns the counter of the service's requests in flight.
 func (p *Proxy) serviceInFlight(service string) *atomic.Int64 {
-	if found, ok := p.counts.byService.Load(service); ok {
-		return found.(*atomic.Int64)
+	if counter, ok := p.counts.byService.Load(service); ok {
+		return counter.(*atomic.Int64)
 	}
-	found, _ := p.counts.byService.LoadOrStore(service, new(atomic.Int64))
-	return found.(*atomic.Int64)
+	counter, _ := p.counts.byService.LoadOrStore(service, new(atomic.Int64))
+	return counter.(*atomic.Int64)
 }
 
-// retryLimits is the limits of the settings, or the service's where these are lower.
+// retryLimits returns the lower of the settings' and the service's limits.
 func (p *Proxy) retryLimits(plan *requestPlan) retry.Limits {
 	limits := retry.Limits{Percent: p.environment.Config.RetryBudgetPercent, Base: p.environment.Config.RetryBudgetBase}
 	quota := plan.snapshot.Limits[plan.service.Name]
@@ -92,7 +93,8 @@
 	return limits
 }
 
-// withdrawRetry takes one extra request out of the service's retry budget.
+// withdrawRetry withdraws one extra request from the service's retry budget and reports
+// whether the budget sufficed.
 func (p *Proxy) withdrawRetry(plan *requestPlan) bool {
 	return p.retryBudget.Withdraw(plan.service.Name, p.retryLimits(plan))
 }
--- a/internal/proxy/body.go
+++ b/internal/proxy/body.go
@@ -11,16 +11,16 @@
 	"github.com/sumactrestle/sumactrestle/internal/errcode"
 )
 
-// maxReplayableBody is up to how many bytes a body is buffered, so that it can be sent again.
+// maxReplayableBody is the maximum size in bytes of a body that is buffered for retries.
 const maxReplayableBody = 64 << 10
 
-// errBodyTooLarge ends a streamed body that is larger than allowed.
-var errBodyTooLarge = errors.New("the body is too large")
+// errBodyTooLarge is returned by the read of a streamed body that exceeds its limit.
+var errBodyTooLarge = errors.New("request body too large")
 
 // requestBody returns a function that opens the request's body for an attempt; the reader is
-// nil if there is no body. Small bodies are buffered and can be opened again (replayable),
-// others stream. Where seals are opaque, targets can't be asked whether they want a body, so
-// it is buffered in any case.
+// nil if there is no body. Small bodies are buffered and can be opened again (replayable);
+// others are streamed. With opaque seals every body is buffered, because targets can't be
+// asked whether they want it.
 func (p *Proxy) requestBody(ctx context.Context, plan *requestPlan, r *http.Request) (open func() io.Reader, replayable bool, err error) {
 	maxBytes := int64(p.environment.Config.ProxyMaxRequestBytes)
 	if limits := plan.snapshot.ClientLimits; limits != nil && limits.BodyBytes > 0 {
@@ -41,14 +41,14 @@
 	if r.ContentLength > 0 && (r.ContentLength <= maxReplayableBody || p.opaqueSeals) {
 		buffered := make([]byte, r.ContentLength)
 		if _, err := io.ReadFull(r.Body, buffered); err != nil {
-			return nil, false, errcode.New(errcode.BadRequest, "the body ended early; nothing was forwarded")
+			return nil, false, errcode.New(errcode.BadRequest, "request body ended early; nothing was forwarded")
 		}
 		return func() io.Reader { return bytes.NewReader(buffered) }, true, nil
 	}
 	if p.opaqueSeals {
 		buffered, err := io.ReadAll(io.LimitReader(r.Body, maxBytes+1))
 		if err != nil {
-			return nil, false, errcode.New(errcode.BadRequest, "the body ended early; nothing was forwarded")
+			return nil, false, errcode.New(errcode.BadRequest, "request body ended early; nothing was forwarded")
 		}
 		if int64(len(buffered)) > maxBytes {
 			return nil, false, errcode.New(errcode.RequestTooLarge, "over %d bytes", maxBytes)
@@ -60,12 +60,12 @@
 	return func() io.Reader { return stream }, false, nil
 }
 
-// admitBody waits for the turn of a body that is about to be read. The caller ends the reading
-// with release.
+// admitBody waits until a body of the given size in bytes may be read. The caller must call
+// release when the body has been read.
 func (p *Proxy) admitBody(ctx context.Context, plan *requestPlan, size int64) (release func(), err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer context.AfterFunc(p.lifecycle.admissions, cancel)()
+	defer context.AfterFunc(p.lifecycle.admissionContext, cancel)()
 	deadline := plan.uploadDeadline(time.Now())
 	isAdmitted := p.uploads.Admit(ctx, size, deadline)
 	if isAdmitted {
@@ -74,19 +74,19 @@
 	switch {
 	case isAdmitted:
 		return release, nil
-	case p.lifecycle.admissions.Err() != nil:
+	case p.lifecycle.admissionContext.Err() != nil:
 		return nil, errcode.New(errcode.Stopping, "%s", plan.service.Name)
 	}
-	return nil, errcode.New(errcode.Overload, "no turn on the link for %d bytes in time", size)
+	return nil, errcode.New(errcode.Overload, "the link has no capacity for %d bytes in time", size)
 }
 
-// streamedBody is a client's body that is forwarded as it comes. It remembers an error of
-// the client's side, to tell it from one of the target's.
+// streamedBody is a client's body that is forwarded while it is received. It keeps a read
+// error, to distinguish a failure of the client's connection from one of the target's.
 type streamedBody struct {
 	source    io.Reader
-	remaining int64 // bytes that it may still have
-	err       error
-	// beforeFirstRead, if set, is called once before the first read; its error ends the body.
+	remaining int64 // bytes that may still be read
+	sourceErr error
+	// beforeFirstRead, if set, is called by Read until it succeeds; its errors are returned.
 	beforeFirstRead func() error
 }
 
@@ -102,18 +102,18 @@
 		err = errBodyTooLarge
 	}
 	if err != nil && err != io.EOF {
-		s.err = err
+		s.sourceErr = err
 	}
 	return n, err
 }
 
-// uncloseableBody is a body that a failed write closes without effect: it belongs to the
-// client's request.
+// uncloseableBody is a body whose Close does nothing. Writing a request closes its body, but
+// this one belongs to the client's request.
 type uncloseableBody struct{ io.Reader }
 
 func (uncloseableBody) Close() error { return nil }
 
-// streamOf is the streamed body of a request to a target; nil if it has none.
+// streamOf returns the streamed body of a request to a target, or nil if it has none.
 func streamOf(request *http.Request) *streamedBody {
 	if body, ok := request.Body.(uncloseableBody); ok {
 		if stream, ok := body.Reader.(*streamedBody); ok {
--- a/internal/proxy/epoch.go
+++ b/internal/proxy/epoch.go
@@ -8,19 +8,19 @@
 	"github.com/sumactrestle/sumactrestle/internal/proxy/routing"
 )
 
-// epochView is one epoch of the configuration, prepared for serving requests. It is made
-// once an epoch and not changed afterwards, except within its endpoint pools.
+// epochView is one epoch of the configuration, prepared for serving requests. It is immutable,
+// except for the state in its endpoint pools.
 type epochView struct {
 	snapshot     *distribution.Snapshot
 	routes       *routing.Table
-	pools        map[string]*endpoint.Pool     // by service
-	byReportID   map[string]*endpoint.Endpoint // by the names that proxies use among themselves
-	endpointKeys map[string]bool               // of all targets, also those of weight zero
-	zoneProxies  int                           // proxies that share the endpoints of this zone
+	pools        map[string]*endpoint.Pool     // by service name
+	byReportID   map[string]*endpoint.Endpoint // by Endpoint.ReportID
+	endpointKeys map[string]bool               // keys of all targets, including those of weight zero
+	zoneProxies  int                           // number of proxies that share the endpoints of this zone
 }
 
-// newEpochView prepares an epoch. Routes that have not changed, and what is known of
-// endpoints, are taken over from the previous view, which may be nil.
+// newEpochView prepares an epoch. It reuses the routing table, if no route changed, and the
+// state of endpoints from the previous view, which may be nil.
 func (p *Proxy) newEpochView(snapshot *distribution.Snapshot, previous *epochView) *epochView {
 	view := &epochView{
 		snapshot:     snapshot,
@@ -58,7 +58,8 @@
 	return view
 }
 
-// hasSameRoutes reports whether the routes are those of the previous view.
+// hasSameRoutes reports whether the previous view is non-nil and has the same routes, by the
+// digests in the manifest.
 func (v *epochView) hasSameRoutes(previous *epochView) bool {
 	if previous == nil || len(previous.snapshot.Routes) != len(v.snapshot.Routes) {
 		return false
@@ -71,12 +72,12 @@
 	return true
 }
 
-// zoneProxies counts the proxies of this zone that the epoch names and that seem to live; at
-// least one, for this proxy may not be named yet.
+// zoneProxies returns the number of live proxies in this zone that the epoch lists. It is at
+// least one, because the epoch may not list this proxy yet.
 func (p *Proxy) zoneProxies(snapshot *distribution.Snapshot) int {
 	count := 0
 	for name, member := range p.membership.View() {
-		if _, named := snapshot.Shares[name]; named && member.Zone == p.environment.Config.Zone && member.IsLive() {
+		if _, listed := snapshot.Shares[name]; listed && member.Zone == p.environment.Config.Zone && member.IsLive() {
 			count++
 		}
 	}
--- a/internal/proxy/forward.go
+++ b/internal/proxy/forward.go
@@ -14,16 +14,17 @@
 
 // forward sends a request to one target after another until one responds.
 //
-// An attempt that surely ran nothing may be followed by another; one that may have run
-// something only if the request is idempotent (RFC 9110, section 9.2.2). Each target beyond
-// the first that the request was sent to is paid for from the retry budget. A server error
-// in response to an idempotent request is handed on only if no other target does better.
+// After an attempt that certainly did not run the request, another target is tried. After one
+// that may have run it, only idempotent requests are retried (RFC 9110, section 9.2.2). Once the
+// request was sent to a target, each further attempt is charged to the retry budget. A server
+// error in response to an idempotent request whose body can be resent is returned only if no
+// other target gives a better response.
 func (p *Proxy) forward(plan *requestPlan, r *http.Request) (*upstream.Response, error) {
-	ctx, cancel := context.WithDeadline(p.lifecycle.forwards, plan.deadline)
+	ctx, cancel := context.WithDeadline(p.lifecycle.forwardContext, plan.deadline)
 	defer cancel()
 	if plan.idempotent {
-		// A target works for nobody once the client has gone; what is not idempotent
-		// is left to end, for it may have run.
+		// Cancel only idempotent requests when the client disconnects. Others may have run,
+		// so their outcome is awaited.
 		defer context.AfterFunc(r.Context(), cancel)()
 	}
 	body, replayable, err := p.requestBody(ctx, plan, r)
@@ -31,18 +32,18 @@
 		return nil, err
 	}
 	var lastErr error
-	var failed *upstream.Response
-	sent, misses := 0, 0
-	written := false
-	for sent < plan.maxAttempts && misses < defaultMaxAttempts {
+	var serverError *upstream.Response
+	sentCount, unsentCount := 0, 0
+	anyMayHaveRun := false
+	for sentCount < plan.maxAttempts && unsentCount < defaultMaxAttempts {
 		if r.Context().Err() != nil {
-			if !written {
-				lastErr = errcode.New(errcode.NotWritten, "%s: the client has gone", plan.service.Name)
+			if !anyMayHaveRun {
+				lastErr = errcode.New(errcode.NotWritten, "%s: client disconnected", plan.service.Name)
 			}
 			break
 		}
-		if p.lifecycle.isOver() {
-			if !written {
+		if p.lifecycle.isAborted() {
+			if !anyMayHaveRun {
 				lastErr = errcode.New(errcode.Stopping, "%s", plan.service.Name)
 			}
 			break
@@ -51,37 +52,37 @@
 			break
 		}
 		candidate := p.selectEndpoint(plan, r.ContentLength)
-		if candidate == nil || sent > 0 && (time.Now().After(plan.deadline) || !p.withdrawRetry(plan)) {
+		if candidate == nil || sentCount > 0 && (time.Now().After(plan.deadline) || !p.withdrawRetry(plan)) {
 			break
 		}
 		plan.tried = append(plan.tried, candidate)
-		result := p.attempt(ctx, plan, r, candidate, body, sent)
-		sent, plan.hedges = sent+plan.hedges, 0
+		result := p.attempt(ctx, plan, r, candidate, body, sentCount)
+		sentCount, plan.hedges = sentCount+plan.hedges, 0
 		if result.err == nil {
 			if result.response.HTTP.StatusCode < 500 || !plan.idempotent || !replayable {
 				return result.response, nil
 			}
-			failed = result.response
-			sent++
+			serverError = result.response
+			sentCount++
 			continue
 		}
 		mayHaveRun := result.mayHaveRun()
-		written = written || mayHaveRun
+		anyMayHaveRun = anyMayHaveRun || mayHaveRun
 		if result.wrote {
-			sent++
+			sentCount++
 		} else {
-			misses++
+			unsentCount++
 		}
 		p.environment.Events.Emit(eventlog.AttemptFailed, "request", plan.requestID, "service", plan.service.Name, "instance", candidate.Target.Instance, "wrote", result.wrote, "cause", result.err.Error())
-		if !written || mayHaveRun {
+		if !anyMayHaveRun || mayHaveRun {
 			lastErr = result.err
 		}
 		if mayHaveRun && !plan.idempotent || result.wrote && !replayable && !result.withheld || errors.Is(result.err, errcode.NotFresh) && result.response == nil || errors.Is(result.err, errcode.BodyCut) {
 			break
 		}
 	}
-	if failed != nil {
-		return failed, nil
+	if serverError != nil {
+		return serverError, nil
 	}
 	if lastErr == nil {
 		lastErr = errcode.New(errcode.NotWritten, "%s", plan.service.Name)
@@ -89,7 +90,8 @@
 	return nil, lastErr
 }
 
-// selectEndpoint selects the endpoint for the next attempt; nil if there is none left.
+// selectEndpoint returns the endpoint for the next attempt, or nil if there is none left.
+// bodySize is in bytes.
 func (p *Proxy) selectEndpoint(plan *requestPlan, bodySize int64) *endpoint.Endpoint {
 	return plan.endpoints.Select(endpoint.Selection{
 		Tried:            plan.tried,
--- a/internal/proxy/handover.go
+++ b/internal/proxy/handover.go
@@ -14,50 +14,49 @@
 	"github.com/sumactrestle/sumactrestle/internal/proxy/upstream"
 )
 
-// handOver is the writing of one request to one target. It asks right before the first byte
-// whether the request may still be handed over, and again before a body that streams. Where
-// the answer is no, what has not been asked for was not written: nothing, or nothing but the
-// head, and without its body nothing runs.
-type handOver struct {
+// requestWriter writes one request to one target. It calls check immediately before the first
+// byte, and again before a streamed body. If check fails, the request is withheld: nothing was
+// written, or only the head, and a target doesn't run a request without its body.
+type requestWriter struct {
 	connection *upstream.Connection
-	// check returns why the request may not be handed over any more; nil if it may.
+	// check returns an error if the request must no longer be sent to the target.
 	check func() error
-	// onBegin is called once, as soon as the first bytes are written or could not be.
-	onBegin func()
+	// onFirstWrite is called once, after the first write has succeeded or failed.
+	onFirstWrite func()
 
-	checkedAt time.Time // of the first byte; zero before
-	written   int       // bytes
-	err       error     // why the rest was not written; nil if it was, or if writing itself failed
+	checkedAt   time.Time // when check succeeded before the first byte; zero before that
+	written     int       // bytes
+	withheldErr error     // why the rest was withheld; nil if it was written or a write failed
 }
 
-// Write writes a part of the request.
-func (h *handOver) Write(data []byte) (int, error) {
-	if h.checkedAt.IsZero() {
-		if h.err = h.check(); h.err != nil {
-			return 0, h.err
+// Write implements io.Writer. It writes a part of the request to the connection.
+func (w *requestWriter) Write(data []byte) (int, error) {
+	if w.checkedAt.IsZero() {
+		if w.withheldErr = w.check(); w.withheldErr != nil {
+			return 0, w.withheldErr
 		}
-		h.checkedAt = time.Now()
-		defer h.onBegin() // nothing stands between the check and the write
+		w.checkedAt = time.Now()
+		defer w.onFirstWrite() // deferred, so that nothing delays the write after the check
 	}
-	n, err := h.connection.Write(data)
-	h.written += n
+	n, err := w.connection.Write(data)
+	w.written += n
 	return n, err
 }
 
-// writeRequest writes the request, once. A body that streams follows its head only when the
-// server wants it (Expect: 100-continue, RFC 9110, section 10.1.1).
-func (h *handOver) writeRequest(ctx context.Context, request *http.Request) error {
+// writeRequest writes the request. It may be called only once. A streamed body is written only
+// after the target requests it (Expect: 100-continue, RFC 9110, section 10.1.1).
+func (w *requestWriter) writeRequest(ctx context.Context, request *http.Request) error {
 	stream := streamOf(request)
 	if stream == nil {
-		return request.Write(h)
+		return request.Write(w)
 	}
-	buffer := bufio.NewWriter(h)
+	buffer := bufio.NewWriter(w)
 	stream.beforeFirstRead = func() error {
 		if err := buffer.Flush(); err != nil {
 			return err
 		}
-		h.err = h.awaitContinue(ctx)
-		return h.err
+		w.withheldErr = w.awaitContinue(ctx)
+		return w.withheldErr
 	}
 	request.Header.Set("Expect", "100-continue")
 	if err := request.Write(buffer); err != nil {
@@ -66,44 +65,45 @@
 	return buffer.Flush()
 }
 
-// awaitContinue waits until the server wants the body. A head that is taken later than
-// upstream.UnackedTimeout after it was checked is given up, also where this process itself was
-// held up: the server would run the request under a configuration that is long past.
-func (h *handOver) awaitContinue(ctx context.Context) error {
-	if err := h.connection.AwaitContinue(ctx); err != nil {
+// awaitContinue waits until the target requests the body. If that takes longer than
+// upstream.UnackedTimeout since the check before the first byte, even because this process was
+// suspended, the body is withheld: the target would run the request under an outdated
+// configuration.
+func (w *requestWriter) awaitContinue(ctx context.Context) error {
+	if err := w.connection.AwaitContinue(ctx); err != nil {
 		return err
 	}
 	switch {
 	case ctx.Err() != nil:
-		// The connection ends at the same moment, which looks as if the server had answered.
+		// The connection's end at the same moment may be mistaken for a response.
 		return ctx.Err()
-	case time.Since(h.checkedAt) > upstream.UnackedTimeout:
+	case time.Since(w.checkedAt) > upstream.UnackedTimeout:
 		return upstream.ErrContinueTimeout
 	}
-	return h.check()
+	return w.check()
 }
 
-// isWithheld tells whether what would have let the request run was held back on purpose.
-func (h *handOver) isWithheld() bool { return h.err != nil }
+// isWithheld reports whether the request or its body was intentionally not written.
+func (w *requestWriter) isWithheld() bool { return w.withheldErr != nil }
 
-// withheldError is the error of a request that was withheld: it has not run.
-func (p *Proxy) withheldError(h *handOver, instance string) error {
+// withheldError returns the error of a withheld request, which has not run.
+func (p *Proxy) withheldError(writer *requestWriter, instance string) error {
 	switch {
-	case errors.Is(h.err, errcode.NotFresh):
-		return h.err
-	case p.lifecycle.isOver():
+	case errors.Is(writer.withheldErr, errcode.NotFresh):
+		return writer.withheldErr
+	case p.lifecycle.isAborted():
 		return errcode.New(errcode.Stopping, "%s: the body was not sent", instance)
 	}
-	return errcode.New(errcode.NotWritten, "%s: the body was not sent: %v", instance, h.err)
+	return errcode.New(errcode.NotWritten, "%s: the body was not sent: %v", instance, writer.withheldErr)
 }
 
-// snapshotFor returns the epoch under which the request is handed to the target: the one in
-// use, if it is fresh, the target is in it, and it leads the request to the same route as the
-// plan's. The plan may be seconds old: its body, its turn, an idempotency record, connections
-// and other targets were waited for. So the request names this epoch, and not the plan's.
-func (p *Proxy) snapshotFor(plan *requestPlan, r *http.Request, to *endpoint.Endpoint) (*distribution.Snapshot, error) {
+// snapshotFor returns the snapshot under which the request is sent to the target: the current
+// one, if it is fresh, contains the target, and matches the request to the plan's route. The
+// request carries the current epoch, not the plan's, because the plan may be seconds old after
+// waiting for the body, admission, an idempotency record, connections and other targets.
+func (p *Proxy) snapshotFor(plan *requestPlan, r *http.Request, ep *endpoint.Endpoint) (*distribution.Snapshot, error) {
 	view := p.epoch.Load()
-	if !view.endpointKeys[to.Key] || !p.configuration.IsFresh(view.snapshot, plan.service.Name) {
+	if !view.endpointKeys[ep.Key] || !p.configuration.IsFresh(view.snapshot, plan.service.Name) {
 		return nil, errcode.New(errcode.NotFresh, "epoch %d", view.snapshot.Epoch)
 	}
 	if view.snapshot != plan.snapshot {
--- a/internal/proxy/headers.go
+++ b/internal/proxy/headers.go
@@ -4,10 +4,10 @@
 	"github.com/sumactrestle/sumactrestle/internal/proxy/idempotency"
 )
 
-// headerPrefix begins the names of the project's own header fields.
+// headerPrefix is the prefix of the project's header field names.
 const headerPrefix = "Sumac-"
 
-// The header fields between a proxy and a server, and towards the client.
+// Header fields exchanged between proxies, targets and clients.
 const (
 	HeaderRequestID      = headerPrefix + "Request"
 	HeaderAttempt        = headerPrefix + "Try"
@@ -21,6 +21,6 @@
 	HeaderIdempotencyKey = idempotency.HeaderKey
 )
 
-// NotRunSuperseded is the value of the setting header.not_executed's header by which a target says
-// that it refuses the epoch of a request and not the request itself.
+// NotRunSuperseded is the value of the header field set by header.not_executed with which a
+// target rejects the epoch of a request, and not the request itself.
 const NotRunSuperseded = "superseded"
--- a/internal/proxy/hedge.go
+++ b/internal/proxy/hedge.go
@@ -9,20 +9,20 @@
 	"github.com/sumactrestle/sumactrestle/internal/errcode"
 )
 
-// An idempotent request whose response is overdue is hedged: sent to a second target too,
-// paid for from the retry budget, and the first final response is taken (Dean and Barroso,
-// "The Tail at Scale", 2013). The other attempt goes on by itself to its end: a target at
-// work is not broken off, its connection is used again, and how long it took is learnt.
+// An idempotent request without a body whose response is overdue is hedged: it is also sent to a
+// second target, charged to the retry budget, and the first final response is used (Dean and
+// Barroso, "The Tail at Scale", 2013). The other attempt is not canceled, so that its connection
+// can be reused and its latency is recorded.
 
-// unresponsiveFactor is after how many times the typical latency a target that has not responded
-// counts as silent.
+// unresponsiveFactor is the multiple of the typical latency after which a target that has not
+// responded counts as unresponsive.
 const unresponsiveFactor = 5
 
-// hedgeDelay is how long after a request was sent its response is overdue. It follows from
-// what the service usually takes and from the latency target, so that a service which is
-// slow as a whole is not given more to do: late enough that most responses have come, early
-// enough that a second one may still come within the target. Where the target leaves no time
-// for a second one, only silence counts.
+// hedgeDelay returns the time after sending a request at which its response is overdue. It is
+// long enough that most responses have arrived, and short enough that a hedge can still respond
+// within the latency target. It depends on the service's typical latency, so that hedges don't
+// add load to a service that is slow as a whole. If the latency target leaves no time for a
+// hedge, the response is overdue after three times the typical latency.
 func hedgeDelay(typical, target time.Duration) time.Duration {
 	delay := min(typical*5/2, target-typical)
 	if delay < typical*3/2 {
@@ -31,7 +31,7 @@
 	return delay
 }
 
-// awaitResponse awaits the response of an attempt, and that of its hedge once it is overdue.
+// awaitResponse awaits the response of an attempt, and that of its hedge if one is sent.
 func (p *Proxy) awaitResponse(ctx context.Context, plan *requestPlan, r *http.Request, sent *sentAttempt, openBody func() io.Reader, index int) attemptResult {
 	var overdue <-chan time.Time
 	typical := plan.endpoints.TypicalLatency()
@@ -41,59 +41,59 @@
 		if mayHedge {
 			delay = hedgeDelay(typical, plan.latencyTarget)
 		}
-		wakeup := time.NewTimer(delay)
-		defer wakeup.Stop()
-		overdue = wakeup.C
+		timer := time.NewTimer(delay)
+		defer timer.Stop()
+		overdue = timer.C
 	}
-	var hedge <-chan attemptResult
-	var hedged attemptResult // what the hedge came to, once it has ended without a final response
+	var hedgeResults <-chan attemptResult
+	var hedgeResult attemptResult // result of a hedge that ended without a final response
 	for {
 		select {
 		case response := <-sent.responses:
-			first := p.finishAttempt(plan, sent, &response)
+			result := p.finishAttempt(plan, sent, &response)
 			sent.end()
-			if hedge != nil && !first.isFinal() {
-				hedged = <-hedge
+			if hedgeResults != nil && !result.isFinal() {
+				hedgeResult = <-hedgeResults
 			}
-			if hedged.says() > first.says() {
-				first = hedged
+			if hedgeResult.outcomeRank() > result.outcomeRank() {
+				result = hedgeResult
 			}
-			return attemptResult{response: first.response, wrote: true, err: first.err}
+			return attemptResult{response: result.response, wrote: true, err: result.err}
 		case <-overdue:
 			if !plan.endpoints.NearBaseline() {
 				break
 			}
-			sent.to.AddOverdue(1)
+			sent.endpoint.AddOverdue(1)
 			sent.overdue = true
 			if mayHedge {
-				hedge = p.hedge(plan, r, openBody, index+1)
+				hedgeResults = p.hedge(plan, r, openBody, index+1)
 			} else {
-				p.outliers.Report(sent.to)
+				p.outliers.Report(sent.endpoint)
 			}
-		case second := <-hedge:
-			hedge = nil
-			if second.isFinal() {
-				p.environment.Go(func() { p.awaitAbandoned(plan, sent, typical) })
-				return attemptResult{response: second.response, wrote: true}
+		case result := <-hedgeResults:
+			hedgeResults = nil
+			if result.isFinal() {
+				p.environment.Go(func() { p.awaitSuperseded(plan, sent, typical) })
+				return attemptResult{response: result.response, wrote: true}
 			}
-			hedged = second
+			hedgeResult = result
 		case <-ctx.Done():
 			sent.connection.Abort()
 			sent.end()
 			if r.Context().Err() != nil {
-				return attemptResult{wrote: true, err: errcode.New(errcode.ClientGone, "%s", sent.to.Target.Instance)}
+				return attemptResult{wrote: true, err: errcode.New(errcode.ClientGone, "%s", sent.endpoint.Target.Instance)}
 			}
-			if p.lifecycle.isOver() {
-				return attemptResult{wrote: true, err: errcode.New(errcode.ResponseLost, "%s: the proxy stops", sent.to.Target.Instance)}
+			if p.lifecycle.isAborted() {
+				return attemptResult{wrote: true, err: errcode.New(errcode.ResponseLost, "%s: the proxy is stopping", sent.endpoint.Target.Instance)}
 			}
-			sent.to.RecordFailure(time.Now(), false)
-			return attemptResult{wrote: true, err: errcode.New(errcode.DeadlinePassed, "%s", sent.to.Target.Instance)}
+			sent.endpoint.RecordFailure(time.Now(), false)
+			return attemptResult{wrote: true, err: errcode.New(errcode.DeadlinePassed, "%s", sent.endpoint.Target.Instance)}
 		}
 	}
 }
 
-// hedge sends the request to a second target, from a task of the environment that ends with
-// the plan's deadline. It returns nil if there is no usable target, or no budget.
+// hedge sends the request to a second target in a background task, which ends by the plan's
+// deadline. It returns nil if there is no usable target, hedge allowance or retry budget.
 func (p *Proxy) hedge(plan *requestPlan, r *http.Request, openBody func() io.Reader, index int) <-chan attemptResult {
 	candidate := p.selectEndpoint(plan, r.ContentLength)
 	if candidate == nil || !candidate.Usable(time.Now()) || !plan.endpoints.TakeHedge() || !p.withdrawRetry(plan) {
@@ -103,16 +103,16 @@
 	plan.hedges++
 	results := make(chan attemptResult, 1)
 	p.environment.Go(func() {
-		ctx, cancel := context.WithDeadline(p.lifecycle.forwards, plan.deadline)
+		ctx, cancel := context.WithDeadline(p.lifecycle.forwardContext, plan.deadline)
 		defer cancel()
 		results <- p.attempt(ctx, plan, r, candidate, openBody, index)
 	})
 	return results
 }
 
-// awaitAbandoned awaits a response that nobody needs any more, to learn from it and to use
-// the connection again. The connection's deadline bounds it.
-func (p *Proxy) awaitAbandoned(plan *requestPlan, sent *sentAttempt, typical time.Duration) {
+// awaitSuperseded awaits the response of an attempt whose hedge has already responded, to record
+// its result and reuse the connection. It ends by the connection's deadline.
+func (p *Proxy) awaitSuperseded(plan *requestPlan, sent *sentAttempt, typical time.Duration) {
 	defer sent.end()
 	unresponsive := time.NewTimer(time.Until(sent.sentAt.Add(unresponsiveFactor * typical)))
 	defer unresponsive.Stop()
@@ -123,7 +123,7 @@
 			return
 		case <-unresponsive.C:
 			if plan.endpoints.NearBaseline() {
-				p.outliers.Report(sent.to)
+				p.outliers.Report(sent.endpoint)
 			}
 		case <-p.environment.Done():
 			sent.connection.Abort()
@@ -132,10 +132,11 @@
 	}
 }
 
-// says ranks what an attempt tells of a request that was sent to two targets: a final response,
-// then another response of one that ran it, then that one may have run it; only then a
-// refusal, and last an attempt of which nothing can run.
-func (a attemptResult) says() int {
+// outcomeRank ranks the results of a request that was sent to two targets; the higher one is
+// returned. From the highest: a final response, another response of a target that ran the
+// request, a target that may have run it, a target that reports that it did not run it, and an
+// attempt that certainly did not run it.
+func (a attemptResult) outcomeRank() int {
 	switch {
 	case a.response != nil && a.isFinal():
 		return 4
--- a/internal/proxy/lifecycle.go
+++ b/internal/proxy/lifecycle.go
@@ -6,59 +6,61 @@
 	"time"
 )
 
-// answerMargin is how long before the end of a planned stop whatever is still in flight is
-// given up, so that its client gets an answer before the connection ends.
-const answerMargin = 200 * time.Millisecond
+// responseMargin is how long before the end of a planned stop requests in flight are aborted,
+// so that clients receive a response before their connections close.
+const responseMargin = 200 * time.Millisecond
 
-// lifecycle is how far the proxy's shutdown has come.
+// lifecycle holds the state of the proxy's shutdown.
 type lifecycle struct {
-	draining atomic.Bool // still serves, and closes each connection after its next response
-	stopping atomic.Bool // rejects all requests
-	// answersBy is when the last answer has to go out; nil before the shutdown begins. No
-	// request that comes after its beginning has a later deadline.
-	answersBy atomic.Pointer[time.Time]
+	draining atomic.Bool // requests are served, but each client connection closes after its next response
+	stopping atomic.Bool // all new requests are rejected
+	// responseDeadline is when requests in flight are aborted and answered; nil before the
+	// shutdown begins. It caps the deadline of each request planned after that.
+	responseDeadline atomic.Pointer[time.Time]
 
-	// admissions is done when large bodies that wait for their turn are given up, forwards
-	// when everything that is in flight is. Both end with the environment.
-	admissions, forwards       context.Context
-	endAdmissions, endForwards context.CancelFunc
+	// admissionContext is canceled to abort large bodies that wait for admission,
+	// forwardContext to abort all requests in flight. Both are children of the environment's
+	// context.
+	admissionContext, forwardContext context.Context
+	cancelAdmissions, cancelForwards context.CancelFunc
 }
 
-// init prepares the contexts under a parent.
+// init derives the contexts from parent.
 func (l *lifecycle) init(parent context.Context) {
-	l.admissions, l.endAdmissions = context.WithCancel(parent)
-	l.forwards, l.endForwards = context.WithCancel(parent)
+	l.admissionContext, l.cancelAdmissions = context.WithCancel(parent)
+	l.forwardContext, l.cancelForwards = context.WithCancel(parent)
 }
 
-// bound returns a deadline, or the last moment for an answer if that is earlier.
-func (l *lifecycle) bound(deadline time.Time) time.Time {
-	if answersBy := l.answersBy.Load(); answersBy != nil && answersBy.Before(deadline) {
-		return *answersBy
+// capDeadline returns the earlier of deadline and responseDeadline.
+func (l *lifecycle) capDeadline(deadline time.Time) time.Time {
+	if responseDeadline := l.responseDeadline.Load(); responseDeadline != nil && responseDeadline.Before(deadline) {
+		return *responseDeadline
 	}
 	return deadline
 }
 
-// isOver tells whether everything that is in flight is given up.
-func (l *lifecycle) isOver() bool { return l.forwards.Err() != nil }
+// isAborted reports whether all requests in flight are aborted.
+func (l *lifecycle) isAborted() bool { return l.forwardContext.Err() != nil }
 
-// Drain serves on, and closes each connection of a client after its next response. Whatever
-// is still in flight shortly before end is answered then: with a refusal if no target was
-// handed it, and else with what is known of it.
+// Drain begins the shutdown and returns immediately. Requests are still served, but each client
+// connection closes after its next response. Requests still in flight shortly before end are
+// aborted and answered with an error that states whether they may have run.
 func (p *Proxy) Drain(end time.Time) {
-	answersBy := end.Add(-answerMargin)
-	p.lifecycle.answersBy.Store(&answersBy)
+	responseDeadline := end.Add(-responseMargin)
+	p.lifecycle.responseDeadline.Store(&responseDeadline)
 	p.lifecycle.draining.Store(true)
 	p.environment.Go(func() {
-		// A refusal before the body was read takes halfCloseTime to arrive.
-		p.environment.Sleep(time.Until(answersBy) - halfCloseTime)
-		p.lifecycle.endAdmissions()
-		p.environment.Sleep(time.Until(answersBy))
-		p.lifecycle.endForwards()
+		// Waiting bodies are rejected earlier, because their connections then stay half-closed
+		// for halfCloseDuration.
+		p.environment.Sleep(time.Until(responseDeadline) - halfCloseDuration)
+		p.lifecycle.cancelAdmissions()
+		p.environment.Sleep(time.Until(responseDeadline))
+		p.lifecycle.cancelForwards()
 	})
 }
 
-// GivenUp is done when everything in flight is given up, and its answers go out.
-func (p *Proxy) GivenUp() context.Context { return p.lifecycle.forwards }
+// AbortContext returns a context that is canceled when all requests in flight are aborted.
+func (p *Proxy) AbortContext() context.Context { return p.lifecycle.forwardContext }
 
-// Stop rejects all requests from now on.
+// Stop makes the proxy reject all new requests.
 func (p *Proxy) Stop() { p.lifecycle.stopping.Store(true) }
--- a/internal/proxy/plan.go
+++ b/internal/proxy/plan.go
@@ -16,49 +16,50 @@
 )
 
 const (
-	// defaultMaxAttempts is how many targets one request is sent to, if its route names no
-	// number.
+	// defaultMaxAttempts is the maximum number of targets a request is sent to, unless its route
+	// sets one. It also limits the attempts that fail before anything is written.
 	defaultMaxAttempts = 4
 
-	// maxRequestedDeadline bounds, in milliseconds, the deadline that a client may ask for.
+	// maxRequestedDeadline is in milliseconds. A client's deadline of this value or more is
+	// ignored.
 	maxRequestedDeadline = 3600_000
 
-	// minConnectTimeout is the least time for a connection to a target, unless the settings
-	// name less.
+	// minConnectTimeout is the minimum timeout for connecting to a target, unless the
+	// configured timeout is shorter.
 	minConnectTimeout = 250 * time.Millisecond
 )
 
-// requestPlan is what is to be done with a request, made as data before anything is done,
-// and how far it has come. Only the request's own goroutine changes it, except upstreamTime.
+// requestPlan holds the decisions made for a request before it is admitted, and its progress.
+// Only the request's goroutine changes it, except for the atomic fields.
 type requestPlan struct {
 	requestID string
 
-	// What the epoch says.
+	// Derived from the epoch's configuration.
 	snapshot      *distribution.Snapshot
 	route         *rpc.Route
 	service       rpc.Service
 	endpoints     *endpoint.Pool
 	zoneProxies   int
-	idempotent    bool // may be repeated by anyone (RFC 9110, section 9.2.2), as the route says
-	maxAttempts   int  // targets that it may be sent to
+	idempotent    bool // the route declares repeats safe (RFC 9110, section 9.2.2)
+	maxAttempts   int  // maximum number of targets
 	latencyTarget time.Duration
 	deadline      time.Time
 
-	// The client's idempotency key.
-	keyHash     uint64 // zero if there is none
-	recordName  string // of the record to acquire; empty if none is needed
-	clientRetry bool   // repeats a request that is known here
+	// Derived from the client's idempotency key.
+	keyHash     uint64 // zero without a key
+	recordName  string // idempotency record to acquire; empty if none is needed
+	clientRetry bool   // the key is already known to this proxy's tracker
 
-	// How far it has come.
-	bodyRead     bool // some of the body may have been read
+	// Progress.
+	bodyRead     bool // reading the body may have begun
 	tried        []*endpoint.Endpoint
-	hedges       int           // sent beside the attempt under way
-	handedOver   atomic.Uint64 // the greatest epoch under which it was handed to a target
-	upstreamTime atomic.Int64  // nanoseconds that targets took; a hedged attempt may end later
+	hedges       int           // sent in addition to the current attempt
+	writtenEpoch atomic.Uint64 // highest epoch under which it was written to a target
+	upstreamTime atomic.Int64  // nanoseconds spent on targets; a hedged attempt may add to it later
 }
 
-// plan plans a request. The plan that comes with an error, if any, says at least under which
-// epoch the error arose.
+// plan plans a request. A non-nil plan returned with an error holds at least the snapshot under
+// which the error occurred.
 func (p *Proxy) plan(r *http.Request, requestID string) (*requestPlan, error) {
 	view := p.epoch.Load()
 	if view == nil {
@@ -86,7 +87,7 @@
 		plan.recordName = idempotency.RecordName(r)
 	}
 	now := time.Now()
-	plan.deadline = p.lifecycle.bound(p.deadline(r, plan.route, now))
+	plan.deadline = p.lifecycle.capDeadline(p.deadline(r, plan.route, now))
 	plan.latencyTarget = time.Duration(plan.route.LatencyTargetMillis) * time.Millisecond
 	if plan.latencyTarget <= 0 {
 		plan.latencyTarget = plan.deadline.Sub(now) / 4
@@ -101,7 +102,7 @@
 	return plan, nil
 }
 
-// deadline is the route's or the default one, or the client's if that is earlier.
+// deadline returns the route's deadline or the default, or the client's if that is earlier.
 func (p *Proxy) deadline(r *http.Request, route *rpc.Route, now time.Time) time.Time {
 	deadline := now.Add(p.environment.Config.ProxyDefaultDeadline)
 	if route.DeadlineMillis > 0 {
@@ -115,36 +116,40 @@
 	return deadline
 }
 
-// connectTimeout is how long a connection to a target may take: the latency target at most,
-// so that another target can still be tried.
+// connectTimeout returns the timeout for connecting to a target: the configured one, limited to
+// the latency target so that another target can still be tried, but not below minConnectTimeout
+// unless the configured one is.
 func (rp *requestPlan) connectTimeout(configured time.Duration) time.Duration {
 	return min(configured, max(rp.latencyTarget, minConnectTimeout))
 }
 
-// uploadDeadline is until when the turn of the request's body may come: one that would start
-// later than it should have ended is rejected.
+// uploadDeadline returns the latest time at which the body may be scheduled: the end of the
+// latency target, or the request's deadline if that is earlier.
 func (rp *requestPlan) uploadDeadline(now time.Time) time.Time {
-	limit := now.Add(rp.latencyTarget)
-	if rp.deadline.Before(limit) {
+	latest := now.Add(rp.latencyTarget)
+	if rp.deadline.Before(latest) {
 		return rp.deadline
 	}
-	return limit
+	return latest
 }
 
-// noteHandOver notes that the request is handed to a target under an epoch.
-func (rp *requestPlan) noteHandOver(epoch ids.Epoch) {
+// recordHandOver records that the request is written to a target under an epoch.
+func (rp *requestPlan) recordWrittenEpoch(epoch ids.Epoch) {
 	for {
-		noted := rp.handedOver.Load()
-		if noted >= uint64(epoch) || rp.handedOver.CompareAndSwap(noted, uint64(epoch)) {
+		recorded := rp.writtenEpoch.Load()
+		if recorded >= uint64(epoch) || rp.writtenEpoch.CompareAndSwap(recorded, uint64(epoch)) {
 			return
 		}
 	}
 }
 
-// epoch is the one under which the request was handed over; the plan's if it was not.
+// epoch returns the highest epoch under which the request was written to a target, or the
+// plan's if it was not written.
 func (rp *requestPlan) epoch() ids.Epoch {
-	return max(rp.snapshot.Epoch, ids.Epoch(rp.handedOver.Load()))
+	return max(rp.snapshot.Epoch, ids.Epoch(rp.writtenEpoch.Load()))
 }
 
-// addUpstreamTime adds the time since a request was sent to a target.
-func (rp *requestPlan) addUpstreamTime(sent time.Time) { rp.upstreamTime.Add(int64(time.Since(sent))) }
+// addUpstreamTime adds the time since sentAt, when the request was sent to a target.
+func (rp *requestPlan) addUpstreamTime(sentAt time.Time) {
+	rp.upstreamTime.Add(int64(time.Since(sentAt)))
+}
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -1,15 +1,14 @@
-// Package proxy is the path of a request through a proxy.
+// Package proxy forwards client requests to targets.
 //
-// ServeHTTP plans each request as data (plan.go), admits it (admit.go), forwards it to one
-// target after another until one responds (forward.go, attempt.go, hedge.go), and writes the
-// response (respond.go). A request that can't be served is answered at once, with a numbered
-// error code, its outcome as far as it is known ("ran", "not run", "unknown"), and a spread
-// Retry-After; none is ever held back.
+// ServeHTTP plans each request (plan.go), admits it (admit.go), forwards it to one target
+// after another until one responds (forward.go, attempt.go, hedge.go), and writes the response
+// (respond.go). A request that can't be served is rejected immediately with a numbered error
+// code, its outcome as far as it is known ("ran", "not run" or "unknown"), and a randomized
+// Retry-After.
 //
-// The parts that stand by themselves are packages of their own: routing finds the route,
-// endpoint selects the target, outlier shares failures among proxies, upstream holds the
-// connections, retry bounds extra requests, admission schedules large bodies, and
-// idempotency keeps requests from running twice.
+// Subpackages: routing finds the route, endpoint selects the target, outlier shares failures
+// among proxies, upstream pools the connections, retry limits extra requests, admission
+// schedules large bodies, and idempotency keeps requests from running twice.
 package proxy
 
 import (
@@ -34,34 +33,34 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// Words of the settings.
+// Values of the settings proxy.seal_mode and proxy.request_id_source.
 const (
-	sealModeOpaque    = "opaque"
-	requestIDOfClient = "caller"
+	sealModeOpaque      = "opaque"
+	requestIDFromClient = "caller"
 )
 
-// Config is what a Proxy needs of its node.
+// Config holds the dependencies of a Proxy.
 type Config struct {
 	Environment   *environment.Environment
 	Configuration *distribution.Client
 	RPC           *rpc.Transport
 	Membership    *membership.Memberlist
-	// Coordinate sends a request to the leader of the replicated state.
+	// Coordinate sends a coordination request to the leader of the replicated state.
 	Coordinate func(context.Context, *rpc.CoordinationRequest) (*rpc.CoordinationResponse, error)
 }
 
-// Proxy serves the requests of clients. It is safe for concurrent use.
+// Proxy is an http.Handler that forwards client requests. It is safe for concurrent use.
 type Proxy struct {
 	environment   *environment.Environment
 	configuration *distribution.Client
 	rpc           *rpc.Transport
 	membership    *membership.Memberlist
 
-	// opaqueSeals is set where only the client can judge the seal of a response. Nothing of
-	// the proxy's own is added to responses then.
+	// opaqueSeals is set if only the client can verify the seal of a response. The proxy then
+	// adds none of its own header fields.
 	opaqueSeals bool
 
-	epoch     atomic.Pointer[epochView] // in use; nil before the first
+	epoch     atomic.Pointer[epochView] // current epoch; nil before the first
 	lifecycle lifecycle
 	counts    requestCounts
 
@@ -75,22 +74,23 @@
 	outliers    *outlier.Reporter
 }
 
-// requestCounts counts requests.
+// requestCounts holds the request counters.
 type requestCounts struct {
 	inFlight  atomic.Int64
-	byService sync.Map // of *atomic.Int64 by the service's name: those in flight
-	outcomes  sync.Map // of *atomic.Int64 by "ran" or the name of an error code
+	byService sync.Map // service name to *atomic.Int64: requests in flight
+	outcomes  sync.Map // "ran" or error code name to *atomic.Int64
 }
 
-// keyedRequests is what keeps requests with an idempotency key from running twice.
+// keyedRequests keeps requests with an idempotency key from running twice.
 type keyedRequests struct {
 	tracker *idempotency.Tracker
 	records *idempotency.Records
 	losses  *idempotency.LossReporter
 }
 
-// New returns a proxy that takes up each epoch of the configuration as it comes, and starts
-// its tasks of the environment. It has to be made before the RPC server takes requests.
+// New returns a proxy that applies each new epoch of the configuration, and starts its
+// background tasks in the environment. New must be called before the RPC server accepts
+// requests, because it registers RPC handlers.
 func New(config Config) *Proxy {
 	env, settings := config.Environment, config.Environment.Config
 	p := &Proxy{
@@ -109,19 +109,19 @@
 	p.keyed.records = idempotency.NewRecords(idempotency.RecordsConfig{Environment: env, Membership: config.Membership, Coordinate: config.Coordinate})
 	p.keyed.losses = idempotency.NewLossReporter(idempotency.LossReporterConfig{Environment: env, RPC: config.RPC, Membership: config.Membership, Budget: p.retryBudget, Tracker: p.keyed.tracker, Snapshot: config.Configuration.Cache.Snapshot})
 	p.outliers = outlier.NewReporter(outlier.Config{Environment: env, RPC: config.RPC, Membership: config.Membership, Lookup: p.endpointByReportID})
-	config.Configuration.Cache.Subscribe(p.takeUp)
+	config.Configuration.Cache.Subscribe(p.applySnapshot)
 	return p
 }
 
-// takeUp makes an epoch of the configuration the one in use.
-func (p *Proxy) takeUp(snapshot *distribution.Snapshot) {
+// applySnapshot makes the snapshot's epoch the current one.
+func (p *Proxy) applySnapshot(snapshot *distribution.Snapshot) {
 	next := p.newEpochView(snapshot, p.epoch.Load())
 	p.epoch.Store(next)
 	p.retryBudget.SetProxyCount(len(snapshot.Shares))
 	p.connections.Prune(func(key string) bool { return next.endpointKeys[key] })
 }
 
-// endpointByReportID finds an endpoint of the epoch in use; nil if there is none.
+// endpointByReportID returns an endpoint of the current epoch, or nil if there is none.
 func (p *Proxy) endpointByReportID(id string) *endpoint.Endpoint {
 	view := p.epoch.Load()
 	if view == nil {
@@ -133,15 +133,15 @@
 // Close closes the idle connections to targets.
 func (p *Proxy) Close() { p.connections.Close() }
 
-// InFlight is how many requests are being served.
+// InFlight returns the number of requests in flight.
 func (p *Proxy) InFlight() int64 { return p.counts.inFlight.Load() }
 
-// ServeHTTP serves one request.
+// ServeHTTP implements http.Handler.
 func (p *Proxy) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	started, inFlight := time.Now(), p.counts.inFlight.Add(1)
+	startedAt, inFlight := time.Now(), p.counts.inFlight.Add(1)
 	defer p.counts.inFlight.Add(-1)
 	requestID := ""
-	if p.environment.Config.ProxyRequestIDSource == requestIDOfClient {
+	if p.environment.Config.ProxyRequestIDSource == requestIDFromClient {
 		requestID = r.Header.Get(p.environment.Config.HeaderRequestID)
 	} else {
 		requestID = ids.NewID()
@@ -158,10 +158,11 @@
 	} else {
 		p.writeResponse(w, plan, response)
 	}
-	p.recordDuration(plan, started, err)
+	p.recordDuration(plan, startedAt, err)
 }
 
-// serve plans, admits and forwards a request. The plan is nil if none could be made.
+// serve plans, admits and forwards a request. The plan is nil if the request was rejected
+// before planning or there is no configuration.
 func (p *Proxy) serve(w http.ResponseWriter, r *http.Request, requestID string, inFlight int64) (plan *requestPlan, response *upstream.Response, err error) {
 	if p.lifecycle.stopping.Load() {
 		w.Header().Set("Connection", "close")
--- a/internal/proxy/reject_test.go
+++ b/internal/proxy/reject_test.go
@@ -17,38 +17,38 @@
 	"github.com/sumactrestle/sumactrestle/internal/proxy/admission"
 )
 
-// counting counts what is read from a connection.
-type counting struct {
+// countingConn counts the bytes read from a connection.
+type countingConn struct {
 	net.Conn
-	n *atomic.Int64
+	bytesRead *atomic.Int64
 }
 
-func (c counting) Read(p []byte) (int, error) {
+func (c countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	c.n.Add(int64(n))
+	c.bytesRead.Add(int64(n))
 	return n, err
 }
 
 type countingListener struct {
 	net.Listener
-	n *atomic.Int64
+	bytesRead *atomic.Int64
 }
 
 func (l countingListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
-	return counting{conn, l.n}, err
+	return countingConn{conn, l.bytesRead}, err
 }
 
-// A rejected upload must cost the link next to nothing: its response comes before its body,
-// and its body is left unread.
-func TestProxy_RejectedUploadIsLeftUnread(t *testing.T) {
-	r := environment.New(t.Context(), &config.Settings{ProxyRetryAfter: time.Second}, eventlog.New(io.Discard, "info", "n"), environment.Host{})
-	p := &Proxy{environment: r, uploads: admission.New(admission.Config{KilobytesPerSecond: 100, ConcurrentReads: 1})}
-	n := &atomic.Int64{}
-	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		p.reject(w, q, nil, errcode.New(errcode.Overload, "no place"))
+// A rejected upload must use almost none of the link's bandwidth: the response is sent before the
+// body arrives, and the body is not read.
+func TestProxy_RejectedUploadBodyIsNotRead(t *testing.T) {
+	env := environment.New(t.Context(), &config.Settings{ProxyRetryAfter: time.Second}, eventlog.New(io.Discard, "info", "n"), environment.Host{})
+	p := &Proxy{environment: env, uploads: admission.New(admission.Config{KilobytesPerSecond: 100, ConcurrentReads: 1})}
+	bytesRead := &atomic.Int64{}
+	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		p.reject(w, r, nil, errcode.New(errcode.Overload, "no capacity"))
 	}))
-	server.Listener = countingListener{server.Listener, n}
+	server.Listener = countingListener{server.Listener, bytesRead}
 	server.Start()
 	conn, err := net.Dial("tcp", server.Listener.Addr().String())
 	if err != nil {
@@ -58,21 +58,21 @@
 		io.WriteString(conn, "POST /upload HTTP/1.1\r\nHost: a.example\r\nContent-Length: 200000\r\n\r\n")
 		conn.Write(make([]byte, 200_000))
 	}()
-	got, err := http.ReadResponse(bufio.NewReader(conn), nil)
+	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got.StatusCode != http.StatusServiceUnavailable || got.Header.Get("Retry-After") == "" || !got.Close {
-		t.Error("refused with", got.Status, got.Header)
+	if response.StatusCode != http.StatusServiceUnavailable || response.Header.Get("Retry-After") == "" || !response.Close {
+		t.Error("unexpected rejection:", response.Status, response.Header)
 	}
-	body, err := io.ReadAll(got.Body)
-	if err != nil || int64(len(body)) != got.ContentLength {
-		t.Error("the answer is not whole", err)
+	body, err := io.ReadAll(response.Body)
+	if err != nil || int64(len(body)) != response.ContentLength {
+		t.Error("the response body is incomplete:", err)
 	}
 	conn.Close()
-	r.Shutdown()
+	env.Shutdown()
 	server.Close()
-	if read := n.Load(); read > 8192 {
-		t.Error("of the refused body", read, "bytes were read")
+	if read := bytesRead.Load(); read > 8192 {
+		t.Error("rejected upload:", read, "bytes were read from the connection")
 	}
 }
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -12,9 +12,9 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// hopByHop are the header fields that concern one connection only and are not forwarded,
-// beside those that the Connection field names (RFC 9110, section 7.6.1), and those that the
-// proxy answers itself.
+// hopByHop lists the header fields that are not forwarded, in addition to those named by the
+// Connection field (RFC 9110, section 7.6.1). They apply to a single connection or are handled
+// by the proxy itself.
 var hopByHop = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect", "Proxy-Authorization", "Proxy-Authenticate"}
 
 // removeHopByHop removes the hop-by-hop fields from a header. connection is the value of the
@@ -28,38 +28,37 @@
 	}
 }
 
-// upstreamRequest is the request that one attempt sends to a target: the client's, without
-// the fields that concern its connection only or might pass for the proxy's, and with the
-// proxy's own. epoch is the one under which it is handed over; index is the number of the
-// attempt, from zero.
+// upstreamRequest returns the request that an attempt sends to a target: the client's, without
+// hop-by-hop fields and fields with the project's prefix, and with the proxy's own fields. epoch
+// is the epoch under which it is sent; index is the zero-based number of the attempt.
 func (p *Proxy) upstreamRequest(plan *requestPlan, r *http.Request, target rpc.Target, epoch ids.Epoch, body io.Reader, index int) *http.Request {
-	out := &http.Request{Method: r.Method, URL: r.URL, Host: r.Host, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1, Header: r.Header.Clone(), ContentLength: r.ContentLength}
-	removeHopByHop(out.Header, r.Header.Get("Connection"))
-	for name := range out.Header {
+	request := &http.Request{Method: r.Method, URL: r.URL, Host: r.Host, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1, Header: r.Header.Clone(), ContentLength: r.ContentLength}
+	removeHopByHop(request.Header, r.Header.Get("Connection"))
+	for name := range request.Header {
 		if strings.HasPrefix(name, headerPrefix) {
-			out.Header.Del(name)
+			request.Header.Del(name)
 		}
 	}
 	if p.opaqueSeals {
-		out.URL = &url.URL{Opaque: r.RequestURI, Host: r.Host}
-		if out.Header.Get("User-Agent") == "" {
-			out.Header["User-Agent"] = []string{""}
+		request.URL = &url.URL{Opaque: r.RequestURI, Host: r.Host}
+		if request.Header.Get("User-Agent") == "" {
+			request.Header["User-Agent"] = []string{""}
 		}
 	} else {
-		out.Header.Set(HeaderAttempt, strconv.Itoa(index+1))
-		out.Header.Set(HeaderService, plan.service.Name)
-		out.Header.Set(HeaderEpoch, strconv.FormatUint(uint64(epoch), 10))
-		out.Header.Set(HeaderProxy, string(p.environment.Name))
+		request.Header.Set(HeaderAttempt, strconv.Itoa(index+1))
+		request.Header.Set(HeaderService, plan.service.Name)
+		request.Header.Set(HeaderEpoch, strconv.FormatUint(uint64(epoch), 10))
+		request.Header.Set(HeaderProxy, string(p.environment.Name))
 	}
 	if remaining := time.Until(plan.deadline).Milliseconds(); p.opaqueSeals || r.Header.Get(p.environment.Config.HeaderDeadline) != "" {
-		out.Header.Set(p.environment.Config.HeaderDeadline, strconv.FormatInt(max(remaining, 0), 10))
+		request.Header.Set(p.environment.Config.HeaderDeadline, strconv.FormatInt(max(remaining, 0), 10))
 	}
 	if plan.requestID != "" {
-		out.Header.Set(p.environment.Config.HeaderRequestID, plan.requestID)
+		request.Header.Set(p.environment.Config.HeaderRequestID, plan.requestID)
 	}
-	out.Header.Set(p.environment.Config.HeaderExpectedInstance, target.Instance)
+	request.Header.Set(p.environment.Config.HeaderExpectedInstance, target.Instance)
 	if body != nil {
-		out.Body = uncloseableBody{body}
+		request.Body = uncloseableBody{body}
 	}
-	return out
+	return request
 }
--- a/internal/proxy/respond.go
+++ b/internal/proxy/respond.go
@@ -17,21 +17,21 @@
 )
 
 const (
-	// staleRetryAfterFactor is how much longer a client is asked to wait where the proxy has
-	// no fresh configuration than where it lacks capacity: the former takes longer to come.
+	// staleRetryAfterFactor multiplies a Retry-After below one second if the proxy has no fresh
+	// configuration, because regaining that takes longer than regaining capacity.
 	staleRetryAfterFactor = 5
 
-	// halfCloseTime is how long a connection whose body was left unread stays half closed, so
-	// that the client reads the response before the reset.
-	halfCloseTime = 500 * time.Millisecond
+	// halfCloseDuration is how long a connection with an unread request body stays half-closed,
+	// so that the client can read the response before the connection is reset.
+	halfCloseDuration = 500 * time.Millisecond
 
-	// statusClientClosedRequest marks requests whose client has gone; it is no status of
-	// RFC 9110 and never sent.
+	// statusClientClosedRequest marks requests whose client has disconnected. It is not a status
+	// of RFC 9110 and is never sent.
 	statusClientClosedRequest = 499
 )
 
-// writeResponse hands a target's response to the client. It has been read whole, so it goes
-// out with a Content-Length, except where RFC 9110, section 8.6, wants none.
+// writeResponse writes a target's response to the client. The response is fully buffered, so it
+// is sent with a Content-Length, except where RFC 9110, section 8.6, excludes it.
 func (p *Proxy) writeResponse(w http.ResponseWriter, plan *requestPlan, response *upstream.Response) {
 	header := w.Header()
 	for name, values := range response.HTTP.Header {
@@ -54,16 +54,16 @@
 	w.Write(response.Body)
 }
 
-// countOutcome counts how a request ended: "ran", or the name of an error code.
+// countOutcome counts a request by its outcome: "ran" or the name of an error code.
 func (p *Proxy) countOutcome(outcome string) {
-	found, ok := p.counts.outcomes.Load(outcome)
+	counter, ok := p.counts.outcomes.Load(outcome)
 	if !ok {
-		found, _ = p.counts.outcomes.LoadOrStore(outcome, new(atomic.Int64))
+		counter, _ = p.counts.outcomes.LoadOrStore(outcome, new(atomic.Int64))
 	}
-	found.(*atomic.Int64).Add(1)
+	counter.(*atomic.Int64).Add(1)
 }
 
-// rejection is the body of a response that the proxy makes itself.
+// rejection is the JSON body of an error response of the proxy.
 type rejection struct {
 	Code    int    `json:"code"`
 	Name    string `json:"name"`
@@ -72,8 +72,8 @@
 	Text    string `json:"text"`
 }
 
-// reject answers a request that got no response from a target. If the request bears an
-// idempotency key that is known here, the answer says what is true of all attempts under
+// reject writes the error response of a request that received no response from a target. If this
+// proxy knows the request's idempotency key, the error states the outcome of all attempts under
 // that key, not only of this one.
 func (p *Proxy) reject(w http.ResponseWriter, r *http.Request, plan *requestPlan, err error) {
 	problem := errcode.From(err)
@@ -100,17 +100,17 @@
 	}
 	body, _ := json.Marshal(rejection{Code: problem.Code.Number, Name: problem.Code.Name, Note: problem.Note, Outcome: problem.Code.Outcome, Text: problem.Code.Text})
 	body = append(body, '\n')
-	unread := r.ContentLength != 0 && admission.IsLarge(r.ContentLength) && (plan == nil || !plan.bodyRead)
-	if unread && p.uploads.IsBounded() && p.rejectUnread(w, status, body) {
+	bodyUnread := r.ContentLength != 0 && admission.IsLarge(r.ContentLength) && (plan == nil || !plan.bodyRead)
+	if bodyUnread && p.uploads.IsBounded() && p.rejectUnread(w, status, body) {
 		return
 	}
 	w.WriteHeader(status)
 	w.Write(body)
 }
 
-// retryAfter is the value of a Retry-After field (RFC 9110, section 10.2.3), spread over one
-// to three times the minimum so that clients don't come back all at once. Below a second it
-// is a fraction, which goes beyond the RFC and is asked for by a setting.
+// retryAfter returns the value of a Retry-After field (RFC 9110, section 10.2.3): a random value
+// of one to three times the minimum, so that clients don't all retry at the same time. A minimum
+// below one second, which a setting allows, gives a fraction. The RFC allows only whole seconds.
 func retryAfter(minimum time.Duration) string {
 	if minimum >= time.Second {
 		return strconv.Itoa(int(minimum/time.Second) * (1 + rand.IntN(3)))
@@ -119,10 +119,10 @@
 	return strconv.FormatFloat(spread.Seconds(), 'f', 3, 64)
 }
 
-// rejectUnread answers and closes the connection with the request's body unread (RFC 9112,
-// section 9.6, describes the half-close that lets the client read the response). net/http
-// would read the body before it answers and after, so the connection is taken from it; false
-// if that can't be done, and then nothing has been written.
+// rejectUnread writes the response and closes the connection without reading the request's body
+// (RFC 9112, section 9.6, describes the half-close that lets the client read the response). It
+// hijacks the connection, because net/http would read the body before and after it responds. It
+// returns false, with nothing written, if the connection can't be hijacked.
 func (p *Proxy) rejectUnread(w http.ResponseWriter, status int, body []byte) bool {
 	conn, _, err := http.NewResponseController(w).Hijack()
 	if err != nil {
@@ -133,15 +133,15 @@
 	response := &http.Response{StatusCode: status, ProtoMajor: 1, ProtoMinor: 1, Header: header, ContentLength: int64(len(body)), Body: io.NopCloser(bytes.NewReader(body))}
 	buffer := &bytes.Buffer{}
 	response.Write(buffer)
-	conn.SetWriteDeadline(time.Now().Add(halfCloseTime))
+	conn.SetWriteDeadline(time.Now().Add(halfCloseDuration))
 	_, err = conn.Write(buffer.Bytes())
-	half, canHalf := conn.(interface{ CloseWrite() error })
-	if err != nil || !canHalf || half.CloseWrite() != nil {
+	halfCloser, canHalfClose := conn.(interface{ CloseWrite() error })
+	if err != nil || !canHalfClose || halfCloser.CloseWrite() != nil {
 		conn.Close()
 		return true
 	}
 	p.environment.Go(func() {
-		p.environment.Sleep(halfCloseTime)
+		p.environment.Sleep(halfCloseDuration)
 		conn.Close()
 	})
 	return true
--- a/internal/proxy/seal.go
+++ b/internal/proxy/seal.go
@@ -12,28 +12,28 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// Seal is the seal of a response, which a server puts into HeaderSeal: an HMAC under the
-// service's key over the request's id, the server's own service and instance, the status and
-// the hash of the whole body. Nothing that lacks a right seal is handed to a client as a
-// response.
+// Seal returns the seal of a response, which a target sends in the header field set by
+// header.seal. It is an HMAC under the service's key of the request ID, the target's service and
+// instance, the status and the hash of the whole body. A response without a valid seal is not
+// returned to a client.
 func Seal(key, requestID, service, instance string, status int, body []byte) string {
-	sum := sha256.Sum256(body)
+	bodyHash := sha256.Sum256(body)
 	mac := hmac.New(sha256.New, []byte(key))
-	for _, field := range []string{requestID, service, instance, strconv.Itoa(status), hex.EncodeToString(sum[:])} {
+	for _, field := range []string{requestID, service, instance, strconv.Itoa(status), hex.EncodeToString(bodyHash[:])} {
 		mac.Write([]byte(field))
 		mac.Write([]byte{'\n'})
 	}
 	return hex.EncodeToString(mac.Sum(nil))
 }
 
-// VerifySeal reports whether the seal is that of the response.
+// VerifySeal reports whether the seal is valid for the response.
 func VerifySeal(seal, key, requestID, service, instance string, status int, body []byte) bool {
 	return hmac.Equal([]byte(seal), []byte(Seal(key, requestID, service, instance, status, body)))
 }
 
-// verifySeal checks the seal of a target's response. Of an opaque seal only the presence can
-// be checked; the response must name its request then, and have a framing by which it is
-// known to be complete (RFC 9112, section 8).
+// verifySeal checks the seal of a target's response. Opaque seals can only be checked for
+// presence, which is required of success responses. With opaque seals, every response must also
+// carry the request's ID and be framed so that a truncated body is detected (RFC 9112, section 8).
 func (p *Proxy) verifySeal(plan *requestPlan, target rpc.Target, response *upstream.Response) error {
 	header := response.HTTP.Header
 	seal := header.Get(p.environment.Config.HeaderSeal)
--- a/internal/proxy/stats.go
+++ b/internal/proxy/stats.go
@@ -9,10 +9,10 @@
 	"github.com/sumactrestle/sumactrestle/internal/proxy/endpoint"
 )
 
-// recordDuration records how long a request took. One that found no service counts under
-// the empty name.
-func (p *Proxy) recordDuration(plan *requestPlan, started time.Time, err error) {
-	elapsed := time.Since(started)
+// recordDuration records the duration of a request. Without a service it is recorded under the
+// empty name.
+func (p *Proxy) recordDuration(plan *requestPlan, startedAt time.Time, err error) {
+	elapsed := time.Since(startedAt)
 	outcome := metrics.OutcomeRan
 	if err != nil {
 		outcome = metrics.ParseOutcome(errcode.From(err).Code.Outcome)
@@ -30,8 +30,8 @@
 	}
 }
 
-// VisitOutcomes calls visit with how often requests ended as "ran" or with the named error
-// code.
+// VisitOutcomes calls visit for each outcome, "ran" or the name of an error code, with the
+// number of requests.
 func (p *Proxy) VisitOutcomes(visit func(name string, count int64)) {
 	p.counts.outcomes.Range(func(name, count any) bool {
 		visit(name.(string), count.(*atomic.Int64).Load())
@@ -39,13 +39,13 @@
 	})
 }
 
-// EndpointCounts counts the endpoints of one service in the epoch in use.
+// EndpointCounts holds the number of endpoints of one service in the current epoch, by status.
 type EndpointCounts struct {
 	Service                    string
 	Available, Ejected, Barred int
 }
 
-// EndpointCounts counts the endpoints of each service in the epoch in use.
+// EndpointCounts returns the endpoint counts of each service in the current epoch.
 func (p *Proxy) EndpointCounts() (list []EndpointCounts) {
 	view := p.epoch.Load()
 	if view == nil {
@@ -69,11 +69,11 @@
 	return list
 }
 
-// IdleConnections is how many idle connections to targets there are.
+// IdleConnections returns the number of idle connections to targets.
 func (p *Proxy) IdleConnections() int { return p.connections.Idle() }
 
-// VisitRetryBudgets calls visit for each service with what its retry budget held when it was
-// last used.
+// VisitRetryBudgets calls visit for each service with the tokens and debt of its retry budget as
+// of its last use.
 func (p *Proxy) VisitRetryBudgets(visit func(service string, tokens, debt float64)) {
 	p.retryBudget.Visit(visit)
 }
