--- a/internal/config/alias.go
+++ b/internal/config/alias.go
@@ -5,14 +5,14 @@
 	"sort"
 )
 
-// Renaming is a setting that was given under its former name.
+// Renaming describes a setting that was given under its former name.
 type Renaming struct{ Former, Name string }
 
-// String returns both names in words.
+// String returns both names as "FORMER is now NAME".
 func (r Renaming) String() string { return r.Former + " is now " + r.Name }
 
-// FormerName is the name that a setting had before, or the key itself. A build that knows
-// only the former names reads it.
+// FormerName returns the former name of a setting, or the key itself if it has none. Older builds
+// know settings only by these names.
 func FormerName(key string) string {
 	for _, s := range table {
 		if s.key == key && s.alias != "" {
@@ -22,11 +22,11 @@
 	return key
 }
 
-// renamings are the settings given under their former names, and the faults of those
-// given under both.
+// renamings returns the settings given under their former names, sorted by current name, and a
+// fault for each setting given under both names.
 func (l *loader) renamings() (list []Renaming, faults []string) {
 	for _, s := range table {
-		names := l.given[s.key]
+		names := l.givenNames[s.key]
 		if s.alias == "" || !names[s.alias] {
 			continue
 		}
--- a/internal/config/alias_test.go
+++ b/internal/config/alias_test.go
@@ -1,5 +1,3 @@
-// Settings under their former names: read from every source, told of, and refused beside
-// the current name.
 package config
 
 import (
@@ -14,11 +12,11 @@
 	"github.com/sumactrestle/sumactrestle/internal/errcode"
 )
 
-// required are the settings that every node must be given, but for its data folder.
-func required(more ...string) map[string]string {
+// required returns flags for a minimal valid core node plus the given pairs of key and value.
+func required(pairs ...string) map[string]string {
 	flags := map[string]string{"name": "n", "peer.address": "127.0.0.1:1", "api.address": "127.0.0.1:2", "data.folder": "/none"}
-	for i := 0; i+1 < len(more); i += 2 {
-		flags[more[i]] = more[i+1]
+	for i := 0; i+1 < len(pairs); i += 2 {
+		flags[pairs[i]] = pairs[i+1]
 	}
 	return flags
 }
@@ -32,7 +30,7 @@
 	return path
 }
 
-func TestLoad_FormerNamesAreRead(t *testing.T) {
+func TestLoad_AcceptsFormerNames(t *testing.T) {
 	want := []Renaming{{Former: "pact.round", Name: "consensus.heartbeat_period"}}
 	for name, load := range map[string]func(t *testing.T) (*Settings, error){
 		"nested in a file": func(t *testing.T) (*Settings, error) {
@@ -55,7 +53,7 @@
 				t.Fatal(err)
 			}
 			if s.ConsensusHeartbeatPeriod != 111*time.Millisecond {
-				t.Errorf("the interval is %v", s.ConsensusHeartbeatPeriod)
+				t.Errorf("consensus.heartbeat_period is %v", s.ConsensusHeartbeatPeriod)
 			}
 			if diff := cmp.Diff(want, s.Renamed); diff != "" {
 				t.Error(diff)
@@ -64,7 +62,7 @@
 	}
 }
 
-func TestLoad_CurrentNamesAreReadWithoutRenaming(t *testing.T) {
+func TestLoad_CurrentNamesReportNoRenaming(t *testing.T) {
 	t.Setenv("SUMAC_CONSENSUS_RETAINED_BYTES", "7")
 	s, err := Load(writeFile(t, "s.yaml", "distribution: {offline_grace: 1h}\n"), required("proxy.max_inflight", "9"))
 	if err != nil {
@@ -75,8 +73,8 @@
 	}
 }
 
-// A flag wins over the file also where the two use different settings' former names.
-func TestLoad_FormerNamesKeepTheOrderOfSources(t *testing.T) {
+// A flag overrides a file also when both use former names.
+func TestLoad_FormerNamesKeepSourcePrecedence(t *testing.T) {
 	s, err := Load(writeFile(t, "s.yaml", "pact: {round: 111ms}\nplan: {beat: 2s}\n"), required("pact.round", "222ms"))
 	if err != nil {
 		t.Fatal(err)
@@ -86,7 +84,7 @@
 	}
 }
 
-func TestLoad_BothNamesAreRefused(t *testing.T) {
+func TestLoad_RejectsSettingGivenUnderBothNames(t *testing.T) {
 	want := []string{"consensus.heartbeat_period: is given under its former name pact.round too; give it once"}
 	for name, load := range map[string]func(t *testing.T) (*Settings, error){
 		"in one file with two values": func(t *testing.T) (*Settings, error) {
@@ -118,44 +116,44 @@
 	}
 }
 
-func TestLoad_FaultNamesTheNameGiven(t *testing.T) {
+func TestLoad_FaultNamesFormerNameIfGiven(t *testing.T) {
 	_, err := Load("", required("pact.round", "soon"))
 	if err == nil {
-		t.Fatal("it was read")
+		t.Fatal("an invalid duration was accepted")
 	}
 	if diff := cmp.Diff([]string{`consensus.heartbeat_period (given as pact.round): "soon" is not a duration`}, errcode.From(err).Paths); diff != "" {
 		t.Error(diff)
 	}
 }
 
-// No name, be it current or former, stands for two settings, also not as a variable.
+// No current or former name, and no environment variable derived from one, refers to two settings.
 func TestTable_NamesAreDistinct(t *testing.T) {
 	names, variables := map[string]string{}, map[string]string{}
-	former := 0
+	formerCount := 0
 	for _, s := range table {
 		for _, name := range []string{s.key, s.alias} {
 			if name == "" {
 				continue
 			}
 			if other, ok := names[name]; ok {
-				t.Errorf("%s names %s and %s", name, other, s.key)
+				t.Errorf("%s refers to both %s and %s", name, other, s.key)
 			}
-			if other, ok := variables[variableOf(name)]; ok {
-				t.Errorf("%s is the variable of %s and %s", variableOf(name), other, name)
+			if other, ok := variables[variableName(name)]; ok {
+				t.Errorf("%s is the variable of both %s and %s", variableName(name), other, name)
 			}
-			names[name], variables[variableOf(name)] = s.key, name
+			names[name], variables[variableName(name)] = s.key, name
 		}
 		if s.alias != "" {
-			former++
+			formerCount++
 			if FormerName(s.key) != s.alias {
-				t.Errorf("%s had the name %s, not %s", s.key, s.alias, FormerName(s.key))
+				t.Errorf("%s has the former name %s, FormerName returns %s", s.key, s.alias, FormerName(s.key))
 			}
 		}
 		if strings.ToLower(s.key) != s.key {
-			t.Errorf("%s is not in small letters, so that no variable names it", s.key)
+			t.Errorf("%s is not in lower case, so no variable can name it", s.key)
 		}
 	}
-	if former < 60 || FormerName("name") != "name" {
-		t.Errorf("%d settings have former names", former)
+	if formerCount < 60 || FormerName("name") != "name" {
+		t.Errorf("%d settings have former names", formerCount)
 	}
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,7 @@
-// Package config reads a node's settings from their defaults, a file, environment variables
-// and flags, in that order, and checks them. Every fault is named by its key, unknown keys
-// included, and nothing starts on faulty settings. The settings stand in schema/config.yaml.
+// Package config reads a node's settings from defaults, a file, environment variables and flags,
+// each overriding the sources before it, and validates them. It reports every fault with the
+// setting's key, including unknown keys; a node does not start with faulty settings. The settings
+// are defined in schema/config.yaml.
 package config
 
 import (
@@ -9,9 +10,8 @@
 	"github.com/sumactrestle/sumactrestle/internal/errcode"
 )
 
-// Load reads the settings of one node from their defaults, a file (none if the path is
-// empty), the environment and flags, each winning over those before, and checks them. An
-// error has the code errcode.InvalidSettings and a path for each fault.
+// Load reads and validates the settings of one node. An empty path means no file. An error has
+// the code errcode.InvalidSettings. If the settings are faulty, it has a path for each fault.
 func Load(path string, flags map[string]string) (*Settings, error) {
 	l, err := newLoader()
 	if err != nil {
@@ -25,17 +25,17 @@
 	if err := l.addEnvironment(); err != nil {
 		return nil, errcode.New(errcode.InvalidSettings, "%v", err)
 	}
-	given := make(map[string]any, len(flags))
+	flagValues := make(map[string]any, len(flags))
 	for key, value := range flags {
-		given[key] = value
+		flagValues[key] = value
 	}
-	if err := l.add(given); err != nil {
+	if err := l.add(flagValues); err != nil {
 		return nil, errcode.New(errcode.InvalidSettings, "%v", err)
 	}
 	return l.settings()
 }
 
-// settings parses and checks what was gathered.
+// settings parses and validates the loaded values.
 func (l *loader) settings() (*Settings, error) {
 	settings := &Settings{}
 	var faults []string
@@ -48,7 +48,7 @@
 	for _, s := range table {
 		value, err := s.parse(l.values)
 		if err != nil {
-			faults = append(faults, l.nameOf(s)+": "+err.Error())
+			faults = append(faults, l.displayName(s)+": "+err.Error())
 			continue
 		}
 		s.set(settings, value)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -1,4 +1,3 @@
-// Faulty settings are all named by their keys, unknown ones too.
 package config
 
 import (
@@ -12,7 +11,7 @@
 	"github.com/sumactrestle/sumactrestle/internal/errcode"
 )
 
-func TestLoad_EveryFaultIsNamed(t *testing.T) {
+func TestLoad_ReportsEveryFault(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "props.yaml")
 	os.WriteFile(path, []byte(`
 name: "a b"
@@ -47,7 +46,7 @@
 	}
 }
 
-func TestLoad_FlagsWinOverVariablesOverFile(t *testing.T) {
+func TestLoad_FlagsOverrideEnvironmentOverridesFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "props.json")
 	os.WriteFile(path, []byte(`{"name":"n","zone":"file","wire":{"address":"127.0.0.1:1"},"api":{"address":"127.0.0.1:2"},"gate":{"address":"127.0.0.1:3"},"strength":7,"gate.inflight":9}`), 0o644)
 	t.Setenv("SUMAC_ZONE", "variable")
--- a/internal/config/loader.go
+++ b/internal/config/loader.go
@@ -13,25 +13,26 @@
 	"github.com/knadh/koanf/v2"
 )
 
-// variablePrefix begins the names of the environment variables that are read.
+// variablePrefix is the prefix of the environment variables that hold settings.
 const variablePrefix = "SUMAC_"
 
-// variableOf is the environment variable of a key, as SUMAC_PROXY_ADDRESS of proxy.address.
-func variableOf(key string) string {
+// variableName returns the environment variable of a key, such as SUMAC_PROXY_ADDRESS for
+// proxy.address.
+func variableName(key string) string {
 	return variablePrefix + strings.ToUpper(strings.ReplaceAll(key, ".", "_"))
 }
 
-// loader gathers the settings from their sources, in the order in which these win.
+// loader merges the settings of several sources, each overriding those added before.
 type loader struct {
 	values *koanf.Koanf
-	byName map[string]setting // by current and by former name
-	// given holds, for each current key, the names under which any source gave it.
-	given map[string]map[string]bool
+	byName map[string]setting // by current and former name
+	// givenNames holds, by current key, the names under which any source gave the setting.
+	givenNames map[string]map[string]bool
 }
 
-// newLoader returns a loader that holds the defaults.
+// newLoader returns a loader with the default values.
 func newLoader() (*loader, error) {
-	l := &loader{values: koanf.New("."), byName: map[string]setting{}, given: map[string]map[string]bool{}}
+	l := &loader{values: koanf.New("."), byName: map[string]setting{}, givenNames: map[string]map[string]bool{}}
 	fallbacks := map[string]any{}
 	for _, s := range table {
 		l.byName[s.key] = s
@@ -45,8 +46,8 @@
 	return l, l.values.Load(confmap.Provider(fallbacks, "."), nil)
 }
 
-// add lays the values of one source, by dotted name, over those before. A former name is
-// turned into the current one; a name that is not known stays, to be refused.
+// add merges the values of one source, by dotted name. Former names become current ones. Unknown
+// names are kept, so that settings can report them as faults.
 func (l *loader) add(values map[string]any) error {
 	byKey := make(map[string]any, len(values))
 	for name, value := range values {
@@ -58,16 +59,17 @@
 			byKey[name] = value
 			continue
 		}
-		if l.given[s.key] == nil {
-			l.given[s.key] = map[string]bool{}
+		if l.givenNames[s.key] == nil {
+			l.givenNames[s.key] = map[string]bool{}
 		}
-		l.given[s.key][name] = true
+		l.givenNames[s.key][name] = true
 		byKey[s.key] = value
 	}
 	return l.values.Load(confmap.Provider(byKey, "."), nil)
 }
 
-// hasSection tells whether settings stand under a name; an empty section gives none.
+// hasSection reports whether name is a section that has settings. An empty section of this kind
+// in a source is allowed.
 func (l *loader) hasSection(name string) bool {
 	for known := range l.byName {
 		if strings.HasPrefix(known, name+".") {
@@ -77,14 +79,14 @@
 	return false
 }
 
-// addFile adds a file of settings, JSON by its ending or else YAML.
+// addFile adds a settings file: JSON if its extension is .json, YAML otherwise.
 func (l *loader) addFile(path string) error {
 	var parser koanf.Parser = yaml.Parser()
 	if filepath.Ext(path) == ".json" {
 		parser = json.Parser()
 	}
-	// Keys may be nested or dotted, and both in one file; they are brought
-	// to one form first, for else which one is found is a matter of luck.
+	// Keys may be nested, dotted, or both in one file. They are flattened to dotted names first;
+	// otherwise it would be undefined which of the two forms is found.
 	raw := koanf.New("\x00")
 	if err := raw.Load(file.Provider(path), parser); err != nil {
 		return err
@@ -93,11 +95,11 @@
 	return l.add(flat)
 }
 
-// addEnvironment adds the variables that name a setting; others are left alone.
+// addEnvironment adds the environment variables that name a setting and ignores all others.
 func (l *loader) addEnvironment() error {
 	byVariable := map[string]string{}
 	for name := range l.byName {
-		byVariable[variableOf(name)] = name
+		byVariable[variableName(name)] = name
 	}
 	raw := koanf.New("\x00")
 	if err := raw.Load(env.Provider(variablePrefix, "\x00", func(variable string) string { return byVariable[strings.ToUpper(variable)] }), nil); err != nil {
@@ -106,9 +108,9 @@
 	return l.add(raw.Raw())
 }
 
-// nameOf is a setting's key, and its former name if it was given under that.
-func (l *loader) nameOf(s setting) string {
-	if l.given[s.key][s.alias] {
+// displayName returns a setting's key, with its former name if it was given under that name.
+func (l *loader) displayName(s setting) string {
+	if l.givenNames[s.key][s.alias] {
 		return s.key + " (given as " + s.alias + ")"
 	}
 	return s.key
--- a/internal/config/setting.go
+++ b/internal/config/setting.go
@@ -10,14 +10,14 @@
 	"github.com/knadh/koanf/v2"
 )
 
-// setting is one line of the table that is made from schema/config.yaml. The alias is the
-// key's former name, under which it is still read.
+// setting is an entry of the table generated from schema/config.yaml. alias is the former name,
+// which is still accepted; fallback is the default value; low and high are inclusive bounds.
 type setting struct {
 	key, alias, kind, fallback, low, high, doc string
 	set                                        func(*Settings, any)
 }
 
-// parse returns the setting's value, of the type of its field in Settings.
+// parse returns the setting's value, with the type of its field in Settings.
 func (s setting) parse(values *koanf.Koanf) (any, error) {
 	text := strings.TrimSpace(values.String(s.key))
 	switch s.kind {
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -7,7 +7,8 @@
 	"strings"
 )
 
-// validate names what is wrong with settings that are each well formed.
+// validate returns the faults that parsing single settings does not detect: missing, malformed
+// and unusable values.
 func (s *Settings) validate() (faults []string) {
 	if s.Name == "" {
 		faults = append(faults, "name: is missing")
--- a/internal/environment/clock.go
+++ b/internal/environment/clock.go
@@ -6,12 +6,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// Now returns the time by which ages and leases count: the monotonic clock, which stands
-// still while a machine is suspended, and for how long it stood still. Only ages made of
-// it may be used, or sent to other nodes; it is no time of day.
+// Now returns the time from which ages and leases are computed: the monotonic clock plus the
+// time for which the machine has been suspended, which that clock does not count. Only
+// differences between such times are meaningful or may be sent to other nodes; the result is
+// not a time of day.
 func (e *Environment) Now() time.Time { return e.Host.Now() }
 
-// Now is Environment.Now for what has a host and no environment.
+// Now is Environment.Now for callers that have a Host but no Environment.
 func (h Host) Now() time.Time {
 	if h.SuspendedTime == nil {
 		return time.Now()
@@ -19,15 +20,15 @@
 	return time.Now().Add(h.SuspendedTime())
 }
 
-// Since returns the age of a time that Now gave.
+// Since returns the time elapsed since t, a result of Now.
 func (e *Environment) Since(t time.Time) time.Duration { return e.Now().Sub(t) }
 
-// suspendedPrecision is to what the machine's suspended time is cut, since its two clocks
-// are not read at one moment.
+// suspendedPrecision is the unit to which the suspended time is truncated, since the two
+// clocks are not read at the same instant.
 const suspendedPrecision = 10 * time.Millisecond
 
-// suspendedTime returns how far the boot clock, which counts suspended time, is ahead of
-// the monotonic one, which does not. Where a clock can't be read it is zero.
+// suspendedTime returns the difference between the boot clock, which counts suspended time,
+// and the monotonic clock, which does not. It is zero if a clock can't be read.
 func suspendedTime() time.Duration {
 	var boot, monotonic unix.Timespec
 	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot) != nil || unix.ClockGettime(unix.CLOCK_MONOTONIC, &monotonic) != nil {
--- a/internal/environment/environment.go
+++ b/internal/environment/environment.go
@@ -1,8 +1,7 @@
-// Package environment holds what every task of a node needs: its settings, its log of
-// events, the network and the disk that it may use, its clock, and the end of its life.
-// It is handed on in place of many arguments and is the context.Context of all that the
-// node does. The simulator makes environments with a network and disks of its own and
-// runs everything else as it is.
+// Package environment provides what every task of a node needs: its settings, event log,
+// network, disk, clock and shutdown. An Environment is passed instead of these as separate
+// arguments, and is the context.Context of everything that the node does. The simulator
+// creates environments with a simulated network and disks and runs all other code unchanged.
 package environment
 
 import (
@@ -16,8 +15,8 @@
 	"github.com/sumactrestle/sumactrestle/internal/metrics"
 )
 
-// Environment is that of one run of one node. It is done, as a context, as soon as its
-// Shutdown is called or its parent is done.
+// Environment belongs to one run of one node. As a context, it is done as soon as Shutdown is
+// called or its parent is done.
 type Environment struct {
 	context.Context
 	Config    *config.Settings
@@ -25,15 +24,15 @@
 	Host      Host
 	Name      ids.NodeName
 	Latencies *metrics.Latencies
-	// Trace is called with each step of the replicated shards, if it is set; the simulator
-	// holds the steps against the model of the protocol.
+	// Trace, if set, is called with each step of the replicated shards; the simulator checks
+	// the steps against the model of the protocol.
 	Trace func(step any)
 
 	cancel context.CancelFunc
 	tasks  *taskGroup
 }
 
-// New returns the environment of a node with these settings.
+// New returns the environment of a node. Call Shutdown to release it.
 func New(parent context.Context, settings *config.Settings, events *eventlog.Log, host Host) *Environment {
 	ctx, cancel := context.WithCancel(parent)
 	return &Environment{
@@ -48,11 +47,11 @@
 	}
 }
 
-// Go runs a task in a goroutine of its own that Shutdown waits for. It may be called
-// while Shutdown waits, also from outside any task, such as a request's handler.
+// Go runs a task in a new goroutine that Shutdown waits for. It may be called while Shutdown
+// waits, also from outside any task, such as from a request handler.
 func (e *Environment) Go(task func()) { e.tasks.start(task) }
 
-// Shutdown tells all tasks to finish and waits until they have.
+// Shutdown cancels the environment and waits until all tasks have returned.
 func (e *Environment) Shutdown() {
 	e.cancel()
 	e.tasks.wait()
@@ -61,10 +60,10 @@
 // IsStopping reports whether the environment is done; tasks may still be running.
 func (e *Environment) IsStopping() bool { return e.Err() != nil }
 
-// Sleep pauses and reports whether the node goes on; it returns early when the
-// environment is done. A pause of nothing makes no timer: one that is due at once is run
-// by whoever selects on it, and in a bubble of virtual time under the race detector that
-// ends the process.
+// Sleep waits for the given time and reports whether the environment is still running; it
+// returns early when the environment is done. It creates no timer for a pause of zero: a
+// timer that is due at once is run by the goroutine that selects on it, which crashes the
+// process in a synctest bubble under the race detector.
 func (e *Environment) Sleep(pause time.Duration) bool {
 	if pause <= 0 {
 		return !e.IsStopping()
@@ -79,12 +78,13 @@
 	}
 }
 
-// WaitUntil waits for a moment or a signal, whichever comes first, and tells whether it was the
-// signal; the error is that of a context that ended. It makes a timer only for a moment that is
-// still to come: one that expires while nobody waits for it ends the process as Sleep's would.
+// WaitUntil waits until the due time or a signal, whichever comes first, and reports whether it
+// was the signal; the error is that of the context if it is done. It creates a timer only if due
+// is in the future: a timer that expires before anyone waits for it crashes the process in the
+// case described at Sleep.
 func WaitUntil(ctx context.Context, due time.Time, signal <-chan struct{}) (isSignalled bool, err error) {
-	left := time.Until(due)
-	if left <= 0 {
+	remaining := time.Until(due)
+	if remaining <= 0 {
 		select {
 		case <-signal:
 			return true, ctx.Err()
@@ -92,7 +92,7 @@
 			return false, ctx.Err()
 		}
 	}
-	timer := time.NewTimer(left)
+	timer := time.NewTimer(remaining)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -104,8 +104,8 @@
 	}
 }
 
-// Jitter returns a pause spread evenly by a quarter to both sides, so that nodes that
-// began together don't go on together.
+// Jitter returns a random duration, uniformly distributed within 25 % of pause, so that nodes
+// that started at the same time do not stay synchronized.
 func Jitter(pause time.Duration) time.Duration {
 	return pause*3/4 + time.Duration(rand.Int64N(int64(pause)/2+1))
 }
--- a/internal/environment/environment_test.go
+++ b/internal/environment/environment_test.go
@@ -18,8 +18,8 @@
 	return New(t.Context(), &config.Settings{}, eventlog.New(io.Discard, "info", "n"), host)
 }
 
-// Under the race detector a timer for a pause of nothing ends the process; see Sleep.
-func TestSleep_OfNothingNeedsNoTimer(t *testing.T) {
+// Under the race detector a timer for a pause of zero crashes the process; see Sleep.
+func TestSleep_ZeroPauseCreatesNoTimer(t *testing.T) {
 	for range 20 {
 		synctest.Test(t, func(t *testing.T) {
 			env := newEnvironment(t, Host{})
@@ -37,38 +37,38 @@
 	}
 }
 
-func TestSleep_EndsWithTheEnvironment(t *testing.T) {
+func TestSleep_ReturnsEarlyOnShutdown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		env := newEnvironment(t, Host{})
-		began := time.Now()
-		if !env.Sleep(time.Second) || time.Since(began) != time.Second {
+		start := time.Now()
+		if !env.Sleep(time.Second) || time.Since(start) != time.Second {
 			t.Error("did not sleep for a second")
 		}
 		time.AfterFunc(time.Second, env.Shutdown)
-		if env.Sleep(time.Hour) || time.Since(began) != 2*time.Second {
-			t.Error("slept on after the end")
+		if env.Sleep(time.Hour) || time.Since(start) != 2*time.Second {
+			t.Error("Sleep did not return on shutdown")
 		}
 		if env.Sleep(0) {
-			t.Error("a pause of nothing does not tell of the end")
+			t.Error("Sleep(0) does not report the shutdown")
 		}
 	})
 }
 
-func TestWaitUntil_EndsAtTheMomentTheSignalOrTheContext(t *testing.T) {
+func TestWaitUntil_ReturnsOnDueTimeSignalOrContext(t *testing.T) {
 	const pause = time.Second
 	for _, c := range []struct {
-		name               string
-		left               time.Duration // to the moment
-		signalled, ended   time.Duration // when these come; at once if negative
-		waited             time.Duration
-		isSignalled, fails bool
+		name                     string
+		untilDue                 time.Duration
+		signalAfter, cancelAfter time.Duration // from the start; immediately if negative
+		wantWait                 time.Duration
+		wantSignalled, wantErr   bool
 	}{
-		{"the moment", pause, 2 * pause, 3 * pause, pause, false, false},
-		{"the signal", 2 * pause, pause, 3 * pause, pause, true, false},
-		{"the context", 3 * pause, 2 * pause, pause, pause, false, true},
-		{"a moment that has passed", -pause, pause, pause, 0, false, false},
-		{"a signal beside it", -pause, -1, pause, 0, true, false},
-		{"an end beside it", -pause, pause, -1, 0, false, true},
+		{"due time first", pause, 2 * pause, 3 * pause, pause, false, false},
+		{"signal first", 2 * pause, pause, 3 * pause, pause, true, false},
+		{"context first", 3 * pause, 2 * pause, pause, pause, false, true},
+		{"past due time", -pause, pause, pause, 0, false, false},
+		{"past due time and a pending signal", -pause, -1, pause, 0, true, false},
+		{"past due time and a canceled context", -pause, pause, -1, 0, false, true},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
@@ -81,11 +81,11 @@
 					time.AfterFunc(pause, act)
 				}
 			}
-			after(c.signalled, func() { signal <- struct{}{} })
-			after(c.ended, cancel)
-			began := time.Now()
-			isSignalled, err := WaitUntil(ctx, began.Add(c.left), signal)
-			if waited := time.Since(began); isSignalled != c.isSignalled || (err != nil) != c.fails || waited != c.waited {
+			after(c.signalAfter, func() { signal <- struct{}{} })
+			after(c.cancelAfter, cancel)
+			start := time.Now()
+			isSignalled, err := WaitUntil(ctx, start.Add(c.untilDue), signal)
+			if waited := time.Since(start); isSignalled != c.wantSignalled || (err != nil) != c.wantErr || waited != c.wantWait {
 				t.Errorf("%s: signalled %v, error %v, after %s", c.name, isSignalled, err, waited)
 			}
 			time.Sleep(3 * pause)
@@ -93,9 +93,9 @@
 	}
 }
 
-// Under the race detector a timer that expires while its task works ends the process; see
+// Under the race detector a timer that expires before anyone waits for it crashes the process; see
 // WaitUntil.
-func TestWaitUntil_MakesNoTimerForAMomentThatHasPassed(t *testing.T) {
+func TestWaitUntil_PastTimeCreatesNoTimer(t *testing.T) {
 	for range 20 {
 		synctest.Test(t, func(t *testing.T) {
 			var waiters sync.WaitGroup
@@ -124,10 +124,10 @@
 			})
 			finished.Add(1)
 		})
-		began := time.Now()
+		start := time.Now()
 		env.Shutdown()
-		if finished.Load() != 2 || time.Since(began) != 2*time.Second {
-			t.Errorf("%d of 2 tasks have finished after %s", finished.Load(), time.Since(began))
+		if finished.Load() != 2 || time.Since(start) != 2*time.Second {
+			t.Errorf("%d of 2 tasks finished after %s", finished.Load(), time.Since(start))
 		}
 	})
 }
@@ -136,11 +136,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		suspended := time.Duration(0)
 		env := newEnvironment(t, Host{SuspendedTime: func() time.Duration { return suspended }})
-		began := env.Now()
+		start := env.Now()
 		time.Sleep(time.Second)
 		suspended = time.Minute
-		if age := env.Since(began); age != time.Minute+time.Second {
-			t.Errorf("the age is %s", age)
+		if age := env.Since(start); age != time.Minute+time.Second {
+			t.Errorf("age is %s, want 1m1s", age)
 		}
 	})
 }
@@ -148,7 +148,7 @@
 func TestJitter_StaysWithinAQuarter(t *testing.T) {
 	for range 1000 {
 		if pause := Jitter(time.Second); pause < 750*time.Millisecond || pause > 1250*time.Millisecond {
-			t.Fatalf("a second became %s", pause)
+			t.Fatalf("Jitter(1s) is %s", pause)
 		}
 	}
 }
@@ -157,13 +157,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		mutex := NewChanMutex()
 		mutex.Lock()
-		began := time.Now()
-		if mutex.TryLockFor(time.Second) || time.Since(began) != time.Second {
-			t.Error("took a lock that is held, or did not wait for it")
+		start := time.Now()
+		if mutex.TryLockFor(time.Second) || time.Since(start) != time.Second {
+			t.Error("acquired a held lock, or did not wait for the timeout")
 		}
 		time.AfterFunc(time.Second, mutex.Unlock)
-		if !mutex.TryLockFor(time.Minute) || time.Since(began) != 2*time.Second {
-			t.Error("did not take a lock that was released")
+		if !mutex.TryLockFor(time.Minute) || time.Since(start) != 2*time.Second {
+			t.Error("did not acquire a lock when it was released")
 		}
 	})
 }
--- a/internal/environment/host.go
+++ b/internal/environment/host.go
@@ -10,29 +10,27 @@
 	"github.com/syndtr/goleveldb/leveldb/storage"
 )
 
-// Host is the machine as a node sees it: how it reaches others, its disk, and its sleep.
-// Addresses are IP numbers with ports.
+// Host provides a node's access to its machine: network, disk, suspended time and kernel
+// statistics. Addresses are IP addresses with ports.
 type Host struct {
 	Dial         func(ctx context.Context, address string) (net.Conn, error)
 	Listen       func(address string) (net.Listener, error)
 	ListenPacket func(address string) (net.PacketConn, error)
-	// OpenStorage opens a folder for the database and locks it against other processes.
+	// OpenStorage opens a database folder and locks it against other processes.
 	OpenStorage func(folder string) (storage.Storage, error)
 	Rename      func(oldFolder, newFolder string) error
-	// SuspendedTime returns for how long the machine has been suspended so far; nil is for
-	// a machine that never is.
+	// SuspendedTime returns the total time for which the machine has been suspended; nil if it
+	// never is.
 	SuspendedTime func() time.Duration
-	// Waits returns what the kernel tells of this process's waits; nil is for one that tells
-	// nothing.
+	// Waits returns the wait times that the kernel has counted so far; nil if there are none.
 	Waits func() Waits
 }
 
-// keepAlive lets a node know within some ten seconds that a peer has gone silent, also on
-// an idle connection.
+// keepAlive detects an unresponsive peer within about ten seconds, also on an idle connection.
 var keepAlive = net.KeepAliveConfig{Enable: true, Idle: 5 * time.Second, Interval: 2 * time.Second, Count: 3}
 
-// NewHost returns the real machine. Connections go out from the IP number of the source
-// address, if that has a certain one.
+// NewHost returns the machine that the process runs on. Outgoing connections are bound to the
+// IP address of sourceAddress unless that is empty, invalid or unspecified.
 func NewHost(sourceAddress string) Host {
 	dialer := net.Dialer{KeepAliveConfig: keepAlive}
 	listener := net.ListenConfig{KeepAliveConfig: keepAlive}
--- a/internal/environment/sync.go
+++ b/internal/environment/sync.go
@@ -6,11 +6,11 @@
 )
 
 // taskGroup counts running tasks. Unlike with a sync.WaitGroup, tasks may be started from
-// anywhere while another waits for none to run.
+// anywhere while wait is in progress, even when none is running.
 type taskGroup struct {
 	mu      sync.Mutex // guards running
 	running int
-	idle    *sync.Cond // running has become zero
+	idle    *sync.Cond // signalled when running becomes zero
 }
 
 func newTaskGroup() *taskGroup {
@@ -24,12 +24,12 @@
 	g.running++
 	g.mu.Unlock()
 	go func() {
-		defer g.finished()
+		defer g.finish()
 		task()
 	}()
 }
 
-func (g *taskGroup) finished() {
+func (g *taskGroup) finish() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.running--
@@ -46,21 +46,21 @@
 	}
 }
 
-// ChanMutex is a lock that may be held while waiting for others. A bubble of virtual time
-// counts who waits for it as blocked, which it does not for a sync.Mutex, and it can be
-// waited for within bounds.
+// ChanMutex is a mutex that may be held while blocking on other operations. Unlike with a
+// sync.Mutex, a synctest bubble treats a goroutine that waits for it as durably blocked, and
+// the wait can have a timeout.
 type ChanMutex chan struct{}
 
-// NewChanMutex returns a lock that nobody holds.
+// NewChanMutex returns an unlocked mutex.
 func NewChanMutex() ChanMutex { return make(ChanMutex, 1) }
 
-// Lock waits for the lock and takes it.
+// Lock acquires the mutex and blocks until it is available.
 func (m ChanMutex) Lock() { m <- struct{}{} }
 
-// Unlock releases the lock, which must be held.
+// Unlock releases the mutex, which must be held; it blocks otherwise.
 func (m ChanMutex) Unlock() { <-m }
 
-// TryLockFor waits for the lock for so long and reports whether it took it.
+// TryLockFor waits up to timeout for the mutex and reports whether it was acquired.
 func (m ChanMutex) TryLockFor(timeout time.Duration) bool {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
--- a/internal/environment/waits.go
+++ b/internal/environment/waits.go
@@ -9,27 +9,27 @@
 	"time"
 )
 
-// clockTick is the unit in which the kernel tells how long the machine's processors did what, on
-// all architectures that Go builds for.
+// clockTick is the unit of the times in /proc/stat, on all architectures that Go builds for.
 const clockTick = 10 * time.Millisecond
 
-// stolenColumn is where a line of /proc/stat tells of stolen time; its name is column 0.
+// stolenColumn is the column of stolen time in a line of /proc/stat; column 0 is the name.
 const stolenColumn = 8
 
-// Waits is how long this process, or its machine, has had to wait so far, as the kernel counts it.
-// What the kernel does not tell is zero.
+// Waits holds the total wait times of this process and its machine, as counted by the kernel.
+// A time that the kernel does not provide is zero.
 type Waits struct {
-	// Processor is the sum over the process's threads that live of what each waited for a
-	// processor.
+	// Processor is the time that threads waited for a processor while runnable, summed over the
+	// threads of this process that still exist.
 	Processor time.Duration
-	// Disk is for how long a process of this machine, whichever, has waited for a disk.
+	// Disk is the time during which at least one process of this machine waited for a disk.
 	Disk time.Duration
-	// Stolen is the sum over the machine's processors of the time for which each had work, and
-	// the host of this virtual machine did not run it.
+	// Stolen is the time for which processors of this virtual machine had work but were not run
+	// by its host, summed over the processors.
 	Stolen time.Duration
 }
 
-// Since returns the waits since earlier ones. A thread that has ended may take its own along.
+// Since returns the wait times added since earlier, each at least zero: Processor may decrease,
+// since the times of threads that have ended are not included.
 func (w Waits) Since(earlier Waits) Waits {
 	return Waits{
 		Processor: max(0, w.Processor-earlier.Processor),
@@ -38,17 +38,18 @@
 	}
 }
 
-// readWaits asks the kernel.
+// readWaits reads the wait times from the kernel.
 func readWaits() Waits {
 	waits := Waits{Disk: readDiskWait("/proc/pressure/io"), Stolen: readStolenTime("/proc/stat")}
-	threads, _ := filepath.Glob("/proc/self/task/*/schedstat") // the pattern is sound
+	threads, _ := filepath.Glob("/proc/self/task/*/schedstat") // the pattern is valid
 	for _, path := range threads {
 		waits.Processor += readRunDelay(path)
 	}
 	return waits
 }
 
-// readRunDelay reads how long a thread has waited for a processor: the second number of its file.
+// readRunDelay returns how long a thread has waited for a processor: the second number of its
+// schedstat file, in nanoseconds.
 func readRunDelay(path string) time.Duration {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -61,7 +62,8 @@
 	return waiting
 }
 
-// readDiskWait reads the total of the line "some" of a file of pressure, in microseconds.
+// readDiskWait returns the total of the line "some", the first of a pressure file, which is in
+// microseconds.
 func readDiskWait(path string) time.Duration {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -76,7 +78,7 @@
 	return time.Duration(microseconds) * time.Microsecond
 }
 
-// readStolenTime reads the stolen time of all processors from the first line of /proc/stat.
+// readStolenTime returns the stolen time of all processors from the first line of /proc/stat.
 func readStolenTime(path string) time.Duration {
 	raw, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/environment/waits_test.go
+++ b/internal/environment/waits_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func TestWaits_AreReadAsTheKernelWritesThem(t *testing.T) {
+func TestWaits_ParsesKernelFiles(t *testing.T) {
 	folder := t.TempDir()
 	write := func(name, text string) string {
 		path := filepath.Join(folder, name)
@@ -27,11 +27,11 @@
 	}
 	for _, path := range []string{filepath.Join(folder, "none"), write("strange", "x"), write("short", "cpu 1 2 3 4 5 6 7\n"), write("one", "cpu0 1 2 3 4 5 6 7 8\n")} {
 		if readRunDelay(path) != 0 || readDiskWait(path) != 0 || readStolenTime(path) != 0 {
-			t.Error("what can't be read is not zero:", path)
+			t.Error("a malformed or missing file does not give zero:", path)
 		}
 	}
-	before := Waits{Processor: 3 * time.Second, Disk: time.Second, Stolen: time.Second}
-	if got := (Waits{Processor: time.Second, Disk: 4 * time.Second, Stolen: 6 * time.Second}).Since(before); got != (Waits{Disk: 3 * time.Second, Stolen: 5 * time.Second}) {
+	earlier := Waits{Processor: 3 * time.Second, Disk: time.Second, Stolen: time.Second}
+	if got := (Waits{Processor: time.Second, Disk: 4 * time.Second, Stolen: 6 * time.Second}).Since(earlier); got != (Waits{Disk: 3 * time.Second, Stolen: 5 * time.Second}) {
 		t.Error(got)
 	}
 }
--- a/internal/errcode/errcode_test.go
+++ b/internal/errcode/errcode_test.go
@@ -8,7 +8,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func TestError_IsFoundByItsCode(t *testing.T) {
+func TestError_MatchesOnlyItsCode(t *testing.T) {
 	uncoded := errors.New("disk on fire")
 	tests := []struct {
 		name string
@@ -17,7 +17,7 @@
 		want bool
 	}{
 		{"its own code", New(NoLeader, "shard %d", 7), NoLeader, true},
-		{"its code below another error", fmt.Errorf("forward: %w", New(NoLeader, "")), NoLeader, true},
+		{"its code in a wrapped error", fmt.Errorf("forward: %w", New(NoLeader, "")), NoLeader, true},
 		{"another code", New(NoLeader, ""), NotLeader, false},
 		{"an error without a code", uncoded, NoLeader, false},
 	}
@@ -29,21 +29,21 @@
 		})
 	}
 	if got := From(uncoded).Code; got != Internal {
-		t.Errorf("an error without a code is taken for %v", got)
+		t.Errorf("an error without a code has the code %v, want Internal", got)
 	}
 }
 
 func TestError_KeepsNoteAndPaths(t *testing.T) {
 	err := NewPaths(InvalidChange, []string{"put.routes[0].path", "base"})
-	var found *Error
-	if !errors.As(err, &found) {
-		t.Fatalf("%T holds no *Error", err)
+	var coded *Error
+	if !errors.As(err, &coded) {
+		t.Fatalf("%T wraps no *Error", err)
 	}
-	if diff := cmp.Diff([]string{"put.routes[0].path", "base"}, found.Paths); diff != "" {
+	if diff := cmp.Diff([]string{"put.routes[0].path", "base"}, coded.Paths); diff != "" {
 		t.Error(diff)
 	}
 	want := InvalidChange.Error() + ": put.routes[0].path; base"
-	if found.Error() != want {
-		t.Errorf("%q, want %q", found.Error(), want)
+	if coded.Error() != want {
+		t.Errorf("%q, want %q", coded.Error(), want)
 	}
 }
--- a/internal/eventlog/async.go
+++ b/internal/eventlog/async.go
@@ -10,35 +10,36 @@
 	"github.com/phuslu/log"
 )
 
-// queueLines is how many lines may wait for a writer that takes none.
-const queueLines = 4096
+// queueCapacity is the maximum number of lines that wait to be written.
+const queueCapacity = 4096
 
-// NewAsync is New, but for the task that writes: it is one of the log's own, so that no task of a
-// node waits for a disk or a pipe. Lines that come while queueLines wait are dropped and counted.
-// Close must be called at the end.
-func NewAsync(out io.Writer, level string, node string) *Log {
-	queue := newLineQueue(out)
+// NewAsync is like New, but lines are written by a separate goroutine, so that Emit never blocks
+// on a disk or a pipe. Lines emitted while queueCapacity lines wait are dropped and counted. The
+// caller must call Close.
+func NewAsync(w io.Writer, level string, node string) *Log {
+	queue := newLineQueue(w)
 	l := newLog(&log.IOWriter{Writer: queue}, level, node)
 	l.queue = queue
 	return l
 }
 
-// Close ends the writing of lines; what waits is written if that takes no longer than the limit.
-// Events are kept and counted as before.
-func (l *Log) Close(limit time.Duration) {
+// Close stops accepting lines and waits until the queued ones are written, at most for timeout.
+// Later events are still kept and counted, but not written. Close has no effect on a log made by
+// New.
+func (l *Log) Close(timeout time.Duration) {
 	if l.queue == nil {
 		return
 	}
 	l.queue.close()
-	timeout := time.NewTimer(limit)
-	defer timeout.Stop()
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
 	select {
-	case <-l.queue.written:
-	case <-timeout.C:
+	case <-l.queue.drained:
+	case <-timer.C:
 	}
 }
 
-// DroppedLines is how many lines were not written since too many waited.
+// DroppedLines returns the number of lines dropped because the queue was full.
 func (l *Log) DroppedLines() uint64 {
 	if l.queue == nil {
 		return 0
@@ -46,29 +47,29 @@
 	return l.queue.dropped.Load()
 }
 
-// lineQueue stands between those who write lines and the task that hands them to a writer.
+// lineQueue decouples Emit from the goroutine that writes the lines.
 type lineQueue struct {
 	lines   chan []byte
 	dropped atomic.Uint64
-	written chan struct{} // closed when the queue is closed and every line was handed over
+	drained chan struct{} // closed after the queue is closed and every line has been written
 
 	mu       sync.RWMutex // guards isClosed
 	isClosed bool
 }
 
-// newLineQueue starts the task that writes to out, which ends with the queue.
-func newLineQueue(out io.Writer) *lineQueue {
-	q := &lineQueue{lines: make(chan []byte, queueLines), written: make(chan struct{})}
+// newLineQueue starts the goroutine that writes to w; it ends after close.
+func newLineQueue(w io.Writer) *lineQueue {
+	q := &lineQueue{lines: make(chan []byte, queueCapacity), drained: make(chan struct{})}
 	go func() {
-		defer close(q.written)
+		defer close(q.drained)
 		for line := range q.lines {
-			out.Write(line) // a log that can't be written has nowhere to say so
+			w.Write(line) // an error of the log can't be logged
 		}
 	}()
 	return q
 }
 
-// Write queues a copy of a line. It never waits for the lines before it.
+// Write queues a copy of a line without blocking. It drops the line if the queue is full.
 func (q *lineQueue) Write(line []byte) (int, error) {
 	q.mu.RLock()
 	defer q.mu.RUnlock()
@@ -83,7 +84,7 @@
 	return len(line), nil
 }
 
-// close takes no more lines.
+// close makes later calls of Write fail. Lines already queued are still written.
 func (q *lineQueue) close() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -1,5 +1,5 @@
-// Package eventlog writes numbered events as lines of JSON. It also keeps the newest ones in
-// memory and counts them by name, for the shell and the metrics.
+// Package eventlog writes numbered events as lines of JSON. It also keeps the most recent events
+// in memory and counts events by name, for the operator's shell and the metrics.
 package eventlog
 
 import (
@@ -10,43 +10,44 @@
 	"github.com/phuslu/log"
 )
 
-// Event is one line of the table in docs/events.md.
+// Event is an entry of the table in docs/events.md, generated from schema/events.yaml.
 type Event struct {
-	Number int    // identifies the event for good
-	Name   string // its name in metrics
+	Number int    // never reused for another event
+	Name   string // the name in metrics
 	Level  string // debug, info, warn or error
 	Text   string
 }
 
-// Entry is one event that was logged.
+// Entry is a logged event.
 type Entry struct {
-	Seq    uint64 // counts the process's events from 1
+	Seq    uint64 // position among the process's events, from 1
 	At     time.Time
 	Event  Event
-	Fields []any // keys and values in turn
+	Fields []any // alternating keys and values
 }
 
-// capacity is how many entries are kept at most; half of them go when it is reached.
-const capacity = 2048
+// maxEntries is the maximum number of entries kept in memory; when it is reached, the older half
+// is discarded.
+const maxEntries = 2048
 
 // Log is the event log of one process.
 type Log struct {
 	logger *log.Logger
-	queue  *lineQueue // nil for a log whose events are written by whoever emits them
+	queue  *lineQueue // nil for a log that writes synchronously
 
-	mu      sync.Mutex // guards the three below
+	mu      sync.Mutex // guards seq, entries and counts
 	seq     uint64
-	entries []Entry // the newest, oldest first
+	entries []Entry // the most recent events, oldest first
 	counts  map[string]uint64
 
-	// Observer is called with every event, if it is set before the first.
+	// Observer, if set, is called with every event. It must be set before the first event.
 	Observer func(Entry)
 }
 
-// New returns a log that writes events of the level and above to out, each with the name of the
-// node, before Emit returns.
-func New(out io.Writer, level string, node string) *Log {
-	return newLog(&log.IOWriter{Writer: out}, level, node)
+// New returns a log whose Emit synchronously writes events of at least the given level to w, each
+// with the name of the node.
+func New(w io.Writer, level string, node string) *Log {
+	return newLog(&log.IOWriter{Writer: w}, level, node)
 }
 
 func newLog(writer log.Writer, level string, node string) *Log {
@@ -55,13 +56,13 @@
 	return &Log{counts: map[string]uint64{}, logger: logger}
 }
 
-// Emit logs an event; pairs are keys, which are strings, and values in turn.
+// Emit logs an event with alternating keys, which must be strings, and values.
 func (l *Log) Emit(e Event, pairs ...any) {
 	l.mu.Lock()
 	l.seq++
 	entry := Entry{Seq: l.seq, At: time.Now(), Event: e, Fields: pairs}
-	if len(l.entries) >= capacity {
-		l.entries = append(l.entries[:0:0], l.entries[capacity/2:]...)
+	if len(l.entries) >= maxEntries {
+		l.entries = append(l.entries[:0:0], l.entries[maxEntries/2:]...)
 	}
 	l.entries = append(l.entries, entry)
 	l.counts[e.Name]++
@@ -77,18 +78,18 @@
 	line.Msg(e.Text)
 }
 
-// Counts returns how often each event was logged, by name, whatever its level.
+// Counts returns the number of events by name, including those below the log's level.
 func (l *Log) Counts() map[string]uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	view := make(map[string]uint64, len(l.counts))
+	counts := make(map[string]uint64, len(l.counts))
 	for name, n := range l.counts {
-		view[name] = n
+		counts[name] = n
 	}
-	return view
+	return counts
 }
 
-// Recent returns the n newest entries, oldest first.
+// Recent returns up to n of the most recent entries, oldest first.
 func (l *Log) Recent(n int) []Entry {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/httpserver/connection.go
+++ b/internal/httpserver/connection.go
@@ -6,19 +6,20 @@
 	"time"
 )
 
-// backgroundReadSize is the length of the reads by which net/http notices, while a handler is not
-// back yet, that the client has gone. What such a read brings is the first byte of the next request.
+// backgroundReadSize is the buffer length, in bytes, of the reads with which net/http detects,
+// while a handler runs, that the client has disconnected. A byte that such a read returns is the
+// first one of the next request.
 const backgroundReadSize = 1
 
-// writeSize is how much is written at once, in bytes, so that a client that takes a long response
-// slowly is told from one that takes nothing.
+// writeSize is the maximum number of bytes per write. Writing a long response in parts
+// distinguishes a client that reads slowly from one that does not read.
 const writeSize = 64 << 10
 
-// past is a deadline that ends a read at once.
-func past() time.Time { return time.Now().Add(-time.Second) }
+// pastDeadline returns a deadline that makes a read fail immediately.
+func pastDeadline() time.Time { return time.Now().Add(-time.Second) }
 
-// connection is a client's connection whose wait for the next request can be ended without
-// losing a request of which a byte was read.
+// connection is a client connection that can be closed while it waits for the next request,
+// without losing a request of which a byte was read.
 type connection struct {
 	net.Conn
 	server     *Server
@@ -26,18 +27,18 @@
 
 	client clientWait
 
-	mu        sync.Mutex // guards all that follows
-	isWaiting bool       // nothing of the next request was read
-	isEnding  bool       // it waits for no other request
-	hasEarly  bool       // the first byte of the next request was read before the wait for it
-	served    bool       // it has had a request
-	// readDeadline is the one that net/http set last. While the wait is ended another one
-	// is in force.
+	mu                sync.Mutex // guards the fields below
+	isAwaitingRequest bool       // no byte of the next request has been read
+	closesWhenIdle    bool       // closed instead of waiting for another request
+	hasEarlyByte      bool       // the first byte of the next request was read while one was being served
+	receivedRequest   bool       // a request has been received
+	// readDeadline is the deadline that net/http set last. While closesWhenIdle and
+	// isAwaitingRequest are set, a past deadline is in force instead.
 	readDeadline time.Time
 }
 
-// Read reads what the client sent. The first bytes of a request end the wait for it, also where
-// they come before the wait.
+// Read reads from the client and notes when the first byte of the next request arrives, also if
+// that is before the response to the previous request is finished.
 func (c *connection) Read(buffer []byte) (int, error) {
 	if len(buffer) != backgroundReadSize {
 		c.client.begin()
@@ -45,13 +46,13 @@
 	}
 	n, err := c.Conn.Read(buffer)
 	if n > 0 {
-		c.noteEarly(len(buffer))
+		c.noteEarlyByte(len(buffer))
 		c.beginRequest()
 	}
 	return n, err
 }
 
-// Write writes a part of a response.
+// Write writes data in parts of at most writeSize bytes.
 func (c *connection) Write(data []byte) (written int, err error) {
 	for {
 		n, err := c.writePart(data[written:min(written+writeSize, len(data))])
@@ -62,83 +63,86 @@
 	}
 }
 
-// writePart waits until the client takes a few bytes.
+// writePart writes one part; while it blocks, the connection counts as waiting for its client.
 func (c *connection) writePart(data []byte) (int, error) {
 	c.client.begin()
 	defer c.client.end()
 	return c.Conn.Write(data)
 }
 
-// Close closes the connection. The server waits for it no more.
+// Close closes the connection and removes it from the server's connections.
 func (c *connection) Close() error {
 	err := c.Conn.Close()
-	c.server.forget(c)
+	c.server.remove(c)
 	return err
 }
 
-// noteEarly notes a byte that was read while a request is being served.
-func (c *connection) noteEarly(size int) {
+// noteEarlyByte records that a background read returned the first byte of the next request while
+// a request is being served. size is the length of the read's buffer.
+func (c *connection) noteEarlyByte(size int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.isWaiting && size == backgroundReadSize {
-		c.hasEarly = true
+	if !c.isAwaitingRequest && size == backgroundReadSize {
+		c.hasEarlyByte = true
 	}
 }
 
-// beginRequest ends the wait for a request, for there is one.
+// beginRequest records that a request has begun to arrive. If a past deadline is in force, it is
+// replaced by the one that net/http set.
 func (c *connection) beginRequest() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.isWaiting {
+	if !c.isAwaitingRequest {
 		return
 	}
-	c.isWaiting, c.served = false, true
-	if c.isEnding {
+	c.isAwaitingRequest, c.receivedRequest = false, true
+	if c.closesWhenIdle {
 		c.Conn.SetReadDeadline(c.readDeadline)
 	}
 }
 
-// awaitRequest begins the wait for the next request, unless that has begun already. If the
-// connection is ending, nothing of it is read any more.
+// awaitRequest records that the connection waits for its next request, unless the first byte of
+// that has already been read. If the connection is to be closed when idle, the wait ends at once.
 func (c *connection) awaitRequest() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.hasEarly {
-		c.hasEarly = false
+	if c.hasEarlyByte {
+		c.hasEarlyByte = false
 		return
 	}
-	c.isWaiting = true
-	if c.isEnding {
-		c.Conn.SetReadDeadline(past())
+	c.isAwaitingRequest = true
+	if c.closesWhenIdle {
+		c.Conn.SetReadDeadline(pastDeadline())
 	}
 }
 
-// end has the connection closed as soon as no request is being served on it.
-func (c *connection) end() {
+// closeWhenIdle makes the connection close as soon as no request is being served on it.
+func (c *connection) closeWhenIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.isEnding {
+	if c.closesWhenIdle {
 		return
 	}
-	c.isEnding = true
-	if c.isWaiting {
-		c.Conn.SetReadDeadline(past())
+	c.closesWhenIdle = true
+	if c.isAwaitingRequest {
+		c.Conn.SetReadDeadline(pastDeadline())
 	}
 }
 
-// hasServed tells whether the connection has had a request.
-func (c *connection) hasServed() bool {
+// hasReceivedRequest reports whether a request has arrived on the connection.
+func (c *connection) hasReceivedRequest() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.served
+	return c.receivedRequest
 }
 
-// SetReadDeadline sets the deadline for reads, unless the wait for a request is ended.
+// SetReadDeadline sets the deadline for reads. It only records the deadline while the wait for a
+// request is being ended by a past one.
 func (c *connection) SetReadDeadline(deadline time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.readDeadline = deadline
-	if c.isEnding && c.isWaiting {
+	if c.closesWhenIdle && c.isAwaitingRequest {
 		return nil
 	}
 	return c.Conn.SetReadDeadline(deadline)
@@ -152,10 +156,11 @@
 	return c.Conn.SetWriteDeadline(deadline)
 }
 
-// CloseWrite ends the sending side, if the connection has two sides.
+// CloseWrite closes the writing side of the connection. It returns net.ErrClosed if the underlying
+// connection does not support that.
 func (c *connection) CloseWrite() error {
-	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
-		return half.CloseWrite()
+	if halfCloser, ok := c.Conn.(interface{ CloseWrite() error }); ok {
+		return halfCloser.CloseWrite()
 	}
 	return net.ErrClosed
 }
--- a/internal/httpserver/finish.go
+++ b/internal/httpserver/finish.go
@@ -5,27 +5,26 @@
 	"time"
 )
 
-// How long Finish waits is counted in its own looks at the connections, and not by the clock: a
-// process that the machine holds up looks only when it runs again, and so do the tasks that it
-// waits for.
+// Finish limits its wait by the number of polls, not by elapsed time: in a process that is not
+// scheduled, neither the polls nor the handlers that Finish waits for make progress.
 const (
 	finishPollInterval = 5 * time.Millisecond
-	// maxClientPolls is for how many looks in a row a connection may wait for its client to take
-	// the response or to send the rest of the request; 0.5 s in a process that runs.
-	maxClientPolls = 100
-	// maxFinishPolls is after how many looks Finish returns in any case; 2 s in a process that
-	// runs.
+	// maxStalledPolls is the number of consecutive polls for which a connection may wait for its
+	// client to read the response or send the rest of the request: 0.5 s in a running process.
+	maxStalledPolls = 100
+	// maxFinishPolls is the number of polls after which Finish returns in any case: 2 s in a
+	// running process.
 	maxFinishPolls = 400
 )
 
-// Finish ends what Shutdown has left. It is called when everything in flight was given up, and
-// waits until all responses were written and their connections closed. A client that takes nothing
-// is not waited for longer than maxClientPolls, and no request longer than maxFinishPolls. It
-// returns how many connections are left, with requests that get no response.
-func (s *Server) Finish() (left int) {
-	s.end()
+// Finish completes what Shutdown has not. It must be called after the requests in flight have
+// been canceled. It waits until all responses are written and their connections closed, but at
+// most maxStalledPolls for a client that makes no progress and maxFinishPolls in total. It
+// returns the number of connections that remain, whose requests get no response.
+func (s *Server) Finish() (remaining int) {
+	s.stopAccepting()
 	for range maxFinishPolls {
-		if !s.isOwing() {
+		if !s.hasPendingResponses() {
 			break
 		}
 		time.Sleep(finishPollInterval)
@@ -35,47 +34,48 @@
 	return len(s.connections)
 }
 
-// isOwing looks whether a response is still to be written. It ends all connections that wait for a
-// request, also for their first.
-func (s *Server) isOwing() bool {
+// hasPendingResponses reports whether a connection remains whose client is not considered stalled.
+// It closes all connections that wait for a request, including those that have had none.
+func (s *Server) hasPendingResponses() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	isOwing := false
+	hasPending := false
 	for c := range s.connections {
-		c.end()
-		if c.client.look() < maxClientPolls {
-			isOwing = true
+		c.closeWhenIdle()
+		if c.client.poll() < maxStalledPolls {
+			hasPending = true
 		}
 	}
-	return isOwing
+	return hasPending
 }
 
-// clientWait tells for how long a connection has waited for its client.
+// clientWait measures, in polls, how long a connection has been waiting for its client.
 type clientWait struct {
-	waiting atomic.Int64 // reads and writes that are not back
-	ended   atomic.Uint64
+	pending   atomic.Int64 // reads and writes in progress
+	completed atomic.Uint64
 
-	// What the last look saw; only looks use these.
-	seen  uint64
-	polls int
+	// lastCompleted is the value of completed at the last poll, and stalledPolls its result. Only
+	// poll uses them.
+	lastCompleted uint64
+	stalledPolls  int
 }
 
-func (w *clientWait) begin() { w.waiting.Add(1) }
+func (w *clientWait) begin() { w.pending.Add(1) }
 
 func (w *clientWait) end() {
-	w.ended.Add(1)
-	w.waiting.Add(-1)
+	w.completed.Add(1)
+	w.pending.Add(-1)
 }
 
-// look returns at how many looks in a row, this one included, the connection has waited for its
-// client while nothing came of it.
-func (w *clientWait) look() int {
-	ended := w.ended.Load()
-	if w.waiting.Load() == 0 || ended != w.seen {
-		w.polls = 0
+// poll returns the number of consecutive polls, including this one, at which a read or write was
+// in progress and none had completed since the poll before.
+func (w *clientWait) poll() int {
+	completed := w.completed.Load()
+	if w.pending.Load() == 0 || completed != w.lastCompleted {
+		w.stalledPolls = 0
 	} else {
-		w.polls++
+		w.stalledPolls++
 	}
-	w.seen = ended
-	return w.polls
+	w.lastCompleted = completed
+	return w.stalledPolls
 }
--- a/internal/httpserver/finish_test.go
+++ b/internal/httpserver/finish_test.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// longResponse is more than the buffers of two sockets hold.
+// longResponse is the size in bytes of a response that does not fit into the socket buffers.
 const longResponse = 64 << 20
 
-// A client that takes nothing does not keep the server from its end.
-func TestFinish_LeavesAClientThatTakesNothing(t *testing.T) {
-	writing := make(chan struct{}, 2)
-	server, address := start(t, asItIs, Config{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+// A client that does not read its response must not block Finish.
+func TestFinish_GivesUpOnClientThatReadsNothing(t *testing.T) {
+	handlerStarted := make(chan struct{}, 2)
+	server, address := startServer(t, unwrapped, Config{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/long" {
-			writing <- struct{}{}
+			handlerStarted <- struct{}{}
 			w.Write(make([]byte, longResponse))
 		}
 	})})
@@ -23,25 +23,24 @@
 	if _, err := io.WriteString(conn, "GET /long HTTP/1.1\r\nHost: x\r\n\r\n"); err != nil {
 		t.Fatal(err)
 	}
-	<-writing
-	if left := server.Finish(); left != 1 {
-		t.Error(left, "connections are left")
+	<-handlerStarted
+	if remaining := server.Finish(); remaining != 1 {
+		t.Error(remaining, "connections remain")
 	}
 	server.Close()
 	if response, err := http.ReadResponse(reader, nil); err == nil {
 		if _, err = io.Copy(io.Discard, response.Body); err == nil {
-			t.Error("a response that was not taken is whole")
+			t.Error("a response that the client did not read in time arrived complete")
 		}
 	}
 }
 
-// A client that takes its response slowly, but takes it, has all of it, as long as maxFinishPolls
-// allow.
-func TestFinish_WaitsForAClientThatTakesItsResponse(t *testing.T) {
-	writing := make(chan struct{}, 2)
-	server, address := start(t, asItIs, Config{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+// A client that keeps reading receives its whole response, within the limit of maxFinishPolls.
+func TestFinish_WaitsForClientThatReadsItsResponse(t *testing.T) {
+	handlerStarted := make(chan struct{}, 2)
+	server, address := startServer(t, unwrapped, Config{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/long" {
-			writing <- struct{}{}
+			handlerStarted <- struct{}{}
 			w.Write(make([]byte, longResponse))
 		}
 	})})
@@ -49,28 +48,28 @@
 	if _, err := io.WriteString(conn, "GET /long HTTP/1.1\r\nHost: x\r\n\r\n"); err != nil {
 		t.Fatal(err)
 	}
-	<-writing
-	left := make(chan int)
-	go func() { left <- server.Finish() }()
+	<-handlerStarted
+	remaining := make(chan int)
+	go func() { remaining <- server.Finish() }()
 	response, err := http.ReadResponse(reader, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if n, err := io.Copy(io.Discard, response.Body); n != longResponse || err != nil {
-		t.Error("only", n, "bytes came:", err)
+		t.Error("received only", n, "bytes:", err)
 	}
-	if n := <-left; n != 0 {
-		t.Error(n, "connections are left")
+	if n := <-remaining; n != 0 {
+		t.Error(n, "connections remain")
 	}
 }
 
-// A handler that never returns does not keep the server from its end.
-func TestFinish_EndsWhateverAHandlerDoes(t *testing.T) {
-	release, working := make(chan struct{}), make(chan struct{})
+// A handler that never returns must not block Finish beyond maxFinishPolls.
+func TestFinish_ReturnsIfHandlerNeverReturns(t *testing.T) {
+	release, handlerStarted := make(chan struct{}), make(chan struct{})
 	defer close(release)
-	server, address := start(t, asItIs, Config{Handler: http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
+	server, address := startServer(t, unwrapped, Config{Handler: http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/never" {
-			close(working)
+			close(handlerStarted)
 			<-release
 		}
 	})})
@@ -78,43 +77,43 @@
 	if _, err := io.WriteString(conn, "GET /never HTTP/1.1\r\nHost: x\r\n\r\n"); err != nil {
 		t.Fatal(err)
 	}
-	<-working
-	began := time.Now()
-	if left := server.Finish(); left != 1 {
-		t.Error(left, "connections are left")
+	<-handlerStarted
+	start := time.Now()
+	if remaining := server.Finish(); remaining != 1 {
+		t.Error(remaining, "connections remain")
 	}
-	if took, least := time.Since(began), maxFinishPolls*finishPollInterval; took < least {
-		t.Errorf("gave up after %s, before %s", took, least)
+	if elapsed, minimum := time.Since(start), maxFinishPolls*finishPollInterval; elapsed < minimum {
+		t.Errorf("Finish returned after %s, want at least %s", elapsed, minimum)
 	}
 }
 
-// A connection that no request came on yet is ended at once.
-func TestFinish_EndsConnectionsWithoutARequest(t *testing.T) {
-	server, address := start(t, asItIs, greeting)
+// A connection that is not serving a request is closed without waiting.
+func TestFinish_ClosesIdleConnections(t *testing.T) {
+	server, address := startServer(t, unwrapped, helloConfig)
 	conn, reader := dial(t, address)
-	if left := server.Finish(); left != 0 {
-		t.Error(left, "connections are left")
+	if remaining := server.Finish(); remaining != 0 {
+		t.Error(remaining, "connections remain")
 	}
 	if _, err := exchange(conn, reader); err == nil {
-		t.Error("the connection is still there")
+		t.Error("the connection is still open")
 	}
 }
 
-// What counts is how often the server has looked, and not how long it was since the last time.
-func TestClientWait_CountsLooksInARow(t *testing.T) {
+// The wait for a client is counted in polls, not in elapsed time.
+func TestClientWait_CountsConsecutiveStalledPolls(t *testing.T) {
 	var wait clientWait
-	if wait.look() != 0 {
-		t.Error("a connection that waits for nobody was counted")
+	if wait.poll() != 0 {
+		t.Error("a poll was counted without a read or write in progress")
 	}
 	wait.begin()
 	for i := range 3 {
-		if polls := wait.look(); polls != i+1 {
-			t.Errorf("%d looks were counted as %d", i+1, polls)
+		if stalledPolls := wait.poll(); stalledPolls != i+1 {
+			t.Errorf("%d polls were counted as %d", i+1, stalledPolls)
 		}
 	}
 	wait.end()
 	wait.begin()
-	if polls := wait.look(); polls != 0 {
-		t.Errorf("the client has taken something since, and %d looks were counted", polls)
+	if stalledPolls := wait.poll(); stalledPolls != 0 {
+		t.Errorf("%d polls were counted although a write completed", stalledPolls)
 	}
 }
--- a/internal/httpserver/response.go
+++ b/internal/httpserver/response.go
@@ -2,43 +2,44 @@
 
 import "net/http"
 
-// announceEnd has each response that is written while the server ends tell the client that the
-// connection is closed behind it (RFC 9112, section 9.6).
-func (s *Server) announceEnd(handler http.Handler) http.Handler {
+// announceClose adds "Connection: close" to each response that is written after the server has
+// stopped accepting connections (RFC 9112, section 9.6).
+func (s *Server) announceClose(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		announced := &response{ResponseWriter: w, server: s}
-		handler.ServeHTTP(announced, r)
-		if !announced.hasHead && s.hasEnded() {
+		wrapped := &response{ResponseWriter: w, server: s}
+		handler.ServeHTTP(wrapped, r)
+		if !wrapped.wroteHeader && s.isShuttingDown() {
 			w.Header().Set("Connection", "close")
 		}
 	})
 }
 
-// response is a response whose head tells whether the connection ends.
+// response is a ResponseWriter that announces the close of the connection.
 type response struct {
 	http.ResponseWriter
-	server  *Server
-	hasHead bool
+	server      *Server
+	wroteHeader bool
 }
 
-// WriteHeader writes the head.
+// WriteHeader writes the status line and the header. Informational (1xx) ones may precede the
+// final one.
 func (r *response) WriteHeader(status int) {
 	if status >= http.StatusOK {
-		r.hasHead = true
+		r.wroteHeader = true
 	}
-	if r.server.hasEnded() {
+	if r.server.isShuttingDown() {
 		r.Header().Set("Connection", "close")
 	}
 	r.ResponseWriter.WriteHeader(status)
 }
 
-// Write writes a part of the body, and the head before it if there was none.
+// Write writes a part of the body, after the header if that has not been written.
 func (r *response) Write(data []byte) (int, error) {
-	if !r.hasHead {
+	if !r.wroteHeader {
 		r.WriteHeader(http.StatusOK)
 	}
 	return r.ResponseWriter.Write(data)
 }
 
-// Unwrap is for http.ResponseController.
+// Unwrap returns the underlying ResponseWriter, for http.ResponseController.
 func (r *response) Unwrap() http.ResponseWriter { return r.ResponseWriter }
--- a/internal/httpserver/server.go
+++ b/internal/httpserver/server.go
@@ -1,14 +1,16 @@
-// Package httpserver serves HTTP and stops without losing a request that it has read.
+// Package httpserver provides an HTTP server that shuts down without losing a request that it
+// has read.
 //
-// net/http's Shutdown closes each connection that it takes for idle, and takes a connection
-// for idle until the head of its next request has been parsed. A request that was read a
-// moment before is then executed and its response has nowhere to go. Server ends the wait for
-// the next request instead: the wait ends either with nothing read, and the connection is
-// closed, or with the first bytes of a request, and that request is served.
+// net/http's Shutdown closes idle connections, and it considers a connection idle until the
+// header of its next request has been parsed. A request that was read just before may then be
+// executed although its response can no longer be sent. Server instead interrupts the wait for
+// the next request: the wait ends either with nothing read, and the connection is closed, or with
+// the first bytes of a request, and that request is served.
 //
-// The invariant: once a byte of a request was read, the connection is closed only after its
-// response was written, or by Close. Finish tells when Close may be called. A client that sends a request before it has its predecessor's
-// whole response (pipelining) has no such promise (RFC 9112, section 9.3.2).
+// Invariant: once a byte of a request has been read, its connection is closed only after the
+// response has been written, or by Close, which must be called after Finish has returned. The
+// invariant does not cover pipelining, where a client sends a request before it has received the
+// whole previous response (RFC 9112, section 9.3.2).
 package httpserver
 
 import (
@@ -19,17 +21,17 @@
 	"time"
 )
 
-// newConnectionTime is how long a connection without a request yet is taken to be about to
-// send one. Shutdown does not end it before.
-const newConnectionTime = 5 * time.Second
+// firstRequestGrace is how long after accepting a connection Shutdown waits for its first request
+// before closing it.
+const firstRequestGrace = 5 * time.Second
 
-// shutdownPollInterval is between two looks whether all connections have ended.
+// shutdownPollInterval is the interval at which Shutdown checks whether all connections are closed.
 const shutdownPollInterval = 5 * time.Millisecond
 
 // Config describes a Server.
 type Config struct {
 	Handler           http.Handler
-	ReadHeaderTimeout time.Duration // for the head of a request, from its first byte
+	ReadHeaderTimeout time.Duration // for a request's header, from its first byte
 	IdleTimeout       time.Duration // for the first byte of the next request
 	BaseContext       context.Context
 	// PrepareConnection, if set, is called with each new connection before it is served.
@@ -42,47 +44,48 @@
 	server   *http.Server
 	listener net.Listener
 
-	mu          sync.Mutex // guards all that follows
-	connections map[*connection]bool
-	isEnding    bool // no connection is kept for another request
+	mu           sync.Mutex // guards the fields below
+	connections  map[*connection]bool
+	shuttingDown bool // set by stopAccepting
 }
 
-// New returns a server for a listener, which it owns from then on.
+// New returns a server for a listener and takes ownership of the listener.
 func New(listener net.Listener, config Config) *Server {
 	s := &Server{config: config, listener: listener, connections: map[*connection]bool{}}
 	s.server = &http.Server{
-		Handler:           s.announceEnd(config.Handler),
+		Handler:           s.announceClose(config.Handler),
 		ReadHeaderTimeout: config.ReadHeaderTimeout,
 		IdleTimeout:       config.IdleTimeout,
 		BaseContext:       func(net.Listener) context.Context { return config.BaseContext },
-		ConnState:         s.follow,
+		ConnState:         s.trackState,
 	}
 	return s
 }
 
-// Serve serves until Shutdown or Close, and then returns nil. Any other end is an error.
+// Serve accepts and serves connections. It returns nil after Shutdown, Finish or Close was called,
+// otherwise the error that ended it.
 func (s *Server) Serve() error {
 	err := s.server.Serve(trackingListener{s.listener, s})
-	if s.hasEnded() {
+	if s.isShuttingDown() {
 		return nil
 	}
 	return err
 }
 
-func (s *Server) hasEnded() bool {
+func (s *Server) isShuttingDown() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.isEnding
+	return s.shuttingDown
 }
 
-// Shutdown takes no new connections, ends the idle ones, and waits until every request that
-// was read is answered and its connection closed, or until the context ends. Finish waits for
-// what is given up then, and Close must be called after both.
+// Shutdown stops accepting connections, closes idle ones, and waits until every request that has
+// been read is answered and its connection closed, or until the context is done. In the latter
+// case, cancel the requests in flight and call Finish. Close must be called in either case.
 func (s *Server) Shutdown(ctx context.Context) {
-	s.end()
+	s.stopAccepting()
 	poll := time.NewTicker(shutdownPollInterval)
 	defer poll.Stop()
-	for s.endIdle(time.Now()) > 0 {
+	for s.closeIdle(time.Now()) > 0 {
 		select {
 		case <-ctx.Done():
 			return
@@ -91,35 +94,36 @@
 	}
 }
 
-// Close closes all connections at once, whatever they are used for.
+// Close closes all connections immediately, including those with requests in flight.
 func (s *Server) Close() {
-	s.end()
+	s.stopAccepting()
 	s.server.Close()
 }
 
-// end takes no new connections from now on, and has no connection kept for another request.
-func (s *Server) end() {
+// stopAccepting closes the listener. Responses written after it announce the close of their
+// connections.
+func (s *Server) stopAccepting() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.isEnding = true
-	s.listener.Close() // a second time is an error without consequence
+	s.shuttingDown = true
+	s.listener.Close() // closing it again only returns an error
 }
 
-// endIdle ends the connections that wait for their next request, and those that have waited
-// long enough for their first. It returns how many connections are left.
-func (s *Server) endIdle(now time.Time) int {
+// closeIdle marks connections to be closed when idle, except those that are still within
+// firstRequestGrace and have received no request. It returns the number of open connections.
+func (s *Server) closeIdle(now time.Time) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.connections {
-		if c.hasServed() || now.Sub(c.acceptedAt) >= newConnectionTime {
-			c.end()
+		if c.hasReceivedRequest() || now.Sub(c.acceptedAt) >= firstRequestGrace {
+			c.closeWhenIdle()
 		}
 	}
 	return len(s.connections)
 }
 
-// follow keeps the connections' states as net/http goes through them.
-func (s *Server) follow(conn net.Conn, state http.ConnState) {
+// trackState updates a connection when net/http changes its state.
+func (s *Server) trackState(conn net.Conn, state http.ConnState) {
 	c, ok := conn.(*connection)
 	if !ok {
 		return
@@ -132,20 +136,21 @@
 	}
 }
 
-// forget takes a closed connection off. One that a handler took over is kept until then.
-func (s *Server) forget(c *connection) {
+// remove removes a closed connection. A connection that a handler has hijacked stays until it is
+// closed.
+func (s *Server) remove(c *connection) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.connections, c)
 }
 
-// trackingListener hands out the connections of a server.
+// trackingListener adds each accepted connection to the server's connections.
 type trackingListener struct {
 	net.Listener
 	server *Server
 }
 
-// Accept waits for the next connection.
+// Accept waits for the next connection, prepares it and wraps it in a *connection.
 func (l trackingListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
@@ -154,7 +159,7 @@
 	if prepare := l.server.config.PrepareConnection; prepare != nil {
 		prepare(conn)
 	}
-	c := &connection{Conn: conn, server: l.server, acceptedAt: time.Now(), isWaiting: true}
+	c := &connection{Conn: conn, server: l.server, acceptedAt: time.Now(), isAwaitingRequest: true}
 	l.server.mu.Lock()
 	l.server.connections[c] = true
 	l.server.mu.Unlock()
--- a/internal/httpserver/server_test.go
+++ b/internal/httpserver/server_test.go
@@ -1,12 +1,3 @@
-// What a server that stops does with requests: whatever it has read is answered, and what it
-// does not answer it has not read.
-//
-// A soak of 185 processes beside 60 busy loops showed the first case: "orders call
-// f9bc513936ab6a74 at proxy26: the connection ended 202 ms after its last byte without an
-// answer: EOF", 1.3 s after the proxy's SIGTERM, when its drain was over and its idle
-// connections were closed. The server had read the request, but not parsed its head, so
-// net/http took the connection for idle.
-
 package httpserver
 
 import (
@@ -23,26 +14,26 @@
 	"time"
 )
 
-// gatedListener hands out connections of which the first read that has data after watchNextRead
-// waits at a gate.
+// gatedListener accepts connections on which the first successful read after watchNextRead blocks
+// until gate is closed.
 type gatedListener struct {
 	net.Listener
 	isWatching atomic.Bool
-	hasRead    chan struct{} // gets a value at that read; it has room for it, whoever comes first
-	gate       chan struct{} // is closed to let the read go on
+	hasRead    chan struct{} // receives a value at that read; buffered, so that the send does not block
+	gate       chan struct{} // closed to let the read return
 }
 
 func newGatedListener() *gatedListener {
 	return &gatedListener{hasRead: make(chan struct{}, 1), gate: make(chan struct{})}
 }
 
-// wrap takes the connections of a listener.
+// wrap sets the underlying listener.
 func (l *gatedListener) wrap(listener net.Listener) net.Listener {
 	l.Listener = listener
 	return l
 }
 
-// watchNextRead is called before the data is sent that is to be read.
+// watchNextRead selects the next read that returns data. Call it before sending the data.
 func (l *gatedListener) watchNextRead() { l.isWatching.Store(true) }
 
 func (l *gatedListener) Accept() (net.Conn, error) {
@@ -64,8 +55,8 @@
 	return n, err
 }
 
-// start serves on a listener of this machine until the test ends, and returns its address.
-func start(t *testing.T, wrap func(net.Listener) net.Listener, config Config) (*Server, string) {
+// startServer runs a server on a loopback address until the test ends, and returns that address.
+func startServer(t *testing.T, wrap func(net.Listener) net.Listener, config Config) (*Server, string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -84,11 +75,11 @@
 	return server, listener.Addr().String()
 }
 
-func asItIs(l net.Listener) net.Listener { return l }
+func unwrapped(l net.Listener) net.Listener { return l }
 
-func greet(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "hello") }
+func writeHello(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "hello") }
 
-var greeting = Config{Handler: http.HandlerFunc(greet)}
+var helloConfig = Config{Handler: http.HandlerFunc(writeHello)}
 
 // exchange sends a request and reads its response.
 func exchange(conn net.Conn, reader *bufio.Reader) (*http.Response, error) {
@@ -103,7 +94,7 @@
 	return response, err
 }
 
-// dial opens a connection that has carried a request.
+// dial opens a connection and completes one request on it.
 func dial(t *testing.T, address string) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
@@ -118,9 +109,12 @@
 	return conn, reader
 }
 
+// A request that the server has read, but whose header it has not parsed yet, is answered.
+// net/http considers such a connection idle, so its own Shutdown closes it and the client gets
+// EOF instead of a response. On a busy machine this happened when a proxy stopped.
 func TestShutdown_AnswersRequestReadButNotParsed(t *testing.T) {
 	gated := newGatedListener()
-	server, address := start(t, gated.wrap, greeting)
+	server, address := startServer(t, gated.wrap, helloConfig)
 	conn, reader := dial(t, address)
 	gated.watchNextRead()
 	answered := make(chan error, 1)
@@ -136,33 +130,32 @@
 		server.Shutdown(t.Context())
 		close(stopped)
 	}()
-	// The stop has come to this connection as soon as it takes no new ones.
+	// Shutdown has begun once the server accepts no new connections.
 	for isListening(address) {
 	}
 	close(gated.gate)
 	if err := <-answered; err != nil {
-		t.Fatal("a request that was read got no answer:", err)
+		t.Fatal("a request that was read got no response:", err)
 	}
 	if !response.Close {
-		t.Error("the response does not tell that its connection ends")
+		t.Error("the response does not announce that its connection is closed")
 	}
 	<-stopped
 }
 
-// A handler that has flushed its whole answer and is not back yet: net/http reads the first byte
-// of the client's next request in the background meanwhile. A stop took the connection for one
-// that waits and ended it at once: "connection reset by peer" for a request of which a byte was
-// read.
-func TestShutdown_AnswersRequestReadWhileTheHandlerWasNotBack(t *testing.T) {
-	for _, stopsFirst := range []bool{true, false} {
-		watched := newGatedListener()
-		close(watched.gate)
+// While a handler that has flushed its whole response is still running, net/http reads the first
+// byte of the next request in the background. Shutdown must not consider such a connection idle:
+// the client would get "connection reset by peer" for a request of which a byte was read.
+func TestShutdown_AnswersRequestReadBeforePreviousHandlerReturned(t *testing.T) {
+	for _, stopsBeforeReturn := range []bool{true, false} {
+		gated := newGatedListener()
+		close(gated.gate)
 		release := make(chan struct{})
 		finished := make(chan struct{}, 2)
-		server, address := start(t, watched.wrap, Config{
+		server, address := startServer(t, gated.wrap, Config{
 			Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				w.Header().Set("Content-Length", "5")
-				greet(w, r)
+				writeHello(w, r)
 				http.NewResponseController(w).Flush()
 				<-release
 				finished <- struct{}{}
@@ -170,11 +163,11 @@
 		})
 		conn, reader := dial(t, address)
 		const request = "GET / HTTP/1.1\r\nHost: x\r\n\r\n"
-		watched.watchNextRead()
+		gated.watchNextRead()
 		if _, err := io.WriteString(conn, request[:1]); err != nil {
 			t.Fatal(err)
 		}
-		<-watched.hasRead
+		<-gated.hasRead
 		stopped := make(chan struct{})
 		stop := func() {
 			go func() {
@@ -184,19 +177,19 @@
 			for isListening(address) {
 			}
 		}
-		if stopsFirst {
+		if stopsBeforeReturn {
 			stop()
 		}
 		close(release)
 		<-finished
-		if !stopsFirst {
+		if !stopsBeforeReturn {
 			stop()
 		}
 		if _, err := io.WriteString(conn, request[1:]); err != nil {
 			t.Fatal(err)
 		}
 		if response, err := http.ReadResponse(reader, nil); err != nil || !response.Close {
-			t.Errorf("stops first %v: a request of which a byte was read got no answer: %v %v", stopsFirst, response, err)
+			t.Errorf("shutdown before the handler returned: %v: a request of which a byte was read got no response: %v %v", stopsBeforeReturn, response, err)
 		}
 		<-stopped
 	}
@@ -210,34 +203,34 @@
 	return err == nil
 }
 
-func TestShutdown_EndsIdleConnectionsAtOnce(t *testing.T) {
-	server, address := start(t, asItIs, greeting)
+func TestShutdown_ClosesIdleConnectionsImmediately(t *testing.T) {
+	server, address := startServer(t, unwrapped, helloConfig)
 	conn, _ := dial(t, address)
-	began := time.Now()
+	start := time.Now()
 	server.Shutdown(t.Context())
-	if took := time.Since(began); took > time.Second {
-		t.Error("took", took)
+	if elapsed := time.Since(start); elapsed > time.Second {
+		t.Error("Shutdown took", elapsed)
 	}
 	if _, err := conn.Read(make([]byte, 1)); err != io.EOF {
-		t.Error("the connection did not end:", err)
+		t.Error("the connection was not closed:", err)
 	}
 }
 
-func TestShutdown_WaitsForRequestInFlightUntilTheContextEnds(t *testing.T) {
+func TestShutdown_WaitsForInflightRequestUntilContextIsDone(t *testing.T) {
 	release := make(chan struct{})
-	working := make(chan struct{}, 2)
-	server, address := start(t, asItIs, Config{Handler: http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
+	handlerStarted := make(chan struct{}, 2)
+	server, address := startServer(t, unwrapped, Config{Handler: http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/" {
 			return
 		}
-		working <- struct{}{}
+		handlerStarted <- struct{}{}
 		<-release
 	})})
 	conn, reader := dial(t, address)
 	if _, err := io.WriteString(conn, "GET /long HTTP/1.1\r\nHost: x\r\n\r\n"); err != nil {
 		t.Fatal(err)
 	}
-	<-working
+	<-handlerStarted
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	server.Shutdown(ctx)
@@ -248,12 +241,12 @@
 	}
 }
 
-func TestShutdown_NewConnectionMaySendItsFirstRequest(t *testing.T) {
+func TestShutdown_ServesFirstRequestOfNewConnection(t *testing.T) {
 	accepted := make(chan struct{})
-	// Looking whether the server listens makes connections too, which must not hold up Accept.
+	// isListening opens connections too, so PrepareConnection is called more than once.
 	accept := sync.OnceFunc(func() { close(accepted) })
-	server, address := start(t, asItIs, Config{
-		Handler:           greeting.Handler,
+	server, address := startServer(t, unwrapped, Config{
+		Handler:           helloConfig.Handler,
 		PrepareConnection: func(net.Conn) { accept() },
 	})
 	conn, err := net.Dial("tcp", address)
@@ -275,26 +268,26 @@
 	<-stopped
 }
 
-// Requests that cross the end of their connections: each is answered, or was never executed.
-func TestShutdown_NoRequestIsExecutedUnanswered(t *testing.T) {
+// Each request sent while its connection is being closed is either answered or never executed.
+func TestShutdown_AnswersEveryExecutedRequest(t *testing.T) {
 	const rounds, clients = 60, 8
 	for range rounds {
 		var executed, answered atomic.Int64
-		server, address := start(t, asItIs, Config{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		server, address := startServer(t, unwrapped, Config{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			executed.Add(1)
-			greet(w, r)
+			writeHello(w, r)
 		})})
-		var all sync.WaitGroup
+		var clientTasks sync.WaitGroup
 		begin := make(chan struct{})
 		for range clients {
 			conn, reader := dial(t, address)
-			all.Go(func() {
+			clientTasks.Go(func() {
 				<-begin
 				conn.SetReadDeadline(time.Now().Add(5 * time.Second))
 				for {
 					response, err := exchange(conn, reader)
 					if errors.Is(err, os.ErrDeadlineExceeded) {
-						t.Error("a request was left without an answer and without an end")
+						t.Error("a request got neither a response nor a closed connection")
 					}
 					if err != nil {
 						return
@@ -308,9 +301,9 @@
 		}
 		close(begin)
 		server.Shutdown(t.Context())
-		all.Wait()
-		if done, got := executed.Load(), answered.Load()+clients; done != got {
-			t.Fatalf("%d requests were executed, %d answered", done, got)
+		clientTasks.Wait()
+		if executedCount, answeredCount := executed.Load(), answered.Load()+clients; executedCount != answeredCount {
+			t.Fatalf("%d requests were executed, but %d were answered", executedCount, answeredCount)
 		}
 	}
 }
--- a/internal/metrics/histogram_test.go
+++ b/internal/metrics/histogram_test.go
@@ -1,5 +1,3 @@
-// Times: what a histogram says of the times it was given, and that taking one
-// allocates nothing.
 package metrics
 
 import (
@@ -11,66 +9,66 @@
 	"time"
 )
 
-func TestTimesAreCountedUnderTheirBounds(t *testing.T) {
-	var times Histogram
-	if s := times.Summary(); s.Count != 0 || s.Max != 0 {
-		t.Errorf("a histogram without a time says %+v", s)
+func TestHistogram_SummarizesDurations(t *testing.T) {
+	var histogram Histogram
+	if s := histogram.Summary(); s.Count != 0 || s.Max != 0 {
+		t.Errorf("the summary of an empty histogram is %+v", s)
 	}
 	for i := 1; i <= 1000; i++ {
-		times.Observe(time.Duration(i) * time.Millisecond)
+		histogram.Observe(time.Duration(i) * time.Millisecond)
 	}
-	s := times.Summary()
-	if s.Count != 1000 || s.Seconds < 500 || s.Seconds > 501 {
-		t.Errorf("%d times of %f seconds, want 1000 of 500.5", s.Count, s.Seconds)
+	s := histogram.Summary()
+	if s.Count != 1000 || s.TotalSeconds < 500 || s.TotalSeconds > 501 {
+		t.Errorf("%d durations with a total of %f s, want 1000 with 500.5 s", s.Count, s.TotalSeconds)
 	}
 	for name, c := range map[string]struct{ got, want time.Duration }{
-		"median": {s.Median, 500 * time.Millisecond}, "99": {s.P99, 990 * time.Millisecond}, "99.9": {s.P999, 999 * time.Millisecond}, "most": {s.Max, time.Second},
+		"median": {s.Median, 500 * time.Millisecond}, "99": {s.P99, 990 * time.Millisecond}, "99.9": {s.P999, 999 * time.Millisecond}, "max": {s.Max, time.Second},
 	} {
-		if off := (c.got - c.want).Abs(); off > c.want/100 {
+		if deviation := (c.got - c.want).Abs(); deviation > c.want/100 {
 			t.Errorf("%s is %v, want %v", name, c.got, c.want)
 		}
 	}
-	last := uint64(0)
-	for _, bound := range Bounds {
-		if s.Buckets[bound] < last {
-			t.Errorf("fewer times under %v than under the bound before", bound)
+	previous := uint64(0)
+	for _, bound := range BucketBounds {
+		if s.Buckets[bound] < previous {
+			t.Errorf("the cumulative count at %v is below that of the previous bound", bound)
 		}
-		last = s.Buckets[bound]
-		if want := min(bound*1000, 1000); float64(last) > want+0.5 || float64(last) < want*0.98-1 {
-			t.Errorf("%d times under %v, want %v", last, bound, want)
+		previous = s.Buckets[bound]
+		if want := min(bound*1000, 1000); float64(previous) > want+0.5 || float64(previous) < want*0.98-1 {
+			t.Errorf("%d durations at or below %v, want %v", previous, bound, want)
 		}
 	}
 }
 
-func TestTimesOutsideTheRangeCountAsTheNearest(t *testing.T) {
-	var times Histogram
-	times.Observe(-time.Second)
-	times.Observe(time.Hour)
-	s := times.Summary()
-	if s.Count != 2 || s.Buckets[Bounds[0]] != 1 || s.Buckets[10] != 1 || s.Max < 59*time.Second {
+func TestHistogram_ClampsDurationsOutsideRange(t *testing.T) {
+	var histogram Histogram
+	histogram.Observe(-time.Second)
+	histogram.Observe(time.Hour)
+	s := histogram.Summary()
+	if s.Count != 2 || s.Buckets[BucketBounds[0]] != 1 || s.Buckets[10] != 1 || s.Max < 59*time.Second {
 		t.Errorf("%+v", s)
 	}
 }
 
-func TestServicesAreToldApartUpToABound(t *testing.T) {
-	const most = 20
-	times := Latencies{MaxServices: most}
-	times.Service("a").Observe(OutcomeRan, time.Second)
-	times.Service("a").Observe(OutcomeUnknown, time.Second)
-	times.Service("").Observe(OutcomeNotRun, time.Second)
-	for i := range most {
-		times.Service(time.Duration(i).String())
+func TestLatencies_ServicesBeyondMaximumShareHistograms(t *testing.T) {
+	const maxServices = 20
+	latencies := Latencies{MaxServices: maxServices}
+	latencies.Service("a").Observe(OutcomeRan, time.Second)
+	latencies.Service("a").Observe(OutcomeUnknown, time.Second)
+	latencies.Service("").Observe(OutcomeNotRun, time.Second)
+	for i := range maxServices {
+		latencies.Service(time.Duration(i).String())
 	}
-	if times.Service("one more") != times.Service("") {
-		t.Error("a service beyond the bound is told apart")
+	if latencies.Service("one more") != latencies.Service("") {
+		t.Error("a service beyond MaxServices has its own histograms")
 	}
-	if times.Service("a") == times.Service("") {
-		t.Error("a service within the bound is not told apart")
+	if latencies.Service("a") == latencies.Service("") {
+		t.Error("a service within MaxServices has no histograms of its own")
 	}
 	got := map[[2]string]uint64{}
-	times.Each(func(m Metric, labels []string, s Summary) {
+	latencies.Each(func(m Metric, labels []string, s Summary) {
 		if m.Name != ProxyRequestDuration.Name {
-			t.Errorf("%s holds a time", m.Name)
+			t.Errorf("%s has an observation", m.Name)
 		}
 		got[[2]string{labels[0], labels[1]}] = s.Count
 	})
@@ -79,66 +77,66 @@
 	}
 }
 
-func TestManyTakeAtOnce(t *testing.T) {
-	times := Latencies{MaxServices: 1}
-	var all sync.WaitGroup
+func TestLatencies_ConcurrentObserve(t *testing.T) {
+	latencies := Latencies{MaxServices: 1}
+	var observers sync.WaitGroup
 	for range 8 {
-		all.Go(func() {
+		observers.Go(func() {
 			for range 1000 {
-				times.Service("a").Observe(OutcomeRan, time.Millisecond)
-				times.ProxyOverhead.Observe(time.Millisecond)
+				latencies.Service("a").Observe(OutcomeRan, time.Millisecond)
+				latencies.ProxyOverhead.Observe(time.Millisecond)
 			}
 		})
 	}
-	all.Wait()
-	if got := times.ProxyOverhead.Summary().Count; got != 8000 {
-		t.Errorf("%d of 8000", got)
+	observers.Wait()
+	if got := latencies.ProxyOverhead.Summary().Count; got != 8000 {
+		t.Errorf("%d of 8000 observations were counted", got)
 	}
 }
 
-func TestTakingATimeAllocatesNothing(t *testing.T) {
-	times := Latencies{MaxServices: 1}
-	service := times.Service("a")
+func TestObserve_DoesNotAllocate(t *testing.T) {
+	latencies := Latencies{MaxServices: 1}
+	service := latencies.Service("a")
 	service.Observe(OutcomeRan, 0)
-	times.ProxyOverhead.Observe(0)
+	latencies.ProxyOverhead.Observe(0)
 	if n := testing.AllocsPerRun(1000, func() {
 		service.Observe(OutcomeRan, 50*time.Millisecond)
-		times.ProxyOverhead.Observe(300 * time.Microsecond)
+		latencies.ProxyOverhead.Observe(300 * time.Microsecond)
 	}); n != 0 {
 		t.Errorf("%v allocations", n)
 	}
 }
 
-func TestHistogramsKeepToTheirSizeAndAreExactEnough(t *testing.T) {
-	times := Latencies{MaxServices: 1}
-	service := times.Service("a")
+func TestHistogram_SizeAndPrecision(t *testing.T) {
+	latencies := Latencies{MaxServices: 1}
+	service := latencies.Service("a")
 	for i := 1; i <= 10000; i++ {
 		service.Observe(OutcomeRan, time.Duration(i)*time.Millisecond)
-		times.ProxyOverhead.Observe(time.Duration(i) * time.Millisecond)
+		latencies.ProxyOverhead.Observe(time.Duration(i) * time.Millisecond)
 	}
 	for _, c := range []struct {
-		name  string
-		time  *Histogram
-		bytes int
-		part  time.Duration
-	}{{"of the node", &times.ProxyOverhead, 18 << 10, 100}, {"of a service", &service.byOutcome[OutcomeRan], 3 << 10, 16}} {
-		if got := c.time.counts.ByteSize(); got > c.bytes {
-			t.Errorf("a histogram %s takes %d bytes, more than %d", c.name, got, c.bytes)
+		name      string
+		histogram *Histogram
+		bytes     int
+		precision time.Duration
+	}{{"node", &latencies.ProxyOverhead, 18 << 10, 100}, {"service", &service.byOutcome[OutcomeRan], 3 << 10, 16}} {
+		if got := c.histogram.counts.ByteSize(); got > c.bytes {
+			t.Errorf("the %s histogram takes %d bytes, more than %d", c.name, got, c.bytes)
 		}
-		s := c.time.Summary()
-		for at, want := range map[time.Duration]time.Duration{s.Median: 5 * time.Second, s.P99: 9900 * time.Millisecond} {
-			if off := (at - want).Abs(); off > want/c.part {
-				t.Errorf("%s: %v, want %v", c.name, at, want)
+		s := c.histogram.Summary()
+		for got, want := range map[time.Duration]time.Duration{s.Median: 5 * time.Second, s.P99: 9900 * time.Millisecond} {
+			if deviation := (got - want).Abs(); deviation > want/c.precision {
+				t.Errorf("%s: %v, want %v", c.name, got, want)
 			}
 		}
 	}
 	if service.byOutcome[OutcomeNotRun].counts != nil {
-		t.Error("an outcome that never was has a histogram")
+		t.Error("a histogram without observations was allocated")
 	}
 }
 
-// An expression in the operators' page that names no metric would never alert.
-func TestOperatorsPageNamesMetricsThatAre(t *testing.T) {
+// An alert expression in docs/operators.md with an unknown metric would never fire.
+func TestOperatorsPage_NamesOnlyExistingMetrics(t *testing.T) {
 	page, err := os.ReadFile("../../docs/operators.md")
 	if err != nil {
 		t.Fatal(err)
@@ -149,44 +147,44 @@
 	}
 	names := regexp.MustCompile(`sumac_[a-z_]+[a-z]`).FindAllString(string(page), -1)
 	if len(names) < 15 {
-		t.Errorf("the page names %d metrics", len(names))
+		t.Errorf("found only %d metric names in the page", len(names))
 	}
 	for _, name := range names {
-		for _, end := range []string{"_bucket", "_count", "_sum"} {
-			if bare, is := strings.CutSuffix(name, end); is && kinds[bare] == "histogram" {
-				name = bare
+		for _, suffix := range []string{"_bucket", "_count", "_sum"} {
+			if base, ok := strings.CutSuffix(name, suffix); ok && kinds[base] == "histogram" {
+				name = base
 			}
 		}
 		if kinds[name] == "" {
-			t.Errorf("the page names %s, which is no metric", name)
+			t.Errorf("the page names %s, which is not a metric", name)
 		}
 	}
 }
 
-// BenchmarkRequest is what a request pays: two readings of the clock for its whole
-// time, two for its target's, and two histograms.
+// BenchmarkRequest measures the cost of metrics per request: two clock readings for the whole
+// request, two for the target, and two observations.
 func BenchmarkRequest(b *testing.B) {
-	times := Latencies{MaxServices: 1}
-	service := times.Service("a")
+	latencies := Latencies{MaxServices: 1}
+	service := latencies.Service("a")
 	b.ReportAllocs()
 	for b.Loop() {
-		began := time.Now()
+		start := time.Now()
 		sent := time.Now()
-		away := time.Since(sent)
-		whole := time.Since(began)
-		service.Observe(OutcomeRan, whole)
-		times.ProxyOverhead.Observe(whole - away)
+		targetTime := time.Since(sent)
+		total := time.Since(start)
+		service.Observe(OutcomeRan, total)
+		latencies.ProxyOverhead.Observe(total - targetTime)
 	}
 }
 
 func BenchmarkRequestParallel(b *testing.B) {
-	times := Latencies{MaxServices: 1}
-	service := times.Service("a")
+	latencies := Latencies{MaxServices: 1}
+	service := latencies.Service("a")
 	b.ReportAllocs()
 	b.RunParallel(func(p *testing.PB) {
 		for p.Next() {
 			service.Observe(OutcomeRan, 50*time.Millisecond)
-			times.ProxyOverhead.Observe(300 * time.Microsecond)
+			latencies.ProxyOverhead.Observe(300 * time.Microsecond)
 		}
 	})
 }
--- a/internal/node/collector.go
+++ b/internal/node/collector.go
@@ -123,7 +123,7 @@
 		scrape.core()
 	}
 	n.Env.Latencies.Each(func(m metrics.Metric, labels []string, summary metrics.Summary) {
-		histogram, err := prometheus.NewConstHistogram(c.descs[m.Name], summary.Count, summary.Seconds, summary.Buckets, labels...)
+		histogram, err := prometheus.NewConstHistogram(c.descs[m.Name], summary.Count, summary.TotalSeconds, summary.Buckets, labels...)
 		scrape.send(m, histogram, err)
 	})
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -159,7 +159,7 @@
 	}
 	self.Core, self.Founders = true, settings.BootstrapCores
 	// A core node whose state was lost must not bootstrap a second fleet.
-	if n.Store.ReplacesCorrupt() {
+	if n.Store.ReplacesCorruptStore() {
 		self.Founders = 0
 	}
 	return self, nil
--- a/internal/storage/recovery.go
+++ b/internal/storage/recovery.go
@@ -18,11 +18,12 @@
 )
 
 const (
-	// databaseFolder within the data folder; the name is on disks and stays.
+	// databaseFolder is relative to the data folder. Existing data folders have this name.
 	databaseFolder = "lore"
-	// replacesCorruptKey is in a database that took the place of a corrupt one.
+	// replacesCorruptKey marks a database that was created in place of a corrupt one.
 	replacesCorruptKey = "after-damage"
-	// sequencePrefix comes before the numbers of the last sequenceHistory batches.
+	// sequencePrefix is the prefix of the keys that hold the numbers of the last
+	// sequenceHistory batches.
 	sequencePrefix  = "~seq/"
 	sequenceHistory = 512
 
@@ -30,31 +31,32 @@
 	blockCacheBytes  = 1 << 20
 )
 
-// sequenceGapError says that batches that were synced are missing.
+// sequenceGapError reports that synced batches are missing.
 type sequenceGapError struct{ first, last, count uint64 }
 
 func (e *sequenceGapError) Error() string {
-	return fmt.Sprintf("of the batches %d to %d only %d are there", e.first, e.last, e.count)
+	return fmt.Sprintf("batches missing: of %d to %d, only %d are present", e.first, e.last, e.count)
 }
 
-// isCorruption tells corrupt data from a folder that can't be had now, such as one that
-// another process holds: only the former is ever set aside.
+// isCorruption reports whether an error shows corrupt data, as opposed to a folder that can't
+// be opened now, such as one locked by another process. Only corrupt folders are quarantined.
 func isCorruption(err error) bool {
 	var gap *sequenceGapError
 	return leveldberrors.IsCorrupted(err) || errors.As(err, &gap)
 }
 
-// isDiskFull reports whether the disk, or the node's quota of it, takes no more bytes.
+// isDiskFull reports whether the disk, or the node's quota of it, is exhausted.
 func isDiskFull(err error) bool {
 	return errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT)
 }
 
-// openOrQuarantine is one attempt of Open.
+// openOrQuarantine makes one attempt to open the store. If the data is corrupt, it moves the
+// data folder away and creates an empty database.
 func (s *Store) openOrQuarantine() error {
 	err := s.load()
 	if err == nil {
 		if s.failing.Swap(false) {
-			s.env.Events.Emit(eventlog.StoreRecovered, "after", time.Since(s.opening).String())
+			s.env.Events.Emit(eventlog.StoreRecovered, "after", time.Since(s.openStarted).String())
 		}
 		return nil
 	}
@@ -68,40 +70,40 @@
 	if err := s.openDatabase(); err != nil {
 		return err
 	}
-	s.replacesCorrupt = true
+	s.replacesCorruptStore = true
 	return s.db.Put([]byte(replacesCorruptKey), []byte("1"), &opt.WriteOptions{Sync: true})
 }
 
-// quarantine sets the data folder aside under a name that tells the time.
+// quarantine renames the data folder, appending the current time to its name.
 func (s *Store) quarantine(cause error) error {
 	folder := s.env.Config.DataFolder
 	quarantine := folder + ".damaged-" + time.Now().Format("20060102-150405")
 	s.env.Events.Emit(eventlog.StoreDamaged, "folder", folder, "quarantine", quarantine, "cause", cause.Error())
 	if err := s.env.Host.Rename(folder, quarantine); err != nil {
-		return errcode.New(errcode.StorageBroken, "%s is corrupt (%v) and can't be set aside: %v", folder, cause, err)
+		return errcode.New(errcode.StorageBroken, "%s is corrupt (%v) and can't be renamed: %v", folder, cause, err)
 	}
 	return nil
 }
 
-// load opens the database and reads what the store keeps of it in memory.
+// load opens the database and reads whether it replaces a corrupt one.
 func (s *Store) load() error {
 	if err := s.openDatabase(); err != nil {
 		return err
 	}
 	var err error
-	s.replacesCorrupt, err = s.db.Has([]byte(replacesCorruptKey), nil)
+	s.replacesCorruptStore, err = s.db.Has([]byte(replacesCorruptKey), nil)
 	return err
 }
 
-// openDatabase opens the database, creating it if there is none, and checks that no batch
-// is missing. After an error close must follow.
+// openDatabase opens the database, creating it if there is none, and checks that no batch is
+// missing. After an error, the caller must call close.
 func (s *Store) openDatabase() error {
-	files, err := s.env.Host.OpenStorage(filepath.Join(s.env.Config.DataFolder, databaseFolder))
+	fileStorage, err := s.env.Host.OpenStorage(filepath.Join(s.env.Config.DataFolder, databaseFolder))
 	if err != nil {
 		return err
 	}
-	s.files = files
-	s.db, err = leveldb.Open(files, &opt.Options{
+	s.fileStorage = fileStorage
+	s.db, err = leveldb.Open(fileStorage, &opt.Options{
 		Strict:             opt.StrictManifest | opt.StrictBlockChecksum | opt.StrictReader | opt.StrictCompaction,
 		WriteBuffer:        writeBufferBytes,
 		BlockCacheCapacity: blockCacheBytes,
@@ -109,13 +111,13 @@
 	if err != nil {
 		return err
 	}
-	s.lastSequence, err = lastSequenceOf(s.db)
+	s.lastSequence, err = readLastSequence(s.db)
 	return err
 }
 
-// lastSequenceOf returns the number of the last batch, zero if there is none. A missing
-// number among those that are kept is a *sequenceGapError.
-func lastSequenceOf(db *leveldb.DB) (uint64, error) {
+// readLastSequence returns the number of the last batch, or zero if there is none. It returns a
+// *sequenceGapError if a number is missing among those kept.
+func readLastSequence(db *leveldb.DB) (uint64, error) {
 	var first, last, count uint64
 	iterator := db.NewIterator(util.BytesPrefix([]byte(sequencePrefix)), nil)
 	defer iterator.Release()
@@ -139,27 +141,28 @@
 	return binary.BigEndian.AppendUint64([]byte(sequencePrefix), sequence)
 }
 
-// reopen closes the database and opens it again in the same state. The task that writes
-// alone may call it.
+// reopen closes the database and opens it again. Only the writer task may call it.
 func (s *Store) reopen() error {
-	s.access.Lock()
-	defer s.access.Unlock()
+	s.dbMu.Lock()
+	defer s.dbMu.Unlock()
 	s.close()
-	// A batch that failed may have reached the disk all the same; it keeps its number.
+	// A batch whose write failed may still have reached the disk. It is retried under the same
+	// number, so the sequence read from the disk is not used.
 	sequence := s.lastSequence
 	err := s.openDatabase()
 	s.lastSequence = sequence
 	return err
 }
 
-// close closes what is open. Errors say nothing new here: what was acknowledged is synced.
+// close closes the database and its files. Errors are ignored: all acknowledged batches are
+// already synced.
 func (s *Store) close() {
 	if s.db != nil {
 		s.db.Close()
 		s.db = nil
 	}
-	if s.files != nil {
-		s.files.Close()
-		s.files = nil
+	if s.fileStorage != nil {
+		s.fileStorage.Close()
+		s.fileStorage = nil
 	}
 }
--- a/internal/storage/storage.go
+++ b/internal/storage/storage.go
@@ -1,10 +1,10 @@
 // Package storage keeps a core node's state on disk, in goleveldb.
 //
-// One task writes. It joins the batches that wait into one (a group commit), numbers it
-// and syncs it, so that batches reach the disk in the order in which they were submitted.
-// When the folder is opened, a gap in these numbers, or anything else that can't be read,
-// shows corruption; a batch that was torn at the very end was never acknowledged, and is
-// dropped. A corrupt folder is set aside as a whole and nothing is served from it.
+// A single writer task joins all pending batches into one (group commit), numbers it and syncs
+// it, so that batches reach the disk in the order of submission. On opening, a gap in these
+// numbers or unreadable data is treated as corruption. A torn batch at the end of the journal
+// was never acknowledged and is dropped. A corrupt folder is quarantined: it is renamed as a
+// whole, and nothing is served from it.
 package storage
 
 import (
@@ -22,38 +22,37 @@
 	"github.com/sumactrestle/sumactrestle/internal/eventlog"
 )
 
-// Store is one data folder. Its keys beginning with "~" are its own.
+// Store is an open data folder. Keys that begin with "~" are reserved for the package.
 type Store struct {
-	env *environment.Environment
-	// replacesCorrupt is set by Open alone.
-	replacesCorrupt bool
-	opening         time.Time
-
-	// access is held for writing while db and files are opened anew, which only the task
-	// that writes does. Both are nil when that failed.
-	access sync.RWMutex
-	db     *leveldb.DB
-	files  leveldbstorage.Storage
-	// lastSequence numbers the last batch; the task that writes has it to itself.
+	env                  *environment.Environment
+	replacesCorruptStore bool // set only by Open
+	openStarted          time.Time
+
+	// dbMu is locked for writing while the writer task reopens db and fileStorage. Both may be
+	// nil after reopening failed.
+	dbMu        sync.RWMutex
+	db          *leveldb.DB
+	fileStorage leveldbstorage.Storage
+	// lastSequence is the number of the last batch; only the writer task uses it after Open.
 	lastSequence uint64
 
 	mu      sync.Mutex // guards pending
 	pending []*Batch
-	wakeup  chan struct{} // pending is not empty
+	wakeup  chan struct{} // signalled when pending is not empty
 
-	// writeStarted is when the write under way began, if one is.
+	// writeStarted is the start of the write in progress, nil if there is none.
 	writeStarted atomic.Pointer[time.Time]
 	syncCount    atomic.Int64
 	failing      atomic.Bool
 	corrupted    chan struct{}
 }
 
-// Open opens the data folder of the environment's settings and starts the task that
-// writes; the folder is closed when the environment ends. A corrupt folder is set aside
-// and an empty one opened in its place. Where the disk has no room even for opening, Open
-// waits until it has some. Its errors are of the code StorageBroken.
+// Open opens the data folder named in the settings and starts the writer task, which closes the
+// folder when the environment is done. A corrupt folder is quarantined and replaced by an empty
+// one. While the disk is too full to open the folder, Open retries. Errors have the code
+// StorageBroken.
 func Open(env *environment.Environment) (*Store, error) {
-	s := &Store{env: env, wakeup: make(chan struct{}, 1), opening: time.Now(), corrupted: make(chan struct{})}
+	s := &Store{env: env, wakeup: make(chan struct{}, 1), openStarted: time.Now(), corrupted: make(chan struct{})}
 	for {
 		err := s.openOrQuarantine()
 		if err == nil {
@@ -75,8 +74,8 @@
 
 // Get returns the value of a key, or nil if there is none.
 func (s *Store) Get(key string) ([]byte, error) {
-	s.access.RLock()
-	defer s.access.RUnlock()
+	s.dbMu.RLock()
+	defer s.dbMu.RUnlock()
 	if s.db == nil {
 		return nil, errNotOpen()
 	}
@@ -87,11 +86,11 @@
 	return value, err
 }
 
-// Scan calls visit for all keys with the prefix, in order, until it returns an error. The
-// value is visit's to keep.
+// Scan calls visit for all keys with the prefix, in order, until visit returns an error, which
+// Scan returns. visit may retain the value.
 func (s *Store) Scan(prefix string, visit func(key string, value []byte) error) error {
-	s.access.RLock()
-	defer s.access.RUnlock()
+	s.dbMu.RLock()
+	defer s.dbMu.RUnlock()
 	if s.db == nil {
 		return errNotOpen()
 	}
@@ -105,20 +104,19 @@
 	return iterator.Error()
 }
 
-// ReplacesCorrupt reports whether this store ever took the place of a corrupt one. Such a
-// node may join a fleet but must not found one: its fleet exists, even if the data of all
-// members should be corrupt at once.
-func (s *Store) ReplacesCorrupt() bool { return s.replacesCorrupt }
+// ReplacesCorruptStore reports whether this store was created in place of a corrupt one, now or
+// in an earlier run. Such a node may join a cluster but must not bootstrap one: its cluster
+// exists, even if the data of all members is corrupt at once.
+func (s *Store) ReplacesCorruptStore() bool { return s.replacesCorruptStore }
 
-// Corrupted is closed when the data is found corrupt while in use. Nothing is written
-// after that; the node must end.
+// Corrupted returns a channel that is closed when the data is found corrupt while in use.
+// Nothing is written after that; the node must shut down.
 func (s *Store) Corrupted() <-chan struct{} { return s.corrupted }
 
-// IsFailing reports whether the disk takes no writes just now.
+// IsFailing reports whether writes to the disk currently fail and are retried.
 func (s *Store) IsFailing() bool { return s.failing.Load() }
 
-// StallTime is for how long the write under way has waited on the disk; zero if there is
-// none.
+// StallTime returns how long the write in progress has taken so far, zero if there is none.
 func (s *Store) StallTime() time.Duration {
 	started := s.writeStarted.Load()
 	if started == nil {
@@ -127,8 +125,8 @@
 	return time.Since(*started)
 }
 
-// SyncCount is how many times batches were written and synced since Open.
+// SyncCount returns the number of group commits since Open.
 func (s *Store) SyncCount() int64 { return s.syncCount.Load() }
 
-func errStopping() error { return errcode.New(errcode.StorageBroken, "stopping") }
-func errNotOpen() error  { return errcode.New(errcode.StorageBroken, "the folder is not open") }
+func errStopping() error { return errcode.New(errcode.StorageBroken, "the node is stopping") }
+func errNotOpen() error  { return errcode.New(errcode.StorageBroken, "the data folder is not open") }
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -14,7 +14,7 @@
 	"github.com/sumactrestle/sumactrestle/internal/eventlog"
 )
 
-// testStore is a store on the real disk with its log of events.
+// testStore is a store on the real disk with its event log.
 type testStore struct {
 	*Store
 	log *bytes.Buffer
@@ -40,7 +40,7 @@
 
 func (s *testStore) stop() { s.env.Shutdown() }
 
-// put writes the key of that index and waits until it is synced.
+// put writes the key with the given index and waits until it is synced.
 func (s *testStore) put(t *testing.T, index int) {
 	t.Helper()
 	batch := s.NewBatch()
@@ -59,8 +59,8 @@
 	return n
 }
 
-// folderWith returns a data folder, not in use, to which so many keys were written.
-func folderWith(t *testing.T, keys int) string {
+// newFolderWithKeys returns a closed data folder with the given number of keys, one per batch.
+func newFolderWithKeys(t *testing.T, keys int) string {
 	t.Helper()
 	folder := filepath.Join(t.TempDir(), "data")
 	if err := os.Mkdir(folder, 0o755); err != nil {
@@ -91,8 +91,8 @@
 	}
 }
 
-// setAside returns the folders that were set aside.
-func setAside(t *testing.T, folder string) []string {
+// quarantinedFolders returns the folders to which a corrupt data folder was renamed.
+func quarantinedFolders(t *testing.T, folder string) []string {
 	t.Helper()
 	names, err := filepath.Glob(folder + ".damaged-*")
 	if err != nil {
@@ -101,50 +101,50 @@
 	return names
 }
 
-// checkReplaced checks that an empty store took the place of a corrupt one.
+// checkReplaced checks that a corrupt folder was quarantined and replaced by an empty one.
 func checkReplaced(t *testing.T, s *testStore, folder string) {
 	t.Helper()
 	if n := s.count(t); n != 0 {
 		t.Fatalf("%d keys are served from a corrupt folder", n)
 	}
-	if !strings.Contains(s.log.String(), `"event":306`) || !s.ReplacesCorrupt() {
+	if !strings.Contains(s.log.String(), `"event":306`) || !s.ReplacesCorruptStore() {
 		t.Fatalf("the corruption is not reported: %s", s.log)
 	}
-	if aside := setAside(t, folder); len(aside) != 1 {
-		t.Fatalf("set aside: %v", aside)
+	if quarantined := quarantinedFolders(t, folder); len(quarantined) != 1 {
+		t.Fatalf("quarantined folders: %v, want one", quarantined)
 	}
 }
 
-func TestOpen_SyncedBatchesSurvive(t *testing.T) {
-	s := open(t, folderWith(t, 50))
-	if n := s.count(t); n != 50 || s.ReplacesCorrupt() {
-		t.Fatalf("%d of 50 keys are there, %s", n, s.log)
+func TestOpen_KeepsSyncedBatches(t *testing.T) {
+	s := open(t, newFolderWithKeys(t, 50))
+	if n := s.count(t); n != 50 || s.ReplacesCorruptStore() {
+		t.Fatalf("found %d of 50 keys, log: %s", n, s.log)
 	}
 }
 
-func TestOpen_TornEndIsDropped(t *testing.T) {
-	folder := folderWith(t, 50)
+func TestOpen_DropsTornLastBatch(t *testing.T) {
+	folder := newFolderWithKeys(t, 50)
 	editJournal(t, folder, func(raw []byte) []byte { return raw[:len(raw)-60] })
 	s := open(t, folder)
-	if n := s.count(t); n != 49 || s.ReplacesCorrupt() {
-		t.Fatalf("%d of 49 keys are there, %s", n, s.log)
+	if n := s.count(t); n != 49 || s.ReplacesCorruptStore() {
+		t.Fatalf("found %d of 49 keys, log: %s", n, s.log)
 	}
 }
 
-func TestOpen_CorruptFolderIsSetAside(t *testing.T) {
-	folder := folderWith(t, 2000)
+func TestOpen_QuarantinesCorruptFolder(t *testing.T) {
+	folder := newFolderWithKeys(t, 2000)
 	editJournal(t, folder, func(raw []byte) []byte { raw[len(raw)/2] ^= 0xff; return raw })
 	s := open(t, folder)
 	checkReplaced(t, s, folder)
 	s.put(t, 1)
 	s.stop()
-	if s := open(t, folder); !s.ReplacesCorrupt() || s.count(t) != 1 {
-		t.Error("after a restart the store no longer knows that it replaces a corrupt one")
+	if s := open(t, folder); !s.ReplacesCorruptStore() || s.count(t) != 1 {
+		t.Error("after a restart, ReplacesCorruptStore or the data is lost")
 	}
 }
 
 func TestOpen_MissingBatchIsCorruption(t *testing.T) {
-	folder := folderWith(t, 20)
+	folder := newFolderWithKeys(t, 20)
 	s := open(t, folder)
 	if err := s.db.Delete(sequenceKey(10), nil); err != nil {
 		t.Fatal(err)
@@ -153,28 +153,28 @@
 	checkReplaced(t, open(t, folder), folder)
 }
 
-func TestOpen_SequenceNumbersAreBounded(t *testing.T) {
-	s := open(t, folderWith(t, sequenceHistory+100))
+func TestOpen_KeepsBoundedSequenceHistory(t *testing.T) {
+	s := open(t, newFolderWithKeys(t, sequenceHistory+100))
 	numbers := 0
 	if err := s.Scan(sequencePrefix, func(string, []byte) error { numbers++; return nil }); err != nil {
 		t.Fatal(err)
 	}
 	if numbers != sequenceHistory || s.lastSequence != sequenceHistory+100 {
-		t.Errorf("%d numbers are kept, the last is %d", numbers, s.lastSequence)
+		t.Errorf("%d sequence numbers are kept, the last is %d", numbers, s.lastSequence)
 	}
 }
 
-func TestOpen_FolderInUseIsLeftAlone(t *testing.T) {
-	folder := folderWith(t, 0)
+func TestOpen_DoesNotQuarantineFolderInUse(t *testing.T) {
+	folder := newFolderWithKeys(t, 0)
 	s := open(t, folder)
 	s.put(t, 1)
 	second := newEnvironment(folder, &bytes.Buffer{})
 	defer second.Shutdown()
 	if _, err := Open(second); err == nil {
-		t.Fatal("two processes have one folder")
+		t.Fatal("opened a folder that is already in use")
 	}
-	if aside := setAside(t, folder); len(aside) != 0 {
-		t.Fatalf("a folder in use was set aside: %v", aside)
+	if quarantined := quarantinedFolders(t, folder); len(quarantined) != 0 {
+		t.Fatalf("a folder in use was quarantined: %v", quarantined)
 	}
 	s.put(t, 2)
 }
@@ -201,9 +201,9 @@
 		}
 	}
 	if value, err := s.Get("key"); err != nil || string(value) != "last" {
-		t.Errorf("the value is %q, %v", value, err)
+		t.Errorf("value is %q, error %v", value, err)
 	}
 	if value, err := s.Get("another key"); err != nil || value != nil {
-		t.Errorf("a key that is not there has the value %q, %v", value, err)
+		t.Errorf("a missing key has the value %q, error %v", value, err)
 	}
 }
--- a/internal/storage/writer.go
+++ b/internal/storage/writer.go
@@ -10,11 +10,11 @@
 	"github.com/sumactrestle/sumactrestle/internal/eventlog"
 )
 
-// retryInterval is between two attempts at a disk that takes no writes.
+// retryInterval is the pause between attempts to write to a failing disk.
 const retryInterval = 250 * time.Millisecond
 
-// Batch is a group of writes that reach the disk together or not at all. It is filled by
-// one task, submitted once, and must not be changed after that.
+// Batch is a set of writes that are applied atomically. It must be filled by one goroutine,
+// submitted once and not modified afterwards.
 type Batch struct {
 	operations leveldb.Batch
 	stopping   <-chan struct{}
@@ -29,11 +29,11 @@
 // Put sets the value of a key.
 func (b *Batch) Put(key string, value []byte) { b.operations.Put([]byte(key), value) }
 
-// Delete removes a key, if it is there.
+// Delete removes a key; it has no effect if the key does not exist.
 func (b *Batch) Delete(key string) { b.operations.Delete([]byte(key)) }
 
-// Wait returns nil once the batch is synced. After an error, also that of a node that is
-// stopping, the batch may be on the disk or not.
+// Wait blocks until the batch is synced. After an error, which includes shutdown of the node,
+// the batch may or may not be on the disk.
 func (b *Batch) Wait() error {
 	select {
 	case <-b.done:
@@ -43,19 +43,19 @@
 	}
 }
 
-// Submit queues a batch for the disk; batches reach it in the order of submission. It does
-// not wait.
+// Submit queues a batch for writing and does not block. Batches are written in the order of
+// submission.
 func (s *Store) Submit(batch *Batch) {
 	s.mu.Lock()
 	s.pending = append(s.pending, batch)
 	s.mu.Unlock()
 	select {
 	case s.wakeup <- struct{}{}:
-	default: // the writer has been woken already
+	default: // a wakeup is already pending
 	}
 }
 
-// takePending empties the queue.
+// takePending removes and returns all queued batches.
 func (s *Store) takePending() []*Batch {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -64,21 +64,21 @@
 	return batches
 }
 
-func finish(batches []*Batch, err error) {
+func complete(batches []*Batch, err error) {
 	for _, batch := range batches {
 		batch.err = err
 		close(batch.done)
 	}
 }
 
-// writeLoop is the one task that writes, until the environment ends or the data is found
-// corrupt: all that waits goes to the disk as one batch.
+// writeLoop is the writer task. It writes all pending batches as one until the environment is
+// done or the data is found corrupt.
 func (s *Store) writeLoop() {
 	defer s.close()
 	for {
 		select {
 		case <-s.env.Done():
-			finish(s.takePending(), errStopping())
+			complete(s.takePending(), errStopping())
 			return
 		case <-s.wakeup:
 		}
@@ -92,15 +92,16 @@
 		s.writeStarted.Store(nil)
 		s.env.Latencies.StoreSync.Observe(time.Since(started))
 		s.syncCount.Add(1)
-		finish(batches, err)
+		complete(batches, err)
 		if err != nil {
-			finish(s.takePending(), err)
+			complete(s.takePending(), err)
 			return
 		}
 	}
 }
 
-// coalesce joins batches into one, under the next number; the oldest number kept goes.
+// coalesce joins batches into one and adds the key of the next sequence number. It deletes the
+// key of the number that falls out of the history.
 func (s *Store) coalesce(batches []*Batch) *leveldb.Batch {
 	merged := &leveldb.Batch{}
 	for _, batch := range batches {
@@ -114,9 +115,9 @@
 	return merged
 }
 
-// persist writes a batch and syncs it. A disk that takes no writes is tried again until it
-// does: whoever waits for the batch goes on waiting, as during a stall, and no later batch
-// overtakes it. Only corruption, or the end of the node, is an error.
+// persist writes and syncs a batch. It retries a failed write until it succeeds: callers of
+// Wait stay blocked, as during a stall, and no later batch overtakes this one. It returns an
+// error only on corruption or shutdown.
 func (s *Store) persist(batch *leveldb.Batch) error {
 	err := s.writeSync(batch)
 	if err == nil {
@@ -126,7 +127,7 @@
 	s.failing.Store(true)
 	started := time.Now()
 	for s.env.Sleep(retryInterval) {
-		// goleveldb's journal takes nothing after a failed write, so it is opened anew.
+		// goleveldb's journal accepts nothing after a failed write, so the database is reopened.
 		if err = s.reopen(); err == nil {
 			err = s.writeSync(batch)
 		}
--- a/internal/storage/writer_test.go
+++ b/internal/storage/writer_test.go
@@ -15,8 +15,8 @@
 	"github.com/sumactrestle/sumactrestle/internal/environment"
 )
 
-// faultyDisk is a disk in memory whose writes fail with an error that is set, and whose
-// folder can't be opened then either, if the error is of corruption.
+// faultyDisk is an in-memory disk on which creating and writing files fails with the error that
+// setFault sets.
 type faultyDisk struct {
 	leveldbstorage.Storage
 	fault atomic.Pointer[error]
@@ -37,7 +37,7 @@
 	return nil
 }
 
-// Close keeps the memory, as a disk does.
+// Close keeps the data, so that the disk can be opened again.
 func (d *faultyDisk) Close() error { return nil }
 
 func (d *faultyDisk) Create(file leveldbstorage.FileDesc) (leveldbstorage.Writer, error) {
@@ -62,8 +62,8 @@
 
 func newFaultyDisk() *faultyDisk { return &faultyDisk{Storage: leveldbstorage.NewMemStorage()} }
 
-// environmentOn returns an environment whose data folder is on the disk.
-func environmentOn(t *testing.T, disk *faultyDisk, log *bytes.Buffer) *environment.Environment {
+// newEnvironmentOnDisk returns an environment whose data folder is on the given disk.
+func newEnvironmentOnDisk(t *testing.T, disk *faultyDisk, log *bytes.Buffer) *environment.Environment {
 	t.Helper()
 	env := newEnvironment("data", log)
 	env.Host.OpenStorage = func(string) (leveldbstorage.Storage, error) { return disk, nil }
@@ -72,20 +72,20 @@
 	return env
 }
 
-// await waits until a condition holds.
-func await(t *testing.T, what string, holds func() bool) {
+// await waits until holds returns true, for at most 10 s.
+func await(t *testing.T, condition string, holds func() bool) {
 	t.Helper()
-	for began := time.Now(); !holds(); time.Sleep(time.Millisecond) {
-		if time.Since(began) > 10*time.Second {
-			t.Fatalf("waited in vain for %s", what)
+	for start := time.Now(); !holds(); time.Sleep(time.Millisecond) {
+		if time.Since(start) > 10*time.Second {
+			t.Fatalf("timed out waiting for %s", condition)
 		}
 	}
 }
 
-func TestWriter_WaitsOutAFullDisk(t *testing.T) {
+func TestWriter_RetriesWhileDiskIsFull(t *testing.T) {
 	disk := newFaultyDisk()
 	var log bytes.Buffer
-	env := environmentOn(t, disk, &log)
+	env := newEnvironmentOnDisk(t, disk, &log)
 	s, err := Open(env)
 	if err != nil {
 		t.Fatal(err)
@@ -94,17 +94,17 @@
 	first, second := s.NewBatch(), s.NewBatch()
 	first.Put("key", []byte("first"))
 	s.Submit(first)
-	await(t, "the failure to show", s.IsFailing)
+	await(t, "the failure to be reported", s.IsFailing)
 	second.Put("key", []byte("second"))
 	s.Submit(second)
 	time.Sleep(2 * retryInterval)
 	select {
 	case <-first.done:
-		t.Fatal("a batch is done on a full disk:", first.err)
+		t.Fatal("a batch completed on a full disk:", first.err)
 	default:
 	}
 	if stall := s.StallTime(); stall < 2*retryInterval {
-		t.Errorf("the write is said to have waited for %s", stall)
+		t.Errorf("StallTime is only %s", stall)
 	}
 	disk.setFault(nil)
 	for _, batch := range []*Batch{first, second} {
@@ -113,21 +113,21 @@
 		}
 	}
 	if value, err := s.Get("key"); err != nil || string(value) != "second" {
-		t.Errorf("the value is %q, %v", value, err)
+		t.Errorf("value is %q, error %v", value, err)
 	}
 	await(t, "the stall to end", func() bool { return s.StallTime() == 0 })
 	if s.IsFailing() || s.SyncCount() != 2 {
-		t.Errorf("failing is %v, %d syncs", s.IsFailing(), s.SyncCount())
+		t.Errorf("IsFailing is %v after %d syncs", s.IsFailing(), s.SyncCount())
 	}
 	env.Shutdown()
-	if failed, back := strings.Count(log.String(), `"event":307`), strings.Count(log.String(), `"event":312`); failed != 1 || back != 1 {
-		t.Errorf("%d events of the failure, %d of its end", failed, back)
+	if failed, recovered := strings.Count(log.String(), `"event":307`), strings.Count(log.String(), `"event":312`); failed != 1 || recovered != 1 {
+		t.Errorf("%d StoreFailed and %d StoreRecovered events, want one of each", failed, recovered)
 	}
 }
 
-func TestWriter_EndsOnCorruption(t *testing.T) {
+func TestWriter_StopsOnCorruption(t *testing.T) {
 	disk := newFaultyDisk()
-	env := environmentOn(t, disk, &bytes.Buffer{})
+	env := newEnvironmentOnDisk(t, disk, &bytes.Buffer{})
 	s, err := Open(env)
 	if err != nil {
 		t.Fatal(err)
@@ -139,7 +139,7 @@
 	select {
 	case <-s.Corrupted():
 	case <-time.After(10 * time.Second):
-		t.Fatal("the corruption is not told")
+		t.Fatal("Corrupted was not closed")
 	}
 	env.Shutdown()
 	if err := batch.Wait(); err == nil {
@@ -147,16 +147,16 @@
 	}
 }
 
-func TestOpen_WaitsForRoom(t *testing.T) {
+func TestOpen_WaitsWhileDiskIsFull(t *testing.T) {
 	disk := newFaultyDisk()
 	disk.setFault(syscall.EDQUOT)
 	time.AfterFunc(2*retryInterval, func() { disk.setFault(nil) })
-	began := time.Now()
-	s, err := Open(environmentOn(t, disk, &bytes.Buffer{}))
-	if err != nil || s.IsFailing() || s.ReplacesCorrupt() {
-		t.Fatal("not opened when there is room:", err)
+	start := time.Now()
+	s, err := Open(newEnvironmentOnDisk(t, disk, &bytes.Buffer{}))
+	if err != nil || s.IsFailing() || s.ReplacesCorruptStore() {
+		t.Fatal("the store was not opened normally once the disk had space:", err)
 	}
-	if time.Since(began) < 2*retryInterval {
-		t.Error("opened without room")
+	if time.Since(start) < 2*retryInterval {
+		t.Error("opened while the disk was full")
 	}
 }
--- a/internal/transcript/transcript.go
+++ b/internal/transcript/transcript.go
@@ -1,5 +1,6 @@
-// Package transcript compares what a test saw with an approved text. Tests run with -approve
-// take over what they see as the approved text; the change then shows in the repository.
+// Package transcript compares the output of a test with an approved file in testdata. A test run
+// with -approve overwrites the file with the current output, so that the difference can be
+// reviewed in version control.
 package transcript
 
 import (
@@ -11,10 +12,10 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-var approve = flag.Bool("approve", false, "take over the transcripts as they are now")
+var approve = flag.Bool("approve", false, "overwrite the approved transcripts with the current output")
 
-// Compare fails the test if got differs from the approved file of that name in the package's
-// folder testdata, or if there is no such file.
+// Compare fails the test if got differs from the file of that name in the testdata folder of the
+// package under test, or if the file does not exist.
 func Compare(t testing.TB, name, got string) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -31,6 +32,6 @@
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(string(want), got); diff != "" {
-		t.Errorf("%s differs (-approved +now):\n%s", path, diff)
+		t.Errorf("%s differs (-approved +got):\n%s", path, diff)
 	}
 }
