--- a/internal/environment/environment_test.go
+++ b/internal/environment/environment_test.go
@@ -74,11 +74,11 @@
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
 			signal := make(chan struct{}, 1)
-			after := func(pause time.Duration, act func()) {
-				if pause < 0 {
+			after := func(delay time.Duration, act func()) {
+				if delay < 0 {
 					act()
 				} else {
-					time.AfterFunc(pause, act)
+					time.AfterFunc(delay, act)
 				}
 			}
 			after(c.signalAfter, func() { signal <- struct{}{} })
--- a/internal/httpserver/connection.go
+++ b/internal/httpserver/connection.go
@@ -102,7 +102,7 @@
 }
 
 // awaitRequest records that the connection waits for its next request, unless the first byte of
-// that has already been read. If the connection is to be closed when idle, the wait ends at once.
+// that request has already been read. If closesWhenIdle is set, the wait ends immediately.
 func (c *connection) awaitRequest() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/httpserver/finish.go
+++ b/internal/httpserver/finish.go
@@ -67,8 +67,8 @@
 	w.pending.Add(-1)
 }
 
-// poll returns the number of consecutive polls, including this one, at which a read or write was
-// in progress and none had completed since the poll before.
+// poll returns the number of consecutive polls, up to this one, at which a read or write was in
+// progress and none had completed since the previous poll.
 func (w *clientWait) poll() int {
 	completed := w.completed.Load()
 	if w.pending.Load() == 0 || completed != w.lastCompleted {
--- a/internal/metrics/histogram_test.go
+++ b/internal/metrics/histogram_test.go
@@ -28,14 +28,14 @@
 			t.Errorf("%s is %v, want %v", name, c.got, c.want)
 		}
 	}
-	previous := uint64(0)
+	cumulative := uint64(0)
 	for _, bound := range BucketBounds {
-		if s.Buckets[bound] < previous {
+		if s.Buckets[bound] < cumulative {
 			t.Errorf("the cumulative count at %v is below that of the previous bound", bound)
 		}
-		previous = s.Buckets[bound]
-		if want := min(bound*1000, 1000); float64(previous) > want+0.5 || float64(previous) < want*0.98-1 {
-			t.Errorf("%d durations at or below %v, want %v", previous, bound, want)
+		cumulative = s.Buckets[bound]
+		if want := min(bound*1000, 1000); float64(cumulative) > want+0.5 || float64(cumulative) < want*0.98-1 {
+			t.Errorf("%d durations at or below %v, want %v", cumulative, bound, want)
 		}
 	}
 }
