--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -162,7 +162,7 @@
 	}
 	self.Core, self.Founders = true, settings.BootstrapCores
 	// A core node that lost its state must not bootstrap a second cluster.
-	if n.Store.ReplacesCorrupt() {
+	if n.Store.ReplacesCorruptStore() {
 		self.Founders = 0
 	}
 	return self, nil
