--- a/internal/harness/change.go
+++ b/internal/harness/change.go
@@ -6,8 +6,8 @@
 
 const routeDeadlineMillis = 5000
 
-// initialChange returns a change set that replaces the configuration by a service and a route
-// for each load.
+// initialChange returns a change set that replaces the whole configuration with one service and
+// one route per load.
 func initialChange(id string, loads []Load) *api.Change {
 	config := api.Config{}
 	for _, load := range loads {
--- a/internal/harness/command/command.go
+++ b/internal/harness/command/command.go
@@ -1,5 +1,6 @@
-// Package command is the command line of the harness: fleets of real `sumac node`
-// processes on loopback addresses, with stand-ins around them, whose histories are judged.
+// Package command implements the command line of the harness, which runs fleets of real
+// `sumac node` processes on loopback addresses with stand-in clients and servers and validates
+// the recorded histories.
 package command
 
 import (
@@ -21,10 +22,11 @@
 	"github.com/sumactrestle/sumactrestle/internal/harness"
 )
 
-// Main runs the command line of this process and ends it.
+// Main runs the command given by os.Args. On an error it exits the process with the error's
+// exit code.
 func Main() {
-	ctx, end := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
-	defer end()
+	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
+	defer stop()
 	if err := app().Run(ctx, os.Args); err != nil {
 		fmt.Fprintln(os.Stderr, "harness:", commandline.Describe(err))
 		os.Exit(commandline.ExitCode(err))
@@ -69,7 +71,7 @@
 				&cli.BoolFlag{Name: "twice", Usage: "orders are not claimed, so that a repeat may run them again"},
 				&cli.StringFlag{Name: "profile", Usage: "`FOLDER` for processor profiles of one core node and one proxy"},
 				&cli.StringFlag{Name: "history", Usage: "`FILE` to record the history in, for sumac judge and harness report"},
-			}, Action: deployment},
+			}, Action: runDeployment},
 			soakCommand(binary, folder),
 			serverCommand(),
 			endWatchCommand(),
@@ -79,7 +81,7 @@
 	})
 }
 
-func deployment(ctx context.Context, cmd *cli.Command) error {
+func runDeployment(ctx context.Context, cmd *cli.Command) error {
 	shape, err := harness.FindShape(cmd.String("shape"))
 	if err != nil {
 		return err
@@ -93,7 +95,7 @@
 	if !harness.HasFault(cmd.String("faults")) {
 		return errcode.New(errcode.InvalidCall, "there are no faults %q", cmd.String("faults"))
 	}
-	first, last, err := seedsOf(cmd.String("seeds"))
+	first, last, err := parseSeeds(cmd.String("seeds"))
 	if err != nil {
 		return err
 	}
@@ -142,13 +144,14 @@
 	return nil
 }
 
-// historyFile is where a history goes. Its Writer is nil if it goes nowhere.
+// historyFile is the file that a history is written to. Writer is nil if no history is recorded.
 type historyFile struct {
 	io.Writer
 	file *os.File
 }
 
-// createHistory creates the file of a history, if a path is given.
+// createHistory creates the history file at path. It creates none if path is empty, and fails if
+// the run has more than one seed.
 func createHistory(path string, isOneSeed bool) (historyFile, error) {
 	if path == "" {
 		return historyFile{}, nil
@@ -160,22 +163,22 @@
 	return historyFile{file, file}, err
 }
 
-// Close ends the history, if there is one.
+// Close closes the file, if there is one.
 func (h historyFile) Close() {
 	if h.file != nil {
 		h.file.Close()
 	}
 }
 
-// seedsOf reads a seed, or the first and the last of several.
-func seedsOf(text string) (first, last uint64, err error) {
-	one, other, isRange := strings.Cut(text, ":")
+// parseSeeds parses a single seed or an inclusive range FIRST:LAST.
+func parseSeeds(text string) (first, last uint64, err error) {
+	firstText, lastText, isRange := strings.Cut(text, ":")
 	if !isRange {
-		other = one
+		lastText = firstText
 	}
-	first, err = strconv.ParseUint(one, 10, 64)
+	first, err = strconv.ParseUint(firstText, 10, 64)
 	if err == nil {
-		last, err = strconv.ParseUint(other, 10, 64)
+		last, err = strconv.ParseUint(lastText, 10, 64)
 	}
 	if err != nil || last < first || last-first > 10000 {
 		return 0, 0, errcode.New(errcode.InvalidCall, "--seeds %q is neither a number nor FIRST:LAST", text)
@@ -183,7 +186,8 @@
 	return first, last, nil
 }
 
-// inFolder keeps the folder only when the run failed, or when it was named.
+// inFolder calls run with the folder of the --folder flag, or with a temporary folder that is
+// removed if run succeeds.
 func inFolder(cmd *cli.Command, run func(folder string) error) error {
 	folder := cmd.String("folder")
 	if folder != "" {
@@ -198,14 +202,14 @@
 		return err
 	}
 	if err := run(folder); err != nil {
-		fmt.Fprintln(os.Stderr, "harness: logs are kept in", folder)
+		fmt.Fprintln(os.Stderr, "harness: logs kept in", folder)
 		return err
 	}
 	return os.RemoveAll(folder)
 }
 
-// seedFolder is where the run of a seed has its data and logs: in a folder of its own unless it is
-// the only run, as its fleet would go on with the data of the run before.
+// seedFolder returns the folder for a seed's data and logs. Unless the run is the only one, this is
+// a subfolder per seed: in a shared folder, a fleet would load the previous run's data.
 func seedFolder(folder string, seed uint64, isOnly bool) string {
 	if isOnly {
 		return folder
--- a/internal/harness/command/command_test.go
+++ b/internal/harness/command/command_test.go
@@ -1,5 +1,5 @@
-// The help of every command, and what is said to calls that can't be read, as
-// approved transcripts. Run with -approve to take over what is said now.
+// These tests compare the help of every command, and the errors for invalid command lines, with
+// approved transcripts. Run with -approve to accept the current output.
 package command
 
 import (
@@ -36,9 +36,9 @@
 	})
 }
 
-// A second run in the folder of the first broke racing-changes 132 times: its core nodes had the
-// change sets of the first.
-func TestSeedFolder_KeepsRunsApart(t *testing.T) {
+// Guards against core nodes that load the change sets of the previous seed's run from a shared
+// folder, which violates the rule racing-changes.
+func TestSeedFolder_SeparatesRunsBySeed(t *testing.T) {
 	first, second := seedFolder("f", 1, false), seedFolder("f", 2, false)
 	if first == second || first == "f" || second == "f" {
 		t.Error(first, second)
--- a/internal/harness/command/soak.go
+++ b/internal/harness/command/soak.go
@@ -44,7 +44,7 @@
 }
 
 func soak(ctx context.Context, cmd *cli.Command) error {
-	first, last, err := seedsOf(cmd.String("seeds"))
+	first, last, err := parseSeeds(cmd.String("seeds"))
 	if err != nil {
 		return err
 	}
--- a/internal/harness/command/upgrade.go
+++ b/internal/harness/command/upgrade.go
@@ -10,7 +10,7 @@
 	"github.com/sumactrestle/sumactrestle/internal/harness"
 )
 
-// upgradeCommand is the command that replaces an older build under load.
+// upgradeCommand returns the command that upgrades a fleet from an older build under load.
 func upgradeCommand(folder cli.Flag) *cli.Command {
 	return &cli.Command{Name: "upgrade", Usage: "replace the nodes of an older build one at a time, under load",
 		Description: "Starts a fleet of the older build, puts load on it, and replaces its nodes one at a time, core nodes first, while change sets are submitted. Ends with 1 if the history breaks a rule, a node was not replaced in time, or one build refused what the other sent or wrote. tools/old-sumac.sh builds sumac of a commit.",
--- a/internal/harness/cpu_test.go
+++ b/internal/harness/cpu_test.go
@@ -13,7 +13,7 @@
 	}{
 		{"user and system time", "7 (sumac) S 1 7 7 0 -1 4194304 10 0 0 0 25 5 0 0 20 0", 300 * time.Millisecond, true},
 		{"a name with spaces and parentheses", "7 (a (b) c) S 1 7 7 0 -1 4194304 10 0 0 0 1 2 0 0 20 0", 30 * time.Millisecond, true},
-		{"cut short", "7 (sumac) S 1 7 7", 0, false},
+		{"too few fields", "7 (sumac) S 1 7 7", 0, false},
 		{"not a number", "7 (sumac) S 1 7 7 0 -1 4194304 10 0 0 0 x 5 0 0 20 0", 0, false},
 		{"empty", "", 0, false},
 	} {
--- a/internal/harness/faults.go
+++ b/internal/harness/faults.go
@@ -11,7 +11,7 @@
 	"github.com/sumactrestle/sumactrestle/internal/standin"
 )
 
-// Names of faults that a run treats apart.
+// Names of the faults that code outside the faults map refers to.
 const (
 	faultNone    = "none"
 	faultChange  = "change"
@@ -22,8 +22,8 @@
 	faultAll     = "all"
 )
 
-// A fault is done to the fleet while it works. It takes its time: it is over when the fleet
-// has had some to recover. A run draws one after the other.
+// A fault injects one fault into a fleet under load. It returns after the fleet has had time to
+// recover. A run injects faults one after the other.
 type fault func(r *run, random *rand.Rand)
 
 var faults = map[string]fault{
@@ -37,16 +37,17 @@
 	faultChange:  addRoute,
 	faultCut:     partitionNetwork,
 	faultGrow:    addManyRoutes,
-	faultRoll:    replaceBuild,
+	faultRoll:    switchBuild,
 	faultUpgrade: upgradeMachine,
-	faultAll:     anyFault,
+	faultAll:     randomFault,
 }
 
-// HasFault reports whether there are faults of that name.
+// HasFault reports whether name is a known kind of fault.
 func HasFault(name string) bool { return faults[name] != nil }
 
-// anyFault does one of those that need no other build, partitions and servers more often.
-func anyFault(r *run, random *rand.Rand) {
+// randomFault injects a random fault that needs no other build. Network partitions and server
+// replacements are twice as likely as the others.
+func randomFault(r *run, random *rand.Rand) {
 	choices := []fault{killMachine, killGroup, wipeCore, partitionNetwork, partitionNetwork, freezeMachine, stopMachine, replaceServer, replaceServer}
 	choices[random.IntN(len(choices))](r, random)
 }
@@ -55,15 +56,15 @@
 	return machines[random.IntN(len(machines))]
 }
 
-// sleepBetween sleeps from the least up to the most milliseconds, the most excluded.
-func (r *run) sleepBetween(random *rand.Rand, least, most int) {
-	time.Sleep(time.Duration(least+random.IntN(most-least)) * time.Millisecond)
+// sleepBetween sleeps for a random duration from minMillis (inclusive) to maxMillis (exclusive).
+func (r *run) sleepBetween(random *rand.Rand, minMillis, maxMillis int) {
+	time.Sleep(time.Duration(minMillis+random.IntN(maxMillis-minMillis)) * time.Millisecond)
 }
 
-// startMachine starts a machine again; a failure is printed.
+// startMachine restarts a machine and prints an error if that fails.
 func (r *run) startMachine(m *Machine) {
 	if err := m.Start(); err != nil {
-		r.logf("%s can't start: %v", m.Name, err)
+		r.logf("starting %s failed: %v", m.Name, err)
 	}
 }
 
@@ -76,7 +77,7 @@
 	r.sleepBetween(random, 1000, 4000)
 }
 
-// killGroup kills all core nodes or all proxies.
+// killGroup kills and restarts all core nodes or all proxies.
 func killGroup(r *run, random *rand.Rand) {
 	group := r.fleet.CoreMachines()
 	if random.IntN(2) == 0 {
@@ -93,14 +94,14 @@
 	r.sleepBetween(random, 3000, 6000)
 }
 
-// wipeCore loses the disk of a core node. It waits long enough for the replicas to be repaired
-// before the next fault: two disks lost at once are more than the fleet tolerates.
+// wipeCore kills a core node and deletes its data. It waits long enough for the replicas to be
+// restored before the next fault, because the fleet doesn't tolerate the loss of two disks at once.
 func wipeCore(r *run, random *rand.Rand) {
 	m := pick(random, r.fleet.CoreMachines())
 	r.recordFault("%s is lost with its disk", m.Name)
 	m.Kill()
 	if err := m.Wipe(); err != nil {
-		r.logf("wipe: %v", err)
+		r.logf("deleting a core node's data failed: %v", err)
 	}
 	r.sleepBetween(random, 0, 2000)
 	r.startMachine(m)
@@ -131,8 +132,8 @@
 	}
 }
 
-// partitionNetwork cuts one link one way, a machine, a zone, or every core node off, and heals
-// the network later.
+// partitionNetwork cuts one link in one direction, or isolates a machine, a zone or every core
+// node, and heals the network some seconds later.
 func partitionNetwork(r *run, random *rand.Rand) {
 	from, to := pick(random, r.fleet.Machines), pick(random, r.fleet.Machines)
 	relay := r.fleet.Relay
@@ -158,10 +159,11 @@
 	r.sleepBetween(random, 1000, 4000)
 }
 
-// replaceServer drains a server, or crashes it and gives its address to another service two
-// seconds later. A server of its service starts elsewhere.
+// replaceServer drains a server and restarts it at its address, or crashes it. Two seconds after a
+// crash, a server of a random service starts at its address, and a server of the original service at
+// a random one.
 func replaceServer(r *run, random *rand.Rand) {
-	server := r.takeServer(random)
+	server := r.removeRandomServer(random)
 	if random.IntN(2) == 0 {
 		r.recordFault("%s %s drains", server.Service, server.Instance)
 		if server.Announce(r.ctx, "draining") {
@@ -180,7 +182,7 @@
 	r.startServer(server.Service, fmt.Sprintf("127.9.%d.%d:%d", random.IntN(200), 1+random.IntN(200), r.fleet.Port), server.Zone)
 }
 
-// addRoute submits one route, to measure what a small change to a large configuration costs.
+// addRoute submits one route, to measure the cost of a small change to a large configuration.
 func addRoute(r *run, random *rand.Rand) {
 	r.submitRoutes("small", 1)
 	r.sleepBetween(random, 1000, 1001)
@@ -192,8 +194,8 @@
 	r.sleepBetween(random, 500, 501)
 }
 
-// submitRoutes submits routes to the first service in one change set. Its outcome is recorded
-// in the history, also when it is refused or unknown.
+// submitRoutes submits count new routes to the first service in one change set. Every outcome is
+// recorded in the history, including a rejected or unknown one.
 func (r *run) submitRoutes(prefix string, count int) {
 	r.changesSubmitted++
 	id := fmt.Sprint(prefix, r.changesSubmitted)
@@ -204,17 +206,17 @@
 			names = append(names, fmt.Sprint(id, "-", i))
 		}
 	}
-	r.submitNamed(r.ctx, r.newOperator(), id, names)
+	r.submitNamedRoutes(r.ctx, r.newOperator(), id, names)
 }
 
-// submitRoute submits one route to the first service, on the epoch in force.
+// submitRoute submits one route to the first service, based on the current epoch.
 func (r *run) submitRoute(ctx context.Context, operator *standin.Operator, id string) {
-	r.submitNamed(ctx, operator, id, []string{id})
+	r.submitNamedRoutes(ctx, operator, id, []string{id})
 }
 
-// submitNamed submits routes of these names to the first service in one change set, on the
-// epoch in force; none if that can't be read.
-func (r *run) submitNamed(ctx context.Context, operator *standin.Operator, id string, names []string) {
+// submitNamedRoutes submits routes with these names to the first service in one change set, based
+// on the current epoch. It submits nothing if the epoch can't be read.
+func (r *run) submitNamedRoutes(ctx context.Context, operator *standin.Operator, id string, names []string) {
 	view, err := operator.Epoch(ctx)
 	if err != nil {
 		return
@@ -230,30 +232,30 @@
 	return standin.NewOperator(environment.NewHost(""), r.history, r.fleet.ProxyMachines()[0].APIAddress())
 }
 
-// replaceBuild stops one machine after the other as planned and starts it with the fleet's
-// other build: forward through all machines, and back.
-func replaceBuild(r *run, random *rand.Rand) {
-	m := r.fleet.Machines[r.replaced%len(r.fleet.Machines)]
-	r.replaced++
+// switchBuild stops the next machine as planned and starts it with the fleet's other build.
+// Successive calls go through all machines in order and then switch them back.
+func switchBuild(r *run, random *rand.Rand) {
+	m := r.fleet.Machines[r.buildSwitches%len(r.fleet.Machines)]
+	r.buildSwitches++
 	r.stopAsPlanned(m)
-	m.runsOther = !m.runsOther
-	r.recordFault("roll %s (other build: %v)", m.Name, m.runsOther)
+	m.runsOtherBinary = !m.runsOtherBinary
+	r.recordFault("roll %s (other build: %v)", m.Name, m.runsOtherBinary)
 	r.startMachine(m)
 	r.sleepBetween(random, 800, 1500)
 }
 
-// upgradeMachine replaces the next machine's build, if one is left, waits until the fleet is
-// ready and submits changeSetsPerMix change sets.
+// upgradeMachine switches the next machine to the other build unless all have been switched, waits
+// until the fleet is ready, and submits changeSetsPerStep change sets.
 func upgradeMachine(r *run, random *rand.Rand) {
-	if r.replaced < len(r.fleet.Machines) {
-		replaceBuild(r, random)
-		limited, cancel := context.WithTimeout(r.ctx, readyTimeout)
+	if r.buildSwitches < len(r.fleet.Machines) {
+		switchBuild(r, random)
+		waitCtx, cancel := context.WithTimeout(r.ctx, readyTimeout)
 		defer cancel()
-		if err := r.fleet.AwaitReady(limited); err != nil {
+		if err := r.fleet.AwaitReady(waitCtx); err != nil {
 			r.logf("%v", err)
 		}
 	}
-	for range changeSetsPerMix {
+	for range changeSetsPerStep {
 		addRoute(r, random)
 	}
 }
--- a/internal/harness/fleet.go
+++ b/internal/harness/fleet.go
@@ -12,40 +12,40 @@
 )
 
 const (
-	maxSeeds          = 3 // wire addresses that each node is given at first
+	maxSeeds          = 3 // peer addresses in each node's "seeds" setting
 	readyPollInterval = 50 * time.Millisecond
 	readyCallTimeout  = time.Second
 )
 
 // FleetConfig describes a fleet.
 type FleetConfig struct {
-	Binary      string // the program of sumac
-	OtherBinary string // another build of it, for rolls and upgrades; none if empty
-	Folder      string // for data and logs, a folder below it for each machine
-	Port        int    // the first of portsPerMachine that are free on all loopback addresses
+	Binary      string // path of the sumac program
+	OtherBinary string // path of another build of it, for rolls and upgrades; none if empty
+	Folder      string // for data and logs, with a subfolder per machine
+	Port        int    // the first of portsPerMachine successive ports that are free on all loopback addresses
 
 	Cores, Proxies, Zones int
 
-	// Settings are of the product, for every node, beside those that follow from its place.
+	// Settings are passed to every node in addition to those of its machine.
 	Settings map[string]string
-	// Profiled gives every node an address for processor profiles.
+	// Profiled has every node serve processor profiles at its debug address.
 	Profiled bool
-	// SingleThreaded runs every node on one thread of the runtime.
+	// SingleThreaded runs every node with GOMAXPROCS=1.
 	SingleThreaded bool
-	// History records every start of a proxy, unless it is nil.
+	// History records every start of a proxy. It may be nil.
 	History *checker.History
 }
 
-// Fleet is the machines of one run. It is used by one goroutine; single machines may be
-// signalled from others.
+// Fleet holds the machines of one run. It must be used by one goroutine only, except that other
+// goroutines may send signals to single machines.
 type Fleet struct {
 	FleetConfig
 	Machines []*Machine // core nodes first
-	Relay    *Relay     // stands before every node's wire address; nil for none
+	Relay    *Relay     // relays the traffic between nodes; nil if they connect directly
 }
 
-// NewFleet lays out a fleet whose core nodes and proxies are spread over the zones. It starts
-// no process.
+// NewFleet returns a fleet whose core nodes and proxies are spread evenly over the zones. It
+// starts no process.
 func NewFleet(config FleetConfig) *Fleet {
 	f := &Fleet{FleetConfig: config}
 	for i := range config.Cores {
@@ -57,7 +57,7 @@
 	return f
 }
 
-// Machine returns the machine of a name, or nil.
+// Machine returns the machine with the name, or nil if there is none.
 func (f *Fleet) Machine(name string) *Machine {
 	for _, m := range f.Machines {
 		if m.Name == name {
@@ -67,10 +67,10 @@
 	return nil
 }
 
-// CoreMachines returns the machines that hold state.
+// CoreMachines returns the machines of the core nodes.
 func (f *Fleet) CoreMachines() []*Machine { return f.machinesOf(roleCore) }
 
-// ProxyMachines returns the machines that serve clients.
+// ProxyMachines returns the machines of the proxies.
 func (f *Fleet) ProxyMachines() []*Machine { return f.machinesOf(roleProxy) }
 
 func (f *Fleet) machinesOf(role role) (machines []*Machine) {
@@ -90,7 +90,7 @@
 	return addresses
 }
 
-// seeds returns the wire addresses that a node asks first, with commas between them.
+// seeds returns the comma-separated peer addresses that a node contacts to join the fleet.
 func (f *Fleet) seeds() string {
 	var addresses []string
 	for _, m := range f.CoreMachines() {
@@ -101,7 +101,7 @@
 	return strings.Join(addresses, ",")
 }
 
-// StartAll starts every machine. It ends with the first that can't be started.
+// StartAll starts every machine. It returns the first error and starts no further machine then.
 func (f *Fleet) StartAll() error {
 	for _, m := range f.Machines {
 		if err := m.Start(); err != nil {
@@ -111,7 +111,8 @@
 	return nil
 }
 
-// KillAll ends every process of the fleet, also frozen ones, and waits for their ends.
+// KillAll kills every process of the fleet, including frozen ones, and waits until they have
+// exited.
 func (f *Fleet) KillAll() {
 	for _, m := range f.Machines {
 		m.Thaw()
@@ -119,8 +120,8 @@
 	}
 }
 
-// AwaitReady waits until every machine that is up reports that it is ready. It fails with
-// errcode.Unreachable when the context ends before.
+// AwaitReady waits until the node of every running machine reports that it is ready. It fails with
+// errcode.Unreachable if the context ends first.
 func (f *Fleet) AwaitReady(ctx context.Context) error {
 	for _, m := range f.Machines {
 		if !m.IsUp() {
@@ -139,8 +140,8 @@
 		return err
 	}
 	for {
-		limited, cancel := context.WithTimeout(ctx, readyCallTimeout)
-		_, err := client.Ready(limited)
+		callCtx, cancel := context.WithTimeout(ctx, readyCallTimeout)
+		_, err := client.Ready(callCtx)
 		cancel()
 		if err == nil {
 			return nil
--- a/internal/harness/load.go
+++ b/internal/harness/load.go
@@ -20,25 +20,25 @@
 )
 
 const (
-	// maxInFlight bounds the requests of one service that are under way at once.
+	// maxInFlight limits the concurrent requests to one service.
 	maxInFlight = 2000
-	// Each client has at most about so many requests or calls a second.
+	// Approximate maximum rates per client, in requests or calls per second.
 	requestsPerClient     = 20
 	coordinationPerClient = 10
 
 	maxRetries          = 5
 	coordinationTimeout = 4 * time.Second
-	keys                = 5 // that coordination calls share
+	sharedKeys          = 5 // number of keys that coordination calls read and write
 )
 
-// loadCounts counts what was begun under load.
+// loadCounts counts the requests and calls started under load.
 type loadCounts struct {
 	requests          atomic.Int64
 	coordinationCalls atomic.Int64
 }
 
-// startLoad starts the load, profiles and traffic samples, until the context ends. The function
-// that it returns waits for all of these, and for the requests under way.
+// startLoad starts the load, the profiling and the traffic sampling, which run until the context
+// ends. The returned function waits until they have stopped and all requests have completed.
 func (r *run) startLoad(ctx context.Context) (wait func()) {
 	var tasks sync.WaitGroup
 	for _, load := range r.Shape.Loads {
@@ -54,8 +54,9 @@
 	return tasks.Wait
 }
 
-// startClients starts the clients of a service, spread over the proxies. The load is open: a
-// client does not wait for responses, so a slow fleet gets no fewer requests, up to maxInFlight.
+// startClients starts the clients of a service. Each request goes to a random proxy. The load is
+// open-loop: clients don't wait for responses before the next request, so a slow fleet receives the
+// same rate until maxInFlight is reached; further requests are then skipped.
 func (r *run) startClients(ctx context.Context, tasks *sync.WaitGroup, load Load) {
 	rate := load.RequestsPerSecond * r.RateFactor
 	clients := 1 + int(rate/requestsPerClient)
@@ -92,8 +93,9 @@
 	}
 }
 
-// sendRequest sends one request of a service, and retries a failed order as often as the
-// clients' patience has it. A request under way outlives the load, so its outcome is known.
+// sendRequest sends one request to a service. A failed order is retried with the probability
+// RetryShare, at most maxRetries times. The request isn't cancelled when the load ends, so that its
+// outcome is recorded.
 func (r *run) sendRequest(client *standin.Client, load Load, body []byte) {
 	ctx := context.Background()
 	proxies := r.fleet.ProxyMachines()
@@ -109,7 +111,7 @@
 	}
 }
 
-// startApplications starts applications whose coordination calls go to all nodes.
+// startApplications starts applications that send coordination calls to random nodes.
 func (r *run) startApplications(ctx context.Context, tasks *sync.WaitGroup) {
 	rate := r.Shape.CoordinationPerSecond * r.RateFactor
 	applications := 1 + int(rate/coordinationPerClient)
@@ -135,8 +137,8 @@
 	}
 }
 
-// callCoordination does an application's nth coordination call and records it: a count, a put
-// and a read of a key in turn.
+// callCoordination makes an application's nth coordination call and records it. Calls alternate
+// between adding to a counter, putting a key and reading a key.
 func (r *run) callCoordination(client *api.Client, application string, n int) {
 	ctx, cancel := context.WithTimeout(context.Background(), coordinationTimeout)
 	defer cancel()
@@ -148,10 +150,10 @@
 		record.Op, record.Name = "add", "count/"+application
 		receipt, err = client.AddCounter(ctx, &api.Call{Name: record.Name, ID: api.NewOptString(ids.NewID())})
 	case 1:
-		record.Op, record.Name = "put", fmt.Sprint("key", n%keys)
+		record.Op, record.Name = "put", fmt.Sprint("key", n%sharedKeys)
 		receipt, err = client.PutKey(ctx, &api.Call{Name: record.Name, Value: jx.Raw("1"), ID: api.NewOptString(ids.NewID())})
 	default:
-		record.Op, record.Name = "get", fmt.Sprint("key", n%keys)
+		record.Op, record.Name = "get", fmt.Sprint("key", n%sharedKeys)
 		receipt, err = client.GetKey(ctx, api.GetKeyParams{Name: record.Name})
 	}
 	record.Code = standin.CodeOf(err)
@@ -159,7 +161,7 @@
 	case err == nil:
 		record.Revision, record.Count = receipt.Stamp, receipt.Count.Or(0)
 	case record.Op == "get" && record.Code == errcode.KeyNotFound.Number:
-		// The key was never put: this is an answer.
+		// The key was never put, so this is a valid result.
 	default:
 		record.Outcome = checker.OutcomeUnknown
 	}
--- a/internal/harness/machine.go
+++ b/internal/harness/machine.go
@@ -16,13 +16,13 @@
 
 const (
 	defaultCapacity = 100
-	// stopTimeout is how long a node may take over a planned stop before it is killed.
+	// stopTimeout limits a planned stop; a node that exceeds it is killed.
 	stopTimeout = 6 * time.Second
-	// hostsPerNetwork is how many addresses differ in their last byte alone, without 0 and 255.
+	// hostsPerNetwork is the number of host addresses in a /24 network, without 0 and 255.
 	hostsPerNetwork = 254
 )
 
-// role is what a machine's node does.
+// role is the role of a machine's node in the fleet.
 type role string
 
 const (
@@ -30,39 +30,40 @@
 	roleProxy role = "proxy" // serves clients
 )
 
-// Machine is the place of one node: its addresses, its files and its process, if that runs.
+// Machine represents the machine of one node, with the node's addresses, files and process.
 type Machine struct {
 	Name     string
 	Zone     string
 	IP       string
-	Capacity int // its weight among the fleet's machines
+	Capacity int // weight relative to the other machines; the node's "strength" setting
 
-	fleet     *Fleet
-	role      role
-	runsOther bool // the fleet's other build
+	fleet           *Fleet
+	role            role
+	runsOtherBinary bool // whether Start uses the fleet's OtherBinary
 
-	process atomic.Pointer[process] // the last that was started; nil if none was
+	process atomic.Pointer[process] // the most recently started process; nil if there was none
 	frozen  atomic.Bool
 }
 
-// process is one run of a machine's program.
+// process is one execution of a machine's program.
 type process struct {
 	cmd  *exec.Cmd
-	done chan struct{} // closed when it has ended
+	done chan struct{} // closed when the process has exited
 }
 
-// endsBy waits until the process has ended or a moment has come, and tells whether it has ended.
-func (p *process) endsBy(moment time.Time) bool {
+// waitForExit waits until the process has exited or the deadline has passed, and reports whether
+// the process has exited.
+func (p *process) waitForExit(deadline time.Time) bool {
 	select {
 	case <-p.done:
 		return true
-	case <-time.After(time.Until(moment)):
+	case <-time.After(time.Until(deadline)):
 		return false
 	}
 }
 
-// loopbackAddress is the address of a host of a zone. Hosts are counted from 1; those that the last
-// byte has no room for go on in the next network.
+// loopbackAddress returns the loopback address of a host in a zone. Hosts are numbered from 1;
+// every hostsPerNetwork hosts share a /24 network.
 func loopbackAddress(zone, host int) string {
 	network := 1 + (host-1)/hostsPerNetwork
 	return fmt.Sprintf("127.%d.%d.%d", network, zone+1, 1+(host-1)%hostsPerNetwork)
@@ -83,27 +84,30 @@
 	return fmt.Sprintf("%s:%d", m.IP, m.fleet.Port+offset)
 }
 
-// RPCAddress is where other nodes reach this one.
+// RPCAddress returns the address at which other nodes reach the node. If the fleet has a relay,
+// the relay listens there.
 func (m *Machine) RPCAddress() string { return m.address(portRPC) }
 
-// APIAddress is where the node serves the product's API.
+// APIAddress returns the address at which the node serves its HTTP API.
 func (m *Machine) APIAddress() string { return m.address(portAPI) }
 
-// ProxyAddress is where a proxy serves clients.
+// ProxyAddress returns the address at which a proxy serves clients.
 func (m *Machine) ProxyAddress() string { return m.address(portProxy) }
 
-// relayedAddress is where the node listens when a relay stands before it.
+// relayedAddress returns the address at which the node listens for other nodes if the fleet has a
+// relay.
 func (m *Machine) relayedAddress() string { return m.address(portRelayed) }
 
 func (m *Machine) folder() string { return filepath.Join(m.fleet.Folder, m.Name) }
 
-// DataDir is the folder of a core node's state.
+// DataDir returns the folder of a core node's persistent state.
 func (m *Machine) DataDir() string { return filepath.Join(m.folder(), "data") }
 
-// LogFile is the node's log. What the process writes to its standard error is beside it.
+// LogFile returns the path of the node's log. The file "stderr" in the same folder holds the
+// process's standard error.
 func (m *Machine) LogFile() string { return filepath.Join(m.folder(), "log") }
 
-// settings returns the settings that the node is started with.
+// settings returns the settings that Start passes to the node.
 func (m *Machine) settings() map[string]string {
 	settings := map[string]string{
 		"name":            m.Name,
@@ -131,20 +135,20 @@
 	return settings
 }
 
-// Start runs the machine's program. It returns when the process exists; Fleet.AwaitReady
-// waits until its node is ready.
+// Start starts the machine's program. It returns as soon as the process runs; Fleet.AwaitReady
+// waits until the node is ready.
 func (m *Machine) Start() error {
 	if err := os.MkdirAll(m.folder(), 0o755); err != nil {
 		return err
 	}
 	binary := m.fleet.Binary
-	if m.runsOther {
+	if m.runsOtherBinary {
 		binary = m.fleet.OtherBinary
 	}
 	args := []string{"node"}
 	for key, value := range m.settings() {
 		if m.fleet.OtherBinary != "" {
-			key = config.FormerName(key) // one of the builds may know no other
+			key = config.FormerName(key) // an older build may know only the former name
 		}
 		args = append(args, "--set", key+"="+value)
 	}
@@ -161,7 +165,7 @@
 	if m.fleet.SingleThreaded {
 		cmd.Env = append(os.Environ(), "GOMAXPROCS=1")
 	}
-	// No node outlives the harness, however that ends.
+	// The kernel kills the node if the harness exits without doing so.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := cmd.Start(); err != nil {
 		return err
@@ -170,12 +174,12 @@
 	m.process.Store(p)
 	go func() {
 		defer close(p.done)
-		cmd.Wait() // how it ended is read from its log
+		cmd.Wait() // the error is ignored: the node's log shows how it ended
 	}()
 	return nil
 }
 
-// IsUp reports whether the machine's process runs, be it frozen or not.
+// IsUp reports whether the machine's process exists, frozen or not.
 func (m *Machine) IsUp() bool {
 	p := m.process.Load()
 	if p == nil {
@@ -189,14 +193,14 @@
 	}
 }
 
-// signal sends a signal to the process, if it runs.
+// signal sends a signal to the process, if there is one.
 func (m *Machine) signal(s syscall.Signal) {
 	if m.IsUp() {
-		m.process.Load().cmd.Process.Signal(s) // it may end meanwhile
+		m.process.Load().cmd.Process.Signal(s) // fails if the process has exited since IsUp
 	}
 }
 
-// Kill ends the process at once and waits for its end.
+// Kill kills the process and waits until it has exited. It has no effect if no process runs.
 func (m *Machine) Kill() {
 	m.signal(syscall.SIGKILL)
 	if p := m.process.Load(); p != nil {
@@ -204,8 +208,8 @@
 	}
 }
 
-// Stop asks the process for a planned stop, and kills it after stopTimeout. It reports whether
-// the process stopped by itself. The machine must have been started.
+// Stop requests a planned stop with SIGTERM, and kills the process after stopTimeout. It reports
+// whether the process exited by itself. The machine must have been started.
 func (m *Machine) Stop() bool {
 	m.signal(syscall.SIGTERM)
 	select {
@@ -217,20 +221,20 @@
 	}
 }
 
-// Freeze stops the process where it is, as a machine that hangs.
+// Freeze suspends the process with SIGSTOP, to simulate a hung machine.
 func (m *Machine) Freeze() {
 	m.frozen.Store(true)
 	m.signal(syscall.SIGSTOP)
 }
 
-// Thaw lets a frozen process go on.
+// Thaw resumes a frozen process.
 func (m *Machine) Thaw() {
 	m.frozen.Store(false)
 	m.signal(syscall.SIGCONT)
 }
 
-// Wipe loses the disk of a machine that is down.
+// Wipe deletes the node's data, to simulate the loss of its disk. The process must not be running.
 func (m *Machine) Wipe() error { return os.RemoveAll(m.DataDir()) }
 
-// PID is the ID of the last process. The machine must have been started.
+// PID returns the ID of the most recently started process. The machine must have been started.
 func (m *Machine) PID() int { return m.process.Load().cmd.Process.Pid }
--- a/internal/harness/machine_test.go
+++ b/internal/harness/machine_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// newTestFleet returns a fleet whose program writes its arguments to a file, one a line, and
-// then runs until it is told to stop.
+// newTestFleet returns a fleet whose program writes its arguments to argsFile, one per line, and
+// then runs until it receives SIGTERM.
 func newTestFleet(t *testing.T, config FleetConfig) (f *Fleet, argsFile string) {
 	t.Helper()
 	dir := t.TempDir()
@@ -31,7 +31,7 @@
 	return f, argsFile
 }
 
-// startAndAwait starts a machine and returns the arguments that its program got.
+// startAndAwait starts a machine and returns the arguments that its program received.
 func startAndAwait(t *testing.T, m *Machine, argsFile string) []string {
 	t.Helper()
 	if err := m.Start(); err != nil {
@@ -59,23 +59,24 @@
 		"proxy1 zone1 127.1.1.100:10000", "proxy2 zone2 127.1.2.101:10000",
 	}
 	if !slices.Equal(got, want) {
-		t.Errorf("%q, not %q", got, want)
+		t.Errorf("machines %q, want %q", got, want)
 	}
 	if want := "127.1.1.1:10000,127.1.2.2:10000,127.1.3.3:10000"; f.seeds() != want {
-		t.Errorf("seeds %q, not %q", f.seeds(), want)
+		t.Errorf("seeds %q, want %q", f.seeds(), want)
 	}
 	if len(f.CoreMachines()) != 4 || len(f.ProxyMachines()) != 2 || f.Machine("proxy2") != f.Machines[5] || f.Machine("core5") != nil {
 		t.Error("machines are not found by role or by name")
 	}
 }
 
-// Proxies from 157 on had addresses such as 127.1.2.269, and never started.
-func TestNewFleet_GivesEachMachineAnAddressOfItsOwn(t *testing.T) {
+// Guards against invalid addresses such as 127.1.2.269 in fleets with many proxies, which prevent
+// the nodes from starting.
+func TestNewFleet_AssignsUniqueAddresses(t *testing.T) {
 	names := map[string]string{}
 	for _, m := range NewFleet(FleetConfig{Port: 10000, Cores: 99, Proxies: 500, Zones: 3}).Machines {
 		ip := net.ParseIP(m.IP)
 		if ip == nil || !ip.IsLoopback() {
-			t.Errorf("%s: %s is no loopback address", m.Name, m.IP)
+			t.Errorf("%s: %s is not a loopback address", m.Name, m.IP)
 		}
 		if other := names[m.IP]; other != "" {
 			t.Errorf("%s and %s have the address %s", other, m.Name, m.IP)
@@ -94,8 +95,8 @@
 	}{
 		{"a core node holds data", FleetConfig{}, false, "core1", []string{"data.folder", "peer.address"}, []string{"proxy.address", "debug.address", "peer.advertise"}},
 		{"a proxy serves clients", FleetConfig{}, false, "proxy1", []string{"proxy.address"}, []string{"data.folder"}},
-		{"a profiled one has an address for it", FleetConfig{Profiled: true}, false, "proxy1", []string{"debug.address"}, nil},
-		{"one behind a relay advertises that", FleetConfig{}, true, "core1", []string{"peer.advertise"}, nil},
+		{"a profiled node has a debug address", FleetConfig{Profiled: true}, false, "proxy1", []string{"debug.address"}, nil},
+		{"a node behind a relay advertises the relay's address", FleetConfig{}, true, "core1", []string{"peer.advertise"}, nil},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			test.config.Cores, test.config.Proxies, test.config.Zones, test.config.Port = 1, 1, 1, 10000
@@ -107,76 +108,76 @@
 			settings := m.settings()
 			for _, key := range test.present {
 				if settings[key] == "" {
-					t.Errorf("no %s in %v", key, settings)
+					t.Errorf("%s is missing in %v", key, settings)
 				}
 			}
 			for _, key := range test.absent {
 				if value, ok := settings[key]; ok {
-					t.Errorf("%s is %q", key, value)
+					t.Errorf("%s is %q, want it unset", key, value)
 				}
 			}
 			if test.relayed && (settings["peer.advertise"] != m.RPCAddress() || settings["peer.address"] != m.relayedAddress()) {
-				t.Errorf("the relay is not before the node: %v", settings)
+				t.Errorf("the node does not listen behind the relay: %v", settings)
 			}
 		})
 	}
 }
 
 func TestMachine_PassesFormerNamesWhenBuildsDiffer(t *testing.T) {
-	for _, test := range []struct{ name, other, want, not string }{
+	for _, test := range []struct{ name, otherBinary, want, unwanted string }{
 		{"one build", "", "peer.address=", "wire.address="},
 		{"two builds", "/nowhere", "wire.address=", "peer.address="},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			f, argsFile := newTestFleet(t, FleetConfig{Cores: 1, Zones: 1, OtherBinary: test.other})
+			f, argsFile := newTestFleet(t, FleetConfig{Cores: 1, Zones: 1, OtherBinary: test.otherBinary})
 			args := strings.Join(startAndAwait(t, f.Machines[0], argsFile), " ")
-			if !strings.HasPrefix(args, "node ") || !strings.Contains(args, test.want) || strings.Contains(args, test.not) {
+			if !strings.HasPrefix(args, "node ") || !strings.Contains(args, test.want) || strings.Contains(args, test.unwanted) {
 				t.Error(args)
 			}
 		})
 	}
 }
 
-func TestMachine_StopsKillsAndRestarts(t *testing.T) {
+func TestMachine_StopFreezeKillRestart(t *testing.T) {
 	f, argsFile := newTestFleet(t, FleetConfig{Cores: 1, Zones: 1})
 	m := f.Machines[0]
 	if m.IsUp() {
-		t.Error("up before it was started")
+		t.Error("up before the start")
 	}
-	m.Kill() // does nothing
+	m.Kill() // no effect
 	startAndAwait(t, m, argsFile)
 	if !m.IsUp() {
 		t.Fatal("not up")
 	}
-	if spent, err := processorTime(m.PID()); err != nil || spent > time.Minute {
-		t.Errorf("processor time %s, %v", spent, err)
+	if cpuTime, err := processorTime(m.PID()); err != nil || cpuTime > time.Minute {
+		t.Errorf("processor time %s, %v", cpuTime, err)
 	}
-	time.Sleep(50 * time.Millisecond) // until the program has set its trap
+	time.Sleep(50 * time.Millisecond) // gives the program time to install its SIGTERM trap
 	if !m.Stop() {
-		t.Error("it did not stop by itself")
+		t.Error("the process did not exit by itself")
 	}
 	if m.IsUp() {
-		t.Error("up after it stopped")
+		t.Error("up after the stop")
 	}
 	if err := m.Start(); err != nil {
 		t.Fatal(err)
 	}
 	m.Freeze()
 	if !m.IsUp() || !m.frozen.Load() {
-		t.Error("a frozen machine is not up")
+		t.Error("a frozen machine is not up or not marked as frozen")
 	}
 	m.Kill()
 	if m.IsUp() {
-		t.Error("up after it was killed")
+		t.Error("up after the kill")
 	}
 	if _, err := processorTime(m.PID()); err == nil {
-		t.Error("there is processor time of a process that is gone")
+		t.Error("processorTime succeeds for a process that no longer exists")
 	}
 }
 
 func TestMachine_StartFailsWithoutProgram(t *testing.T) {
 	f := NewFleet(FleetConfig{Binary: "/nowhere/program", Folder: t.TempDir(), Port: 10000, Cores: 1, Zones: 1})
 	if err := f.StartAll(); err == nil || !strings.Contains(err.Error(), "core1") {
-		t.Errorf("%v does not name the machine", err)
+		t.Errorf("error %v does not name the machine", err)
 	}
 }
--- a/internal/harness/ports.go
+++ b/internal/harness/ports.go
@@ -8,22 +8,22 @@
 	"github.com/sumactrestle/sumactrestle/internal/errcode"
 )
 
-// A machine's addresses have the same IP number and differ by the port: the fleet's port and
-// the ones above it.
+// Port offsets. All addresses of a machine have the same IP address; each port is the fleet's port
+// plus one of these offsets.
 const (
 	portRPC = iota
 	portAPI
 	portProxy
 	portProfiles
-	portRelayed // on which the node listens behind a relay
+	portRelayed // the node's peer port when a relay listens at portRPC
 	portsPerMachine
 )
 
-// Ports are taken from a range below those that the system gives to outgoing connections, of
-// which a run of many nodes holds thousands.
+// The fleet's port is the first port of one of portRanges ranges. All of these are below Linux's
+// ephemeral ports, of which the outgoing connections of a large run occupy thousands.
 const (
 	firstPort    = 10000
-	portChoices  = 4400
+	portRanges   = 4400
 	portAttempts = 50
 )
 
@@ -31,15 +31,15 @@
 // loopback addresses.
 func freePorts() (int, error) {
 	for range portAttempts {
-		first := firstPort + portsPerMachine*rand.IntN(portChoices)
-		if areFree(first) {
+		first := firstPort + portsPerMachine*rand.IntN(portRanges)
+		if arePortsFree(first) {
 			return first, nil
 		}
 	}
-	return 0, errcode.New(errcode.Internal, "no free ports")
+	return 0, errcode.New(errcode.Internal, "found no range of free ports")
 }
 
-func areFree(first int) bool {
+func arePortsFree(first int) bool {
 	for i := range portsPerMachine {
 		listener, err := net.Listen("tcp", fmt.Sprintf("0.0.0.0:%d", first+i))
 		if err != nil {
--- a/internal/harness/profile.go
+++ b/internal/harness/profile.go
@@ -12,12 +12,13 @@
 
 const profileSeconds = 10
 
-// recordProfiles takes processor profiles of a core node and a proxy. A failure is printed.
+// recordProfiles writes processor profiles of a core node and a proxy to ProfileDir. Errors are
+// printed.
 func (r *run) recordProfiles(ctx context.Context, tasks *sync.WaitGroup) {
 	for _, m := range []*Machine{r.fleet.CoreMachines()[0], r.fleet.ProxyMachines()[0]} {
 		tasks.Go(func() {
 			if err := r.recordProfile(ctx, m); err != nil {
-				r.logf("no profile of %s: %v", m.Name, err)
+				r.logf("profiling %s failed: %v", m.Name, err)
 			}
 		})
 	}
--- a/internal/harness/relay.go
+++ b/internal/harness/relay.go
@@ -12,29 +12,30 @@
 	relayDialTimeout   = time.Second
 	relayStreamBuffer  = 32 << 10
 	maxDatagram        = 64 << 10
-	datagramRetryPause = 10 * time.Millisecond // after a read failed, as when the node is down
+	datagramRetryDelay = 10 * time.Millisecond // after a failed read, for example while the node is down
 )
 
-// Relay stands before the wire address of every node of a fleet, for TCP and UDP, and can cut
-// links between machines. It tells the sender by its IP number. On a link that is cut, streams
-// are held back and datagrams lost, as on a broken network: neither side is notified.
+// Relay listens at the peer address of every node of a fleet, forwards TCP and UDP to the nodes,
+// and can cut links between machines. It identifies the sending machine by its IP address. On a cut
+// link, streams are delayed until the link is healed and datagrams are dropped, as in a network
+// partition; neither side is notified.
 type Relay struct {
-	ctx    context.Context
-	cancel context.CancelFunc
-	fleet  *Fleet
-	closes []func() error // of the listeners
-	tasks  sync.WaitGroup // every goroutine of the relay
+	ctx        context.Context
+	cancel     context.CancelFunc
+	fleet      *Fleet
+	closeFuncs []func() error // close the listeners
+	tasks      sync.WaitGroup // all goroutines of the relay
 
 	mu     sync.Mutex // guards cuts and healed
 	cuts   map[link]bool
-	healed chan struct{} // closed and replaced when all cuts end
+	healed chan struct{} // closed and replaced by Heal
 }
 
-// link is one direction between two machines, by their IP numbers.
+// link is one direction between two machines, given by their IP addresses.
 type link struct{ from, to string }
 
-// NewRelay listens at the wire address of every machine of the fleet. The machines must be
-// started after it.
+// NewRelay returns a relay that listens at the peer address of every machine of the fleet. The
+// fleet's Relay field must be set to it before the machines are started.
 func NewRelay(parent context.Context, fleet *Fleet) (*Relay, error) {
 	ctx, cancel := context.WithCancel(parent)
 	r := &Relay{ctx: ctx, cancel: cancel, fleet: fleet, cuts: map[link]bool{}, healed: make(chan struct{})}
@@ -52,34 +53,34 @@
 	if err != nil {
 		return err
 	}
-	r.closes = append(r.closes, listener.Close)
+	r.closeFuncs = append(r.closeFuncs, listener.Close)
 	packets, err := net.ListenPacket("udp", m.RPCAddress())
 	if err != nil {
 		return err
 	}
-	r.closes = append(r.closes, packets.Close)
+	r.closeFuncs = append(r.closeFuncs, packets.Close)
 	r.tasks.Go(func() { r.accept(listener, m) })
 	r.tasks.Go(func() { r.forwardDatagrams(packets, m) })
 	return nil
 }
 
-// Close ends the relay and what goes through it, and waits for its goroutines.
+// Close closes the listeners and all relayed connections, and waits for the relay's goroutines.
 func (r *Relay) Close() {
 	r.cancel()
-	for _, closeListener := range r.closes {
+	for _, closeListener := range r.closeFuncs {
 		closeListener()
 	}
 	r.tasks.Wait()
 }
 
-// Cut stops what goes from one machine to another.
+// Cut cuts the link from one machine to another, in this direction only.
 func (r *Relay) Cut(from, to *Machine) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.cuts[link{from.IP, to.IP}] = true
 }
 
-// Isolate cuts the machines that are in a group off from all others, both ways.
+// Isolate cuts the links between the machines of a group and all others, in both directions.
 func (r *Relay) Isolate(inGroup func(*Machine) bool) {
 	for _, a := range r.fleet.Machines {
 		for _, b := range r.fleet.Machines {
@@ -91,7 +92,7 @@
 	}
 }
 
-// Heal ends all cuts.
+// Heal restores all links that are cut.
 func (r *Relay) Heal() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -100,7 +101,7 @@
 	r.healed = make(chan struct{})
 }
 
-// isCut reports whether a link is cut, and a channel that is closed when all cuts end.
+// isCut reports whether a link is cut. The returned channel is closed by the next Heal.
 func (r *Relay) isCut(l link) (isCut bool, healed <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -117,25 +118,25 @@
 	}
 }
 
-// forwardConnection joins a connection to the node behind, until either way ends.
-func (r *Relay) forwardConnection(near net.Conn, m *Machine) {
-	defer near.Close()
-	peer := near.RemoteAddr().(*net.TCPAddr).IP.String()
-	far, err := net.DialTimeout("tcp", m.relayedAddress(), relayDialTimeout)
+// forwardConnection connects to the node and forwards both directions until one of them ends.
+func (r *Relay) forwardConnection(peerConn net.Conn, m *Machine) {
+	defer peerConn.Close()
+	peer := peerConn.RemoteAddr().(*net.TCPAddr).IP.String()
+	nodeConn, err := net.DialTimeout("tcp", m.relayedAddress(), relayDialTimeout)
 	if err != nil {
 		return
 	}
-	defer far.Close()
-	stop := context.AfterFunc(r.ctx, func() { near.Close(); far.Close() })
+	defer nodeConn.Close()
+	stop := context.AfterFunc(r.ctx, func() { peerConn.Close(); nodeConn.Close() })
 	defer stop()
 	done := make(chan struct{}, 2)
-	r.tasks.Go(func() { r.forwardStream(far, near, link{peer, m.IP}); done <- struct{}{} })
-	r.tasks.Go(func() { r.forwardStream(near, far, link{m.IP, peer}); done <- struct{}{} })
+	r.tasks.Go(func() { r.forwardStream(nodeConn, peerConn, link{peer, m.IP}); done <- struct{}{} })
+	r.tasks.Go(func() { r.forwardStream(peerConn, nodeConn, link{m.IP, peer}); done <- struct{}{} })
 	<-done
 }
 
-// forwardStream copies one way of a connection. Bytes that come while the link is cut wait
-// until it is healed, and the reading with them.
+// forwardStream copies one direction of a connection. While the link is cut, it holds the bytes
+// that it has read and reads no more.
 func (r *Relay) forwardStream(to, from net.Conn, l link) {
 	buffer := make([]byte, relayStreamBuffer)
 	for {
@@ -162,8 +163,8 @@
 	}
 }
 
-// forwardDatagrams forwards what comes for a machine, through one socket for each sender, so
-// that the node's answers find their way back.
+// forwardDatagrams forwards datagrams to a machine's node. Each sender has its own socket towards
+// the node, so that the node's replies can be returned to the sender.
 func (r *Relay) forwardDatagrams(packets net.PacketConn, m *Machine) {
 	node := net.UDPAddrFromAddrPort(netip.MustParseAddrPort(m.relayedAddress()))
 	sockets := map[string]*net.UDPConn{}
@@ -190,11 +191,11 @@
 			sockets[from.String()] = socket
 			r.tasks.Go(func() { r.returnDatagrams(packets, socket, from, link{m.IP, sender}) })
 		}
-		socket.Write(buffer[:n]) // a datagram may be lost
+		socket.Write(buffer[:n]) // errors are ignored: datagrams may be lost
 	}
 }
 
-// returnDatagrams sends a node's answers back to one sender, until the relay ends.
+// returnDatagrams forwards a node's replies to one sender until the relay is closed.
 func (r *Relay) returnDatagrams(packets net.PacketConn, socket *net.UDPConn, sender net.Addr, l link) {
 	buffer := make([]byte, maxDatagram)
 	for {
@@ -203,11 +204,11 @@
 			if r.ctx.Err() != nil {
 				return
 			}
-			time.Sleep(datagramRetryPause)
+			time.Sleep(datagramRetryDelay)
 			continue
 		}
 		if isCut, _ := r.isCut(l); !isCut {
-			packets.WriteTo(buffer[:n], sender) // a datagram may be lost
+			packets.WriteTo(buffer[:n], sender) // errors are ignored: datagrams may be lost
 		}
 	}
 }
--- a/internal/harness/relay_test.go
+++ b/internal/harness/relay_test.go
@@ -10,12 +10,11 @@
 )
 
 const (
-	lossTimeout     = 200 * time.Millisecond // after which a message counts as held back
+	lossTimeout     = 200 * time.Millisecond // after which a message counts as delayed or lost
 	deliveryTimeout = 10 * time.Second
 )
 
-// newTestRelay returns a relay before two machines, the first of which echoes streams and
-// datagrams.
+// newTestRelay returns a relay for two machines. The first, server, echoes streams and datagrams.
 func newTestRelay(t *testing.T) (r *Relay, server, client *Machine) {
 	t.Helper()
 	port, err := freePorts()
@@ -66,7 +65,7 @@
 	return r, server, client
 }
 
-// dialFrom connects from one machine's IP number to another's wire address.
+// dialFrom connects from one machine's IP address to another's peer address.
 func dialFrom(t *testing.T, network string, from, to *Machine) net.Conn {
 	t.Helper()
 	dialer := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(from.IP)}}
@@ -88,7 +87,7 @@
 	}
 }
 
-// receive returns the next text, or nothing if none comes in time.
+// receive returns the next text, or an empty string if none arrives before the timeout.
 func receive(t *testing.T, conn net.Conn, timeout time.Duration) string {
 	t.Helper()
 	conn.SetReadDeadline(time.Now().Add(timeout))
@@ -104,11 +103,11 @@
 	for _, test := range []struct {
 		name, network string
 		cut           func(r *Relay, server, client *Machine)
-		afterHeal     string // what is received of what was sent before
+		afterHeal     string // the text that is received after Heal, of those sent during the cut
 	}{
-		{"a stream to the server is held back", "tcp", func(r *Relay, server, client *Machine) { r.Cut(client, server) }, "two"},
-		{"a stream from the server is held back", "tcp", func(r *Relay, server, client *Machine) { r.Cut(server, client) }, "two"},
-		{"streams of an isolated machine are held back", "tcp", func(r *Relay, server, client *Machine) {
+		{"a stream to the server is delayed", "tcp", func(r *Relay, server, client *Machine) { r.Cut(client, server) }, "two"},
+		{"a stream from the server is delayed", "tcp", func(r *Relay, server, client *Machine) { r.Cut(server, client) }, "two"},
+		{"streams of an isolated machine are delayed", "tcp", func(r *Relay, server, client *Machine) {
 			r.Isolate(func(m *Machine) bool { return m == client })
 		}, "two"},
 		{"datagrams to the server are lost", "udp", func(r *Relay, server, client *Machine) { r.Cut(client, server) }, ""},
@@ -119,22 +118,22 @@
 			conn := dialFrom(t, test.network, client, server)
 			send(t, conn, "one")
 			if got := receive(t, conn, deliveryTimeout); got != "one" {
-				t.Fatalf("%q before the cut", got)
+				t.Fatalf("received %q before the cut", got)
 			}
 			test.cut(r, server, client)
 			send(t, conn, "two")
 			if got := receive(t, conn, lossTimeout); got != "" {
-				t.Fatalf("%q in spite of the cut", got)
+				t.Fatalf("received %q despite the cut", got)
 			}
 			r.Heal()
 			if test.afterHeal != "" {
 				if got := receive(t, conn, deliveryTimeout); got != test.afterHeal {
-					t.Fatalf("%q of what was held back", got)
+					t.Fatalf("received %q after the heal, want the delayed text", got)
 				}
 			}
 			send(t, conn, "three")
 			if got := receive(t, conn, deliveryTimeout); got != "three" {
-				t.Fatalf("%q after the heal", got)
+				t.Fatalf("received %q after the heal", got)
 			}
 		})
 	}
@@ -148,8 +147,8 @@
 		t.Fatal(got)
 	}
 	r.Cut(client, server)
-	send(t, conn, "held back")
-	r.Close() // returns in spite of what is held back
+	send(t, conn, "delayed")
+	r.Close() // must return although a stream is delayed
 	conn.SetReadDeadline(time.Now().Add(deliveryTimeout))
 	if _, err := conn.Read(make([]byte, 10)); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("the connection is still open: %v", err)
--- a/internal/harness/run.go
+++ b/internal/harness/run.go
@@ -15,45 +15,48 @@
 )
 
 const (
-	// registrationTime is between a ready fleet and the load, so that every server is known.
+	// registrationTime is the delay between a ready fleet and the load, in which all servers
+	// register.
 	registrationTime = 1500 * time.Millisecond
-	// faultStream chooses the sequence of random numbers that faults are drawn from.
+	// faultStream is the stream of the PCG random number generator from which faults are drawn.
 	faultStream = 5
-	// queryTimeout bounds how long a change set's outcome is asked for.
+	// queryTimeout limits the attempts to query a change set's outcome.
 	queryTimeout = 10 * time.Second
 )
 
 // Options describes a run.
 type Options struct {
-	Binary      string // the program of sumac
-	OtherBinary string // another build of it, for rolls and upgrades
+	Binary      string // path of the sumac program
+	OtherBinary string // path of another build of it, for rolls and upgrades
 	Folder      string // for data and logs
 	Shape       Shape
 	Output      io.Writer // progress, verdict and costs, as text
-	History     io.Writer // records, one a line; nil for none
+	History     io.Writer // the recorded history, one record per line; nil for none
 
 	// Load.
 	RateFactor  float64 // multiplies the shape's rates
 	Seconds     int     // length of the load
-	RetryShare  float64 // of clients that retry a failed order at once; the shape's if negative
+	RetryShare  float64 // probability that a client retries a failed order at once; the shape's if negative
 	ServiceTime time.Duration
-	// ServiceTimes, if set, are those of each service's servers, in turn.
+	// ServiceTimes, if not empty, replaces ServiceTime: successive servers take successive values
+	// in turn.
 	ServiceTimes []time.Duration
-	ExtraRoutes  int // in the configuration, without load
-	// AllowDuplicates has orders bear no idempotency, so that a retry may be executed again.
+	ExtraRoutes  int // number of configured routes without load
+	// AllowDuplicates disables at-most-once execution of orders, so that a retry may be executed
+	// again.
 	AllowDuplicates bool
 
 	// Faults.
-	Fault string // the kind that is drawn; see HasFault
+	Fault string // the kind of fault to inject; see HasFault
 	Seed  uint64
 
-	// ThrottleCPU gives each process the shape's share of a processor only.
+	// ThrottleCPU limits each process to the shape's share of a processor.
 	ThrottleCPU bool
-	// ProfileDir is where processor profiles of a core node and a proxy go; none if empty.
+	// ProfileDir is the folder for processor profiles of a core node and a proxy; none if empty.
 	ProfileDir string
 }
 
-// run is a run under way.
+// run is the state of a run in progress.
 type run struct {
 	Options
 	ctx       context.Context
@@ -64,17 +67,17 @@
 	startedAt time.Time
 
 	launch          func(*standin.Server) error // starts a server
-	launched        int                         // servers, or attempts at it
+	launchAttempts  int                         // number of calls of launch
 	serverProcesses []*serverProcess
 
-	// Of the goroutine that injects faults.
+	// Used only by the goroutine that injects faults.
 	changesSubmitted int
-	replaced         int // machines, by the other build or back
+	buildSwitches    int // machines switched to the other build or back
 }
 
-// Run carries a run out: it starts a deployment as real processes, puts load on it, injects
-// faults drawn from the seed, has the history judged, and prints what was served and spent. It
-// fails if the fleet doesn't become ready or the history breaks a rule.
+// Run starts a deployment as real processes, puts load on it, injects faults drawn from the seed,
+// checks the recorded history, and prints response rates and costs. It fails if the fleet doesn't
+// become ready or the history violates a rule.
 func Run(ctx context.Context, options Options) error {
 	r, err := newRun(ctx, options)
 	if err != nil {
@@ -85,10 +88,10 @@
 
 func newRun(ctx context.Context, options Options) (*run, error) {
 	if !HasFault(options.Fault) {
-		return nil, errcode.New(errcode.InvalidCall, "no fault %q", options.Fault)
+		return nil, errcode.New(errcode.InvalidCall, "unknown fault %q", options.Fault)
 	}
 	if options.Fault == faultRoll && options.OtherBinary == "" {
-		return nil, errcode.New(errcode.InvalidCall, "a roll needs another build (--other)")
+		return nil, errcode.New(errcode.InvalidCall, "the fault \"roll\" requires another build (--other)")
 	}
 	if options.RetryShare >= 0 {
 		options.Shape.RetryShare = options.RetryShare
@@ -120,12 +123,12 @@
 	return r, nil
 }
 
-// logf prints a line with the time since the run began.
+// logf prints a line prefixed with the time since the start of the run.
 func (r *run) logf(format string, args ...any) {
 	fmt.Fprintf(r.Output, "%7.2fs %s\n", time.Since(r.startedAt).Seconds(), fmt.Sprintf(format, args...))
 }
 
-// recordFault prints what is done to the fleet and records it in the history.
+// recordFault prints the description of an injected fault and records it in the history.
 func (r *run) recordFault(format string, args ...any) {
 	r.logf(format, args...)
 	r.history.Add(checker.Record{Kind: checker.FaultInjected, Note: fmt.Sprintf(format, args...)})
@@ -160,14 +163,14 @@
 	}
 	r.recordOutcomes(operator)
 	r.history.Add(checker.Record{Kind: checker.ScenarioEnded})
-	err = r.judge()
+	err = r.checkHistory()
 	if r.isFaultFree() {
 		r.printCosts(costs)
 	}
 	return err
 }
 
-// initialChange is the configuration of the run's services and its extra routes.
+// initialChange returns the change set with the run's services and routes and its extra routes.
 func (r *run) initialChange() *api.Change {
 	change := initialChange("first", r.Shape.Loads)
 	mappings := change.Put.Value.Mappings
@@ -181,7 +184,7 @@
 	return change
 }
 
-// deploy starts the fleet and the servers, submits the first change set until it is accepted,
+// deploy starts the fleet and the servers, submits the initial change set until it is accepted,
 // and waits until every node is ready.
 func (r *run) deploy(change *api.Change) (*standin.Operator, error) {
 	if err := r.fleet.StartAll(); err != nil {
@@ -197,18 +200,19 @@
 		return err == nil
 	})
 	if err != nil {
-		return nil, errcode.New(errcode.Internal, "the first change set was not accepted")
+		return nil, errcode.New(errcode.Internal, "the initial change set was not accepted in time")
 	}
-	limited, cancel := context.WithTimeout(r.ctx, readyTimeout)
+	waitCtx, cancel := context.WithTimeout(r.ctx, readyTimeout)
 	defer cancel()
-	return operator, r.fleet.AwaitReady(limited)
+	return operator, r.fleet.AwaitReady(waitCtx)
 }
 
-// underLoad puts the load on the fleet, injects faults for as long, and returns the costs.
+// underLoad generates the load and injects faults for the configured duration, and returns the
+// costs.
 func (r *run) underLoad() costs {
 	before := r.measure()
-	loading, stop := context.WithCancel(r.ctx)
-	wait := r.startLoad(loading)
+	loadCtx, stop := context.WithCancel(r.ctx)
+	wait := r.startLoad(loadCtx)
 	random := rand.New(rand.NewPCG(r.Seed, faultStream))
 	startedAt := time.Now()
 	for time.Since(startedAt) < time.Duration(r.Seconds)*time.Second && r.ctx.Err() == nil {
@@ -221,13 +225,14 @@
 	return costs{duration: duration, before: before, after: after}
 }
 
-// isFaultFree reports whether no machine and no server is harmed, so that costs are comparable
-// between runs.
+// isFaultFree reports whether the kind of fault disturbs no machine and no server, so that costs
+// are comparable between runs.
 func (r *run) isFaultFree() bool {
 	return r.Fault == faultNone || r.Fault == faultChange || r.Fault == faultGrow
 }
 
-// recover brings all machines back and records how long it takes until all proxies serve.
+// recover heals the network, resumes or restarts all machines, and records the time until every
+// proxy serves every service.
 func (r *run) recover() {
 	if r.fleet.Relay != nil {
 		r.fleet.Relay.Heal()
@@ -238,10 +243,10 @@
 			r.startMachine(m)
 		}
 	}
-	back := r.history.Now()
+	restoredAt := r.history.Now()
 	client := standin.NewClient(environment.NewHost(""), r.history)
 	defer client.Close()
-	record := checker.Record{Kind: checker.Recovery, Start: back, Outcome: checker.OutcomeUsable}
+	record := checker.Record{Kind: checker.Recovery, Start: restoredAt, Outcome: checker.OutcomeUsable}
 	for _, m := range r.fleet.ProxyMachines() {
 		for _, load := range r.Shape.Loads {
 			err := waitUntil(r.ctx, readyTimeout, func() bool {
@@ -253,16 +258,16 @@
 		}
 	}
 	r.history.Add(record)
-	r.logf("usable again %s after the last machine was back", (r.history.Now() - back).Round(10*time.Millisecond))
+	r.logf("every proxy serves again, %s after the last machine was restored", (r.history.Now() - restoredAt).Round(10*time.Millisecond))
 }
 
-// recordOutcomes asks for the outcome of every change set that was submitted, and for the
-// configuration that is in force at the end. What can't be had is missing in the history.
+// recordOutcomes queries and records the outcome of every submitted change set and the final
+// configuration. Those that can't be read in time are missing from the history.
 func (r *run) recordOutcomes(operator *standin.Operator) {
-	asked := map[string]bool{}
+	queried := map[string]bool{}
 	for _, submitted := range r.history.Records() {
-		if submitted.Kind == checker.ChangeSubmitted && !asked[submitted.Name] {
-			asked[submitted.Name] = true
+		if submitted.Kind == checker.ChangeSubmitted && !queried[submitted.Name] {
+			queried[submitted.Name] = true
 			waitUntil(r.ctx, queryTimeout, func() bool {
 				_, err := operator.QueryChange(r.ctx, submitted.Name)
 				return err == nil
@@ -280,12 +285,12 @@
 	r.history.Add(record)
 }
 
-// judge prints the verdict on the history, and fails if it breaks a rule.
-func (r *run) judge() error {
+// checkHistory checks the history, prints the verdict, and fails if the history violates a rule.
+func (r *run) checkHistory() error {
 	verdict := checker.Check(r.history.Records())
 	fmt.Fprint(r.Output, verdict)
 	if !verdict.IsValid() {
-		return errcode.New(errcode.Internal, "the history breaks a rule")
+		return errcode.New(errcode.Internal, "the history violates a rule")
 	}
 	return nil
 }
--- a/internal/harness/server_process.go
+++ b/internal/harness/server_process.go
@@ -16,18 +16,20 @@
 	"github.com/sumactrestle/sumactrestle/internal/standin"
 )
 
-// ServerCommand is the harness's command that RunServer carries out.
+// ServerCommand is the name of the harness command that calls RunServer.
 const ServerCommand = "server"
 
 const (
-	// drainPropagation is between the moment at which a node knows that a server drains, and the
-	// server's leaving; proxies in contact know it before.
+	// drainPropagation is the delay between the acknowledged announcement that a server drains and
+	// the announcement that it leaves. Proxies in contact with the fleet learn of the drain earlier.
 	drainPropagation = 2500 * time.Millisecond
-	// drainSlack is what a server that leaves has beyond its service time to finish what it has.
-	drainSlack = 5 * time.Second
+	// drainMargin is the time that a leaving server has, in addition to its service time, to finish
+	// its requests.
+	drainMargin = 5 * time.Second
 )
 
-// serverConfig is what a server process reads first: its server, and when the history began.
+// serverConfig is the first message that a server process reads: the server's parameters and the
+// start time of the history.
 type serverConfig struct {
 	HistoryStart time.Time
 	Service      string
@@ -38,21 +40,21 @@
 	ServiceTime  time.Duration
 }
 
-// serverOrder is what a server process may be told after its description.
-type serverOrder struct {
-	Drain bool // it leaves as planned, and ends
+// serverControl is a message that a server process may read after its serverConfig.
+type serverControl struct {
+	Drain bool // drain the server and exit
 }
 
-// RunServer runs one stand-in server as input describes it, until input or the context ends, or it is
-// told to drain and has. Then it writes the server's records to output: before, a reader that is late
-// would make it late.
+// RunServer runs one stand-in server with the serverConfig read from input. It stops when input or
+// the context ends, or after it has drained the server on request. Only then does it write the
+// server's records to output, so that a slow reader can't delay the server.
 func RunServer(ctx context.Context, input io.Reader, output io.Writer) error {
 	decoder := json.NewDecoder(input)
 	var config serverConfig
 	if err := decoder.Decode(&config); err != nil {
-		return errcode.New(errcode.InvalidCall, "the server's description: %v", err)
+		return errcode.New(errcode.InvalidCall, "decoding the server's configuration: %v", err)
 	}
-	// Without the kernel's times a history only has no times of receipt.
+	// Without kernel timestamps, the records lack only the times of receipt.
 	if stop, err := standin.StartTimestamps(); err == nil {
 		defer stop()
 	}
@@ -70,15 +72,15 @@
 	if err := server.Start(ctx); err != nil {
 		return err
 	}
-	orders := make(chan serverOrder, 1)
+	controls := make(chan serverControl, 1)
 	go func() {
-		var order serverOrder
-		decoder.Decode(&order) // without one, input's end is what counts
-		orders <- order
+		var control serverControl
+		decoder.Decode(&control) // an error means that input has ended
+		controls <- control
 	}()
 	select {
-	case order := <-orders:
-		if order.Drain {
+	case control := <-controls:
+		if control.Drain {
 			drain(ctx, server)
 		}
 	case <-ctx.Done():
@@ -87,33 +89,33 @@
 	return json.NewEncoder(output).Encode(history.Records())
 }
 
-// drain has a server leave as planned: it goes on serving until every node knows, and finishes what
-// it has.
+// drain stops a server as planned: the server keeps serving for drainPropagation after it has
+// announced the drain, then announces that it leaves and finishes its requests.
 func drain(ctx context.Context, server *standin.Server) {
 	if !server.Announce(ctx, "draining") {
 		return
 	}
 	pause(ctx, drainPropagation)
 	server.Announce(ctx, "leaving")
-	limited, cancel := context.WithTimeout(ctx, server.ServiceTime+drainSlack)
+	finishCtx, cancel := context.WithTimeout(ctx, server.ServiceTime+drainMargin)
 	defer cancel()
-	server.Finish(limited)
+	server.Finish(finishCtx)
 }
 
-// serverProcess is one stand-in server in a process of its own. Clients can't make it late: a
-// request is noted when it comes, however busy they are.
+// serverProcess is a stand-in server that runs in a separate process, so that busy clients in this
+// process can't delay it and its records of received requests.
 type serverProcess struct {
-	server  *standin.Server // as it was described
-	command *exec.Cmd
-	input   io.WriteCloser
-	hasLeft bool // as planned
+	server    *standin.Server // the parameters of the server; not started in this process
+	command   *exec.Cmd
+	input     io.WriteCloser
+	isDrained bool // has drained and exited
 
-	done    chan struct{}    // closed when the two below are set
-	records []checker.Record // all that it recorded
-	err     error            // of its end
+	done    chan struct{}    // closed when records and err are set
+	records []checker.Record // everything that the process recorded
+	err     error            // from decoding the records or from the process's exit
 }
 
-// launchServerProcess starts a server in a process of its own, by the program of this one.
+// launchServerProcess starts a server in a new process that executes the program of this process.
 func (r *run) launchServerProcess(server *standin.Server) error {
 	program, err := os.Executable()
 	if err != nil {
@@ -151,24 +153,24 @@
 	})
 }
 
-// collect reads the process's records, and waits for its end.
+// collect reads the process's records and waits until it has exited.
 func (p *serverProcess) collect(output io.Reader) {
 	defer close(p.done)
-	failed := json.NewDecoder(output).Decode(&p.records)
+	decodeErr := json.NewDecoder(output).Decode(&p.records)
 	if p.err = p.command.Wait(); p.err == nil {
-		p.err = failed
+		p.err = decodeErr
 	}
 }
 
-// stopServerProcesses ends the servers that have processes of their own, and takes their records
-// into the history.
+// stopServerProcesses stops all server processes and merges their records into the history. It
+// returns the first error of a process.
 func (r *run) stopServerProcesses() error {
 	processes := r.serverProcesses
 	r.serverProcesses = nil
 	for _, p := range processes {
 		p.input.Close()
 	}
-	var first error
+	var firstErr error
 	var records []checker.Record
 	for _, p := range processes {
 		select {
@@ -177,11 +179,11 @@
 			p.command.Process.Kill()
 			<-p.done
 		}
-		if p.err != nil && first == nil {
-			first = errcode.New(errcode.Internal, "a server's process: %v", p.err)
+		if p.err != nil && firstErr == nil {
+			firstErr = errcode.New(errcode.Internal, "a server process failed: %v", p.err)
 		}
 		records = append(records, p.records...)
 	}
 	r.history.Merge(records)
-	return first
+	return firstErr
 }
--- a/internal/harness/server_process_test.go
+++ b/internal/harness/server_process_test.go
@@ -19,32 +19,32 @@
 	"github.com/sumactrestle/sumactrestle/internal/checker"
 )
 
-// A server of another process records in the time of the history that it belongs to, and when its
-// machine received what it executed.
-func TestRunServer_RecordsInTheTimeOfItsHistory(t *testing.T) {
+// A server process records times relative to the start of the run's history, and the time at which
+// the kernel received each request.
+func TestRunServer_RecordsTimesSinceHistoryStart(t *testing.T) {
 	const age = time.Hour
 	address := unusedAddress(t)
 	description, err := json.Marshal(serverConfig{HistoryStart: time.Now().Add(-age), Service: "reads", Address: address, Nodes: []string{unusedAddress(t)}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	input, end := io.Pipe()
+	input, inputWriter := io.Pipe()
 	var output bytes.Buffer
 	done := make(chan error, 1)
 	go func() { done <- RunServer(t.Context(), input, &output) }()
-	if _, err := end.Write(description); err != nil {
+	if _, err := inputWriter.Write(description); err != nil {
 		t.Fatal(err)
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	for response := (*http.Response)(nil); response == nil; {
 		response, err = http.Get(fmt.Sprintf("http://%s/reads/x", address))
 		if err == nil {
 			response.Body.Close()
-		} else if time.Since(began) > 10*time.Second {
+		} else if time.Since(startedAt) > 10*time.Second {
 			t.Fatal(err)
 		}
 	}
-	end.Close()
+	inputWriter.Close()
 	if err := <-done; err != nil {
 		t.Fatal(err)
 	}
@@ -59,9 +59,10 @@
 	}
 }
 
-// A server that is told to drain says so, finishes the request that it has, and ends by itself.
-func TestRunServer_DrainsAndEnds(t *testing.T) {
-	const serviceTime = 4 * time.Second // beyond drainPropagation
+// A server process that receives a drain message announces the states, finishes its request and
+// exits by itself.
+func TestRunServer_DrainsAndExits(t *testing.T) {
+	const serviceTime = 4 * time.Second // longer than drainPropagation
 	address := unusedAddress(t)
 	node := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
@@ -69,27 +70,27 @@
 	}))
 	defer node.Close()
 	config := serverConfig{HistoryStart: time.Now(), Service: "reads", Address: address, Nodes: []string{node.Listener.Addr().String()}, ServiceTime: serviceTime}
-	input, order := io.Pipe()
-	defer order.Close()
+	input, inputWriter := io.Pipe()
+	defer inputWriter.Close()
 	var output bytes.Buffer
 	done := make(chan error, 1)
-	limited, cancel := context.WithTimeout(t.Context(), time.Minute)
+	runCtx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
-	go func() { done <- RunServer(limited, input, &output) }()
-	encoder := json.NewEncoder(order)
+	go func() { done <- RunServer(runCtx, input, &output) }()
+	encoder := json.NewEncoder(inputWriter)
 	if err := encoder.Encode(config); err != nil {
 		t.Fatal(err)
 	}
-	answered := make(chan error, 1)
-	go func() { answered <- getWhenUp(fmt.Sprintf("http://%s/reads/x", address)) }()
+	requestDone := make(chan error, 1)
+	go func() { requestDone <- getOnceListening(fmt.Sprintf("http://%s/reads/x", address)) }()
 	time.Sleep(serviceTime / 4)
-	if err := encoder.Encode(serverOrder{Drain: true}); err != nil {
+	if err := encoder.Encode(serverControl{Drain: true}); err != nil {
 		t.Fatal(err)
 	}
 	if err := <-done; err != nil {
 		t.Fatal(err)
 	}
-	if err := <-answered; err != nil {
+	if err := <-requestDone; err != nil {
 		t.Error(err)
 	}
 	var records []checker.Record
@@ -107,20 +108,20 @@
 	}
 }
 
-// getWhenUp asks once the server listens.
-func getWhenUp(url string) error {
-	for began := time.Now(); ; time.Sleep(10 * time.Millisecond) {
+// getOnceListening retries a GET until the server listens, for at most 10 seconds.
+func getOnceListening(url string) error {
+	for startedAt := time.Now(); ; time.Sleep(10 * time.Millisecond) {
 		response, err := http.Get(url)
 		if err == nil {
 			return response.Body.Close()
 		}
-		if !errors.Is(err, syscall.ECONNREFUSED) || time.Since(began) > 10*time.Second {
+		if !errors.Is(err, syscall.ECONNREFUSED) || time.Since(startedAt) > 10*time.Second {
 			return err
 		}
 	}
 }
 
-// unusedAddress is one that nobody listens at.
+// unusedAddress returns a loopback address at which no process listens.
 func unusedAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/harness/servers.go
+++ b/internal/harness/servers.go
@@ -9,7 +9,7 @@
 	"github.com/sumactrestle/sumactrestle/internal/standin"
 )
 
-// startServers starts the shape's servers, spread over the zones.
+// startServers starts the shape's servers, spread evenly over the zones.
 func (r *run) startServers() {
 	for i, load := range r.Shape.Loads {
 		for j := range load.Servers {
@@ -19,7 +19,8 @@
 	}
 }
 
-// startServer starts one server, which reports to every node. A failure is printed.
+// startServer starts one server, which sends heartbeats to the nodes of the fleet. An error is
+// printed.
 func (r *run) startServer(service, address, zone string) {
 	nodes := r.fleet.APIAddresses()
 	for _, m := range r.fleet.ProxyMachines() {
@@ -35,9 +36,9 @@
 		Nodes:       nodes,
 		ServiceTime: r.serviceTime(),
 	}
-	r.launched++
+	r.launchAttempts++
 	if err := r.launch(server); err != nil {
-		r.logf("%s at %s: %v", service, address, err)
+		r.logf("starting a server of %s at %s failed: %v", service, address, err)
 	}
 }
 
@@ -50,16 +51,16 @@
 	return nil
 }
 
-// serviceTime is how long the next server works on a request.
+// serviceTime returns the service time of the next server.
 func (r *run) serviceTime() time.Duration {
 	if len(r.ServiceTimes) == 0 {
 		return r.ServiceTime
 	}
-	return r.ServiceTimes[r.launched%len(r.ServiceTimes)]
+	return r.ServiceTimes[r.launchAttempts%len(r.ServiceTimes)]
 }
 
-// takeServer takes a server out of the run. Its taker closes it.
-func (r *run) takeServer(random *rand.Rand) *standin.Server {
+// removeRandomServer removes a random server from the run and returns it. The caller must close it.
+func (r *run) removeRandomServer(random *rand.Rand) *standin.Server {
 	i := random.IntN(len(r.servers))
 	server := r.servers[i]
 	r.servers = append(r.servers[:i], r.servers[i+1:]...)
@@ -72,5 +73,5 @@
 	}
 }
 
-// sealKey is the key by which a service's servers seal their responses.
+// sealKey returns the key with which a service's servers seal their responses.
 func sealKey(service string) string { return "key-" + service }
--- a/internal/harness/shape.go
+++ b/internal/harness/shape.go
@@ -7,27 +7,27 @@
 	"github.com/sumactrestle/sumactrestle/internal/errcode"
 )
 
-// Load is one service with its servers and its clients.
+// Load describes one service with its servers and its request rate.
 type Load struct {
 	Service           string
 	Servers           int
-	RequestsPerSecond float64 // of all its clients together, before the run's factor
-	Idempotent        bool    // its requests are GETs; else they are POSTs, executed at most once
+	RequestsPerSecond float64 // of all clients together, before it is multiplied by RateFactor
+	Idempotent        bool    // requests are GETs; otherwise POSTs, executed at most once
 	BodyBytes         int     // of a POST
 }
 
-// Shape is a deployment: its machines, its zones, its load.
+// Shape describes the size and the load of a deployment.
 type Shape struct {
 	Name                  string
 	Cores, Proxies, Zones int
 	Loads                 []Load
-	CoordinationPerSecond float64 // calls on counters and keys
-	RetryShare            float64 // of clients that retry a failed order at once
-	ProxyCPU, CoreCPU     float64 // processors of a machine; used when the run throttles
+	CoordinationPerSecond float64 // calls for counters and keys
+	RetryShare            float64 // probability that a client retries a failed order at once
+	ProxyCPU, CoreCPU     float64 // processors per machine; applied only if the run throttles
 }
 
-// Shapes is the deployments that a run may take: the two of the users at today's rates, and a
-// small one.
+// Shapes holds the available deployments by name: those of the two users at their current rates,
+// and a small one.
 var Shapes = map[string]Shape{
 	"quoteline": {
 		Name: "quoteline", Cores: 5, Proxies: 9, Zones: 3, CoordinationPerSecond: 40, ProxyCPU: 0.25, CoreCPU: 0.25,
@@ -54,7 +54,8 @@
 	},
 }
 
-// FindShape returns the shape of a name, or errcode.InvalidCall with the names that there are.
+// FindShape returns the shape with the name. If there is none, it returns errcode.InvalidCall with
+// the known names.
 func FindShape(name string) (Shape, error) {
 	shape, ok := Shapes[name]
 	if !ok {
--- a/internal/harness/smoke.go
+++ b/internal/harness/smoke.go
@@ -10,16 +10,16 @@
 	"github.com/sumactrestle/sumactrestle/internal/standin"
 )
 
-// smoke is a smoke test under way.
+// smoke is the state of a smoke test in progress.
 type smoke struct {
 	*run
 	client *standin.Client
 }
 
-// Smoke runs a small fleet through its whole path: it is bootstrapped, servers send heartbeats,
-// a change set is accepted and reaches every proxy, clients get sealed responses, a core node
-// and a proxy are killed and come back, nodes stop as planned, and the history is judged. It
-// is bounded in counts and time, and its verdict depends on safety alone.
+// Smoke runs a small fleet end to end: it bootstraps the fleet, submits a change set that reaches
+// every proxy, sends requests to servers that heartbeat and seal their responses, kills and
+// restarts a core node and a proxy, does planned stops, and checks the history. Its duration
+// and number of requests are limited, and its verdict depends on safety rules only.
 func Smoke(ctx context.Context, binary, folder string, output io.Writer) error {
 	r, err := newRun(ctx, Options{Binary: binary, Folder: folder, Shape: Shapes["small"], Output: output, Fault: faultNone})
 	if err != nil {
@@ -37,15 +37,15 @@
 	if _, err := s.deploy(initialChange("first", s.Shape.Loads)); err != nil {
 		return err
 	}
-	wanted := 0
+	wantServers := 0
 	for _, load := range s.Shape.Loads {
-		wanted += load.Servers
+		wantServers += load.Servers
 	}
-	if len(s.servers) != wanted {
-		return errcode.New(errcode.Internal, "%d of %d servers were started", len(s.servers), wanted)
+	if len(s.servers) != wantServers {
+		return errcode.New(errcode.Internal, "%d of %d servers were started", len(s.servers), wantServers)
 	}
-	s.logf("every node is ready")
-	if err := s.awaitService("at first"); err != nil {
+	s.logf("all nodes are ready")
+	if err := s.awaitService("after the deployment"); err != nil {
 		return err
 	}
 	if err := s.killAndRestart(); err != nil {
@@ -55,14 +55,14 @@
 		if !s.fleet.Machine(name).Stop() {
 			return errcode.New(errcode.Internal, "%s did not stop in time", name)
 		}
-		s.logf("%s stopped by itself", name)
+		s.logf("%s stopped as planned", name)
 	}
 	s.history.Add(checker.Record{Kind: checker.ScenarioEnded})
-	return s.judge()
+	return s.checkHistory()
 }
 
-// killAndRestart kills a core node and a proxy. The proxy is back at once, the core node later
-// and with an empty disk.
+// killAndRestart kills a core node and a proxy. It restarts the proxy at once, and the core node
+// later with an empty disk.
 func (s *smoke) killAndRestart() error {
 	core, proxy := s.fleet.Machine("core1"), s.fleet.Machine("proxy2")
 	core.Kill()
@@ -70,7 +70,7 @@
 	if err := proxy.Start(); err != nil {
 		return err
 	}
-	if err := s.awaitService("a core node and a proxy killed"); err != nil {
+	if err := s.awaitService("after a core node and a proxy were killed"); err != nil {
 		return err
 	}
 	if err := core.Wipe(); err != nil {
@@ -79,16 +79,16 @@
 	if err := core.Start(); err != nil {
 		return err
 	}
-	return s.awaitService("the core node back with an empty disk")
+	return s.awaitService("after the core node was restarted with an empty disk")
 }
 
-// awaitService waits until every proxy has a read and an order executed.
+// awaitService waits until a read and an order succeed through every proxy.
 func (s *smoke) awaitService(stage string) error {
 	for _, m := range s.fleet.ProxyMachines() {
 		err := waitUntil(s.ctx, readyTimeout, func() bool {
-			read := s.client.Call(s.ctx, m.ProxyAddress(), "GET", "/rates/lane", "rates", nil)
-			order := s.client.Call(s.ctx, m.ProxyAddress(), "POST", "/bookings", "bookings", []byte(`{"container":1}`))
-			return read.Outcome == checker.OutcomeRan && order.Outcome == checker.OutcomeRan
+			readRecord := s.client.Call(s.ctx, m.ProxyAddress(), "GET", "/rates/lane", "rates", nil)
+			orderRecord := s.client.Call(s.ctx, m.ProxyAddress(), "POST", "/bookings", "bookings", []byte(`{"container":1}`))
+			return readRecord.Outcome == checker.OutcomeRan && orderRecord.Outcome == checker.OutcomeRan
 		})
 		if err != nil {
 			return errcode.New(errcode.Internal, "%s: %s does not serve", stage, m.Name)
--- a/internal/harness/soak_servers.go
+++ b/internal/harness/soak_servers.go
@@ -25,7 +25,7 @@
 	defer s.launching.Unlock()
 	var candidates []*serverProcess
 	for _, p := range s.serverProcesses {
-		if p.server.Service == service && !p.hasLeft {
+		if p.server.Service == service && !p.isDrained {
 			candidates = append(candidates, p)
 		}
 	}
@@ -35,13 +35,13 @@
 // replaceServer drains a server, waits for its end and starts its successor at the same address.
 func (s *soak) replaceServer(p *serverProcess) {
 	s.recordFault("%s at %s drains", p.server.Service, p.server.Address)
-	if err := json.NewEncoder(p.input).Encode(serverOrder{Drain: true}); err != nil {
+	if err := json.NewEncoder(p.input).Encode(serverControl{Drain: true}); err != nil {
 		s.fail("%s at %s can't be told to drain: %v", p.server.Service, p.server.Address, err)
 	}
 	<-p.done
 	s.launching.Lock()
 	defer s.launching.Unlock()
-	p.hasLeft = true
+	p.isDrained = true
 	if err := s.launch(p.server); err != nil {
 		s.fail("%s at %s can't start again: %v", p.server.Service, p.server.Address, err)
 	}
--- a/internal/harness/soak_verdict.go
+++ b/internal/harness/soak_verdict.go
@@ -35,7 +35,7 @@
 	v.printFenced()
 	v.findDropped()
 	v.printUnknown()
-	err := s.run.judge()
+	err := s.run.checkHistory()
 	if len(s.failures) > 0 {
 		return errcode.New(errcode.Internal, "seed %d: %d failures, the first: %s", s.Seed, len(s.failures), s.failures[0])
 	}
--- a/internal/harness/soak_work.go
+++ b/internal/harness/soak_work.go
@@ -74,14 +74,14 @@
 // bound. What it did then is told if it was not seen to end, and which of its threads the kernel held
 // within a disk write over the end of the bound.
 func (s *soak) awaitStop(m *Machine, stopping *process, bound time.Time) (seenLate, blocked string) {
-	if stopping.endsBy(bound.Add(-lateLookTime)) {
+	if stopping.waitForExit(bound.Add(-lateLookTime)) {
 		return "", ""
 	}
 	folder := fmt.Sprintf("/proc/%d", stopping.cmd.Process.Pid)
 	var threads blockedThreads
 	for time.Now().Before(bound) {
 		threads.look(folder)
-		if stopping.endsBy(time.Now().Add(min(lateLookInterval, time.Until(bound)))) {
+		if stopping.waitForExit(time.Now().Add(min(lateLookInterval, time.Until(bound)))) {
 			return "", ""
 		}
 	}
--- a/internal/harness/throttle.go
+++ b/internal/harness/throttle.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// throttlePeriod is one cycle of a throttled process.
+// throttlePeriod is the length of one cycle in which a throttled process is resumed and stopped.
 const throttlePeriod = 20 * time.Millisecond
 
-// throttle gives each machine its share of one processor, by stopping and continuing its
-// process in a fixed cycle. This is harder than a quota of the system: a process that has
-// nothing to do is stopped as well. The function that it returns ends it and waits.
+// throttle limits each machine to its share of one processor by stopping and resuming its process
+// in a fixed cycle. This is stricter than a CPU quota, because an idle process is stopped as well.
+// The returned function ends the throttling and waits until it has ended.
 func (r *run) throttle() (stop func()) {
 	ctx, cancel := context.WithCancel(r.ctx)
 	var tasks sync.WaitGroup
@@ -31,14 +31,14 @@
 	}
 }
 
-// throttle lets the process run for a share of each period, until the context ends. One that
-// is frozen stays so.
+// throttle lets the process run for a share of each period until the context ends. It doesn't
+// resume a frozen process.
 func (m *Machine) throttle(ctx context.Context, share float64) {
-	running := time.Duration(float64(throttlePeriod) * share)
+	runTime := time.Duration(float64(throttlePeriod) * share)
 	for ctx.Err() == nil {
-		time.Sleep(running)
+		time.Sleep(runTime)
 		m.signal(syscall.SIGSTOP)
-		time.Sleep(throttlePeriod - running)
+		time.Sleep(throttlePeriod - runTime)
 		if !m.frozen.Load() {
 			m.signal(syscall.SIGCONT)
 		}
--- a/internal/harness/traffic.go
+++ b/internal/harness/traffic.go
@@ -13,11 +13,11 @@
 const (
 	trafficSampleInterval = 2 * time.Second
 	trafficCallTimeout    = 2 * time.Second
-	// syncs is counted beside the kinds of messages: writes of the disk, without bytes.
-	syncs = "syncs"
+	// diskSyncs is the key of disk syncs, which are counted like a kind of message but without bytes.
+	diskSyncs = "syncs"
 )
 
-// volume is a number of messages and their bytes.
+// volume is a number of messages and their total size in bytes.
 type volume struct{ messages, bytes int64 }
 
 func (v volume) plus(other volume) volume {
@@ -28,18 +28,20 @@
 	return volume{v.messages - other.messages, v.bytes - other.bytes}
 }
 
-// traffic returns what all nodes have sent since they started, by kind of message, and syncs.
+// traffic returns the messages that all nodes have sent since they started, by kind, and their
+// disk syncs.
 func (r *run) traffic() map[string]volume {
-	sum := map[string]volume{}
+	total := map[string]volume{}
 	for _, m := range r.fleet.Machines {
 		for kind, sent := range r.trafficOf(m) {
-			sum[kind] = sum[kind].plus(sent)
+			total[kind] = total[kind].plus(sent)
 		}
 	}
-	return sum
+	return total
 }
 
-// trafficOf returns what one node has sent; nothing if it does not answer.
+// trafficOf returns the messages that one node has sent since it started, by kind, and its disk
+// syncs. It returns an empty map if the node doesn't respond.
 func (r *run) trafficOf(m *Machine) map[string]volume {
 	sent := map[string]volume{}
 	client, err := api.NewClient("http://" + m.APIAddress())
@@ -48,13 +50,13 @@
 	}
 	ctx, cancel := context.WithTimeout(r.ctx, trafficCallTimeout)
 	defer cancel()
-	for _, what := range []api.ShowWhat{api.ShowWhatTraffic, api.ShowWhatCounts} {
-		table, err := client.Show(ctx, api.ShowParams{What: what})
+	for _, table := range []api.ShowWhat{api.ShowWhatTraffic, api.ShowWhatCounts} {
+		response, err := client.Show(ctx, api.ShowParams{What: table})
 		if err != nil {
 			continue
 		}
-		for _, row := range table.Rows {
-			if what == api.ShowWhatCounts && row[0] != syncs {
+		for _, row := range response.Rows {
+			if table == api.ShowWhatCounts && row[0] != diskSyncs {
 				continue
 			}
 			if v, err := parseVolume(row[1:]); err == nil {
@@ -65,7 +67,7 @@
 	return sent
 }
 
-// parseVolume reads the messages and, if there is a second column, the bytes.
+// parseVolume parses the number of messages and, if there is a second column, the bytes.
 func parseVolume(columns []string) (v volume, err error) {
 	if v.messages, err = strconv.ParseInt(columns[0], 10, 64); err != nil {
 		return volume{}, err
@@ -76,7 +78,8 @@
 	return v, err
 }
 
-// sampleTraffic records in the history what all nodes have sent, until the context ends.
+// sampleTraffic periodically records in the history the bytes that all nodes have sent, until the
+// context ends.
 func (r *run) sampleTraffic(ctx context.Context) {
 	tick := time.NewTicker(trafficSampleInterval)
 	defer tick.Stop()
@@ -93,33 +96,34 @@
 	}
 }
 
-// trafficTotal adds up the bytes of nodes, each of which counts from zero when it is restarted.
-// What a node had sent before it went stays in the total.
+// trafficTotal sums the bytes sent by all nodes. A node's counters restart at zero with its
+// process; the total keeps the bytes that it had sent before.
 type trafficTotal struct {
-	last  map[string]map[string]int64 // bytes at the last sample, by node and kind
-	bytes map[string]int64            // by kind
+	lastSample map[string]map[string]int64 // bytes at the last sample, by node and kind
+	bytes      map[string]int64            // by kind
 }
 
 func newTrafficTotal() *trafficTotal {
-	return &trafficTotal{last: map[string]map[string]int64{}, bytes: map[string]int64{}}
+	return &trafficTotal{lastSample: map[string]map[string]int64{}, bytes: map[string]int64{}}
 }
 
-// add takes a sample of one node. An empty one is of a node that did not answer.
+// add adds a sample of one node's traffic. It ignores an empty sample, which means that the node
+// did not respond.
 func (t *trafficTotal) add(node string, sample map[string]volume) {
 	if len(sample) == 0 {
 		return
 	}
-	last, now := t.last[node], map[string]int64{}
+	previous, current := t.lastSample[node], map[string]int64{}
 	for kind, sent := range sample {
-		if kind == syncs {
+		if kind == diskSyncs {
 			continue
 		}
-		now[kind] = sent.bytes
-		growth := sent.bytes - last[kind]
-		if growth < 0 {
-			growth = sent.bytes // restarted
+		current[kind] = sent.bytes
+		delta := sent.bytes - previous[kind]
+		if delta < 0 {
+			delta = sent.bytes // the node was restarted
 		}
-		t.bytes[kind] += growth
+		t.bytes[kind] += delta
 	}
-	t.last[node] = now
+	t.lastSample[node] = current
 }
--- a/internal/harness/upgrade.go
+++ b/internal/harness/upgrade.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	// changeSetsPerMix is how many change sets, one a second, are submitted to each mix of
-	// the two builds.
-	changeSetsPerMix = 3
-	// refusalsShown is how many refusals of each node are printed.
-	refusalsShown = 3
+	// changeSetsPerStep is the number of change sets, one per second, that are submitted after each
+	// node's upgrade, so that every mix of the two builds processes some.
+	changeSetsPerStep = 3
+	// maxPrintedRejections limits the printed rejections of each node.
+	maxPrintedRejections = 3
 )
 
-// refusals are the events by which a node says that it can't read or doesn't believe
-// what another sent or wrote, or that copies of a shard differ.
-var refusals = map[int]bool{
+// rejectionEvents are the events with which a node logs that it rejected a message or can't read or
+// write stored data, or that replicas of a shard differ.
+var rejectionEvents = map[int]bool{
 	eventlog.MessageRejected.Number:  true,
 	eventlog.StoreDamaged.Number:     true,
 	eventlog.StoreFailed.Number:      true,
@@ -29,10 +29,10 @@
 	eventlog.GroupDamaged.Number:     true,
 }
 
-// Upgrade runs a fleet of the build Options.Binary under load and replaces its nodes, core
-// nodes first, one at a time by the build Options.OtherBinary. Change sets are submitted
-// throughout. The checkers judge the history; besides, every node must have been replaced, and
-// none may have refused a message of the other build or the data that the other build wrote.
+// Upgrade runs a fleet of the build Options.Binary under load and upgrades its nodes one at a time,
+// core nodes first, to the build Options.OtherBinary. Change sets are submitted throughout. It
+// fails if the history violates a rule, if a node was not upgraded in time, or if a node rejected
+// messages or stored data of the other build.
 func Upgrade(ctx context.Context, options Options) error {
 	options.Fault = faultUpgrade
 	r, err := newRun(ctx, options)
@@ -42,27 +42,27 @@
 	if err := r.execute(); err != nil {
 		return err
 	}
-	if r.replaced < len(r.fleet.Machines) {
-		return errcode.New(errcode.Internal, "only %d of %d nodes were replaced in %d s", r.replaced, len(r.fleet.Machines), r.Seconds)
+	if r.buildSwitches < len(r.fleet.Machines) {
+		return errcode.New(errcode.Internal, "only %d of %d nodes were upgraded in %d s", r.buildSwitches, len(r.fleet.Machines), r.Seconds)
 	}
-	refused := 0
+	rejected := 0
 	for _, m := range r.fleet.Machines {
-		count, err := r.printRefusals(m)
+		count, err := r.printRejections(m)
 		if err != nil {
 			return err
 		}
-		refused += count
+		rejected += count
 	}
-	r.logf("%d nodes replaced one at a time, %d refusals logged", r.replaced, refused)
-	if refused > 0 {
-		return errcode.New(errcode.Internal, "one build refused what the other sent or wrote")
+	r.logf("%d nodes upgraded one at a time, %d rejections logged", r.buildSwitches, rejected)
+	if rejected > 0 {
+		return errcode.New(errcode.Internal, "one build rejected messages or stored data of the other")
 	}
 	return nil
 }
 
-// printRefusals counts the lines of a node's log that tell of a refused message or refused
-// data, and prints the first.
-func (r *run) printRefusals(m *Machine) (count int, err error) {
+// printRejections returns the number of rejectionEvents in a node's log, and prints the first
+// maxPrintedRejections of them.
+func (r *run) printRejections(m *Machine) (count int, err error) {
 	file, err := os.Open(m.LogFile())
 	if err != nil {
 		return 0, err
@@ -78,15 +78,15 @@
 		if line.Event == eventlog.NodeStarted.Number {
 			starts++
 		}
-		if refusals[line.Event] {
-			if count++; count <= refusalsShown {
+		if rejectionEvents[line.Event] {
+			if count++; count <= maxPrintedRejections {
 				r.logf("%s: %s", m.Name, lines.Text())
 			}
 		}
 	}
-	// A log without them is none in which refusals would have been seen.
+	// A log without a start of each build is incomplete, so it may lack rejections too.
 	if lines.Err() == nil && starts < 2 {
-		return count, errcode.New(errcode.Internal, "%s tells of %d starts, not of one in each build", m.LogFile(), starts)
+		return count, errcode.New(errcode.Internal, "%s has %d starts of the node, want at least 2, one per build", m.LogFile(), starts)
 	}
 	return count, lines.Err()
 }
--- a/internal/harness/wait.go
+++ b/internal/harness/wait.go
@@ -8,20 +8,21 @@
 )
 
 const (
-	// readyTimeout bounds how long a fleet may take until it is ready or serves.
+	// readyTimeout limits the time until a fleet is ready or serves requests.
 	readyTimeout = 30 * time.Second
-	// attemptPause is between two attempts at something that is waited for.
-	attemptPause = 100 * time.Millisecond
+	// attemptInterval is the delay between two checks of a condition in waitUntil.
+	attemptInterval = 100 * time.Millisecond
 )
 
-// waitUntil tries until a condition holds. It fails when the limit is over or the context ends.
-func waitUntil(ctx context.Context, limit time.Duration, holds func() bool) error {
-	deadline := time.Now().Add(limit)
-	for !holds() {
+// waitUntil checks a condition periodically until it holds. It fails after the timeout, or when the
+// context ends.
+func waitUntil(ctx context.Context, timeout time.Duration, condition func() bool) error {
+	deadline := time.Now().Add(timeout)
+	for !condition() {
 		if time.Now().After(deadline) || ctx.Err() != nil {
-			return errcode.New(errcode.Internal, "not in time")
+			return errcode.New(errcode.Internal, "timed out or cancelled")
 		}
-		time.Sleep(attemptPause)
+		time.Sleep(attemptInterval)
 	}
 	return nil
 }
