--- a/internal/harness/blocked_threads.go
+++ b/internal/harness/blocked_threads.go
@@ -13,76 +13,76 @@
 )
 
 const (
-	// lateLookTime is the last part of a stop's bound, in which the threads of a process that has
-	// not ended are looked at.
-	lateLookTime     = time.Second
-	lateLookInterval = 100 * time.Millisecond
-	// minBlockedLooks is how often a thread must have been seen within a disk write.
-	minBlockedLooks = 2
+	// blockedSampleWindow is the last part of stopTimeout, in which the threads of a process that
+	// still runs are sampled.
+	blockedSampleWindow   = time.Second
+	blockedSampleInterval = 100 * time.Millisecond
+	// minBlockedSamples is the least number of samples in which a thread must be in a disk write.
+	minBlockedSamples = 2
 )
 
-// diskWrites are the system calls that write to a disk, or wait until it has written.
-var diskWrites = []int{unix.SYS_WRITE, unix.SYS_PWRITE64, unix.SYS_WRITEV, unix.SYS_FSYNC, unix.SYS_FDATASYNC, unix.SYS_SYNC_FILE_RANGE}
+// diskWriteCalls are the system calls that write to a disk or wait for a write to complete.
+var diskWriteCalls = []int{unix.SYS_WRITE, unix.SYS_PWRITE64, unix.SYS_WRITEV, unix.SYS_FSYNC, unix.SYS_FDATASYNC, unix.SYS_SYNC_FILE_RANGE}
 
-// blockedThreads tells which threads of a process were within a disk write, in state D, at look after
-// look. The kernel does not let such a thread end, nor its process, whatever the process does. One that
-// waits for a processor, or waits in state D within another system call, is not among them.
+// blockedThreads records in which samples the threads of a process were in a disk write in state D
+// (uninterruptible sleep). The kernel lets neither such a thread nor its process exit. Threads that
+// wait for a processor, or are in state D in another system call, are not recorded.
 type blockedThreads struct {
-	looks  int
-	byTask map[string]*blockedThread
+	samples    int
+	byThreadID map[string]*blockedThread
 }
 
 type blockedThread struct {
-	looks    int
-	lastLook int    // its number, from 1
-	state    string // at the last look
+	samples    int
+	lastSample int    // number of the last sample that recorded the thread, from 1
+	state      string // in lastSample
 }
 
-// look looks at the threads of a process, by its folder below /proc.
-func (b *blockedThreads) look(process string) {
-	b.looks++
-	tasks, _ := os.ReadDir(filepath.Join(process, "task")) // a process that has ended has none
+// sample records the blocked threads of a process, given its directory in /proc.
+func (b *blockedThreads) sample(processDir string) {
+	b.samples++
+	tasks, _ := os.ReadDir(filepath.Join(processDir, "task")) // none if the process has exited
 	for _, task := range tasks {
-		folder := filepath.Join(process, "task", task.Name())
-		state := threadState(folder)
-		call, isKnown := systemCall(folder)
-		if !strings.HasPrefix(state, "D") || !isKnown || !slices.Contains(diskWrites, call) {
+		taskDir := filepath.Join(processDir, "task", task.Name())
+		state := describeThread(taskDir)
+		call, isKnown := currentSystemCall(taskDir)
+		if !strings.HasPrefix(state, "D") || !isKnown || !slices.Contains(diskWriteCalls, call) {
 			continue
 		}
-		if b.byTask == nil {
-			b.byTask = map[string]*blockedThread{}
+		if b.byThreadID == nil {
+			b.byThreadID = map[string]*blockedThread{}
 		}
-		thread := b.byTask[task.Name()]
+		thread := b.byThreadID[task.Name()]
 		if thread == nil {
 			thread = &blockedThread{}
-			b.byTask[task.Name()] = thread
+			b.byThreadID[task.Name()] = thread
 		}
-		thread.looks++
-		thread.lastLook, thread.state = b.looks, fmt.Sprintf("%s, system call %d", state, call)
+		thread.samples++
+		thread.lastSample, thread.state = b.samples, fmt.Sprintf("%s, system call %d", state, call)
 	}
 }
 
-// atEnd tells of the threads that were within a disk write at the last look, which is made when the
-// bound is over, and at one before it; empty if none was.
-func (b *blockedThreads) atEnd() string {
-	var list []string
-	for task, thread := range b.byTask {
-		if thread.lastLook == b.looks && thread.looks >= minBlockedLooks {
-			list = append(list, fmt.Sprintf("thread %s at %d of %d looks: %s", task, thread.looks, b.looks, thread.state))
+// describe lists the threads that were in a disk write in the last sample and in at least
+// minBlockedSamples in all. It returns "" if there are none.
+func (b *blockedThreads) describe() string {
+	var descriptions []string
+	for id, thread := range b.byThreadID {
+		if thread.lastSample == b.samples && thread.samples >= minBlockedSamples {
+			descriptions = append(descriptions, fmt.Sprintf("thread %s in %d of %d samples: %s", id, thread.samples, b.samples, thread.state))
 		}
 	}
-	slices.Sort(list)
-	return strings.Join(list, "; ")
+	slices.Sort(descriptions)
+	return strings.Join(descriptions, "; ")
 }
 
-// systemCall is the number of the system call that a thread is within; false if it is within none,
-// or the kernel does not tell.
-func systemCall(task string) (int, bool) {
-	raw, err := os.ReadFile(filepath.Join(task, "syscall"))
+// currentSystemCall returns the number of the system call that a thread is in. It returns false if
+// the thread is in none or the kernel does not report it.
+func currentSystemCall(taskDir string) (int, bool) {
+	raw, err := os.ReadFile(filepath.Join(taskDir, "syscall"))
 	if err != nil {
 		return 0, false
 	}
-	text, _, _ := strings.Cut(strings.TrimSpace(string(raw)), " ")
-	number, err := strconv.Atoi(text)
+	field, _, _ := strings.Cut(strings.TrimSpace(string(raw)), " ")
+	number, err := strconv.Atoi(field)
 	return number, err == nil && number >= 0
 }
--- a/internal/harness/command/command.go
+++ b/internal/harness/command/command.go
@@ -72,7 +72,7 @@
 			}, Action: deployment},
 			soakCommand(binary, folder),
 			serverCommand(),
-			endWatchCommand(),
+			exitWatchCommand(),
 			upgradeCommand(folder),
 			reportCommand(),
 		},
--- a/internal/harness/command/soak.go
+++ b/internal/harness/command/soak.go
@@ -11,10 +11,10 @@
 	"github.com/sumactrestle/sumactrestle/internal/harness"
 )
 
-// maxSoakNodes bounds the processes of one soak.
+// maxSoakNodes is the most core nodes and proxies of one soak.
 const maxSoakNodes = 300
 
-// soakCommand is the command that wears a fleet out with planned work.
+// soakCommand returns the command that runs a fleet under planned work and load.
 func soakCommand(binary, folder cli.Flag) *cli.Command {
 	return &cli.Command{Name: "soak", Usage: "planned work in series, while clients use open connections to the last",
 		Description: "Signals, restarts and change sets come in series and overlap; nothing else is done to the fleet. Ends with 1 if a request was read and got neither an answer nor a refusal, a process did not stop by itself in time, or the history breaks a rule; the seed is then named.",
@@ -29,17 +29,17 @@
 		}, Action: soak}
 }
 
-// serverCommand is the command of a soak's server processes.
+// serverCommand returns the hidden command that a soak runs in its stand-in server processes.
 func serverCommand() *cli.Command {
-	return &cli.Command{Name: harness.ServerCommand, Hidden: true, Usage: "one stand-in server, as standard input describes it, until that ends",
+	return &cli.Command{Name: harness.ServerCommand, Hidden: true, Usage: "run one stand-in server, described on standard input, until the input ends",
 		Action: func(ctx context.Context, _ *cli.Command) error { return harness.RunServer(ctx, os.Stdin, os.Stdout) },
 	}
 }
 
-// endWatchCommand is the command of the process that notes when a soak's nodes end.
-func endWatchCommand() *cli.Command {
-	return &cli.Command{Name: harness.EndWatchCommand, Hidden: true, Usage: "when processes end, as standard input names them, until that ends",
-		Action: func(context.Context, *cli.Command) error { return harness.WatchEnds(os.Stdin, os.Stdout) },
+// exitWatchCommand returns the hidden command that reports when a soak's nodes exit.
+func exitWatchCommand() *cli.Command {
+	return &cli.Command{Name: harness.ExitWatchCommand, Hidden: true, Usage: "report when processes exit, given their IDs on standard input, until the input ends",
+		Action: func(context.Context, *cli.Command) error { return harness.WatchExits(os.Stdin, os.Stdout) },
 	}
 }
 
@@ -51,11 +51,11 @@
 	cores, proxies := cmd.Int("cores"), cmd.Int("proxies")
 	switch share := cmd.Float("cpu"); {
 	case cores < 3 || proxies < 1 || cores+proxies > maxSoakNodes:
-		return errcode.New(errcode.InvalidCall, "a soak has 3 core nodes and a proxy at least, and %d nodes at most", maxSoakNodes)
+		return errcode.New(errcode.InvalidCall, "a soak needs at least 3 core nodes and 1 proxy, and at most %d nodes in all", maxSoakNodes)
 	case cmd.Int("clients") < 1 || cmd.Int("seconds") < 1 || cmd.Int("seconds") > 3600:
-		return errcode.New(errcode.InvalidCall, "a soak has a client at least, and 1 to 3600 seconds")
+		return errcode.New(errcode.InvalidCall, "a soak needs at least 1 client, and 1 to 3600 seconds")
 	case share < 0 || share > 1:
-		return errcode.New(errcode.InvalidCall, "the share of a processor must be 0 to 1")
+		return errcode.New(errcode.InvalidCall, "the processor share must be 0 to 1")
 	}
 	history, err := createHistory(cmd.String("history"), first == last)
 	if err != nil {
--- a/internal/harness/end_watch.go
+++ b/internal/harness/end_watch.go
@@ -16,39 +16,40 @@
 	"github.com/sumactrestle/sumactrestle/internal/errcode"
 )
 
-// EndWatchCommand is the harness's command that WatchEnds carries out.
-const EndWatchCommand = "ends"
+// ExitWatchCommand is the hidden harness command that runs WatchExits.
+const ExitWatchCommand = "ends"
 
-// endNoteTimeout bounds the wait for word of a process's end once it is known to have ended.
-const endNoteTimeout = 10 * time.Second
+// exitReportTimeout bounds the wait for the report on a process that is known to have exited.
+const exitReportTimeout = 10 * time.Second
 
-// endLookInterval is how long a look at the processes that are watched waits for an end.
-const endLookInterval = 10 * time.Millisecond
+// exitPollTimeout is how long one poll of the watched processes waits for an exit.
+const exitPollTimeout = 10 * time.Millisecond
 
-// processEnd tells when a process ended: after RunningAt, when it was last seen to run, and not after
-// At. Where they lie far apart, the one who watched was itself held up. RunningAt is zero if the
-// process was never seen to run.
-type processEnd struct {
+// processExit reports when a process exited: after RunningAt, when it was last observed running, and
+// no later than At. If they are far apart, the watching process itself was delayed. RunningAt is zero
+// if the process was never observed running.
+type processExit struct {
 	PID       int
 	RunningAt time.Time
 	At        time.Time
 }
 
-// WatchEnds notes when processes end, until input ends: input names each by its ID, and output gets
-// a processEnd for each. It does nothing else, so that a busy harness does not make it late.
-func WatchEnds(input io.Reader, output io.Writer) error {
+// WatchExits reports when processes exit. It reads process IDs from input, as JSON numbers, until
+// input ends, and writes a processExit to output for each, also as JSON. It runs in a separate process,
+// so that a busy harness does not delay its observations.
+func WatchExits(input io.Reader, output io.Writer) error {
 	decoder := json.NewDecoder(input)
 	added := make(chan *watchedProcess)
 	defer close(added)
-	go lookForEnds(added, json.NewEncoder(output))
+	go pollForExits(added, json.NewEncoder(output))
 	for {
 		var pid int
 		if err := decoder.Decode(&pid); errors.Is(err, io.EOF) {
 			return nil
 		} else if err != nil {
-			return errcode.New(errcode.InvalidCall, "a process's ID: %v", err)
+			return errcode.New(errcode.InvalidCall, "can't decode a process ID: %v", err)
 		}
-		process, err := openProcess(pid)
+		process, err := openWatchedProcess(pid)
 		if err != nil {
 			return err
 		}
@@ -56,25 +57,25 @@
 	}
 }
 
-// watchedProcess is a process of which the end is to be noted.
+// watchedProcess is a process whose exit is to be reported.
 type watchedProcess struct {
-	end        processEnd
-	descriptor int // becomes readable when the process ends; negative if it had ended before
+	exit  processExit
+	pidfd int // becomes readable when the process exits; negative if it had already exited
 }
 
-// openProcess opens the descriptor of a process.
-func openProcess(pid int) (*watchedProcess, error) {
-	descriptor, err := unix.PidfdOpen(pid, 0)
+// openWatchedProcess opens a pidfd for a process.
+func openWatchedProcess(pid int) (*watchedProcess, error) {
+	pidfd, err := unix.PidfdOpen(pid, 0)
 	if errors.Is(err, unix.ESRCH) {
-		descriptor = -1
+		pidfd = -1
 	} else if err != nil {
 		return nil, errcode.New(errcode.Internal, "process %d: %v", pid, os.NewSyscallError("pidfd_open", err))
 	}
-	return &watchedProcess{end: processEnd{PID: pid}, descriptor: descriptor}, nil
+	return &watchedProcess{exit: processExit{PID: pid}, pidfd: pidfd}, nil
 }
 
-// lookForEnds looks at the processes that are added, look after look, until no more are.
-func lookForEnds(added <-chan *watchedProcess, notes *json.Encoder) {
+// pollForExits polls the added processes repeatedly until added is closed.
+func pollForExits(added <-chan *watchedProcess, reports *json.Encoder) {
 	var running []*watchedProcess
 	for {
 		select {
@@ -84,60 +85,60 @@
 			}
 			running = append(running, process)
 		default:
-			running = noteEnds(running, notes)
+			running = pollOnce(running, reports)
 		}
 	}
 }
 
-// noteEnds looks at processes once, for endLookInterval or until one ends. It notes those that have
-// ended and returns the others.
-func noteEnds(processes []*watchedProcess, notes *json.Encoder) []*watchedProcess {
-	polled := make([]unix.PollFd, len(processes))
-	interval := endLookInterval
+// pollOnce polls processes for exitPollTimeout or until one exits. It reports those that have exited
+// and returns the others.
+func pollOnce(processes []*watchedProcess, reports *json.Encoder) []*watchedProcess {
+	descriptors := make([]unix.PollFd, len(processes))
+	timeout := exitPollTimeout
 	for i, process := range processes {
-		polled[i] = unix.PollFd{Fd: int32(process.descriptor), Events: unix.POLLIN}
-		if process.descriptor < 0 {
-			interval = 0
+		descriptors[i] = unix.PollFd{Fd: int32(process.pidfd), Events: unix.POLLIN}
+		if process.pidfd < 0 {
+			timeout = 0
 		}
 	}
-	lookedAt := time.Now()
-	if _, err := unix.Poll(polled, int(interval.Milliseconds())); err != nil {
-		return processes // it was interrupted
+	polledAt := time.Now()
+	if _, err := unix.Poll(descriptors, int(timeout.Milliseconds())); err != nil {
+		return processes // interrupted
 	}
 	now := time.Now()
 	var running []*watchedProcess
 	for i, process := range processes {
-		if process.descriptor >= 0 && polled[i].Revents == 0 {
-			process.end.RunningAt = lookedAt
+		if process.pidfd >= 0 && descriptors[i].Revents == 0 {
+			process.exit.RunningAt = polledAt
 			running = append(running, process)
 			continue
 		}
-		process.end.At = now
-		notes.Encode(process.end) // a harness that is gone needs none
-		if process.descriptor >= 0 {
-			unix.Close(process.descriptor)
+		process.exit.At = now
+		reports.Encode(process.exit) // an error means that the harness is gone
+		if process.pidfd >= 0 {
+			unix.Close(process.pidfd)
 		}
 	}
 	return running
 }
 
-// endWatch knows when processes ended, by a process of its own that watches them.
-type endWatch struct {
-	command *exec.Cmd
-	input   io.WriteCloser
-	closed  chan struct{} // closed when no more word comes
+// exitWatcher starts a process that runs WatchExits, and collects its reports.
+type exitWatcher struct {
+	command      *exec.Cmd
+	input        io.WriteCloser
+	outputClosed chan struct{} // closed when the watching process's output ends
 
-	mu   sync.Mutex // guards ends, and that a process is named whole
-	ends map[int]chan processEnd
+	mu    sync.Mutex // guards exits and writes to input
+	exits map[int]chan processExit
 }
 
-// newEndWatch starts the process that watches, by the program of this one.
-func newEndWatch() (*endWatch, error) {
+// newExitWatcher starts the watching process from the executable of this one.
+func newExitWatcher() (*exitWatcher, error) {
 	program, err := os.Executable()
 	if err != nil {
 		return nil, err
 	}
-	w := &endWatch{command: exec.Command(program, EndWatchCommand), closed: make(chan struct{}), ends: map[int]chan processEnd{}}
+	w := &exitWatcher{command: exec.Command(program, ExitWatchCommand), outputClosed: make(chan struct{}), exits: map[int]chan processExit{}}
 	w.command.Stderr = os.Stderr
 	w.command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if w.input, err = w.command.StdinPipe(); err != nil {
@@ -154,73 +155,74 @@
 	return w, nil
 }
 
-// watch has the end of a process noted. It is called when the process has been started.
-func (w *endWatch) watch(pid int) error {
+// watch requests the report on a process's exit. It must be called after the process has started.
+func (w *exitWatcher) watch(pid int) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.ends[pid] = make(chan processEnd, 1)
+	w.exits[pid] = make(chan processExit, 1)
 	return json.NewEncoder(w.input).Encode(pid)
 }
 
-// collect takes what is noted until the process that watches ends.
-func (w *endWatch) collect(output io.Reader) {
-	defer close(w.closed)
+// collect reads reports until the watching process closes its output.
+func (w *exitWatcher) collect(output io.Reader) {
+	defer close(w.outputClosed)
 	decoder := json.NewDecoder(output)
 	for {
-		var end processEnd
-		if decoder.Decode(&end) != nil {
+		var exit processExit
+		if decoder.Decode(&exit) != nil {
 			return
 		}
 		w.mu.Lock()
-		noted := w.ends[end.PID]
+		reports := w.exits[exit.PID]
 		w.mu.Unlock()
-		if noted != nil {
-			noted <- end
+		if reports != nil {
+			reports <- exit
 		}
 	}
 }
 
-// endOf returns the end of a process that is known to have ended; false if no word of it came.
-func (w *endWatch) endOf(pid int) (processEnd, bool) {
+// exitOf returns the report on a process that is known to have exited. It returns false if none
+// arrives within exitReportTimeout or before the watching process exits.
+func (w *exitWatcher) exitOf(pid int) (processExit, bool) {
 	w.mu.Lock()
-	noted := w.ends[pid]
+	reports := w.exits[pid]
 	w.mu.Unlock()
-	if noted == nil {
-		return processEnd{}, false
+	if reports == nil {
+		return processExit{}, false
 	}
 	select {
-	case end := <-noted:
-		return end, true
-	case <-w.closed:
-	case <-time.After(endNoteTimeout):
+	case exit := <-reports:
+		return exit, true
+	case <-w.outputClosed:
+	case <-time.After(exitReportTimeout):
 	}
-	return processEnd{}, false
+	return processExit{}, false
 }
 
-// lateStop tells what was wrong with the stop of a process that was told to stop at a time, and has
-// ended; empty if it took no longer than stopTimeout.
-func (w *endWatch) lateStop(pid int, told time.Time) string {
-	end, isKnown := w.endOf(pid)
+// describeStopFailure describes why the stop of an exited process failed, given when it received the
+// signal. It returns "" if the process exited within stopTimeout.
+func (w *exitWatcher) describeStopFailure(pid int, signalledAt time.Time) string {
+	exit, isKnown := w.exitOf(pid)
 	if !isKnown {
-		return "no word of its end"
+		return "no report of its exit"
 	}
-	if took := end.At.Sub(told); took > stopTimeout {
-		return fmt.Sprintf("it ended after %s%s", took, end.lastSeen(told))
+	if took := exit.At.Sub(signalledAt); took > stopTimeout {
+		return fmt.Sprintf("it exited after %s%s", took, exit.describeLastRunning(signalledAt))
 	}
 	return ""
 }
 
-// lastSeen tells how long after a moment the process was last seen to run.
-func (e processEnd) lastSeen(after time.Time) string {
+// describeLastRunning describes how long after a time the process was last observed running.
+func (e processExit) describeLastRunning(since time.Time) string {
 	if e.RunningAt.IsZero() {
-		return ", and was never seen to run"
+		return ", and was never observed running"
 	}
-	return fmt.Sprintf(" and was last seen to run after %s", e.RunningAt.Sub(after))
+	return fmt.Sprintf(" and was last observed running after %s", e.RunningAt.Sub(since))
 }
 
-// close ends the process that watches.
-func (w *endWatch) close() {
+// close stops the watching process and waits for its exit.
+func (w *exitWatcher) close() {
 	w.input.Close()
-	<-w.closed
-	w.command.Wait() // what it has told is taken
+	<-w.outputClosed
+	w.command.Wait() // its exit status does not matter: all reports are collected
 }
--- a/internal/harness/end_watch_test.go
+++ b/internal/harness/end_watch_test.go
@@ -12,128 +12,129 @@
 	"github.com/sumactrestle/sumactrestle/internal/checker"
 )
 
-func TestWatchEnds_TellsWhenEachProcessEnded(t *testing.T) {
-	input, names := io.Pipe()
-	notes, output := io.Pipe()
+func TestWatchExits_ReportsWhenEachProcessExited(t *testing.T) {
+	input, pids := io.Pipe()
+	reports, output := io.Pipe()
 	finished := make(chan error, 1)
-	go func() { finished <- WatchEnds(input, output) }()
-	ids, ends := json.NewEncoder(names), json.NewDecoder(notes)
-	type started struct {
-		at     time.Time
-		lasted time.Duration // at the least
+	go func() { finished <- WatchExits(input, output) }()
+	encoder, decoder := json.NewEncoder(pids), json.NewDecoder(reports)
+	type startedProcess struct {
+		at         time.Time
+		minRunTime time.Duration
 	}
-	watched := map[int]started{}
-	for _, lasted := range []time.Duration{400 * time.Millisecond, 100 * time.Millisecond} {
+	watched := map[int]startedProcess{}
+	for _, minRunTime := range []time.Duration{400 * time.Millisecond, 100 * time.Millisecond} {
 		began := time.Now()
-		command := exec.Command("sleep", fmt.Sprint(lasted.Seconds()))
+		command := exec.Command("sleep", fmt.Sprint(minRunTime.Seconds()))
 		if err := command.Start(); err != nil {
 			t.Fatal(err)
 		}
-		watched[command.Process.Pid] = started{began, lasted}
-		if err := ids.Encode(command.Process.Pid); err != nil {
+		watched[command.Process.Pid] = startedProcess{began, minRunTime}
+		if err := encoder.Encode(command.Process.Pid); err != nil {
 			t.Fatal(err)
 		}
-		// Its end is noted before it is taken as well.
+		// The exit must be reported before the process is waited for.
 		time.AfterFunc(time.Second, func() { command.Wait() })
 	}
 	for range 2 {
-		var end processEnd
-		if err := ends.Decode(&end); err != nil {
+		var exit processExit
+		if err := decoder.Decode(&exit); err != nil {
 			t.Fatal(err)
 		}
-		process, isWatched := watched[end.PID]
-		if lasted := end.At.Sub(process.at); !isWatched || lasted < process.lasted || end.At.After(time.Now()) {
-			t.Errorf("process %d ended after %s, not %s", end.PID, lasted, process.lasted)
+		process, isWatched := watched[exit.PID]
+		if ranFor := exit.At.Sub(process.at); !isWatched || ranFor < process.minRunTime || exit.At.After(time.Now()) {
+			t.Errorf("process %d exited after %s, want at least %s", exit.PID, ranFor, process.minRunTime)
 		}
-		if !end.RunningAt.After(process.at) || !end.RunningAt.Before(end.At) {
-			t.Errorf("process %d, begun at %s, ran at %s and ended at %s", end.PID, process.at, end.RunningAt, end.At)
+		if !exit.RunningAt.After(process.at) || !exit.RunningAt.Before(exit.At) {
+			t.Errorf("process %d, started at %s, was running at %s and exited at %s", exit.PID, process.at, exit.RunningAt, exit.At)
 		}
-		delete(watched, end.PID)
+		delete(watched, exit.PID)
 	}
-	names.Close()
+	pids.Close()
 	if err := <-finished; err != nil {
 		t.Error(err)
 	}
 }
 
-func TestWatchEnds_TellsOfAProcessThatHadEnded(t *testing.T) {
+func TestWatchExits_ReportsAProcessThatHadAlreadyExited(t *testing.T) {
 	command := exec.Command("true")
 	if err := command.Run(); err != nil {
 		t.Fatal(err)
 	}
-	input, names := io.Pipe()
-	notes, output := io.Pipe()
-	go WatchEnds(input, output)
-	defer names.Close()
-	if err := json.NewEncoder(names).Encode(command.Process.Pid); err != nil {
+	input, pids := io.Pipe()
+	reports, output := io.Pipe()
+	go WatchExits(input, output)
+	defer pids.Close()
+	if err := json.NewEncoder(pids).Encode(command.Process.Pid); err != nil {
 		t.Fatal(err)
 	}
-	var end processEnd
-	if err := json.NewDecoder(notes).Decode(&end); err != nil || end.PID != command.Process.Pid || end.At.IsZero() || !end.RunningAt.IsZero() {
-		t.Error(end, err)
+	var exit processExit
+	if err := json.NewDecoder(reports).Decode(&exit); err != nil || exit.PID != command.Process.Pid || exit.At.IsZero() || !exit.RunningAt.IsZero() {
+		t.Error(exit, err)
 	}
 }
 
-// One look before and one after a time in which the watch itself stood still: the process ended
-// somewhere between.
-func TestNoteEnds_TellsBetweenWhichLooksAProcessEnded(t *testing.T) {
+// The process exits between two polls. The report must span both, as the watching process may have
+// been delayed between them.
+func TestPollOnce_BracketsTheExitBetweenPolls(t *testing.T) {
 	command := exec.Command("sleep", "100")
 	if err := command.Start(); err != nil {
 		t.Fatal(err)
 	}
-	process, err := openProcess(command.Process.Pid)
+	process, err := openWatchedProcess(command.Process.Pid)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var notes bytes.Buffer
-	running := noteEnds([]*watchedProcess{process}, json.NewEncoder(&notes))
-	lookedAt := time.Now()
-	if len(running) != 1 || notes.Len() > 0 {
-		t.Fatal(running, notes.String())
+	var reports bytes.Buffer
+	running := pollOnce([]*watchedProcess{process}, json.NewEncoder(&reports))
+	polledAt := time.Now()
+	if len(running) != 1 || reports.Len() > 0 {
+		t.Fatal(running, reports.String())
 	}
 	command.Process.Kill()
 	command.Wait()
-	endedBy := time.Now()
-	if running = noteEnds(running, json.NewEncoder(&notes)); len(running) > 0 {
-		t.Error("its end was not seen")
+	exitedBy := time.Now()
+	if running = pollOnce(running, json.NewEncoder(&reports)); len(running) > 0 {
+		t.Error("the exit was not reported")
 	}
-	var end processEnd
-	if err := json.Unmarshal(notes.Bytes(), &end); err != nil {
+	var exit processExit
+	if err := json.Unmarshal(reports.Bytes(), &exit); err != nil {
 		t.Fatal(err)
 	}
-	if end.RunningAt.After(lookedAt) || end.At.Before(endedBy) {
-		t.Errorf("%+v, looked at %s, ended by %s", end, lookedAt, endedBy)
+	if exit.RunningAt.After(polledAt) || exit.At.Before(exitedBy) {
+		t.Errorf("%+v, polled at %s, exited by %s", exit, polledAt, exitedBy)
 	}
 }
 
-// A soak of 160 clients beside others was held up by 2.9 s, and saw the end of a process 6.7 s
-// after it was told to stop that had ended in 4 s: /proc had no such process any more.
-func TestLateStop_CountsUntilTheProcessEnded(t *testing.T) {
+// A busy harness may observe an exit late: a soak of 160 clients was delayed by 2.9 s and observed the
+// exit of a process 6.7 s after the signal, although the process had exited within 4 s. The stop is
+// measured until the exit itself.
+func TestDescribeStopFailure_MeasuresUntilTheProcessExited(t *testing.T) {
 	began := time.Now()
 	for _, c := range []struct {
 		name   string
-		end    time.Time
-		isLate bool
+		exitAt time.Time
+		fails  bool
 	}{
-		{"seen late", began.Add(4 * time.Second), false},
+		{"before the limit, observed late", began.Add(4 * time.Second), false},
 		{"at the limit", began.Add(stopTimeout), false},
-		{"after it", began.Add(stopTimeout + time.Millisecond), true},
-		{"no word of its end", time.Time{}, true},
+		{"after the limit", began.Add(stopTimeout + time.Millisecond), true},
+		{"no report", time.Time{}, true},
 	} {
-		w := &endWatch{closed: make(chan struct{}), ends: map[int]chan processEnd{7: make(chan processEnd, 1)}}
-		if c.end.IsZero() {
-			close(w.closed)
+		w := &exitWatcher{outputClosed: make(chan struct{}), exits: map[int]chan processExit{7: make(chan processExit, 1)}}
+		if c.exitAt.IsZero() {
+			close(w.outputClosed)
 		} else {
-			w.ends[7] <- processEnd{At: c.end, RunningAt: c.end.Add(-time.Second)}
+			w.exits[7] <- processExit{At: c.exitAt, RunningAt: c.exitAt.Add(-time.Second)}
 		}
-		if text := w.lateStop(7, began); (text != "") != c.isLate {
+		if text := w.describeStopFailure(7, began); (text != "") != c.fails {
 			t.Errorf("%s: %q", c.name, text)
 		}
 	}
 }
 
-// A late stop fails the soak also where the kernel held the process within a disk write.
-func TestCheckStop_FailsWhateverHeldTheProcessUp(t *testing.T) {
+// A late stop fails the soak even if a disk write in the kernel delayed the exit.
+func TestCheckStop_FailsOnALateStopWhateverDelayedIt(t *testing.T) {
 	began := time.Now()
 	for _, c := range []struct {
 		name, blocked string
@@ -142,11 +143,11 @@
 	}{
 		{"in time", "", stopTimeout, false},
 		{"late", "", stopTimeout + time.Millisecond, true},
-		{"late, within a disk write", "thread 7 at 3 of 3 looks: D", stopTimeout + time.Millisecond, true},
+		{"late, in a disk write", "thread 7 in 3 of 3 samples: D", stopTimeout + time.Millisecond, true},
 	} {
-		w := &endWatch{closed: make(chan struct{}), ends: map[int]chan processEnd{7: make(chan processEnd, 1)}}
-		w.ends[7] <- processEnd{At: began.Add(c.took)}
-		s := &soak{run: &run{Options: Options{Output: io.Discard}, history: checker.NewHistory(nil)}, ends: w}
+		w := &exitWatcher{outputClosed: make(chan struct{}), exits: map[int]chan processExit{7: make(chan processExit, 1)}}
+		w.exits[7] <- processExit{At: began.Add(c.took)}
+		s := &soak{run: &run{Options: Options{Output: io.Discard}, history: checker.NewHistory(nil)}, exits: w}
 		s.checkStop(&Machine{Name: "core1"}, 7, began, "", c.blocked)
 		if hasFailed := len(s.failures) > 0; hasFailed != c.fails {
 			t.Errorf("%s: %v", c.name, s.failures)
--- a/internal/harness/soak.go
+++ b/internal/harness/soak.go
@@ -13,22 +13,23 @@
 )
 
 const (
-	// soakGrace is shutdown.grace_period of the fleet; soakDrain is proxy.drain_delay.
-	soakGrace = 4 * time.Second
-	soakDrain = time.Second
-	// soakSettling is between the last planned stop and the verdict.
-	soakSettling = 2 * time.Second
-	soakStream   = 11 // of random numbers
-	// latenessInterval is between two looks at how late this process is.
-	latenessInterval = 10 * time.Millisecond
-	longLateness     = 200 * time.Millisecond // is told each time
+	// soakGracePeriod and soakDrainDelay are the fleet's shutdown.grace_period and proxy.drain_delay.
+	soakGracePeriod = 4 * time.Second
+	soakDrainDelay  = time.Second
+	// soakSettleTime is the pause between the end of the planned work and the end of the load.
+	soakSettleTime   = 2 * time.Second
+	soakRandomStream = 11 // first stream of random numbers
+	// delaySampleInterval is the time between two measurements of this process's scheduling delay.
+	delaySampleInterval = 10 * time.Millisecond
+	loggedDelay         = 200 * time.Millisecond // the least delay that is logged each time
 )
 
-// soakServiceTimes is how long the servers work on a request, in turn. The longest does not end
-// within a stop that begins meanwhile: its client must be told what is known of it.
+// soakServiceTimes are the service times of a service's servers, assigned in turn. The longest exceeds
+// the grace period, so that a proxy's stop ends with requests in flight, whose clients must receive a
+// response that states what is known of the outcome.
 var soakServiceTimes = []time.Duration{2 * time.Millisecond, 200 * time.Millisecond, 1500 * time.Millisecond, 2 * time.Millisecond, 200 * time.Millisecond, 4900 * time.Millisecond}
 
-// soakShape is what the soak's load is made of. Its rates are those of the soak's clients.
+// soakShape is the load of a soak. It sets no request rates: each client sends its requests in series.
 var soakShape = Shape{
 	Name: "soak", Zones: 3, CoordinationPerSecond: 40,
 	Loads: []Load{
@@ -40,7 +41,7 @@
 
 // SoakOptions describes a soak.
 type SoakOptions struct {
-	Binary  string // the program of sumac
+	Binary  string // path of the sumac executable
 	Folder  string // for data and logs
 	Output  io.Writer
 	Seed    uint64
@@ -48,31 +49,31 @@
 	Cores   int
 	Proxies int
 	Clients int
-	History io.Writer // records, one a line; nil for none
-	// CPUShare is what each process gets of a processor; all of it if zero.
+	History io.Writer // receives the records, one per line; nil for none
+	// CPUShare is each process's share of a processor; zero does not limit it.
 	CPUShare float64
 }
 
-// soak is a soak under way.
+// soak is the state of a running soak.
 type soak struct {
 	*run
 	clients int
-	ends    *endWatch
-	// corePermit is held while a core node is stopped, so that a majority stays.
-	corePermit sync.Mutex
+	exits   *exitWatcher
+	// coreStopMu is held while a core node is stopped, so that a majority keeps running.
+	coreStopMu sync.Mutex
 
-	// launching is held while a server is chosen or started.
-	launching sync.Mutex
+	// launchMu guards serverProcesses while a server is chosen or started.
+	launchMu sync.Mutex
 
 	mu       sync.Mutex // guards failures
-	failures []string   // what breaks a rule that the checkers don't have
+	failures []string   // violations of rules that the checkers don't cover
 }
 
-// Soak runs a fleet of real processes under planned work only: signals, restarts, drains of
-// servers and change sets come in series and overlap, while clients go on using open
-// connections until the process behind them is gone. It fails if a request was read and got
-// neither an answer nor a refusal, if a process ended without being told or did not stop as
-// planned and in time, or if the history breaks a rule.
+// Soak runs a fleet of real processes under planned work only: overlapping series of signals,
+// restarts, server drains and change sets, while clients keep using open connections until the proxy
+// closes them. It fails if a request was read but received neither a response nor a refusal, if a
+// process exited without a stop signal or did not stop cleanly and in time, or if the history breaks a
+// rule.
 func Soak(ctx context.Context, options SoakOptions) error {
 	shape := soakShape
 	shape.Cores, shape.Proxies = options.Cores, options.Proxies
@@ -86,8 +87,8 @@
 		return err
 	}
 	r.fleet.Settings = map[string]string{
-		"shutdown.grace_period": soakGrace.String(),
-		"proxy.drain_delay":     soakDrain.String(),
+		"shutdown.grace_period": soakGracePeriod.String(),
+		"proxy.drain_delay":     soakDrainDelay.String(),
 	}
 	r.launch = r.launchServerProcess
 	s := &soak{run: r, clients: options.Clients}
@@ -102,24 +103,24 @@
 	s.logf("soak of %d core nodes, %d proxies, %d clients, %d s, seed %d", s.Shape.Cores, s.Shape.Proxies, s.clients, s.Seconds, s.Seed)
 	s.history.Add(checker.Record{Kind: checker.ScenarioStarted, Note: s.Shape.Name})
 	defer s.fleet.KillAll()
-	defer s.stopServerProcesses() // where the run ends early
+	defer s.stopServerProcesses() // for an early return
 	operator, err := s.deploy(s.initialChange())
 	if err != nil {
 		return err
 	}
-	if s.ends, err = newEndWatch(); err != nil {
+	if s.exits, err = newExitWatcher(); err != nil {
 		return err
 	}
-	defer s.ends.close()
+	defer s.exits.close()
 	for _, m := range s.fleet.Machines {
-		s.watchEnd(m)
+		s.watchExit(m)
 	}
 	time.Sleep(registrationTime)
 	s.logf("the fleet is ready")
 	if s.ThrottleCPU {
 		defer s.throttle()()
 	}
-	s.work()
+	s.runLoadAndWork()
 	if err := s.stopServerProcesses(); err != nil {
 		return err
 	}
@@ -128,33 +129,33 @@
 	return s.judge()
 }
 
-// work has clients, applications, operators and planned work go on side by side, and returns
-// when every process is up again and every request was heard out.
-func (s *soak) work() {
-	loading, stopLoad := context.WithCancel(s.ctx)
+// runLoadAndWork runs clients, applications, operators and planned work concurrently. It returns when
+// the planned work is done, every process is up and every request has ended.
+func (s *soak) runLoadAndWork() {
+	loadCtx, stopLoad := context.WithCancel(s.ctx)
 	var load sync.WaitGroup
 	for i := range s.clients {
-		client := &soakClient{soak: s, random: s.random(i), slack: unreadSlack}
-		load.Go(func() { client.run(loading) })
+		client := &soakClient{soak: s, random: s.newRandom(i), closeRaceMargin: closeRaceMargin}
+		load.Go(func() { client.run(loadCtx) })
 	}
-	s.startApplications(loading, &load)
-	load.Go(func() { s.watchLateness(loading) })
-	working, stopWork := context.WithTimeout(s.ctx, time.Duration(s.Seconds)*time.Second)
+	s.startApplications(loadCtx, &load)
+	load.Go(func() { s.logSchedulingDelays(loadCtx) })
+	workCtx, stopWork := context.WithTimeout(s.ctx, time.Duration(s.Seconds)*time.Second)
 	defer stopWork()
 	var work sync.WaitGroup
-	for i := range soakOperators {
-		work.Go(func() { s.submitInSeries(working, i) })
+	for i := range soakOperatorCount {
+		work.Go(func() { s.submitChanges(workCtx, i) })
 	}
 	for i, m := range s.fleet.Machines {
-		work.Go(func() { s.disturb(working, m, s.random(len(s.fleet.Machines)*1000+i)) })
-		work.Go(func() { s.reloadInSeries(working, m, s.random(i+3_000_000)) })
+		work.Go(func() { s.stopRepeatedly(workCtx, m, s.newRandom(len(s.fleet.Machines)*1000+i)) })
+		work.Go(func() { s.sendReloadSignals(workCtx, m, s.newRandom(i+3_000_000)) })
 	}
 	for i, load := range s.Shape.Loads {
-		work.Go(func() { s.replaceServersInSeries(working, load.Service, s.random(i+2_000_000)) })
+		work.Go(func() { s.replaceServers(workCtx, load.Service, s.newRandom(i+2_000_000)) })
 	}
 	work.Wait()
-	s.logf("no more planned work")
-	time.Sleep(soakSettling)
+	s.logf("planned work is done")
+	time.Sleep(soakSettleTime)
 	for _, m := range s.fleet.Machines {
 		s.checkUp(m)
 	}
@@ -163,28 +164,28 @@
 	time.Sleep(soakServiceTimes[len(soakServiceTimes)-1])
 }
 
-// watchLateness tells each time that the machine held this process up for long, and by how much
-// at the worst. Clients run in it, so what it sees late was not late at a proxy.
-func (s *soak) watchLateness(ctx context.Context) {
-	worst := time.Duration(0)
+// logSchedulingDelays logs each long scheduling delay of this process, and the longest at the end. The
+// clients run in this process, so that what they observe late was not necessarily late at a proxy.
+func (s *soak) logSchedulingDelays(ctx context.Context) {
+	longest := time.Duration(0)
 	for ctx.Err() == nil {
 		began := time.Now()
-		pause(ctx, latenessInterval)
-		late := time.Since(began) - latenessInterval
-		if late > longLateness {
-			s.logf("clients were held up by %s until now", late.Round(time.Millisecond))
+		pause(ctx, delaySampleInterval)
+		delay := time.Since(began) - delaySampleInterval
+		if delay > loggedDelay {
+			s.logf("the clients' process was delayed by %s", delay.Round(time.Millisecond))
 		}
-		worst = max(worst, late)
+		longest = max(longest, delay)
 	}
-	s.logf("the machine held clients up by %s at the most", worst.Round(time.Millisecond))
+	s.logf("the clients' process was delayed by at most %s", longest.Round(time.Millisecond))
 }
 
-// random is a source of random numbers of its own for one of the soak's tasks.
-func (s *soak) random(task int) *rand.Rand {
-	return rand.New(rand.NewPCG(s.Seed, soakStream+uint64(task)))
+// newRandom returns the source of random numbers for one of the soak's tasks.
+func (s *soak) newRandom(task int) *rand.Rand {
+	return rand.New(rand.NewPCG(s.Seed, soakRandomStream+uint64(task)))
 }
 
-// fail notes what breaks a rule.
+// fail records a violation of a rule.
 func (s *soak) fail(format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/harness/soak_change.go
+++ b/internal/harness/soak_change.go
@@ -14,58 +14,59 @@
 )
 
 const (
-	// soakChangePause is the longest pause between two change sets of one operator.
-	soakChangePause = 500 * time.Millisecond
-	soakOperators   = 3
-	// movedRoutes is how many routes are led elsewhere, dropped and put again while clients use them.
-	movedRoutes = 3
-	// movedBodyBytes is the length of a body that goes to one of them.
+	// maxChangePause is the longest pause between two change sets of one operator.
+	maxChangePause    = 500 * time.Millisecond
+	soakOperatorCount = 3
+	// movedRouteCount is the number of routes that are retargeted, dropped and restored while clients
+	// use them.
+	movedRouteCount = 3
+	// movedBodyBytes is the body length of a request to a moved route.
 	movedBodyBytes = 400
-	// racingChanges is how many change sets of one race are submitted against the same epoch.
-	racingChanges = 3
+	// racingChangeCount is the number of change sets that are submitted at once on one base epoch.
+	racingChangeCount = 3
 )
 
-// submitInSeries submits change sets, each as soon as the last one is answered or a moment
-// later, through different nodes. What is refused is tried no more.
-func (s *soak) submitInSeries(ctx context.Context, operator int) {
-	random := s.random(operator + 1_000_000)
+// submitChanges submits change sets one after another through random nodes, each at most
+// maxChangePause after the previous response, until the context ends. It does not retry refused ones.
+func (s *soak) submitChanges(ctx context.Context, operator int) {
+	random := s.newRandom(operator + 1_000_000)
 	for i := 0; ctx.Err() == nil; i++ {
 		id := fmt.Sprintf("soak%d-%d", operator, i)
 		switch random.IntN(4) {
 		case 0:
-			s.submitRoute(ctx, s.anyOperator(random), id)
+			s.submitRoute(ctx, s.randomOperator(random), id)
 		case 1:
 			s.submitRace(ctx, id, random)
 		default:
 			s.submitMove(ctx, id, random)
 		}
-		pause(ctx, time.Duration(random.Int64N(int64(soakChangePause))))
+		pause(ctx, time.Duration(random.Int64N(int64(maxChangePause))))
 	}
 }
 
-// anyOperator is an operator at a core node that is drawn.
-func (s *soak) anyOperator(random *rand.Rand) *standin.Operator {
+// randomOperator returns an operator that uses a random core node.
+func (s *soak) randomOperator(random *rand.Rand) *standin.Operator {
 	node := s.fleet.CoreMachines()[random.IntN(s.Shape.Cores)]
 	return standin.NewOperator(environment.NewHost(""), s.history, node.APIAddress())
 }
 
-// submitMove leads a route in use elsewhere, drops it, or puts it again where it was dropped.
+// submitMove retargets or drops a moved route, or restores it if it was dropped.
 func (s *soak) submitMove(ctx context.Context, id string, random *rand.Rand) {
-	operator := s.anyOperator(random)
+	operator := s.randomOperator(random)
 	view, err := operator.Epoch(ctx)
 	if err != nil {
 		return
 	}
-	operator.Submit(ctx, s.moveChange(id, view, random)) // the history has its outcome
+	operator.Submit(ctx, s.moveChange(id, view, random)) // the outcome is in the history
 }
 
-// submitRace submits change sets against one epoch at once, through nodes that are drawn. They
-// move routes, so that at most one of them can be in force.
+// submitRace submits change sets concurrently through random nodes, all on one base epoch, so that at
+// most one of them can take effect.
 func (s *soak) submitRace(ctx context.Context, id string, random *rand.Rand) {
 	var operators []*standin.Operator
 	var changes []*api.Change
-	for i := range racingChanges {
-		operator := s.anyOperator(random)
+	for i := range racingChangeCount {
+		operator := s.randomOperator(random)
 		view, err := operator.Epoch(ctx)
 		if err != nil {
 			return
@@ -83,13 +84,13 @@
 	race.Wait()
 }
 
-// moveChange is a change set that moves one of the moved routes.
+// moveChange returns a change set that retargets, drops or restores a random moved route.
 func (s *soak) moveChange(id string, view *api.EpochView, random *rand.Rand) *api.Change {
-	name := movedRoute(random)
+	name := randomMovedRoute(random)
 	service := s.Shape.Loads[random.IntN(len(s.Shape.Loads))].Service
 	change := &api.Change{ID: id, Base: view.Epoch}
-	isThere := slices.ContainsFunc(view.Config.Mappings, func(m api.Mapping) bool { return m.Name == name })
-	if isThere && random.IntN(3) == 0 {
+	exists := slices.ContainsFunc(view.Config.Mappings, func(m api.Mapping) bool { return m.Name == name })
+	if exists && random.IntN(3) == 0 {
 		change.Drop = api.NewOptDrops(api.Drops{Mappings: []string{name}})
 		return change
 	}
@@ -99,5 +100,7 @@
 	return change
 }
 
-// movedRoute is the name of a route that is moved; its path is the same behind a slash.
-func movedRoute(random *rand.Rand) string { return fmt.Sprint("moved", random.IntN(movedRoutes)) }
+// randomMovedRoute returns the name of a random moved route. The route's path is "/" and its name.
+func randomMovedRoute(random *rand.Rand) string {
+	return fmt.Sprint("moved", random.IntN(movedRouteCount))
+}
--- a/internal/harness/soak_client.go
+++ b/internal/harness/soak_client.go
@@ -25,19 +25,19 @@
 
 const (
 	soakDialTimeout = time.Second
-	// soakAnswerTimeout is how long a client waits for an answer, beyond the route's deadline.
-	soakAnswerTimeout = 2*routeDeadlineMillis*time.Millisecond + time.Second
-	// unreadSlack is how long after its last byte a request's connection may end without an
-	// answer: it crossed the proxy's close.
-	unreadSlack = 200 * time.Millisecond
+	// soakResponseTimeout is how long a client waits for a response. It exceeds the route's deadline.
+	soakResponseTimeout = 2*routeDeadlineMillis*time.Millisecond + time.Second
+	// closeRaceMargin is how long after a request's last byte its connection may close without a
+	// response: the proxy may have closed it while the request was on its way.
+	closeRaceMargin = 200 * time.Millisecond
 )
 
-// soakClient sends one request after another over a connection that it keeps until the other
-// side ends it.
+// soakClient sends requests one after another over one connection. It keeps the connection until the
+// proxy closes it, and sometimes closes it itself.
 type soakClient struct {
-	soak   *soak
-	random *rand.Rand
-	slack  time.Duration // see unreadSlack
+	soak            *soak
+	random          *rand.Rand
+	closeRaceMargin time.Duration // see the constant
 
 	machine *Machine
 	conn    net.Conn
@@ -45,26 +45,26 @@
 }
 
 func (c *soakClient) run(ctx context.Context) {
-	defer c.drop()
+	defer c.disconnect()
 	for ctx.Err() == nil {
 		if c.conn == nil && !c.dial() {
 			pause(ctx, 50*time.Millisecond)
 			continue
 		}
-		if c.isEnded() {
-			c.drop()
+		if c.isClosedByPeer() {
+			c.disconnect()
 			continue
 		}
 		c.exchange()
-		pause(ctx, c.restTime())
+		pause(ctx, c.randomIdleTime())
 		if c.random.IntN(40) == 0 {
-			c.drop()
+			c.disconnect()
 		}
 	}
 }
 
-// restTime is how long the connection rests; now and then for longer than a drain takes.
-func (c *soakClient) restTime() time.Duration {
+// randomIdleTime returns how long the connection stays idle: sometimes longer than a proxy's drain.
+func (c *soakClient) randomIdleTime() time.Duration {
 	if c.random.IntN(12) == 0 {
 		return time.Duration(c.random.IntN(4000)) * time.Millisecond
 	}
@@ -82,53 +82,54 @@
 	return true
 }
 
-// isEnded tells whether the other side has ended the connection while it rested.
-func (c *soakClient) isEnded() bool {
+// isClosedByPeer reports whether the proxy closed the connection while it was idle.
+func (c *soakClient) isClosedByPeer() bool {
 	c.conn.SetReadDeadline(time.Now().Add(time.Millisecond))
 	_, err := c.reader.Peek(1)
 	return !errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-func (c *soakClient) drop() {
+func (c *soakClient) disconnect() {
 	if c.conn != nil {
 		c.conn.Close()
 		c.conn = nil
 	}
 }
 
-// exchange sends one request and records how it ended.
+// exchange sends one request and records its outcome.
 func (c *soakClient) exchange() {
-	record, body := c.request()
+	record, body := c.newRequest()
 	method := http.MethodPost
 	if record.Idempotent {
 		method = http.MethodGet
 	}
 	head := fmt.Sprintf("%s %s HTTP/1.1\r\nHost: soak\r\n%s: %s\r\nContent-Length: %d\r\n\r\n", method, record.Path, standin.HeaderCall, record.CallID, len(body))
-	isComplete := c.write([]byte(head), body)
+	isFullySent := c.writeRequest([]byte(head), body)
 	sentAt := time.Now()
-	c.conn.SetReadDeadline(sentAt.Add(soakAnswerTimeout))
-	response, answer, err := c.read()
+	c.conn.SetReadDeadline(sentAt.Add(soakResponseTimeout))
+	response, responseBody, err := c.readResponse()
 	if err != nil {
-		// The age is read first: a hold-up between the two makes the end no earlier.
-		lateness := lastReceiptAge(c.conn)
-		c.recordBroken(&record, err, isComplete, time.Since(sentAt), lateness, response != nil)
-		c.drop()
+		// The age is read before the elapsed time: a delay between the two makes the close appear
+		// later, never earlier.
+		receiptAge := lastReceiptAge(c.conn)
+		c.recordBroken(&record, err, isFullySent, time.Since(sentAt), receiptAge, response != nil)
+		c.disconnect()
 	} else {
-		recordAnswer(&record, response, answer)
+		recordResponse(&record, response, responseBody)
 		if response.Close {
-			c.drop()
+			c.disconnect()
 		}
 	}
 	c.soak.history.Add(record)
 }
 
-// request draws a request: for one of the loads, or for a route that is moved meanwhile, whose
-// service the answer tells.
-func (c *soakClient) request() (record checker.Record, body []byte) {
+// newRequest returns a random request, either to one of the loads or to a moved route. The service of
+// the latter is known from the response only.
+func (c *soakClient) newRequest() (record checker.Record, body []byte) {
 	record = checker.Record{Kind: checker.RequestCompleted, Start: c.soak.history.Now(), CallID: ids.NewID(), Proxy: c.machine.ProxyAddress()}
 	length := movedBodyBytes
 	if c.random.IntN(4) == 0 {
-		record.Path = "/" + movedRoute(c.random) + "/x"
+		record.Path = "/" + randomMovedRoute(c.random) + "/x"
 	} else {
 		load := c.soak.Shape.Loads[c.random.IntN(len(c.soak.Shape.Loads))]
 		record.Service, record.Path, record.Idempotent, length = load.Service, "/"+load.Service+"/x", load.Idempotent, load.BodyBytes
@@ -138,15 +139,15 @@
 	return record, body
 }
 
-// write writes a request, sometimes in pieces with pauses between them, and tells whether all
-// of it was written.
-func (c *soakClient) write(head, body []byte) bool {
+// writeRequest writes a request, sometimes in pieces with pauses between them, and reports whether
+// all of it was written.
+func (c *soakClient) writeRequest(head, body []byte) bool {
 	pieces := [][]byte{append(head, body...)}
 	if len(body) > 0 && c.random.IntN(4) == 0 {
 		half := len(body) / 2
 		pieces = [][]byte{head, body[:half], body[half:]}
 	}
-	c.conn.SetWriteDeadline(time.Now().Add(soakAnswerTimeout))
+	c.conn.SetWriteDeadline(time.Now().Add(soakResponseTimeout))
 	for i, piece := range pieces {
 		if i > 0 {
 			time.Sleep(time.Duration(c.random.IntN(300)) * time.Millisecond)
@@ -158,8 +159,8 @@
 	return true
 }
 
-// read reads a whole response. The response is nil if none of it came.
-func (c *soakClient) read() (*http.Response, []byte, error) {
+// readResponse reads a whole response. The returned response is nil if none of it was received.
+func (c *soakClient) readResponse() (*http.Response, []byte, error) {
 	if _, err := c.reader.Peek(1); err != nil {
 		return nil, nil, err
 	}
@@ -172,38 +173,38 @@
 	return response, body, err
 }
 
-// recordBroken records a request without a whole answer. What the checkers can't tell is
-// judged here: they don't know whether the proxy had read it. The end of the connection was seen
-// some time after the request's last byte, and came no later than the lateness before that, in which
-// this process may have been held up.
-func (c *soakClient) recordBroken(record *checker.Record, err error, isComplete bool, seenAfter, lateness time.Duration, isBegun bool) {
+// recordBroken records a request without a whole response, and judges it here, as the checkers don't
+// know whether the proxy had read it. observedAfter is the time from the request's last byte until this
+// process, which may have been delayed, observed the close. The close arrived at least receiptAge
+// before that.
+func (c *soakClient) recordBroken(record *checker.Record, err error, isFullySent bool, observedAfter, receiptAge time.Duration, hasResponseBegun bool) {
 	if errors.Is(err, syscall.ECONNRESET) {
-		lateness = 0 // a reset acknowledges nothing: the kernel does not tell when it came
+		receiptAge = 0 // a reset acknowledges nothing: the kernel does not report when it arrived
 	}
-	after := seenAfter - lateness
+	closedAfter := observedAfter - receiptAge
 	record.Outcome, record.Note = checker.OutcomeBroken, err.Error()
 	name := fmt.Sprintf("%s call %s at %s", record.Path, record.CallID, c.machine.Name)
-	closed := closeUnknown
-	if isComplete && !isBegun && !errors.Is(err, os.ErrDeadlineExceeded) {
-		closed = closeKindOf(c.conn)
+	kind := closeUnknown
+	if isFullySent && !hasResponseBegun && !errors.Is(err, os.ErrDeadlineExceeded) {
+		kind = closeKindOf(c.conn)
 	}
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		c.soak.fail("%s: no answer for %s", name, seenAfter)
-	case isBegun:
-		c.soak.fail("%s: the answer is cut off: %v", name, err)
-	case isComplete && after > c.slack && !errors.Is(err, syscall.ECONNRESET):
-		// A reset says that some of the request was left unread.
-		c.soak.fail("%s: the connection ended %s after its last byte without an answer (seen after %s, close: %s): %v", name, after, seenAfter, closed, err)
-	case closed == closeRead:
-		c.soak.fail("%s: the proxy read the request and closed the connection %s after its last byte without an answer (seen after %s): %v", name, after, seenAfter, err)
+		c.soak.fail("%s: no response for %s", name, observedAfter)
+	case hasResponseBegun:
+		c.soak.fail("%s: the response was cut off: %v", name, err)
+	case isFullySent && closedAfter > c.closeRaceMargin && !errors.Is(err, syscall.ECONNRESET):
+		// A reset means that the proxy left some of the request unread.
+		c.soak.fail("%s: the connection closed %s after the request's last byte without a response (observed after %s, close: %s): %v", name, closedAfter, observedAfter, kind, err)
+	case kind == closeRead:
+		c.soak.fail("%s: the proxy read the request and closed the connection %s after its last byte without a response (observed after %s): %v", name, closedAfter, observedAfter, err)
 	default:
-		c.soak.logf("%s: crossed the proxy's close: all written %v, ended %s later (seen after %s, close: %s): %v", name, isComplete, after, seenAfter, closed, err)
+		c.soak.logf("%s: sent while the proxy closed the connection: fully sent %v, closed %s later (observed after %s, close: %s): %v", name, isFullySent, closedAfter, observedAfter, kind, err)
 	}
 }
 
-// recordAnswer records a whole response.
-func recordAnswer(record *checker.Record, response *http.Response, body []byte) {
+// recordResponse records a whole response.
+func recordResponse(record *checker.Record, response *http.Response, body []byte) {
 	header := response.Header
 	record.Status, record.Outcome, record.RetryAfter = response.StatusCode, header.Get(proxy.HeaderOutcome), header.Get("Retry-After")
 	record.RequestID = header.Get(proxy.HeaderRequestID)
@@ -213,13 +214,13 @@
 		record.Note = string(bytes.TrimSpace(body))
 		return
 	}
-	var answer standin.Response
-	isRead := json.Unmarshal(body, &answer) == nil
+	var decoded standin.Response
+	isDecoded := json.Unmarshal(body, &decoded) == nil
 	if record.Service == "" {
-		// Where a moved route leads is judged by the epoch that the server was told.
-		record.Service = answer.Service
+		// The checkers judge a moved route's target by the epoch that the server received.
+		record.Service = decoded.Service
 	}
-	if !isRead || answer.Call != record.CallID || answer.Digest != record.Digest || answer.Service != record.Service {
+	if !isDecoded || decoded.Call != record.CallID || decoded.Digest != record.Digest || decoded.Service != record.Service {
 		record.Note = "wrong answer: " + string(body)
 	}
 }
--- a/internal/harness/soak_close.go
+++ b/internal/harness/soak_close.go
@@ -8,25 +8,25 @@
 )
 
 const (
-	// resetWait is how long a reset may come behind the end of a connection: the other side may
-	// still take in what comes for a while after it has ended its own sending.
+	// resetWait is how long after a connection's FIN a reset may arrive: the peer may keep receiving
+	// for a while after it has closed its sending side.
 	resetWait         = time.Second
 	resetPollInterval = 20 * time.Millisecond
 )
 
-// closeKind is how the other side closed a connection.
+// closeKind is how the peer closed a connection.
 type closeKind string
 
 const (
 	closeUnknown closeKind = "unknown"
-	// closeUnread left something unread, for which the kernel of the other side sends a reset.
+	// closeUnread left received bytes unread, for which the peer's kernel sends a reset.
 	closeUnread closeKind = "unread"
-	// closeRead had read all that was sent.
+	// closeRead followed the reading of all that was sent.
 	closeRead closeKind = "read"
 )
 
-// closeKindOf tells how the other side closed a connection whose end was read. It may wait for
-// resetWait.
+// closeKindOf returns how the peer closed a connection whose end was read. It waits up to resetWait
+// for a reset.
 func closeKindOf(conn net.Conn) closeKind {
 	for deadline := time.Now().Add(resetWait); ; time.Sleep(resetPollInterval) {
 		info := tcpInfo(conn)
@@ -41,8 +41,8 @@
 	}
 }
 
-// tcpInfo is what the kernel tells of a connection; nil for one that is not TCP's, or that it tells
-// nothing of.
+// tcpInfo returns the kernel's TCP_INFO of a connection, or nil if that is not a TCP connection or the
+// kernel does not report it.
 func tcpInfo(conn net.Conn) *unix.TCPInfo {
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
@@ -60,10 +60,10 @@
 	return info
 }
 
-// lastReceiptAge is for how long nothing has come on a connection: zero if the kernel does not tell.
-// A segment that ends the connection acknowledges, as each segment does but a reset, so that the end
-// of a connection that was ended so came no later than that. It may have come before: the other side
-// goes on acknowledging what it is sent.
+// lastReceiptAge returns the time since the last acknowledgement was received on a connection, or zero
+// if the kernel does not report it. Every segment but a reset acknowledges, also a FIN, so that a FIN
+// arrived at least this long ago. It may have arrived earlier, as the peer still acknowledges what it
+// receives after it.
 func lastReceiptAge(conn net.Conn) time.Duration {
 	info := tcpInfo(conn)
 	if info == nil {
--- a/internal/harness/soak_close_test.go
+++ b/internal/harness/soak_close_test.go
@@ -12,8 +12,8 @@
 	"github.com/sumactrestle/sumactrestle/internal/checker"
 )
 
-func TestCloseKindOf_TellsWhetherAllWasRead(t *testing.T) {
-	for want, close := range map[closeKind]func(conn net.Conn){
+func TestCloseKindOf_DistinguishesReadFromUnreadClose(t *testing.T) {
+	for want, closePeer := range map[closeKind]func(conn net.Conn){
 		closeRead: func(conn net.Conn) {
 			io.ReadFull(conn, make([]byte, 2))
 			conn.Close()
@@ -33,12 +33,12 @@
 			t.Fatal(err)
 		}
 		defer conn.Close()
-		far, err := listener.Accept()
+		peer, err := listener.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
 		io.WriteString(conn, "ab")
-		close(far)
+		closePeer(peer)
 		conn.Read(make([]byte, 1))
 		if got := closeKindOf(conn); got != want {
 			t.Errorf("%s, want %s", got, want)
@@ -50,34 +50,34 @@
 	}
 }
 
-// An end is seen long after it came, as by a soak that the machine holds up, whether the request
-// crossed it or not.
-func TestLastReceiptAge_TellsWhenTheEndCame(t *testing.T) {
+// The close is observed long after it arrived, as by a delayed soak, with a request that the peer read
+// before it and with one that was sent after it.
+func TestLastReceiptAge_ReportsWhenTheConnectionWasClosed(t *testing.T) {
 	const (
-		seenLate = 400 * time.Millisecond
-		accuracy = 50 * time.Millisecond // of the kernel's clock of a connection, with much to spare
+		observationDelay = 400 * time.Millisecond
+		accuracy         = 50 * time.Millisecond // of the kernel's timestamps of a connection, with a wide margin
 	)
-	for name, crosses := range map[string]bool{"read before the close": false, "crossed the close": true} {
+	for name, isSentAfterClose := range map[string]bool{"read before the close": false, "sent after the close": true} {
 		conn, far := connectedPair(t)
-		if !crosses {
+		if !isSentAfterClose {
 			io.WriteString(conn, "a")
 			io.ReadFull(far, make([]byte, 1))
 		}
-		time.Sleep(2 * accuracy) // what came before the end is older
-		before := time.Now()
+		time.Sleep(2 * accuracy) // so that earlier segments are older than the close
+		beforeClose := time.Now()
 		far.Close()
-		after := time.Now()
-		if crosses {
+		afterClose := time.Now()
+		if isSentAfterClose {
 			time.Sleep(2 * accuracy)
 			io.WriteString(conn, "a")
 		}
-		time.Sleep(seenLate)
+		time.Sleep(observationDelay)
 		if _, err := conn.Read(make([]byte, 1)); err == nil {
-			t.Fatal("the connection goes on")
+			t.Fatal("the connection is not closed")
 		}
-		came := time.Now().Add(-lastReceiptAge(conn))
-		if came.Before(before.Add(-accuracy)) || came.After(after.Add(accuracy)) {
-			t.Errorf("%s: the end came %s after the close", name, came.Sub(before))
+		closedAt := time.Now().Add(-lastReceiptAge(conn))
+		if closedAt.Before(beforeClose.Add(-accuracy)) || closedAt.After(afterClose.Add(accuracy)) {
+			t.Errorf("%s: reported as closed %s after the close", name, closedAt.Sub(beforeClose))
 		}
 	}
 	near, _ := net.Pipe()
@@ -86,7 +86,7 @@
 	}
 }
 
-// connectedPair returns both ends of a connection.
+// connectedPair returns both ends of a TCP connection.
 func connectedPair(t *testing.T) (near, far net.Conn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -104,15 +104,16 @@
 	return near, far
 }
 
-// Each end is seen 0.4 s after the request's last byte, by a soak that was held up.
-func TestRecordBroken_GoesByWhenTheEndCame(t *testing.T) {
-	const seenAfter = 400 * time.Millisecond
+// Each close is observed 0.4 s after the request's last byte, as by a delayed soak. Only the time at
+// which it arrived decides whether the request raced with it.
+func TestRecordBroken_JudgesByWhenTheConnectionWasClosed(t *testing.T) {
+	const observedAfter = 400 * time.Millisecond
 	for _, c := range []struct {
 		name  string
-		end   func(near, far net.Conn) // sends the request as well, and takes less than seenAfter
+		close func(near, far net.Conn) // also sends the request, and takes less than observedAfter
 		fails bool
 	}{
-		{"the request crossed the close", func(near, far net.Conn) {
+		{"the request raced with the close", func(near, far net.Conn) {
 			far.Close()
 			io.WriteString(near, "a")
 		}, false},
@@ -121,34 +122,34 @@
 			io.ReadFull(far, make([]byte, 1))
 			far.Close()
 		}, true},
-		{"the end came late", func(near, far net.Conn) {
+		{"the close arrived late", func(near, far net.Conn) {
 			io.WriteString(near, "a")
-			time.Sleep(seenAfter - 50*time.Millisecond)
+			time.Sleep(observedAfter - 50*time.Millisecond)
 			far.(*net.TCPConn).CloseWrite()
 		}, true},
 	} {
 		near, far := connectedPair(t)
 		s := &soak{run: &run{Options: Options{Output: io.Discard}, history: checker.NewHistory(nil)}}
-		client := &soakClient{soak: s, slack: unreadSlack, machine: &Machine{fleet: &Fleet{}}, conn: near}
+		client := &soakClient{soak: s, closeRaceMargin: closeRaceMargin, machine: &Machine{fleet: &Fleet{}}, conn: near}
 		began := time.Now()
-		c.end(near, far)
-		time.Sleep(time.Until(began.Add(seenAfter)))
+		c.close(near, far)
+		time.Sleep(time.Until(began.Add(observedAfter)))
 		near.Read(make([]byte, 1))
-		lateness := lastReceiptAge(near)
-		client.recordBroken(&checker.Record{}, io.EOF, true, time.Since(began), lateness, false)
+		receiptAge := lastReceiptAge(near)
+		client.recordBroken(&checker.Record{}, io.EOF, true, time.Since(began), receiptAge, false)
 		if hasFailed := len(s.failures) > 0; hasFailed != c.fails {
 			t.Errorf("%s: %v", c.name, s.failures)
 		}
 	}
 }
 
-func TestRecordBroken_TakesNoOtherSegmentForAReset(t *testing.T) {
+func TestRecordBroken_IgnoresReceiptAgeAfterAReset(t *testing.T) {
 	var output bytes.Buffer
 	near, _ := net.Pipe()
 	s := &soak{run: &run{Options: Options{Output: &output}, history: checker.NewHistory(nil)}}
-	client := &soakClient{soak: s, slack: unreadSlack, machine: &Machine{fleet: &Fleet{}}, conn: near}
+	client := &soakClient{soak: s, closeRaceMargin: closeRaceMargin, machine: &Machine{fleet: &Fleet{}}, conn: near}
 	client.recordBroken(&checker.Record{}, syscall.ECONNRESET, true, 400*time.Millisecond, 390*time.Millisecond, false)
-	if !strings.Contains(output.String(), "ended 400ms later") {
+	if !strings.Contains(output.String(), "closed 400ms later") {
 		t.Error(output.String())
 	}
 }
--- a/internal/harness/soak_servers.go
+++ b/internal/harness/soak_servers.go
@@ -7,22 +7,22 @@
 	"time"
 )
 
-// replaceServersInSeries drains one server of a service after the other and starts it anew at its
-// address, until the context ends. Services do so at the same time.
-func (s *soak) replaceServersInSeries(ctx context.Context, service string, random *rand.Rand) {
+// replaceServers replaces random servers of a service, one at a time, until the context ends. It runs
+// concurrently for each service.
+func (s *soak) replaceServers(ctx context.Context, service string, random *rand.Rand) {
 	for {
 		pause(ctx, time.Duration(random.IntN(2000))*time.Millisecond)
 		if ctx.Err() != nil {
 			return
 		}
-		s.replaceServer(s.anyServer(service, random))
+		s.replaceServer(s.randomServer(service, random))
 	}
 }
 
-// anyServer is a server of a service that is drawn and that has not left.
-func (s *soak) anyServer(service string, random *rand.Rand) *serverProcess {
-	s.launching.Lock()
-	defer s.launching.Unlock()
+// randomServer returns a random server of a service that has not left.
+func (s *soak) randomServer(service string, random *rand.Rand) *serverProcess {
+	s.launchMu.Lock()
+	defer s.launchMu.Unlock()
 	var candidates []*serverProcess
 	for _, p := range s.serverProcesses {
 		if p.server.Service == service && !p.hasLeft {
@@ -32,15 +32,15 @@
 	return candidates[random.IntN(len(candidates))]
 }
 
-// replaceServer drains a server, waits for its end and starts its successor at the same address.
+// replaceServer drains a server, waits for its exit and starts its successor at the same address.
 func (s *soak) replaceServer(p *serverProcess) {
 	s.recordFault("%s at %s drains", p.server.Service, p.server.Address)
 	if err := json.NewEncoder(p.input).Encode(serverOrder{Drain: true}); err != nil {
-		s.fail("%s at %s can't be told to drain: %v", p.server.Service, p.server.Address, err)
+		s.fail("%s at %s did not accept the order to drain: %v", p.server.Service, p.server.Address, err)
 	}
 	<-p.done
-	s.launching.Lock()
-	defer s.launching.Unlock()
+	s.launchMu.Lock()
+	defer s.launchMu.Unlock()
 	p.hasLeft = true
 	if err := s.launch(p.server); err != nil {
 		s.fail("%s at %s can't start again: %v", p.server.Service, p.server.Address, err)
--- a/internal/harness/soak_signals.go
+++ b/internal/harness/soak_signals.go
@@ -9,64 +9,66 @@
 )
 
 const (
-	// soakReloadPause is the longest pause between two series of SIGHUP to one process.
-	soakReloadPause = 3 * time.Second
-	// soakBurst is the most signals of one burst, soakBurstPause the longest pause between two of
-	// them, which is some milliseconds at the most.
-	soakBurst      = 6
-	soakBurstPause = 3 * time.Millisecond
-	// soakLateSignal is how long before the end of the grace a late signal comes at the earliest.
-	soakLateSignal = 300 * time.Millisecond
+	// maxReloadPause is the longest pause between two bursts of SIGHUP to one process.
+	maxReloadPause = 3 * time.Second
+	// maxSignalBurst is the most signals in one burst, and maxBurstPause the longest pause between
+	// two of them.
+	maxSignalBurst = 6
+	maxBurstPause  = 3 * time.Millisecond
+	// lateSignalLead is how long before the end of the grace period a late signal is sent at the
+	// earliest.
+	lateSignalLead = 300 * time.Millisecond
 )
 
-// reloadInSeries sends a machine's process SIGHUP, series after series, until the context ends:
-// while it serves or stops, and while change sets are being applied.
-func (s *soak) reloadInSeries(ctx context.Context, m *Machine, random *rand.Rand) {
+// sendReloadSignals sends bursts of SIGHUP to a machine's process until the context ends, also while
+// the process stops or applies change sets.
+func (s *soak) sendReloadSignals(ctx context.Context, m *Machine, random *rand.Rand) {
 	for {
-		pause(ctx, time.Duration(random.Int64N(int64(soakReloadPause))))
+		pause(ctx, time.Duration(random.Int64N(int64(maxReloadPause))))
 		if ctx.Err() != nil {
 			return
 		}
-		// A process that does not listen for its signals yet is ended by them.
+		// SIGHUP would kill a process that has not installed its signal handlers yet.
 		target := m.process.Load()
-		for i := 0; i < 1+random.IntN(soakBurst) && s.isServing(m) && m.process.Load() == target; i++ {
-			target.cmd.Process.Signal(syscall.SIGHUP) // it may end meanwhile
-			time.Sleep(time.Duration(random.Int64N(int64(soakBurstPause))))
+		for i := 0; i < 1+random.IntN(maxSignalBurst) && s.isServing(m) && m.process.Load() == target; i++ {
+			target.cmd.Process.Signal(syscall.SIGHUP) // an error means that it has exited
+			time.Sleep(time.Duration(random.Int64N(int64(maxBurstPause))))
 		}
 	}
 }
 
-// signalMeanwhile sends a process that stops more signals: some at moments that are drawn, a burst
-// within milliseconds, or one about the end of its grace.
-func (s *soak) signalMeanwhile(m *Machine, began time.Time, random *rand.Rand) {
+// signalDuringStop sends a stopping process more signals: some at random times, a burst within
+// milliseconds, or one near the end of its grace period.
+func (s *soak) signalDuringStop(m *Machine, began time.Time, random *rand.Rand) {
 	stopping := m.process.Load()
 	switch random.IntN(3) {
 	case 0:
-		for range soakBurst {
-			m.signal(stopOrReload(random))
-			time.Sleep(time.Duration(random.Int64N(int64(soakBurstPause))))
+		for range maxSignalBurst {
+			m.signal(randomStopOrReload(random))
+			time.Sleep(time.Duration(random.Int64N(int64(maxBurstPause))))
 		}
 	case 1:
-		late := soakGrace - soakLateSignal + time.Duration(random.Int64N(int64(soakLateSignal+soakLateSignal/2)))
+		delay := soakGracePeriod - lateSignalLead + time.Duration(random.Int64N(int64(lateSignalLead+lateSignalLead/2)))
 		select {
 		case <-stopping.done:
-		case <-time.After(time.Until(began.Add(late))):
-			m.signal(stopOrReload(random))
+		case <-time.After(time.Until(began.Add(delay))):
+			m.signal(randomStopOrReload(random))
 		}
 	default:
 		for range random.IntN(3) {
 			time.Sleep(time.Duration(random.IntN(1200)) * time.Millisecond)
-			m.signal(stopOrReload(random))
+			m.signal(randomStopOrReload(random))
 		}
 	}
 }
 
-func stopOrReload(random *rand.Rand) syscall.Signal {
+func randomStopOrReload(random *rand.Rand) syscall.Signal {
 	return []syscall.Signal{syscall.SIGTERM, syscall.SIGHUP}[random.IntN(2)]
 }
 
-// isServing tells whether a machine's process takes calls of the API. Until it does, a signal may
-// find it before it listens for it, or while it opens its data folder, and end it at once.
+// isServing reports whether a machine's process accepts API connections. Before that, a signal may
+// kill it at once: its signal handlers may not be installed yet, or it may still be opening its
+// data folder.
 func (s *soak) isServing(m *Machine) bool {
 	conn, err := net.DialTimeout("tcp", m.APIAddress(), soakDialTimeout)
 	if err != nil {
@@ -76,23 +78,23 @@
 	return true
 }
 
-// checkUp fails if a machine's process is gone although nobody told it to stop.
+// checkUp records a failure if a machine's process exited without a stop signal.
 func (s *soak) checkUp(m *Machine) {
 	if !m.IsUp() {
-		s.fail("%s ended by itself: %s", m.Name, m.process.Load().cmd.ProcessState)
+		s.fail("%s exited without a stop signal: %s", m.Name, m.process.Load().cmd.ProcessState)
 	}
 }
 
-// checkExit fails if a process that served and was told to stop did not end as one that stops as
-// planned, as one does that panics or that a second signal ends. That it was killed as it was not
-// seen to end in time is judged by checkStop.
-func (s *soak) checkExit(m *Machine, ended *process, wasKilled bool) {
-	<-ended.done
-	state := ended.cmd.ProcessState
+// checkExit records a failure if a process that served before its stop signal did not exit with status
+// 0, for example because it panicked or a second signal killed it. A process that the soak killed
+// after stopTimeout is not a failure here: checkStop judges it.
+func (s *soak) checkExit(m *Machine, exited *process, wasKilled bool) {
+	<-exited.done
+	state := exited.cmd.ProcessState
 	if status, ok := state.Sys().(syscall.WaitStatus); ok && wasKilled && status.Signaled() && status.Signal() == syscall.SIGKILL {
 		return
 	}
 	if !state.Success() {
-		s.fail("%s was told to stop and ended otherwise: %s", m.Name, state)
+		s.fail("%s did not exit cleanly after its stop signal: %s", m.Name, state)
 	}
 }
--- a/internal/harness/soak_stalls.go
+++ b/internal/harness/soak_stalls.go
@@ -11,20 +11,20 @@
 	"github.com/sumactrestle/sumactrestle/internal/eventlog"
 )
 
-// stallMargin is how far from a moment a stall may lie that is told beside what happened then.
+// stallMargin is the largest gap between a stall and a period that the stall is still reported for.
 const stallMargin = 500 * time.Millisecond
 
-// stall is a time for which the machine held a process up.
+// stall is a period for which the machine delayed a process.
 type stall struct {
 	machine    *Machine
-	start, end time.Duration // since the run's begin
+	start, end time.Duration // since the start of the run
 	waits      environment.Waits
-	within     time.Duration // before its end, in which the process and its machine had these waits
+	window     time.Duration // period of the waits, up to the stall's end
 }
 
 func (s stall) length() time.Duration { return s.end - s.start }
 
-// stallEntry is what of a line of a node's log tells of a stall.
+// stallEntry is the part of a log line that describes a stall.
 type stallEntry struct {
 	Time         time.Time `json:"time"`
 	Event        int       `json:"event"`
@@ -32,10 +32,10 @@
 	Processor    int64     `json:"processor_wait_ms"`
 	Disk         int64     `json:"disk_wait_ms"`
 	Stolen       int64     `json:"stolen_ms"`
-	Within       int64     `json:"within_ms"`
+	Window       int64     `json:"within_ms"`
 }
 
-// waits is what the process and its machine waited for within the time that the entry names.
+// waits returns the waits of the process and its machine during the entry's window.
 func (e stallEntry) waits() environment.Waits {
 	return environment.Waits{
 		Processor: time.Duration(e.Processor) * time.Millisecond,
@@ -44,8 +44,7 @@
 	}
 }
 
-// readStalls reads the stalls of every process from the logs. A log that can't be read tells
-// of none.
+// readStalls reads the stalls of every process from the logs. It skips a log that it can't read.
 func (r *run) readStalls() (stalls []stall) {
 	for _, m := range r.fleet.Machines {
 		stalls = append(stalls, r.stallsOf(m)...)
@@ -68,32 +67,32 @@
 		end := entry.Time.Sub(r.startedAt)
 		stalls = append(stalls, stall{
 			machine: m, start: end - time.Duration(entry.Milliseconds)*time.Millisecond, end: end,
-			waits: entry.waits(), within: time.Duration(entry.Within) * time.Millisecond,
+			waits: entry.waits(), window: time.Duration(entry.Window) * time.Millisecond,
 		})
 	}
 	return stalls
 }
 
-// longestStall is the longest of the stalls that touch a time at a machine; the zero stall if
-// there is none. A machine of nil is for any.
+// longestStall returns the longest stall of a machine, or of any machine if m is nil, that lies within
+// stallMargin of the period, or the zero stall if there is none.
 func longestStall(stalls []stall, m *Machine, from, to time.Duration) stall {
 	var longest stall
 	for _, s := range stalls {
-		isMeant := m == nil || s.machine == m
-		if isMeant && s.start < to+stallMargin && s.end > from-stallMargin && s.length() > longest.length() {
+		machineMatches := m == nil || s.machine == m
+		if machineMatches && s.start < to+stallMargin && s.end > from-stallMargin && s.length() > longest.length() {
 			longest = s
 		}
 	}
 	return longest
 }
 
-// printStalls tells how long the processes were held up at the worst.
+// printStalls prints the number of stalls and the longest one.
 func (r *run) printStalls(stalls []stall) {
 	if len(stalls) == 0 {
-		r.logf("no process was held up by a tenth of a second")
+		r.logf("no process stalled for a tenth of a second or more")
 		return
 	}
-	worst := slices.MaxFunc(stalls, func(a, b stall) int { return int(a.length() - b.length()) })
-	r.logf("processes were held up %d times, %s by %s at the most; within %s its threads waited %s for a processor, its machine %s for a disk, and the host withheld %s",
-		len(stalls), worst.machine.Name, worst.length().Round(time.Millisecond), worst.within, worst.waits.Processor, worst.waits.Disk, worst.waits.Stolen)
+	longest := slices.MaxFunc(stalls, func(a, b stall) int { return int(a.length() - b.length()) })
+	r.logf("processes stalled %d times; the longest stall was of %s for %s; within %s its threads waited %s for a processor, its machine waited %s for a disk, and the host stole %s",
+		len(stalls), longest.machine.Name, longest.length().Round(time.Millisecond), longest.window, longest.waits.Processor, longest.waits.Disk, longest.waits.Stolen)
 }
--- a/internal/harness/soak_stalls_test.go
+++ b/internal/harness/soak_stalls_test.go
@@ -8,7 +8,7 @@
 	"github.com/sumactrestle/sumactrestle/internal/environment"
 )
 
-func TestStallsOf_TellsWhatTheProcessWaitedFor(t *testing.T) {
+func TestStallsOf_ReadsTheWaitsOfAStall(t *testing.T) {
 	fleet := &Fleet{FleetConfig: FleetConfig{Folder: t.TempDir()}}
 	m := newMachine(fleet, "proxy1", roleProxy, 0, 1)
 	if err := os.MkdirAll(m.folder(), 0o755); err != nil {
@@ -22,7 +22,7 @@
 	}
 	r := &run{startedAt: time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)}
 	want := stall{
-		machine: m, start: 9700 * time.Millisecond, end: 10 * time.Second, within: 900 * time.Millisecond,
+		machine: m, start: 9700 * time.Millisecond, end: 10 * time.Second, window: 900 * time.Millisecond,
 		waits: environment.Waits{Processor: 250 * time.Millisecond, Disk: 40 * time.Millisecond, Stolen: 30 * time.Millisecond},
 	}
 	if got := r.stallsOf(m); len(got) != 1 || got[0] != want {
--- a/internal/harness/soak_test.go
+++ b/internal/harness/soak_test.go
@@ -13,22 +13,22 @@
 	"github.com/sumactrestle/sumactrestle/internal/standin"
 )
 
-// Each way in which a proxy may leave a request that it has read.
-func TestSoakClient_FindsRequestsWithoutAnswer(t *testing.T) {
+// Covers each way in which a proxy may end a request that it has read.
+func TestSoakClient_FailsOnRequestsWithoutAResponse(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		respond func(conn net.Conn, request *http.Request)
 		fails   bool
 		outcome string
 	}{
-		{"closed without an answer", func(net.Conn, *http.Request) {}, true, checker.OutcomeBroken},
-		{"an answer that is cut off", func(conn net.Conn, _ *http.Request) {
+		{"closed without a response", func(net.Conn, *http.Request) {}, true, checker.OutcomeBroken},
+		{"response cut off", func(conn net.Conn, _ *http.Request) {
 			io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n{")
 		}, true, checker.OutcomeBroken},
 		{"refused", func(conn net.Conn, _ *http.Request) {
 			io.WriteString(conn, "HTTP/1.1 503 Service Unavailable\r\nSumac-Outcome: not run\r\nContent-Length: 0\r\n\r\n")
 		}, false, checker.OutcomeNotRun},
-		{"answered", func(conn net.Conn, request *http.Request) {
+		{"executed", func(conn net.Conn, request *http.Request) {
 			body := fmt.Sprintf(`{"call":%q}`, request.Header.Get(standin.HeaderCall))
 			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nSumac-Outcome: ran\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 		}, false, checker.OutcomeRan},
@@ -46,14 +46,14 @@
 				test.respond(far, request)
 			}()
 			client := &soakClient{soak: s, random: rand.New(rand.NewPCG(1, 1)), machine: &Machine{fleet: &Fleet{}}, conn: near, reader: bufio.NewReader(near)}
-			defer client.drop()
+			defer client.disconnect()
 			client.exchange()
 			if hasFailed := len(s.failures) > 0; hasFailed != test.fails {
 				t.Errorf("failures: %v", s.failures)
 			}
 			for _, record := range s.history.Records() {
 				if record.Kind == checker.RequestCompleted && record.Outcome != test.outcome {
-					t.Errorf("recorded as %q, not %q: %s", record.Outcome, test.outcome, record.Note)
+					t.Errorf("recorded outcome %q, want %q: %s", record.Outcome, test.outcome, record.Note)
 				}
 			}
 		})
--- a/internal/harness/soak_verdict.go
+++ b/internal/harness/soak_verdict.go
@@ -9,19 +9,20 @@
 	"github.com/sumactrestle/sumactrestle/internal/errcode"
 )
 
-// soakLeastTime is what every request has in a stop: one that is answered with an unknown
-// outcome before it was broken off too soon.
-const soakLeastTime = soakGrace - soakDrain - 500*time.Millisecond
+// minUnknownAge is the time that every request has to complete when its proxy stops. One that gets a
+// response with an unknown outcome earlier was aborted too soon.
+const minUnknownAge = soakGracePeriod - soakDrainDelay - 500*time.Millisecond
 
-// soakVerdict is what a soak's history and its processes' logs tell.
+// soakVerdict is the evidence that a soak is judged by: its history and its processes' stalls.
 type soakVerdict struct {
 	*soak
 	records []checker.Record
 	stalls  []stall
-	stops   map[string][]time.Duration // planned stops, by proxy
+	stops   map[string][]time.Duration // start times of planned stops, by proxy address
 }
 
-// judge prints the verdict of the checkers and what the soak itself saw.
+// judge prints the verdict of the checkers and the soak's own findings. It fails if either found a
+// violation.
 func (s *soak) judge() error {
 	v := soakVerdict{soak: s, records: s.history.Records(), stalls: s.readStalls(), stops: map[string][]time.Duration{}}
 	for _, r := range v.records {
@@ -31,10 +32,10 @@
 	}
 	s.logf("%s", checker.MeasureAvailability(v.records))
 	s.printStalls(v.stalls)
-	v.printQueued()
-	v.printFenced()
-	v.findDropped()
-	v.printUnknown()
+	v.printQueueTime()
+	v.printRejected()
+	v.checkDropped()
+	v.printUnknownOutcomes()
 	err := s.run.judge()
 	if len(s.failures) > 0 {
 		return errcode.New(errcode.Internal, "seed %d: %d failures, the first: %s", s.Seed, len(s.failures), s.failures[0])
@@ -42,21 +43,21 @@
 	return err
 }
 
-// printQueued tells how long a request waited at the worst from its receipt by the server's machine
-// until the server noted it.
-func (v *soakVerdict) printQueued() {
+// printQueueTime prints the longest time from a request's receipt by the server's machine until the
+// server read it.
+func (v *soakVerdict) printQueueTime() {
 	longest := time.Duration(0)
 	for _, r := range v.records {
 		if r.Kind == checker.RequestExecuted && r.Received > 0 {
 			longest = max(longest, r.Start-r.Received)
 		}
 	}
-	v.logf("requests waited for their server's process for %s at the most", longest.Round(time.Millisecond))
+	v.logf("requests waited at most %s for their server's process", longest.Round(time.Millisecond))
 }
 
-// printFenced tells how many requests their servers refused because of their epochs, which tells of
-// processes that stood still for longer than the rules allow.
-func (v *soakVerdict) printFenced() {
+// printRejected prints how many requests servers refused for a superseded epoch. Such requests come
+// from processes that stalled for longer than the rules allow.
+func (v *soakVerdict) printRejected() {
 	count := 0
 	for _, r := range v.records {
 		if r.Kind == checker.RequestRejected {
@@ -66,10 +67,10 @@
 	v.logf("servers refused %d requests under superseded epochs", count)
 }
 
-// findDropped finds requests that a server executed and that got no whole answer, and those
-// that were answered with an unknown outcome although there was time to wait, whether their
+// checkDropped records a failure for each request that a server executed but that got no whole
+// response, and for each that got a response with an unknown outcome before minUnknownAge, whether its
 // proxy was stopping or not.
-func (v *soakVerdict) findDropped() {
+func (v *soakVerdict) checkDropped() {
 	executed := map[string]bool{}
 	for _, r := range v.records {
 		if r.Kind == checker.RequestExecuted {
@@ -80,20 +81,20 @@
 		switch {
 		case r.Kind != checker.RequestCompleted:
 		case r.Outcome == checker.OutcomeBroken && executed[r.CallID]:
-			v.fail("%s call %s was handed to a server and got no answer: %s%s", r.Path, r.CallID, r.Note, v.noteOn(r))
-		case r.Outcome == checker.OutcomeUnknown && r.At-r.Start < soakLeastTime:
-			v.fail("%s call %s was given up %s after its beginning: %s%s", r.Path, r.CallID, r.At-r.Start, r.Note, v.noteOn(r))
+			v.fail("%s call %s was executed by a server but got no response: %s%s", r.Path, r.CallID, r.Note, v.describeProxy(r))
+		case r.Outcome == checker.OutcomeUnknown && r.At-r.Start < minUnknownAge:
+			v.fail("%s call %s was aborted %s after its start: %s%s", r.Path, r.CallID, r.At-r.Start, r.Note, v.describeProxy(r))
 		}
 	}
 }
 
-// noteOn tells of a request's proxy by how much the machine held it up meanwhile, and whether
-// it was stopping.
-func (v *soakVerdict) noteOn(r checker.Record) string {
+// describeProxy describes the longest stall of a request's proxy during the request, and whether the
+// proxy was stopping.
+func (v *soakVerdict) describeProxy(r checker.Record) string {
 	note := ""
 	for _, m := range v.fleet.ProxyMachines() {
 		if m.ProxyAddress() == r.Proxy {
-			note = fmt.Sprintf("; %s was held up by %s", m.Name, longestStall(v.stalls, m, r.Start, r.At).length().Round(time.Millisecond))
+			note = fmt.Sprintf("; %s stalled for %s", m.Name, longestStall(v.stalls, m, r.Start, r.At).length().Round(time.Millisecond))
 		}
 	}
 	if v.wasStopping(r) {
@@ -102,21 +103,21 @@
 	return note
 }
 
-// wasStopping tells whether a request was in flight while its proxy was stopping.
+// wasStopping reports whether a request was in flight while its proxy was stopping.
 func (v *soakVerdict) wasStopping(r checker.Record) bool {
 	return slices.ContainsFunc(v.stops[r.Proxy], func(began time.Duration) bool {
 		return began < r.At && r.Start < began+stopTimeout
 	})
 }
 
-// printUnknown tells why requests ended with an unknown outcome.
-func (v *soakVerdict) printUnknown() {
+// printUnknownOutcomes prints how many requests ended with an unknown outcome, by reason.
+func (v *soakVerdict) printUnknownOutcomes() {
 	counts := map[string]int{}
 	for _, r := range v.records {
 		if r.Kind != checker.RequestCompleted || r.Outcome != checker.OutcomeUnknown {
 			continue
 		}
-		reason := "elsewhere"
+		reason := "other"
 		switch {
 		case r.At-r.Start >= routeDeadlineMillis*time.Millisecond:
 			reason = "past the route's deadline"
--- a/internal/harness/soak_work.go
+++ b/internal/harness/soak_work.go
@@ -12,7 +12,7 @@
 	"github.com/sumactrestle/sumactrestle/internal/checker"
 )
 
-// pause waits, or returns when the context ends.
+// pause waits for a time or until the context ends.
 func pause(ctx context.Context, length time.Duration) {
 	timer := time.NewTimer(length)
 	defer timer.Stop()
@@ -22,30 +22,30 @@
 	}
 }
 
-// disturb does planned work on one machine, series after series, until the context ends. The
-// machine's process is up when it returns.
-func (s *soak) disturb(ctx context.Context, m *Machine, random *rand.Rand) {
+// stopRepeatedly stops and restarts one machine, once or twice in a row with pauses between, until the
+// context ends. The machine's process is running when it returns.
+func (s *soak) stopRepeatedly(ctx context.Context, m *Machine, random *rand.Rand) {
 	for ctx.Err() == nil {
 		pause(ctx, time.Duration(500+random.IntN(6000))*time.Millisecond)
 		if ctx.Err() != nil {
 			return
 		}
 		if m.role == roleCore {
-			s.corePermit.Lock()
+			s.coreStopMu.Lock()
 		}
 		for range 1 + random.IntN(2) {
-			s.stopInSeries(m, random)
+			s.stopAndRestart(m, random)
 		}
 		if m.role == roleCore {
 			pause(ctx, time.Second)
-			s.corePermit.Unlock()
+			s.coreStopMu.Unlock()
 		}
 	}
 }
 
-// stopInSeries sends a process some SIGHUP, then SIGTERM, and more of both while it stops, and
-// starts it again. Sometimes the process has only just been started.
-func (s *soak) stopInSeries(m *Machine, random *rand.Rand) {
+// stopAndRestart sends a process up to three SIGHUP, then SIGTERM, and more of both while it stops, and
+// starts it again. The process may have started only just before.
+func (s *soak) stopAndRestart(m *Machine, random *rand.Rand) {
 	s.recordFault("stop %s", m.Name)
 	s.history.Add(checker.Record{Kind: checker.PlannedStop, Proxy: m.ProxyAddress()})
 	stopping := m.process.Load()
@@ -55,68 +55,67 @@
 		m.signal(syscall.SIGHUP)
 	}
 	m.signal(syscall.SIGTERM)
-	began := time.Now()
-	s.signalMeanwhile(m, began, random)
-	seenLate, blocked := s.awaitStop(m, stopping, began.Add(stopTimeout))
-	s.checkStop(m, stopping.cmd.Process.Pid, began, seenLate, blocked)
+	signalledAt := time.Now()
+	s.signalDuringStop(m, signalledAt, random)
+	lateState, blocked := s.awaitStop(m, stopping, signalledAt.Add(stopTimeout))
+	s.checkStop(m, stopping.cmd.Process.Pid, signalledAt, lateState, blocked)
 	if isServing {
-		s.checkExit(m, stopping, seenLate != "")
+		s.checkExit(m, stopping, lateState != "")
 	}
 	time.Sleep(time.Duration(random.IntN(800)) * time.Millisecond)
 	s.startMachine(m)
-	s.watchEnd(m)
+	s.watchExit(m)
 	if random.IntN(3) > 0 {
 		time.Sleep(time.Duration(random.IntN(1500)) * time.Millisecond)
 	}
 }
 
-// awaitStop waits until a process that was told to stop has ended, and kills it at the end of its
-// bound. What it did then is told if it was not seen to end, and which of its threads the kernel held
-// within a disk write over the end of the bound.
-func (s *soak) awaitStop(m *Machine, stopping *process, bound time.Time) (seenLate, blocked string) {
-	if stopping.endsBy(bound.Add(-lateLookTime)) {
+// awaitStop waits until a stopping process has exited, and kills it at the deadline. In the latter case
+// lateState describes the process before it was killed, and blocked its threads that were in a disk
+// write at the deadline. Both are empty if the exit was observed before the deadline.
+func (s *soak) awaitStop(m *Machine, stopping *process, deadline time.Time) (lateState, blocked string) {
+	if stopping.endsBy(deadline.Add(-blockedSampleWindow)) {
 		return "", ""
 	}
-	folder := fmt.Sprintf("/proc/%d", stopping.cmd.Process.Pid)
+	processDir := fmt.Sprintf("/proc/%d", stopping.cmd.Process.Pid)
 	var threads blockedThreads
-	for time.Now().Before(bound) {
-		threads.look(folder)
-		if stopping.endsBy(time.Now().Add(min(lateLookInterval, time.Until(bound)))) {
+	for time.Now().Before(deadline) {
+		threads.sample(processDir)
+		if stopping.endsBy(time.Now().Add(min(blockedSampleInterval, time.Until(deadline)))) {
 			return "", ""
 		}
 	}
-	threads.look(folder)
-	seenLate = s.describeLateStop(m)
+	threads.sample(processDir)
+	lateState = s.describeLateStop(m)
 	m.Kill()
-	return seenLate, threads.atEnd()
+	return lateState, threads.describe()
 }
 
-// checkStop fails if a process that has ended took too long over its stop, whatever held it up. Which
-// of its threads the kernel held within a disk write is told then. How it went on when this process
-// had not seen its end in time is told in any case.
-func (s *soak) checkStop(m *Machine, pid int, told time.Time, seenLate, blocked string) {
-	late := s.ends.lateStop(pid, told)
-	if late != "" {
-		s.fail("%s did not stop within %s: %s; within a disk write (state D): %s; %s", m.Name, stopTimeout, late, cmp.Or(blocked, "no thread"), seenLate)
-	} else if seenLate != "" {
-		s.logf("%s stopped in time, which was seen late: %s", m.Name, seenLate)
+// checkStop records a failure if an exited process did not stop within stopTimeout, whatever delayed
+// it. If it stopped in time but this process did not observe that in time, lateState is only logged.
+func (s *soak) checkStop(m *Machine, pid int, signalledAt time.Time, lateState, blocked string) {
+	failure := s.exits.describeStopFailure(pid, signalledAt)
+	if failure != "" {
+		s.fail("%s did not stop within %s: %s; threads in a disk write (state D): %s; %s", m.Name, stopTimeout, failure, cmp.Or(blocked, "none"), lateState)
+	} else if lateState != "" {
+		s.logf("%s stopped in time, but its exit was observed late: %s", m.Name, lateState)
 	}
 }
 
-// describeLateStop tells what a process does whose end was not seen in time, and where it is
-// written what this process does.
+// describeLateStop describes the state of a process whose exit was not observed in time. It writes the
+// goroutine stacks of this process, which may itself be the one delayed, to a file and adds its path.
 func (s *soak) describeLateStop(m *Machine) string {
-	state := processState(m.PID())
+	state := describeProcess(m.PID())
 	path := filepath.Join(s.Folder, m.Name+".late-stop")
 	if err := writeGoroutines(path); err != nil {
 		path = err.Error()
 	}
-	return fmt.Sprintf("its process: %s; this process: %s", state, path)
+	return fmt.Sprintf("its process: %s; goroutines of the harness: %s", state, path)
 }
 
-// watchEnd has the end of a machine's process noted.
-func (s *soak) watchEnd(m *Machine) {
-	if err := s.ends.watch(m.PID()); err != nil {
-		s.fail("%s: its end is not watched: %v", m.Name, err)
+// watchExit requests the report on the exit of a machine's process.
+func (s *soak) watchExit(m *Machine) {
+	if err := s.exits.watch(m.PID()); err != nil {
+		s.fail("%s: can't watch for its exit: %v", m.Name, err)
 	}
 }
--- a/internal/harness/threads.go
+++ b/internal/harness/threads.go
@@ -9,29 +9,29 @@
 	"strings"
 )
 
-// goroutinesWithStacks has a goroutine profile written with the stack of each.
-const goroutinesWithStacks = 2
+// goroutineStacks is the pprof debug level that writes the stack of each goroutine.
+const goroutineStacks = 2
 
-// processState tells what a process and its threads do. A process in state Z has ended, and its end
-// was not taken; one that is not there has ended, and it was.
-func processState(pid int) string {
-	folder := fmt.Sprintf("/proc/%d", pid)
-	if _, err := os.Stat(folder); err != nil {
+// describeProcess returns the states of a process and of its threads. State Z means
+// that the process has exited and was not waited for, "no such file" that it has exited and was.
+func describeProcess(pid int) string {
+	processDir := fmt.Sprintf("/proc/%d", pid)
+	if _, err := os.Stat(processDir); err != nil {
 		return err.Error()
 	}
-	return threadState(folder) + ", threads: " + threadStates(folder)
+	return describeThread(processDir) + ", threads: " + describeThreads(processDir)
 }
 
-// threadStates tells what the threads of a process do: how many are in each state, and where in
-// the kernel they wait. A thread in state D can't be ended.
-func threadStates(folder string) string {
-	tasks, err := os.ReadDir(filepath.Join(folder, "task"))
+// describeThreads returns the number of a process's threads in each state, with the kernel function
+// they wait in. A thread in state D can't be killed.
+func describeThreads(processDir string) string {
+	tasks, err := os.ReadDir(filepath.Join(processDir, "task"))
 	if err != nil {
 		return err.Error()
 	}
 	counts := map[string]int{}
 	for _, task := range tasks {
-		counts[threadState(filepath.Join(folder, "task", task.Name()))]++
+		counts[describeThread(filepath.Join(processDir, "task", task.Name()))]++
 	}
 	var states []string
 	for state, count := range counts {
@@ -41,27 +41,28 @@
 	return strings.Join(states, ", ")
 }
 
-// writeGoroutines writes what the tasks of this process do to a file.
+// writeGoroutines writes the stacks of this process's goroutines to a file.
 func writeGoroutines(path string) error {
 	file, err := os.Create(path)
 	if err != nil {
 		return err
 	}
 	defer file.Close()
-	return pprof.Lookup("goroutine").WriteTo(file, goroutinesWithStacks)
+	return pprof.Lookup("goroutine").WriteTo(file, goroutineStacks)
 }
 
-// threadState is the state of one thread, or of a process's first, from its folder below /proc.
-func threadState(task string) string {
-	stat, err := os.ReadFile(filepath.Join(task, "stat"))
+// describeThread returns the state of a thread, or of a process's main thread, and the kernel function
+// that it waits in, given its directory in /proc.
+func describeThread(dir string) string {
+	stat, err := os.ReadFile(filepath.Join(dir, "stat"))
 	if err != nil {
 		return err.Error()
 	}
-	// The state follows the name, which stands in parentheses and may hold any character.
-	_, rest, _ := strings.Cut(string(stat[strings.LastIndexByte(string(stat), ')')+1:]), " ")
-	state, _, _ := strings.Cut(rest, " ")
-	if wait, err := os.ReadFile(filepath.Join(task, "wchan")); err == nil && len(wait) > 1 {
-		state += " in " + string(wait)
+	// The state follows the name, which is in parentheses and may contain any character.
+	_, fields, _ := strings.Cut(string(stat[strings.LastIndexByte(string(stat), ')')+1:]), " ")
+	state, _, _ := strings.Cut(fields, " ")
+	if waitChannel, err := os.ReadFile(filepath.Join(dir, "wchan")); err == nil && len(waitChannel) > 1 {
+		state += " in " + string(waitChannel)
 	}
 	return state
 }
--- a/internal/harness/threads_test.go
+++ b/internal/harness/threads_test.go
@@ -8,30 +8,30 @@
 	"time"
 )
 
-func TestProcessState_TellsOfRunningAndWaitingThreads(t *testing.T) {
-	state := processState(os.Getpid())
+func TestDescribeProcess_ListsRunningAndWaitingThreads(t *testing.T) {
+	state := describeProcess(os.Getpid())
 	process, threads, _ := strings.Cut(state, ", threads: ")
 	if process == "" || !strings.Contains(threads, " R") && !strings.Contains(threads, " S") {
 		t.Error(state)
 	}
 }
 
-func TestProcessState_TellsAnEndThatWasNotTakenFromOneThatWas(t *testing.T) {
+func TestDescribeProcess_DistinguishesAZombieFromAReapedProcess(t *testing.T) {
 	command := exec.Command("true")
 	if err := command.Start(); err != nil {
 		t.Fatal(err)
 	}
 	pid := command.Process.Pid
 	began := time.Now()
-	for !strings.HasPrefix(processState(pid), "Z") {
+	for !strings.HasPrefix(describeProcess(pid), "Z") {
 		if time.Since(began) > 10*time.Second {
-			t.Fatal(processState(pid))
+			t.Fatal(describeProcess(pid))
 		}
 	}
 	if err := command.Wait(); err != nil {
 		t.Fatal(err)
 	}
-	if state := processState(pid); !strings.Contains(state, "no such file") {
+	if state := describeProcess(pid); !strings.Contains(state, "no such file") {
 		t.Error(state)
 	}
 }
