--- a/internal/harness/soak_close.go
+++ b/internal/harness/soak_close.go
@@ -19,9 +19,9 @@
 
 const (
 	closeUnknown closeKind = "unknown"
-	// closeUnread left received bytes unread, for which the peer's kernel sends a reset.
+	// closeUnread means that the peer left bytes unread, so that its kernel sent a reset.
 	closeUnread closeKind = "unread"
-	// closeRead followed the reading of all that was sent.
+	// closeRead means that the peer had read all that was sent.
 	closeRead closeKind = "read"
 )
 
--- a/internal/harness/soak_stalls.go
+++ b/internal/harness/soak_stalls.go
@@ -11,7 +11,7 @@
 	"github.com/sumactrestle/sumactrestle/internal/eventlog"
 )
 
-// stallMargin is the largest gap between a stall and a period that the stall is still reported for.
+// stallMargin is how far outside a period a stall may lie and still be attributed to it.
 const stallMargin = 500 * time.Millisecond
 
 // stall is a period for which the machine delayed a process.
--- a/internal/harness/soak_verdict.go
+++ b/internal/harness/soak_verdict.go
@@ -105,8 +105,8 @@
 
 // wasStopping reports whether a request was in flight while its proxy was stopping.
 func (v *soakVerdict) wasStopping(r checker.Record) bool {
-	return slices.ContainsFunc(v.stops[r.Proxy], func(began time.Duration) bool {
-		return began < r.At && r.Start < began+stopTimeout
+	return slices.ContainsFunc(v.stops[r.Proxy], func(stopBegan time.Duration) bool {
+		return stopBegan < r.At && r.Start < stopBegan+stopTimeout
 	})
 }
 
