--- a/internal/harness/command/command.go
+++ b/internal/harness/command/command.go
@@ -74,7 +74,7 @@
 			}, Action: runDeployment},
 			soakCommand(binary, folder),
 			serverCommand(),
-			endWatchCommand(),
+			exitWatchCommand(),
 			upgradeCommand(folder),
 			reportCommand(),
 		},
