--- a/internal/proxy/idempotency/tracker.go
+++ b/internal/proxy/idempotency/tracker.go
@@ -59,7 +59,7 @@
 	if state == Unrecorded || problem.Code.Outcome != outcomeNotRun && !budgetSpent || budgetSpent && state != Ran {
 		return problem
 	}
-	return errcode.From(Conflict(state, fmt.Sprintf("repeat rejected with %d %s", problem.Code.Number, problem.Code.Name)))
+	return errcode.From(Conflict(state, fmt.Sprintf("a repeat, refused with %d %s", problem.Code.Number, problem.Code.Name)))
 }
 
 const (
