--- a/internal/simulator/abandoned_read_test.go
+++ b/internal/simulator/abandoned_read_test.go
@@ -11,7 +11,7 @@
 func TestProxy_ReadIsCancelledWhenClientDisconnects(t *testing.T) {
 	const cancelTimeout = 500 * time.Millisecond
 	for _, isPlatformMode := range []bool{false, true} {
-		shape := one()
+		shape := singleProxyShape()
 		shape.Targets = map[string]int{"rates": 2}
 		if isPlatformMode {
 			shape = platformShape(shape)
--- a/internal/simulator/acknowledge_repeat_test.go
+++ b/internal/simulator/acknowledge_repeat_test.go
@@ -13,7 +13,7 @@
 
 // Guards against acknowledging a repeated drain before controlplane.acknowledge_delay has passed.
 func TestDrain_RepeatWaitsForAcknowledgeDelay(t *testing.T) {
-	shape := one()
+	shape := singleProxyShape()
 	shape.Settings["controlplane.acknowledge_delay"] = "500ms"
 	inFleet(t, shape, func(t *testing.T, f *Fleet) {
 		server, node := f.Targets("rates")[0], f.Cores()[0].Node()
@@ -40,7 +40,7 @@
 
 // Guards against acknowledging a repeated change set before controlplane.acknowledge_delay has passed.
 func TestChangeSet_RepeatWaitsForAcknowledgeDelay(t *testing.T) {
-	shape := one()
+	shape := singleProxyShape()
 	shape.Settings["controlplane.acknowledge_delay"] = "500ms"
 	inFleet(t, shape, func(t *testing.T, f *Fleet) {
 		operator := f.newOperator(40, f.Cores()[0])
--- a/internal/simulator/changeset_test.go
+++ b/internal/simulator/changeset_test.go
@@ -15,7 +15,7 @@
 // A change set that is repeated after hundreds of others returns its original result at every core
 // node, despite snapshots, leader changes and a lost disk.
 func TestChangeSet_LateRepeatReturnsOriginalResult(t *testing.T) {
-	shape := one()
+	shape := singleProxyShape()
 	shape.Settings["consensus.snapshot_entries"] = "60"
 	inFleet(t, shape, func(t *testing.T, f *Fleet) {
 		numberedChange := func(n int) *rpc.ChangeSet {
--- a/internal/simulator/deposed_leader_test.go
+++ b/internal/simulator/deposed_leader_test.go
@@ -12,7 +12,7 @@
 
 // Guards against a deposed leader that acknowledges a drain because it has recorded an earlier one.
 func TestDrain_DeposedLeaderAcknowledgesNothing(t *testing.T) {
-	inFleet(t, one(), func(t *testing.T, f *Fleet) {
+	inFleet(t, singleProxyShape(), func(t *testing.T, f *Fleet) {
 		shard := ids.ShardOf("rates")
 		deposed, server := leaderOf(f, shard, nil), f.Targets("rates")[0]
 		heartbeat := func(m *Machine, sequence uint64, state string) error {
--- a/internal/simulator/disk_test.go
+++ b/internal/simulator/disk_test.go
@@ -14,7 +14,7 @@
 // A node whose disk is full gives up leadership of its shards, forwards calls and logs one event.
 // Once the disk has space, it takes part again without a restart.
 func TestStorage_NodeWithFullDiskStepsDownAndRecovers(t *testing.T) {
-	inFleet(t, one(), func(t *testing.T, f *Fleet) {
+	inFleet(t, singleProxyShape(), func(t *testing.T, f *Fleet) {
 		time.Sleep(3 * time.Second)
 		shard := ids.ShardOf("app/a")
 		victim := f.leader(shard)
@@ -71,7 +71,7 @@
 // A node that starts on a full disk waits for space and keeps its data; a full disk is not treated
 // as corruption.
 func TestStorage_NodeStartsOnceDiskHasSpace(t *testing.T) {
-	inFleet(t, one(), func(t *testing.T, f *Fleet) {
+	inFleet(t, singleProxyShape(), func(t *testing.T, f *Fleet) {
 		time.Sleep(3 * time.Second)
 		m := f.Machine("core2")
 		id := m.Node().Members.Self().ID
--- a/internal/simulator/distribution_test.go
+++ b/internal/simulator/distribution_test.go
@@ -60,7 +60,7 @@
 
 // All listen tasks are waiting for distribution.retry_cooldown when the partition heals.
 func TestDistribution_EpochUpdateDoesNotWaitForRetryCooldown(t *testing.T) {
-	shape := one()
+	shape := singleProxyShape()
 	shape.Settings["distribution.retry_cooldown"], shape.Settings["membership.suspicion_timeout"] = "5m", "1m"
 	inFleet(t, platformShape(shape), func(t *testing.T, f *Fleet) {
 		proxyNode := f.Machine("proxy1")
@@ -78,7 +78,7 @@
 
 // The proxy considers all core nodes and many other nodes down when the partition heals.
 func TestDistribution_EpochUpdateDoesNotWaitForMembershipToConverge(t *testing.T) {
-	shape := one()
+	shape := singleProxyShape()
 	shape.Proxies = 14
 	inFleet(t, platformShape(shape), func(t *testing.T, f *Fleet) {
 		proxyNode := f.Machine("proxy1")
--- a/internal/simulator/fence_test.go
+++ b/internal/simulator/fence_test.go
@@ -39,7 +39,7 @@
 // The request is the one of a proxy that was paused right before its write and therefore sends a long
 // superseded epoch.
 func TestTarget_RejectsEpochSupersededLongAgo(t *testing.T) {
-	inFleet(t, one(), func(t *testing.T, f *Fleet) {
+	inFleet(t, singleProxyShape(), func(t *testing.T, f *Fleet) {
 		target := f.Targets("rates")[0]
 		operator := f.newOperator(40, f.Cores()[0])
 		view, err := operator.Epoch(f.ctx)
@@ -81,7 +81,7 @@
 // With distribution.offline_grace, disconnected proxies send requests with old epochs, so targets
 // must not reject them.
 func TestTarget_AcceptsOldEpochsWithOfflineGrace(t *testing.T) {
-	shape := one()
+	shape := singleProxyShape()
 	shape.Settings["distribution.offline_grace"] = "1h"
 	inFleet(t, shape, func(t *testing.T, f *Fleet) {
 		time.Sleep(5 * time.Second)
@@ -94,7 +94,7 @@
 // With infrequent heartbeats, a target may have no recent confirmation of its epoch. It must not
 // reject requests because of that.
 func TestTarget_AcceptsRequestsWithInfrequentHeartbeats(t *testing.T) {
-	shape := one()
+	shape := singleProxyShape()
 	shape.Settings["controlplane.heartbeat_period"] = "2s"
 	shape.Settings["controlplane.heartbeat_timeout"] = "6s"
 	shape.Settings["controlplane.takeover_delay"] = "5s"
@@ -115,7 +115,7 @@
 // The monotonic clock stops while a machine is suspended. The target must not consider its last
 // confirmation recent by that clock.
 func TestTarget_RejectsRequestsAfterSuspension(t *testing.T) {
-	inFleet(t, one(), func(t *testing.T, f *Fleet) {
+	inFleet(t, singleProxyShape(), func(t *testing.T, f *Fleet) {
 		target := f.Targets("rates")[0]
 		view, err := f.newOperator(40, f.Cores()[0]).Epoch(f.ctx)
 		if err != nil {
@@ -134,7 +134,7 @@
 // A target that is already contained in an epoch is paused before it receives the response to its
 // first heartbeat.
 func TestTarget_PausedNewTargetObservesNewerEpoch(t *testing.T) {
-	inStandstill(t, 1, func(p *standstillPlay) {
+	runStallTest(t, 1, func(p *proxyStallTest) {
 		previous := p.Targets("rates")[0]
 		p.RemoveTarget(previous)
 		previous.Crash()
@@ -145,20 +145,20 @@
 		if !p.WaitUntil(800*time.Millisecond, func() bool { return len(p.proxy.Node().Distribution.Cache.Snapshot().Targets["rates"]) == 1 }) {
 			t.Fatal("no epoch contains the new target")
 		}
-		done := p.begin("GET", "/rates", nil)
+		done := p.startRequest("GET", "/rates", nil)
 		time.Sleep(20 * time.Millisecond)
 		view, err := p.operator.Epoch(p.ctx)
 		if err != nil {
 			t.Fatal(err)
 		}
 		p.view = view
-		p.makeNewerEpoch()
-		p.checkBounds(<-done)
+		p.submitUnrelatedChange()
+		p.checkHistory(<-done)
 	})
 }
 
 // awaitHeartbeat waits until a core node has recorded a target's first heartbeat.
-func (p *standstillPlay) awaitHeartbeat(target *standin.Server) {
+func (p *proxyStallTest) awaitHeartbeat(target *standin.Server) {
 	isKnown := func(m *Machine) bool { return m.Node().Targets.ServiceOf(target.Instance) != "" }
 	for !slices.ContainsFunc(p.Cores(), isKnown) {
 		time.Sleep(50 * time.Microsecond)
--- a/internal/simulator/hedge_test.go
+++ b/internal/simulator/hedge_test.go
@@ -14,7 +14,7 @@
 // withUnhealthyTarget runs a test on a fleet with three targets per service, after the proxy has
 // measured their response times and one target of the service has been replaced by a misbehaving one.
 func withUnhealthyTarget(t *testing.T, service, misbehavior string, play func(f *Fleet, call func(method, path string) (int, time.Duration))) {
-	shape := one()
+	shape := singleProxyShape()
 	shape.Targets = map[string]int{"rates": 3, "bookings": 3}
 	shape.Settings["proxy.hedge_percent"] = "6"
 	inFleet(t, shape, func(t *testing.T, f *Fleet) {
@@ -111,7 +111,7 @@
 		{"the first attempt is lost, then the second target rejects the hedge", standin.CloseUnanswered, standin.RejectedLate, 300 * time.Millisecond},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			shape := one()
+			shape := singleProxyShape()
 			shape.Targets = map[string]int{"rates": 2, "bookings": 1}
 			shape.Settings["proxy.hedge_percent"] = "50"
 			inFleet(t, shape, func(t *testing.T, f *Fleet) {
--- a/internal/simulator/metrics_test.go
+++ b/internal/simulator/metrics_test.go
@@ -40,15 +40,15 @@
 
 // scrape writes a node's metrics to the transcript, with a single line for the series of each metric
 // of variableSeries.
-func (s *script) scrape(address string) {
-	response, err := s.http.Get("http://" + address + "/metrics")
+func (s *session) scrape(address string) {
+	response, err := s.client.Get("http://" + address + "/metrics")
 	if err != nil {
-		fmt.Fprintln(&s.out, "< no answer")
+		fmt.Fprintln(&s.text, "< no answer")
 		return
 	}
 	defer response.Body.Close()
 	raw, _ := io.ReadAll(response.Body)
-	fmt.Fprintf(&s.out, "> GET /metrics\n< %s\n< Content-Type: %s\n", response.Status, response.Header.Get("Content-Type"))
+	fmt.Fprintf(&s.text, "> GET /metrics\n< %s\n< Content-Type: %s\n", response.Status, response.Header.Get("Content-Type"))
 	for _, line := range strings.Split(strings.TrimSpace(string(raw)), "\n") {
 		name := strings.TrimPrefix(strings.TrimPrefix(line, "# HELP "), "# TYPE ")
 		switch {
@@ -61,21 +61,21 @@
 		case strings.HasPrefix(line, "#"):
 		case variableSeries.MatchString(line):
 			line = line[:strings.IndexByte(line, '{')] + "{...} <value>"
-			if strings.HasSuffix(s.out.String(), "< "+line+"\n") {
+			if strings.HasSuffix(s.text.String(), "< "+line+"\n") {
 				continue
 			}
 		case !stableMetrics.MatchString(line) || bootDependent.MatchString(line):
 			line = sampleValue.ReplaceAllString(line, " <value>")
 		}
-		fmt.Fprintf(&s.out, "< %s\n", line)
+		fmt.Fprintf(&s.text, "< %s\n", line)
 	}
-	fmt.Fprintln(&s.out)
+	fmt.Fprintln(&s.text)
 }
 
 // readCallMetrics returns a node's metrics that count calls, by series.
-func (s *script) readCallMetrics(address string) map[string]float64 {
+func (s *session) readCallMetrics(address string) map[string]float64 {
 	counters := map[string]float64{}
-	response, err := s.http.Get("http://" + address + "/metrics")
+	response, err := s.client.Get("http://" + address + "/metrics")
 	if err != nil {
 		return counters
 	}
@@ -91,20 +91,20 @@
 }
 
 // writeGrowth writes the increase of each series that has changed to the transcript.
-func (s *script) writeGrowth(before, after map[string]float64) {
+func (s *session) writeGrowth(before, after map[string]float64) {
 	for _, name := range slices.Sorted(maps.Keys(after)) {
 		if after[name] != before[name] {
-			fmt.Fprintf(&s.out, "< %s +%g\n", name, after[name]-before[name])
+			fmt.Fprintf(&s.text, "< %s +%g\n", name, after[name]-before[name])
 		}
 	}
-	fmt.Fprintln(&s.out)
+	fmt.Fprintln(&s.text)
 }
 
 // writeOwnershipSums writes the sums of the ownership metrics over all core nodes to the transcript.
-func (s *script) writeOwnershipSums() {
+func (s *session) writeOwnershipSums() {
 	sums := map[string]float64{}
-	for _, m := range s.f.Cores() {
-		response, err := s.http.Get("http://" + m.APIAddress() + "/metrics")
+	for _, m := range s.fleet.Cores() {
+		response, err := s.client.Get("http://" + m.APIAddress() + "/metrics")
 		if err != nil {
 			continue
 		}
@@ -125,43 +125,43 @@
 		lines = append(lines, fmt.Sprintf("< %s %g\n", name, value))
 	}
 	sort.Strings(lines)
-	fmt.Fprintln(&s.out, strings.Join(lines, ""))
+	fmt.Fprintln(&s.text, strings.Join(lines, ""))
 }
 
 func TestMetrics_Transcript(t *testing.T) {
-	shape := one()
+	shape := singleProxyShape()
 	shape.Settings = map[string]string{"metrics.serve": "true"}
-	playScript(t, "metrics", shape, func(s *script) {
-		proxyAddress, apiAddress := s.f.Machine("proxy1").ProxyAddress(), s.f.Machine("proxy1").APIAddress()
-		outputStart, countersBefore := s.out.Len(), s.readCallMetrics(apiAddress)
+	runTranscript(t, "metrics", shape, func(s *session) {
+		proxyAddress, apiAddress := s.fleet.Machine("proxy1").ProxyAddress(), s.fleet.Machine("proxy1").APIAddress()
+		outputStart, countersBefore := s.text.Len(), s.readCallMetrics(apiAddress)
 		for i := range 3 {
 			s.send(proxyAddress, "GET", "/rates", "", fmt.Sprint("X-Call: c", i))
 		}
 		s.send(proxyAddress, "GET", "/nowhere", "")
 		s.send(apiAddress, "PUT", "/v1/keys", `{"name":"app/a","value":1}`)
 		time.Sleep(time.Second)
-		s.out.Truncate(outputStart)
-		s.say("a proxy that served three requests and refused one, and took one coordination call")
+		s.text.Truncate(outputStart)
+		s.comment("a proxy that served three requests and refused one, and took one coordination call")
 		s.scrape(apiAddress)
-		s.say("what these calls added")
+		s.comment("what these calls added")
 		s.writeGrowth(countersBefore, s.readCallMetrics(apiAddress))
-		s.say("a core node, but for what it owns")
-		s.scrape(s.f.Machine("core1").APIAddress())
-		s.say("what the core nodes own, added up")
+		s.comment("a core node, but for what it owns")
+		s.scrape(s.fleet.Machine("core1").APIAddress())
+		s.comment("what the core nodes own, added up")
 		s.writeOwnershipSums()
 	})
 }
 
 func TestMetrics_OffByDefault(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := NewFleet(1, one(), io.Discard)
+		f := NewFleet(1, singleProxyShape(), io.Discard)
 		defer f.Close()
 		if err := f.Boot(); err != nil {
 			t.Fatal(err)
 		}
-		s := newScript(f)
-		defer s.http.CloseIdleConnections()
-		response, err := s.http.Get("http://" + f.Machine("core1").APIAddress() + "/metrics")
+		s := newSession(f)
+		defer s.client.CloseIdleConnections()
+		response, err := s.client.Get("http://" + f.Machine("core1").APIAddress() + "/metrics")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -174,7 +174,7 @@
 
 func TestMetrics_FollowConventions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := NewFleet(1, one(), io.Discard)
+		f := NewFleet(1, singleProxyShape(), io.Discard)
 		defer f.Close()
 		if err := f.Boot(); err != nil {
 			t.Fatal(err)
@@ -215,13 +215,13 @@
 // A request that is rejected because its service has no target is counted with the service's name.
 func TestMetrics_RejectionsAreCountedByService(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := NewFleet(1, one(), io.Discard)
+		f := NewFleet(1, singleProxyShape(), io.Discard)
 		defer f.Close()
 		if err := f.Boot(); err != nil {
 			t.Fatal(err)
 		}
-		s := newScript(f)
-		defer s.http.CloseIdleConnections()
+		s := newSession(f)
+		defer s.client.CloseIdleConnections()
 		for _, server := range f.Targets("rates") {
 			server.Crash()
 		}
@@ -241,8 +241,8 @@
 		named, nameless := count()
 		s.send(proxyNode.ProxyAddress(), "GET", "/rates", "", "X-Call: a")
 		s.send(proxyNode.ProxyAddress(), "GET", "/nowhere", "")
-		if !strings.Contains(s.out.String(), "1003") {
-			t.Fatalf("no request was rejected for lack of a target: %s", s.out.String())
+		if !strings.Contains(s.text.String(), "1003") {
+			t.Fatalf("no request was rejected for lack of a target: %s", s.text.String())
 		}
 		if namedAfter, namelessAfter := count(); namedAfter != named+1 || namelessAfter != nameless+1 {
 			t.Errorf("rejections with the service's name: %d, without one: %d; want 1 and 1", namedAfter-named, namelessAfter-nameless)
@@ -263,13 +263,13 @@
 // that time.
 func TestShell_ShowsLatency(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := NewFleet(1, one(), io.Discard)
+		f := NewFleet(1, singleProxyShape(), io.Discard)
 		defer f.Close()
 		if err := f.Boot(); err != nil {
 			t.Fatal(err)
 		}
-		s := newScript(f)
-		defer s.http.CloseIdleConnections()
+		s := newSession(f)
+		defer s.client.CloseIdleConnections()
 		proxyNode := f.Machine("proxy1")
 		count := func(m metrics.Metric, wantLabels ...string) (summary metrics.Summary) {
 			proxyNode.Node().Env.Latencies.Each(func(metric metrics.Metric, labels []string, s metrics.Summary) {
