--- a/cmd/sumac/main.go
+++ b/cmd/sumac/main.go
@@ -40,7 +40,7 @@
 			{Name: "node", Usage: "run a node", Flags: settingsFlags(), Action: runNode,
 				Description: "Runs until SIGTERM or SIGINT, which stop it as planned: what is under way is finished, its parts are handed over. SIGHUP, or a change of the file, has the seeds read again. What is wrong with the settings is named at once, and nothing runs. Settings come from the file, then from SUMAC_ variables (SUMAC_PROXY_ADDRESS for proxy.address), then from --set."},
 			{Name: "check", Usage: "check a node's settings, the platform's settings file, or a change set", Action: runCheck,
-				Flags:       append(settingsFlags(), platform.CheckFlag(), &cli.StringFlag{Name: "change", Usage: "`FILE` of a change set (YAML or JSON)"}, apiFlag(false), objectsFlag()),
+				Flags:       append(settingsFlags(), platform.SettingsFlag(), &cli.StringFlag{Name: "change", Usage: "`FILE` of a change set (YAML or JSON)"}, apiFlag(false), objectsFlag()),
 				Description: "One thing at a time: --props and --set, as the command node takes them; --settings, the file that the command platform runs on, whose settings are printed; or --change, laid over the configuration of the fleet at --api, or over none. Nothing is changed. Every fault is named, and there being one ends it with 2."},
 			{Name: "submit", Usage: "submit a change set", ArgsUsage: "FILE", Action: runSubmit,
 				Flags:       []cli.Flag{apiFlag(true), objectsFlag(), &cli.StringFlag{Name: "id", Usage: "`ID` of the change set, if the file has none; random without"}, &cli.Uint64Flag{Name: "base", Usage: "the `EPOCH` last seen, if the file names none"}, &cli.BoolFlag{Name: "amend", Usage: "take the epoch in force as the one last seen"}},
--- a/cmd/sumac/main_test.go
+++ b/cmd/sumac/main_test.go
@@ -34,7 +34,7 @@
 }
 
 func TestCommands_ReportFaults(t *testing.T) {
-	t.Setenv(platform.Variable, "")
+	t.Setenv(platform.SettingsVariable, "")
 	for name, c := range map[string]struct {
 		args  []string
 		exit  int
--- a/cmd/sumac/usage_test.go
+++ b/cmd/sumac/usage_test.go
@@ -13,7 +13,7 @@
 func TestHelpIsComplete(t *testing.T) { commandlinetest.HelpIsComplete(t, app) }
 
 func TestTranscriptRefused(t *testing.T) {
-	for _, name := range []string{"SUMAC_API", platform.Variable} {
+	for _, name := range []string{"SUMAC_API", platform.SettingsVariable} {
 		t.Setenv(name, "") // restores the variable after the test
 		os.Unsetenv(name)
 	}
