--- a/internal/checker/availability.go
+++ b/internal/checker/availability.go
@@ -7,15 +7,15 @@
 	"strings"
 )
 
-// Availability is how the requests of a run, or of several, were answered. It is a figure
-// beside the result, for a run that refuses every request breaks no rule.
+// Availability counts the requests of one or more runs by response. It supplements the rules,
+// because a run that rejects every request breaks none of them.
 type Availability struct {
 	Total, Succeeded, Unknown, Broken int
-	AlreadyRan                        int         // retries told that their call was executed before
-	Rejected                          map[int]int // "not run", by code
+	AlreadyRan                        int         // retries answered that the call was already executed
+	Rejected                          map[int]int // outcome "not run", by code
 }
 
-// MeasureAvailability counts the requests of a history, but for those whose client went away.
+// MeasureAvailability counts the requests of a history, except those that the client abandoned.
 func MeasureAvailability(records []Record) Availability {
 	a := Availability{Rejected: map[int]int{}}
 	for _, r := range ofKind(records, RequestCompleted) {
@@ -38,7 +38,7 @@
 	return a
 }
 
-// Add returns the sum of the two.
+// Add returns the sum of both counts.
 func (a Availability) Add(other Availability) Availability {
 	sum := a
 	sum.Total += other.Total
@@ -55,7 +55,7 @@
 	return sum
 }
 
-// Percent returns what part of all requests n is, in percent; 0 if there were none.
+// Percent returns n as a percentage of all requests, or 0 if there were none.
 func (a Availability) Percent(n int) float64 {
 	if a.Total == 0 {
 		return 0
--- a/internal/checker/change.go
+++ b/internal/checker/change.go
@@ -6,11 +6,12 @@
 	"github.com/sumactrestle/sumactrestle/internal/errcode"
 )
 
-// conflictingChanges: two change sets against one base are both acknowledged, or bear one
-// epoch; a refused one is accepted later or in force at the end; an invalid one is accepted.
+// conflictingChanges reports concurrent change sets that are both acknowledged, or that share an
+// epoch; refused ones that are accepted later or in force at the end; and invalid ones that are
+// accepted.
 func conflictingChanges(records []Record, report reporter) {
 	checkRaces(records, report)
-	checkVerdicts(records, report)
+	checkReversedOutcomes(records, report)
 	refused := map[string]bool{}
 	for _, r := range ofKind(records, ChangeSubmitted) {
 		switch r.Outcome {
@@ -32,7 +33,8 @@
 	}
 }
 
-// checkRaces reports each pair of accepted change sets of which neither knew the other.
+// checkRaces reports each pair of accepted change sets that share an epoch, or of which the later
+// one has a base epoch before the earlier one.
 func checkRaces(records []Record, report reporter) {
 	var accepted []Record // the first acknowledgment of each
 	seen := map[string]bool{}
@@ -55,39 +57,39 @@
 	}
 }
 
-// checkVerdicts reports each change set that a query finds accepted after it was refused or
-// absent.
-func checkVerdicts(records []Record, report reporter) {
-	verdicts := map[string]string{}
+// checkReversedOutcomes reports each change set that a query finds accepted after it was refused
+// or absent.
+func checkReversedOutcomes(records []Record, report reporter) {
+	outcomes := map[string]string{}
 	for _, r := range records {
-		isVerdict := r.Kind == ChangeQueried && (r.Outcome == OutcomeAccepted || r.Outcome == OutcomeAbsent) ||
+		isDefinite := r.Kind == ChangeQueried && (r.Outcome == OutcomeAccepted || r.Outcome == OutcomeAbsent) ||
 			r.Kind == ChangeSubmitted && r.Outcome != OutcomeUnknown
-		if !isVerdict {
+		if !isDefinite {
 			continue
 		}
-		verdict := r.Outcome
-		if verdict == OutcomeAbsent {
-			verdict = OutcomeRefused
+		outcome := r.Outcome
+		if outcome == OutcomeAbsent {
+			outcome = OutcomeRefused
 		}
-		if r.Kind == ChangeQueried && verdict == OutcomeAccepted && verdicts[r.Name] == OutcomeRefused {
-			report(r.At, "%s was refused or absent, and is accepted", r.Name)
+		if r.Kind == ChangeQueried && outcome == OutcomeAccepted && outcomes[r.Name] == OutcomeRefused {
+			report(r.At, "%s was refused or absent and is now accepted", r.Name)
 		}
-		verdicts[r.Name] = verdict
+		outcomes[r.Name] = outcome
 	}
 }
 
-// changeAtomicity: a request is served where the change sets up to its epoch do not lead its
-// path, or "no route" is said of a path that is in one of them. So a change set that is in
-// force in part, or was refused or lost, shows at the moment at which that matters.
+// changeAtomicity reports each executed request whose service is not a destination of its path
+// under the change sets up to its epoch, and each "no route" response for a path that has a
+// destination. This detects change sets that are partly in force, in force though refused, or lost.
 func changeAtomicity(records []Record, report reporter) {
-	routes := routesOf(records, report)
+	routes := buildRouteTable(records, report)
 	for _, r := range ofKind(records, RequestExecuted) {
 		if r.Path == "" {
 			continue
 		}
 		route := routes.lookup(r.Path, r.Epoch)
 		if !strings.Contains(","+route.services+",", ","+r.Service+",") {
-			report(r.At, "call %s to %s ran as one for %s under epoch %d; it leads to %q since %s", r.CallID, r.Path, r.Service, r.Epoch, route.services, route.change)
+			report(r.At, "call %s to %s was routed to %s under epoch %d; its route leads to %q since change set %s", r.CallID, r.Path, r.Service, r.Epoch, route.services, route.change)
 		}
 	}
 	for _, r := range ofKind(records, RequestCompleted) {
@@ -95,25 +97,25 @@
 			continue
 		}
 		if route := routes.lookup(r.Path, r.Epoch); route.services != "" {
-			report(r.At, "call %s to %s found no route under epoch %d; it leads to %q since %s", r.CallID, r.Path, r.Epoch, route.services, route.change)
+			report(r.At, "call %s to %s found no route under epoch %d; its route leads to %q since change set %s", r.CallID, r.Path, r.Epoch, route.services, route.change)
 		}
 	}
 }
 
-// routeTable is where paths led in each epoch.
+// routeTable holds the destinations of each path by epoch.
 type routeTable struct {
 	byPath       map[string][]routeChange
-	replacements []uint64 // epochs in which the configuration was replaced completely
+	replacements []uint64 // epochs in which the whole configuration was replaced
 }
 
 type routeChange struct {
 	epoch    uint64
-	services string // with commas between them; empty if the path was dropped
+	services string // comma-separated; empty if the path was removed
 	change   string // name of the change set
 }
 
-// routesOf replays the accepted change sets, and reports those that are in two epochs.
-func routesOf(records []Record, report reporter) *routeTable {
+// buildRouteTable replays the accepted change sets and reports those that are in two epochs.
+func buildRouteTable(records []Record, report reporter) *routeTable {
 	epochs := map[string]uint64{}
 	for _, r := range records {
 		if (r.Kind == ChangeSubmitted || r.Kind == ChangeQueried) && r.Outcome == OutcomeAccepted {
@@ -141,40 +143,40 @@
 	return table
 }
 
-// lookup returns the last change, up to an epoch, of the longest prefix of a path that leads
-// anywhere then.
-func (t *routeTable) lookup(path string, epoch uint64) (last routeChange) {
+// lookup returns the latest change, up to the given epoch, of the longest prefix of the path that
+// has a destination in that epoch.
+func (t *routeTable) lookup(path string, epoch uint64) (latest routeChange) {
 	for path = strings.TrimSuffix(path, "/"); path != ""; path = path[:strings.LastIndexByte(path, '/')] {
-		last = routeChange{}
+		latest = routeChange{}
 		for _, change := range t.byPath[path] {
-			if change.epoch <= epoch && change.epoch > last.epoch {
-				last = change
+			if change.epoch <= epoch && change.epoch > latest.epoch {
+				latest = change
 			}
 		}
-		for _, replaced := range t.replacements {
-			if replaced <= epoch && replaced > last.epoch {
-				last = routeChange{}
+		for _, replacedAt := range t.replacements {
+			if replacedAt <= epoch && replacedAt > latest.epoch {
+				latest = routeChange{}
 				break
 			}
 		}
-		if last.services != "" {
-			return last
+		if latest.services != "" {
+			return latest
 		}
 	}
-	return last
+	return latest
 }
 
-// lostChange: an acknowledged change set is absent at the end.
+// lostChange reports acknowledged change sets that the last query for them finds absent.
 func lostChange(records []Record, report reporter) {
-	last := map[string]Record{}
+	lastQuery := map[string]Record{}
 	for _, r := range ofKind(records, ChangeQueried) {
-		last[r.Name] = r
+		lastQuery[r.Name] = r
 	}
 	for _, r := range ofKind(records, ChangeSubmitted) {
 		if r.Outcome != OutcomeAccepted {
 			continue
 		}
-		if query, ok := last[r.Name]; ok && query.Start > r.At && query.Outcome == OutcomeAbsent {
+		if query, ok := lastQuery[r.Name]; ok && query.Start > r.At && query.Outcome == OutcomeAbsent {
 			report(query.At, "%s was acknowledged in epoch %d and is absent", r.Name, r.Epoch)
 		}
 	}
--- a/internal/checker/checker.go
+++ b/internal/checker/checker.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// Rule checks one thing that must never happen over a complete history, in the order in
-// which it was recorded, and reports each place where it happened.
+// Rule checks one safety property over a complete history, in the order in which it was
+// recorded, and reports each violation.
 type Rule func(records []Record, report reporter)
 
-// reporter takes a violation of the rule that is being checked.
+// reporter records a violation of the rule that is being checked.
 type reporter func(at time.Duration, format string, args ...any)
 
-// Rules are the rules by name.
+// Rules maps the name of each rule to its check.
 var Rules = map[string]Rule{
 	"runs-twice":     duplicateExecution,
 	"not-run":        falseNotRun,
@@ -41,31 +41,33 @@
 	"replicas":       replicaAgreement,
 }
 
-// incomplete is the violation of a history without an end; it is no rule of its own.
+// incomplete is the rule name in the violation of a history without a ScenarioEnded record. It
+// is not in Rules.
 const incomplete = "incomplete"
 
-// slack is added to the bounds of which the requirements say "about".
+// slack is added to bounds that the requirements state as approximate.
 const slack = 50 * time.Millisecond
 
-// Violation is one place where a rule is broken.
+// Violation is one occurrence of a broken rule. Texts on requests contain the call ID, by which
+// Result selects the records to show.
 type Violation struct {
 	Rule string
 	Text string
 	At   time.Duration
 }
 
-// Result is what all rules say of a history.
+// Result holds the violations that all rules found in a history.
 type Result struct {
-	Violations []Violation    // by rule
-	Counts     map[string]int // records by kind, and the more telling ones by outcome
+	Violations []Violation    // incomplete first, then sorted by rule
+	Counts     map[string]int // records by kind; requests, versioned changes and coordination calls also by outcome
 	records    []Record
 }
 
-// Check checks a history against every rule.
+// Check checks a history against all rules.
 func Check(records []Record) *Result {
-	result := &Result{Counts: count(records), records: records}
+	result := &Result{Counts: countRecords(records), records: records}
 	if len(ofKind(records, ScenarioEnded)) == 0 {
-		result.Violations = append(result.Violations, Violation{Rule: incomplete, Text: "the history has no end; nothing can be said of it"})
+		result.Violations = append(result.Violations, Violation{Rule: incomplete, Text: "the history has no record of the scenario's end, so it may lack violations"})
 	}
 	for _, name := range slices.Sorted(maps.Keys(Rules)) {
 		Rules[name](records, func(at time.Duration, format string, args ...any) {
@@ -75,7 +77,7 @@
 	return result
 }
 
-func count(records []Record) map[string]int {
+func countRecords(records []Record) map[string]int {
 	counts := map[string]int{}
 	inContact := contactTimeline(records)
 	for _, r := range records {
@@ -108,7 +110,7 @@
 	return matching
 }
 
-// IsValid tells whether no rule is broken.
+// IsValid reports whether the history breaks no rule.
 func (r *Result) IsValid() bool { return len(r.Violations) == 0 }
 
 const (
@@ -116,7 +118,7 @@
 	maxContextShown    = 40 // records around the first violation
 )
 
-// String lists the counts, the violations, and the records around the first one.
+// String lists the counts, the violations, and the records close in time to the first violation.
 func (r *Result) String() string {
 	var b strings.Builder
 	for _, kind := range slices.Sorted(maps.Keys(r.Counts)) {
@@ -130,17 +132,17 @@
 		fmt.Fprintf(&b, "BROKEN %s at %s: %s\n", violation.Rule, violation.At, violation.Text)
 	}
 	if len(r.Violations) > 0 {
-		b.WriteString("around the first:\n")
-		for _, record := range r.around(r.Violations[0]) {
+		b.WriteString("around the first violation:\n")
+		for _, record := range r.recordsAround(r.Violations[0]) {
 			fmt.Fprintf(&b, "  %+v\n", record)
 		}
 	}
 	return b.String()
 }
 
-// around returns the records within a second of a violation; of requests only those that it
-// names.
-func (r *Result) around(violation Violation) (near []Record) {
+// recordsAround returns the records within a second of a violation. Of requests, it returns only
+// those whose call ID is in the violation's text.
+func (r *Result) recordsAround(violation Violation) (near []Record) {
 	for _, record := range r.records {
 		isRequest := record.Kind == RequestCompleted || record.Kind == RequestExecuted
 		isNear := record.At > violation.At-time.Second && record.At < violation.At+time.Second
--- a/internal/checker/checker_test.go
+++ b/internal/checker/checker_test.go
@@ -10,8 +10,8 @@
 
 const s = time.Second
 
-// sound returns a history in which no rule is broken, and every rule has something to check.
-func sound() []Record {
+// validHistory returns a history that breaks no rule and has records for the rules to check.
+func validHistory() []Record {
 	return []Record{
 		{Kind: ScenarioStarted, At: 1},
 		{Kind: RequestCompleted, Start: 1 * s, At: 1*s + 9, CallID: "a", RequestID: "ra", Proxy: "p:1", Service: "bookings", Status: 200, Outcome: "ran", Digest: "d"},
@@ -43,56 +43,56 @@
 	}
 }
 
-// expectBroken checks that a history breaks just the rules named, in the order of their names.
-func expectBroken(t *testing.T, records []Record, want ...string) {
+// expectViolations checks that a history breaks exactly the given rules, in order of their names.
+func expectViolations(t *testing.T, records []Record, want ...string) {
 	t.Helper()
 	result := Check(records)
-	if diff := cmp.Diff(want, rules(result)); diff != "" {
+	if diff := cmp.Diff(want, brokenRules(result)); diff != "" {
 		t.Errorf("rules broken (-want +got):\n%s%s", diff, result)
 	}
 }
 
-// rules returns the rules that are broken, each once.
-func rules(v *Result) []string {
-	seen := map[string]bool{}
+// brokenRules returns the name of each broken rule once.
+func brokenRules(result *Result) []string {
+	isListed := map[string]bool{}
 	var list []string
-	for _, b := range v.Violations {
-		if !seen[b.Rule] {
-			seen[b.Rule] = true
-			list = append(list, b.Rule)
+	for _, violation := range result.Violations {
+		if !isListed[violation.Rule] {
+			isListed[violation.Rule] = true
+			list = append(list, violation.Rule)
 		}
 	}
 	return list
 }
 
-func TestCheck_SoundHistoryIsValid(t *testing.T) {
-	if v := Check(sound()); !v.IsValid() {
+func TestCheck_ValidHistoryHasNoViolation(t *testing.T) {
+	if v := Check(validHistory()); !v.IsValid() {
 		t.Fatal(v)
 	}
 }
 
-func TestCheck_EachRuleSeesItsFault(t *testing.T) {
-	ran := func(call, request, service, owner, instance string, at time.Duration, epoch uint64) Record {
-		return Record{Kind: RequestExecuted, At: at, CallID: call, RequestID: request, Proxy: "p", Service: service, ServerService: owner, Instance: instance, Epoch: epoch, Digest: "d"}
+func TestCheck_EachRuleDetectsItsViolation(t *testing.T) {
+	executed := func(call, request, service, serverService, instance string, at time.Duration, epoch uint64) Record {
+		return Record{Kind: RequestExecuted, At: at, CallID: call, RequestID: request, Proxy: "p", Service: service, ServerService: serverService, Instance: instance, Epoch: epoch, Digest: "d"}
 	}
-	many := func() (list []Record) {
+	manyExtraAttempts := func() (list []Record) {
 		for i := range 100 {
 			list = append(list, Record{Kind: RequestExecuted, At: 15*s + time.Duration(i), CallID: "a", Idempotent: true, Service: "rates", ServerService: "rates", Instance: "j", Epoch: 9, Proxy: "q"})
 		}
 		return list
 	}
-	planted := map[string][]Record{
-		"runs-twice":     {ran("a", "ra2", "bookings", "bookings", "i2", 2*s, 3)},
-		"not-run":        {ran("b", "rb", "bookings", "bookings", "i2", 3*s, 3)},
+	faultsByRule := map[string][]Record{
+		"runs-twice":     {executed("a", "ra2", "bookings", "bookings", "i2", 2*s, 3)},
+		"not-run":        {executed("b", "rb", "bookings", "bookings", "i2", 3*s, 3)},
 		"wrong-answer":   {{Kind: RequestCompleted, At: 3 * s, CallID: "z", Status: 200, Outcome: "ran", Digest: "d"}},
-		"late-hand-over": {ran("c", "rc", "bookings", "bookings", "i1", 6*s+100*time.Millisecond, 9)},
-		"wrong-service":  {ran("c", "rc", "rates", "bookings", "i2", 3*s, 3)},
-		"old-plan":       {ran("c", "rc", "bookings", "bookings", "i2", 7*s+100*time.Millisecond, 3)},
-		"slid-back":      {ran("c", "rc", "bookings", "bookings", "i2", 1*s+100, 9), {Kind: RequestCompleted, Start: 1 * s, At: 1*s + 200, CallID: "c", RequestID: "rc", Proxy: "p:2", Outcome: "unknown"}, ran("d", "rd", "bookings", "bookings", "i2", 1*s+250, 8), {Kind: RequestCompleted, Start: 1*s + 201, At: 1*s + 300, CallID: "d", RequestID: "rd", Proxy: "p:2", Outcome: "unknown"}},
+		"late-hand-over": {executed("c", "rc", "bookings", "bookings", "i1", 6*s+100*time.Millisecond, 9)},
+		"wrong-service":  {executed("c", "rc", "rates", "bookings", "i2", 3*s, 3)},
+		"old-plan":       {executed("c", "rc", "bookings", "bookings", "i2", 7*s+100*time.Millisecond, 3)},
+		"slid-back":      {executed("c", "rc", "bookings", "bookings", "i2", 1*s+100, 9), {Kind: RequestCompleted, Start: 1 * s, At: 1*s + 200, CallID: "c", RequestID: "rc", Proxy: "p:2", Outcome: "unknown"}, executed("d", "rd", "bookings", "bookings", "i2", 1*s+250, 8), {Kind: RequestCompleted, Start: 1*s + 201, At: 1*s + 300, CallID: "d", RequestID: "rd", Proxy: "p:2", Outcome: "unknown"}},
 		"racing-changes": {{Kind: ChangeSubmitted, At: 6 * s, Name: "c3", BaseEpoch: 3, Epoch: 5, Outcome: "accepted"}},
 		"whole-sets":     {{Kind: RequestExecuted, At: 9 * s, CallID: "w", RequestID: "rw", Proxy: "p", Path: "/c1/x", Service: "rates", ServerService: "rates", Instance: "i2", Epoch: 4}},
 		"lost-change":    {{Kind: ChangeQueried, Start: 26 * s, At: 26*s + 9, Name: "c1", Outcome: "absent"}},
-		"extra-tries":    many(),
+		"extra-tries":    manyExtraAttempts(),
 		"dropped":        {{Kind: PlannedStopsOnly, At: 2}, {Kind: RequestCompleted, At: 3 * s, CallID: "y", Outcome: "unknown", Code: 1007}},
 		"locks":          {{Kind: CoordinationCall, Start: 7 * s, At: 7*s + 9, Op: "acquire", Name: "l", Holder: "h3", FencingToken: 8, TTL: s, Outcome: "done"}},
 		"counters":       {{Kind: CoordinationCall, Start: 14 * s, At: 14*s + 9, Op: "add", Name: "n", Count: 2, Outcome: "done"}},
@@ -106,64 +106,64 @@
 		"answered":       {{Kind: RequestCompleted, At: 3 * s, CallID: "y", RequestID: "ry", Status: 503, Code: 1002, Outcome: "not run"}},
 	}
 	for rule := range Rules {
-		if planted[rule] == nil {
-			t.Errorf("no fault is planted for %s", rule)
+		if faultsByRule[rule] == nil {
+			t.Errorf("no violation is defined for rule %s", rule)
 		}
 	}
-	for rule, faults := range planted {
+	for rule, faults := range faultsByRule {
 		t.Run(rule, func(t *testing.T) {
-			expectBroken(t, append(sound(), faults...), rule)
+			expectViolations(t, append(validHistory(), faults...), rule)
 		})
 	}
 }
 
-func TestCheck_OtherFaultsOfTheSameRules(t *testing.T) {
-	ran := func(call, request string, at time.Duration) Record {
+func TestCheck_RulesDetectFurtherViolations(t *testing.T) {
+	executed := func(call, request string, at time.Duration) Record {
 		return Record{Kind: RequestExecuted, At: at, CallID: call, RequestID: request, Proxy: "p", Service: "bookings", ServerService: "bookings", Instance: "i2", Epoch: 3, Digest: "d"}
 	}
 	for name, c := range map[string]struct {
 		rule   string
 		faults []Record
 	}{
-		"a refused change in force":             {"racing-changes", []Record{{Kind: FinalConfiguration, At: 26 * s, Names: []string{"c2"}}}},
-		"a repeated order that was to run once": {"runs-twice", []Record{{Kind: RequestCompleted, At: 3 * s, CallID: "a", IsRetry: true, AtMostOnce: true, Status: 409, Code: 1016, Outcome: "ran"}, {Kind: RequestExecuted, At: 3 * s, CallID: "a", RequestID: "rx", Proxy: "p", Service: "bookings", ServerService: "bookings", Instance: "i1", Epoch: 3}}},
-		"an invalid change accepted":            {"racing-changes", []Record{{Kind: ChangeSubmitted, At: 8 * s, Name: "c8", BaseEpoch: 5, Epoch: 6, Outcome: "accepted", Invalid: true}}},
-		"absent, then accepted":                 {"racing-changes", []Record{{Kind: ChangeQueried, Start: 25 * s, At: 25*s + 9, Name: "c9", Outcome: "absent"}, {Kind: ChangeQueried, Start: 26 * s, At: 26*s + 9, Name: "c9", Outcome: "accepted", Epoch: 9}}},
-		"a path of a set that is not there":     {"whole-sets", []Record{{Kind: RequestCompleted, At: 9 * s, CallID: "w", RequestID: "rw", Path: "/c1", Epoch: 5, Status: 404, Code: 1001, Outcome: "not run"}}},
-		"a set that is in two epochs":           {"whole-sets", []Record{{Kind: ChangeQueried, Start: 25 * s, At: 25*s + 9, Name: "c1", Epoch: 6, Outcome: "accepted"}}},
-		"a refused set at work":                 {"whole-sets", []Record{{Kind: RequestExecuted, At: 6 * s, CallID: "w", RequestID: "rw", Proxy: "p", Path: "/c2", Service: "rates", ServerService: "rates", Instance: "i2", Epoch: 4}}},
-		"a fence that shrinks":                  {"locks", []Record{{Kind: CoordinationCall, Start: 14 * s, At: 14*s + 9, Op: "acquire", Name: "l", Holder: "h4", FencingToken: 3, TTL: s, Outcome: "done"}}},
-		"a count that goes backward":            {"counters", []Record{{Kind: CoordinationCall, Start: 14 * s, At: 14*s + 9, Op: "add", Name: "n", Count: 0, Outcome: "done"}}},
-		"a young event told too old":            {"watch-gap", []Record{{Kind: WatchResponse, Start: 20 * s, At: 20*s + 9, Name: "k", From: 15, Outcome: "too old"}}},
-		"a counter that counts an id twice":     {"counted", []Record{{Kind: CoordinationCall, Start: 12 * s, At: 12*s + 9, Op: "add", Name: "t", RequestID: "i", Outcome: "unknown"}, {Kind: CoordinationCall, Start: 14 * s, At: 14*s + 9, Op: "total", Name: "t", Count: 2, Outcome: "done"}}},
-		"a counter that lost an id":             {"counted", []Record{{Kind: CoordinationCall, Start: 12 * s, At: 12*s + 9, Op: "add", Name: "t", RequestID: "i", Count: 1, Outcome: "done"}, {Kind: CoordinationCall, Start: 14 * s, At: 14*s + 9, Op: "total", Name: "t", Outcome: "done"}}},
-		"a key that is gone undropped":          {"stale-read", []Record{{Kind: CoordinationCall, Start: 14 * s, At: 14*s + 9, Op: "get", Name: "k", Outcome: "done"}}},
-		"a dropped key that is read":            {"stale-read", []Record{{Kind: CoordinationCall, Start: 14 * s, At: 14*s + 9, Op: "drop", Name: "k9", Revision: 30, Outcome: "done"}, {Kind: CoordinationCall, Start: 15 * s, At: 15*s + 9, Op: "get", Name: "k9", Revision: 29, Outcome: "done"}}},
-		"a value that was not written":          {"stale-read", []Record{{Kind: CoordinationCall, Start: 14 * s, At: 14*s + 9, Op: "put", Name: "k8", Revision: 30, Digest: "1", Outcome: "done"}, {Kind: CoordinationCall, Start: 15 * s, At: 15*s + 9, Op: "get", Name: "k8", Revision: 30, Digest: "2", Outcome: "done"}}},
-		"a list that is old":                    {"stale-read", []Record{{Kind: CoordinationCall, Start: 14 * s, At: 14*s + 9, Op: "list", Name: "k", Revision: 19, Outcome: "done"}}},
-		"a list that lacks a key":               {"stale-read", []Record{{Kind: CoordinationCall, Start: 14 * s, At: 14*s + 9, Op: "list", Name: "k", Revision: 29, Outcome: "done"}}},
-		"a leader of the past":                  {"stale-read", []Record{{Kind: CoordinationCall, Start: 14 * s, At: 14*s + 9, Op: "leader", Name: "l", Holder: "h1", FencingToken: 7, Outcome: "done"}}},
-		"two who set on one condition":          {"stale-read", []Record{{Kind: CoordinationCall, Start: 14 * s, At: 14*s + 9, Op: "put", Name: "k6", IsConditional: true, Revision: 30, Outcome: "done"}, {Kind: CoordinationCall, Start: 14 * s, At: 14*s + 9, Op: "put", Name: "k6", IsConditional: true, Revision: 31, Outcome: "done"}}},
-		"a watch of a space that lacks a drop":  {"watch-gap", []Record{{Kind: CoordinationCall, Start: 14 * s, At: 14*s + 9, Op: "drop", Name: "sp/a", Revision: 30, Outcome: "done"}, {Kind: WatchResponse, Start: 15 * s, At: 15*s + 9, Name: "sp/", From: 29, Revision: 31, Outcome: "done"}}},
-		"never usable":                          {"too-long", []Record{{Kind: Recovery, Start: 20 * s, At: 21 * s, Outcome: "not usable"}}},
-		"a request by a silent server":          {"late-hand-over", []Record{{Kind: HeartbeatsStopped, At: 3 * s, Service: "bookings", Instance: "i7"}, {Kind: RequestExecuted, At: 6*s + s, CallID: "c", RequestID: "rc", Service: "bookings", ServerService: "bookings", Instance: "i7", Epoch: 9}}},
-		"one request handed over again":         {"runs-twice", []Record{{Kind: RequestExecuted, At: 2 * s, CallID: "q", RequestID: "ra", Service: "bookings", ServerService: "bookings", Instance: "i2", Epoch: 3}}},
-		"a success of another's body":           {"wrong-answer", []Record{{Kind: RequestCompleted, At: 3 * s, CallID: "a", Status: 200, Outcome: "ran", Digest: "d", Note: "wrong answer"}}},
-		"a refusal without its id":              {"not-run", []Record{{Kind: RequestCompleted, At: 3 * s, CallID: "y", Status: 503, Code: 1002, Outcome: "not run", RetryAfter: "1"}}},
-		"one of two tries that is told wrong":   {"not-run", []Record{{Kind: RequestCompleted, Start: 2 * s, At: 2*s + 9, CallID: "k", RequestID: "r1", Proxy: "p:1", Status: 503, Code: 1006, Outcome: "not run", RetryAfter: "1"}, {Kind: RequestCompleted, Start: 3 * s, At: 3*s + 9, CallID: "k", RequestID: "r2", Proxy: "p:2", Status: 502, Code: 1007, Outcome: "unknown", RetryAfter: "1"}, ran("k", "r1", 2*s)}},
-		"a repeat that is told of its try only": {"not-run", []Record{{Kind: RequestCompleted, Start: 2 * s, At: 2*s + 9, CallID: "k", RequestID: "r1", Proxy: "p:1", Status: 502, Code: 1007, Outcome: "unknown", RetryAfter: "1"}, {Kind: RequestCompleted, Start: 3 * s, At: 3*s + 9, CallID: "k", RequestID: "r2", Proxy: "p:1", Status: 429, Code: 1005, Outcome: "not run", RetryAfter: "1"}, ran("k", "r1", 2*s)}},
-		"an upload that is short":               {"wrong-answer", []Record{{Kind: RequestCompleted, Start: 2 * s, At: 3 * s, CallID: "u", Outcome: "broken", Digest: "whole"}, {Kind: RequestExecuted, At: 2*s + 5, CallID: "u", RequestID: "ru", Proxy: "p", Service: "bookings", ServerService: "bookings", Instance: "i2", Epoch: 3, Digest: "half"}}},
-		"a broken call in a planned stop":       {"dropped", []Record{{Kind: PlannedStopsOnly, At: 2}, {Kind: RequestCompleted, At: 3 * s, CallID: "a", Outcome: "broken"}}},
+		"a refused change in force":                         {"racing-changes", []Record{{Kind: FinalConfiguration, At: 26 * s, Names: []string{"c2"}}}},
+		"a retry executed on an at-most-once route":         {"runs-twice", []Record{{Kind: RequestCompleted, At: 3 * s, CallID: "a", IsRetry: true, AtMostOnce: true, Status: 409, Code: 1016, Outcome: "ran"}, {Kind: RequestExecuted, At: 3 * s, CallID: "a", RequestID: "rx", Proxy: "p", Service: "bookings", ServerService: "bookings", Instance: "i1", Epoch: 3}}},
+		"an invalid change accepted":                        {"racing-changes", []Record{{Kind: ChangeSubmitted, At: 8 * s, Name: "c8", BaseEpoch: 5, Epoch: 6, Outcome: "accepted", Invalid: true}}},
+		"absent, then accepted":                             {"racing-changes", []Record{{Kind: ChangeQueried, Start: 25 * s, At: 25*s + 9, Name: "c9", Outcome: "absent"}, {Kind: ChangeQueried, Start: 26 * s, At: 26*s + 9, Name: "c9", Outcome: "accepted", Epoch: 9}}},
+		"a path of a change set without a route":            {"whole-sets", []Record{{Kind: RequestCompleted, At: 9 * s, CallID: "w", RequestID: "rw", Path: "/c1", Epoch: 5, Status: 404, Code: 1001, Outcome: "not run"}}},
+		"a change set in two epochs":                        {"whole-sets", []Record{{Kind: ChangeQueried, Start: 25 * s, At: 25*s + 9, Name: "c1", Epoch: 6, Outcome: "accepted"}}},
+		"a refused change set in use":                       {"whole-sets", []Record{{Kind: RequestExecuted, At: 6 * s, CallID: "w", RequestID: "rw", Proxy: "p", Path: "/c2", Service: "rates", ServerService: "rates", Instance: "i2", Epoch: 4}}},
+		"a lower fencing token":                             {"locks", []Record{{Kind: CoordinationCall, Start: 14 * s, At: 14*s + 9, Op: "acquire", Name: "l", Holder: "h4", FencingToken: 3, TTL: s, Outcome: "done"}}},
+		"a counter that decreases":                          {"counters", []Record{{Kind: CoordinationCall, Start: 14 * s, At: 14*s + 9, Op: "add", Name: "n", Count: 0, Outcome: "done"}}},
+		"a watch that declares a young event too old":       {"watch-gap", []Record{{Kind: WatchResponse, Start: 20 * s, At: 20*s + 9, Name: "k", From: 15, Outcome: "too old"}}},
+		"a request ID counted twice":                        {"counted", []Record{{Kind: CoordinationCall, Start: 12 * s, At: 12*s + 9, Op: "add", Name: "t", RequestID: "i", Outcome: "unknown"}, {Kind: CoordinationCall, Start: 14 * s, At: 14*s + 9, Op: "total", Name: "t", Count: 2, Outcome: "done"}}},
+		"a request ID not counted":                          {"counted", []Record{{Kind: CoordinationCall, Start: 12 * s, At: 12*s + 9, Op: "add", Name: "t", RequestID: "i", Count: 1, Outcome: "done"}, {Kind: CoordinationCall, Start: 14 * s, At: 14*s + 9, Op: "total", Name: "t", Outcome: "done"}}},
+		"a missing key that was not dropped":                {"stale-read", []Record{{Kind: CoordinationCall, Start: 14 * s, At: 14*s + 9, Op: "get", Name: "k", Outcome: "done"}}},
+		"a dropped key in a get":                            {"stale-read", []Record{{Kind: CoordinationCall, Start: 14 * s, At: 14*s + 9, Op: "drop", Name: "k9", Revision: 30, Outcome: "done"}, {Kind: CoordinationCall, Start: 15 * s, At: 15*s + 9, Op: "get", Name: "k9", Revision: 29, Outcome: "done"}}},
+		"a get of a value that was not written":             {"stale-read", []Record{{Kind: CoordinationCall, Start: 14 * s, At: 14*s + 9, Op: "put", Name: "k8", Revision: 30, Digest: "1", Outcome: "done"}, {Kind: CoordinationCall, Start: 15 * s, At: 15*s + 9, Op: "get", Name: "k8", Revision: 30, Digest: "2", Outcome: "done"}}},
+		"a stale list":                                      {"stale-read", []Record{{Kind: CoordinationCall, Start: 14 * s, At: 14*s + 9, Op: "list", Name: "k", Revision: 19, Outcome: "done"}}},
+		"a list without an acknowledged key":                {"stale-read", []Record{{Kind: CoordinationCall, Start: 14 * s, At: 14*s + 9, Op: "list", Name: "k", Revision: 29, Outcome: "done"}}},
+		"a stale leader":                                    {"stale-read", []Record{{Kind: CoordinationCall, Start: 14 * s, At: 14*s + 9, Op: "leader", Name: "l", Holder: "h1", FencingToken: 7, Outcome: "done"}}},
+		"two conditional puts over the same index":          {"stale-read", []Record{{Kind: CoordinationCall, Start: 14 * s, At: 14*s + 9, Op: "put", Name: "k6", IsConditional: true, Revision: 30, Outcome: "done"}, {Kind: CoordinationCall, Start: 14 * s, At: 14*s + 9, Op: "put", Name: "k6", IsConditional: true, Revision: 31, Outcome: "done"}}},
+		"a watch that misses a drop":                        {"watch-gap", []Record{{Kind: CoordinationCall, Start: 14 * s, At: 14*s + 9, Op: "drop", Name: "sp/a", Revision: 30, Outcome: "done"}, {Kind: WatchResponse, Start: 15 * s, At: 15*s + 9, Name: "sp/", From: 29, Revision: 31, Outcome: "done"}}},
+		"never usable":                                      {"too-long", []Record{{Kind: Recovery, Start: 20 * s, At: 21 * s, Outcome: "not usable"}}},
+		"a request to a server without heartbeats":          {"late-hand-over", []Record{{Kind: HeartbeatsStopped, At: 3 * s, Service: "bookings", Instance: "i7"}, {Kind: RequestExecuted, At: 6*s + s, CallID: "c", RequestID: "rc", Service: "bookings", ServerService: "bookings", Instance: "i7", Epoch: 9}}},
+		"one request executed twice":                        {"runs-twice", []Record{{Kind: RequestExecuted, At: 2 * s, CallID: "q", RequestID: "ra", Service: "bookings", ServerService: "bookings", Instance: "i2", Epoch: 3}}},
+		"a success with a wrong body":                       {"wrong-answer", []Record{{Kind: RequestCompleted, At: 3 * s, CallID: "a", Status: 200, Outcome: "ran", Digest: "d", Note: "wrong answer"}}},
+		"a not-run response without a request ID":           {"not-run", []Record{{Kind: RequestCompleted, At: 3 * s, CallID: "y", Status: 503, Code: 1002, Outcome: "not run", RetryAfter: "1"}}},
+		"a not-run response to an executed attempt":         {"not-run", []Record{{Kind: RequestCompleted, Start: 2 * s, At: 2*s + 9, CallID: "k", RequestID: "r1", Proxy: "p:1", Status: 503, Code: 1006, Outcome: "not run", RetryAfter: "1"}, {Kind: RequestCompleted, Start: 3 * s, At: 3*s + 9, CallID: "k", RequestID: "r2", Proxy: "p:2", Status: 502, Code: 1007, Outcome: "unknown", RetryAfter: "1"}, executed("k", "r1", 2*s)}},
+		"a not-run response to a retry of an executed call": {"not-run", []Record{{Kind: RequestCompleted, Start: 2 * s, At: 2*s + 9, CallID: "k", RequestID: "r1", Proxy: "p:1", Status: 502, Code: 1007, Outcome: "unknown", RetryAfter: "1"}, {Kind: RequestCompleted, Start: 3 * s, At: 3*s + 9, CallID: "k", RequestID: "r2", Proxy: "p:1", Status: 429, Code: 1005, Outcome: "not run", RetryAfter: "1"}, executed("k", "r1", 2*s)}},
+		"a truncated upload":                                {"wrong-answer", []Record{{Kind: RequestCompleted, Start: 2 * s, At: 3 * s, CallID: "u", Outcome: "broken", Digest: "whole"}, {Kind: RequestExecuted, At: 2*s + 5, CallID: "u", RequestID: "ru", Proxy: "p", Service: "bookings", ServerService: "bookings", Instance: "i2", Epoch: 3, Digest: "half"}}},
+		"a broken connection in a planned stop":             {"dropped", []Record{{Kind: PlannedStopsOnly, At: 2}, {Kind: RequestCompleted, At: 3 * s, CallID: "a", Outcome: "broken"}}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			expectBroken(t, append(sound(), c.faults...), c.rule)
+			expectViolations(t, append(validHistory(), c.faults...), c.rule)
 		})
 	}
 }
 
-// A proxy that was started anew can't know what its earlier life handed over.
-func TestFalseNotRun_RestartedProxyAnswersForTheAttempt(t *testing.T) {
-	v := Check(append(sound(),
+// A restarted proxy can't know which requests it forwarded before the restart.
+func TestFalseNotRun_RestartedProxyMayAnswerNotRun(t *testing.T) {
+	v := Check(append(validHistory(),
 		Record{Kind: RequestCompleted, Start: 2 * s, At: 2*s + 9, CallID: "k", RequestID: "r1", Proxy: "p:1", Status: 502, Code: 1007, Outcome: "unknown", RetryAfter: "1"},
 		Record{Kind: RequestExecuted, At: 2 * s, CallID: "k", RequestID: "r1", Proxy: "p", Service: "bookings", ServerService: "bookings", Instance: "i2", Epoch: 3},
 		Record{Kind: ProxyStarted, At: 2*s + 500, Proxy: "p:1"},
@@ -174,77 +174,77 @@
 }
 
 func TestCheck_HistoryWithoutEndIsIncomplete(t *testing.T) {
-	records := sound()
+	records := validHistory()
 	v := Check(records[:len(records)-1])
 	if v.IsValid() || !strings.Contains(v.String(), "incomplete") {
 		t.Fatal(v)
 	}
 }
 
-func TestCheck_FaultsOfSpacesVersionsAndLeases(t *testing.T) {
-	set := func(at time.Duration, id string, rev uint64) Record {
-		return Record{Kind: CoordinationCall, Start: at, At: at + 9, Op: "set", Name: "sp/b", RequestID: id, Digest: id, Revision: rev, Outcome: "done"}
+func TestCheck_DetectsViolationsOfSpacesVersionsAndLeases(t *testing.T) {
+	set := func(at time.Duration, id string, revision uint64) Record {
+		return Record{Kind: CoordinationCall, Start: at, At: at + 9, Op: "set", Name: "sp/b", RequestID: id, Digest: id, Revision: revision, Outcome: "done"}
 	}
-	follow := func(from, to uint64, revs []uint64, names ...string) Record {
-		return Record{Kind: FollowResponse, Start: 17 * s, At: 17*s + 9, Name: "sp/", From: from, Revision: to, Revisions: revs, Names: names, Outcome: "done"}
+	follow := func(from, to uint64, revisions []uint64, names ...string) Record {
+		return Record{Kind: FollowResponse, Start: 17 * s, At: 17*s + 9, Name: "sp/", From: from, Revision: to, Revisions: revisions, Names: names, Outcome: "done"}
 	}
 	version := func(at time.Duration, id string, number, over uint64, outcome string) Record {
 		return Record{Kind: VersionedChange, Start: at, At: at + 9, Name: id, Revision: number, From: over, Digest: id, Epoch: 9, Outcome: outcome}
 	}
-	back := func(number uint64, lead map[string]string) Record {
-		return Record{Kind: ConfigurationRead, Start: 18 * s, At: 18*s + 9, Revision: number, Destinations: lead}
+	readBack := func(number uint64, destinations map[string]string) Record {
+		return Record{Kind: ConfigurationRead, Start: 18 * s, At: 18*s + 9, Revision: number, Destinations: destinations}
 	}
-	both := map[string]string{"w1": "w1", "w2": "w2"}
+	allChanges := map[string]string{"w1": "w1", "w2": "w2"}
 	conditional := set(17*s, "v4", 4)
 	conditional.IsConditional, conditional.From, conditional.Name = true, 1, "sp/a"
-	again := set(17*s, "v2", 3)
-	again.Name = "sp/a"
-	renew := func(op, holder string, at, ttl time.Duration, fence uint64) Record {
-		return Record{Kind: CoordinationCall, Start: at, At: at + 9, Op: op, Name: "hold/a", Holder: holder, FencingToken: fence, TTL: ttl, Outcome: "done"}
+	repeated := set(17*s, "v2", 3)
+	repeated.Name = "sp/a"
+	lockCall := func(op, holder string, at, ttl time.Duration, token uint64) Record {
+		return Record{Kind: CoordinationCall, Start: at, At: at + 9, Op: op, Name: "hold/a", Holder: holder, FencingToken: token, TTL: ttl, Outcome: "done"}
 	}
 	for name, c := range map[string]struct {
 		rule   string
 		faults []Record
 	}{
-		"a revision that leaves one out":                 {"sets", []Record{set(17*s, "v3", 4)}},
-		"a later set with a lower revision":              {"sets", []Record{set(10*s, "v3", 4), set(17*s, "v4", 3)}},
-		"a condition that a later revision broke":        {"sets", []Record{{Kind: CoordinationCall, Start: 17 * s, At: 17*s + 9, Op: "set", Name: "sp/c", RequestID: "v3", Digest: "v3", Revision: 3, Outcome: "done"}, conditional}},
-		"a repeated set with a new revision":             {"counted", []Record{again}},
-		"a follower that misses one":                     {"sets", []Record{follow(0, 2, []uint64{2}, "sp/a v2")}},
-		"a follower sent on past one":                    {"sets", []Record{follow(1, 3, []uint64{2}, "sp/a v2")}},
-		"a follower told of a refused set":               {"sets", []Record{follow(2, 3, []uint64{3}, "sp/a v0")}},
-		"a follower told of another value":               {"sets", []Record{follow(1, 2, []uint64{2}, "sp/b v2")}},
-		"a follower told too old too soon":               {"sets", []Record{{Kind: FollowResponse, Start: 17 * s, At: 17*s + 9, Name: "sp/", From: 1, Outcome: "too old"}}},
-		"a look at an older revision":                    {"sets", []Record{{Kind: CoordinationCall, Start: 17 * s, At: 17*s + 9, Op: "look", Name: "sp/a", Digest: "v1", Revision: 1, Outcome: "done"}}},
-		"a look at what was not set":                     {"sets", []Record{{Kind: CoordinationCall, Start: 17 * s, At: 17*s + 9, Op: "look", Name: "sp/a", Digest: "v1", Revision: 2, Outcome: "done"}}},
-		"a change over one that was refused":             {"versions", []Record{version(17*s, "w8", 8, 2, "refused"), version(17*s, "w9", 9, 8, "accepted")}},
-		"a change that passes over another":              {"versions", []Record{version(17*s, "w9", 9, 0, "accepted")}},
-		"a refused change in force":                      {"versions", []Record{back(2, map[string]string{"w0": "w0", "w1": "w1", "w2": "w2"})}},
-		"a change that is not read back as sent":         {"versions", []Record{back(2, map[string]string{"w1": "w1", "w2": "w1"})}},
-		"a change that is lost":                          {"versions", []Record{back(1, both)}},
-		"a version without its change":                   {"versions", []Record{back(2, map[string]string{"w1": "w1"})}},
-		"a version in force that nobody sent":            {"versions", []Record{back(7, both)}},
-		"a refused change that is accepted":              {"versions", []Record{version(17*s, "w0", 3, 2, "accepted")}},
-		"a lock given out within a call's own time":      {"locks", []Record{renew("acquire", "one", 14*s, s/10, 40), renew("renew", "one", 14*s+50, 3*s, 40), renew("acquire", "two", 16*s, s, 41)}},
-		"a lock whose shorter call cut the longer short": {"locks", []Record{renew("acquire", "one", 14*s, 3*s, 40), renew("renew", "one", 14*s+50, s/10, 40), renew("acquire", "two", 16*s, s, 41)}},
-		"a target's refusals beyond the budget": {"extra-tries", func() (list []Record) {
+		"a skipped revision":                                       {"sets", []Record{set(17*s, "v3", 4)}},
+		"a later set with a lower revision":                        {"sets", []Record{set(10*s, "v3", 4), set(17*s, "v4", 3)}},
+		"a conditional set over a later revision":                  {"sets", []Record{{Kind: CoordinationCall, Start: 17 * s, At: 17*s + 9, Op: "set", Name: "sp/c", RequestID: "v3", Digest: "v3", Revision: 3, Outcome: "done"}, conditional}},
+		"a repeated set with a new revision":                       {"counted", []Record{repeated}},
+		"a follower that misses a revision":                        {"sets", []Record{follow(0, 2, []uint64{2}, "sp/a v2")}},
+		"a follower that continues past a missing revision":        {"sets", []Record{follow(1, 3, []uint64{2}, "sp/a v2")}},
+		"a follower that gets a refused set":                       {"sets", []Record{follow(2, 3, []uint64{3}, "sp/a v0")}},
+		"a follower that gets a set of another key":                {"sets", []Record{follow(1, 2, []uint64{2}, "sp/b v2")}},
+		"a follower whose young event is declared too old":         {"sets", []Record{{Kind: FollowResponse, Start: 17 * s, At: 17*s + 9, Name: "sp/", From: 1, Outcome: "too old"}}},
+		"a read of an older revision":                              {"sets", []Record{{Kind: CoordinationCall, Start: 17 * s, At: 17*s + 9, Op: "look", Name: "sp/a", Digest: "v1", Revision: 1, Outcome: "done"}}},
+		"a read of a value that was not set":                       {"sets", []Record{{Kind: CoordinationCall, Start: 17 * s, At: 17*s + 9, Op: "look", Name: "sp/a", Digest: "v1", Revision: 2, Outcome: "done"}}},
+		"a change over a refused version":                          {"versions", []Record{version(17*s, "w8", 8, 2, "refused"), version(17*s, "w9", 9, 8, "accepted")}},
+		"a change that skips another":                              {"versions", []Record{version(17*s, "w9", 9, 0, "accepted")}},
+		"a refused change in force":                                {"versions", []Record{readBack(2, map[string]string{"w0": "w0", "w1": "w1", "w2": "w2"})}},
+		"a change read back with a different digest":               {"versions", []Record{readBack(2, map[string]string{"w1": "w1", "w2": "w1"})}},
+		"a lost change":                                            {"versions", []Record{readBack(1, allChanges)}},
+		"a version without its change":                             {"versions", []Record{readBack(2, map[string]string{"w1": "w1"})}},
+		"a version in force that was never sent":                   {"versions", []Record{readBack(7, allChanges)}},
+		"a refused change accepted later":                          {"versions", []Record{version(17*s, "w0", 3, 2, "accepted")}},
+		"a lock granted before a longer renewal expires":           {"locks", []Record{lockCall("acquire", "one", 14*s, s/10, 40), lockCall("renew", "one", 14*s+50, 3*s, 40), lockCall("acquire", "two", 16*s, s, 41)}},
+		"a lock granted after a shorter renewal of a longer grant": {"locks", []Record{lockCall("acquire", "one", 14*s, 3*s, 40), lockCall("renew", "one", 14*s+50, s/10, 40), lockCall("acquire", "two", 16*s, s, 41)}},
+		"rejected attempts beyond the budget": {"extra-tries", func() (list []Record) {
 			for i := range 100 {
 				list = append(list, Record{Kind: RequestRejected, At: 15*s + time.Duration(i), CallID: "x", RequestID: "rx", PerAttempt: true, Service: "rates", ServerService: "rates", Instance: "j"})
 			}
 			return list
 		}()},
-		"a silent server after its own time": {"late-hand-over", []Record{{Kind: HeartbeatsStopped, At: 3 * s, Service: "bookings", Instance: "i7", TTL: 4500 * time.Millisecond}, {Kind: RequestExecuted, At: 10 * s, CallID: "c", RequestID: "rc", Service: "bookings", ServerService: "bookings", Instance: "i7", Epoch: 9}}},
+		"a server without heartbeats past its own time-out": {"late-hand-over", []Record{{Kind: HeartbeatsStopped, At: 3 * s, Service: "bookings", Instance: "i7", TTL: 4500 * time.Millisecond}, {Kind: RequestExecuted, At: 10 * s, CallID: "c", RequestID: "rc", Service: "bookings", ServerService: "bookings", Instance: "i7", Epoch: 9}}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			expectBroken(t, append(sound(), c.faults...), c.rule)
+			expectViolations(t, append(validHistory(), c.faults...), c.rule)
 		})
 	}
 }
 
-// A server that is quiet for less than its own time, and a repeat of a try that is
-// told of its try, are sound.
-func TestCheck_PerAttemptOutcomesAndOwnTimeoutsAreValid(t *testing.T) {
-	v := Check(append(sound(),
+// Requests to a target whose heartbeats stopped for less than its TTL are valid, and so is a
+// "not run" outcome of a retry if outcomes describe single attempts.
+func TestCheck_PerAttemptOutcomesAndTargetTimeoutsAreValid(t *testing.T) {
+	v := Check(append(validHistory(),
 		Record{Kind: HeartbeatsStopped, At: 3 * s, Service: "bookings", Instance: "i7", TTL: 4500 * time.Millisecond},
 		Record{Kind: RequestExecuted, At: 9 * s, CallID: "c", RequestID: "rc", Service: "bookings", ServerService: "bookings", Instance: "i7", Epoch: 9},
 		Record{Kind: RequestCompleted, Start: 2 * s, At: 2*s + 9, CallID: "k", RequestID: "r1", Proxy: "p:1", Status: 502, Code: 1007, Outcome: "unknown", RetryAfter: "1", PerAttempt: true},
--- a/internal/checker/contact.go
+++ b/internal/checker/contact.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// contactTimeline returns which proxies the bounds on time bind at a time: where a history
-// tells of proxies in contact with the fleet and out of it, only those in contact; otherwise
-// all of them, always.
-func contactTimeline(records []Record) (isBound func(proxy string, at time.Duration) bool) {
+// contactTimeline returns a function that reports whether the time bounds apply to a proxy at a
+// given time. If the history has ProxyContact records, they apply only while the proxy is in
+// contact with the fleet; otherwise always.
+func contactTimeline(records []Record) (boundsApply func(proxy string, at time.Duration) bool) {
 	type change struct {
 		at        time.Duration
 		inContact bool
@@ -21,8 +21,8 @@
 		if len(changes) == 0 {
 			return true
 		}
-		list := changes[proxy]
-		next := sort.Search(len(list), func(i int) bool { return list[i].at > at })
-		return next > 0 && list[next-1].inContact
+		proxyChanges := changes[proxy]
+		next := sort.Search(len(proxyChanges), func(i int) bool { return proxyChanges[i].at > at })
+		return next > 0 && proxyChanges[next-1].inContact
 	}
 }
--- a/internal/checker/counter.go
+++ b/internal/checker/counter.go
@@ -5,19 +5,20 @@
 	"time"
 )
 
-// isRepeat tells whether a call that was done repeats one that was done before under its
-// ID, and notes the ID as seen.
-func isRepeat(r Record, seen map[string]bool) bool {
+// isRepeat reports whether a successful call has the request ID of an earlier one, and adds its
+// ID to seenIDs.
+func isRepeat(r Record, seenIDs map[string]bool) bool {
 	if r.RequestID == "" {
 		return false
 	}
-	repeats := seen[r.RequestID]
-	seen[r.RequestID] = true
-	return repeats
+	isSeen := seenIDs[r.RequestID]
+	seenIDs[r.RequestID] = true
+	return isSeen
 }
 
-// counterMonotonicity: a count is given twice, or goes backward. A repeated call gets the
-// response of the first attempt that was carried out, so it counts from the first attempt on.
+// counterMonotonicity reports counter values that were returned twice or that decrease. A repeated
+// call gets the response of the first attempt that was executed, so its interval begins with the
+// first attempt.
 func counterMonotonicity(records []Record, report reporter) {
 	calls := ofKind(records, CoordinationCall)
 	firstSent := map[string]time.Duration{}
@@ -26,26 +27,26 @@
 			firstSent[r.RequestID] = r.Start
 		}
 	}
-	adds, seen := map[string][]Record{}, map[string]bool{}
+	addsByCounter, seenIDs := map[string][]Record{}, map[string]bool{}
 	for _, r := range calls {
 		if at, ok := firstSent[r.RequestID]; ok {
 			r.Start = at
 		}
-		if r.Op == "add" && r.Outcome == OutcomeDone && !isRepeat(r, seen) {
-			adds[r.Name] = append(adds[r.Name], r)
+		if r.Op == "add" && r.Outcome == OutcomeDone && !isRepeat(r, seenIDs) {
+			addsByCounter[r.Name] = append(addsByCounter[r.Name], r)
 		}
 	}
-	for name, list := range adds {
-		given := map[int64]bool{}
-		sort.Slice(list, func(i, j int) bool { return list[i].Start < list[j].Start })
-		for i, r := range list {
-			if given[r.Count] {
-				report(r.At, "counter %s gave %d twice", name, r.Count)
+	for name, adds := range addsByCounter {
+		returned := map[int64]bool{}
+		sort.Slice(adds, func(i, j int) bool { return adds[i].Start < adds[j].Start })
+		for i, r := range adds {
+			if returned[r.Count] {
+				report(r.At, "counter %s returned %d twice", name, r.Count)
 			}
-			given[r.Count] = true
-			for _, earlier := range list[:i] {
+			returned[r.Count] = true
+			for _, earlier := range adds[:i] {
 				if earlier.At < r.Start && earlier.Count >= r.Count {
-					report(r.At, "counter %s gave %d after %d", name, r.Count, earlier.Count)
+					report(r.At, "counter %s returned %d after %d", name, r.Count, earlier.Count)
 					break
 				}
 			}
@@ -53,9 +54,9 @@
 	}
 }
 
-// exactlyOnceCalls: calls under one ID are carried out more than once. Their responses are
-// the same, and a counter that each ID adds one to is at the end what the IDs that were done
-// make, and at most those beside whose outcome is unknown.
+// exactlyOnceCalls reports calls that were executed more than once under one request ID. All
+// responses to an ID must be the same. The final value of a counter to which each ID adds one must
+// be at least the number of IDs that succeeded, and at most that plus those of unknown outcome.
 func exactlyOnceCalls(records []Record, report reporter) {
 	calls := ofKind(records, CoordinationCall)
 	responses := map[string]Record{}
@@ -74,19 +75,19 @@
 			done.add(r)
 		}
 		if first, ok := responses[r.RequestID]; ok && (first.Revision != r.Revision || first.Count != r.Count) {
-			report(r.At, "%s of %s under ID %s has the responses %d at %d and %d at %d", r.Op, r.Name, r.RequestID, first.Count, first.Revision, r.Count, r.Revision)
+			report(r.At, "%s of %s with ID %s has two responses: %d at %d and %d at %d", r.Op, r.Name, r.RequestID, first.Count, first.Revision, r.Count, r.Revision)
 		}
 		responses[r.RequestID] = r
 	}
 	for _, r := range calls {
-		least, most := len(done[r.Name]), len(attempted[r.Name])
-		if r.Op == "total" && r.Outcome == OutcomeDone && (r.Count < int64(least) || r.Count > int64(most)) {
-			report(r.At, "counter %s is %d at the end; %d IDs were done, %d may have been", r.Name, r.Count, least, most)
+		minimum, maximum := len(done[r.Name]), len(attempted[r.Name])
+		if r.Op == "total" && r.Outcome == OutcomeDone && (r.Count < int64(minimum) || r.Count > int64(maximum)) {
+			report(r.At, "counter %s is %d at the end; %d IDs succeeded, and at most %d were executed", r.Name, r.Count, minimum, maximum)
 		}
 	}
 }
 
-// idSets is the request IDs of calls, by the name that they were on.
+// idSets holds the request IDs of calls by the name of their counter.
 type idSets map[string]map[string]bool
 
 func (s idSets) add(r Record) {
--- a/internal/checker/doc.go
+++ b/internal/checker/doc.go
@@ -1,11 +1,11 @@
-// Package checker records what happened to a fleet, as seen from its edges, and checks the
-// complete history against one rule for each thing that must never happen.
+// Package checker records the history of a fleet as its clients and servers observe it, and
+// checks the complete history against a set of safety rules.
 //
-// A History is written as JSON lines, so a recorded one can be read and checked again. A rule
-// that lacks what it needs is a violation: silence proves nothing. The approach is that of
-// Jepsen: clients and servers record invocations and outcomes, and the checkers know nothing
-// of how the system works inside.
+// The approach is that of Jepsen: clients and servers record invocations and outcomes, and the
+// rules depend on nothing inside the system. A History is written as JSON lines, so a recorded
+// one can be read and checked again. Missing evidence is a violation too: a history without a
+// ScenarioEnded record and a "not run" response without a request ID can't be checked.
 //
-// The names of rules, of kinds of records and of their JSON fields stand in recorded
-// histories, in proof/mutants.yaml and on the pages, and stay as they are.
+// The names of rules, kinds of records and JSON fields occur in recorded histories, in
+// proof/mutants.yaml and in the documentation, and must not change.
 package checker
--- a/internal/checker/epoch.go
+++ b/internal/checker/epoch.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// staleEpoch: a request is served under an older epoch than one that was acknowledged
-// longer ago than the propagation may take.
+// staleEpoch reports requests that were served under an older epoch than one acknowledged more
+// than propagationBound before.
 func staleEpoch(records []Record, report reporter) {
-	changes, isBound := ofKind(records, ChangeSubmitted), contactTimeline(records)
+	changes, boundsApply := ofKind(records, ChangeSubmitted), contactTimeline(records)
 	for _, r := range ofKind(records, RequestExecuted) {
 		arrival := r.arrival()
 		for _, change := range changes {
-			if change.Outcome == OutcomeAccepted && r.Epoch < change.Epoch && arrival > change.At+propagationBound+slack && isBound(r.Proxy, arrival) {
+			if change.Outcome == OutcomeAccepted && r.Epoch < change.Epoch && arrival > change.At+propagationBound+slack && boundsApply(r.Proxy, arrival) {
 				report(r.At, "call %s was served under epoch %d, %s after epoch %d was acknowledged", r.CallID, r.Epoch, arrival-change.At, change.Epoch)
 				break
 			}
@@ -20,45 +20,45 @@
 	}
 }
 
-// epochRegression: a request that was sent after another one was answered through the same
-// proxy is served under a lower epoch. A proxy that was started anew is the same proxy.
+// epochRegression reports requests that were served under a lower epoch than a request that the
+// same proxy had answered before they were sent. A restarted proxy counts as the same proxy.
 func epochRegression(records []Record, report reporter) {
 	executed := map[string]Record{}
 	for _, r := range ofKind(records, RequestExecuted) {
 		executed[r.RequestID] = r
 	}
 	type event struct {
-		at  time.Duration
-		run Record
+		at        time.Duration
+		execution Record
 	}
 	sent, answered := map[string][]event{}, map[string][]event{} // by proxy
 	for _, r := range ofKind(records, RequestCompleted) {
-		run, ok := executed[r.RequestID]
+		execution, ok := executed[r.RequestID]
 		if !ok {
 			continue
 		}
-		sent[r.Proxy] = append(sent[r.Proxy], event{r.Start, run})
+		sent[r.Proxy] = append(sent[r.Proxy], event{r.Start, execution})
 		if r.Outcome != OutcomeBroken {
-			answered[r.Proxy] = append(answered[r.Proxy], event{r.At, run})
+			answered[r.Proxy] = append(answered[r.Proxy], event{r.At, execution})
 		}
 	}
 	byTime := func(events []event) {
 		sort.Slice(events, func(i, j int) bool { return events[i].at < events[j].at })
 	}
-	for proxy, requests := range sent {
-		answers := answered[proxy]
-		byTime(requests)
-		byTime(answers)
+	for proxy, sentEvents := range sent {
+		answeredEvents := answered[proxy]
+		byTime(sentEvents)
+		byTime(answeredEvents)
 		var newest Record
-		for _, request := range requests {
-			for len(answers) > 0 && answers[0].at < request.at {
-				if answers[0].run.Epoch > newest.Epoch {
-					newest = answers[0].run
+		for _, request := range sentEvents {
+			for len(answeredEvents) > 0 && answeredEvents[0].at < request.at {
+				if answeredEvents[0].execution.Epoch > newest.Epoch {
+					newest = answeredEvents[0].execution
 				}
-				answers = answers[1:]
+				answeredEvents = answeredEvents[1:]
 			}
-			if request.run.Epoch < newest.Epoch {
-				report(request.at, "call %s was forwarded by proxy %s under epoch %d after call %s was answered under epoch %d", request.run.CallID, proxy, request.run.Epoch, newest.CallID, newest.Epoch)
+			if request.execution.Epoch < newest.Epoch {
+				report(request.at, "call %s was forwarded by proxy %s under epoch %d after call %s was answered under epoch %d", request.execution.CallID, proxy, request.execution.Epoch, newest.CallID, newest.Epoch)
 			}
 		}
 	}
--- a/internal/checker/execution.go
+++ b/internal/checker/execution.go
@@ -2,12 +2,11 @@
 
 import "time"
 
-// idempotencyBound is how long a proxy surely remembers a request that it forwarded.
+// idempotencyBound is how long a proxy is guaranteed to remember a request that it forwarded.
 const idempotencyBound = 25 * time.Second
 
-// duplicateExecution: a request that is not idempotent is executed twice. A client that
-// retries under the same call ID takes that risk itself, unless the route promises to
-// execute a call at most once.
+// duplicateExecution reports non-idempotent requests that were executed twice. A call that the
+// client itself retried may be executed again, unless its route executes calls at most once.
 func duplicateExecution(records []Record, report reporter) {
 	isRetried := map[string]bool{}
 	for _, r := range ofKind(records, RequestCompleted) {
@@ -19,28 +18,28 @@
 			continue
 		}
 		if first, ok := byRequest[r.RequestID]; ok {
-			report(r.At, "request %s of call %s ran at %s and at %s", r.RequestID, r.CallID, first.Instance, r.Instance)
+			report(r.At, "request %s of call %s was executed by %s and by %s", r.RequestID, r.CallID, first.Instance, r.Instance)
 		}
 		byRequest[r.RequestID] = r
 		if first, ok := byCall[r.CallID]; ok && !isRetried[r.CallID] {
-			report(r.At, "call %s ran at %s and at %s", r.CallID, first.Instance, r.Instance)
+			report(r.At, "call %s was executed by %s and by %s", r.CallID, first.Instance, r.Instance)
 		}
 		byCall[r.CallID] = r
 	}
 }
 
-// falseNotRun: a client is told "not run" of a request that was executed, or is executed
-// later. Each response bears the ID of its request, so each attempt of a client is checked
-// by itself. What is said of a retry must be true of the call: the proxy that forwarded the
-// first request, and has lived on since, tells no retry "not run".
+// falseNotRun reports "not run" responses for requests that were executed before or after. Each
+// response contains its request ID, so each attempt is checked separately. The response to a
+// retry must be true of the whole call: a proxy that forwarded an earlier request of the call, and
+// was not restarted since, must not answer "not run".
 func falseNotRun(records []Record, report reporter) {
-	executed, starts := map[string]Record{}, map[string][]time.Duration{}
+	executed, proxyStarts := map[string]Record{}, map[string][]time.Duration{}
 	for _, r := range records {
 		switch r.Kind {
 		case RequestExecuted:
 			executed[r.RequestID] = r
 		case ProxyStarted:
-			starts[r.Proxy] = append(starts[r.Proxy], r.At)
+			proxyStarts[r.Proxy] = append(proxyStarts[r.Proxy], r.At)
 		}
 	}
 	forwarded := map[string][]Record{} // by call
@@ -54,21 +53,21 @@
 			continue
 		}
 		if r.RequestID == "" {
-			report(r.At, "call %s was answered not run (%d) without its request's ID; nothing can be said of it", r.CallID, r.Code)
+			report(r.At, "call %s was answered not run (%d) without a request ID, so it can't be checked", r.CallID, r.Code)
 		}
-		if run, ok := executed[r.RequestID]; ok {
-			report(r.At, "call %s, request %s was answered not run (%d) and ran at %s", r.CallID, r.RequestID, r.Code, run.Instance)
+		if execution, ok := executed[r.RequestID]; ok {
+			report(r.At, "call %s, request %s was answered not run (%d) and was executed by %s", r.CallID, r.RequestID, r.Code, execution.Instance)
 		}
-		for _, first := range forwarded[r.CallID] {
-			if isRemembered(first, r, starts[r.Proxy]) {
-				report(r.At, "a retry of call %s was answered not run (%d) by the proxy that had forwarded it as request %s", r.CallID, r.Code, first.RequestID)
+		for _, forwardedRequest := range forwarded[r.CallID] {
+			if isRemembered(forwardedRequest, r, proxyStarts[r.Proxy]) {
+				report(r.At, "a retry of call %s was answered not run (%d) by the proxy that had forwarded it as request %s", r.CallID, r.Code, forwardedRequest.RequestID)
 			}
 		}
 	}
 }
 
-// isRemembered tells whether a retry came to the proxy that forwarded the first request,
-// within the time and the life of the process in which it remembers that.
+// isRemembered reports whether a retry reached the proxy that forwarded the first request, within
+// idempotencyBound and without a restart in between, so that the proxy must remember the request.
 func isRemembered(first, retry Record, proxyStarts []time.Duration) bool {
 	if retry.Proxy != first.Proxy || first.At >= retry.Start || retry.At >= first.Start+idempotencyBound {
 		return false
@@ -81,8 +80,9 @@
 	return true
 }
 
-// wrongResponse: a success that is not sealed, not complete, another request's, or of a
-// request that never ran; or a request that ran with another body than was sent.
+// wrongResponse reports success responses that are unsealed, incomplete, for another request, or
+// for a request that was never executed, and requests that were executed with a different body
+// than the client sent.
 func wrongResponse(records []Record, report reporter) {
 	executed := map[string]bool{} // by call and digest
 	for _, r := range ofKind(records, RequestExecuted) {
@@ -94,17 +94,18 @@
 	}
 	for _, r := range ofKind(records, RequestExecuted) {
 		if digest := sent[r.CallID]; digest != "" && r.Digest != "" && digest != r.Digest {
-			report(r.At, "call %s ran at %s with another body than was sent", r.CallID, r.Instance)
+			report(r.At, "call %s was executed by %s with a different body than the client sent", r.CallID, r.Instance)
 		}
 	}
 	for _, r := range ofKind(records, RequestCompleted) {
 		if r.Status == 200 && (r.Note != "" || !executed[r.CallID+r.Digest]) {
-			report(r.At, "call %s got a success that is not its own: %s", r.CallID, r.Note)
+			report(r.At, "call %s got a success response that is invalid or matches no execution: %s", r.CallID, r.Note)
 		}
 	}
 }
 
-// droppedRequests: a request is lost where nothing fails but planned stops.
+// droppedRequests reports requests that were lost although the scenario has no faults other than
+// planned stops.
 func droppedRequests(records []Record, report reporter) {
 	if len(ofKind(records, PlannedStopsOnly)) == 0 {
 		return
@@ -120,8 +121,8 @@
 	}
 }
 
-// numberedRefusals: a request that is given up on has no numbered code, or no Retry-After
-// where coming back helps.
+// numberedRefusals reports rejected requests without a numbered code, and those with a 5xx status
+// and no Retry-After.
 func numberedRefusals(records []Record, report reporter) {
 	for _, r := range ofKind(records, RequestCompleted) {
 		if r.Outcome == OutcomeNotRun && (r.Code == 0 || r.Status >= 500 && r.RetryAfter == "") {
--- a/internal/checker/history.go
+++ b/internal/checker/history.go
@@ -13,78 +13,78 @@
 	"github.com/sumactrestle/sumactrestle/internal/errcode"
 )
 
-// Kind is what a record tells of.
+// Kind is the kind of event that a record describes.
 type Kind string
 
-// Kinds of records. Those with a duration last from Start to At.
+// Kinds of records. Records of requests and calls last from Start to At.
 const (
 	ScenarioStarted    Kind = "began"    // Note names the scenario
-	ScenarioEnded      Kind = "ended"    // the scenario is over, and every client and server was heard out
+	ScenarioEnded      Kind = "ended"    // the scenario is over, and the records of all clients and servers are complete
 	RequestCompleted   Kind = "called"   // a client's request, from Start to At
-	RequestExecuted    Kind = "ran"      // a server executed a request that came at Start, if that is set
-	RequestRejected    Kind = "reached"  // a request reached a server, which turned it away
-	DrainAcknowledged  Kind = "known"    // a target's drain or sign-off was acknowledged
-	HeartbeatsStopped  Kind = "silent"   // a target's last heartbeat was sent; TTL is its own time-out
+	RequestExecuted    Kind = "ran"      // a server executed a request; Start, if set, is its arrival
+	RequestRejected    Kind = "reached"  // a server received a request and rejected it
+	DrainAcknowledged  Kind = "known"    // a target's draining or leaving was acknowledged
+	HeartbeatsStopped  Kind = "silent"   // a target sent its last heartbeat; TTL is its failure time-out, if set
 	ChangeSubmitted    Kind = "changed"  // an operator's change set, from Start to At
 	ChangeQueried      Kind = "asked"    // an operator's query for a change set's outcome, from Start to At
-	VersionedChange    Kind = "version"  // a change set under an operators' version, from Start to At
-	ConfigurationRead  Kind = "readback" // the versioned configuration as read back, from Start to At
-	FinalConfiguration Kind = "inforce"  // the configuration at the end, its routes in Names
+	VersionedChange    Kind = "version"  // a change set with an operator's version number, from Start to At
+	ConfigurationRead  Kind = "readback" // a read of the versioned configuration, from Start to At
+	FinalConfiguration Kind = "inforce"  // the configuration at the end; Names lists its routes
 	CoordinationCall   Kind = "bonded"   // a call on locks, counters or keys, from Start to At
 	WatchResponse      Kind = "watched"  // the response to a watch of a prefix
 	FollowResponse     Kind = "followed" // the response to a follower of a space
 	ProxyStarted       Kind = "alive"    // a proxy's process was started
-	ProxyContact       Kind = "touch"    // a proxy is in contact with the fleet from At on, or out of it
-	FaultInjected      Kind = "hurt"     // a fault was done to the fleet; Note tells which
+	ProxyContact       Kind = "touch"    // a proxy gained or lost contact with the fleet at At
+	FaultInjected      Kind = "hurt"     // a fault was injected; Note describes it
 	PlannedStop        Kind = "planned"  // a planned stop began
-	PlannedStopsOnly   Kind = "harmless" // the scenario holds no faults but planned stops
-	Recovery           Kind = "rescue"   // all machines were back at Start, and the fleet usable at At
-	ReplicaDivergence  Kind = "differ"   // a node found that replicas contradict one another
-	TrafficSent        Kind = "sent"     // the bytes that all nodes had sent by At, by kind of message
+	PlannedStopsOnly   Kind = "harmless" // the scenario has no faults other than planned stops
+	Recovery           Kind = "rescue"   // all machines were restored at Start; the fleet was usable at At, or the wait for that ended
+	ReplicaDivergence  Kind = "differ"   // a node detected that replicas differ
+	TrafficSent        Kind = "sent"     // total bytes sent by all nodes up to At, by kind of message
 )
 
-// Outcomes of records. A request's own outcome is one of the first five.
+// Outcomes of records. The outcome of a request is one of the first five.
 const (
-	OutcomeRan       = "ran"     // it was executed, or is known to have been
-	OutcomeNotRun    = "not run" // it was not executed and never will be
-	OutcomeUnknown   = "unknown" // nobody can say
-	OutcomeBroken    = "broken"  // the connection broke without an answer
-	OutcomeAbandoned = "gone"    // the client went away itself
+	OutcomeRan       = "ran"     // the request was executed, now or by an earlier attempt
+	OutcomeNotRun    = "not run" // the request was not executed and never will be
+	OutcomeUnknown   = "unknown" // the request may or may not have been executed
+	OutcomeBroken    = "broken"  // the connection failed before a complete response
+	OutcomeAbandoned = "gone"    // the client closed the connection
 
-	OutcomeDone    = "done"    // a coordination call was carried out
-	OutcomeRefused = "refused" // a call or a change was refused, and changed nothing
-	OutcomeTooOld  = "too old" // a watch was told that its events are no longer kept
+	OutcomeDone    = "done"    // a coordination call was executed
+	OutcomeRefused = "refused" // a call or a change set was refused and had no effect
+	OutcomeTooOld  = "too old" // the requested events are no longer retained
 
-	OutcomeAccepted = "accepted" // a change is in an epoch
-	OutcomeAbsent   = "absent"   // a change is in no epoch
+	OutcomeAccepted = "accepted" // the change set is part of an epoch
+	OutcomeAbsent   = "absent"   // the change set is part of no epoch
 
-	OutcomeUsable    = "usable" // of a recovery
-	OutcomeInContact = "in"     // of a proxy
+	OutcomeUsable    = "usable" // the fleet is usable again
+	OutcomeInContact = "in"     // the proxy gained contact with the fleet
 )
 
-// Record is one line of a history. Times are since its beginning; which of the other fields
-// are set depends on the kind.
+// Record is one line of a history. Times are relative to the start of the history. The kind
+// determines which other fields are set.
 type Record struct {
 	Kind  Kind          `json:"kind"`
 	At    time.Duration `json:"at"`
 	Start time.Duration `json:"start,omitempty"`
-	// Received is when the machine of the server received the first bytes of the request, as its
-	// kernel tells. No rule goes by it: it splits a late arrival into its parts.
+	// Received is when the server's kernel received the first bytes of the request. No rule uses
+	// it. It separates network delay from delay in the server process when a request is late.
 	Received time.Duration `json:"received,omitempty"`
 
-	// Requests through a proxy. CallID is the client's own and the same in a retry;
-	// RequestID names one request of the proxy.
+	// Requests through a proxy. The client chooses CallID and keeps it in a retry; RequestID
+	// identifies one request at the proxy.
 	CallID        string `json:"call,omitempty"`
-	RequestID     string `json:"request,omitempty"` // or the ID of a coordination call
+	RequestID     string `json:"request,omitempty"` // also the ID of a coordination call
 	Proxy         string `json:"proxy,omitempty"`
-	Service       string `json:"service,omitempty"` // for which it was sent
-	ServerService string `json:"owner,omitempty"`   // to which the server belongs
+	Service       string `json:"service,omitempty"` // the service that the request is for
+	ServerService string `json:"owner,omitempty"`   // the service that the server belongs to
 	Instance      string `json:"instance,omitempty"`
 	Address       string `json:"address,omitempty"`
 	Path          string `json:"mapping,omitempty"`
 
 	// Changes of the configuration.
-	Epoch     uint64 `json:"epoch,omitempty"` // also the one that a request was served by
+	Epoch     uint64 `json:"epoch,omitempty"` // also the epoch that a request was served under
 	BaseEpoch uint64 `json:"base,omitempty"`
 
 	// Responses.
@@ -95,8 +95,8 @@
 	Digest     string `json:"digest,omitempty"` // of a body or a value
 	Idempotent bool   `json:"repeatable,omitempty"`
 	IsRetry    bool   `json:"repeat,omitempty"`
-	Invalid    bool   `json:"invalid,omitempty"` // the change must be refused
-	AtMostOnce bool   `json:"once,omitempty"`    // a retry must not be executed again
+	Invalid    bool   `json:"invalid,omitempty"` // the change set must be refused
+	AtMostOnce bool   `json:"once,omitempty"`    // the route executes a call at most once, retries included
 	Note       string `json:"note,omitempty"`
 
 	// Coordination calls, watches and versions.
@@ -104,24 +104,24 @@
 	Op            string        `json:"op,omitempty"`
 	Name          string        `json:"name,omitempty"`
 	Holder        string        `json:"holder,omitempty"`
-	Revision      uint64        `json:"stamp,omitempty"` // index, revision or version, by the kind
+	Revision      uint64        `json:"stamp,omitempty"` // index, revision or version, depending on the kind
 	FencingToken  uint64        `json:"fence,omitempty"`
 	Count         int64         `json:"count,omitempty"`
 	Delta         int64         `json:"delta,omitempty"`
 	TTL           time.Duration `json:"ttl,omitempty"`
 	Revisions     []uint64      `json:"stamps,omitempty"`
 	From          uint64        `json:"from,omitempty"`
-	IsConditional bool          `json:"is_if,omitempty"`  // From is the revision that the key must have
-	ReplacesAll   bool          `json:"whole,omitempty"`  // the change set replaces the configuration
-	PerAttempt    bool          `json:"is_try,omitempty"` // the outcome holds for this attempt alone
+	IsConditional bool          `json:"is_if,omitempty"`  // the write succeeds only if the key has revision From
+	ReplacesAll   bool          `json:"whole,omitempty"`  // the change set replaces the whole configuration
+	PerAttempt    bool          `json:"is_try,omitempty"` // the outcome describes only this attempt, not the call
 
-	// Destinations is where a change set leads each path: services with commas between
-	// them, or nothing if the path is dropped.
+	// Destinations maps each path of a change set to a comma-separated list of services, empty
+	// if the path is removed. In a ConfigurationRead, it maps change sets to their digests.
 	Destinations map[string]string `json:"lead,omitempty"`
 	SentBytes    map[string]int64  `json:"sent,omitempty"`
 }
 
-// arrival is when a request came to the server that executed it.
+// arrival returns when a request arrived at the server that executed it.
 func (r *Record) arrival() time.Duration {
 	if r.Start > 0 {
 		return r.Start
@@ -129,7 +129,7 @@
 	return r.At
 }
 
-// History collects records. It may be used by many goroutines.
+// History collects records. It is safe for concurrent use.
 type History struct {
 	startedAt time.Time
 
@@ -138,22 +138,23 @@
 	out     io.Writer
 }
 
-// NewHistory begins a history. Its records are also written to out, unless that is nil.
+// NewHistory starts a history. If out is not nil, each added record is also written to it.
 func NewHistory(out io.Writer) *History { return &History{startedAt: time.Now(), out: out} }
 
-// JoinHistory returns a part of a history that another process of this machine began.
+// JoinHistory returns a history with the time base of one that another process of this machine
+// started, so that their records can be merged.
 func JoinHistory(startedAt time.Time) *History {
 	now := time.Now()
 	return &History{startedAt: now.Add(-now.Sub(startedAt))}
 }
 
-// StartedAt is when the history began.
+// StartedAt returns when the history was started.
 func (h *History) StartedAt() time.Time { return h.startedAt }
 
-// Now returns the time since the history began.
+// Now returns the time since the start of the history.
 func (h *History) Now() time.Duration { return time.Since(h.startedAt) }
 
-// Add appends a record. If At is zero, the record is of now.
+// Add appends a record. If At is zero, it is set to the current time.
 func (h *History) Add(r Record) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -167,8 +168,8 @@
 	}
 }
 
-// Merge takes in the records of another process, each where its time puts it. They are not written
-// to out, where they would stand behind later ones; WriteRecords writes them all.
+// Merge inserts the records of another process in order of time. It does not write them to out,
+// where they would follow later records; WriteRecords writes all records in order.
 func (h *History) Merge(records []Record) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -176,7 +177,7 @@
 	slices.SortStableFunc(h.records, func(a, b Record) int { return cmp.Compare(a.At, b.At) })
 }
 
-// WriteRecords writes all records, one a line.
+// WriteRecords writes all records as JSON lines.
 func (h *History) WriteRecords(out io.Writer) error {
 	encoder := json.NewEncoder(out)
 	for _, r := range h.Records() {
@@ -194,11 +195,11 @@
 	return append([]Record(nil), h.records...)
 }
 
-// maxLineBytes bounds one record of a recorded history.
+// maxLineBytes is the size limit of one record in a recorded history.
 const maxLineBytes = 16 << 20
 
-// ReadHistory reads the records of a recorded history. A line that can't be read is an
-// InvalidCall that names it.
+// ReadHistory reads the records of a recorded history. It returns an InvalidCall error if the
+// file can't be opened or a line can't be decoded; the error contains the line's number.
 func ReadHistory(path string) ([]Record, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -206,14 +207,14 @@
 	}
 	defer file.Close()
 	var records []Record
-	lines := bufio.NewScanner(file)
-	lines.Buffer(nil, maxLineBytes)
-	for lines.Scan() {
+	scanner := bufio.NewScanner(file)
+	scanner.Buffer(nil, maxLineBytes)
+	for scanner.Scan() {
 		var r Record
-		if err := json.Unmarshal(lines.Bytes(), &r); err != nil {
+		if err := json.Unmarshal(scanner.Bytes(), &r); err != nil {
 			return nil, errcode.New(errcode.InvalidCall, "line %d: %v", len(records)+1, err)
 		}
 		records = append(records, r)
 	}
-	return records, lines.Err()
+	return records, scanner.Err()
 }
--- a/internal/checker/history_test.go
+++ b/internal/checker/history_test.go
@@ -13,10 +13,10 @@
 	"github.com/sumactrestle/sumactrestle/internal/errcode"
 )
 
-func TestHistory_IsReadAsItWasRecorded(t *testing.T) {
+func TestHistory_RoundTripsThroughFile(t *testing.T) {
 	var out bytes.Buffer
 	h := NewHistory(&out)
-	for _, r := range sound() {
+	for _, r := range validHistory() {
 		h.Add(r)
 	}
 	path := filepath.Join(t.TempDir(), "history")
@@ -45,7 +45,7 @@
 	}
 }
 
-func TestMerge_PutsRecordsInTheOrderOfTheirTimes(t *testing.T) {
+func TestMerge_SortsRecordsByTime(t *testing.T) {
 	h := NewHistory(nil)
 	h.Add(Record{At: 1, Note: "a"})
 	h.Add(Record{At: 4, Note: "d"})
--- a/internal/checker/key.go
+++ b/internal/checker/key.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// keyWrites is what a history tells of puts and drops.
+// keyWrites holds the puts and drops of a history, by key.
 type keyWrites struct {
-	acknowledged map[string][]Record // by key; each request ID once
-	drops        map[string][]Record // those that were done, or may have been
+	acknowledged map[string][]Record // successful puts and drops, each request ID once
+	drops        map[string][]Record // drops that were, or may have been, executed
 }
 
-func writesOf(records []Record) *keyWrites {
+func collectWrites(records []Record) *keyWrites {
 	w := &keyWrites{acknowledged: map[string][]Record{}, drops: map[string][]Record{}}
-	seen := map[string]bool{}
+	seenIDs := map[string]bool{}
 	for _, r := range ofKind(records, CoordinationCall) {
 		if r.Op != "put" && r.Op != "drop" {
 			continue
@@ -21,29 +21,29 @@
 		if r.Op == "drop" && r.Outcome != OutcomeRefused {
 			w.drops[r.Name] = append(w.drops[r.Name], r)
 		}
-		if r.Outcome == OutcomeDone && !isRepeat(r, seen) {
+		if r.Outcome == OutcomeDone && !isRepeat(r, seenIDs) {
 			w.acknowledged[r.Name] = append(w.acknowledged[r.Name], r)
 		}
 	}
 	return w
 }
 
-// mayBeDropped tells whether a key was dropped, or may have been, after an index and before
-// a time.
-func (w *keyWrites) mayBeDropped(name string, after uint64, by time.Duration) bool {
+// mayHaveBeenDropped reports whether the key was, or may have been, dropped after afterIndex and
+// before the given time.
+func (w *keyWrites) mayHaveBeenDropped(name string, afterIndex uint64, before time.Duration) bool {
 	for _, drop := range w.drops[name] {
-		if drop.Start < by && (drop.Outcome != OutcomeDone || drop.Revision > after) {
+		if drop.Start < before && (drop.Outcome != OutcomeDone || drop.Revision > afterIndex) {
 			return true
 		}
 	}
 	return false
 }
 
-// staleRead: a get, a list or the answer to who leads is older than a write that was
-// acknowledged before it was sent, or tells what was never written; or a key was put on a
-// condition that did not hold.
+// staleRead reports gets, lists and leader queries whose result is older than a write that was
+// acknowledged before they were sent, gets that return a value that was not written, and
+// conditional puts that succeeded although their condition did not hold.
 func staleRead(records []Record, report reporter) {
-	writes := writesOf(records)
+	writes := collectWrites(records)
 	grants := map[string][]Record{}
 	for _, r := range ofKind(records, CoordinationCall) {
 		if r.Outcome != OutcomeDone {
@@ -69,12 +69,12 @@
 func (w *keyWrites) checkGet(get Record, report reporter) {
 	for _, write := range w.acknowledged[get.Name] {
 		isOlder := write.At < get.Start && write.Revision > get.Revision
-		if isOlder && (get.Revision > 0 || write.Op == "put" && !w.mayBeDropped(get.Name, write.Revision, get.At)) {
-			report(get.At, "key %s was read at index %d, index %d was acknowledged at %s", get.Name, get.Revision, write.Revision, write.At)
+		if isOlder && (get.Revision > 0 || write.Op == "put" && !w.mayHaveBeenDropped(get.Name, write.Revision, get.At)) {
+			report(get.At, "key %s was read at index %d, but index %d was acknowledged at %s", get.Name, get.Revision, write.Revision, write.At)
 			return
 		}
 		if get.Digest != "" && write.Revision == get.Revision && write.Digest != get.Digest {
-			report(get.At, "key %s was read as %s at index %d, and %s was written", get.Name, get.Digest, get.Revision, write.Digest)
+			report(get.At, "key %s was read as %s at index %d, but %s was written", get.Name, get.Digest, get.Revision, write.Digest)
 		}
 	}
 }
@@ -94,9 +94,9 @@
 			}
 			index, isListed := listed[name]
 			isOlder := isListed && index < write.Revision
-			isMissing := !isListed && write.Op == "put" && !w.mayBeDropped(name, write.Revision, list.At)
+			isMissing := !isListed && write.Op == "put" && !w.mayHaveBeenDropped(name, write.Revision, list.At)
 			if write.Revision > list.Revision || isOlder || isMissing {
-				report(list.At, "the list of %s as of %d has %s at %d; index %d was acknowledged at %s", list.Name, list.Revision, name, index, write.Revision, write.At)
+				report(list.At, "the list of %s as of index %d has %s at index %d, but index %d was acknowledged at %s", list.Name, list.Revision, name, index, write.Revision, write.At)
 			}
 		}
 	}
@@ -105,14 +105,14 @@
 func checkLeader(leader Record, grants []Record, report reporter) {
 	for _, grant := range grants {
 		if grant.At < leader.Start && grant.FencingToken > leader.FencingToken {
-			report(leader.At, "%s leads %s under fencing token %d, and token %d was granted at %s", leader.Holder, leader.Name, leader.FencingToken, grant.FencingToken, grant.At)
+			report(leader.At, "%s was returned as leader of %s with fencing token %d, but token %d was granted at %s", leader.Holder, leader.Name, leader.FencingToken, grant.FencingToken, grant.At)
 			return
 		}
 	}
 }
 
-// checkConditions reports each conditional put that another write came before, after the
-// index that it names.
+// checkConditions reports each conditional put with another write between the index that it
+// requires and its own.
 func (w *keyWrites) checkConditions(report reporter) {
 	for name, writes := range w.acknowledged {
 		for _, put := range writes {
@@ -120,10 +120,10 @@
 				continue
 			}
 			for _, other := range writes {
-				// A put on the condition that there is no key may follow a drop.
-				isUndone := put.From == 0 && (other.Op == "drop" || w.mayBeDropped(name, other.Revision, put.At))
-				if other.Revision > put.From && other.Revision < put.Revision && !isUndone {
-					report(put.At, "key %s was set at index %d on condition of index %d, and index %d lies between", name, put.Revision, put.From, other.Revision)
+				// A put on condition that the key is absent may follow a drop.
+				wasDropped := put.From == 0 && (other.Op == "drop" || w.mayHaveBeenDropped(name, other.Revision, put.At))
+				if other.Revision > put.From && other.Revision < put.Revision && !wasDropped {
+					report(put.At, "key %s was set at index %d on condition of index %d, but was written at index %d in between", name, put.Revision, put.From, other.Revision)
 					break
 				}
 			}
--- a/internal/checker/lock.go
+++ b/internal/checker/lock.go
@@ -5,25 +5,27 @@
 	"time"
 )
 
-// holding is the time in which a client may believe that it holds a lock: from the response
-// that granted it until the time of its last request is over, counted from when it was sent.
+// holding is the time during which a client may assume that it holds a lock: from the response
+// that granted it until the TTL of a request expires, counted from when that request was sent. The
+// latest expiry counts, and a release ends the holding.
 type holding struct {
 	holder     string
 	token      uint64
 	begin, end time.Duration
 }
 
-// lockExclusion: two clients hold a lock at once, or a fencing token does not grow.
+// lockExclusion reports locks that two clients held at the same time, and fencing tokens that do
+// not increase.
 func lockExclusion(records []Record, report reporter) {
 	for name, holdings := range holdingsByLock(records) {
 		sort.Slice(holdings, func(i, j int) bool { return holdings[i].begin < holdings[j].begin })
 		for i := 1; i < len(holdings); i++ {
-			a, b := holdings[i-1], holdings[i]
-			if b.begin < a.end {
-				report(b.begin, "lock %s: %s holds it until %s, %s has it at %s", name, a.holder, a.end, b.holder, b.begin)
+			previous, current := holdings[i-1], holdings[i]
+			if current.begin < previous.end {
+				report(current.begin, "lock %s: held by %s until %s, and granted to %s at %s", name, previous.holder, previous.end, current.holder, current.begin)
 			}
-			if b.token <= a.token {
-				report(b.begin, "lock %s: fencing token %d after %d", name, b.token, a.token)
+			if current.token <= previous.token {
+				report(current.begin, "lock %s: fencing token %d after %d", name, current.token, previous.token)
 			}
 		}
 	}
@@ -34,7 +36,8 @@
 	for _, r := range ofKind(records, CoordinationCall) {
 		switch {
 		case r.Op == "release" && r.Outcome != OutcomeDone:
-			// It may have been carried out, and its client believes nothing any more.
+			// The release may have been executed, and its client no longer assumes that it holds
+			// the lock.
 			for _, h := range locks[r.Name] {
 				if h.token == r.FencingToken {
 					h.end = min(h.end, r.Start)
@@ -42,14 +45,14 @@
 			}
 		case r.Outcome != OutcomeDone:
 		case r.Op == "acquire" || r.Op == "renew":
-			h := holdingOf(locks[r.Name], r)
+			h := findHolding(locks[r.Name], r)
 			if h == nil {
 				h = &holding{holder: r.Holder, token: r.FencingToken, begin: r.At}
 				locks[r.Name] = append(locks[r.Name], h)
 			}
 			h.end = max(h.end, r.Start+r.TTL)
 		case r.Op == "release":
-			if h := holdingOf(locks[r.Name], r); h != nil {
+			if h := findHolding(locks[r.Name], r); h != nil {
 				h.end = min(h.end, r.Start)
 			}
 		}
@@ -57,11 +60,11 @@
 	return locks
 }
 
-func holdingOf(holdings []*holding, r Record) (found *holding) {
+func findHolding(holdings []*holding, r Record) (match *holding) {
 	for _, h := range holdings {
 		if h.token == r.FencingToken && h.holder == r.Holder {
-			found = h
+			match = h
 		}
 	}
-	return found
+	return match
 }
--- a/internal/checker/routing.go
+++ b/internal/checker/routing.go
@@ -7,24 +7,25 @@
 )
 
 const (
-	// propagationBound is how long a proxy in contact may take to learn what was
-	// acknowledged.
+	// propagationBound is the time within which a proxy in contact must apply an acknowledged
+	// change set or target state.
 	propagationBound = 2 * time.Second
-	// failureTimeout is the silence after which a target counts as gone; a longer time-out
-	// of its own goes before it.
+	// failureTimeout is the time without heartbeats after which a target counts as failed. A
+	// target's longer TTL takes precedence.
 	failureTimeout = 900 * time.Millisecond
 
-	// In any budgetWindow, a service may see extra attempts up to budgetRatio of the first
-	// ones and budgetMinimum beside.
+	// Within any budgetWindow, a service may receive extra attempts up to budgetRatio of the
+	// first attempts, plus budgetMinimum.
 	budgetWindow  = 10 * time.Second
 	budgetRatio   = 0.2
 	budgetMinimum = 66
 )
 
-// lateForward: a request reaches a server that was known to be draining or gone.
+// lateForward reports requests that reached a server more than propagationBound after it was known
+// to be draining, leaving or failed.
 func lateForward(records []Record, report reporter) {
-	isBound := contactTimeline(records)
-	known := map[string]time.Duration{} // since when it was known of each instance
+	boundsApply := contactTimeline(records)
+	unavailableSince := map[string]time.Duration{} // by service and instance
 	for _, r := range records {
 		since := r.At
 		switch r.Kind {
@@ -35,29 +36,30 @@
 			continue
 		}
 		id := r.Service + "/" + r.Instance
-		if _, ok := known[id]; !ok {
-			known[id] = since
+		if _, ok := unavailableSince[id]; !ok {
+			unavailableSince[id] = since
 		}
 	}
 	for _, r := range ofKind(records, RequestExecuted) {
 		arrival := r.arrival()
-		since, ok := known[r.ServerService+"/"+r.Instance]
-		if ok && arrival > since+propagationBound+slack && isBound(r.Proxy, arrival) {
-			report(r.At, "call %s reached %s %s, %s after it was known to go", r.CallID, r.ServerService, r.Instance, arrival-since)
+		since, ok := unavailableSince[r.ServerService+"/"+r.Instance]
+		if ok && arrival > since+propagationBound+slack && boundsApply(r.Proxy, arrival) {
+			report(r.At, "call %s reached %s %s, %s after it was known to be unavailable", r.CallID, r.ServerService, r.Instance, arrival-since)
 		}
 	}
 }
 
-// misroutedRequest: a request reaches an address that belongs to another service.
+// misroutedRequest reports requests that reached a server of another service.
 func misroutedRequest(records []Record, report reporter) {
 	for _, r := range ofKind(records, RequestExecuted) {
 		if r.Service != r.ServerService {
-			report(r.At, "call %s for %s reached %s of %s", r.CallID, r.Service, r.Address, r.ServerService)
+			report(r.At, "call %s for service %s reached %s of service %s", r.CallID, r.Service, r.Address, r.ServerService)
 		}
 	}
 }
 
-// retryBudget: the attempts beyond clients' first ones exceed the budget in some window.
+// retryBudget reports the largest excess of extra attempts over the budget within any budgetWindow,
+// for each service.
 func retryBudget(records []Record, report reporter) {
 	type attempt struct {
 		at      time.Duration
@@ -78,26 +80,26 @@
 	}
 	for service, attempts := range byService {
 		sort.SliceStable(attempts, func(i, j int) bool { return attempts[i].at < attempts[j].at })
-		first, extra := 0, 0 // the window's first attempt, and its extra ones
+		windowStart, extra := 0, 0 // index of the window's first attempt, and its number of extra attempts
 		var worst Violation
-		excess := 0.0
+		maxExcess := 0.0
 		for i, a := range attempts {
 			if a.isExtra {
 				extra++
 			}
-			for attempts[first].at <= a.at-budgetWindow {
-				if attempts[first].isExtra {
+			for attempts[windowStart].at <= a.at-budgetWindow {
+				if attempts[windowStart].isExtra {
 					extra--
 				}
-				first++
+				windowStart++
 			}
-			requests := i + 1 - first - extra
-			if over := float64(extra) - float64(requests)*budgetRatio - budgetMinimum; over > excess {
-				excess = over
-				worst = Violation{At: a.at, Text: fmt.Sprintf("%s saw %d extra attempts beside %d requests in ten seconds", service, extra, requests)}
+			requests := i + 1 - windowStart - extra
+			if excess := float64(extra) - float64(requests)*budgetRatio - budgetMinimum; excess > maxExcess {
+				maxExcess = excess
+				worst = Violation{At: a.at, Text: fmt.Sprintf("service %s received %d extra attempts for %d requests in ten seconds", service, extra, requests)}
 			}
 		}
-		if excess > 0 {
+		if maxExcess > 0 {
 			report(worst.At, "%s", worst.Text)
 		}
 	}
--- a/internal/checker/version.go
+++ b/internal/checker/version.go
@@ -1,10 +1,10 @@
 package checker
 
-// versionedChanges: two changes over one version are both accepted, an accepted one is not
-// over the one accepted before it, a refused one is in force, or the newest that was
-// acknowledged is lost or not read back as it was sent.
+// versionedChanges reports two changes that were accepted with the same base version, accepted
+// changes whose base is not the version accepted before them, refused changes that are in force,
+// and acknowledged changes that are lost or read back with a different digest.
 func versionedChanges(records []Record, report reporter) {
-	changes := versionsOf(records, report)
+	changes := collectVersions(records, report)
 	changes.checkSuccession(report)
 	replacements := completeReplacements(records)
 	for _, read := range ofKind(records, ConfigurationRead) {
@@ -12,33 +12,34 @@
 	}
 }
 
-// versionHistory is the changes under operators' versions, by name.
+// versionHistory holds the changes with operators' version numbers, by name.
 type versionHistory struct {
 	changes  map[string]Record
 	outcomes map[string]string
-	possible map[uint64]bool // versions that are not known to be refused; zero is the first
+	possible map[uint64]bool // versions that were not refused; 0 is the initial version
 }
 
 func (v *versionHistory) isAccepted(name string) bool { return v.outcomes[name] == OutcomeAccepted }
 
-// versionsOf collects the changes and their outcomes, and reports those that are accepted
-// though they are invalid, twice in different ways, or though they were refused.
-func versionsOf(records []Record, report reporter) *versionHistory {
+// collectVersions collects the changes and their outcomes. It reports invalid changes that were
+// accepted, changes that were accepted under two versions or epochs, and changes that were both
+// accepted and refused.
+func collectVersions(records []Record, report reporter) *versionHistory {
 	v := &versionHistory{changes: map[string]Record{}, outcomes: map[string]string{}, possible: map[uint64]bool{0: true}}
 	for _, r := range ofKind(records, VersionedChange) {
-		isAccepted, earlier := r.Outcome == OutcomeAccepted, v.changes[r.Name]
-		wasAccepted := earlier.Outcome == OutcomeAccepted
+		isAccepted, first := r.Outcome == OutcomeAccepted, v.changes[r.Name]
+		wasAccepted := first.Outcome == OutcomeAccepted
 		if r.Invalid && isAccepted {
 			report(r.At, "%s is invalid and was accepted", r.Name)
 		}
-		if isAccepted && wasAccepted && (earlier.Epoch != r.Epoch || earlier.Revision != r.Revision) {
-			report(r.At, "%s was accepted as version %d in epoch %d and as version %d in epoch %d", r.Name, earlier.Revision, earlier.Epoch, r.Revision, r.Epoch)
+		if isAccepted && wasAccepted && (first.Epoch != r.Epoch || first.Revision != r.Revision) {
+			report(r.At, "%s was accepted as version %d in epoch %d and as version %d in epoch %d", r.Name, first.Revision, first.Epoch, r.Revision, r.Epoch)
 		}
 		switch outcome := v.outcomes[r.Name]; {
 		case isAccepted && outcome == OutcomeRefused:
-			report(r.At, "%s was refused, and is accepted", r.Name)
+			report(r.At, "%s was refused and is now accepted", r.Name)
 		case r.Outcome == OutcomeRefused && outcome == OutcomeAccepted:
-			report(r.At, "%s was accepted, and is refused", r.Name)
+			report(r.At, "%s was accepted and is now refused", r.Name)
 		}
 		if v.outcomes[r.Name] == "" || r.Outcome != OutcomeUnknown {
 			v.outcomes[r.Name] = r.Outcome
@@ -55,7 +56,7 @@
 	return v
 }
 
-// checkSuccession reports accepted changes that do not follow one another.
+// checkSuccession reports accepted changes whose versions do not form a single sequence.
 func (v *versionHistory) checkSuccession(report reporter) {
 	successors := map[uint64]string{}
 	for name, r := range v.changes {
@@ -67,11 +68,11 @@
 		}
 		successors[r.From] = name
 		if !v.possible[r.From] {
-			report(r.At, "%s was accepted over version %d, which never was", name, r.From)
+			report(r.At, "%s was accepted over version %d, which does not exist", name, r.From)
 		}
-		for between, other := range v.changes {
-			if v.isAccepted(between) && other.Revision > r.From && other.Revision < r.Revision {
-				report(r.At, "%s is version %d over %d, and %s is version %d", name, r.Revision, r.From, between, other.Revision)
+		for otherName, other := range v.changes {
+			if v.isAccepted(otherName) && other.Revision > r.From && other.Revision < r.Revision {
+				report(r.At, "%s is version %d over version %d, but %s is version %d in between", name, r.Revision, r.From, otherName, other.Revision)
 			}
 		}
 	}
@@ -79,7 +80,7 @@
 
 func (v *versionHistory) checkRead(read Record, replacements []Record, report reporter) {
 	for name, r := range v.changes {
-		digest, isThere := read.Destinations[name]
+		digest, isPresent := read.Destinations[name]
 		isReplaced := false
 		for _, replacement := range replacements {
 			isNewer := replacement.Epoch > r.Epoch && replacement.Epoch <= read.Epoch
@@ -87,23 +88,23 @@
 			isReplaced = isReplaced || isNewer || mayBeNewer
 		}
 		switch {
-		case v.outcomes[name] == OutcomeRefused && isThere:
+		case v.outcomes[name] == OutcomeRefused && isPresent:
 			report(read.At, "%s was refused and is in force", name)
-		case isThere && digest != r.Digest:
-			report(read.At, "%s is read back as %s and was sent as %s", name, digest, r.Digest)
+		case isPresent && digest != r.Digest:
+			report(read.At, "%s was read back as %s but sent as %s", name, digest, r.Digest)
 		case v.isAccepted(name) && r.At < read.Start && read.Revision < r.Revision:
-			report(read.At, "version %d was acknowledged at %s, and version %d is in force", r.Revision, r.At, read.Revision)
-		case v.isAccepted(name) && read.Revision == r.Revision && !isThere && !isReplaced:
+			report(read.At, "version %d was acknowledged at %s, but version %d is in force", r.Revision, r.At, read.Revision)
+		case v.isAccepted(name) && read.Revision == r.Revision && !isPresent && !isReplaced:
 			report(read.At, "version %d is in force without %s", r.Revision, name)
 		}
 	}
 	if read.Revision > 0 && !v.possible[read.Revision] {
-		report(read.At, "version %d is in force, and was refused or never sent", read.Revision)
+		report(read.At, "version %d is in force but was refused or never sent", read.Revision)
 	}
 }
 
-// completeReplacements returns the change sets that replaced all others, or may have, with
-// the epochs that brought them into force; those of which that was never known bear none.
+// completeReplacements returns the change sets that replaced, or may have replaced, the whole
+// configuration, each with its epoch, or with epoch 0 if that is unknown.
 func completeReplacements(records []Record) (replacements []Record) {
 	epochs, isAbsent := map[string]uint64{}, map[string]bool{}
 	for _, r := range records {
--- a/internal/checker/version_test.go
+++ b/internal/checker/version_test.go
@@ -7,8 +7,9 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// A numbered change that an unnumbered set replaced is gone, also if it was known only
-// later that it had been accepted before; one of a later epoch is not gone by that set.
+// A change set without a version that replaces the whole configuration also removes versioned
+// changes of earlier epochs, even if their acceptance became known only later. It does not explain
+// the absence of a change of a later epoch.
 func TestVersionedChanges_ReplacedOnlyByALaterEpoch(t *testing.T) {
 	version := func(at time.Duration, outcome string, epoch uint64) Record {
 		return Record{Kind: VersionedChange, Start: at, At: at + 9, Name: "w9", Revision: 9, From: 2, Digest: "w9", Epoch: epoch, Outcome: outcome}
@@ -16,17 +17,17 @@
 	replacement := func(epoch uint64) Record {
 		return Record{Kind: ChangeSubmitted, Start: 16 * s, At: 16*s + 9, Name: "all", BaseEpoch: epoch - 1, Epoch: epoch, Outcome: "accepted", ReplacesAll: true}
 	}
-	back := Record{Kind: ConfigurationRead, Start: 18 * s, At: 18*s + 9, Revision: 9, Epoch: 30, Destinations: map[string]string{}}
+	readBack := Record{Kind: ConfigurationRead, Start: 18 * s, At: 18*s + 9, Revision: 9, Epoch: 30, Destinations: map[string]string{}}
 	for name, c := range map[string]struct {
 		epoch uint64
 		want  []string
 	}{
-		"replaced before it was known": {20, nil},
-		"accepted after the set":       {22, []string{"versions"}},
+		"replaced before acceptance was known": {20, nil},
+		"accepted after the replacement":       {22, []string{"versions"}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			v := Check(append(sound(), version(15*s, "unknown", 0), replacement(21), version(17*s, "accepted", c.epoch), back))
-			if diff := cmp.Diff(c.want, rules(v)); diff != "" {
+			v := Check(append(validHistory(), version(15*s, "unknown", 0), replacement(21), version(17*s, "accepted", c.epoch), readBack))
+			if diff := cmp.Diff(c.want, brokenRules(v)); diff != "" {
 				t.Errorf("%s%s", diff, v)
 			}
 		})
