--- a/internal/report/history.go
+++ b/internal/report/history.go
@@ -16,35 +16,36 @@
 )
 
 const (
-	// maxIntervals bounds the points of a line: longer histories get longer intervals.
+	// maxIntervals limits the points of a line; longer histories get longer intervals.
 	maxIntervals = 90
-	// maxKinds is how many kinds of message get a line of their own; the rest is summed.
+	// maxKinds is the number of message kinds with a separate line; the others are summed.
 	maxKinds = 7
 )
 
-// Outcomes of a request as its client knows them. A broken response is unknown, too.
+// Outcomes of a request as its client knows them. Broken connections count as unknown.
 const (
 	outcomeRan     = "ran"
 	outcomeNotRun  = "not run"
 	outcomeUnknown = "unknown"
 )
 
-// interval is the calls that began in one stretch of time.
+// interval holds the requests that started within one span of time.
 type interval struct {
 	requests, ran, rejected int
 	latencies               []time.Duration
 }
 
-// splitIntoIntervals puts the calls into intervals of one length.
+// splitIntoIntervals groups requests by start time into intervals of equal length, without those
+// that the client abandoned.
 func splitIntoIntervals(records []checker.Record) (intervals []interval, length time.Duration) {
-	var last time.Duration
+	var lastStart time.Duration
 	for _, r := range records {
 		if r.Kind == checker.RequestCompleted {
-			last = max(last, r.Start)
+			lastStart = max(lastStart, r.Start)
 		}
 	}
-	length = max(time.Second, (last/maxIntervals + time.Second - 1).Truncate(time.Second))
-	intervals = make([]interval, last/length+1)
+	length = max(time.Second, (lastStart/maxIntervals + time.Second - 1).Truncate(time.Second))
+	intervals = make([]interval, lastStart/length+1)
 	for _, r := range records {
 		if r.Kind != checker.RequestCompleted || r.Outcome == "gone" {
 			continue
@@ -62,13 +63,14 @@
 	return intervals, length
 }
 
-// quantile is the value below which that share of a sorted list lies.
-func quantile(list []time.Duration, share float64) time.Duration {
-	return list[min(len(list)-1, int(math.Ceil(share*float64(len(list))))-1)]
+// quantile returns the smallest element of a sorted list that at least the given fraction of the
+// elements does not exceed.
+func quantile(sorted []time.Duration, fraction float64) time.Duration {
+	return sorted[min(len(sorted)-1, int(math.Ceil(fraction*float64(len(sorted))))-1)]
 }
 
-// History returns the section of one recorded history, name being its title. A history
-// without any request is an error.
+// History returns the section of one recorded history, with name as its title. A history without
+// requests is an error.
 func History(name string, records []checker.Record) (Section, error) {
 	intervals, length := splitIntoIntervals(records)
 	requests := 0
@@ -78,7 +80,7 @@
 	if requests == 0 {
 		return Section{}, errcode.New(errcode.InvalidCall, "%s: there is no call in it", name)
 	}
-	faults, faultLines := faultsOf(records)
+	faults, faultLines := injectedFaults(records)
 	section := Section{Title: name, Text: summary(records, faultLines)}
 	span := fmt.Sprintf("each point is %s, by when the call began", length)
 
@@ -94,16 +96,16 @@
 		Plot{"Share of the callers' tries that ran, were refused (not run), or got no sure answer; " + span, outcomes},
 		Plot{"Quantiles as the callers saw them; " + span, latency})
 
-	sent, err := bytesByKind(records, faults)
-	if err != nil || sent == nil {
+	traffic, err := plotTraffic(records, faults)
+	if err != nil || traffic == nil {
 		return section, err
 	}
-	section.Plots = append(section.Plots, *sent)
+	section.Plots = append(section.Plots, *traffic)
 	return section, nil
 }
 
-// faultsOf returns when faults were injected, in seconds, and a line of text for each.
-func faultsOf(records []checker.Record) (seconds []float64, lines []string) {
+// injectedFaults returns the times of injected faults, in seconds, and a line of text for each.
+func injectedFaults(records []checker.Record) (seconds []float64, lines []string) {
 	for _, record := range records {
 		if record.Kind == checker.FaultInjected {
 			seconds = append(seconds, record.At.Seconds())
@@ -113,22 +115,22 @@
 	return seconds, lines
 }
 
-// summary is what the checkers found, with the faults by the history's clock.
+// summary returns the availability, the result of the checker and the injected faults as text.
 func summary(records []checker.Record, faultLines []string) string {
-	verdict := checker.Check(records)
-	text := fmt.Sprintf("%s\n\nrules broken: %d\n\n%s", checker.MeasureAvailability(records), len(verdict.Violations), verdict)
+	result := checker.Check(records)
+	text := fmt.Sprintf("%s\n\nrules broken: %d\n\n%s", checker.MeasureAvailability(records), len(result.Violations), result)
 	if len(faultLines) > 0 {
 		text += "\nfaults, by the history's clock:\n" + strings.Join(faultLines, "\n") + "\n"
 	}
 	return text
 }
 
-// middleOf is the middle of the interval with that index, in seconds.
-func middleOf(index int, length time.Duration) float64 {
+// midpoint returns the middle of the interval with the given index, in seconds.
+func midpoint(index int, length time.Duration) float64 {
 	return (time.Duration(index)*length + length/2).Seconds()
 }
 
-// plotOutcomes draws the shares of the requests that ran, did not run, or ended unknown.
+// plotOutcomes plots the percentages of requests that ran, did not run, or have an unknown outcome.
 func plotOutcomes(intervals []interval, length time.Duration, faults []float64) (*plot.Plot, error) {
 	shares := map[string]plotter.XYs{}
 	for i, interval := range intervals {
@@ -141,7 +143,7 @@
 			if interval.requests > 0 {
 				percent = 100 * float64(count) / float64(interval.requests)
 			}
-			shares[outcome] = append(shares[outcome], plotter.XY{X: middleOf(i, length), Y: percent})
+			shares[outcome] = append(shares[outcome], plotter.XY{X: midpoint(i, length), Y: percent})
 		}
 	}
 	p := newPlot("Outcomes of calls", "seconds", "percent of calls")
@@ -155,20 +157,20 @@
 	return p, nil
 }
 
-// plotLatency draws quantiles of the latency of requests that ran.
+// plotLatency plots quantiles of the latency of requests that ran.
 func plotLatency(intervals []interval, length time.Duration, faults []float64) (*plot.Plot, error) {
 	p := newPlot("Latency of calls that ran", "seconds", "milliseconds")
-	for line, q := range quantiles {
+	for colourIndex, q := range quantiles {
 		var points plotter.XYs
 		for i, interval := range intervals {
 			slices.Sort(interval.latencies)
 			value := math.NaN()
 			if len(interval.latencies) > 0 {
-				value = float64(quantile(interval.latencies, q.share).Microseconds()) / 1000
+				value = float64(quantile(interval.latencies, q.fraction).Microseconds()) / 1000
 			}
-			points = append(points, plotter.XY{X: middleOf(i, length), Y: value})
+			points = append(points, plotter.XY{X: midpoint(i, length), Y: value})
 		}
-		if err := addLine(p, line, q.name, points); err != nil {
+		if err := addLine(p, colourIndex, q.name, points); err != nil {
 			return nil, err
 		}
 	}
@@ -176,14 +178,15 @@
 	return p, nil
 }
 
-// quantiles are the lines of the plot of latency.
+// quantiles are the lines of the latency plot.
 var quantiles = []struct {
-	name  string
-	share float64
+	name     string
+	fraction float64
 }{{"p50", 0.5}, {"p99", 0.99}, {"p99.9", 0.999}}
 
-// bytesByKind is the rates between two samples of what all nodes had sent.
-func bytesByKind(records []checker.Record, faults []float64) (*Plot, error) {
+// plotTraffic plots the send rates of all nodes by kind of message, each point between two
+// TrafficSent records. It returns nil if the history has fewer than two.
+func plotTraffic(records []checker.Record, faults []float64) (*Plot, error) {
 	var samples []checker.Record
 	for _, r := range records {
 		if r.Kind == checker.TrafficSent {
@@ -212,17 +215,17 @@
 			rates[kind] = append(rates[kind], plotter.XY{X: (current.At + previous.At).Seconds() / 2, Y: rate})
 		}
 	}
-	names := make([]string, 0, len(rates))
+	sortedKinds := make([]string, 0, len(rates))
 	for kind := range rates {
-		names = append(names, kind)
+		sortedKinds = append(sortedKinds, kind)
 	}
-	sort.Slice(names, func(i, j int) bool {
-		return totals[names[i]] > totals[names[j]] || totals[names[i]] == totals[names[j]] && names[i] < names[j]
+	sort.Slice(sortedKinds, func(i, j int) bool {
+		return totals[sortedKinds[i]] > totals[sortedKinds[j]] || totals[sortedKinds[i]] == totals[sortedKinds[j]] && sortedKinds[i] < sortedKinds[j]
 	})
 	p := newPlot("Bytes sent by kind of message", "seconds", "kilobytes a second")
-	for i, kind := range names {
+	for i, kind := range sortedKinds {
 		if i == maxKinds {
-			if err := addLine(p, i, fmt.Sprintf("%d more kinds", len(names)-i), sumOf(rates, names[i:])); err != nil {
+			if err := addLine(p, i, fmt.Sprintf("%d more kinds", len(sortedKinds)-i), sumRates(rates, sortedKinds[i:])); err != nil {
 				return nil, err
 			}
 			break
@@ -235,8 +238,8 @@
 	return &Plot{"What the nodes sent to other processes, summed over all; \"between\" went to another zone", p}, nil
 }
 
-// sumOf sums lines of the same places.
-func sumOf(rates map[string]plotter.XYs, names []string) plotter.XYs {
+// sumRates returns the sum of lines that have the same X values.
+func sumRates(rates map[string]plotter.XYs, names []string) plotter.XYs {
 	sum := append(plotter.XYs(nil), rates[names[0]]...)
 	for i := range sum {
 		sum[i].Y = 0
--- a/internal/report/report.go
+++ b/internal/report/report.go
@@ -1,6 +1,6 @@
-// Package report makes an HTML page with plots of a recorded history: outcomes and latency of
-// requests over time with the faults marked, and bytes sent by kind of message. The page is
-// one file; it fetches nothing.
+// Package report generates an HTML page with plots of recorded histories: outcomes and latency
+// of requests over time with the faults marked, and bytes sent by kind of message. The page is
+// a single file without external resources.
 package report
 
 import (
@@ -18,13 +18,13 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// Section is one part of a page: a text and plots.
+// Section is one part of a page. Text is preformatted.
 type Section struct {
 	Title, Text string
 	Plots       []Plot
 }
 
-// Plot is one picture and its caption.
+// Plot is a plot and its caption.
 type Plot struct {
 	Caption string
 	Picture *plot.Plot
@@ -36,13 +36,13 @@
 	legendWidth = 2.4 * vg.Inch
 )
 
-// The colours are told apart by those who see few of them, too.
+// colours are distinguishable for readers with colour vision deficiency.
 var colours = []color.Color{
 	color.RGBA{0x00, 0x72, 0xb2, 0xff}, color.RGBA{0xd5, 0x5e, 0x00, 0xff}, color.RGBA{0x00, 0x9e, 0x73, 0xff}, color.RGBA{0xcc, 0x79, 0xa7, 0xff},
 	color.RGBA{0xe6, 0x9f, 0x00, 0xff}, color.RGBA{0x56, 0xb4, 0xe9, 0xff}, color.RGBA{0x55, 0x55, 0x55, 0xff}, color.RGBA{0x94, 0x67, 0xbd, 0xff},
 }
 
-var page = template.Must(template.New("page").Parse(`<!DOCTYPE html>
+var pageTemplate = template.Must(template.New("page").Parse(`<!DOCTYPE html>
 <html lang="en"><head><meta charset="utf-8"><title>{{.Title}}</title>
 <style>body{font-family:sans-serif;max-width:62em;margin:2em auto;padding:0 1em}pre{background:#f4f4f4;padding:1em;overflow:auto}svg{max-width:100%;height:auto}figure{margin:1em 0}figcaption{color:#444}</style>
 </head><body><h1>{{.Title}}</h1>
@@ -62,28 +62,29 @@
 	Figures     []figure
 }
 
-// Write draws the sections and writes them to out as one HTML page.
+// Write renders the sections and writes them to out as one HTML page.
 func Write(out io.Writer, title string, sections []Section) error {
-	var all []renderedSection
+	var rendered []renderedSection
 	for _, s := range sections {
-		d := renderedSection{Title: s.Title, Text: s.Text}
+		section := renderedSection{Title: s.Title, Text: s.Text}
 		for _, p := range s.Plots {
-			picture, err := svg(p.Picture)
+			picture, err := renderSVG(p.Picture)
 			if err != nil {
 				return err
 			}
-			d.Figures = append(d.Figures, figure{template.HTML(picture), p.Caption})
+			section.Figures = append(section.Figures, figure{template.HTML(picture), p.Caption})
 		}
-		all = append(all, d)
+		rendered = append(rendered, section)
 	}
-	return page.Execute(out, struct {
+	return pageTemplate.Execute(out, struct {
 		Title    string
 		Sections []renderedSection
-	}{title, all})
+	}{title, rendered})
 }
 
-// svg is a plot with its legend beside it, without the head that stands before a file of its own.
-func svg(p *plot.Plot) (string, error) {
+// renderSVG returns a plot with its legend to the right as an <svg> element, without the XML header
+// of an SVG file, so that it can be embedded in HTML.
+func renderSVG(p *plot.Plot) (string, error) {
 	canvas := vgsvg.New(width, height)
 	area, legend := draw.New(canvas), p.Legend
 	p.Legend = plot.NewLegend()
@@ -94,16 +95,17 @@
 		return "", err
 	}
 	raw := out.Bytes()
-	if at := bytes.Index(raw, []byte("<svg")); at >= 0 {
-		raw = raw[at:]
+	if start := bytes.Index(raw, []byte("<svg")); start >= 0 {
+		raw = raw[start:]
 	}
 	return string(raw), nil
 }
 
-// newPlot has a grid, and axes from zero; its legend stands on its right.
-func newPlot(title, across, up string) *plot.Plot {
+// newPlot returns a plot with a grid, axes from zero and a legend, which renderSVG places on the
+// right.
+func newPlot(title, xLabel, yLabel string) *plot.Plot {
 	p := plot.New()
-	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, across, up
+	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, xLabel, yLabel
 	p.Title.TextStyle.Font.Size = vg.Points(13)
 	p.Legend.Top, p.Legend.Left = true, true
 	p.Legend.TextStyle.Font.Size = vg.Points(9)
@@ -115,36 +117,36 @@
 	return p
 }
 
-// addLine adds points as one line; a point that is no number is a gap.
+// addLine adds points as one line with a legend entry. A point whose Y is NaN is a gap in the line.
 func addLine(p *plot.Plot, colourIndex int, name string, points plotter.XYs) error {
-	var run plotter.XYs
-	isNamed := false
+	var segment plotter.XYs
+	isInLegend := false
 	flush := func() error {
-		if len(run) == 0 {
+		if len(segment) == 0 {
 			return nil
 		}
-		line, dots, err := plotter.NewLinePoints(run)
+		line, dots, err := plotter.NewLinePoints(segment)
 		if err != nil {
 			return err
 		}
 		line.Color, line.Width = colours[colourIndex%len(colours)], vg.Points(1.4)
 		dots.Color, dots.Radius, dots.Shape = line.Color, vg.Points(1.6), draw.CircleGlyph{}
 		p.Add(line, dots)
-		if !isNamed {
+		if !isInLegend {
 			p.Legend.Add(name, line)
-			isNamed = true
+			isInLegend = true
 		}
-		run = nil
+		segment = nil
 		return nil
 	}
-	for _, at := range points {
-		if math.IsNaN(at.Y) {
+	for _, point := range points {
+		if math.IsNaN(point.Y) {
 			if err := flush(); err != nil {
 				return err
 			}
 			continue
 		}
-		run = append(run, at)
+		segment = append(segment, point)
 	}
 	return flush()
 }
@@ -166,9 +168,9 @@
 }
 
 func (v *verticalLines) Plot(c draw.Canvas, p *plot.Plot) {
-	across, _ := p.Transforms(&c)
-	for _, at := range v.positions {
-		if x := across(at); x >= c.Min.X && x <= c.Max.X {
+	toX, _ := p.Transforms(&c)
+	for _, position := range v.positions {
+		if x := toX(position); x >= c.Min.X && x <= c.Max.X {
 			c.StrokeLine2(v.LineStyle, x, c.Min.Y, x, c.Max.Y)
 		}
 	}
