--- a/internal/checker/space.go
+++ b/internal/checker/space.go
@@ -114,8 +114,8 @@
 }
 
 // checkFollowers reports responses to followers that have a gap, that differ in a revision from
-// another response or from the set itself, or that declare an event younger than youngEvent too
-// old.
+// another response or from the set itself, or that reject a follower as too old although the next
+// event is younger than youngEvent.
 func checkFollowers(records []Record, spaces map[string]*spaceHistory, report reporter) {
 	delivered := map[string]map[uint64]string{} // key and value, by space and revision
 	for _, r := range ofKind(records, FollowResponse) {
@@ -128,7 +128,7 @@
 			delivered[name] = map[uint64]string{}
 		}
 		if set, ok := space.byRevision[r.From+1]; r.Outcome == OutcomeTooOld && ok && r.Start-set.At < youngEvent {
-			report(r.At, "a follower of %s from %d got too old, but the next event must still be retained", r.Name, r.From)
+			report(r.At, "a follower of %s from %d was rejected as too old, but the next event must still be retained", r.Name, r.From)
 		}
 		if r.Outcome != OutcomeDone {
 			continue
--- a/internal/checker/watch.go
+++ b/internal/checker/watch.go
@@ -8,8 +8,8 @@
 // youngEvent is the age up to which events must be retained for watches.
 const youngEvent = 20 * time.Second
 
-// watchCompleteness reports watches that miss an event, deliver events out of order, or declare an
-// event younger than youngEvent too old.
+// watchCompleteness reports watch responses that miss an event, deliver events out of order, or
+// reject a watch as too old although the event is younger than youngEvent.
 func watchCompleteness(records []Record, report reporter) {
 	writes := collectWrites(records)
 	for _, watch := range ofKind(records, WatchResponse) {
@@ -32,7 +32,7 @@
 					report(watch.At, "watch of %s from %d to %d misses index %d, a %s of %s", watch.Name, watch.From, watch.Revision, write.Revision, write.Op, name)
 				}
 				if watch.Outcome == OutcomeTooOld && watch.Start-write.At < youngEvent {
-					report(watch.At, "watch of %s from %d got too old, but index %d must still be retained", watch.Name, watch.From, write.Revision)
+					report(watch.At, "watch of %s from %d was rejected as too old, but index %d must still be retained", watch.Name, watch.From, write.Revision)
 					break
 				}
 			}
