--- a/internal/simulator/conn.go
+++ b/internal/simulator/conn.go
@@ -21,18 +21,18 @@
 }
 
 type stream struct {
-	mu       sync.Mutex
-	segments []segment
-	size     int
-	closed   bool // the writer closed it; what is queued can still be read
-	closedAt time.Time
-	broken   bool
-	changed  chan struct{}
+	mu          sync.Mutex
+	segments    []segment
+	queuedBytes int
+	closed      bool // the writer closed it; what is queued can still be read
+	closedAt    time.Time
+	broken      bool
+	changed     chan struct{}
 }
 
-func (h *stream) broadcast() {
-	close(h.changed)
-	h.changed = make(chan struct{})
+func (s *stream) broadcast() {
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
 type conn struct {
@@ -55,18 +55,18 @@
 // SetLinger, as zero, throws away at the close what has not arrived.
 func (c *conn) SetLinger(int) error { c.mu.Lock(); c.discardOnClose = true; c.mu.Unlock(); return nil }
 
-func newConnPair(w *Network, here, there string) (*conn, *conn) {
-	one, two := &stream{changed: make(chan struct{})}, &stream{changed: make(chan struct{})}
-	a := &conn{network: w, localHost: hostOf(here), remoteHost: hostOf(there), localAddress: here, remoteAddress: there, inbound: one, outbound: two, deadlineChanged: make(chan struct{})}
-	b := &conn{network: w, localHost: hostOf(there), remoteHost: hostOf(here), localAddress: there, remoteAddress: here, inbound: two, outbound: one, deadlineChanged: make(chan struct{})}
-	return a, b
+func newConnPair(n *Network, dialerAddress, listenerAddress string) (*conn, *conn) {
+	toDialer, toListener := &stream{changed: make(chan struct{})}, &stream{changed: make(chan struct{})}
+	dialer := &conn{network: n, localHost: hostOf(dialerAddress), remoteHost: hostOf(listenerAddress), localAddress: dialerAddress, remoteAddress: listenerAddress, inbound: toDialer, outbound: toListener, deadlineChanged: make(chan struct{})}
+	accepted := &conn{network: n, localHost: hostOf(listenerAddress), remoteHost: hostOf(dialerAddress), localAddress: listenerAddress, remoteAddress: dialerAddress, inbound: toListener, outbound: toDialer, deadlineChanged: make(chan struct{})}
+	return dialer, accepted
 }
 
 // reset ends the connection with its process. Of a killed process the peer
 // still gets what was sent, or sometimes a reset; of a machine without power it
 // hears nothing.
-func (c *conn) reset(isOwn, peerNotified, isHard bool) {
-	if isOwn {
+func (c *conn) reset(isLocalEnd, peerNotified, sendsReset bool) {
+	if isLocalEnd {
 		c.mu.Lock()
 		c.closed = true
 		close(c.deadlineChanged)
@@ -79,7 +79,7 @@
 	}
 	c.inbound.mu.Lock()
 	if !c.inbound.closed {
-		c.inbound.closed, c.inbound.broken = true, isHard
+		c.inbound.closed, c.inbound.broken = true, sendsReset
 		c.inbound.closedAt = time.Now().Add(time.Millisecond)
 		if n := len(c.inbound.segments); n > 0 && c.inbound.closedAt.Before(c.inbound.segments[n-1].deliverAt) {
 			c.inbound.closedAt = c.inbound.segments[n-1].deliverAt
@@ -93,32 +93,32 @@
 	c.outbound.mu.Unlock()
 }
 
-func (c *conn) status() (isClosed bool, readBy, writeBy time.Time, deadline chan struct{}) {
+func (c *conn) status() (isClosed bool, readDeadline, writeDeadline time.Time, deadlineChanged chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.closed, c.readDeadline, c.writeDeadline, c.deadlineChanged
 }
 
 // waitForEvent blocks until one of the changes, a moment, or the deadline.
-func waitForEvent(by time.Time, due time.Time, changes ...chan struct{}) {
-	var wakeups [2]<-chan time.Time
-	for i, at := range []time.Time{by, due} {
-		if !at.IsZero() {
-			left := time.Until(at)
-			if left <= 0 {
+func waitForEvent(deadline time.Time, deliverAt time.Time, changes ...chan struct{}) {
+	var timers [2]<-chan time.Time
+	for i, wakeTime := range []time.Time{deadline, deliverAt} {
+		if !wakeTime.IsZero() {
+			remaining := time.Until(wakeTime)
+			if remaining <= 0 {
 				return
 			}
-			t := time.NewTimer(left)
+			t := time.NewTimer(remaining)
 			defer t.Stop()
-			wakeups[i] = t.C
+			timers[i] = t.C
 		}
 	}
 	for len(changes) < 3 {
 		changes = append(changes, nil)
 	}
 	select {
-	case <-wakeups[0]:
-	case <-wakeups[1]:
+	case <-timers[0]:
+	case <-timers[1]:
 	case <-changes[0]:
 	case <-changes[1]:
 	case <-changes[2]:
@@ -127,119 +127,119 @@
 
 func (c *conn) Read(p []byte) (int, error) {
 	for {
-		thawedAt := c.network.awaitThaw(c.localHost)
-		isClosed, by, _, deadline := c.status()
+		unfrozenAt := c.network.awaitUnfrozen(c.localHost)
+		isClosed, readDeadline, _, deadlineChanged := c.status()
 		if isClosed {
 			return 0, net.ErrClosed
 		}
-		if !by.IsZero() && !time.Now().Before(by) {
+		if !readDeadline.IsZero() && !time.Now().Before(readDeadline) {
 			return 0, os.ErrDeadlineExceeded
 		}
 		c.network.mu.Lock()
-		isBlocked, topology := c.network.blocked(c.remoteHost, c.localHost), c.network.changed
+		isBlocked, networkChanged := c.network.blocked(c.remoteHost, c.localHost), c.network.changed
 		c.network.mu.Unlock()
 		c.inbound.mu.Lock()
-		h := c.inbound
-		change := h.changed
-		var due time.Time
+		s := c.inbound
+		streamChanged := s.changed
+		var wakeAt time.Time
 		switch {
-		case h.broken:
-			h.mu.Unlock()
+		case s.broken:
+			s.mu.Unlock()
 			return 0, syscall.ECONNRESET
 		case isBlocked:
-		case len(h.segments) > 0:
-			first := &h.segments[0]
-			isAcknowledged := first.deliverAt.Before(thawedAt) // by the system of a process that stood still
+		case len(s.segments) > 0:
+			first := &s.segments[0]
+			isAcknowledged := first.deliverAt.Before(unfrozenAt) // by the system of a process that stood still
 			if !first.expiresAt.IsZero() && time.Now().After(first.expiresAt) && !isAcknowledged {
-				h.broken = true
-				h.broadcast()
-				h.mu.Unlock()
+				s.broken = true
+				s.broadcast()
+				s.mu.Unlock()
 				return 0, syscall.ECONNRESET
 			}
 			if !time.Now().Before(first.deliverAt) {
 				n := copy(p, first.data)
 				if first.data = first.data[n:]; len(first.data) == 0 {
-					h.segments = h.segments[1:]
+					s.segments = s.segments[1:]
 				}
-				h.size -= n
-				h.broadcast()
-				h.mu.Unlock()
+				s.queuedBytes -= n
+				s.broadcast()
+				s.mu.Unlock()
 				return n, nil
 			}
-			due = first.deliverAt
-		case h.closed:
-			if !time.Now().Before(h.closedAt) {
-				h.mu.Unlock()
+			wakeAt = first.deliverAt
+		case s.closed:
+			if !time.Now().Before(s.closedAt) {
+				s.mu.Unlock()
 				return 0, io.EOF
 			}
-			due = h.closedAt
+			wakeAt = s.closedAt
 		}
-		h.mu.Unlock()
-		waitForEvent(by, due, change, topology, deadline)
+		s.mu.Unlock()
+		waitForEvent(readDeadline, wakeAt, streamChanged, networkChanged, deadlineChanged)
 	}
 }
 
 func (c *conn) Write(p []byte) (int, error) {
-	for hasBegun := false; ; {
-		isClosed, _, by, deadline := c.status()
+	for hasStarted := false; ; {
+		isClosed, _, writeDeadline, deadlineChanged := c.status()
 		if isClosed {
 			return 0, net.ErrClosed
 		}
-		if !by.IsZero() && !time.Now().Before(by) {
+		if !writeDeadline.IsZero() && !time.Now().Before(writeDeadline) {
 			return 0, os.ErrDeadlineExceeded
 		}
-		if !hasBegun {
+		if !hasStarted {
 			c.network.beginWrite(c.localHost, c.remoteAddress)
-			hasBegun = true
+			hasStarted = true
 		}
 		c.mu.Lock()
-		patience := c.userTimeout
+		userTimeout := c.userTimeout
 		c.mu.Unlock()
-		h := c.outbound
-		h.mu.Lock()
-		isOver, isFull, change := h.broken || h.closed, h.size >= maxQueuedBytes, h.changed
-		h.mu.Unlock()
+		s := c.outbound
+		s.mu.Lock()
+		isEnded, isFull, streamChanged := s.broken || s.closed, s.queuedBytes >= maxQueuedBytes, s.changed
+		s.mu.Unlock()
 		switch {
-		case isOver:
+		case isEnded:
 			return 0, syscall.EPIPE
 		case isFull:
-			waitForEvent(by, time.Time{}, change, deadline)
+			waitForEvent(writeDeadline, time.Time{}, streamChanged, deadlineChanged)
 			continue
 		}
-		pieces := c.segmentsOf(p)
-		h.mu.Lock()
-		for _, one := range pieces {
-			if n := len(h.segments); n > 0 && one.deliverAt.Before(h.segments[n-1].deliverAt) {
-				one.deliverAt = h.segments[n-1].deliverAt
+		segments := c.splitIntoSegments(p)
+		s.mu.Lock()
+		for _, next := range segments {
+			if n := len(s.segments); n > 0 && next.deliverAt.Before(s.segments[n-1].deliverAt) {
+				next.deliverAt = s.segments[n-1].deliverAt
 			}
-			if patience > 0 {
-				one.expiresAt = one.deliverAt.Add(patience)
+			if userTimeout > 0 {
+				next.expiresAt = next.deliverAt.Add(userTimeout)
 			}
-			h.segments = append(h.segments, one)
+			s.segments = append(s.segments, next)
 		}
-		h.size += len(p)
-		h.broadcast()
-		h.mu.Unlock()
+		s.queuedBytes += len(p)
+		s.broadcast()
+		s.mu.Unlock()
 		return len(p), nil
 	}
 }
 
 // segmentsOf makes of what is written the pieces in which it arrives: one, unless a link on the
 // way is narrow.
-func (c *conn) segmentsOf(p []byte) (pieces []segment) {
+func (c *conn) splitIntoSegments(p []byte) (segments []segment) {
 	c.network.mu.Lock()
 	defer c.network.mu.Unlock()
 	c.network.countBytes(c.localHost, c.remoteHost, len(p)+40)
-	most := len(p)
+	maxBytes := len(p)
 	if c.network.isLimited(c.localHost, c.remoteHost) {
-		most = packetMost
+		maxBytes = maxSegmentBytes
 	}
 	now := time.Now()
 	for {
-		n := min(len(p), most)
-		pieces = append(pieces, segment{deliverAt: c.network.arrivalTime(c.localHost, c.remoteHost, now, n+40), data: append([]byte(nil), p[:n]...)})
+		n := min(len(p), maxBytes)
+		segments = append(segments, segment{deliverAt: c.network.arrivalTime(c.localHost, c.remoteHost, now, n+40), data: append([]byte(nil), p[:n]...)})
 		if p = p[n:]; len(p) == 0 {
-			return pieces
+			return segments
 		}
 	}
 }
@@ -254,13 +254,13 @@
 		return nil
 	}
 	c.closed = true
-	isHasty := c.discardOnClose
+	discards := c.discardOnClose
 	close(c.deadlineChanged)
 	c.deadlineChanged = make(chan struct{})
 	c.mu.Unlock()
 	c.outbound.mu.Lock()
-	if isHasty {
-		c.outbound.segments, c.outbound.size, c.outbound.broken = nil, 0, true
+	if discards {
+		c.outbound.segments, c.outbound.queuedBytes, c.outbound.broken = nil, 0, true
 	}
 	c.outbound.closed = true
 	c.outbound.closedAt = time.Now().Add(time.Millisecond)
@@ -280,9 +280,9 @@
 
 func (c *conn) RemoteAddr() net.Addr { return tcpAddr(c.remoteAddress) }
 
-func (c *conn) update(change func()) error {
+func (c *conn) updateDeadlines(set func()) error {
 	c.mu.Lock()
-	change()
+	set()
 	close(c.deadlineChanged)
 	c.deadlineChanged = make(chan struct{})
 	c.mu.Unlock()
@@ -290,9 +290,13 @@
 }
 
 func (c *conn) SetDeadline(t time.Time) error {
-	return c.update(func() { c.readDeadline, c.writeDeadline = t, t })
+	return c.updateDeadlines(func() { c.readDeadline, c.writeDeadline = t, t })
 }
 
-func (c *conn) SetReadDeadline(t time.Time) error { return c.update(func() { c.readDeadline = t }) }
+func (c *conn) SetReadDeadline(t time.Time) error {
+	return c.updateDeadlines(func() { c.readDeadline = t })
+}
 
-func (c *conn) SetWriteDeadline(t time.Time) error { return c.update(func() { c.writeDeadline = t }) }
+func (c *conn) SetWriteDeadline(t time.Time) error {
+	return c.updateDeadlines(func() { c.writeDeadline = t })
+}
--- a/internal/simulator/connectivity.go
+++ b/internal/simulator/connectivity.go
@@ -28,52 +28,52 @@
 			}
 		}
 	}
-	var names strings.Builder
+	var leaders strings.Builder
 	for shard := range ids.ShardCount + 1 {
-		isOwned := false
+		hasLeader := false
 		for _, m := range running {
 			if node := m.Node(); node != nil {
 				if term, _, isServing := node.Consensus.Replica(ids.Shard(shard)).LeadershipSince(); isServing {
-					isOwned = true
-					fmt.Fprint(&names, m.Name, term, " ")
+					hasLeader = true
+					fmt.Fprint(&leaders, m.Name, term, " ")
 				}
 			}
 		}
-		if !isOwned {
+		if !hasLeader {
 			return ""
 		}
 	}
-	return names.String()
+	return leaders.String()
 }
 
 // recordConnectivity tells which proxies are in touch: for three seconds they had a way to
 // every running core node, and the core was settled, with the same owners.
 func (f *Fleet) recordConnectivity() {
-	since, isIn, last := map[*Machine]time.Time{}, map[*Machine]bool{}, ""
-	nodes := map[*Machine]*node.Node{}
+	lastDisconnected, wasConnected, lastLeaders := map[*Machine]time.Time{}, map[*Machine]bool{}, ""
+	lastNodes := map[*Machine]*node.Node{}
 	f.goTask(func(r *rand.Rand) {
 		time.Sleep(connectivityInterval)
 		running := f.filter(func(m *Machine) bool { return m.IsCore && m.Node() != nil })
 		leaders := f.leaders(running)
-		leadersStable := leaders != "" && leaders == last
-		last = leaders
+		leadersStable := leaders != "" && leaders == lastLeaders
+		lastLeaders = leaders
 		for _, proxyNode := range f.Proxies() {
 			node := proxyNode.Node()
-			hasAll := leadersStable && node != nil && node == nodes[proxyNode]
-			nodes[proxyNode] = node
+			reachesAll := leadersStable && node != nil && node == lastNodes[proxyNode]
+			lastNodes[proxyNode] = node
 			for _, m := range running {
-				hasAll = hasAll && f.Network.canReach(proxyNode.IP, m.IP)
+				reachesAll = reachesAll && f.Network.canReach(proxyNode.IP, m.IP)
 			}
-			if !hasAll {
-				since[proxyNode] = time.Now()
+			if !reachesAll {
+				lastDisconnected[proxyNode] = time.Now()
 			}
-			is := hasAll && time.Since(since[proxyNode]) >= connectivityWindow
-			if is == isIn[proxyNode] {
+			isConnected := reachesAll && time.Since(lastDisconnected[proxyNode]) >= connectivityWindow
+			if isConnected == wasConnected[proxyNode] {
 				continue
 			}
-			isIn[proxyNode] = is
+			wasConnected[proxyNode] = isConnected
 			rec := checker.Record{Kind: checker.ProxyContact, Proxy: proxyNode.ProxyAddress(), Outcome: "out"}
-			if is {
+			if isConnected {
 				rec.Outcome = "in"
 			}
 			f.History.Add(rec)
--- a/internal/simulator/contact_test.go
+++ b/internal/simulator/contact_test.go
@@ -115,7 +115,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := operator.Submit(f.ctx, f.setChange(f.Rand, "meanwhile", view)); err != nil {
+	if _, err := operator.Submit(f.ctx, f.newChangeSet(f.Rand, "meanwhile", view)); err != nil {
 		t.Fatal("the others take no change:", err)
 	}
 	if got := f.servedKinds(t, m); len(got) > 0 {
@@ -124,7 +124,7 @@
 	client := standin.NewAPIClient(f.Network.HostAt(f.clientHost(1)), m.APIAddress())
 	server := f.Targets("rates")[0]
 	heartbeat := &api.Beat{Service: server.Service, Instance: server.Instance, Seq: 1 << 40, Address: server.Address, Zone: api.NewOptString(server.Zone), Weight: api.NewOptInt(1), State: "serving"}
-	for name, call := range f.calls(client, heartbeat, f.setChange(f.Rand, "cut off", view)) {
+	for name, call := range f.calls(client, heartbeat, f.newChangeSet(f.Rand, "cut off", view)) {
 		began := time.Now()
 		err := call()
 		if took := time.Since(began); took > promptly {
--- a/internal/simulator/control_nodes_test.go
+++ b/internal/simulator/control_nodes_test.go
@@ -45,7 +45,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			change := f.setChange(f.Rand, fmt.Sprint("change", i), view)
+			change := f.newChangeSet(f.Rand, fmt.Sprint("change", i), view)
 			receipt, err := client.Submit(f.ctx, change)
 			if err != nil {
 				continue
--- a/internal/simulator/disk.go
+++ b/internal/simulator/disk.go
@@ -20,8 +20,8 @@
 var errDetached = errors.New("the disk no longer obeys this process")
 
 type file struct {
-	data   []byte
-	synced int
+	data        []byte
+	syncedBytes int
 }
 
 // Disk is one machine's.
@@ -82,14 +82,14 @@
 }
 
 // Slow makes every sync take so long; zero makes it quick again.
-func (d *Disk) Slow(each time.Duration) {
+func (d *Disk) Slow(delay time.Duration) {
 	d.mu.Lock()
-	d.syncDelay = each
+	d.syncDelay = delay
 	d.faultCount++
 	d.mu.Unlock()
 }
 
-func (d *Disk) status() (intact bool, faults int) {
+func (d *Disk) status() (isIntact bool, faults int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.stall == nil && d.syncDelay == 0 && !d.full, d.faultCount
@@ -111,8 +111,8 @@
 	d.generation++
 	if isPowerLost {
 		for _, f := range d.files {
-			if rest := len(f.data) - f.synced; rest > 0 {
-				f.data = f.data[:f.synced+d.rand.IntN(rest+1)]
+			if unsynced := len(f.data) - f.syncedBytes; unsynced > 0 {
+				f.data = f.data[:f.syncedBytes+d.rand.IntN(unsynced+1)]
 			}
 		}
 	}
@@ -127,19 +127,19 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.generation++
-	return &attachedDisk{Disk: d, life: d.generation}, nil
+	return &attachedDisk{Disk: d, attachedGeneration: d.generation}, nil
 }
 
 // attachedDisk is a Disk as one life of a process has it.
 type attachedDisk struct {
 	*Disk
-	life int
+	attachedGeneration int
 }
 
 func (d *attachedDisk) withLock(operation func() error) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.life != d.Disk.generation {
+	if d.attachedGeneration != d.Disk.generation {
 		return errDetached
 	}
 	return operation()
@@ -200,7 +200,7 @@
 	err = d.withLock(func() error {
 		f := &file{}
 		d.files[fd] = f
-		w = &writer{d: d, f: f}
+		w = &writer{disk: d, file: f}
 		return nil
 	})
 	return w, err
@@ -229,18 +229,18 @@
 }
 
 type writer struct {
-	d *attachedDisk
-	f *file
+	disk *attachedDisk
+	file *file
 }
 
 func (w *writer) Write(p []byte) (n int, err error) {
-	err = w.d.withLock(func() error {
+	err = w.disk.withLock(func() error {
 		n = len(p)
-		if w.d.full {
-			n = w.d.rand.IntN(n + 1)
+		if w.disk.full {
+			n = w.disk.rand.IntN(n + 1)
 		}
-		w.f.data = append(w.f.data, p[:n]...)
-		if w.d.full {
+		w.file.data = append(w.file.data, p[:n]...)
+		if w.disk.full {
 			return syscall.ENOSPC
 		}
 		return nil
@@ -250,16 +250,16 @@
 
 func (w *writer) Sync() error {
 	for {
-		w.d.mu.Lock()
-		stalled, each := w.d.stall, w.d.syncDelay
-		w.d.mu.Unlock()
-		time.Sleep(each)
-		if stalled == nil {
+		w.disk.mu.Lock()
+		stall, delay := w.disk.stall, w.disk.syncDelay
+		w.disk.mu.Unlock()
+		time.Sleep(delay)
+		if stall == nil {
 			break
 		}
-		<-stalled
+		<-stall
 	}
-	return w.d.withLock(func() error { w.f.synced = len(w.f.data); w.d.Syncs++; return nil })
+	return w.disk.withLock(func() error { w.file.syncedBytes = len(w.file.data); w.disk.Syncs++; return nil })
 }
 
 func (w *writer) Close() error { return nil }
--- a/internal/simulator/drain_test.go
+++ b/internal/simulator/drain_test.go
@@ -32,7 +32,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		receipt, err := client.Submit(f.ctx, f.setChange(f.Rand, "held", view))
+		receipt, err := client.Submit(f.ctx, f.newChangeSet(f.Rand, "held", view))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/simulator/faults.go
+++ b/internal/simulator/faults.go
@@ -12,8 +12,8 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-func (f *Fleet) sleepBetween(least, most time.Duration) {
-	time.Sleep(least + time.Duration(f.Rand.Int64N(int64(most-least)+1)))
+func (f *Fleet) sleepBetween(shortest, longest time.Duration) {
+	time.Sleep(shortest + time.Duration(f.Rand.Int64N(int64(longest-shortest)+1)))
 }
 
 func (f *Fleet) pick(list []*Machine) *Machine { return list[f.Rand.IntN(len(list))] }
@@ -76,23 +76,23 @@
 	}
 	memberIDs := map[rpc.Peer]bool{}
 	for _, m := range f.Cores() {
-		me := m.Node().Members.Self()
-		memberIDs[rpc.Peer{Name: me.Name, ID: me.ID}] = true
+		self := m.Node().Members.Self()
+		memberIDs[rpc.Peer{Name: self.Name, ID: self.ID}] = true
 	}
 	for shard := range ids.ShardCount + 1 {
-		isOwned := false
+		shardRepaired := false
 		for _, m := range f.Cores() {
-			part := m.Node().Consensus.Replica(ids.Shard(shard))
-			if !part.IsServing() {
+			replica := m.Node().Consensus.Replica(ids.Shard(shard))
+			if !replica.IsServing() {
 				continue
 			}
-			o := part.Status()
-			isOwned = o.LastIndex == o.CommitIndex && len(o.Voters) == consensus.ReplicationFactor(ids.Shard(shard), len(f.Cores()), 1)
-			for _, peer := range o.Voters {
-				isOwned = isOwned && memberIDs[peer]
+			status := replica.Status()
+			shardRepaired = status.LastIndex == status.CommitIndex && len(status.Voters) == consensus.ReplicationFactor(ids.Shard(shard), len(f.Cores()), 1)
+			for _, peer := range status.Voters {
+				shardRepaired = shardRepaired && memberIDs[peer]
 			}
 		}
-		if !isOwned {
+		if !shardRepaired {
 			return false
 		}
 	}
@@ -147,13 +147,13 @@
 
 // isolate cuts some machines off from all others of the fleet.
 func (f *Fleet) isolate(isolated []*Machine) {
-	isIn := map[*Machine]bool{}
+	isIsolated := map[*Machine]bool{}
 	for _, m := range isolated {
-		isIn[m] = true
+		isIsolated[m] = true
 	}
 	for _, a := range isolated {
 		for _, b := range f.Machines {
-			if !isIn[b] {
+			if !isIsolated[b] {
 				f.Network.Partition(a.IP, b.IP)
 				f.Network.Partition(b.IP, a.IP)
 			}
@@ -194,21 +194,21 @@
 
 // loseDiskAndPower wipes one core node while another is cut off, so that the one that
 // knows is alone with one that knows nothing.
-func loseDiskAndPower(f *Fleet) {
+func wipeDuringPartition(f *Fleet) {
 	f.sleepBetween(time.Second, 3*time.Second)
 	cores := f.Cores()
 	i := f.Rand.IntN(len(cores))
-	away, lost := cores[i], cores[(i+1)%len(cores)]
-	f.Logf("cut %s off", away.Name)
-	f.isolate([]*Machine{away})
+	isolated, wiped := cores[i], cores[(i+1)%len(cores)]
+	f.Logf("cut %s off", isolated.Name)
+	f.isolate([]*Machine{isolated})
 	f.sleepBetween(2*time.Second, 4*time.Second)
-	f.Logf("%s is lost with its disk and comes back; %s is heard again, the third is cut off", lost.Name, away.Name)
-	lost.Kill(true)
-	f.Network.Disk(lost.IP).Wipe()
+	f.Logf("%s is lost with its disk and comes back; %s is heard again, the third is cut off", wiped.Name, isolated.Name)
+	wiped.Kill(true)
+	f.Network.Disk(wiped.IP).Wipe()
 	third := cores[(i+2)%len(cores)]
 	f.Network.Heal()
 	f.isolate([]*Machine{third})
-	f.startMachine(lost)
+	f.startMachine(wiped)
 	f.sleepBetween(2*time.Second, 4*time.Second)
 	f.Logf("heal")
 	f.Network.Heal()
@@ -217,7 +217,7 @@
 
 // loseAllPower lets disks stall for a moment and then takes the power from their
 // machines, so that whatever was told before it was synced is gone.
-func loseAllPower(f *Fleet) {
+func losePowerDuringStall(f *Fleet) {
 	f.sleepBetween(time.Second, 3*time.Second)
 	cores := f.Cores()
 	f.Rand.Shuffle(len(cores), func(i, j int) { cores[i], cores[j] = cores[j], cores[i] })
@@ -239,7 +239,7 @@
 
 // isolateFollower brings a core node back from a cut at the moment at which another one
 // dies, so that the one that lacks the newest entries may stand for their parts.
-func isolateFollower(f *Fleet) {
+func killAsPartitionHeals(f *Fleet) {
 	f.sleepBetween(time.Second, 2*time.Second)
 	cores := f.Cores()
 	f.Rand.Shuffle(len(cores), func(i, j int) { cores[i], cores[j] = cores[j], cores[i] })
@@ -263,9 +263,9 @@
 	f.sleepBetween(time.Second, 2*time.Second)
 }
 
-func mixFaults(f *Fleet) {
-	all := []func(*Fleet){killMachines, losePower, wipeDisks, partitionNetwork, pauseMachines, stallDisks, disturbTargets, disturbTargets, stopMachines}
-	all[f.Rand.IntN(len(all))](f)
+func runRandomFault(f *Fleet) {
+	faults := []func(*Fleet){killMachines, losePower, wipeDisks, partitionNetwork, pauseMachines, stallDisks, disturbTargets, disturbTargets, stopMachines}
+	faults[f.Rand.IntN(len(faults))](f)
 	for _, m := range f.Machines {
 		f.startMachine(m)
 	}
--- a/internal/simulator/faults_compound.go
+++ b/internal/simulator/faults_compound.go
@@ -25,10 +25,10 @@
 )
 
 // killEachInTurn kills every machine in turn, the next one soon after the last is back.
-func killEachInTurn(f *Fleet) {
-	all := append([]*Machine(nil), f.Machines...)
-	f.Rand.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
-	for _, m := range all {
+func killOneByOne(f *Fleet) {
+	machines := append([]*Machine(nil), f.Machines...)
+	f.Rand.Shuffle(len(machines), func(i, j int) { machines[i], machines[j] = machines[j], machines[i] })
+	for _, m := range machines {
 		f.Logf("kill %s", m.Name)
 		m.Kill(f.Rand.IntN(2) == 0)
 		f.sleepBetween(0, 1500*time.Millisecond)
@@ -38,9 +38,9 @@
 }
 
 // leaderOf is the core node that serves a part, other than one.
-func leaderOf(f *Fleet, shard ids.Shard, but *Machine) *Machine {
+func leaderOf(f *Fleet, shard ids.Shard, excluded *Machine) *Machine {
 	for _, m := range f.Cores() {
-		if m != but && m.Node() != nil && m.Node().Consensus.Replica(shard).IsServing() {
+		if m != excluded && m.Node() != nil && m.Node().Consensus.Replica(shard).IsServing() {
 			return m
 		}
 	}
@@ -51,25 +51,25 @@
 // at which a write or a change set was acknowledged.
 func faultAfterAcknowledgement(f *Fleet) {
 	f.sleepBetween(500*time.Millisecond, 2*time.Second)
-	isChange, isWipe, isOwner := f.Rand.IntN(2) == 0, f.Rand.IntN(2) == 0, f.Rand.IntN(2) == 0
+	submitsChange, wipesDisk, hitsLeader := f.Rand.IntN(2) == 0, f.Rand.IntN(2) == 0, f.Rand.IntN(2) == 0
 	name := fmt.Sprint("acked", f.Rand.IntN(100))
 	shard := ids.ShardOf(name)
-	if isChange {
+	if submitsChange {
 		shard = ids.ConfigShard
 	}
-	owner := leaderOf(f, shard, nil)
-	if owner == nil {
+	leader := leaderOf(f, shard, nil)
+	if leader == nil {
 		return
 	}
-	victim := owner
-	for !isOwner && victim == owner {
+	victim := leader
+	for !hitsLeader && victim == leader {
 		victim = f.pick(f.Cores())
 	}
 	proxyNode := f.pick(f.Proxies())
 	if proxyNode.Node() == nil {
 		return
 	}
-	if isChange {
+	if submitsChange {
 		operator := f.newOperator(70, proxyNode)
 		if view, err := operator.Epoch(f.ctx); err == nil {
 			operator.Submit(f.ctx, f.newChange(fmt.Sprint("a-", f.changeCount.Add(1)), view.Epoch))
@@ -81,17 +81,17 @@
 			return recordResponse(rec, receipt, err)
 		})
 	}
-	f.Logf("%s loses power right after an acknowledgement (change set %v, owner %v, disk lost %v)", victim.Name, isChange, isOwner, isWipe)
+	f.Logf("%s loses power right after an acknowledgement (change set %v, owner %v, disk lost %v)", victim.Name, submitsChange, hitsLeader, wipesDisk)
 	victim.Kill(true)
-	if isWipe {
+	if wipesDisk {
 		f.Network.Disk(victim.IP).Wipe()
 	}
 	f.sleepBetween(0, 2*time.Second)
-	if !isChange {
+	if !submitsChange {
 		f.readBack(name)
 	}
 	f.startMachine(victim)
-	if isWipe && !f.WaitUntil(30*time.Second, f.isRepaired) {
+	if wipesDisk && !f.WaitUntil(30*time.Second, f.isRepaired) {
 		f.Logf("the copies are not mended after 30 s")
 	}
 }
@@ -116,9 +116,9 @@
 		victims = victims[:1]
 	}
 	for _, m := range victims {
-		each := time.Duration(20+f.Rand.IntN(900)) * time.Millisecond
-		f.Logf("every sync of %s takes %s", m.Name, each)
-		f.Network.Disk(m.IP).Slow(each)
+		delay := time.Duration(20+f.Rand.IntN(900)) * time.Millisecond
+		f.Logf("every sync of %s takes %s", m.Name, delay)
+		f.Network.Disk(m.IP).Slow(delay)
 	}
 	f.sleepBetween(time.Second, 5*time.Second)
 	for _, m := range victims {
@@ -132,26 +132,26 @@
 }
 
 // addManyTargets lets all servers of a service vanish, or all of a zone, and come back.
-func addManyTargets(f *Fleet) {
+func restartManyTargets(f *Fleet) {
 	f.sleepBetween(time.Second, 3*time.Second)
 	service := []string{"bookings", "rates"}[f.Rand.IntN(2)]
 	zone := fmt.Sprint("zone", 1+f.Rand.IntN(f.Shape.Zones))
-	isZone := f.Rand.IntN(2) == 0
-	var removed []*standin.Server
+	byZone := f.Rand.IntN(2) == 0
+	var crashed []*standin.Server
 	for _, name := range []string{"bookings", "rates"} {
 		for _, s := range f.Targets(name) {
-			if isZone && s.Zone == zone || !isZone && name == service {
-				removed = append(removed, s)
+			if byZone && s.Zone == zone || !byZone && name == service {
+				crashed = append(crashed, s)
 			}
 		}
 	}
-	f.Logf("a herd of %d servers vanishes (zone %v)", len(removed), isZone)
-	for _, s := range removed {
+	f.Logf("a herd of %d servers vanishes (zone %v)", len(crashed), byZone)
+	for _, s := range crashed {
 		f.RemoveTarget(s)
 		s.Crash()
 	}
 	f.sleepBetween(0, 3*time.Second)
-	for _, s := range removed {
+	for _, s := range crashed {
 		f.StartTarget(s.Service, "", f.Rand.IntN(f.Shape.Zones))
 	}
 	f.sleepBetween(time.Second, 2*time.Second)
@@ -213,14 +213,14 @@
 
 // overlapFaults lets two or three kinds of faults go on at once, each in its own time.
 func overlapFaults(f *Fleet) {
-	kinds := []func(*Fleet){killMachines, pauseMachines, partitionNetwork, slowDisks, disturbTargets, addManyTargets, stopMachines}
-	f.Rand.Shuffle(len(kinds), func(i, j int) { kinds[i], kinds[j] = kinds[j], kinds[i] })
-	var all sync.WaitGroup
-	for _, hurt := range kinds[:2+f.Rand.IntN(2)] {
-		all.Add(1)
-		go func() { defer all.Done(); hurt(f); hurt(f) }()
+	faults := []func(*Fleet){killMachines, pauseMachines, partitionNetwork, slowDisks, disturbTargets, restartManyTargets, stopMachines}
+	f.Rand.Shuffle(len(faults), func(i, j int) { faults[i], faults[j] = faults[j], faults[i] })
+	var running sync.WaitGroup
+	for _, inject := range faults[:2+f.Rand.IntN(2)] {
+		running.Add(1)
+		go func() { defer running.Done(); inject(f); inject(f) }()
 	}
-	all.Wait()
+	running.Wait()
 	f.Network.Heal()
 	f.sleepBetween(time.Second, 3*time.Second)
 }
@@ -229,29 +229,29 @@
 // some go away as soon as they have sent all.
 func (f *Fleet) StartUploads(n int) {
 	for i := range n {
-		net := f.Network.HostAt(f.clientHost(80 + i))
+		host := f.Network.HostAt(f.clientHost(80 + i))
 		caller := f.newClient(80 + i)
 		f.goTask(func(r *rand.Rand) {
 			pause(r, 300*time.Millisecond)
-			proxyNode := f.Proxies()[r.IntN(len(f.Proxies()))].ProxyAddress()
+			proxyAddress := f.Proxies()[r.IntN(len(f.Proxies()))].ProxyAddress()
 			body := strings.Repeat(fmt.Sprintf("%08x", r.Uint32()), 12000)
 			if r.IntN(2) == 0 {
-				caller.Call(f.ctx, proxyNode, http.MethodPost, "/bookings", "bookings", []byte(body))
+				caller.Call(f.ctx, proxyAddress, http.MethodPost, "/bookings", "bookings", []byte(body))
 				return
 			}
-			conn, err := net.Dial(f.ctx, proxyNode)
+			conn, err := host.Dial(f.ctx, proxyAddress)
 			if err != nil {
 				return
 			}
 			defer conn.Close()
-			call, complete := ids.NewID(), r.IntN(2) == 0
-			rec := checker.Record{Kind: checker.RequestCompleted, Start: f.History.Now(), CallID: call, Proxy: proxyNode, Service: "bookings", Path: "/bookings", Digest: standin.Digest([]byte(body)), Outcome: "gone"}
+			callID, sendsAll := ids.NewID(), r.IntN(2) == 0
+			rec := checker.Record{Kind: checker.RequestCompleted, Start: f.History.Now(), CallID: callID, Proxy: proxyAddress, Service: "bookings", Path: "/bookings", Digest: standin.Digest([]byte(body)), Outcome: "gone"}
 			if f.Shape.PlatformMode {
 				rec.PerAttempt, rec.RequestID = true, ids.NewID()
 			}
-			fmt.Fprintf(conn, "POST /bookings HTTP/1.1\r\nHost: x\r\n%s: %s\r\n%s: %s\r\nContent-Length: %d\r\n\r\n", standin.HeaderCall, call, proxy.HeaderRequestID, rec.RequestID, len(body))
-			for at := 0; at < len(body) && (complete || at < len(body)/2); at += 16000 {
-				io.WriteString(conn, body[at:min(at+16000, len(body))])
+			fmt.Fprintf(conn, "POST /bookings HTTP/1.1\r\nHost: x\r\n%s: %s\r\n%s: %s\r\nContent-Length: %d\r\n\r\n", standin.HeaderCall, callID, proxy.HeaderRequestID, rec.RequestID, len(body))
+			for offset := 0; offset < len(body) && (sendsAll || offset < len(body)/2); offset += 16000 {
+				io.WriteString(conn, body[offset:min(offset+16000, len(body))])
 				pause(r, 40*time.Millisecond)
 			}
 			f.History.Add(rec)
--- a/internal/simulator/faults_membership.go
+++ b/internal/simulator/faults_membership.go
@@ -15,9 +15,9 @@
 // takes the power of others meanwhile and at its return.
 func replaceMembers(f *Fleet) {
 	f.sleepBetween(500*time.Millisecond, 2*time.Second)
-	removed := f.pick(f.Cores())
-	f.Logf("cut %s off", removed.Name)
-	f.isolate([]*Machine{removed})
+	isolated := f.pick(f.Cores())
+	f.Logf("cut %s off", isolated.Name)
+	f.isolate([]*Machine{isolated})
 	f.sleepBetween(time.Second, 5*time.Second)
 	for range f.Rand.IntN(3) {
 		other := f.pick(f.Cores())
@@ -27,10 +27,10 @@
 		if f.Rand.IntN(2) == 0 {
 			f.Logf("heal")
 			f.Network.Heal()
-			one, two := f.pick(f.Cores()), f.pick(f.Cores())
-			f.Logf("cut %s from %s", one.Name, two.Name)
-			f.Network.Partition(one.IP, two.IP)
-			f.Network.Partition(two.IP, one.IP)
+			a, b := f.pick(f.Cores()), f.pick(f.Cores())
+			f.Logf("cut %s from %s", a.Name, b.Name)
+			f.Network.Partition(a.IP, b.IP)
+			f.Network.Partition(b.IP, a.IP)
 		}
 		f.sleepBetween(0, time.Second)
 		f.startMachine(other)
@@ -53,16 +53,16 @@
 		f.Network.Disk(m.IP).Fill()
 	}
 	f.sleepBetween(100*time.Millisecond, 4*time.Second)
-	isKilled, isPower := f.Rand.IntN(2) == 0, f.Rand.IntN(2) == 0
+	isKilled, losesPower := f.Rand.IntN(2) == 0, f.Rand.IntN(2) == 0
 	if isKilled {
-		f.Logf("%s is killed, with its power %v", victims[0].Name, isPower)
-		victims[0].Kill(isPower)
-		isUp := make(chan struct{})
+		f.Logf("%s is killed, with its power %v", victims[0].Name, losesPower)
+		victims[0].Kill(losesPower)
+		started := make(chan struct{})
 		go func() {
 			f.startMachine(victims[0])
-			close(isUp)
+			close(started)
 		}()
-		defer func() { <-isUp }()
+		defer func() { <-started }()
 	}
 	f.sleepBetween(100*time.Millisecond, 3*time.Second)
 	for _, m := range victims {
@@ -77,16 +77,16 @@
 // pairCoreFaults lets two kinds of trouble of the core go on at once, each in its own time; over
 // the seeds every pair meets.
 func pairCoreFaults(f *Fleet) {
-	one := f.Rand.IntN(len(coreFaults))
-	two := (one + 1 + f.Rand.IntN(len(coreFaults)-1)) % len(coreFaults)
-	var all sync.WaitGroup
-	for _, trouble := range []func(*Fleet){coreFaults[one], coreFaults[two]} {
-		all.Go(func() {
-			trouble(f)
-			trouble(f)
+	first := f.Rand.IntN(len(coreFaults))
+	second := (first + 1 + f.Rand.IntN(len(coreFaults)-1)) % len(coreFaults)
+	var running sync.WaitGroup
+	for _, inject := range []func(*Fleet){coreFaults[first], coreFaults[second]} {
+		running.Go(func() {
+			inject(f)
+			inject(f)
 		})
 	}
-	all.Wait()
+	running.Wait()
 	f.Network.Heal()
 	f.sleepBetween(time.Second, 3*time.Second)
 }
@@ -95,20 +95,20 @@
 // and again.
 func forceLeaderChanges(f *Fleet) {
 	f.sleepBetween(300*time.Millisecond, 2*time.Second)
-	owner := leaderOf(f, ids.ConfigShard, nil)
-	if owner == nil {
+	leader := leaderOf(f, ids.ConfigShard, nil)
+	if leader == nil {
 		return
 	}
 	if f.Rand.IntN(3) == 0 {
-		f.Logf("cut %s off", owner.Name)
-		f.isolate([]*Machine{owner})
+		f.Logf("cut %s off", leader.Name)
+		f.isolate([]*Machine{leader})
 		f.sleepBetween(200*time.Millisecond, 3*time.Second)
 		f.Logf("heal")
 		f.Network.Heal()
 		return
 	}
-	f.Logf("%s loses power", owner.Name)
-	owner.Kill(true)
+	f.Logf("%s loses power", leader.Name)
+	leader.Kill(true)
 	f.sleepBetween(0, 2*time.Second)
-	f.startMachine(owner)
+	f.startMachine(leader)
 }
--- a/internal/simulator/faults_targets.go
+++ b/internal/simulator/faults_targets.go
@@ -14,14 +14,14 @@
 // and another service takes over an address two seconds after it was left.
 func disturbTargets(f *Fleet) {
 	f.sleepBetween(200*time.Millisecond, 1500*time.Millisecond)
-	names := []string{"bookings", "rates"}
-	service := names[f.Rand.IntN(2)]
-	list := f.Targets(service)
-	if len(list) < 2 {
+	services := []string{"bookings", "rates"}
+	service := services[f.Rand.IntN(2)]
+	targets := f.Targets(service)
+	if len(targets) < 2 {
 		f.StartTarget(service, "", f.Rand.IntN(f.Shape.Zones))
 		return
 	}
-	s := list[f.Rand.IntN(len(list))]
+	s := targets[f.Rand.IntN(len(targets))]
 	switch f.Rand.IntN(6) {
 	case 0:
 		f.Logf("%s %s drains and leaves", service, s.Instance)
@@ -37,7 +37,7 @@
 		s.Crash()
 		f.StartTarget(service, "", f.Rand.IntN(f.Shape.Zones))
 	case 2, 3:
-		other := names[f.Rand.IntN(2)]
+		other := services[f.Rand.IntN(2)]
 		f.Logf("%s %s crashes, %s takes %s after two seconds", service, s.Instance, other, s.Address)
 		f.RemoveTarget(s)
 		s.Crash()
@@ -51,12 +51,12 @@
 		s.Close()
 		f.StartTarget(service, "", f.Rand.IntN(f.Shape.Zones))
 	case 5:
-		ways := f.misbehaviours()
-		way := ways[f.Rand.IntN(len(ways))]
-		f.Logf("a new server of %s does %q now and then", service, way)
+		misbehaviors := f.misbehaviors()
+		misbehavior := misbehaviors[f.Rand.IntN(len(misbehaviors))]
+		f.Logf("a new server of %s does %q now and then", service, misbehavior)
 		f.replaceTarget(s, func(n int64) string {
 			if n%3 == 0 {
-				return way
+				return misbehavior
 			}
 			return standin.WellBehaved
 		})
@@ -67,36 +67,36 @@
 // with two answers as they should be between any two.
 func corruptResponses(f *Fleet) {
 	f.sleepBetween(200*time.Millisecond, time.Second)
-	list := f.Targets([]string{"bookings", "rates"}[f.Rand.IntN(2)])
-	s, ways, from := list[f.Rand.IntN(len(list))], f.misbehaviours(), f.Rand.Int64N(100)
+	targets := f.Targets([]string{"bookings", "rates"}[f.Rand.IntN(2)])
+	s, misbehaviors, first := targets[f.Rand.IntN(len(targets))], f.misbehaviors(), f.Rand.Int64N(100)
 	f.Logf("a new server of %s does all that is wrong, in turn", s.Service)
 	f.replaceTarget(s, func(n int64) string {
 		if n%3 == 0 {
-			return ways[(from+n/3)%int64(len(ways))]
+			return misbehaviors[(first+n/3)%int64(len(misbehaviors))]
 		}
 		return standin.WellBehaved
 	})
 }
 
 // replaceTarget puts a server that misbehaves in the place of one that leaves.
-func (f *Fleet) replaceTarget(s *standin.Server, misdo func(int64) string) {
+func (f *Fleet) replaceTarget(s *standin.Server, misbehavior func(int64) string) {
 	f.RemoveTarget(s)
 	s.Announce(f.ctx, "leaving")
 	time.Sleep(2500 * time.Millisecond)
 	s.Close()
-	bad := f.configureTarget(&standin.Server{Network: f.Network.HostAt(hostOf(s.Address)), History: f.History, Service: s.Service, Zone: s.Zone, Address: s.Address, SealKey: s.SealKey, Nodes: s.Nodes, ServiceTime: s.ServiceTime, Misbehavior: misdo})
-	if err := bad.Start(f.ctx); err != nil {
+	replacement := f.configureTarget(&standin.Server{Network: f.Network.HostAt(hostOf(s.Address)), History: f.History, Service: s.Service, Zone: s.Zone, Address: s.Address, SealKey: s.SealKey, Nodes: s.Nodes, ServiceTime: s.ServiceTime, Misbehavior: misbehavior})
+	if err := replacement.Start(f.ctx); err != nil {
 		panic(err)
 	}
 	f.mu.Lock()
-	f.targets = append(f.targets, bad)
+	f.targets = append(f.targets, replacement)
 	f.mu.Unlock()
 }
 
 // overloadTargets has servers that lose many answers, while callers repeat at once; now
 // and then a proxy is killed and comes back with an empty memory, or is cut off
 // from the fleet and has no fresh plan by which to hand a repeat over.
-func overloadTargets(f *Fleet) {
+func loseResponses(f *Fleet) {
 	for _, s := range f.Targets("bookings") {
 		if s.Misbehavior == nil {
 			f.Logf("%s %s gives way to one that loses answers", s.Service, s.Instance)
@@ -129,21 +129,21 @@
 func disturbTargetsDuring(fault func(f *Fleet) func()) func(*Fleet) {
 	return func(f *Fleet) {
 		f.sleepBetween(500*time.Millisecond, 1500*time.Millisecond)
-		names := []string{"bookings", "rates"}
-		service := names[f.Rand.IntN(2)]
-		list := f.Targets(service)
-		s := list[f.Rand.IntN(len(list))]
+		services := []string{"bookings", "rates"}
+		service := services[f.Rand.IntN(2)]
+		targets := f.Targets(service)
+		s := targets[f.Rand.IntN(len(targets))]
 		f.RemoveTarget(s)
 		restore := func() {}
-		isFirst := f.Rand.IntN(2) == 0
-		if isFirst {
+		faultFirst := f.Rand.IntN(2) == 0
+		if faultFirst {
 			restore = fault(f)
 		}
 		f.Logf("%s %s drains", service, s.Instance)
-		ctx, end := context.WithTimeout(f.ctx, 8*time.Second)
+		ctx, cancel := context.WithTimeout(f.ctx, 8*time.Second)
 		s.Announce(ctx, "draining")
-		end()
-		if !isFirst {
+		cancel()
+		if !faultFirst {
 			restore = fault(f)
 		}
 		f.sleepBetween(2500*time.Millisecond, 4*time.Second)
@@ -156,27 +156,27 @@
 
 // slowLinks holds one machine still for a moment, again and again, so that what
 // it asked for comes late.
-func slowLinks(f *Fleet) func() {
+func pauseRepeatedly(f *Fleet) func() {
 	m := f.pick(f.Machines)
 	f.Logf("hold %s still again and again", m.Name)
-	isOver := make(chan struct{})
+	stopped := make(chan struct{})
 	go func() {
 		for {
 			f.Network.Pause(m.IP)
 			time.Sleep(700 * time.Millisecond)
 			f.Network.Unpause(m.IP)
 			select {
-			case <-isOver:
+			case <-stopped:
 				return
 			case <-time.After(20 * time.Millisecond):
 			}
 		}
 	}()
-	return func() { close(isOver); time.Sleep(time.Second) }
+	return func() { close(stopped); time.Sleep(time.Second) }
 }
 
 // killLeader kills all core nodes or one, and brings them back at once.
-func killLeader(f *Fleet) func() {
+func killCores(f *Fleet) func() {
 	victims := []*Machine{f.pick(f.Cores())}
 	if f.Rand.IntN(2) == 0 {
 		victims = f.Cores()
--- a/internal/simulator/fence_test.go
+++ b/internal/simulator/fence_test.go
@@ -46,7 +46,7 @@
 			t.Fatal(err)
 		}
 		time.Sleep(2500 * time.Millisecond)
-		receipt, err := operator.Submit(f.ctx, f.setChange(f.Rand, "newer", view))
+		receipt, err := operator.Submit(f.ctx, f.newChangeSet(f.Rand, "newer", view))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/simulator/fleet.go
+++ b/internal/simulator/fleet.go
@@ -71,8 +71,8 @@
 
 // NewFleet makes a fleet whose machines are all down.
 func NewFleet(seed uint64, shape Shape, log io.Writer) *Fleet {
-	ctx, end := context.WithCancel(context.Background())
-	f := &Fleet{Network: NewNetwork(seed), History: checker.NewHistory(nil), Shape: shape, Log: log, Rand: rand.New(&lockedSource{pcg: rand.NewPCG(seed, 7)}), ctx: ctx, cancel: end}
+	ctx, cancel := context.WithCancel(context.Background())
+	f := &Fleet{Network: NewNetwork(seed), History: checker.NewHistory(nil), Shape: shape, Log: log, Rand: rand.New(&lockedSource{pcg: rand.NewPCG(seed, 7)}), ctx: ctx, cancel: cancel}
 	f.loadRunning.Store(true)
 	f.conformance.OnViolation = func(invariant, detail string) {
 		f.History.Add(checker.Record{Kind: checker.ReplicaDivergence, Note: invariant + ": " + detail})
@@ -93,10 +93,10 @@
 	pcg *rand.PCG
 }
 
-func (c *lockedSource) Uint64() uint64 {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.pcg.Uint64()
+func (s *lockedSource) Uint64() uint64 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.pcg.Uint64()
 }
 
 // Add puts a machine into the fleet; it is down at first.
@@ -116,7 +116,7 @@
 }
 
 // observeSteps has a test see every step of the replicated parts.
-func (f *Fleet) observeSteps(watch func(m *Machine, step any)) { f.observer.Store(&watch) }
+func (f *Fleet) observeSteps(observe func(m *Machine, step any)) { f.observer.Store(&observe) }
 
 // recordEvent notes what a node has learned, be it that its answer is lost.
 func (f *Fleet) recordEvent(e eventlog.Entry) {
@@ -138,9 +138,9 @@
 	return nil
 }
 
-func (f *Fleet) filter(isWanted func(*Machine) bool) (list []*Machine) {
+func (f *Fleet) filter(matches func(*Machine) bool) (list []*Machine) {
 	for _, m := range f.Machines {
-		if isWanted(m) {
+		if matches(m) {
 			list = append(list, m)
 		}
 	}
@@ -237,10 +237,10 @@
 }
 
 // WaitUntil waits, in virtual time, until it is so.
-func (f *Fleet) WaitUntil(limit time.Duration, isSo func() bool) bool {
-	over := time.Now().Add(limit)
-	for !isSo() {
-		if time.Now().After(over) {
+func (f *Fleet) WaitUntil(limit time.Duration, condition func() bool) bool {
+	deadline := time.Now().Add(limit)
+	for !condition() {
+		if time.Now().After(deadline) {
 			return false
 		}
 		time.Sleep(100 * time.Millisecond)
@@ -260,9 +260,9 @@
 		}
 	}
 	f.mu.Lock()
-	servers := f.targets
+	targets := f.targets
 	f.mu.Unlock()
-	for _, s := range servers {
+	for _, s := range targets {
 		s.Close()
 	}
 	f.cancel()
--- a/internal/simulator/standstill.go
+++ b/internal/simulator/freeze.go
@@ -7,10 +7,10 @@
 import "time"
 
 // standstill is what is to happen at the next write of a machine to an address.
-type standstill struct {
-	duration     time.Duration
-	wholeMachine bool
-	begun        chan struct{} // closed when it begins
+type writeHold struct {
+	duration       time.Duration
+	freezesMachine bool
+	started        chan struct{} // closed when it begins
 }
 
 // writeDirection names what one machine writes to an address.
@@ -19,22 +19,22 @@
 // HoldNextWrite has the next write of a machine to an address stand still right at its beginning:
 // all that the process did before is done, the look at the connection's deadline too, and the
 // system takes the bytes only when the time is over. The channel is closed when that begins.
-func (n *Network) HoldNextWrite(from, to string, d time.Duration) (begun <-chan struct{}) {
-	return n.arm(from, to, &standstill{duration: d, begun: make(chan struct{})})
+func (n *Network) HoldNextWrite(from, to string, d time.Duration) (started <-chan struct{}) {
+	return n.armWriteHold(from, to, &writeHold{duration: d, started: make(chan struct{})})
 }
 
 // FreezeAtNextWrite has the whole machine stand still from the beginning of its next write to an
 // address. The channel is closed when that begins.
-func (n *Network) FreezeAtNextWrite(from, to string, d time.Duration) (begun <-chan struct{}) {
-	return n.arm(from, to, &standstill{duration: d, wholeMachine: true, begun: make(chan struct{})})
+func (n *Network) FreezeAtNextWrite(from, to string, d time.Duration) (started <-chan struct{}) {
+	return n.armWriteHold(from, to, &writeHold{duration: d, freezesMachine: true, started: make(chan struct{})})
 }
 
-func (n *Network) arm(from, to string, s *standstill) <-chan struct{} {
+func (n *Network) armWriteHold(from, to string, s *writeHold) <-chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.standstills[writeDirection{from, to}] = s
+	n.writeHolds[writeDirection{from, to}] = s
 	n.faultCount++
-	return s.begun
+	return s.started
 }
 
 // Freeze has the process of a machine stand still as far as others can tell: from now on, for that
@@ -54,16 +54,16 @@
 
 // awaitThaw waits until a machine does not stand still, and returns when it last began to go on
 // again; the zero time if it never stood still.
-func (n *Network) awaitThaw(ip string) time.Time {
+func (n *Network) awaitUnfrozen(ip string) time.Time {
 	for {
 		n.mu.Lock()
 		until := n.frozenUntil[ip]
 		n.mu.Unlock()
-		left := time.Until(until)
-		if left <= 0 {
+		remaining := time.Until(until)
+		if remaining <= 0 {
 			return until
 		}
-		time.Sleep(left)
+		time.Sleep(remaining)
 	}
 }
 
@@ -71,15 +71,15 @@
 func (n *Network) beginWrite(from, to string) {
 	n.mu.Lock()
 	direction := writeDirection{from, to}
-	s := n.standstills[direction]
-	delete(n.standstills, direction)
-	if s != nil && s.wholeMachine {
+	s := n.writeHolds[direction]
+	delete(n.writeHolds, direction)
+	if s != nil && s.freezesMachine {
 		n.freeze(from, s.duration)
 	}
 	n.mu.Unlock()
 	if s != nil {
-		close(s.begun)
+		close(s.started)
 		time.Sleep(s.duration)
 	}
-	n.awaitThaw(from)
+	n.awaitUnfrozen(from)
 }
--- a/internal/simulator/link.go
+++ b/internal/simulator/link.go
@@ -7,28 +7,28 @@
 import "time"
 
 const (
-	packetMost = 16 << 10
-	packetSize = 60 // of one that carries nothing
+	maxSegmentBytes  = 16 << 10
+	emptyPacketBytes = 60 // of one that carries nothing
 	// queueMost is how long the queue of a link may be before datagrams are lost.
-	queueMost = time.Second
+	maxQueueDelay = time.Second
 )
 
 // link is one machine's, with when each direction has nothing more to carry.
 type link struct {
-	rate    float64 // bytes a second
-	in, out time.Time
+	rate                float64 // bytes a second
+	inFreeAt, outFreeAt time.Time
 }
 
 // transmit is when so many bytes that come at that time are through.
-func (l *link) transmit(free *time.Time, at time.Time, bytes int) time.Time {
+func (l *link) transmit(freeAt *time.Time, start time.Time, bytes int) time.Time {
 	if l == nil {
-		return at
+		return start
 	}
-	if free.After(at) {
-		at = *free
+	if freeAt.After(start) {
+		start = *freeAt
 	}
-	*free = at.Add(time.Duration(float64(bytes) / l.rate * float64(time.Second)))
-	return *free
+	*freeAt = start.Add(time.Duration(float64(bytes) / l.rate * float64(time.Second)))
+	return *freeAt
 }
 
 // LimitBandwidth gives a machine's link a rate in bytes a second.
@@ -39,26 +39,26 @@
 }
 
 // QueueDelay is how long what comes to a machine now waits at its link, and what leaves it.
-func (n *Network) QueueDelay(ip string) (in, out time.Duration) {
+func (n *Network) QueueDelay(ip string) (inbound, outbound time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if l := n.links[ip]; l != nil {
-		in, out = max(0, time.Until(l.in)), max(0, time.Until(l.out))
+		inbound, outbound = max(0, time.Until(l.inFreeAt)), max(0, time.Until(l.outFreeAt))
 	}
-	return in, out
+	return inbound, outbound
 }
 
 // arrivalTime is when what leaves one machine at that time is at the other.
-func (n *Network) arrivalTime(from, to string, at time.Time, bytes int) time.Time {
-	one, two := n.links[from], n.links[to]
-	if one != nil {
-		at = one.transmit(&one.out, at, bytes)
+func (n *Network) arrivalTime(from, to string, t time.Time, bytes int) time.Time {
+	sender, receiver := n.links[from], n.links[to]
+	if sender != nil {
+		t = sender.transmit(&sender.outFreeAt, t, bytes)
 	}
-	at = at.Add(n.delay(from, to))
-	if two != nil {
-		at = two.transmit(&two.in, at, bytes)
+	t = t.Add(n.delay(from, to))
+	if receiver != nil {
+		t = receiver.transmit(&receiver.inFreeAt, t, bytes)
 	}
-	return at
+	return t
 }
 
 // isLimited tells whether a link on the way bounds what goes over it.
--- a/internal/simulator/link_test.go
+++ b/internal/simulator/link_test.go
@@ -32,7 +32,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if n += k; n == packetMost && time.Since(began) > 300*time.Millisecond {
+			if n += k; n == maxSegmentBytes && time.Since(began) > 300*time.Millisecond {
 				t.Error("the first piece came after", time.Since(began))
 			}
 		}
--- a/internal/simulator/listener.go
+++ b/internal/simulator/listener.go
@@ -6,7 +6,7 @@
 )
 
 type listener struct {
-	w       *Network
+	network *Network
 	address string
 	queue   chan *conn
 	closed  chan struct{}
@@ -16,7 +16,7 @@
 func (l *listener) Accept() (net.Conn, error) {
 	select {
 	case c := <-l.queue:
-		l.w.awaitThaw(hostOf(l.address))
+		l.network.awaitUnfrozen(hostOf(l.address))
 		return c, nil
 	case <-l.closed:
 		return nil, net.ErrClosed
@@ -27,11 +27,11 @@
 
 func (l *listener) Close() error {
 	l.close()
-	l.w.mu.Lock()
-	if l.w.listeners[l.address] == l {
-		delete(l.w.listeners, l.address)
+	l.network.mu.Lock()
+	if l.network.listeners[l.address] == l {
+		delete(l.network.listeners, l.address)
 	}
-	l.w.mu.Unlock()
+	l.network.mu.Unlock()
 	return nil
 }
 
--- a/internal/simulator/load_changesets.go
+++ b/internal/simulator/load_changesets.go
@@ -15,76 +15,76 @@
 )
 
 // The services that come and go with change sets; their servers beat all along.
-var guestServices = []string{"alpha", "beta"}
+var optionalServices = []string{"alpha", "beta"}
 
-const setPaths = 6
+const changeSetPathCount = 6
 
-func setPath(i int) string { return fmt.Sprintf("/set/%d", i) }
+func changeSetPath(i int) string { return fmt.Sprintf("/set/%d", i) }
 
-func setMapping(i int, services ...string) api.Mapping {
-	m := api.Mapping{Name: fmt.Sprint("set", i), Path: setPath(i), Repeatable: api.NewOptBool(true), Deadline: api.NewOptInt64(3000)}
+func changeSetMapping(i int, services ...string) api.Mapping {
+	m := api.Mapping{Name: fmt.Sprint("set", i), Path: changeSetPath(i), Repeatable: api.NewOptBool(true), Deadline: api.NewOptInt64(3000)}
 	for _, service := range services {
 		m.To = append(m.To, api.Split{Service: service, Weight: 1})
 	}
 	return m
 }
 
-func service(name string) api.Service {
+func newService(name string) api.Service {
 	return api.Service{Name: name, Key: api.NewOptString("key-" + name)}
 }
 
 // setChange draws a change set against the epoch an operator has seen.
-func (f *Fleet) setChange(r *rand.Rand, id string, view *api.EpochView) *api.Change {
-	there, hasService := map[string]bool{}, map[string]bool{}
+func (f *Fleet) newChangeSet(r *rand.Rand, id string, view *api.EpochView) *api.Change {
+	hasMapping, hasService := map[string]bool{}, map[string]bool{}
 	for _, m := range view.Config.Mappings {
-		there[m.Name] = true
+		hasMapping[m.Name] = true
 	}
-	var names []string
+	var services []string
 	for _, s := range view.Config.Services {
 		hasService[s.Name] = true
-		names = append(names, s.Name)
+		services = append(services, s.Name)
 	}
-	pick := func() string { return names[r.IntN(len(names))] }
+	pick := func() string { return services[r.IntN(len(services))] }
 	var put api.Config
 	var drops api.Drops
 	change := &api.Change{ID: id, Base: view.Epoch}
 	switch r.IntN(5) {
 	case 0: // all move together
-		to := pick()
-		for i := range setPaths {
-			put.Mappings = append(put.Mappings, setMapping(i, to))
+		target := pick()
+		for i := range changeSetPathCount {
+			put.Mappings = append(put.Mappings, changeSetMapping(i, target))
 		}
 	case 1: // some are split, with a mapping of their own
-		one, two := pick(), pick()
-		for i := range setPaths {
-			if one != two && r.IntN(2) == 0 {
-				put.Mappings = append(put.Mappings, setMapping(i, one, two))
+		first, second := pick(), pick()
+		for i := range changeSetPathCount {
+			if first != second && r.IntN(2) == 0 {
+				put.Mappings = append(put.Mappings, changeSetMapping(i, first, second))
 			}
 		}
 		put.Mappings = append(put.Mappings, f.newChange(id, 0).Put.Value.Mappings...)
 	case 2: // some go, others come
-		for i := range setPaths {
-			if name := fmt.Sprint("set", i); r.IntN(2) == 0 && there[name] {
+		for i := range changeSetPathCount {
+			if name := fmt.Sprint("set", i); r.IntN(2) == 0 && hasMapping[name] {
 				drops.Mappings = append(drops.Mappings, name)
 			} else {
-				put.Mappings = append(put.Mappings, setMapping(i, pick()))
+				put.Mappings = append(put.Mappings, changeSetMapping(i, pick()))
 			}
 		}
 	case 3: // a service comes with all its mappings, or goes and they with it
-		guest := guestServices[r.IntN(len(guestServices))]
-		to := guest
-		if hasService[guest] {
-			drops.Services = append(drops.Services, guest)
-			to = "rates"
+		optional := optionalServices[r.IntN(len(optionalServices))]
+		target := optional
+		if hasService[optional] {
+			drops.Services = append(drops.Services, optional)
+			target = "rates"
 		} else {
-			put.Services = append(put.Services, service(guest))
+			put.Services = append(put.Services, newService(optional))
 		}
-		for i := range setPaths {
-			put.Mappings = append(put.Mappings, setMapping(i, to))
+		for i := range changeSetPathCount {
+			put.Mappings = append(put.Mappings, changeSetMapping(i, target))
 		}
 		for _, m := range view.Config.Mappings {
 			for _, split := range m.To {
-				if split.Service == guest && len(m.Path) > 6 && m.Path[:7] == "/extra/" {
+				if split.Service == optional && len(m.Path) > 6 && m.Path[:7] == "/extra/" {
 					drops.Mappings = append(drops.Mappings, m.Name)
 					break
 				}
@@ -92,11 +92,11 @@
 		}
 	case 4: // a whole configuration
 		put = f.initialConfiguration()
-		to := guestServices[r.IntN(len(guestServices))]
-		put.Services = append(put.Services, service(to))
-		for i := range setPaths {
+		target := optionalServices[r.IntN(len(optionalServices))]
+		put.Services = append(put.Services, newService(target))
+		for i := range changeSetPathCount {
 			if r.IntN(4) > 0 {
-				put.Mappings = append(put.Mappings, setMapping(i, to))
+				put.Mappings = append(put.Mappings, changeSetMapping(i, target))
 			}
 		}
 		change.Whole = api.NewOptBool(true)
@@ -109,7 +109,7 @@
 }
 
 // growConfiguration adds many mappings in one set.
-func growConfiguration(id string, base uint64, n int) *api.Change {
+func newBulkChange(id string, base uint64, n int) *api.Change {
 	config := api.Config{}
 	for i := range n {
 		config.Mappings = append(config.Mappings, api.Mapping{Name: fmt.Sprint(id, "-", i), Path: fmt.Sprintf("/extra/%s/%d", id, i), To: []api.Split{{Service: "rates", Weight: 1}}, Repeatable: api.NewOptBool(true)})
@@ -120,13 +120,13 @@
 // StartChangeSets starts the servers of the guests, callers of all paths of the sets, and
 // operators who submit sets, repeat some of them, and call at once what they put.
 func (f *Fleet) StartChangeSets(n int, mean time.Duration) {
-	for i, guest := range guestServices {
-		f.StartTarget(guest, "", i%f.Shape.Zones)
+	for i, optional := range optionalServices {
+		f.StartTarget(optional, "", i%f.Shape.Zones)
 	}
 	for i, proxyNode := range f.Proxies() {
 		caller := f.newClient(i)
 		f.goTask(func(r *rand.Rand) {
-			caller.Call(f.ctx, proxyNode.ProxyAddress(), "GET", setPath(r.IntN(setPaths)), "", nil)
+			caller.Call(f.ctx, proxyNode.ProxyAddress(), "GET", changeSetPath(r.IntN(changeSetPathCount)), "", nil)
 			pause(r, 40*time.Millisecond)
 		})
 	}
@@ -142,12 +142,12 @@
 			}
 			pause(r, 50*time.Millisecond)
 			id := fmt.Sprintf("s%d-%d", i, f.changeCount.Add(1))
-			change := f.setChange(r, id, view)
+			change := f.newChangeSet(r, id, view)
 			if f.Shape.Growth > 0 && r.IntN(4) == 0 {
-				change = growConfiguration(id, view.Epoch, f.Shape.Growth)
+				change = newBulkChange(id, view.Epoch, f.Shape.Growth)
 			}
-			isBad := r.IntN(6) == 0 && len(change.Put.Value.Mappings) > 1
-			if isBad {
+			isInvalid := r.IntN(6) == 0 && len(change.Put.Value.Mappings) > 1
+			if isInvalid {
 				last := len(change.Put.Value.Mappings) - 1
 				change.Put.Value.Mappings[last].To = []api.Split{{Service: standin.MissingService, Weight: 1}}
 			}
--- a/internal/simulator/load_clients.go
+++ b/internal/simulator/load_clients.go
@@ -21,14 +21,14 @@
 )
 
 // goTask runs until the load is ended.
-func (f *Fleet) goTask(verb func(r *rand.Rand)) {
+func (f *Fleet) goTask(task func(r *rand.Rand)) {
 	seed := f.Rand.Uint64()
 	f.loadTasks.Add(1)
 	go func() {
 		defer f.loadTasks.Done()
 		r := rand.New(rand.NewPCG(seed, 3))
 		for f.loadRunning.Load() {
-			verb(r)
+			task(r)
 		}
 	}()
 }
@@ -65,10 +65,10 @@
 		caller.AtMostOnce = !f.Shape.AllowsDuplicates && !f.Shape.PlatformMode
 		proxies := f.Proxies()
 		f.goTask(func(r *rand.Rand) {
-			call, body := ids.NewID(), []byte(`{"storm":1}`)
+			callID, body := ids.NewID(), []byte(`{"storm":1}`)
 			for try := range 30 {
-				got := caller.CallWithID(f.ctx, proxies[r.IntN(len(proxies))].ProxyAddress(), "POST", "/bookings", "bookings", body, call, try > 0)
-				if got.Outcome == "ran" || got.Code == 1017 || !f.loadRunning.Load() {
+				result := caller.CallWithID(f.ctx, proxies[r.IntN(len(proxies))].ProxyAddress(), "POST", "/bookings", "bookings", body, callID, try > 0)
+				if result.Outcome == "ran" || result.Code == 1017 || !f.loadRunning.Load() {
 					break
 				}
 				time.Sleep(time.Millisecond)
@@ -91,7 +91,7 @@
 // initialConfiguration is what every fleet of the simulator begins with.
 func (f *Fleet) initialConfiguration() (config api.Config) {
 	for name := range f.Shape.Targets {
-		config.Services = append(config.Services, service(name))
+		config.Services = append(config.Services, newService(name))
 		config.Mappings = append(config.Mappings, api.Mapping{Name: name, Path: "/" + name, To: []api.Split{{Service: name, Weight: 1}}, Repeatable: api.NewOptBool(f.Shape.Idempotent[name]), Once: api.NewOptBool(!f.Shape.AllowsDuplicates && !f.Shape.Idempotent[name]), Deadline: api.NewOptInt64(3000)})
 	}
 	return config
@@ -192,9 +192,9 @@
 	for k := range 3 {
 		from := uint64(0)
 		f.goTask(func(r *rand.Rand) { f.useWatch(r, clients[r.IntN(len(clients))], fmt.Sprint("key", k), &from) })
-		lazily := uint64(0)
+		slowFrom := uint64(0)
 		f.goTask(func(r *rand.Rand) {
-			f.useWatch(r, clients[r.IntN(len(clients))], fmt.Sprint("key", k), &lazily)
+			f.useWatch(r, clients[r.IntN(len(clients))], fmt.Sprint("key", k), &slowFrom)
 			pause(r, 5*time.Second)
 		})
 	}
@@ -203,8 +203,8 @@
 // recordCoordination records one coordination call.
 func (f *Fleet) recordCoordination(r checker.Record, call func(ctx context.Context, r *checker.Record) error) error {
 	r.Kind, r.Start = checker.CoordinationCall, f.History.Now()
-	ctx, end := context.WithTimeout(f.ctx, 4*time.Second)
-	defer end()
+	ctx, cancel := context.WithTimeout(f.ctx, 4*time.Second)
+	defer cancel()
 	err := call(ctx, &r)
 	r.Outcome, r.Code = "done", standin.CodeOf(err)
 	if err != nil {
@@ -256,8 +256,8 @@
 
 // useWatch goes on with a watch from where the last one ended.
 func (f *Fleet) useWatch(r *rand.Rand, client *api.Client, name string, from *uint64) {
-	ctx, end := context.WithTimeout(f.ctx, 6*time.Second)
-	defer end()
+	ctx, cancel := context.WithTimeout(f.ctx, 6*time.Second)
+	defer cancel()
 	rec := checker.Record{Kind: checker.WatchResponse, Start: f.History.Now(), Name: name, From: *from}
 	receipt, err := client.Watch(ctx, api.WatchParams{Name: name, From: *from, Hold: api.NewOptInt64(2000)})
 	switch {
--- a/internal/simulator/load_coordination.go
+++ b/internal/simulator/load_coordination.go
@@ -20,16 +20,16 @@
 	"github.com/sumactrestle/sumactrestle/internal/standin"
 )
 
-const space = "space/"
+const watchedSpace = "space/"
 
 // repeatUnknown makes a call under an id, and up to three times more while it is left
 // unknown; each try is recorded under the id.
-func (f *Fleet) repeatUnknown(r *rand.Rand, clients []*api.Client, rec checker.Record, call func(ctx context.Context, client *api.Client, id string, rec *checker.Record) error) (done bool) {
+func (f *Fleet) retryUnknown(r *rand.Rand, clients []*api.Client, rec checker.Record, call func(ctx context.Context, client *api.Client, id string, rec *checker.Record) error) (done bool) {
 	rec.RequestID = ids.NewID()
 	for range 4 {
 		client, outcome := clients[r.IntN(len(clients))], ""
-		f.recordCoordination(rec, func(ctx context.Context, now *checker.Record) error {
-			err := call(ctx, client, rec.RequestID, now)
+		f.recordCoordination(rec, func(ctx context.Context, attempt *checker.Record) error {
+			err := call(ctx, client, rec.RequestID, attempt)
 			outcome = outcomeOf(err)
 			return err
 		})
@@ -57,24 +57,24 @@
 	for i := range n {
 		f.goTask(func(r *rand.Rand) {
 			pause(r, mean)
-			key := fmt.Sprint(space, "k", r.IntN(4))
+			key := fmt.Sprint(watchedSpace, "k", r.IntN(4))
 			client := clients[r.IntN(len(clients))]
 			switch r.IntN(6) {
 			case 0:
-				f.repeatUnknown(r, clients, checker.Record{Op: "add", Name: "total/" + fmt.Sprint(r.IntN(2))}, func(ctx context.Context, client *api.Client, id string, rec *checker.Record) error {
+				f.retryUnknown(r, clients, checker.Record{Op: "add", Name: "total/" + fmt.Sprint(r.IntN(2))}, func(ctx context.Context, client *api.Client, id string, rec *checker.Record) error {
 					receipt, err := client.AddCounter(ctx, &api.Call{Name: rec.Name, ID: api.NewOptString(id)})
 					return recordResponse(rec, receipt, err)
 				})
 			case 1, 2:
 				f.compareAndSet(r, clients, key)
 			case 3:
-				f.repeatUnknown(r, clients, checker.Record{Op: "drop", Name: key}, func(ctx context.Context, client *api.Client, id string, rec *checker.Record) error {
+				f.retryUnknown(r, clients, checker.Record{Op: "drop", Name: key}, func(ctx context.Context, client *api.Client, id string, rec *checker.Record) error {
 					receipt, err := client.DropKey(ctx, &api.Call{Name: rec.Name, ID: api.NewOptString(id)})
 					return recordResponse(rec, receipt, err)
 				})
 			case 4:
-				f.recordCoordination(checker.Record{Op: "list", Name: space}, func(ctx context.Context, rec *checker.Record) error {
-					receipt, err := client.ListKeys(ctx, api.ListKeysParams{Prefix: space})
+				f.recordCoordination(checker.Record{Op: "list", Name: watchedSpace}, func(ctx context.Context, rec *checker.Record) error {
+					receipt, err := client.ListKeys(ctx, api.ListKeysParams{Prefix: watchedSpace})
 					if err == nil {
 						rec.Revision = receipt.Stamp
 						for _, k := range receipt.Keys {
@@ -89,12 +89,12 @@
 		})
 	}
 	from := uint64(0)
-	f.goTask(func(r *rand.Rand) { f.useWatch(r, clients[r.IntN(len(clients))], space, &from) })
+	f.goTask(func(r *rand.Rand) { f.useWatch(r, clients[r.IntN(len(clients))], watchedSpace, &from) })
 }
 
 // compareAndSet reads a key and puts it back, if nobody else did meanwhile.
 func (f *Fleet) compareAndSet(r *rand.Rand, clients []*api.Client, key string) {
-	index, isRead := uint64(0), false
+	revision, isRead := uint64(0), false
 	f.recordCoordination(checker.Record{Op: "get", Name: key}, func(ctx context.Context, rec *checker.Record) error {
 		receipt, err := clients[r.IntN(len(clients))].GetKey(ctx, api.GetKeyParams{Name: key})
 		if standin.CodeOf(err) == errcode.KeyNotFound.Number {
@@ -102,7 +102,7 @@
 			return nil
 		}
 		if err == nil {
-			index, isRead = receipt.Stamp, true
+			revision, isRead = receipt.Stamp, true
 			rec.Revision, rec.Digest = receipt.Stamp, string(receipt.Value)
 		}
 		return err
@@ -111,16 +111,16 @@
 		return
 	}
 	value, _ := json.Marshal(r.Uint32())
-	f.repeatUnknown(r, clients, checker.Record{Op: "put", Name: key, IsConditional: true, From: index, Digest: string(value)}, func(ctx context.Context, client *api.Client, id string, rec *checker.Record) error {
-		receipt, err := client.PutKey(ctx, &api.Call{Name: key, Value: jx.Raw(value), If: api.NewOptUint64(index), ID: api.NewOptString(id)})
+	f.retryUnknown(r, clients, checker.Record{Op: "put", Name: key, IsConditional: true, From: revision, Digest: string(value)}, func(ctx context.Context, client *api.Client, id string, rec *checker.Record) error {
+		receipt, err := client.PutKey(ctx, &api.Call{Name: key, Value: jx.Raw(value), If: api.NewOptUint64(revision), ID: api.NewOptString(id)})
 		return recordResponse(rec, receipt, err)
 	})
 }
 
 // campaign stands in an election, reads who leads, and may resign.
-func (f *Fleet) campaign(r *rand.Rand, clients []*api.Client, who string) {
+func (f *Fleet) campaign(r *rand.Rand, clients []*api.Client, candidate string) {
 	const ttl = 2 * time.Second
-	session := who + "-" + ids.NewID()
+	session := candidate + "-" + ids.NewID()
 	fence := uint64(0)
 	client := clients[r.IntN(len(clients))]
 	f.recordCoordination(checker.Record{Op: "leader", Name: "head"}, func(ctx context.Context, rec *checker.Record) error {
@@ -154,7 +154,7 @@
 }
 
 // incrementCounter reads the counters at the end, when nothing else goes on.
-func (f *Fleet) incrementCounter() {
+func (f *Fleet) readCounters() {
 	client := standin.NewAPIClient(f.Network.HostAt(f.clientHost(92)), f.Cores()[0].APIAddress())
 	for i := range 2 {
 		f.WaitUntil(10*time.Second, func() bool {
--- a/internal/simulator/load_rivals.go
+++ b/internal/simulator/load_rivals.go
@@ -13,38 +13,38 @@
 )
 
 // rivalOperators is how many orders are under way at once.
-const rivalOperators = 8
+const rivalCount = 8
 
 // StartRivals starts such operators; what they are told is judged with the versions.
 func (f *Fleet) StartRivals(mean time.Duration) {
-	var taken []*rpc.ChangeSet
+	var accepted []*rpc.ChangeSet
 	f.goTask(func(r *rand.Rand) {
 		pause(r, mean)
 		node := f.anyNode(r)
 		if node == nil {
 			return
 		}
-		view := f.readBackAll(node)
+		view := f.readConfiguration(node)
 		if view == nil {
 			return
 		}
 		var mu sync.Mutex
-		var all sync.WaitGroup
-		number := view.Version + 1
-		for range rivalOperators {
-			change, own := numberedChange(r, view.Version), rand.New(rand.NewPCG(r.Uint64(), 1))
-			change.Version = number
-			all.Go(func() {
-				if f.submitUntilAnswered(own, change) {
+		var submitters sync.WaitGroup
+		version := view.Version + 1
+		for range rivalCount {
+			change, submitterRand := numberedChange(r, view.Version), rand.New(rand.NewPCG(r.Uint64(), 1))
+			change.Version = version
+			submitters.Go(func() {
+				if f.submitUntilAnswered(submitterRand, change) {
 					mu.Lock()
-					taken = append(taken, change)
+					accepted = append(accepted, change)
 					mu.Unlock()
 				}
 			})
 		}
-		all.Wait()
-		if len(taken) > 0 {
-			f.submitUntilAnswered(r, taken[r.IntN(len(taken))])
+		submitters.Wait()
+		if len(accepted) > 0 {
+			f.submitUntilAnswered(r, accepted[r.IntN(len(accepted))])
 		}
 	})
 }
--- a/internal/simulator/load_spaces.go
+++ b/internal/simulator/load_spaces.go
@@ -19,7 +19,7 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-const countedSpace = "sets/"
+const followedSpace = "sets/"
 
 // anyNode is a running node, or nil.
 func (f *Fleet) anyNode(r *rand.Rand) *node.Node {
@@ -28,35 +28,35 @@
 
 // callNode makes one coordination call at a node; refused is what its owner said.
 func (f *Fleet) callNode(node *node.Node, rec checker.Record, op *rpc.CoordinationRequest) (*rpc.CoordinationResponse, string) {
-	rec.Kind, rec.Start, rec.Op = checker.CoordinationCall, f.History.Now(), cmpOr(rec.Op, op.Operation)
+	rec.Kind, rec.Start, rec.Op = checker.CoordinationCall, f.History.Now(), firstNonEmpty(rec.Op, op.Operation)
 	rec.Name, rec.Holder = op.Name, op.Holder
-	ctx, end := context.WithTimeout(f.ctx, 4*time.Second)
-	defer end()
-	got, err := node.Coordinate(ctx, op)
+	ctx, cancel := context.WithTimeout(f.ctx, 4*time.Second)
+	defer cancel()
+	response, err := node.Coordinate(ctx, op)
 	rec.Outcome = "done"
 	switch {
 	case err != nil:
-		rec.Outcome, rec.Note, rec.Code, got = "unknown", err.Error(), errcode.From(err).Code.Number, &rpc.CoordinationResponse{}
-	case got.Code != 0:
-		rec.Outcome, rec.Code = "refused", got.Code
+		rec.Outcome, rec.Note, rec.Code, response = "unknown", err.Error(), errcode.From(err).Code.Number, &rpc.CoordinationResponse{}
+	case response.Code != 0:
+		rec.Outcome, rec.Code = "refused", response.Code
 	}
 	if op.Operation == coordination.OpSet || op.Operation == coordination.OpGet {
-		rec.Revision = uint64(got.Revision)
+		rec.Revision = uint64(response.Revision)
 	}
 	if op.Operation == coordination.OpGet {
-		json.Unmarshal(got.Value, &rec.Digest)
-		if got.Code == errcode.KeyNotFound.Number {
+		json.Unmarshal(response.Value, &rec.Digest)
+		if response.Code == errcode.KeyNotFound.Number {
 			rec.Outcome = "done"
 		}
 	}
 	if rec.FencingToken == 0 {
-		rec.FencingToken = uint64(got.FencingToken)
+		rec.FencingToken = uint64(response.FencingToken)
 	}
 	f.History.Add(rec)
-	return got, rec.Outcome
+	return response, rec.Outcome
 }
 
-func cmpOr(a, b string) string {
+func firstNonEmpty(a, b string) string {
 	if a != "" {
 		return a
 	}
@@ -72,16 +72,16 @@
 			if node == nil {
 				return
 			}
-			key, value := fmt.Sprint(countedSpace, "k", r.IntN(3)), ids.NewID()
+			key, value := fmt.Sprint(followedSpace, "k", r.IntN(3)), ids.NewID()
 			raw, _ := json.Marshal(value)
 			op := &rpc.CoordinationRequest{Operation: coordination.OpSet, ID: value, Name: key, Value: raw}
 			rec := checker.Record{RequestID: value, Digest: value}
 			if r.IntN(2) == 0 {
-				got, outcome := f.callNode(node, checker.Record{Op: "look"}, &rpc.CoordinationRequest{Operation: coordination.OpGet, Name: key})
+				current, outcome := f.callNode(node, checker.Record{Op: "look"}, &rpc.CoordinationRequest{Operation: coordination.OpGet, Name: key})
 				if outcome != "done" {
 					return
 				}
-				rev := got.Revision
+				rev := current.Revision
 				op.IfRevision, rec.IsConditional, rec.From = &rev, true, uint64(rev)
 				pause(r, 100*time.Millisecond)
 			}
@@ -109,19 +109,19 @@
 		time.Sleep(100 * time.Millisecond)
 		return
 	}
-	rec := checker.Record{Kind: checker.FollowResponse, Start: f.History.Now(), Name: countedSpace, From: uint64(*from), Outcome: "done"}
-	ctx, end := context.WithTimeout(f.ctx, 6*time.Second)
-	defer end()
-	got, err := node.Coordinate(ctx, &rpc.CoordinationRequest{Operation: coordination.OpFollow, Name: countedSpace, FromIndex: *from, Wait: 2000})
+	rec := checker.Record{Kind: checker.FollowResponse, Start: f.History.Now(), Name: followedSpace, From: uint64(*from), Outcome: "done"}
+	ctx, cancel := context.WithTimeout(f.ctx, 6*time.Second)
+	defer cancel()
+	response, err := node.Coordinate(ctx, &rpc.CoordinationRequest{Operation: coordination.OpFollow, Name: followedSpace, FromIndex: *from, Wait: 2000})
 	if err != nil {
 		time.Sleep(100 * time.Millisecond)
 		return
 	}
-	rec.Revision = uint64(got.Revision)
-	if got.Code == errcode.RevisionCompacted.Number {
+	rec.Revision = uint64(response.Revision)
+	if response.Code == errcode.RevisionCompacted.Number {
 		rec.Outcome = "too old"
 	}
-	for _, e := range got.Events {
+	for _, e := range response.Events {
 		var id string
 		json.Unmarshal(e.Value, &id)
 		rec.Revisions, rec.Names = append(rec.Revisions, uint64(e.Revision)), append(rec.Names, e.Name+" "+id)
@@ -129,7 +129,7 @@
 	if *from > 0 {
 		f.History.Add(rec)
 	}
-	*from = got.Revision
+	*from = response.Revision
 }
 
 // StartTimedLocks starts those who hold a lock for a moment, with a time in each call.
@@ -147,11 +147,11 @@
 				op.Name, op.Holder, op.ID = name, holder, ids.NewID()
 				return f.callNode(node, checker.Record{FencingToken: uint64(op.FencingToken), TTL: time.Duration(op.TTL) * time.Millisecond}, &op)
 			}
-			got, outcome := call(rpc.CoordinationRequest{Operation: coordination.OpAcquire, TTL: ttl()})
+			response, outcome := call(rpc.CoordinationRequest{Operation: coordination.OpAcquire, TTL: ttl()})
 			if outcome != "done" {
 				return
 			}
-			fence := got.FencingToken
+			fence := response.FencingToken
 			for range r.IntN(5) {
 				pause(r, 600*time.Millisecond)
 				if other := f.anyNode(r); other != nil {
@@ -161,7 +161,7 @@
 				if r.IntN(3) == 0 {
 					op = rpc.CoordinationRequest{Operation: coordination.OpAcquire, TTL: ttl()}
 				}
-				if got, outcome = call(op); outcome != "done" || got.FencingToken != fence {
+				if response, outcome = call(op); outcome != "done" || response.FencingToken != fence {
 					return
 				}
 			}
--- a/internal/simulator/load_versions.go
+++ b/internal/simulator/load_versions.go
@@ -31,16 +31,16 @@
 			if node == nil {
 				return
 			}
-			view := f.readBackAll(node)
+			view := f.readConfiguration(node)
 			if view == nil {
 				return
 			}
 			pause(r, 50*time.Millisecond)
 			change := numberedChange(r, view.Version)
 			if rival, other := numberedChange(r, view.Version), f.anyNode(r); other != nil && r.IntN(2) == 0 {
-				var both sync.WaitGroup
-				both.Go(func() { f.submitVersion(other, rival) })
-				defer both.Wait()
+				var racing sync.WaitGroup
+				racing.Go(func() { f.submitVersion(other, rival) })
+				defer racing.Wait()
 			}
 			for range 3 {
 				outcome := f.submitVersion(node, change)
@@ -53,21 +53,21 @@
 				}
 			}
 			if node = f.anyNode(r); node != nil {
-				f.readBackAll(node)
+				f.readConfiguration(node)
 			}
 		})
 	}
 }
 
 // numberedChange is a change over a version, with a text of its own.
-func numberedChange(r *rand.Rand, over ids.Version) *rpc.ChangeSet {
+func numberedChange(r *rand.Rand, base ids.Version) *rpc.ChangeSet {
 	id, service := numberedPrefix+ids.NewID(), "rates"
 	if r.IntN(6) == 0 {
 		service = standin.MissingService
 	}
 	source, _ := json.Marshal(map[string]string{"as": "sent", "id": id})
-	m := rpc.Route{Name: id, Path: "/numbered/" + id, Services: []rpc.WeightedService{{Service: service, Weight: 1}}, Source: source}
-	return &rpc.ChangeSet{ID: id, Version: over + 1 + ids.Version(r.IntN(2)), ExpectedVersion: &over, Put: rpc.Configuration{Routes: []rpc.Route{m}}}
+	route := rpc.Route{Name: id, Path: "/numbered/" + id, Services: []rpc.WeightedService{{Service: service, Weight: 1}}, Source: source}
+	return &rpc.ChangeSet{ID: id, Version: base + 1 + ids.Version(r.IntN(2)), ExpectedVersion: &base, Put: rpc.Configuration{Routes: []rpc.Route{route}}}
 }
 
 func (f *Fleet) submitVersion(node *node.Node, change *rpc.ChangeSet) string {
@@ -78,8 +78,8 @@
 // on its way.
 func (f *Fleet) submitWithin(limit time.Duration, node *node.Node, change *rpc.ChangeSet) string {
 	rec := checker.Record{Kind: checker.VersionedChange, Start: f.History.Now(), Name: change.ID, Revision: uint64(change.Version), From: uint64(*change.ExpectedVersion), Digest: string(change.Put.Routes[0].Source), Outcome: "accepted", Invalid: change.Put.Routes[0].Services[0].Service == standin.MissingService}
-	ctx, end := context.WithTimeout(f.ctx, limit)
-	defer end()
+	ctx, cancel := context.WithTimeout(f.ctx, limit)
+	defer cancel()
 	receipt, err := node.Submit(ctx, change)
 	switch {
 	case err == nil:
@@ -94,10 +94,10 @@
 }
 
 // readBackAll records what of the operators' texts is in force; nil if it can't be had.
-func (f *Fleet) readBackAll(node *node.Node) *rpc.ConfigurationView {
+func (f *Fleet) readConfiguration(node *node.Node) *rpc.ConfigurationView {
 	rec := checker.Record{Kind: checker.ConfigurationRead, Start: f.History.Now(), Destinations: map[string]string{}}
-	ctx, end := context.WithTimeout(f.ctx, 4*time.Second)
-	defer end()
+	ctx, cancel := context.WithTimeout(f.ctx, 4*time.Second)
+	defer cancel()
 	view, err := node.Config(ctx)
 	if err != nil {
 		return nil
@@ -113,12 +113,12 @@
 }
 
 // readBackLast reads the versions once more, when nothing else goes on.
-func (f *Fleet) readBackLast() error {
-	isRead := f.WaitUntil(10*time.Second, func() bool {
+func (f *Fleet) readFinalConfiguration() error {
+	wasRead := f.WaitUntil(10*time.Second, func() bool {
 		node := f.Cores()[0].Node()
-		return node != nil && f.readBackAll(node) != nil
+		return node != nil && f.readConfiguration(node) != nil
 	})
-	if !isRead {
+	if !wasRead {
 		return fmt.Errorf("the versions could not be read back at the end")
 	}
 	return nil
--- a/internal/simulator/machine.go
+++ b/internal/simulator/machine.go
@@ -14,12 +14,12 @@
 
 // Machine is one machine with at most one running node.
 type Machine struct {
-	Name    string
-	Zone    string
-	IP      string
-	IsCore  bool
-	IsProxy bool
-	IsGone  bool // taken away for good; it is no seed of others any more
+	Name      string
+	Zone      string
+	IP        string
+	IsCore    bool
+	IsProxy   bool
+	IsRemoved bool // taken away for good; it is no seed of others any more
 
 	fleet    *Fleet
 	starting chan struct{} // a lock held while the node is started; waiting for it lets virtual time pass
@@ -46,47 +46,47 @@
 
 // Start brings the machine's process up.
 func (m *Machine) Start() error {
-	set := map[string]string{"name": m.Name, "zone": m.Zone, "peer.address": m.RPCAddress(), "api.address": m.APIAddress(), "bootstrap.cores": fmt.Sprint(m.fleet.Shape.Cores), "log.level": "debug"}
+	settings := map[string]string{"name": m.Name, "zone": m.Zone, "peer.address": m.RPCAddress(), "api.address": m.APIAddress(), "bootstrap.cores": fmt.Sprint(m.fleet.Shape.Cores), "log.level": "debug"}
 	seeds := ""
 	for _, other := range m.fleet.Machines {
-		if other.IsCore && !other.IsGone && len(seeds) < 40 {
+		if other.IsCore && !other.IsRemoved && len(seeds) < 40 {
 			seeds += "," + other.RPCAddress()
 		}
 	}
-	set["seeds"] = seeds[1:]
+	settings["seeds"] = seeds[1:]
 	if m.IsCore {
-		set["data.folder"] = "/dream/" + m.Name
+		settings["data.folder"] = "/dream/" + m.Name
 	}
 	if m.IsProxy {
-		set["proxy.address"] = m.ProxyAddress()
+		settings["proxy.address"] = m.ProxyAddress()
 	}
 	for key, value := range m.fleet.Shape.Settings {
-		set[key] = value
+		settings[key] = value
 	}
-	p, err := config.Load("", set)
+	cfg, err := config.Load("", settings)
 	if err != nil {
 		return err
 	}
 	if m.IsProxy {
 		m.fleet.History.Add(checker.Record{Kind: checker.ProxyStarted, Proxy: m.ProxyAddress()})
 	}
-	journal := eventlog.New(m.fleet.Log, "debug", m.Name)
-	journal.Observer = m.fleet.recordEvent
-	here := &atomic.Pointer[node.Node]{}
-	r := environment.New(m.fleet.ctx, p, journal, m.hostNetwork(here))
-	r.Trace = func(step any) {
+	logger := eventlog.New(m.fleet.Log, "debug", m.Name)
+	logger.Observer = m.fleet.recordEvent
+	nodePointer := &atomic.Pointer[node.Node]{}
+	env := environment.New(m.fleet.ctx, cfg, logger, m.hostNetwork(nodePointer))
+	env.Trace = func(step any) {
 		m.fleet.conformance.Observe(step)
-		if watch := m.fleet.observer.Load(); watch != nil {
-			(*watch)(m, step)
+		if observe := m.fleet.observer.Load(); observe != nil {
+			(*observe)(m, step)
 		}
 	}
-	node, err := node.Start(r)
+	node, err := node.Start(env)
 	if err != nil {
 		m.fleet.Network.Kill(m.IP, false)
-		r.Shutdown()
+		env.Shutdown()
 		return err
 	}
-	here.Store(node)
+	nodePointer.Store(node)
 	m.mu.Lock()
 	m.node = node
 	m.mu.Unlock()
@@ -95,7 +95,7 @@
 			select {
 			case <-node.Store.Corrupted():
 				m.Kill(false)
-			case <-r.Done():
+			case <-env.Done():
 			}
 		}()
 	}
--- a/internal/simulator/network.go
+++ b/internal/simulator/network.go
@@ -31,7 +31,7 @@
 	generations map[string]int // a killed process of a machine counts up its generation
 	suspended   map[string]time.Duration
 	frozenUntil map[string]time.Time
-	standstills map[writeDirection]*standstill // armed, each for one write
+	writeHolds  map[writeDirection]*writeHold // armed, each for one write
 	links       map[string]*link
 	disks       map[string]*Disk
 	lossRate    float64 // share of the datagrams that are lost
@@ -57,7 +57,7 @@
 		generations: map[string]int{},
 		suspended:   map[string]time.Duration{},
 		frozenUntil: map[string]time.Time{},
-		standstills: map[writeDirection]*standstill{},
+		writeHolds:  map[writeDirection]*writeHold{},
 		links:       map[string]*link{},
 		disks:       map[string]*Disk{},
 		listeners:   map[string]*listener{},
@@ -135,16 +135,16 @@
 }
 
 // status reports whether nothing is partitioned, paused or lossy, and how many faults there were.
-func (n *Network) status() (intact bool, faults int) {
+func (n *Network) status() (isIntact bool, faults int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return len(n.partitions) == 0 && len(n.paused) == 0 && n.lossRate == 0, n.faultCount
 }
 
 // SetLossRate sets the share of datagrams that are lost.
-func (n *Network) SetLossRate(share float64) {
+func (n *Network) SetLossRate(rate float64) {
 	n.mu.Lock()
-	n.lossRate = share
+	n.lossRate = rate
 	n.mu.Unlock()
 }
 
@@ -161,16 +161,16 @@
 			delete(n.conns, c)
 		}
 	}
-	for at, l := range n.listeners {
-		if hostOf(at) == ip {
+	for address, l := range n.listeners {
+		if hostOf(address) == ip {
 			l.close()
-			delete(n.listeners, at)
+			delete(n.listeners, address)
 		}
 	}
-	for at, p := range n.packetConns {
-		if hostOf(at) == ip {
-			p.shut()
-			delete(n.packetConns, at)
+	for address, p := range n.packetConns {
+		if hostOf(address) == ip {
+			p.close()
+			delete(n.packetConns, address)
 		}
 	}
 	disk := n.disks[ip]
@@ -215,9 +215,9 @@
 // HostAt is the network as one machine has it, for one life of its process.
 func (n *Network) HostAt(ip string) environment.Host {
 	n.mu.Lock()
-	life := n.generations[ip]
+	generation := n.generations[ip]
 	n.mu.Unlock()
-	isAlive := func() bool { return n.generations[ip] == life }
+	isAlive := func() bool { return n.generations[ip] == generation }
 	return environment.Host{
 		Dial: func(ctx context.Context, address string) (net.Conn, error) {
 			return n.dial(ctx, ip, address, isAlive)
@@ -228,7 +228,7 @@
 			if !isAlive() || n.listeners[address] != nil {
 				return nil, fmt.Errorf("listen %s: address in use", address)
 			}
-			l := &listener{w: n, address: address, queue: make(chan *conn, 256), closed: make(chan struct{})}
+			l := &listener{network: n, address: address, queue: make(chan *conn, 256), closed: make(chan struct{})}
 			n.listeners[address] = l
 			return l, nil
 		},
@@ -238,7 +238,7 @@
 			if !isAlive() || n.packetConns[address] != nil {
 				return nil, fmt.Errorf("packet %s: address in use", address)
 			}
-			p := &packetConn{w: n, address: address, closed: make(chan struct{}), queue: make(chan packet, 1024)}
+			p := &packetConn{network: n, address: address, closed: make(chan struct{}), queue: make(chan packet, 1024)}
 			n.packetConns[address] = p
 			return p, nil
 		},
@@ -253,19 +253,19 @@
 }
 
 func (n *Network) dial(ctx context.Context, ip, address string, isAlive func() bool) (net.Conn, error) {
-	to := hostOf(address)
+	remoteHost := hostOf(address)
 	for {
-		n.awaitThaw(ip)
+		n.awaitUnfrozen(ip)
 		n.mu.Lock()
 		if !isAlive() {
 			n.mu.Unlock()
 			return nil, fmt.Errorf("dial %s: no network", address)
 		}
-		if !n.blocked(ip, to) && !n.blocked(to, ip) {
-			there := n.arrivalTime(ip, to, time.Now(), packetSize)
-			back := there.Add(n.delay(to, ip))
+		if !n.blocked(ip, remoteHost) && !n.blocked(remoteHost, ip) {
+			arrival := n.arrivalTime(ip, remoteHost, time.Now(), emptyPacketBytes)
+			replyArrival := arrival.Add(n.delay(remoteHost, ip))
 			n.mu.Unlock()
-			if err := sleep(ctx, time.Until(back)); err != nil {
+			if err := sleep(ctx, time.Until(replyArrival)); err != nil {
 				return nil, err
 			}
 			n.mu.Lock()
@@ -275,27 +275,27 @@
 				return nil, fmt.Errorf("dial %s: connection refused", address)
 			}
 			n.nextPort++
-			here := fmt.Sprintf("%s:%d", ip, 40000+n.nextPort%20000)
-			a, b := newConnPair(n, here, address)
-			n.conns[a], n.conns[b] = true, true
+			localAddress := fmt.Sprintf("%s:%d", ip, 40000+n.nextPort%20000)
+			dialer, accepted := newConnPair(n, localAddress, address)
+			n.conns[dialer], n.conns[accepted] = true, true
 			n.mu.Unlock()
 			select {
-			case l.queue <- b:
-				return a, nil
+			case l.queue <- accepted:
+				return dialer, nil
 			case <-l.closed:
-				a.Close()
-				b.Close()
+				dialer.Close()
+				accepted.Close()
 				return nil, fmt.Errorf("dial %s: connection refused", address)
 			case <-ctx.Done():
-				a.Close()
-				b.Close()
+				dialer.Close()
+				accepted.Close()
 				return nil, ctx.Err()
 			}
 		}
-		change := n.changed
+		changed := n.changed
 		n.mu.Unlock()
 		select {
-		case <-change:
+		case <-changed:
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
@@ -306,10 +306,10 @@
 	if d <= 0 {
 		return ctx.Err()
 	}
-	wakeup := time.NewTimer(d)
-	defer wakeup.Stop()
+	timer := time.NewTimer(d)
+	defer timer.Stop()
 	select {
-	case <-wakeup.C:
+	case <-timer.C:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
--- a/internal/simulator/packet_conn.go
+++ b/internal/simulator/packet_conn.go
@@ -7,13 +7,13 @@
 )
 
 type packet struct {
-	due  time.Time
-	from string
-	data []byte
+	deliverAt time.Time
+	from      string
+	data      []byte
 }
 
 type packetConn struct {
-	w       *Network
+	network *Network
 	address string
 	queue   chan packet
 	closed  chan struct{}
@@ -23,18 +23,18 @@
 func (p *packetConn) ReadFrom(b []byte) (int, net.Addr, error) {
 	for {
 		select {
-		case got := <-p.queue:
-			if d := time.Until(got.due); d > 0 {
-				waitForEvent(time.Time{}, got.due, p.closed)
+		case received := <-p.queue:
+			if d := time.Until(received.deliverAt); d > 0 {
+				waitForEvent(time.Time{}, received.deliverAt, p.closed)
 			}
-			p.w.awaitThaw(hostOf(p.address))
-			p.w.mu.Lock()
-			isBlocked := p.w.blocked(hostOf(got.from), hostOf(p.address))
-			p.w.mu.Unlock()
+			p.network.awaitUnfrozen(hostOf(p.address))
+			p.network.mu.Lock()
+			isBlocked := p.network.blocked(hostOf(received.from), hostOf(p.address))
+			p.network.mu.Unlock()
 			if isBlocked {
 				continue
 			}
-			return copy(b, got.data), tcpAddr(got.from), nil
+			return copy(b, received.data), tcpAddr(received.from), nil
 		case <-p.closed:
 			return 0, nil, net.ErrClosed
 		}
@@ -47,35 +47,35 @@
 		return 0, net.ErrClosed
 	default:
 	}
-	w, from := p.w, hostOf(p.address)
-	w.awaitThaw(from)
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.countBytes(from, hostOf(to.String()), len(b)+28)
-	target := w.packetConns[to.String()]
-	if target == nil || w.blocked(from, hostOf(to.String())) || w.rand.Float64() < w.lossRate {
+	n, from := p.network, hostOf(p.address)
+	n.awaitUnfrozen(from)
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.countBytes(from, hostOf(to.String()), len(b)+28)
+	receiver := n.packetConns[to.String()]
+	if receiver == nil || n.blocked(from, hostOf(to.String())) || n.rand.Float64() < n.lossRate {
 		return len(b), nil
 	}
-	due := w.arrivalTime(from, hostOf(to.String()), time.Now(), len(b)+28)
-	if time.Until(due) > queueMost {
+	deliverAt := n.arrivalTime(from, hostOf(to.String()), time.Now(), len(b)+28)
+	if time.Until(deliverAt) > maxQueueDelay {
 		return len(b), nil
 	}
 	select {
-	case target.queue <- packet{due, p.address, append([]byte(nil), b...)}:
+	case receiver.queue <- packet{deliverAt, p.address, append([]byte(nil), b...)}:
 	default:
 	}
 	return len(b), nil
 }
 
-func (p *packetConn) shut() { p.once.Do(func() { close(p.closed) }) }
+func (p *packetConn) close() { p.once.Do(func() { close(p.closed) }) }
 
 func (p *packetConn) Close() error {
-	p.shut()
-	p.w.mu.Lock()
-	if p.w.packetConns[p.address] == p {
-		delete(p.w.packetConns, p.address)
+	p.close()
+	p.network.mu.Lock()
+	if p.network.packetConns[p.address] == p {
+		delete(p.network.packetConns, p.address)
 	}
-	p.w.mu.Unlock()
+	p.network.mu.Unlock()
 	return nil
 }
 
--- a/internal/simulator/platform_mode.go
+++ b/internal/simulator/platform_mode.go
@@ -44,8 +44,8 @@
 }
 
 // newClient is a stand-in caller at a machine outside, in the fleet's manner.
-func (f *Fleet) newClient(at int) *standin.Client {
-	caller := standin.NewClient(f.Network.HostAt(f.clientHost(at)), f.History)
+func (f *Fleet) newClient(hostIndex int) *standin.Client {
+	caller := standin.NewClient(f.Network.HostAt(f.clientHost(hostIndex)), f.History)
 	caller.Opaque = f.Shape.PlatformMode
 	return caller
 }
@@ -58,12 +58,12 @@
 }
 
 // misbehaviours are how a server may misbehave.
-func (f *Fleet) misbehaviours() []string {
-	ways := []string{standin.CloseUnanswered, standin.Garbage, standin.TruncatedBody, standin.Unsealed, standin.SwappedResponse, standin.Slow, standin.UnframedResponse, standin.DuplicateResponse, standin.TruncatedHeader}
+func (f *Fleet) misbehaviors() []string {
+	misbehaviors := []string{standin.CloseUnanswered, standin.Garbage, standin.TruncatedBody, standin.Unsealed, standin.SwappedResponse, standin.Slow, standin.UnframedResponse, standin.DuplicateResponse, standin.TruncatedHeader}
 	if f.Shape.PlatformMode {
-		ways = append(ways, standin.SurplusResponse, standin.ContradictoryNotRun, standin.Overloaded, standin.RejectedEarly)
+		misbehaviors = append(misbehaviors, standin.SurplusResponse, standin.ContradictoryNotRun, standin.Overloaded, standin.RejectedEarly)
 	}
-	return ways
+	return misbehaviors
 }
 
 // hostNetwork is a machine's; a proxy that stays tells what it acts on.
@@ -91,14 +91,14 @@
 }
 
 func (c *epochReportingConn) Write(p []byte) (int, error) {
-	head, rest, ok := bytes.Cut(p, []byte("\r\n"))
-	if !ok || !bytes.HasSuffix(head, []byte(" HTTP/1.1")) {
+	requestLine, remainder, ok := bytes.Cut(p, []byte("\r\n"))
+	if !ok || !bytes.HasSuffix(requestLine, []byte(" HTTP/1.1")) {
 		return c.conn.Write(p)
 	}
 	for c.node.Load() == nil {
 		time.Sleep(time.Millisecond)
 	}
 	header := fmt.Sprintf("\r\n%s: %d\r\n%s: %s\r\n", standin.HeaderActingEpoch, c.node.Load().Distribution.Cache.Snapshot().Epoch, standin.HeaderActingProxy, c.proxyAddress)
-	n, err := c.conn.Write([]byte(string(head) + header + string(rest)))
+	n, err := c.conn.Write([]byte(string(requestLine) + header + string(remainder)))
 	return max(min(n-len(header)+2, len(p)), 0), err
 }
--- a/internal/simulator/proxy_handover_test.go
+++ b/internal/simulator/proxy_handover_test.go
@@ -42,7 +42,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		receipt, err := operator.Submit(f.ctx, f.setChange(f.Rand, "meanwhile", view))
+		receipt, err := operator.Submit(f.ctx, f.newChangeSet(f.Rand, "meanwhile", view))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/simulator/recovery.go
+++ b/internal/simulator/recovery.go
@@ -34,9 +34,9 @@
 	}
 	client := standin.NewAPIClient(f.Network.HostAt(f.clientHost(91)), f.Cores()[0].APIAddress())
 	for i := range 3 {
-		ctx, end := context.WithTimeout(f.ctx, time.Second)
+		ctx, cancel := context.WithTimeout(f.ctx, time.Second)
 		_, err := client.PutKey(ctx, &api.Call{Name: fmt.Sprint("usable", i), Value: jx.Raw("1")})
-		end()
+		cancel()
 		if err != nil {
 			return false
 		}
@@ -61,39 +61,39 @@
 
 // status tells whether all machines are up, with their ways and disks, and how
 // often something was done to any of them.
-func (f *Fleet) status() (intact bool, faults int) {
-	intact, faults = f.Network.status()
+func (f *Fleet) status() (isIntact bool, faults int) {
+	isIntact, faults = f.Network.status()
 	for _, m := range f.Machines {
-		isWell, more := f.Network.Disk(m.IP).status()
-		intact = intact && isWell && m.Node() != nil
-		faults += more
+		isDiskIntact, diskFaults := f.Network.Disk(m.IP).status()
+		isIntact = isIntact && isDiskIntact && m.Node() != nil
+		faults += diskFaults
 	}
-	return intact, faults
+	return isIntact, faults
 }
 
 // measureRecoveries takes, after every return inside the run, the time until the fleet
 // is usable again; a return that the next fault overtakes is not counted.
 func (f *Fleet) measureRecoveries() {
-	back, isCounted, last := time.Duration(0), true, 0
+	restoredAt, isMeasured, lastFaults := time.Duration(0), true, 0
 	f.goTask(func(r *rand.Rand) {
 		time.Sleep(200 * time.Millisecond)
-		intact, faults := f.status()
-		if faults != last || !intact {
-			back, isCounted, last = 0, false, faults
+		isIntact, faults := f.status()
+		if faults != lastFaults || !isIntact {
+			restoredAt, isMeasured, lastFaults = 0, false, faults
 		}
-		if intact && back == 0 {
-			back = f.History.Now()
+		if isIntact && restoredAt == 0 {
+			restoredAt = f.History.Now()
 		}
-		if isCounted || back == 0 {
+		if isMeasured || restoredAt == 0 {
 			return
 		}
 		isUsable := f.IsUsable()
-		if intact, faults = f.status(); faults != last || !intact {
+		if isIntact, faults = f.status(); faults != lastFaults || !isIntact {
 			return
 		}
-		if isUsable || f.History.Now()-back > 16*time.Second {
-			isCounted = true
-			rec := checker.Record{Kind: checker.Recovery, Start: back, Outcome: "usable"}
+		if isUsable || f.History.Now()-restoredAt > 16*time.Second {
+			isMeasured = true
+			rec := checker.Record{Kind: checker.Recovery, Start: restoredAt, Outcome: "usable"}
 			if !isUsable {
 				rec.Outcome = "not usable"
 			}
--- a/internal/simulator/run.go
+++ b/internal/simulator/run.go
@@ -12,11 +12,11 @@
 
 // Result is what a run came to.
 type Result struct {
-	Verdict  *checker.Result
-	Served   checker.Availability
-	Recovery time.Duration
-	Faults   []string
-	Fleet    *Fleet
+	Verdict      *checker.Result
+	Availability checker.Availability
+	Recovery     time.Duration
+	Faults       []string
+	Fleet        *Fleet
 }
 
 // Run carries a scenario out; it must be called in a bubble of virtual time.
@@ -54,33 +54,33 @@
 		s.Faults(f)
 	}
 	f.Restore()
-	back := f.History.Now()
-	rescue := checker.Record{Kind: checker.Recovery, Start: back, Outcome: "usable"}
+	restoredAt := f.History.Now()
+	recoveryRecord := checker.Record{Kind: checker.Recovery, Start: restoredAt, Outcome: "usable"}
 	if !f.WaitUntil(30*time.Second, f.IsUsable) {
-		rescue.Outcome = "not usable"
+		recoveryRecord.Outcome = "not usable"
 	}
-	f.History.Add(rescue)
-	recovery := f.History.Now() - back
+	f.History.Add(recoveryRecord)
+	recovery := f.History.Now() - restoredAt
 	time.Sleep(3 * time.Second)
 	f.loadRunning.Store(false)
 	f.loadTasks.Wait()
 	f.verifyFinalState()
-	f.incrementCounter()
-	if err := f.readBackLast(); err != nil {
+	f.readCounters()
+	if err := f.readFinalConfiguration(); err != nil {
 		return nil, err
 	}
 	f.History.Add(checker.Record{Kind: checker.ScenarioEnded})
 	records := f.History.Records()
-	return &Result{Verdict: checker.Check(records), Served: checker.MeasureAvailability(records), Recovery: recovery, Faults: f.Faults, Fleet: f}, nil
+	return &Result{Verdict: checker.Check(records), Availability: checker.MeasureAvailability(records), Recovery: recovery, Faults: f.Faults, Fleet: f}, nil
 }
 
 // verifyFinalState asks after every change set, and reads the configuration at the end.
 func (f *Fleet) verifyFinalState() {
 	operator := f.newOperator(92, f.Cores()[0])
-	asked := map[string]bool{}
+	queried := map[string]bool{}
 	for _, r := range f.History.Records() {
-		if r.Kind == checker.ChangeSubmitted && !asked[r.Name] {
-			asked[r.Name] = true
+		if r.Kind == checker.ChangeSubmitted && !queried[r.Name] {
+			queried[r.Name] = true
 			f.WaitUntil(10*time.Second, func() bool { _, err := operator.QueryChange(f.ctx, r.Name); return err == nil })
 		}
 	}
--- a/internal/simulator/seeds_test.go
+++ b/internal/simulator/seeds_test.go
@@ -105,7 +105,7 @@
 			fmt.Fprintf(&report, "seed %d: %v\n", seed, err)
 			return
 		}
-		recovery, served = result.Recovery, result.Served
+		recovery, served = result.Recovery, result.Availability
 		counts = result.Verdict.Counts
 		for _, what := range []string{"called: ran", "bonded: acquire done 0", "bonded: add done 0", "bonded: put done 0", "bonded: get done 0", "watched", "changed", "inforce", "bonded: set done 0", "bonded: renew done 0", "followed", "version: accepted", "readback"} {
 			if result.Verdict.Counts[what] == 0 {
--- a/internal/simulator/successor_test.go
+++ b/internal/simulator/successor_test.go
@@ -31,7 +31,7 @@
 // delay.
 func (f *Fleet) replaceForGood(lost *Machine, successor string, delay time.Duration) {
 	lost.Kill(true)
-	lost.IsGone = true
+	lost.IsRemoved = true
 	f.Network.Disk(lost.IP).Wipe()
 	time.Sleep(delay)
 	f.startMachine(f.Add(successor, 0, true, false))
