--- a/internal/simulator/conn.go
+++ b/internal/simulator/conn.go
@@ -1,5 +1,6 @@
-// Connections of the simulated network: two half-streams, each with its delay,
-// that stand still while their way is cut and end when a process is killed.
+// Connections of the simulated network. Each consists of two streams, one per direction, with
+// delayed delivery. A stream delivers nothing while its direction is blocked, and ends when
+// either process is killed.
 
 package simulator
 
@@ -12,11 +13,12 @@
 	"time"
 )
 
+// maxQueuedBytes is the number of undelivered bytes in a stream at which a write blocks.
 const maxQueuedBytes = 1 << 20
 
 type segment struct {
 	deliverAt time.Time
-	expiresAt time.Time // when the sender's system gives it up; zero for never
+	expiresAt time.Time // when the sender's kernel gives up retransmitting; zero for never
 	data      []byte
 }
 
@@ -24,9 +26,9 @@
 	mu          sync.Mutex
 	segments    []segment
 	queuedBytes int
-	closed      bool // the writer closed it; what is queued can still be read
+	closed      bool // no more writes; queued segments can still be read
 	closedAt    time.Time
-	broken      bool
+	broken      bool // reads fail with ECONNRESET, writes with EPIPE
 	changed     chan struct{}
 }
 
@@ -49,10 +51,11 @@
 	discardOnClose              bool
 }
 
-// SetUserTimeout bounds how long what was sent may stay on its way.
+// SetUserTimeout limits how long sent data may remain unacknowledged before the connection is
+// reset.
 func (c *conn) SetUserTimeout(d time.Duration) { c.mu.Lock(); c.userTimeout = d; c.mu.Unlock() }
 
-// SetLinger, as zero, throws away at the close what has not arrived.
+// SetLinger makes Close discard data that has not arrived, whatever its argument.
 func (c *conn) SetLinger(int) error { c.mu.Lock(); c.discardOnClose = true; c.mu.Unlock(); return nil }
 
 func newConnPair(n *Network, dialerAddress, listenerAddress string) (*conn, *conn) {
@@ -62,9 +65,10 @@
 	return dialer, accepted
 }
 
-// reset ends the connection with its process. Of a killed process the peer
-// still gets what was sent, or sometimes a reset; of a machine without power it
-// hears nothing.
+// reset ends one end of a connection after a process was killed. The end of the killed process
+// is closed. The peer's end is unaffected unless peerNotified is set, as after a power loss. If
+// notified, its reads fail with ECONNRESET at once if sendsReset is set, and otherwise return the
+// data sent so far and then EOF.
 func (c *conn) reset(isLocalEnd, peerNotified, sendsReset bool) {
 	if isLocalEnd {
 		c.mu.Lock()
@@ -99,7 +103,8 @@
 	return c.closed, c.readDeadline, c.writeDeadline, c.deadlineChanged
 }
 
-// waitForEvent blocks until one of the changes, a moment, or the deadline.
+// waitForEvent blocks until a channel in changes is closed, or until deadline or deliverAt. A zero
+// time is ignored. At most three channels are allowed.
 func waitForEvent(deadline time.Time, deliverAt time.Time, changes ...chan struct{}) {
 	var timers [2]<-chan time.Time
 	for i, wakeTime := range []time.Time{deadline, deliverAt} {
@@ -149,7 +154,7 @@
 		case isBlocked:
 		case len(s.segments) > 0:
 			first := &s.segments[0]
-			isAcknowledged := first.deliverAt.Before(unfrozenAt) // by the system of a process that stood still
+			isAcknowledged := first.deliverAt.Before(unfrozenAt) // by the kernel of a frozen process
 			if !first.expiresAt.IsZero() && time.Now().After(first.expiresAt) && !isAcknowledged {
 				s.broken = true
 				s.broadcast()
@@ -224,8 +229,9 @@
 	}
 }
 
-// segmentsOf makes of what is written the pieces in which it arrives: one, unless a link on the
-// way is narrow.
+// splitIntoSegments splits written data into segments with their delivery times: a single
+// segment, unless a link on the path has limited bandwidth. Each uses
+// bandwidth for 40 more bytes of IP and TCP headers.
 func (c *conn) splitIntoSegments(p []byte) (segments []segment) {
 	c.network.mu.Lock()
 	defer c.network.mu.Unlock()
--- a/internal/simulator/connectivity.go
+++ b/internal/simulator/connectivity.go
@@ -11,15 +11,15 @@
 	"github.com/sumactrestle/sumactrestle/internal/node"
 )
 
-// canReach tells whether two machines reach each other, both ways.
+// canReach reports whether traffic passes between two machines in both directions.
 func (n *Network) canReach(a, b string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return !n.blocked(a, b) && !n.blocked(b, a)
 }
 
-// leaders names the owners of all parts; it is empty while a part has none, or while
-// the running core nodes do not all reach one another.
+// leaders returns the leaders of all shards with their terms as one string, for comparison. It is
+// empty while a shard has no leader, or while some running core nodes cannot reach each other.
 func (f *Fleet) leaders(running []*Machine) string {
 	for i, a := range running {
 		for _, b := range running[:i] {
@@ -46,10 +46,11 @@
 	return leaders.String()
 }
 
-// recordConnectivity tells which proxies are in touch: for three seconds they had a way to
-// every running core node, and the core was settled, with the same owners.
+// recordConnectivity records when each proxy becomes connected or disconnected. A proxy is
+// connected if, for connectivityWindow, it could reach every running core node and the leaders
+// did not change.
 func (f *Fleet) recordConnectivity() {
-	lastDisconnected, wasConnected, lastLeaders := map[*Machine]time.Time{}, map[*Machine]bool{}, ""
+	lastInterruption, wasConnected, lastLeaders := map[*Machine]time.Time{}, map[*Machine]bool{}, ""
 	lastNodes := map[*Machine]*node.Node{}
 	f.goTask(func(r *rand.Rand) {
 		time.Sleep(connectivityInterval)
@@ -59,15 +60,15 @@
 		lastLeaders = leaders
 		for _, proxyNode := range f.Proxies() {
 			node := proxyNode.Node()
-			reachesAll := leadersStable && node != nil && node == lastNodes[proxyNode]
+			isUninterrupted := leadersStable && node != nil && node == lastNodes[proxyNode]
 			lastNodes[proxyNode] = node
 			for _, m := range running {
-				reachesAll = reachesAll && f.Network.canReach(proxyNode.IP, m.IP)
+				isUninterrupted = isUninterrupted && f.Network.canReach(proxyNode.IP, m.IP)
 			}
-			if !reachesAll {
-				lastDisconnected[proxyNode] = time.Now()
+			if !isUninterrupted {
+				lastInterruption[proxyNode] = time.Now()
 			}
-			isConnected := reachesAll && time.Since(lastDisconnected[proxyNode]) >= connectivityWindow
+			isConnected := isUninterrupted && time.Since(lastInterruption[proxyNode]) >= connectivityWindow
 			if isConnected == wasConnected[proxyNode] {
 				continue
 			}
--- a/internal/simulator/disk.go
+++ b/internal/simulator/disk.go
@@ -1,6 +1,6 @@
-// Disks of the simulated machines, as goleveldb storage. A killed process
-// leaves all it wrote; lost power leaves what was synced and a torn beginning
-// of the rest. A disk can stall, and it can be wiped.
+// Disks of the simulated machines, as goleveldb storage. After a process is killed, all data it
+// wrote remains. After a power loss, the synced data and a random prefix of the unsynced data
+// remain. A disk can stall, be slow, be full, and be wiped.
 
 package simulator
 
@@ -17,33 +17,33 @@
 	"github.com/syndtr/goleveldb/leveldb/storage"
 )
 
-var errDetached = errors.New("the disk no longer obeys this process")
+var errDetached = errors.New("disk detached: the process was killed, or the disk was wiped or opened again")
 
 type file struct {
 	data        []byte
-	syncedBytes int
+	syncedBytes int // length of the prefix of data that survives a power loss
 }
 
-// Disk is one machine's.
+// Disk is the disk of one machine. It outlives the machine's processes.
 type Disk struct {
 	mu         sync.Mutex
 	rand       *rand.Rand
 	files      map[storage.FileDesc]*file
 	meta       storage.FileDesc
 	hasMeta    bool
-	generation int
-	stall      chan struct{}
+	generation int           // incremented by every attach, detach and wipe
+	stall      chan struct{} // closed when the stall ends; nil if there is none
 	syncDelay  time.Duration
 	full       bool
 	faultCount int
-	Syncs      int
+	Syncs      int // number of completed syncs
 }
 
 func newDisk(r *rand.Rand) *Disk {
 	return &Disk{rand: r, files: map[storage.FileDesc]*file{}}
 }
 
-// Wipe empties the disk.
+// Wipe deletes all files and detaches the running process.
 func (d *Disk) Wipe() {
 	d.mu.Lock()
 	d.files, d.hasMeta = map[storage.FileDesc]*file{}, false
@@ -61,8 +61,8 @@
 	d.mu.Unlock()
 }
 
-// Fill has the disk take no more bytes; it keeps what it has, and the beginning of the
-// write that found it full.
+// Fill makes the disk full. Its data remains. Each write stores a random prefix of its data and
+// fails with ENOSPC, until Resume.
 func (d *Disk) Fill() {
 	d.mu.Lock()
 	d.full = true
@@ -70,7 +70,7 @@
 	d.mu.Unlock()
 }
 
-// Resume ends a stall, and makes room.
+// Resume ends the effects of Stall and Fill.
 func (d *Disk) Resume() {
 	d.mu.Lock()
 	d.full = false
@@ -81,7 +81,7 @@
 	d.mu.Unlock()
 }
 
-// Slow makes every sync take so long; zero makes it quick again.
+// Slow delays every sync; zero removes the delay.
 func (d *Disk) Slow(delay time.Duration) {
 	d.mu.Lock()
 	d.syncDelay = delay
@@ -89,13 +89,15 @@
 	d.mu.Unlock()
 }
 
+// status reports whether the disk is free of stalls, delays and lack of space, and how many
+// faults were injected so far.
 func (d *Disk) status() (isIntact bool, faults int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.stall == nil && d.syncDelay == 0 && !d.full, d.faultCount
 }
 
-// CorruptManifest cuts the index of the store short, so that it can't be read.
+// CorruptManifest truncates the store's manifest to half its length, so that it cannot be read.
 func (d *Disk) CorruptManifest() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -106,6 +108,8 @@
 	}
 }
 
+// detach makes all further operations of the attached process fail. After a power loss, only a
+// random prefix of each file's unsynced data remains.
 func (d *Disk) detach(isPowerLost bool) {
 	d.mu.Lock()
 	d.generation++
@@ -123,6 +127,7 @@
 	d.mu.Unlock()
 }
 
+// attach returns the disk for use by one process, and detaches the previous one.
 func (d *Disk) attach() (storage.Storage, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -130,12 +135,14 @@
 	return &attachedDisk{Disk: d, attachedGeneration: d.generation}, nil
 }
 
-// attachedDisk is a Disk as one life of a process has it.
+// attachedDisk is a Disk as used by one process. Its operations fail with errDetached after the
+// disk was attached again, detached or wiped.
 type attachedDisk struct {
 	*Disk
 	attachedGeneration int
 }
 
+// withLock runs an operation under the disk's lock if the disk is still attached.
 func (d *attachedDisk) withLock(operation func() error) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/simulator/doc.go
+++ b/internal/simulator/doc.go
@@ -1,13 +1,13 @@
-// Package simulator runs a complete fleet in one process and in virtual time: the real code
-// of the nodes in a synctest bubble, on a network and on disks made here, with stand-in
-// targets, clients, applications and operators around it. What happens at the edges goes
-// into a history that package checker judges.
+// Package simulator runs a complete fleet in one process and in virtual time. Real node code
+// runs in a synctest bubble on a simulated network and simulated disks, with stand-in targets,
+// clients, applications and operators. Every externally visible event is recorded in a history
+// that package checker verifies.
 //
-// The files are in three groups. The machine room: network, conn, listener, packet_conn,
-// link, disk. The fleet: fleet, machine, scenarios, run, recovery, connectivity and
-// platform_mode. What is done to it: the load_ files hold what clients, applications and
-// operators do, the faults_ files what goes wrong.
+// The files form three groups. Infrastructure: network, conn, listener, packet_conn, link,
+// freeze and disk. The fleet: fleet, machine, scenarios, run, recovery, connectivity and
+// platform_mode. Load and faults: the load_ files hold the actions of clients, applications
+// and operators, the faults_ files the injected faults.
 //
-// A seed decides the faults and their times. The order in which tasks run is the
-// scheduler's, so a seed given again makes the same faults, not the same steps.
+// A seed determines the faults and their times. The Go scheduler determines the order in which
+// goroutines run, so running a seed again repeats the faults but not the exact steps.
 package simulator
--- a/internal/simulator/faults.go
+++ b/internal/simulator/faults.go
@@ -1,6 +1,6 @@
-// The faults of the brief, as scenarios. Each draws what it does from the seed,
-// notes it, and keeps to what the brief allows: one disk lost at a time, with
-// the copies mended before the next.
+// Basic faults: kills, power losses, lost disks, partitions, pauses, stalled disks and planned
+// stops. Each fault draws its parameters from the seed and logs them. The system must survive the
+// loss of one disk at a time, so the replicas are repaired before the next disk is wiped.
 
 package simulator
 
@@ -12,18 +12,21 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
+// sleepBetween sleeps for a random time in a closed range.
 func (f *Fleet) sleepBetween(shortest, longest time.Duration) {
 	time.Sleep(shortest + time.Duration(f.Rand.Int64N(int64(longest-shortest)+1)))
 }
 
 func (f *Fleet) pick(list []*Machine) *Machine { return list[f.Rand.IntN(len(list))] }
 
+// startMachine starts a machine unless it is already running. Concurrent calls for a machine wait
+// for each other.
 func (f *Fleet) startMachine(m *Machine) {
 	m.starting <- struct{}{}
 	defer func() { <-m.starting }()
 	if m.Node() == nil {
 		if err := m.Start(); err != nil {
-			f.Logf("%s can't start: %v", m.Name, err)
+			f.Logf("%s failed to start: %v", m.Name, err)
 		}
 	}
 }
@@ -67,7 +70,8 @@
 	}
 }
 
-// isRepaired tells whether every part's group is of members that are there now.
+// isRepaired reports whether all core nodes are up and every shard has a serving leader, no
+// uncommitted entries, and a full set of voters that are all current members.
 func (f *Fleet) isRepaired() bool {
 	for _, m := range f.Cores() {
 		if m.Node() == nil {
@@ -102,17 +106,17 @@
 func wipeDisks(f *Fleet) {
 	f.sleepBetween(time.Second, 3*time.Second)
 	m := f.pick(f.Cores())
-	f.Logf("%s is lost with its disk", m.Name)
+	f.Logf("%s loses power and its disk", m.Name)
 	m.Kill(true)
 	f.Network.Disk(m.IP).Wipe()
 	f.sleepBetween(0, 3*time.Second)
 	if f.Rand.IntN(2) == 0 {
 		m.Move()
-		f.Logf("%s comes back at %s", m.Name, m.IP)
+		f.Logf("%s restarts at the new address %s", m.Name, m.IP)
 	}
 	f.startMachine(m)
 	if !f.WaitUntil(30*time.Second, f.isRepaired) {
-		f.Logf("the copies are not mended after 30 s")
+		f.Logf("the replicas are not repaired after 30 s")
 	}
 }
 
@@ -121,21 +125,21 @@
 	one, two := f.pick(f.Machines), f.pick(f.Machines)
 	switch f.Rand.IntN(5) {
 	case 0:
-		f.Logf("cut %s to %s one way", one.Name, two.Name)
+		f.Logf("partition %s to %s, one direction", one.Name, two.Name)
 		f.Network.Partition(one.IP, two.IP)
 	case 1:
-		f.Logf("cut %s off", one.Name)
+		f.Logf("isolate %s", one.Name)
 		f.isolate([]*Machine{one})
 	case 2:
-		f.Logf("cut %s off, outward only", one.Name)
+		f.Logf("isolate %s, outbound only", one.Name)
 		for _, m := range f.Machines {
 			f.Network.Partition(one.IP, m.IP)
 		}
 	case 3:
-		f.Logf("cut %s off", one.Zone)
+		f.Logf("isolate %s", one.Zone)
 		f.isolate(f.filter(func(m *Machine) bool { return m.Zone == one.Zone }))
 	case 4:
-		f.Logf("split the core apart")
+		f.Logf("isolate every core node")
 		for _, a := range f.Cores() {
 			f.isolate([]*Machine{a})
 		}
@@ -145,7 +149,7 @@
 	f.Network.Heal()
 }
 
-// isolate cuts some machines off from all others of the fleet.
+// isolate partitions some machines from all others of the fleet, in both directions.
 func (f *Fleet) isolate(isolated []*Machine) {
 	isIsolated := map[*Machine]bool{}
 	for _, m := range isolated {
@@ -164,11 +168,11 @@
 func pauseMachines(f *Fleet) {
 	f.sleepBetween(time.Second, 3*time.Second)
 	m := f.pick(f.Machines)
-	f.Logf("hold %s still", m.Name)
+	f.Logf("pause %s", m.Name)
 	f.Network.Pause(m.IP)
 	f.sleepBetween(300*time.Millisecond, 6*time.Second)
 	f.Network.Unpause(m.IP)
-	f.Logf("release %s", m.Name)
+	f.Logf("unpause %s", m.Name)
 }
 
 func stallDisks(f *Fleet) {
@@ -192,17 +196,18 @@
 	}
 }
 
-// loseDiskAndPower wipes one core node while another is cut off, so that the one that
-// knows is alone with one that knows nothing.
+// wipeDuringPartition isolates one core node, then wipes a second one and isolates the third when
+// the first returns. The first, whose log is outdated, and the second, whose disk is empty, are
+// then connected, and must not elect a leader without the third's entries.
 func wipeDuringPartition(f *Fleet) {
 	f.sleepBetween(time.Second, 3*time.Second)
 	cores := f.Cores()
 	i := f.Rand.IntN(len(cores))
 	isolated, wiped := cores[i], cores[(i+1)%len(cores)]
-	f.Logf("cut %s off", isolated.Name)
+	f.Logf("isolate %s", isolated.Name)
 	f.isolate([]*Machine{isolated})
 	f.sleepBetween(2*time.Second, 4*time.Second)
-	f.Logf("%s is lost with its disk and comes back; %s is heard again, the third is cut off", wiped.Name, isolated.Name)
+	f.Logf("%s loses power and its disk and restarts; %s is reconnected, the third core node is isolated", wiped.Name, isolated.Name)
 	wiped.Kill(true)
 	f.Network.Disk(wiped.IP).Wipe()
 	third := cores[(i+2)%len(cores)]
@@ -215,8 +220,8 @@
 	f.WaitUntil(30*time.Second, f.isRepaired)
 }
 
-// loseAllPower lets disks stall for a moment and then takes the power from their
-// machines, so that whatever was told before it was synced is gone.
+// losePowerDuringStall stalls the disks of two or three core nodes briefly and then cuts their
+// power, so that any entry acknowledged before its sync is lost.
 func losePowerDuringStall(f *Fleet) {
 	f.sleepBetween(time.Second, 3*time.Second)
 	cores := f.Cores()
@@ -237,13 +242,13 @@
 	}
 }
 
-// isolateFollower brings a core node back from a cut at the moment at which another one
-// dies, so that the one that lacks the newest entries may stand for their parts.
+// killAsPartitionHeals isolates a core node, and kills another at the moment the partition heals.
+// The first lacks the newest entries and may campaign for the leadership of the shards.
 func killAsPartitionHeals(f *Fleet) {
 	f.sleepBetween(time.Second, 2*time.Second)
 	cores := f.Cores()
 	f.Rand.Shuffle(len(cores), func(i, j int) { cores[i], cores[j] = cores[j], cores[i] })
-	f.Logf("cut %s off", cores[0].Name)
+	f.Logf("isolate %s", cores[0].Name)
 	f.isolate(cores[:1])
 	f.sleepBetween(1500*time.Millisecond, 4*time.Second)
 	f.Logf("kill %s and heal", cores[1].Name)
@@ -253,16 +258,18 @@
 	f.startMachine(cores[1])
 }
 
+// stopMachines performs a planned stop and restart of one machine.
 func stopMachines(f *Fleet) {
 	f.sleepBetween(time.Second, 3*time.Second)
 	m := f.pick(f.Machines)
-	f.Logf("stop %s as planned", m.Name)
+	f.Logf("planned stop of %s", m.Name)
 	m.Stop()
 	f.sleepBetween(0, 2*time.Second)
 	f.startMachine(m)
 	f.sleepBetween(time.Second, 2*time.Second)
 }
 
+// runRandomFault injects one random fault, then restarts all machines and waits for the repair.
 func runRandomFault(f *Fleet) {
 	faults := []func(*Fleet){killMachines, losePower, wipeDisks, partitionNetwork, pauseMachines, stallDisks, disturbTargets, disturbTargets, stopMachines}
 	faults[f.Rand.IntN(len(faults))](f)
--- a/internal/simulator/faults_compound.go
+++ b/internal/simulator/faults_compound.go
@@ -1,7 +1,7 @@
-// More of the brief's failures: a march of kills through the whole fleet, power or
-// a disk lost at the very moment after an acknowledgement, slow disks, herds of
-// servers, cold starts of proxies before the core, planned stops over long work and
-// without a majority, uploads that are cut, and faults that overlap.
+// Compound faults: kills of every machine one after the other, loss of power or a disk right
+// after an acknowledgement, slow disks, restarts of many targets, proxies that start before the
+// core, planned stops during long requests or without a majority, interrupted uploads, and
+// overlapping faults.
 
 package simulator
 
@@ -24,7 +24,8 @@
 	"github.com/sumactrestle/sumactrestle/internal/standin"
 )
 
-// killEachInTurn kills every machine in turn, the next one soon after the last is back.
+// killOneByOne kills and restarts every machine in random order, some with a power loss, each soon
+// after the previous one has restarted.
 func killOneByOne(f *Fleet) {
 	machines := append([]*Machine(nil), f.Machines...)
 	f.Rand.Shuffle(len(machines), func(i, j int) { machines[i], machines[j] = machines[j], machines[i] })
@@ -37,7 +38,8 @@
 	}
 }
 
-// leaderOf is the core node that serves a part, other than one.
+// leaderOf returns a core node that serves as leader of a shard, other than the excluded one. It
+// returns nil if there is none.
 func leaderOf(f *Fleet, shard ids.Shard, excluded *Machine) *Machine {
 	for _, m := range f.Cores() {
 		if m != excluded && m.Node() != nil && m.Node().Consensus.Replica(shard).IsServing() {
@@ -47,8 +49,8 @@
 	return nil
 }
 
-// faultAfterAcknowledgement takes power or disk from the owner, or from another member, at the moment
-// at which a write or a change set was acknowledged.
+// faultAfterAcknowledgement cuts the power of the leader or of another core node right after a
+// write or a change set was acknowledged, and wipes its disk in half of the cases.
 func faultAfterAcknowledgement(f *Fleet) {
 	f.sleepBetween(500*time.Millisecond, 2*time.Second)
 	submitsChange, wipesDisk, hitsLeader := f.Rand.IntN(2) == 0, f.Rand.IntN(2) == 0, f.Rand.IntN(2) == 0
@@ -81,7 +83,7 @@
 			return recordResponse(rec, receipt, err)
 		})
 	}
-	f.Logf("%s loses power right after an acknowledgement (change set %v, owner %v, disk lost %v)", victim.Name, submitsChange, hitsLeader, wipesDisk)
+	f.Logf("%s loses power right after an acknowledgement (change set %v, leader %v, disk lost %v)", victim.Name, submitsChange, hitsLeader, wipesDisk)
 	victim.Kill(true)
 	if wipesDisk {
 		f.Network.Disk(victim.IP).Wipe()
@@ -92,10 +94,11 @@
 	}
 	f.startMachine(victim)
 	if wipesDisk && !f.WaitUntil(30*time.Second, f.isRepaired) {
-		f.Logf("the copies are not mended after 30 s")
+		f.Logf("the replicas are not repaired after 30 s")
 	}
 }
 
+// readBack records a read of a key through a random proxy. A missing key counts as a result.
 func (f *Fleet) readBack(name string) {
 	client := standin.NewAPIClient(f.Network.HostAt(f.clientHost(70)), f.pick(f.Proxies()).APIAddress())
 	f.recordCoordination(checker.Record{Op: "get", Name: name}, func(ctx context.Context, rec *checker.Record) error {
@@ -107,8 +110,8 @@
 	})
 }
 
-// slowDisks makes disks slow, not stopped: from a little to near the bound at which an
-// owner gives its parts up.
+// slowDisks delays every sync of one or all core nodes by 20 to 919 ms. The upper end is near the
+// time after which a leader steps down.
 func slowDisks(f *Fleet) {
 	f.sleepBetween(500*time.Millisecond, 2*time.Second)
 	victims := f.Cores()
@@ -131,7 +134,7 @@
 	}
 }
 
-// addManyTargets lets all servers of a service vanish, or all of a zone, and come back.
+// restartManyTargets crashes all targets of a service or of a zone, and starts as many new ones.
 func restartManyTargets(f *Fleet) {
 	f.sleepBetween(time.Second, 3*time.Second)
 	service := []string{"bookings", "rates"}[f.Rand.IntN(2)]
@@ -145,7 +148,7 @@
 			}
 		}
 	}
-	f.Logf("a herd of %d servers vanishes (zone %v)", len(crashed), byZone)
+	f.Logf("%d targets crash at once (by zone: %v)", len(crashed), byZone)
 	for _, s := range crashed {
 		f.RemoveTarget(s)
 		s.Crash()
@@ -157,7 +160,8 @@
 	f.sleepBetween(time.Second, 2*time.Second)
 }
 
-// startProxiesBeforeCore ends everything and starts the proxies, some before the core and some after.
+// startProxiesBeforeCore cuts the power of all machines, then starts the proxies and after them the
+// core nodes.
 func startProxiesBeforeCore(f *Fleet) {
 	f.sleepBetween(time.Second, 3*time.Second)
 	f.Logf("all machines lose power; proxies start before the core")
@@ -176,18 +180,18 @@
 	f.sleepBetween(3*time.Second, 6*time.Second)
 }
 
-// stopDuringLongRequests stops machines as planned while answers that take seconds and uploads
-// are under way; what is not out at six seconds is killed.
+// stopDuringLongRequests performs a planned stop of a machine while requests that take seconds and
+// uploads are in progress. The machine is killed if it has not stopped after 6 s.
 func stopDuringLongRequests(f *Fleet) {
 	f.sleepBetween(time.Second, 3*time.Second)
 	m := f.pick(f.Machines)
-	f.Logf("stop %s as planned, in the middle of long work", m.Name)
+	f.Logf("planned stop of %s during long requests", m.Name)
 	done := make(chan struct{})
 	go func() { m.Stop(); close(done) }()
 	select {
 	case <-done:
 	case <-time.After(6 * time.Second):
-		f.Logf("%s is killed at six seconds", m.Name)
+		f.Logf("kill %s, not stopped after 6 s", m.Name)
 		m.Kill(false)
 		f.Network.Kill(m.IP, false)
 		<-done
@@ -197,10 +201,11 @@
 	f.sleepBetween(500*time.Millisecond, 2*time.Second)
 }
 
-// stopWithoutMajority stops machines as planned while the core is split and has no majority.
+// stopWithoutMajority performs a planned stop while all core nodes are isolated from each other, so
+// that there is no majority.
 func stopWithoutMajority(f *Fleet) {
 	f.sleepBetween(time.Second, 2*time.Second)
-	f.Logf("split the core apart")
+	f.Logf("isolate every core node")
 	for _, a := range f.Cores() {
 		f.isolate([]*Machine{a})
 	}
@@ -211,7 +216,7 @@
 	f.sleepBetween(2*time.Second, 4*time.Second)
 }
 
-// overlapFaults lets two or three kinds of faults go on at once, each in its own time.
+// overlapFaults runs two or three kinds of faults concurrently, each twice.
 func overlapFaults(f *Fleet) {
 	faults := []func(*Fleet){killMachines, pauseMachines, partitionNetwork, slowDisks, disturbTargets, restartManyTargets, stopMachines}
 	f.Rand.Shuffle(len(faults), func(i, j int) { faults[i], faults[j] = faults[j], faults[i] })
@@ -225,18 +230,19 @@
 	f.sleepBetween(time.Second, 3*time.Second)
 }
 
-// StartUploads start callers who send large bodies slowly, of whom some break off, and
-// some go away as soon as they have sent all.
+// StartUploads starts n clients that send large request bodies. Half of the requests wait for the
+// response. The others send slowly and disconnect without reading it, after half of the body or
+// all of it.
 func (f *Fleet) StartUploads(n int) {
 	for i := range n {
 		host := f.Network.HostAt(f.clientHost(80 + i))
-		caller := f.newClient(80 + i)
+		client := f.newClient(80 + i)
 		f.goTask(func(r *rand.Rand) {
 			pause(r, 300*time.Millisecond)
 			proxyAddress := f.Proxies()[r.IntN(len(f.Proxies()))].ProxyAddress()
 			body := strings.Repeat(fmt.Sprintf("%08x", r.Uint32()), 12000)
 			if r.IntN(2) == 0 {
-				caller.Call(f.ctx, proxyAddress, http.MethodPost, "/bookings", "bookings", []byte(body))
+				client.Call(f.ctx, proxyAddress, http.MethodPost, "/bookings", "bookings", []byte(body))
 				return
 			}
 			conn, err := host.Dial(f.ctx, proxyAddress)
--- a/internal/simulator/faults_membership.go
+++ b/internal/simulator/faults_membership.go
@@ -1,6 +1,6 @@
-// Members of the core that are replaced while other things go wrong: cut off until
-// a spare has their places, back in the middle of it, with owners that lose their
-// power between the steps of a change.
+// Faults of the core's membership. Core nodes are replaced while other faults occur: a node is
+// isolated until a spare takes its place or returns during the replacement, and leaders lose power
+// between the steps of a membership change.
 
 package simulator
 
@@ -11,12 +11,12 @@
 	"github.com/sumactrestle/sumactrestle/internal/ids"
 )
 
-// replaceMembers cuts a core node off for about as long as its replacement takes, and
-// takes the power of others meanwhile and at its return.
+// replaceMembers isolates a core node for about as long as its replacement takes, and cuts the
+// power of random core nodes during that time and after partitions heal.
 func replaceMembers(f *Fleet) {
 	f.sleepBetween(500*time.Millisecond, 2*time.Second)
 	isolated := f.pick(f.Cores())
-	f.Logf("cut %s off", isolated.Name)
+	f.Logf("isolate %s", isolated.Name)
 	f.isolate([]*Machine{isolated})
 	f.sleepBetween(time.Second, 5*time.Second)
 	for range f.Rand.IntN(3) {
@@ -28,7 +28,7 @@
 			f.Logf("heal")
 			f.Network.Heal()
 			a, b := f.pick(f.Cores()), f.pick(f.Cores())
-			f.Logf("cut %s from %s", a.Name, b.Name)
+			f.Logf("partition %s from %s, both directions", a.Name, b.Name)
 			f.Network.Partition(a.IP, b.IP)
 			f.Network.Partition(b.IP, a.IP)
 		}
@@ -40,8 +40,8 @@
 	f.sleepBetween(0, 3*time.Second)
 }
 
-// fillDisks takes the room on a disk, or on all, for a while; processes are started anew in
-// the middle of it.
+// fillDisks makes the disk of one core node, or of all, full for a while, and may restart a process
+// during that time.
 func fillDisks(f *Fleet) {
 	f.sleepBetween(time.Second, 3*time.Second)
 	victims := []*Machine{f.pick(f.Cores())}
@@ -55,7 +55,7 @@
 	f.sleepBetween(100*time.Millisecond, 4*time.Second)
 	isKilled, losesPower := f.Rand.IntN(2) == 0, f.Rand.IntN(2) == 0
 	if isKilled {
-		f.Logf("%s is killed, with its power %v", victims[0].Name, losesPower)
+		f.Logf("kill %s (power lost: %v)", victims[0].Name, losesPower)
 		victims[0].Kill(losesPower)
 		started := make(chan struct{})
 		go func() {
@@ -66,16 +66,16 @@
 	}
 	f.sleepBetween(100*time.Millisecond, 3*time.Second)
 	for _, m := range victims {
-		f.Logf("there is room on the disk of %s", m.Name)
+		f.Logf("the disk of %s has space again", m.Name)
 		f.Network.Disk(m.IP).Resume()
 	}
 }
 
-// coreFaults is what happens to core nodes, to be brought about two at a time.
+// coreFaults are the faults that pairCoreFaults combines.
 var coreFaults = []func(*Fleet){killMachines, losePower, wipeDisks, partitionNetwork, pauseMachines, stallDisks, fillDisks, slowDisks, replaceMembers, forceLeaderChanges, stopMachines}
 
-// pairCoreFaults lets two kinds of trouble of the core go on at once, each in its own time; over
-// the seeds every pair meets.
+// pairCoreFaults runs two kinds of core faults concurrently, each twice. Over the seeds, every pair
+// occurs.
 func pairCoreFaults(f *Fleet) {
 	first := f.Rand.IntN(len(coreFaults))
 	second := (first + 1 + f.Rand.IntN(len(coreFaults)-1)) % len(coreFaults)
@@ -91,8 +91,7 @@
 	f.sleepBetween(time.Second, 3*time.Second)
 }
 
-// forceLeaderChanges takes the power of the configuration part's owner, or cuts it off, again
-// and again.
+// forceLeaderChanges cuts the power of the configuration shard's leader, or isolates it.
 func forceLeaderChanges(f *Fleet) {
 	f.sleepBetween(300*time.Millisecond, 2*time.Second)
 	leader := leaderOf(f, ids.ConfigShard, nil)
@@ -100,7 +99,7 @@
 		return
 	}
 	if f.Rand.IntN(3) == 0 {
-		f.Logf("cut %s off", leader.Name)
+		f.Logf("isolate %s", leader.Name)
 		f.isolate([]*Machine{leader})
 		f.sleepBetween(200*time.Millisecond, 3*time.Second)
 		f.Logf("heal")
--- a/internal/simulator/faults_targets.go
+++ b/internal/simulator/faults_targets.go
@@ -1,5 +1,5 @@
-// Faults of the stand-in servers: drained, signed off, crashed, replaced, wrong
-// in their answers, and all that while the fleet itself is hurt.
+// Faults of the stand-in targets: drains, departures, crashes, replacements and wrong responses,
+// also during faults of the fleet itself.
 
 package simulator
 
@@ -10,8 +10,9 @@
 	"github.com/sumactrestle/sumactrestle/internal/standin"
 )
 
-// disturbTargets come and go: drained, signed off, crashed, wrong in their answers;
-// and another service takes over an address two seconds after it was left.
+// disturbTargets injects one random fault of a target: it drains and leaves, crashes, stops its
+// heartbeats, or is replaced by one that misbehaves. In some cases another service takes over the
+// address of a crashed target after two seconds.
 func disturbTargets(f *Fleet) {
 	f.sleepBetween(200*time.Millisecond, 1500*time.Millisecond)
 	services := []string{"bookings", "rates"}
@@ -38,13 +39,13 @@
 		f.StartTarget(service, "", f.Rand.IntN(f.Shape.Zones))
 	case 2, 3:
 		other := services[f.Rand.IntN(2)]
-		f.Logf("%s %s crashes, %s takes %s after two seconds", service, s.Instance, other, s.Address)
+		f.Logf("%s %s crashes, %s takes over %s after 2 s", service, s.Instance, other, s.Address)
 		f.RemoveTarget(s)
 		s.Crash()
 		time.Sleep(2 * time.Second)
 		f.StartTarget(other, hostOf(s.Address), f.Rand.IntN(f.Shape.Zones))
 	case 4:
-		f.Logf("%s %s falls silent and goes on serving", service, s.Instance)
+		f.Logf("%s %s stops its heartbeats and continues to serve", service, s.Instance)
 		f.RemoveTarget(s)
 		s.StopHeartbeats()
 		time.Sleep(3100*time.Millisecond + max(s.FailureTimeout, 900*time.Millisecond))
@@ -53,7 +54,7 @@
 	case 5:
 		misbehaviors := f.misbehaviors()
 		misbehavior := misbehaviors[f.Rand.IntN(len(misbehaviors))]
-		f.Logf("a new server of %s does %q now and then", service, misbehavior)
+		f.Logf("a new target of %s misbehaves (%q) on every third request", service, misbehavior)
 		f.replaceTarget(s, func(n int64) string {
 			if n%3 == 0 {
 				return misbehavior
@@ -63,13 +64,13 @@
 	}
 }
 
-// corruptResponses puts servers in place that misbehave in all the ways there are, in turn,
-// with two answers as they should be between any two.
+// corruptResponses replaces a target by one that cycles through all misbehaviors, with two correct
+// responses after each.
 func corruptResponses(f *Fleet) {
 	f.sleepBetween(200*time.Millisecond, time.Second)
 	targets := f.Targets([]string{"bookings", "rates"}[f.Rand.IntN(2)])
 	s, misbehaviors, first := targets[f.Rand.IntN(len(targets))], f.misbehaviors(), f.Rand.Int64N(100)
-	f.Logf("a new server of %s does all that is wrong, in turn", s.Service)
+	f.Logf("a new target of %s cycles through all misbehaviors", s.Service)
 	f.replaceTarget(s, func(n int64) string {
 		if n%3 == 0 {
 			return misbehaviors[(first+n/3)%int64(len(misbehaviors))]
@@ -78,7 +79,8 @@
 	})
 }
 
-// replaceTarget puts a server that misbehaves in the place of one that leaves.
+// replaceTarget replaces a leaving target by one that misbehaves. misbehavior returns the behavior
+// for the nth request.
 func (f *Fleet) replaceTarget(s *standin.Server, misbehavior func(int64) string) {
 	f.RemoveTarget(s)
 	s.Announce(f.ctx, "leaving")
@@ -93,13 +95,13 @@
 	f.mu.Unlock()
 }
 
-// overloadTargets has servers that lose many answers, while callers repeat at once; now
-// and then a proxy is killed and comes back with an empty memory, or is cut off
-// from the fleet and has no fresh plan by which to hand a repeat over.
+// loseResponses replaces the booking targets by ones that lose every second response, while clients
+// retry at once. A proxy may then be killed and restart with an empty memory, or be isolated from
+// the fleet, so that it has no fresh epoch with which to forward a retry.
 func loseResponses(f *Fleet) {
 	for _, s := range f.Targets("bookings") {
 		if s.Misbehavior == nil {
-			f.Logf("%s %s gives way to one that loses answers", s.Service, s.Instance)
+			f.Logf("%s %s is replaced by a target that loses responses", s.Service, s.Instance)
 			f.replaceTarget(s, func(n int64) string {
 				if n%2 == 0 {
 					return standin.CloseUnanswered
@@ -116,7 +118,7 @@
 		m.Kill(false)
 		f.startMachine(m)
 	case 1:
-		f.Logf("cut %s off", m.Name)
+		f.Logf("isolate %s", m.Name)
 		f.isolate([]*Machine{m})
 		f.sleepBetween(time.Second, 3*time.Second)
 		f.Logf("heal")
@@ -124,8 +126,8 @@
 	}
 }
 
-// disturbTargetsDuring lets a server drain and go on serving, with a fault right after
-// its drain was acknowledged.
+// disturbTargetsDuring returns a fault in which a target drains but continues to serve, with the
+// given fault injected right before the drain is announced or right after its acknowledgement.
 func disturbTargetsDuring(fault func(f *Fleet) func()) func(*Fleet) {
 	return func(f *Fleet) {
 		f.sleepBetween(500*time.Millisecond, 1500*time.Millisecond)
@@ -154,11 +156,11 @@
 	}
 }
 
-// slowLinks holds one machine still for a moment, again and again, so that what
-// it asked for comes late.
+// pauseRepeatedly pauses one machine for 700 ms again and again, so that responses reach it late.
+// The function returned ends this.
 func pauseRepeatedly(f *Fleet) func() {
 	m := f.pick(f.Machines)
-	f.Logf("hold %s still again and again", m.Name)
+	f.Logf("pause %s repeatedly", m.Name)
 	stopped := make(chan struct{})
 	go func() {
 		for {
@@ -175,7 +177,7 @@
 	return func() { close(stopped); time.Sleep(time.Second) }
 }
 
-// killLeader kills all core nodes or one, and brings them back at once.
+// killCores kills one core node or all of them, and restarts them at once.
 func killCores(f *Fleet) func() {
 	victims := []*Machine{f.pick(f.Cores())}
 	if f.Rand.IntN(2) == 0 {
--- a/internal/simulator/fleet.go
+++ b/internal/simulator/fleet.go
@@ -15,26 +15,27 @@
 	"github.com/sumactrestle/sumactrestle/internal/standin"
 )
 
-// Shape is what a fleet is made of.
+// Shape describes the size and configuration of a fleet.
 type Shape struct {
-	// Cores and Proxies are how many nodes of each role there are, spread over Zones.
+	// Cores and Proxies are the numbers of nodes of each role, spread over Zones zones.
 	Cores, Proxies, Zones int
-	// Targets is how many targets each service has, by the service's name.
+	// Targets is the number of targets by service name.
 	Targets map[string]int
-	// Idempotent names the services whose requests may be repeated.
+	// Idempotent contains the services whose requests may be repeated.
 	Idempotent map[string]bool
-	// AllowsDuplicates has requests run without idempotency records.
+	// AllowsDuplicates disables idempotency records, so that a request may run more than once.
 	AllowsDuplicates bool
-	// Growth is how many routes some change sets add at once.
+	// Growth is the number of routes that some change sets add at once; none if zero.
 	Growth int
-	// Settings are the product's settings that differ from the defaults, for every node.
+	// Settings are the settings of every node that differ from the defaults.
 	Settings map[string]string
-	// ServiceTime is how long a target works on a request at most; a moment if zero.
+	// ServiceTime is the upper limit of the service time drawn for each target; 2 ms for all if
+	// zero.
 	ServiceTime time.Duration
-	// HeartbeatPeriod is of the targets, and FailureTimeout how long they may be silent; the
-	// stand-in's defaults if zero.
+	// HeartbeatPeriod is the heartbeat period of the targets, and FailureTimeout the time without
+	// heartbeats after which a target counts as failed. Zero selects the default.
 	HeartbeatPeriod, FailureTimeout time.Duration
-	// PlatformMode runs the fleet as the users' platform does; see platform_mode.go.
+	// PlatformMode configures the fleet as the users' platform does; see platform_mode.go.
 	PlatformMode bool
 }
 
@@ -43,14 +44,14 @@
 	return Shape{Cores: 3, Proxies: 2, Zones: 3, Targets: map[string]int{"rates": 3, "bookings": 3}, Idempotent: map[string]bool{"rates": true}, Settings: map[string]string{}}
 }
 
-// Fleet is the machines and the stand-ins of one simulated run. Machines are started, killed,
-// paused, wiped and moved; targets come and go; all that clients see is in the history.
+// Fleet is the set of machines and stand-ins of one simulated run. Everything that clients observe
+// is recorded in History.
 type Fleet struct {
 	Network  *Network
 	History  *checker.History
 	Shape    Shape
 	Machines []*Machine
-	Log      io.Writer  // what the nodes log
+	Log      io.Writer  // receives the log lines of the nodes
 	Rand     *rand.Rand // faults are drawn from it
 
 	ctx         context.Context // ends with the run
@@ -62,14 +63,14 @@
 	mu        sync.Mutex // guards the three below
 	targets   []*standin.Server
 	hostCount int
-	Faults    []string // what was done, in words
+	Faults    []string // log of the injected faults
 
-	// conformance holds the steps of the consensus code against the model's invariants.
+	// conformance checks the steps of the consensus code against the model's invariants.
 	conformance model.Conformance
 	observer    atomic.Pointer[func(m *Machine, step any)] // set by a test
 }
 
-// NewFleet makes a fleet whose machines are all down.
+// NewFleet returns a fleet whose machines are all down.
 func NewFleet(seed uint64, shape Shape, log io.Writer) *Fleet {
 	ctx, cancel := context.WithCancel(context.Background())
 	f := &Fleet{Network: NewNetwork(seed), History: checker.NewHistory(nil), Shape: shape, Log: log, Rand: rand.New(&lockedSource{pcg: rand.NewPCG(seed, 7)}), ctx: ctx, cancel: cancel}
@@ -87,7 +88,7 @@
 	return f
 }
 
-// lockedSource is a source of randomness that several faults may draw from at once.
+// lockedSource is a random source that is safe for concurrent use by several faults.
 type lockedSource struct {
 	mu  sync.Mutex
 	pcg *rand.PCG
@@ -99,13 +100,14 @@
 	return s.pcg.Uint64()
 }
 
-// Add puts a machine into the fleet; it is down at first.
+// Add adds a machine to the fleet. It is down until it is started.
 func (f *Fleet) Add(name string, zone int, isCore, isProxy bool) *Machine {
 	m := &Machine{fleet: f, Name: name, Zone: fmt.Sprint("zone", zone+1), IP: f.newHost(zone), IsCore: isCore, IsProxy: isProxy, starting: make(chan struct{}, 1)}
 	f.Machines = append(f.Machines, m)
 	return m
 }
 
+// newHost allocates an unused IP address in a zone.
 func (f *Fleet) newHost(zone int) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -115,10 +117,11 @@
 	return ip
 }
 
-// observeSteps has a test see every step of the replicated parts.
+// observeSteps registers a function that receives every step of the replicated shards.
 func (f *Fleet) observeSteps(observe func(m *Machine, step any)) { f.observer.Store(&observe) }
 
-// recordEvent notes what a node has learned, be it that its answer is lost.
+// recordEvent records that a node accepted a target's drain, even if the response to the target is
+// lost, and that a node found or repaired diverged replicas.
 func (f *Fleet) recordEvent(e eventlog.Entry) {
 	switch e.Event.Number {
 	case eventlog.TargetLeaving.Number:
@@ -128,7 +131,7 @@
 	}
 }
 
-// Machine finds a machine.
+// Machine returns the machine with a name, or nil.
 func (f *Fleet) Machine(name string) *Machine {
 	for _, m := range f.Machines {
 		if m.Name == name {
@@ -153,8 +156,8 @@
 // Proxies returns the machines of the proxies.
 func (f *Fleet) Proxies() []*Machine { return f.filter(func(m *Machine) bool { return m.IsProxy }) }
 
-// apiAddresses is where servers send their beats: any node will do, and the proxies
-// stay where they are when core machines move.
+// apiAddresses returns the addresses to which targets send heartbeats. They include the proxies,
+// since every node accepts heartbeats and proxies keep their addresses when core machines move.
 func (f *Fleet) apiAddresses() (list []string) {
 	for _, m := range f.Machines {
 		list = append(list, m.APIAddress())
@@ -162,7 +165,7 @@
 	return list
 }
 
-// StartTarget starts a stand-in server at a new address, or at one given.
+// StartTarget starts a target at ip, or at a new address in the zone if ip is empty.
 func (f *Fleet) StartTarget(service, ip string, zone int) *standin.Server {
 	if ip == "" {
 		ip = f.newHost(zone)
@@ -180,7 +183,7 @@
 	return s
 }
 
-// Targets is the stand-ins of a service that were started and not taken out.
+// Targets returns the targets of a service that were started and not removed.
 func (f *Fleet) Targets(service string) (list []*standin.Server) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -192,7 +195,7 @@
 	return list
 }
 
-// RemoveTarget takes a server out of the list, so that it is not picked again.
+// RemoveTarget removes a target from the list that Targets returns. The target keeps running.
 func (f *Fleet) RemoveTarget(target *standin.Server) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -204,18 +207,19 @@
 	}
 }
 
-// Logf notes a fault for the report.
+// Logf appends a line to Faults, and to the nodes' log.
 func (f *Fleet) Logf(format string, args ...any) {
 	line := fmt.Sprintf("%8s %s", f.History.Now().Round(time.Millisecond), fmt.Sprintf(format, args...))
 	f.mu.Lock()
 	f.Faults = append(f.Faults, line)
 	f.mu.Unlock()
 	if f.Log != nil {
-		fmt.Fprintln(f.Log, "DREAM", line)
+		fmt.Fprintln(f.Log, "FAULT", line)
 	}
 }
 
-// Boot starts every machine and every server, and submits the first change set.
+// Boot starts all machines and targets, submits the initial configuration, and waits until the
+// fleet is usable.
 func (f *Fleet) Boot() error {
 	for _, m := range f.Machines {
 		if err := m.Start(); err != nil {
@@ -228,15 +232,16 @@
 		}
 	}
 	if !f.WaitUntil(20*time.Second, func() bool { return f.submitInitial() }) {
-		return fmt.Errorf("the first change set was not accepted")
+		return fmt.Errorf("the initial change set was not accepted within 20 s")
 	}
 	if !f.WaitUntil(20*time.Second, f.IsUsable) {
-		return fmt.Errorf("the fleet did not come up")
+		return fmt.Errorf("the fleet was not usable within 20 s")
 	}
 	return nil
 }
 
-// WaitUntil waits, in virtual time, until it is so.
+// WaitUntil polls the condition in virtual time and reports whether it became true within the
+// limit.
 func (f *Fleet) WaitUntil(limit time.Duration, condition func() bool) bool {
 	deadline := time.Now().Add(limit)
 	for !condition() {
@@ -248,7 +253,7 @@
 	return true
 }
 
-// Close ends everything, so that the bubble can end.
+// Close stops the load, the nodes and the targets, so that all goroutines of the bubble can exit.
 func (f *Fleet) Close() {
 	f.loadRunning.Store(false)
 	f.loadTasks.Wait()
--- a/internal/simulator/freeze.go
+++ b/internal/simulator/freeze.go
@@ -1,30 +1,31 @@
-// Processes that stand still between two of their own lines, as the machine may hold up any
-// process at any time: nothing of what it does next happens, while the system goes on to take in
-// what comes for it, and all else goes on too.
+// Frozen processes. A real machine may stop scheduling a process at any point: the process makes
+// no progress, while its kernel still receives and acknowledges data and all other machines
+// continue.
 
 package simulator
 
 import "time"
 
-// standstill is what is to happen at the next write of a machine to an address.
+// writeHold delays the next write of a machine to an address.
 type writeHold struct {
 	duration       time.Duration
-	freezesMachine bool
-	started        chan struct{} // closed when it begins
+	freezesMachine bool          // freezes the whole machine, not only the writing goroutine
+	started        chan struct{} // closed when the delay begins
 }
 
-// writeDirection names what one machine writes to an address.
+// writeDirection identifies the writes of a machine (an IP address) to a remote address with a
+// port.
 type writeDirection struct{ from, to string }
 
-// HoldNextWrite has the next write of a machine to an address stand still right at its beginning:
-// all that the process did before is done, the look at the connection's deadline too, and the
-// system takes the bytes only when the time is over. The channel is closed when that begins.
+// HoldNextWrite delays the next write of a machine to an address by d. The delay comes after the
+// check of the connection's write deadline and before the kernel accepts the bytes. The channel is
+// closed when the delay begins.
 func (n *Network) HoldNextWrite(from, to string, d time.Duration) (started <-chan struct{}) {
 	return n.armWriteHold(from, to, &writeHold{duration: d, started: make(chan struct{})})
 }
 
-// FreezeAtNextWrite has the whole machine stand still from the beginning of its next write to an
-// address. The channel is closed when that begins.
+// FreezeAtNextWrite freezes a machine for d at the beginning of its next write to an address. The
+// channel is closed when the freeze begins.
 func (n *Network) FreezeAtNextWrite(from, to string, d time.Duration) (started <-chan struct{}) {
 	return n.armWriteHold(from, to, &writeHold{duration: d, freezesMachine: true, started: make(chan struct{})})
 }
@@ -37,23 +38,23 @@
 	return s.started
 }
 
-// Freeze has the process of a machine stand still as far as others can tell: from now on, for that
-// time, it reads, accepts and writes nothing. Its system works: what comes is acknowledged and kept.
-// The process's timers run, so what it decides by them alone meanwhile it decides in time.
+// Freeze stops the network activity of a machine's process for d: it reads, accepts and writes
+// nothing. Its kernel still acknowledges and queues received data. The process's timers run, so
+// actions that depend only on timers still happen on time.
 func (n *Network) Freeze(ip string, d time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.freeze(ip, d)
 }
 
-// freeze is Freeze for a caller that holds mu.
+// freeze implements Freeze. The caller holds mu.
 func (n *Network) freeze(ip string, d time.Duration) {
 	n.frozenUntil[ip] = time.Now().Add(d)
 	n.faultCount++
 }
 
-// awaitThaw waits until a machine does not stand still, and returns when it last began to go on
-// again; the zero time if it never stood still.
+// awaitUnfrozen waits until a machine is not frozen, and returns the end of its last freeze, or the
+// zero time if it was never frozen.
 func (n *Network) awaitUnfrozen(ip string) time.Time {
 	for {
 		n.mu.Lock()
@@ -67,7 +68,8 @@
 	}
 }
 
-// beginWrite is the beginning of each write of a machine to an address.
+// beginWrite runs at the beginning of each write. It applies the write hold, if one is set, and
+// waits until the machine is not frozen.
 func (n *Network) beginWrite(from, to string) {
 	n.mu.Lock()
 	direction := writeDirection{from, to}
--- a/internal/simulator/link.go
+++ b/internal/simulator/link.go
@@ -1,6 +1,6 @@
-// The links of machines: a narrow one carries so many bytes a second in each direction,
-// and what is sent beyond that waits in its queue, whatever it is, in the order in which
-// it was sent. A machine that was not narrowed has all the room there is.
+// Bandwidth limits of machines. A limited link carries a fixed number of bytes per second in each
+// direction. Traffic beyond that waits in one first-in-first-out queue per direction. Machines
+// without a limit have unlimited bandwidth.
 
 package simulator
 
@@ -8,18 +8,19 @@
 
 const (
 	maxSegmentBytes  = 16 << 10
-	emptyPacketBytes = 60 // of one that carries nothing
-	// queueMost is how long the queue of a link may be before datagrams are lost.
+	emptyPacketBytes = 60 // a packet without payload
+	// maxQueueDelay is the delivery delay beyond which datagrams are dropped.
 	maxQueueDelay = time.Second
 )
 
-// link is one machine's, with when each direction has nothing more to carry.
+// link is the limited link of one machine.
 type link struct {
-	rate                float64 // bytes a second
-	inFreeAt, outFreeAt time.Time
+	rate                float64   // bytes per second
+	inFreeAt, outFreeAt time.Time // when all queued traffic of the direction is transmitted
 }
 
-// transmit is when so many bytes that come at that time are through.
+// transmit queues bytes at the time start and returns when they have been transmitted. On a nil
+// link this is start.
 func (l *link) transmit(freeAt *time.Time, start time.Time, bytes int) time.Time {
 	if l == nil {
 		return start
@@ -31,14 +32,14 @@
 	return *freeAt
 }
 
-// LimitBandwidth gives a machine's link a rate in bytes a second.
+// LimitBandwidth limits a machine's link to a rate in bytes per second in each direction.
 func (n *Network) LimitBandwidth(ip string, rate int) {
 	n.mu.Lock()
 	n.links[ip] = &link{rate: float64(rate)}
 	n.mu.Unlock()
 }
 
-// QueueDelay is how long what comes to a machine now waits at its link, and what leaves it.
+// QueueDelay returns how long traffic to and from a machine currently waits in its link's queues.
 func (n *Network) QueueDelay(ip string) (inbound, outbound time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -48,7 +49,8 @@
 	return inbound, outbound
 }
 
-// arrivalTime is when what leaves one machine at that time is at the other.
+// arrivalTime queues bytes sent at time t on the links of both machines, and returns when they
+// arrive. The caller holds mu.
 func (n *Network) arrivalTime(from, to string, t time.Time, bytes int) time.Time {
 	sender, receiver := n.links[from], n.links[to]
 	if sender != nil {
@@ -61,5 +63,5 @@
 	return t
 }
 
-// isLimited tells whether a link on the way bounds what goes over it.
+// isLimited reports whether either machine has a bandwidth limit. The caller holds mu.
 func (n *Network) isLimited(from, to string) bool { return n.links[from] != nil || n.links[to] != nil }
--- a/internal/simulator/load_changesets.go
+++ b/internal/simulator/load_changesets.go
@@ -1,7 +1,7 @@
-// Whole change sets: each moves, splits, adds or drops several mappings and
-// services together, some as amendments and some as whole configurations, and
-// they race. Requests to all the paths go on all the while, so that a half set, or
-// one that was refused, would show in what a server runs.
+// Operators that submit competing change sets. Each change set moves, splits, adds or drops several
+// mappings and services together, as an amendment or as a whole configuration. Clients request all
+// the paths meanwhile, so that a partially applied or a refused change set would be visible in the
+// requests that targets execute.
 
 package simulator
 
@@ -14,9 +14,10 @@
 	"github.com/sumactrestle/sumactrestle/internal/standin"
 )
 
-// The services that come and go with change sets; their servers beat all along.
+// optionalServices are added and dropped by change sets. Their targets send heartbeats throughout.
 var optionalServices = []string{"alpha", "beta"}
 
+// changeSetPathCount is the number of paths that the change sets map.
 const changeSetPathCount = 6
 
 func changeSetPath(i int) string { return fmt.Sprintf("/set/%d", i) }
@@ -33,7 +34,7 @@
 	return api.Service{Name: name, Key: api.NewOptString("key-" + name)}
 }
 
-// setChange draws a change set against the epoch an operator has seen.
+// newChangeSet returns a random change set based on an epoch that an operator has read.
 func (f *Fleet) newChangeSet(r *rand.Rand, id string, view *api.EpochView) *api.Change {
 	hasMapping, hasService := map[string]bool{}, map[string]bool{}
 	for _, m := range view.Config.Mappings {
@@ -49,12 +50,12 @@
 	var drops api.Drops
 	change := &api.Change{ID: id, Base: view.Epoch}
 	switch r.IntN(5) {
-	case 0: // all move together
+	case 0: // all mappings move to one service
 		target := pick()
 		for i := range changeSetPathCount {
 			put.Mappings = append(put.Mappings, changeSetMapping(i, target))
 		}
-	case 1: // some are split, with a mapping of their own
+	case 1: // some mappings are split, and a new one is added
 		first, second := pick(), pick()
 		for i := range changeSetPathCount {
 			if first != second && r.IntN(2) == 0 {
@@ -62,7 +63,7 @@
 			}
 		}
 		put.Mappings = append(put.Mappings, f.newChange(id, 0).Put.Value.Mappings...)
-	case 2: // some go, others come
+	case 2: // some mappings are dropped, others put
 		for i := range changeSetPathCount {
 			if name := fmt.Sprint("set", i); r.IntN(2) == 0 && hasMapping[name] {
 				drops.Mappings = append(drops.Mappings, name)
@@ -70,7 +71,7 @@
 				put.Mappings = append(put.Mappings, changeSetMapping(i, pick()))
 			}
 		}
-	case 3: // a service comes with all its mappings, or goes and they with it
+	case 3: // a service is added and takes all mappings, or is dropped with its mappings
 		optional := optionalServices[r.IntN(len(optionalServices))]
 		target := optional
 		if hasService[optional] {
@@ -108,7 +109,7 @@
 	return change
 }
 
-// growConfiguration adds many mappings in one set.
+// newBulkChange returns a change set that adds n mappings.
 func newBulkChange(id string, base uint64, n int) *api.Change {
 	config := api.Config{}
 	for i := range n {
@@ -117,22 +118,23 @@
 	return &api.Change{ID: id, Base: base, Put: api.NewOptConfig(config)}
 }
 
-// StartChangeSets starts the servers of the guests, callers of all paths of the sets, and
-// operators who submit sets, repeat some of them, and call at once what they put.
+// StartChangeSets starts the targets of the optional services, clients that request all change set
+// paths, and n operators. An operator submits change sets, requests some of their paths at once,
+// and repeats some submissions.
 func (f *Fleet) StartChangeSets(n int, mean time.Duration) {
 	for i, optional := range optionalServices {
 		f.StartTarget(optional, "", i%f.Shape.Zones)
 	}
 	for i, proxyNode := range f.Proxies() {
-		caller := f.newClient(i)
+		client := f.newClient(i)
 		f.goTask(func(r *rand.Rand) {
-			caller.Call(f.ctx, proxyNode.ProxyAddress(), "GET", changeSetPath(r.IntN(changeSetPathCount)), "", nil)
+			client.Call(f.ctx, proxyNode.ProxyAddress(), "GET", changeSetPath(r.IntN(changeSetPathCount)), "", nil)
 			pause(r, 40*time.Millisecond)
 		})
 	}
 	for i := range n {
 		operators := f.operatorsOfEveryNode(50 + i)
-		caller := f.newClient(50 + i)
+		client := f.newClient(50 + i)
 		f.goTask(func(r *rand.Rand) {
 			pause(r, mean)
 			o := operators[r.IntN(len(operators))]
@@ -154,7 +156,7 @@
 			_, err = o.Submit(f.ctx, change)
 			for _, m := range change.Put.Value.Mappings[:min(2, len(change.Put.Value.Mappings))] {
 				proxyNode := f.Proxies()[r.IntN(len(f.Proxies()))]
-				caller.Call(f.ctx, proxyNode.ProxyAddress(), "GET", m.Path, "", nil)
+				client.Call(f.ctx, proxyNode.ProxyAddress(), "GET", m.Path, "", nil)
 			}
 			if err != nil || r.IntN(4) == 0 {
 				pause(r, 500*time.Millisecond)
--- a/internal/simulator/load_clients.go
+++ b/internal/simulator/load_clients.go
@@ -1,5 +1,5 @@
-// What goes on at the edges of a simulated fleet: callers, applications and
-// operators, each a few tasks that call, wait a little and call again.
+// Basic load on a simulated fleet: clients, operators, and applications that use the coordination
+// API. Each runs as a few tasks that send a request, wait and repeat.
 
 package simulator
 
@@ -20,7 +20,7 @@
 	"github.com/sumactrestle/sumactrestle/internal/standin"
 )
 
-// goTask runs until the load is ended.
+// goTask runs a task repeatedly in a goroutine until the load is stopped.
 func (f *Fleet) goTask(task func(r *rand.Rand)) {
 	seed := f.Rand.Uint64()
 	f.loadTasks.Add(1)
@@ -33,41 +33,42 @@
 	}()
 }
 
+// pause sleeps for a random time around mean, between half of it and one and a half.
 func pause(r *rand.Rand, mean time.Duration) {
 	time.Sleep(mean/2 + time.Duration(r.Int64N(int64(mean))))
 }
 
-// clientHost is a machine that is in no zone of the fleet.
+// clientHost returns the IP address of a machine that is in no zone of the fleet.
 func (f *Fleet) clientHost(i int) string { return fmt.Sprintf("10.99.0.%d", i+1) }
 
-// StartClients starts callers for every service and proxy.
+// StartClients starts one client for each pair of proxy and service.
 func (f *Fleet) StartClients(mean time.Duration) {
 	for i, proxyNode := range f.Proxies() {
 		for service := range f.Shape.Targets {
-			caller := f.newClient(i)
+			client := f.newClient(i)
 			f.goTask(func(r *rand.Rand) {
 				method, body := "POST", []byte(fmt.Sprintf(`{"n":%d}`, r.Uint32()))
 				if f.Shape.Idempotent[service] {
 					method, body = "GET", nil
 				}
-				caller.Call(f.ctx, proxyNode.ProxyAddress(), method, "/"+service, service, body)
+				client.Call(f.ctx, proxyNode.ProxyAddress(), method, "/"+service, service, body)
 				pause(r, mean)
 			})
 		}
 	}
 }
 
-// StartRetryStorm call for orders and, when one fails, repeat it at once under the
-// same key, up to many times.
+// StartRetryStorm starts n clients that send bookings. A failed booking is repeated at once under
+// the same call id, up to 30 attempts in total.
 func (f *Fleet) StartRetryStorm(n int) {
 	for range n {
-		caller := f.newClient(30)
-		caller.AtMostOnce = !f.Shape.AllowsDuplicates && !f.Shape.PlatformMode
+		client := f.newClient(30)
+		client.AtMostOnce = !f.Shape.AllowsDuplicates && !f.Shape.PlatformMode
 		proxies := f.Proxies()
 		f.goTask(func(r *rand.Rand) {
 			callID, body := ids.NewID(), []byte(`{"storm":1}`)
 			for try := range 30 {
-				result := caller.CallWithID(f.ctx, proxies[r.IntN(len(proxies))].ProxyAddress(), "POST", "/bookings", "bookings", body, callID, try > 0)
+				result := client.CallWithID(f.ctx, proxies[r.IntN(len(proxies))].ProxyAddress(), "POST", "/bookings", "bookings", body, callID, try > 0)
 				if result.Outcome == "ran" || result.Code == 1017 || !f.loadRunning.Load() {
 					break
 				}
@@ -78,7 +79,7 @@
 	}
 }
 
-// newChange is the change set that adds one mapping of its own.
+// newChange returns a change set that adds one mapping, named after its id.
 func (f *Fleet) newChange(id string, base uint64) *api.Change {
 	service := "rates"
 	for name := range f.Shape.Targets {
@@ -88,7 +89,8 @@
 	return &api.Change{ID: id, Base: base, Put: api.NewOptConfig(config)}
 }
 
-// initialConfiguration is what every fleet of the simulator begins with.
+// initialConfiguration returns the configuration with which every simulated fleet begins: one
+// mapping for each service.
 func (f *Fleet) initialConfiguration() (config api.Config) {
 	for name := range f.Shape.Targets {
 		config.Services = append(config.Services, newService(name))
@@ -97,12 +99,12 @@
 	return config
 }
 
-// newOperator returns an operator at a client's host who calls one node.
+// newOperator returns an operator on a client host that calls one node.
 func (f *Fleet) newOperator(host int, node *Machine) *standin.Operator {
 	return standin.NewOperator(f.Network.HostAt(f.clientHost(host)), f.History, node.APIAddress())
 }
 
-// operatorsOfEveryNode returns an operator for each node, all at one client's host.
+// operatorsOfEveryNode returns one operator for each node, all on one client host.
 func (f *Fleet) operatorsOfEveryNode(host int) (operators []*standin.Operator) {
 	for _, m := range f.Machines {
 		operators = append(operators, f.newOperator(host, m))
@@ -117,8 +119,8 @@
 	return err == nil
 }
 
-// StartOperators race: each reads the epoch, thinks, and submits against it. What is
-// left unknown is asked for by id, once.
+// StartOperators starts n competing operators. Each reads the epoch, pauses, and submits a change
+// based on it. After an error it may query the change once by its id.
 func (f *Fleet) StartOperators(n int, mean time.Duration) {
 	for i := range n {
 		operators := f.operatorsOfEveryNode(41 + i)
@@ -144,7 +146,8 @@
 	}
 }
 
-// StartApplications exercise locks, counters, keys and watches through random nodes.
+// StartApplications starts n applications that use locks, counters and keys through random nodes,
+// and two watchers for each of three keys, of which one polls slowly.
 func (f *Fleet) StartApplications(n int, mean time.Duration) {
 	clients := []*api.Client{}
 	for _, m := range f.Machines {
@@ -200,7 +203,8 @@
 	}
 }
 
-// recordCoordination records one coordination call.
+// recordCoordination makes a coordination call with a time limit of 4 s and records it with its
+// outcome.
 func (f *Fleet) recordCoordination(r checker.Record, call func(ctx context.Context, r *checker.Record) error) error {
 	r.Kind, r.Start = checker.CoordinationCall, f.History.Now()
 	ctx, cancel := context.WithTimeout(f.ctx, 4*time.Second)
@@ -218,8 +222,7 @@
 	return err
 }
 
-// useLock takes a lock, holds it a while, perhaps renews it, gives it back or
-// lets it run out.
+// useLock acquires a lock, may renew it several times, and then releases it or lets it expire.
 func (f *Fleet) useLock(r *rand.Rand, client *api.Client, holder string) {
 	name := fmt.Sprint("lock/", r.IntN(2))
 	const ttl = 2 * time.Second
@@ -254,7 +257,7 @@
 	}
 }
 
-// useWatch goes on with a watch from where the last one ended.
+// useWatch continues a watch from the revision at which the previous call ended.
 func (f *Fleet) useWatch(r *rand.Rand, client *api.Client, name string, from *uint64) {
 	ctx, cancel := context.WithTimeout(f.ctx, 6*time.Second)
 	defer cancel()
--- a/internal/simulator/load_coordination.go
+++ b/internal/simulator/load_coordination.go
@@ -1,6 +1,5 @@
-// The rest of what applications do: compare-and-set, deletes, lists, elections,
-// watches of whole spaces, and repeats of calls that were left unknown, under the
-// id that they had.
+// Further coordination calls of applications: compare-and-set, deletes, lists, elections, watches
+// of a key prefix, and retries of calls with an unknown outcome under the same id.
 
 package simulator
 
@@ -20,10 +19,11 @@
 	"github.com/sumactrestle/sumactrestle/internal/standin"
 )
 
+// watchedSpace is the prefix of the keys that are listed and watched together.
 const watchedSpace = "space/"
 
-// repeatUnknown makes a call under an id, and up to three times more while it is left
-// unknown; each try is recorded under the id.
+// retryUnknown makes a call under a new id and repeats it up to three times while its outcome is
+// unknown, and sometimes after it was done. Each attempt is recorded with the id.
 func (f *Fleet) retryUnknown(r *rand.Rand, clients []*api.Client, rec checker.Record, call func(ctx context.Context, client *api.Client, id string, rec *checker.Record) error) (done bool) {
 	rec.RequestID = ids.NewID()
 	for range 4 {
@@ -41,6 +41,8 @@
 	return false
 }
 
+// recordResponse copies the revision and count of a successful response to its record. It returns
+// err.
 func recordResponse(rec *checker.Record, receipt *api.Receipt, err error) error {
 	if err == nil {
 		rec.Revision, rec.Count = receipt.Stamp, receipt.Count.Or(0)
@@ -48,7 +50,7 @@
 	return err
 }
 
-// StartCoordinationClients start n applications, and watchers of the space.
+// StartCoordinationClients starts n applications and a watcher of watchedSpace.
 func (f *Fleet) StartCoordinationClients(n int, mean time.Duration) {
 	var clients []*api.Client
 	for _, m := range f.Machines {
@@ -92,7 +94,7 @@
 	f.goTask(func(r *rand.Rand) { f.useWatch(r, clients[r.IntN(len(clients))], watchedSpace, &from) })
 }
 
-// compareAndSet reads a key and puts it back, if nobody else did meanwhile.
+// compareAndSet reads a key and writes a new value on the condition that the key has not changed.
 func (f *Fleet) compareAndSet(r *rand.Rand, clients []*api.Client, key string) {
 	revision, isRead := uint64(0), false
 	f.recordCoordination(checker.Record{Op: "get", Name: key}, func(ctx context.Context, rec *checker.Record) error {
@@ -117,7 +119,7 @@
 	})
 }
 
-// campaign stands in an election, reads who leads, and may resign.
+// campaign reads the current leader of an election, campaigns, and may resign later.
 func (f *Fleet) campaign(r *rand.Rand, clients []*api.Client, candidate string) {
 	const ttl = 2 * time.Second
 	session := candidate + "-" + ids.NewID()
@@ -153,7 +155,7 @@
 	}
 }
 
-// incrementCounter reads the counters at the end, when nothing else goes on.
+// readCounters records the final values of the counters, after the load has ended.
 func (f *Fleet) readCounters() {
 	client := standin.NewAPIClient(f.Network.HostAt(f.clientHost(92)), f.Cores()[0].APIAddress())
 	for i := range 2 {
@@ -166,6 +168,8 @@
 	}
 }
 
+// outcomeOf returns "done" if err is nil. Otherwise it returns the outcome of the error's code, or
+// "refused" if the code has no outcome, or "unknown" if the error has no code.
 func outcomeOf(err error) string {
 	if err == nil {
 		return "done"
--- a/internal/simulator/load_rivals.go
+++ b/internal/simulator/load_rivals.go
@@ -1,6 +1,5 @@
-// Operators on their worst days: several send different texts under one number at
-// once, their answers are lost, and they send the same again, to other nodes, at once
-// or long after.
+// Rival operators: several submit different changes under the same version number at once, lose
+// responses, and submit the same changes again to other nodes, at once or much later.
 
 package simulator
 
@@ -12,10 +11,11 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// rivalOperators is how many orders are under way at once.
+// rivalCount is the number of concurrent submissions under one version number.
 const rivalCount = 8
 
-// StartRivals starts such operators; what they are told is judged with the versions.
+// StartRivals starts a task that submits rival changes and then repeats one of those accepted so
+// far. The checker verifies the responses together with those of the other versioned changes.
 func (f *Fleet) StartRivals(mean time.Duration) {
 	var accepted []*rpc.ChangeSet
 	f.goTask(func(r *rand.Rand) {
@@ -49,8 +49,9 @@
 	})
 }
 
-// submitUntilAnswered sends an order up to four times, of which the first answers may be lost, and
-// tells whether it was taken.
+// submitUntilAnswered submits a change up to four times until it is accepted or refused, and
+// reports whether it was accepted. A short time limit makes the first two attempts lose some
+// responses.
 func (f *Fleet) submitUntilAnswered(r *rand.Rand, change *rpc.ChangeSet) bool {
 	for try := range 4 {
 		node := f.anyNode(r)
--- a/internal/simulator/load_spaces.go
+++ b/internal/simulator/load_spaces.go
@@ -1,6 +1,6 @@
-// What the users' platform asks of the nodes beyond the product's own API: sets in
-// a space and their followers, changes under operators' versions, and locks with a
-// time in each call. They are made at a node itself, as the platform's faces are.
+// Coordination calls of the users' platform that go beyond the product's own API: writes to a key
+// prefix and followers of it, and locks with a time to live in each call. They call a node in
+// process, as the platform does.
 
 package simulator
 
@@ -19,14 +19,16 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
+// followedSpace is the prefix of the keys that are written and followed.
 const followedSpace = "sets/"
 
-// anyNode is a running node, or nil.
+// anyNode returns the node of a random machine, or nil if that machine is down.
 func (f *Fleet) anyNode(r *rand.Rand) *node.Node {
 	return f.Machines[r.IntN(len(f.Machines))].Node()
 }
 
-// callNode makes one coordination call at a node; refused is what its owner said.
+// callNode makes one coordination call through a node and records it. It returns the response and
+// the outcome: "refused" if the response has an error code, "unknown" if the call failed.
 func (f *Fleet) callNode(node *node.Node, rec checker.Record, op *rpc.CoordinationRequest) (*rpc.CoordinationResponse, string) {
 	rec.Kind, rec.Start, rec.Op = checker.CoordinationCall, f.History.Now(), firstNonEmpty(rec.Op, op.Operation)
 	rec.Name, rec.Holder = op.Name, op.Holder
@@ -56,6 +58,7 @@
 	return response, rec.Outcome
 }
 
+// firstNonEmpty returns a, or b if a is empty.
 func firstNonEmpty(a, b string) string {
 	if a != "" {
 		return a
@@ -63,7 +66,8 @@
 	return b
 }
 
-// StartSpaceClients starts those who set, look and follow in one space.
+// StartSpaceClients starts n clients that read and set keys of followedSpace, and two followers of
+// it, of which one polls slowly.
 func (f *Fleet) StartSpaceClients(n int, mean time.Duration) {
 	for range n {
 		f.goTask(func(r *rand.Rand) {
@@ -103,6 +107,8 @@
 	}
 }
 
+// useFollow records the events of followedSpace since the revision at which the previous call
+// ended.
 func (f *Fleet) useFollow(r *rand.Rand, from *ids.Index) {
 	node := f.anyNode(r)
 	if node == nil {
@@ -132,7 +138,8 @@
 	*from = response.Revision
 }
 
-// StartTimedLocks starts those who hold a lock for a moment, with a time in each call.
+// StartTimedLocks starts n clients that acquire a lock, extend it with a new time to live in each
+// call, and release it or let it expire.
 func (f *Fleet) StartTimedLocks(n int, mean time.Duration) {
 	for i := range n {
 		f.goTask(func(r *rand.Rand) {
--- a/internal/simulator/load_versions.go
+++ b/internal/simulator/load_versions.go
@@ -1,5 +1,5 @@
-// Operators who number their changes: each names the version it was made over, they
-// race, repeat what was left unknown, and read back what they sent.
+// Operators that number their changes. Each change names the version it is based on. The operators
+// compete, retry submissions with an unknown outcome, and read back the configuration.
 
 package simulator
 
@@ -22,7 +22,7 @@
 
 const numberedPrefix = "numbered-"
 
-// StartVersionedOperators starts n such operators.
+// StartVersionedOperators starts n operators that submit numbered changes.
 func (f *Fleet) StartVersionedOperators(n int, mean time.Duration) {
 	for range n {
 		f.goTask(func(r *rand.Rand) {
@@ -59,7 +59,7 @@
 	}
 }
 
-// numberedChange is a change over a version, with a text of its own.
+// numberedChange returns a change based on a version, with a unique source text.
 func numberedChange(r *rand.Rand, base ids.Version) *rpc.ChangeSet {
 	id, service := numberedPrefix+ids.NewID(), "rates"
 	if r.IntN(6) == 0 {
@@ -74,8 +74,8 @@
 	return f.submitWithin(8*time.Second, node, change)
 }
 
-// submitWithin sends a change and gives it up after a time; it may then be taken, or be
-// on its way.
+// submitWithin submits a change with a time limit, and records and returns its outcome. A change
+// that timed out may have been applied or may be applied later.
 func (f *Fleet) submitWithin(limit time.Duration, node *node.Node, change *rpc.ChangeSet) string {
 	rec := checker.Record{Kind: checker.VersionedChange, Start: f.History.Now(), Name: change.ID, Revision: uint64(change.Version), From: uint64(*change.ExpectedVersion), Digest: string(change.Put.Routes[0].Source), Outcome: "accepted", Invalid: change.Put.Routes[0].Services[0].Service == standin.MissingService}
 	ctx, cancel := context.WithTimeout(f.ctx, limit)
@@ -93,7 +93,8 @@
 	return rec.Outcome
 }
 
-// readBackAll records what of the operators' texts is in force; nil if it can't be had.
+// readConfiguration records the source texts of the numbered changes in effect. It returns nil if
+// the configuration cannot be read.
 func (f *Fleet) readConfiguration(node *node.Node) *rpc.ConfigurationView {
 	rec := checker.Record{Kind: checker.ConfigurationRead, Start: f.History.Now(), Destinations: map[string]string{}}
 	ctx, cancel := context.WithTimeout(f.ctx, 4*time.Second)
@@ -112,14 +113,14 @@
 	return view
 }
 
-// readBackLast reads the versions once more, when nothing else goes on.
+// readFinalConfiguration records the configuration after the load has ended.
 func (f *Fleet) readFinalConfiguration() error {
 	wasRead := f.WaitUntil(10*time.Second, func() bool {
 		node := f.Cores()[0].Node()
 		return node != nil && f.readConfiguration(node) != nil
 	})
 	if !wasRead {
-		return fmt.Errorf("the versions could not be read back at the end")
+		return fmt.Errorf("the final configuration could not be read within 10 s")
 	}
 	return nil
 }
--- a/internal/simulator/machine.go
+++ b/internal/simulator/machine.go
@@ -12,39 +12,39 @@
 	"github.com/sumactrestle/sumactrestle/internal/node"
 )
 
-// Machine is one machine with at most one running node.
+// Machine is a simulated machine that runs at most one node.
 type Machine struct {
 	Name      string
 	Zone      string
 	IP        string
 	IsCore    bool
 	IsProxy   bool
-	IsRemoved bool // taken away for good; it is no seed of others any more
+	IsRemoved bool // removed permanently; no longer a seed address of other machines
 
 	fleet    *Fleet
-	starting chan struct{} // a lock held while the node is started; waiting for it lets virtual time pass
+	starting chan struct{} // semaphore held while the node is started; waiting on it lets virtual time advance
 
 	mu   sync.Mutex // guards node
 	node *node.Node // nil while the machine is down
 }
 
-// RPCAddress is the node's address for other nodes.
+// RPCAddress returns the node's address for other nodes.
 func (m *Machine) RPCAddress() string { return m.IP + ":7000" }
 
-// APIAddress is the node's address for targets, applications and operators.
+// APIAddress returns the node's address for targets, applications and operators.
 func (m *Machine) APIAddress() string { return m.IP + ":7001" }
 
-// ProxyAddress is the node's address for clients.
+// ProxyAddress returns the node's address for clients.
 func (m *Machine) ProxyAddress() string { return m.IP + ":7002" }
 
-// Node is the running node, or nil.
+// Node returns the running node, or nil if the machine is down.
 func (m *Machine) Node() *node.Node {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.node
 }
 
-// Start brings the machine's process up.
+// Start starts the machine's node.
 func (m *Machine) Start() error {
 	settings := map[string]string{"name": m.Name, "zone": m.Zone, "peer.address": m.RPCAddress(), "api.address": m.APIAddress(), "bootstrap.cores": fmt.Sprint(m.fleet.Shape.Cores), "log.level": "debug"}
 	seeds := ""
@@ -102,7 +102,7 @@
 	return nil
 }
 
-// Kill ends the process at once. If the power is lost with it, so is what was not synced.
+// Kill ends the process immediately. With a power loss, unsynced data is lost too.
 func (m *Machine) Kill(isPowerLost bool) {
 	m.mu.Lock()
 	node := m.node
@@ -115,7 +115,7 @@
 	node.Env.Shutdown()
 }
 
-// Stop is the planned stop.
+// Stop shuts the node down gracefully, then ends its process.
 func (m *Machine) Stop() {
 	m.mu.Lock()
 	node := m.node
@@ -128,7 +128,7 @@
 	m.fleet.Network.Kill(m.IP, false)
 }
 
-// Move gives a machine that is down an empty disk and a new address.
+// Move gives a machine that is down a new address and, with it, an empty disk.
 func (m *Machine) Move() {
 	var zone int
 	fmt.Sscanf(m.Zone, "zone%d", &zone)
--- a/internal/simulator/network.go
+++ b/internal/simulator/network.go
@@ -14,39 +14,39 @@
 	"github.com/sumactrestle/sumactrestle/internal/environment"
 )
 
-// firstClientPort is the first port that a dialling machine uses.
+// firstClientPort is the lowest local port of dialing machines.
 const firstClientPort = 40000
 
-// Network is the simulated network with the disks of its machines: delays, lost datagrams,
-// partitions in one direction or both, machines that are paused, processes that are killed
-// and machines that lose power. Machines are named by their IP addresses.
+// Network is the simulated network, together with the disks of its machines. It simulates
+// delays, lost datagrams, limited bandwidth, partitions in one direction or both, paused
+// machines, killed processes and power losses. Machines are identified by their IP addresses.
 type Network struct {
 	mu      sync.Mutex // guards all below
 	rand    *rand.Rand
-	changed chan struct{} // closed and replaced when what may pass changes
+	changed chan struct{} // closed and replaced when reachability changes
 
 	zones       map[string]string
 	partitions  map[[2]string]bool // from, to
 	paused      map[string]bool
-	generations map[string]int // a killed process of a machine counts up its generation
-	suspended   map[string]time.Duration
+	generations map[string]int           // number of processes killed on each machine
+	suspended   map[string]time.Duration // total suspension of each machine
 	frozenUntil map[string]time.Time
-	writeHolds  map[writeDirection]*writeHold // armed, each for one write
+	writeHolds  map[writeDirection]*writeHold // each applies to one write
 	links       map[string]*link
 	disks       map[string]*Disk
-	lossRate    float64 // share of the datagrams that are lost
-	faultCount  int     // how often something was done to a link or a machine
+	lossRate    float64 // fraction of datagrams that are lost, 0 to 1
+	faultCount  int     // faults injected so far
 
-	listeners   map[string]*listener // by address, as the two below
-	packetConns map[string]*packetConn
+	listeners   map[string]*listener   // by address
+	packetConns map[string]*packetConn // by address
 	conns       map[*conn]bool
 	nextPort    int
 
-	// BytesBetweenZones and BytesWithinZones count what was sent since the start.
+	// BytesBetweenZones and BytesWithinZones count the bytes sent since the start.
 	BytesBetweenZones, BytesWithinZones int64
 }
 
-// NewNetwork makes an undisturbed network. Its delays and losses are drawn from the seed.
+// NewNetwork returns a network without faults. Its delays and losses are drawn from the seed.
 func NewNetwork(seed uint64) *Network {
 	return &Network{
 		rand:        rand.New(rand.NewPCG(seed, 1)),
@@ -80,20 +80,20 @@
 	return net.TCPAddrFromAddrPort(netip.MustParseAddrPort(address))
 }
 
-// broadcast wakes all that wait for the network to change. The caller holds mu.
+// broadcast wakes all goroutines that wait for a change of reachability. The caller holds mu.
 func (n *Network) broadcast() {
 	close(n.changed)
 	n.changed = make(chan struct{})
 }
 
-// SetZone puts a machine into a zone; delays follow from the zones.
+// SetZone assigns a machine to a zone. Delays between zones are longer than within one.
 func (n *Network) SetZone(ip, zone string) {
 	n.mu.Lock()
 	n.zones[ip] = zone
 	n.mu.Unlock()
 }
 
-// Partition stops what goes from one machine to another; Heal lets it through.
+// Partition blocks traffic from one machine to another, in this direction only, until Heal.
 func (n *Network) Partition(from, to string) {
 	n.mu.Lock()
 	n.partitions[[2]string{from, to}] = true
@@ -109,7 +109,7 @@
 	n.mu.Unlock()
 }
 
-// Pause keeps back all that a machine sends and gets, until Unpause or Heal.
+// Pause blocks all traffic from and to a machine until Unpause or Heal.
 func (n *Network) Pause(ip string) {
 	n.mu.Lock()
 	n.paused[ip] = true
@@ -117,8 +117,8 @@
 	n.mu.Unlock()
 }
 
-// Suspend is a suspension as the machine sees it: its monotonic clock stands
-// still, and all else has gone on meanwhile.
+// Suspend adds d to the machine's suspended time, as if it had been suspended for d: its
+// monotonic clock stopped while everything else continued.
 func (n *Network) Suspend(ip string, d time.Duration) {
 	n.mu.Lock()
 	n.suspended[ip] += d
@@ -126,7 +126,7 @@
 	n.mu.Unlock()
 }
 
-// Unpause lets through what Pause kept back.
+// Unpause ends a Pause.
 func (n *Network) Unpause(ip string) {
 	n.mu.Lock()
 	delete(n.paused, ip)
@@ -134,23 +134,23 @@
 	n.mu.Unlock()
 }
 
-// status reports whether nothing is partitioned, paused or lossy, and how many faults there were.
+// status reports whether the network has no partitions, pauses or losses, and how many faults
+// were injected so far.
 func (n *Network) status() (isIntact bool, faults int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return len(n.partitions) == 0 && len(n.paused) == 0 && n.lossRate == 0, n.faultCount
 }
 
-// SetLossRate sets the share of datagrams that are lost.
+// SetLossRate sets the fraction of datagrams that are lost, 0 to 1.
 func (n *Network) SetLossRate(rate float64) {
 	n.mu.Lock()
 	n.lossRate = rate
 	n.mu.Unlock()
 }
 
-// Kill ends a process: its connections break, and its disk no longer obeys it.
-// When the machine loses power, peers hear nothing, and what was not synced is
-// gone but for a torn beginning.
+// Kill ends the process of a machine: its connections break, and its disk operations fail. With a
+// power loss, peers are not notified, and only a random prefix of the unsynced data remains.
 func (n *Network) Kill(ip string, isPowerLost bool) {
 	n.mu.Lock()
 	n.generations[ip]++
@@ -181,7 +181,7 @@
 	}
 }
 
-// Disk is a machine's disk, which outlives its processes.
+// Disk returns the machine's disk, which outlives its processes.
 func (n *Network) Disk(ip string) *Disk {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -191,11 +191,12 @@
 	return n.disks[ip]
 }
 
-// blocked tells whether nothing gets from one machine to another now.
+// blocked reports whether traffic from one machine to another is blocked. The caller holds mu.
 func (n *Network) blocked(from, to string) bool {
 	return n.partitions[[2]string{from, to}] || n.paused[from] || n.paused[to]
 }
 
+// delay draws the delay of one delivery: 200 to 400 µs within a zone, 1 to 2 ms between zones.
 func (n *Network) delay(from, to string) time.Duration {
 	base := 200 * time.Microsecond
 	if n.zones[from] != n.zones[to] {
@@ -212,7 +213,8 @@
 	}
 }
 
-// HostAt is the network as one machine has it, for one life of its process.
+// HostAt returns the host interface of a machine for its current process. After the process is
+// killed, dialing and listening fail.
 func (n *Network) HostAt(ip string) environment.Host {
 	n.mu.Lock()
 	generation := n.generations[ip]
@@ -259,7 +261,7 @@
 		n.mu.Lock()
 		if !isAlive() {
 			n.mu.Unlock()
-			return nil, fmt.Errorf("dial %s: no network", address)
+			return nil, fmt.Errorf("dial %s: the dialing process was killed", address)
 		}
 		if !n.blocked(ip, remoteHost) && !n.blocked(remoteHost, ip) {
 			arrival := n.arrivalTime(ip, remoteHost, time.Now(), emptyPacketBytes)
--- a/internal/simulator/packet_conn.go
+++ b/internal/simulator/packet_conn.go
@@ -12,6 +12,9 @@
 	data      []byte
 }
 
+// packetConn is a simulated UDP socket. It drops datagrams that are lost, blocked, delayed by more
+// than maxQueueDelay, or in excess of the receiver's queue. Each datagram counts 28 more bytes for
+// its IP and UDP headers.
 type packetConn struct {
 	network *Network
 	address string
--- a/internal/simulator/platform_mode.go
+++ b/internal/simulator/platform_mode.go
@@ -1,8 +1,8 @@
-// Fleets as the users' platform runs them: proxies out of touch go on with their
-// last epoch, a new leader keeps the epoch's targets until it has heard them,
-// heartbeats are rare, and servers know no epochs. The network made here records
-// the epoch that a proxy acts on, and the history tells which proxies are in touch,
-// as only those are bound by the bounds on time.
+// Platform mode: a fleet configured as on the users' platform. Disconnected proxies keep using
+// their last epoch, a new leader keeps the epoch's targets until it has received their heartbeats,
+// heartbeats are infrequent, and targets know no epochs. The network used here adds to each
+// request the epoch that the proxy acts on. The history records which proxies are connected,
+// because the time limits apply only to those.
 
 package simulator
 
@@ -23,11 +23,11 @@
 const (
 	platformHeartbeatPeriod  = 1500 * time.Millisecond
 	platformHeartbeatTimeout = 3 * platformHeartbeatPeriod
-	connectivityWindow       = 3 * time.Second
+	connectivityWindow       = 3 * time.Second // see recordConnectivity
 	connectivityInterval     = 10 * time.Millisecond
 )
 
-// platformShape is a shape in platform mode.
+// platformShape returns a shape in platform mode. The shape's own settings take precedence.
 func platformShape(s Shape) Shape {
 	s.PlatformMode = true
 	s.HeartbeatPeriod, s.FailureTimeout = platformHeartbeatPeriod, platformHeartbeatTimeout
@@ -43,21 +43,21 @@
 	return s
 }
 
-// newClient is a stand-in caller at a machine outside, in the fleet's manner.
+// newClient returns a stand-in client on a client host, in platform mode if the fleet is.
 func (f *Fleet) newClient(hostIndex int) *standin.Client {
-	caller := standin.NewClient(f.Network.HostAt(f.clientHost(hostIndex)), f.History)
-	caller.Opaque = f.Shape.PlatformMode
-	return caller
+	client := standin.NewClient(f.Network.HostAt(f.clientHost(hostIndex)), f.History)
+	client.Opaque = f.Shape.PlatformMode
+	return client
 }
 
-// configureTarget sets what the fleet's shape says of targets, before the target starts.
+// configureTarget applies the fleet's shape to a target that has not started.
 func (f *Fleet) configureTarget(s *standin.Server) *standin.Server {
 	s.Opaque = f.Shape.PlatformMode
 	s.HeartbeatPeriod, s.FailureTimeout = f.Shape.HeartbeatPeriod, f.Shape.FailureTimeout
 	return s
 }
 
-// misbehaviours are how a server may misbehave.
+// misbehaviors returns the kinds of misbehavior of targets.
 func (f *Fleet) misbehaviors() []string {
 	misbehaviors := []string{standin.CloseUnanswered, standin.Garbage, standin.TruncatedBody, standin.Unsealed, standin.SwappedResponse, standin.Slow, standin.UnframedResponse, standin.DuplicateResponse, standin.TruncatedHeader}
 	if f.Shape.PlatformMode {
@@ -66,7 +66,8 @@
 	return misbehaviors
 }
 
-// hostNetwork is a machine's; a proxy that stays tells what it acts on.
+// hostNetwork returns the machine's host interface. In platform mode, connections of a proxy to
+// targets report the epoch that the proxy acts on.
 func (m *Machine) hostNetwork(node *atomic.Pointer[node.Node]) environment.Host {
 	n := m.fleet.Network.HostAt(m.IP)
 	if !m.fleet.Shape.PlatformMode || !m.IsProxy {
@@ -83,7 +84,8 @@
 	return n
 }
 
-// epochReportingConn is a way from a proxy to a server.
+// epochReportingConn is a connection from a proxy to a target. It adds headers with the proxy's
+// epoch and address to each request.
 type epochReportingConn struct {
 	*conn
 	proxyAddress string
--- a/internal/simulator/recovery.go
+++ b/internal/simulator/recovery.go
@@ -13,11 +13,11 @@
 	"github.com/sumactrestle/sumactrestle/internal/standin"
 )
 
-// IsUsable tells whether every proxy that is up serves every service, and the
-// core takes calls.
+// IsUsable reports whether every running proxy serves every service, and the core accepts
+// coordination calls.
 func (f *Fleet) IsUsable() bool {
-	caller := f.newClient(90)
-	defer caller.Close()
+	client := f.newClient(90)
+	defer client.Close()
 	for _, proxyNode := range f.Proxies() {
 		if proxyNode.Node() == nil {
 			continue
@@ -27,15 +27,15 @@
 			if f.Shape.Idempotent[service] {
 				method, body = "GET", nil
 			}
-			if caller.Call(f.ctx, proxyNode.ProxyAddress(), method, "/"+service, service, body).Outcome != "ran" {
+			if client.Call(f.ctx, proxyNode.ProxyAddress(), method, "/"+service, service, body).Outcome != "ran" {
 				return false
 			}
 		}
 	}
-	client := standin.NewAPIClient(f.Network.HostAt(f.clientHost(91)), f.Cores()[0].APIAddress())
+	apiClient := standin.NewAPIClient(f.Network.HostAt(f.clientHost(91)), f.Cores()[0].APIAddress())
 	for i := range 3 {
 		ctx, cancel := context.WithTimeout(f.ctx, time.Second)
-		_, err := client.PutKey(ctx, &api.Call{Name: fmt.Sprint("usable", i), Value: jx.Raw("1")})
+		_, err := apiClient.PutKey(ctx, &api.Call{Name: fmt.Sprint("usable", i), Value: jx.Raw("1")})
 		cancel()
 		if err != nil {
 			return false
@@ -44,7 +44,7 @@
 	return true
 }
 
-// Restore brings everything back: ways, disks, machines.
+// Restore ends all network and disk faults and starts the machines that are down.
 func (f *Fleet) Restore() {
 	f.Network.SetLossRate(0)
 	f.Network.Heal()
@@ -53,14 +53,14 @@
 		f.Network.Disk(m.IP).Slow(0)
 		if m.Node() == nil {
 			if err := m.Start(); err != nil {
-				f.Logf("%s can't start: %v", m.Name, err)
+				f.Logf("%s failed to start: %v", m.Name, err)
 			}
 		}
 	}
 }
 
-// status tells whether all machines are up, with their ways and disks, and how
-// often something was done to any of them.
+// status reports whether all machines are up without network or disk faults, and how many faults
+// were injected so far.
 func (f *Fleet) status() (isIntact bool, faults int) {
 	isIntact, faults = f.Network.status()
 	for _, m := range f.Machines {
@@ -71,8 +71,8 @@
 	return isIntact, faults
 }
 
-// measureRecoveries takes, after every return inside the run, the time until the fleet
-// is usable again; a return that the next fault overtakes is not counted.
+// measureRecoveries records, whenever all faults have ended during the run, the time until the
+// fleet is usable again, or a failure after 16 s. It records nothing if the next fault comes first.
 func (f *Fleet) measureRecoveries() {
 	restoredAt, isMeasured, lastFaults := time.Duration(0), true, 0
 	f.goTask(func(r *rand.Rand) {
--- a/internal/simulator/run.go
+++ b/internal/simulator/run.go
@@ -1,5 +1,5 @@
-// A run: boot, load, faults drawn from the seed, everything brought back, the
-// time until the fleet is usable again, the last questions, and the verdict.
+// A run consists of boot, load, faults drawn from the seed, the end of all faults, the time until
+// the fleet is usable again, final reads, and the check of the history.
 
 package simulator
 
@@ -10,16 +10,16 @@
 	"github.com/sumactrestle/sumactrestle/internal/checker"
 )
 
-// Result is what a run came to.
+// Result holds the checker's verdict on a run, with its availability and injected faults.
 type Result struct {
 	Verdict      *checker.Result
 	Availability checker.Availability
-	Recovery     time.Duration
+	Recovery     time.Duration // from the end of all faults until the fleet was usable
 	Faults       []string
 	Fleet        *Fleet
 }
 
-// Run carries a scenario out; it must be called in a bubble of virtual time.
+// Run runs a scenario. It must be called in a synctest bubble.
 func Run(s Scenario, seed uint64, log io.Writer) (*Result, error) {
 	shape := s.Shape()
 	if s.PlatformMode {
@@ -74,7 +74,7 @@
 	return &Result{Verdict: checker.Check(records), Availability: checker.MeasureAvailability(records), Recovery: recovery, Faults: f.Faults, Fleet: f}, nil
 }
 
-// verifyFinalState asks after every change set, and reads the configuration at the end.
+// verifyFinalState queries every submitted change set and records the final configuration.
 func (f *Fleet) verifyFinalState() {
 	operator := f.newOperator(92, f.Cores()[0])
 	queried := map[string]bool{}
--- a/internal/simulator/scenarios.go
+++ b/internal/simulator/scenarios.go
@@ -10,7 +10,7 @@
 	return s
 }
 
-// Scenarios is all of them.
+// Scenarios lists all scenarios. Run executes one of them.
 var Scenarios = []Scenario{
 	{Name: "kills", Shape: Small, Length: 25 * time.Second, Faults: killMachines},
 	{Name: "power", Shape: Small, Length: 25 * time.Second, Faults: losePower},
@@ -46,14 +46,14 @@
 	{Name: "mixed", Shape: fiveCoreShape, Length: 40 * time.Second, Faults: runRandomFault},
 }
 
-// frequentSnapshots makes snapshots all the time, so that restarts come from them.
+// frequentSnapshots takes a snapshot every 20 entries, so that nodes restart from snapshots.
 func frequentSnapshots() Shape {
 	s := Small()
 	s.Settings["consensus.snapshot_entries"] = "20"
 	return s
 }
 
-// longRequests has servers that work for up to a few seconds on each request.
+// longRequests has targets with service times of up to 2.5 s.
 func longRequests() Shape {
 	s := Small()
 	s.ServiceTime = 2500 * time.Millisecond
@@ -72,22 +72,22 @@
 	return s
 }
 
-// withSpares is a core of five whose lost members are soon replaced.
+// withSpares is a core of five in which lost members are replaced after 1 s.
 func withSpares() Shape {
 	shape := fiveCoreShape()
 	shape.Settings["consensus.replacement_delay"] = "1s"
 	return shape
 }
 
-// Scenario is faults by name; each returns after it has done its work.
+// Scenario is a named run with its shape and its faults.
 type Scenario struct {
 	Name   string
 	Shape  func() Shape
-	Length time.Duration
-	Faults func(f *Fleet)
-	Start  func(f *Fleet)
-	// PlannedOnly marks scenarios of planned stops only.
+	Length time.Duration  // no further call of Faults begins after it
+	Faults func(f *Fleet) // injects faults and returns when done; called repeatedly
+	Start  func(f *Fleet) // starts additional load; may be nil
+	// PlannedOnly marks scenarios whose only faults are planned stops.
 	PlannedOnly bool
-	// PlatformMode runs it on a fleet in platform mode.
+	// PlatformMode runs the scenario on a fleet in platform mode.
 	PlatformMode bool
 }
