--- a/internal/simulator/faults.go
+++ b/internal/simulator/faults.go
@@ -122,22 +122,22 @@
 
 func partitionNetwork(f *Fleet) {
 	f.sleepBetween(time.Second, 3*time.Second)
-	one, two := f.pick(f.Machines), f.pick(f.Machines)
+	from, to := f.pick(f.Machines), f.pick(f.Machines)
 	switch f.Rand.IntN(5) {
 	case 0:
-		f.Logf("partition %s to %s, one direction", one.Name, two.Name)
-		f.Network.Partition(one.IP, two.IP)
+		f.Logf("partition %s to %s, one direction", from.Name, to.Name)
+		f.Network.Partition(from.IP, to.IP)
 	case 1:
-		f.Logf("isolate %s", one.Name)
-		f.isolate([]*Machine{one})
+		f.Logf("isolate %s", from.Name)
+		f.isolate([]*Machine{from})
 	case 2:
-		f.Logf("isolate %s, outbound only", one.Name)
+		f.Logf("isolate %s, outbound only", from.Name)
 		for _, m := range f.Machines {
-			f.Network.Partition(one.IP, m.IP)
+			f.Network.Partition(from.IP, m.IP)
 		}
 	case 3:
-		f.Logf("isolate %s", one.Zone)
-		f.isolate(f.filter(func(m *Machine) bool { return m.Zone == one.Zone }))
+		f.Logf("isolate %s", from.Zone)
+		f.isolate(f.filter(func(m *Machine) bool { return m.Zone == from.Zone }))
 	case 4:
 		f.Logf("isolate every core node")
 		for _, a := range f.Cores() {
