--- a/internal/simulator/connectivity.go
+++ b/internal/simulator/connectivity.go
@@ -11,15 +11,15 @@
 	"github.com/sumactrestle/sumactrestle/internal/node"
 )
 
-// canReach tells whether two machines reach each other, both ways.
+// canReach reports whether traffic passes between two machines in both directions.
 func (n *Network) canReach(a, b string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return !n.blocked(a, b) && !n.blocked(b, a)
 }
 
-// leaders names the owners of all parts; it is empty while a part has none, or while
-// the running core nodes do not all reach one another.
+// leaders returns the leaders of all shards with their terms as one string, for comparison. It is
+// empty while a shard has no leader, or while some running core nodes cannot reach each other.
 func (f *Fleet) leaders(running []*Machine) string {
 	for i, a := range running {
 		for _, b := range running[:i] {
@@ -28,52 +28,53 @@
 			}
 		}
 	}
-	var names strings.Builder
+	var leaders strings.Builder
 	for shard := range ids.ShardCount + 1 {
-		isOwned := false
+		hasLeader := false
 		for _, m := range running {
 			if node := m.Node(); node != nil {
 				if term, _, isServing := node.Consensus.Replica(ids.Shard(shard)).LeadershipSince(); isServing {
-					isOwned = true
-					fmt.Fprint(&names, m.Name, term, " ")
+					hasLeader = true
+					fmt.Fprint(&leaders, m.Name, term, " ")
 				}
 			}
 		}
-		if !isOwned {
+		if !hasLeader {
 			return ""
 		}
 	}
-	return names.String()
+	return leaders.String()
 }
 
-// recordConnectivity tells which proxies are in touch: for three seconds they had a way to
-// every running core node, and the core was settled, with the same owners.
+// recordConnectivity records when each proxy becomes connected or disconnected. A proxy is
+// connected if, for connectivityWindow, it could reach every running core node and the leaders
+// did not change.
 func (f *Fleet) recordConnectivity() {
-	since, isIn, last := map[*Machine]time.Time{}, map[*Machine]bool{}, ""
-	nodes := map[*Machine]*node.Node{}
+	lastInterruption, wasConnected, lastLeaders := map[*Machine]time.Time{}, map[*Machine]bool{}, ""
+	lastNodes := map[*Machine]*node.Node{}
 	f.goTask(func(r *rand.Rand) {
 		time.Sleep(connectivityInterval)
 		running := f.filter(func(m *Machine) bool { return m.IsCore && m.Node() != nil })
 		leaders := f.leaders(running)
-		leadersStable := leaders != "" && leaders == last
-		last = leaders
+		leadersStable := leaders != "" && leaders == lastLeaders
+		lastLeaders = leaders
 		for _, proxyNode := range f.Proxies() {
 			node := proxyNode.Node()
-			hasAll := leadersStable && node != nil && node == nodes[proxyNode]
-			nodes[proxyNode] = node
+			isUninterrupted := leadersStable && node != nil && node == lastNodes[proxyNode]
+			lastNodes[proxyNode] = node
 			for _, m := range running {
-				hasAll = hasAll && f.Network.canReach(proxyNode.IP, m.IP)
+				isUninterrupted = isUninterrupted && f.Network.canReach(proxyNode.IP, m.IP)
 			}
-			if !hasAll {
-				since[proxyNode] = time.Now()
+			if !isUninterrupted {
+				lastInterruption[proxyNode] = time.Now()
 			}
-			is := hasAll && time.Since(since[proxyNode]) >= connectivityWindow
-			if is == isIn[proxyNode] {
+			isConnected := isUninterrupted && time.Since(lastInterruption[proxyNode]) >= connectivityWindow
+			if isConnected == wasConnected[proxyNode] {
 				continue
 			}
-			isIn[proxyNode] = is
+			wasConnected[proxyNode] = isConnected
 			rec := checker.Record{Kind: checker.ProxyContact, Proxy: proxyNode.ProxyAddress(), Outcome: "out"}
-			if is {
+			if isConnected {
 				rec.Outcome = "in"
 			}
 			f.History.Add(rec)
--- a/internal/simulator/drain_test.go
+++ b/internal/simulator/drain_test.go
@@ -33,7 +33,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		result, err := client.Submit(f.ctx, f.setChange(f.Rand, "held", view))
+		result, err := client.Submit(f.ctx, f.newChangeSet(f.Rand, "held", view))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/simulator/faults_compound.go
+++ b/internal/simulator/faults_compound.go
@@ -1,7 +1,7 @@
-// More of the brief's failures: a march of kills through the whole fleet, power or
-// a disk lost at the very moment after an acknowledgement, slow disks, herds of
-// servers, cold starts of proxies before the core, planned stops over long work and
-// without a majority, uploads that are cut, and faults that overlap.
+// Compound faults: kills of every machine one after the other, loss of power or a disk right
+// after an acknowledgement, slow disks, restarts of many targets, proxies that start before the
+// core, planned stops during long requests or without a majority, interrupted uploads, and
+// overlapping faults.
 
 package simulator
 
@@ -24,11 +24,12 @@
 	"github.com/sumactrestle/sumactrestle/internal/standin"
 )
 
-// killEachInTurn kills every machine in turn, the next one soon after the last is back.
-func killEachInTurn(f *Fleet) {
-	all := append([]*Machine(nil), f.Machines...)
-	f.Rand.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
-	for _, m := range all {
+// killOneByOne kills and restarts every machine in random order, some with a power loss, each soon
+// after the previous one has restarted.
+func killOneByOne(f *Fleet) {
+	machines := append([]*Machine(nil), f.Machines...)
+	f.Rand.Shuffle(len(machines), func(i, j int) { machines[i], machines[j] = machines[j], machines[i] })
+	for _, m := range machines {
 		f.Logf("kill %s", m.Name)
 		m.Kill(f.Rand.IntN(2) == 0)
 		f.sleepBetween(0, 1500*time.Millisecond)
@@ -37,39 +38,40 @@
 	}
 }
 
-// leaderOf is the core node that serves a part, other than one.
-func leaderOf(f *Fleet, shard ids.Shard, but *Machine) *Machine {
+// leaderOf returns a core node that serves as leader of a shard, other than the excluded one. It
+// returns nil if there is none.
+func leaderOf(f *Fleet, shard ids.Shard, excluded *Machine) *Machine {
 	for _, m := range f.Cores() {
-		if m != but && m.Node() != nil && m.Node().Consensus.Replica(shard).IsServing() {
+		if m != excluded && m.Node() != nil && m.Node().Consensus.Replica(shard).IsServing() {
 			return m
 		}
 	}
 	return nil
 }
 
-// faultAfterAcknowledgement takes power or disk from the owner, or from another member, at the moment
-// at which a write or a change set was acknowledged.
+// faultAfterAcknowledgement cuts the power of the leader or of another core node right after a
+// write or a change set was acknowledged, and wipes its disk in half of the cases.
 func faultAfterAcknowledgement(f *Fleet) {
 	f.sleepBetween(500*time.Millisecond, 2*time.Second)
-	isChange, isWipe, isOwner := f.Rand.IntN(2) == 0, f.Rand.IntN(2) == 0, f.Rand.IntN(2) == 0
+	submitsChange, wipesDisk, hitsLeader := f.Rand.IntN(2) == 0, f.Rand.IntN(2) == 0, f.Rand.IntN(2) == 0
 	name := fmt.Sprint("acked", f.Rand.IntN(100))
 	shard := ids.ShardOf(name)
-	if isChange {
+	if submitsChange {
 		shard = ids.ConfigShard
 	}
-	owner := leaderOf(f, shard, nil)
-	if owner == nil {
+	leader := leaderOf(f, shard, nil)
+	if leader == nil {
 		return
 	}
-	victim := owner
-	for !isOwner && victim == owner {
+	victim := leader
+	for !hitsLeader && victim == leader {
 		victim = f.pick(f.Cores())
 	}
 	proxyNode := f.pick(f.Proxies())
 	if proxyNode.Node() == nil {
 		return
 	}
-	if isChange {
+	if submitsChange {
 		operator := f.newOperator(70, proxyNode)
 		if view, err := operator.Epoch(f.ctx); err == nil {
 			operator.Submit(f.ctx, f.newChange(fmt.Sprint("a-", f.changeCount.Add(1)), view.Epoch))
@@ -81,21 +83,22 @@
 			return recordResponse(rec, receipt, err)
 		})
 	}
-	f.Logf("%s loses power right after an acknowledgement (change set %v, owner %v, disk lost %v)", victim.Name, isChange, isOwner, isWipe)
+	f.Logf("%s loses power right after an acknowledgement (change set %v, leader %v, disk lost %v)", victim.Name, submitsChange, hitsLeader, wipesDisk)
 	victim.Kill(true)
-	if isWipe {
+	if wipesDisk {
 		f.Network.Disk(victim.IP).Wipe()
 	}
 	f.sleepBetween(0, 2*time.Second)
-	if !isChange {
+	if !submitsChange {
 		f.readBack(name)
 	}
 	f.startMachine(victim)
-	if isWipe && !f.WaitUntil(30*time.Second, f.isRepaired) {
-		f.Logf("the copies are not mended after 30 s")
+	if wipesDisk && !f.WaitUntil(30*time.Second, f.isRepaired) {
+		f.Logf("the replicas are not repaired after 30 s")
 	}
 }
 
+// readBack records a read of a key through a random proxy. A missing key counts as a result.
 func (f *Fleet) readBack(name string) {
 	client := standin.NewAPIClient(f.Network.HostAt(f.clientHost(70)), f.pick(f.Proxies()).APIAddress())
 	f.recordCoordination(checker.Record{Op: "get", Name: name}, func(ctx context.Context, rec *checker.Record) error {
@@ -107,8 +110,8 @@
 	})
 }
 
-// slowDisks makes disks slow, not stopped: from a little to near the bound at which an
-// owner gives its parts up.
+// slowDisks delays every sync of one or all core nodes by 20 to 919 ms. The upper end is near the
+// time after which a leader steps down.
 func slowDisks(f *Fleet) {
 	f.sleepBetween(500*time.Millisecond, 2*time.Second)
 	victims := f.Cores()
@@ -116,9 +119,9 @@
 		victims = victims[:1]
 	}
 	for _, m := range victims {
-		each := time.Duration(20+f.Rand.IntN(900)) * time.Millisecond
-		f.Logf("every sync of %s takes %s", m.Name, each)
-		f.Network.Disk(m.IP).Slow(each)
+		delay := time.Duration(20+f.Rand.IntN(900)) * time.Millisecond
+		f.Logf("every sync of %s takes %s", m.Name, delay)
+		f.Network.Disk(m.IP).Slow(delay)
 	}
 	f.sleepBetween(time.Second, 5*time.Second)
 	for _, m := range victims {
@@ -131,33 +134,34 @@
 	}
 }
 
-// addManyTargets lets all servers of a service vanish, or all of a zone, and come back.
-func addManyTargets(f *Fleet) {
+// restartManyTargets crashes all targets of a service or of a zone, and starts as many new ones.
+func restartManyTargets(f *Fleet) {
 	f.sleepBetween(time.Second, 3*time.Second)
 	service := []string{"bookings", "rates"}[f.Rand.IntN(2)]
 	zone := fmt.Sprint("zone", 1+f.Rand.IntN(f.Shape.Zones))
-	isZone := f.Rand.IntN(2) == 0
-	var removed []*standin.Server
+	byZone := f.Rand.IntN(2) == 0
+	var crashed []*standin.Server
 	for _, name := range []string{"bookings", "rates"} {
 		for _, s := range f.Targets(name) {
-			if isZone && s.Zone == zone || !isZone && name == service {
-				removed = append(removed, s)
+			if byZone && s.Zone == zone || !byZone && name == service {
+				crashed = append(crashed, s)
 			}
 		}
 	}
-	f.Logf("a herd of %d servers vanishes (zone %v)", len(removed), isZone)
-	for _, s := range removed {
+	f.Logf("%d targets crash at once (by zone: %v)", len(crashed), byZone)
+	for _, s := range crashed {
 		f.RemoveTarget(s)
 		s.Crash()
 	}
 	f.sleepBetween(0, 3*time.Second)
-	for _, s := range removed {
+	for _, s := range crashed {
 		f.StartTarget(s.Service, "", f.Rand.IntN(f.Shape.Zones))
 	}
 	f.sleepBetween(time.Second, 2*time.Second)
 }
 
-// startProxiesBeforeCore ends everything and starts the proxies, some before the core and some after.
+// startProxiesBeforeCore cuts the power of all machines, then starts the proxies and after them the
+// core nodes.
 func startProxiesBeforeCore(f *Fleet) {
 	f.sleepBetween(time.Second, 3*time.Second)
 	f.Logf("all machines lose power; proxies start before the core")
@@ -176,18 +180,18 @@
 	f.sleepBetween(3*time.Second, 6*time.Second)
 }
 
-// stopDuringLongRequests stops machines as planned while answers that take seconds and uploads
-// are under way; what is not out at six seconds is killed.
+// stopDuringLongRequests performs a planned stop of a machine while requests that take seconds and
+// uploads are in progress. The machine is killed if it has not stopped after 6 s.
 func stopDuringLongRequests(f *Fleet) {
 	f.sleepBetween(time.Second, 3*time.Second)
 	m := f.pick(f.Machines)
-	f.Logf("stop %s as planned, in the middle of long work", m.Name)
+	f.Logf("planned stop of %s during long requests", m.Name)
 	done := make(chan struct{})
 	go func() { m.Stop(); close(done) }()
 	select {
 	case <-done:
 	case <-time.After(6 * time.Second):
-		f.Logf("%s is killed at six seconds", m.Name)
+		f.Logf("kill %s, not stopped after 6 s", m.Name)
 		m.Kill(false)
 		f.Network.Kill(m.IP, false)
 		<-done
@@ -197,10 +201,11 @@
 	f.sleepBetween(500*time.Millisecond, 2*time.Second)
 }
 
-// stopWithoutMajority stops machines as planned while the core is split and has no majority.
+// stopWithoutMajority performs a planned stop while all core nodes are isolated from each other, so
+// that there is no majority.
 func stopWithoutMajority(f *Fleet) {
 	f.sleepBetween(time.Second, 2*time.Second)
-	f.Logf("split the core apart")
+	f.Logf("isolate every core node")
 	for _, a := range f.Cores() {
 		f.isolate([]*Machine{a})
 	}
@@ -211,47 +216,48 @@
 	f.sleepBetween(2*time.Second, 4*time.Second)
 }
 
-// overlapFaults lets two or three kinds of faults go on at once, each in its own time.
+// overlapFaults runs two or three kinds of faults concurrently, each twice.
 func overlapFaults(f *Fleet) {
-	kinds := []func(*Fleet){killMachines, pauseMachines, partitionNetwork, slowDisks, disturbTargets, addManyTargets, stopMachines}
-	f.Rand.Shuffle(len(kinds), func(i, j int) { kinds[i], kinds[j] = kinds[j], kinds[i] })
-	var all sync.WaitGroup
-	for _, hurt := range kinds[:2+f.Rand.IntN(2)] {
-		all.Add(1)
-		go func() { defer all.Done(); hurt(f); hurt(f) }()
+	faults := []func(*Fleet){killMachines, pauseMachines, partitionNetwork, slowDisks, disturbTargets, restartManyTargets, stopMachines}
+	f.Rand.Shuffle(len(faults), func(i, j int) { faults[i], faults[j] = faults[j], faults[i] })
+	var running sync.WaitGroup
+	for _, inject := range faults[:2+f.Rand.IntN(2)] {
+		running.Add(1)
+		go func() { defer running.Done(); inject(f); inject(f) }()
 	}
-	all.Wait()
+	running.Wait()
 	f.Network.Heal()
 	f.sleepBetween(time.Second, 3*time.Second)
 }
 
-// StartUploads start callers who send large bodies slowly, of whom some break off, and
-// some go away as soon as they have sent all.
+// StartUploads starts n clients that send large request bodies. Half of the requests wait for the
+// response. The others send slowly and disconnect without reading it, after half of the body or
+// all of it.
 func (f *Fleet) StartUploads(n int) {
 	for i := range n {
-		net := f.Network.HostAt(f.clientHost(80 + i))
-		caller := f.newClient(80 + i)
+		host := f.Network.HostAt(f.clientHost(80 + i))
+		client := f.newClient(80 + i)
 		f.goTask(func(r *rand.Rand) {
 			pause(r, 300*time.Millisecond)
-			proxyNode := f.Proxies()[r.IntN(len(f.Proxies()))].ProxyAddress()
+			proxyAddress := f.Proxies()[r.IntN(len(f.Proxies()))].ProxyAddress()
 			body := strings.Repeat(fmt.Sprintf("%08x", r.Uint32()), 12000)
 			if r.IntN(2) == 0 {
-				caller.Call(f.ctx, proxyNode, http.MethodPost, "/bookings", "bookings", []byte(body))
+				client.Call(f.ctx, proxyAddress, http.MethodPost, "/bookings", "bookings", []byte(body))
 				return
 			}
-			conn, err := net.Dial(f.ctx, proxyNode)
+			conn, err := host.Dial(f.ctx, proxyAddress)
 			if err != nil {
 				return
 			}
 			defer conn.Close()
-			call, complete := ids.NewID(), r.IntN(2) == 0
-			rec := checker.Record{Kind: checker.RequestCompleted, Start: f.History.Now(), CallID: call, Proxy: proxyNode, Service: "bookings", Path: "/bookings", Digest: standin.Digest([]byte(body)), Outcome: "gone"}
+			callID, sendsAll := ids.NewID(), r.IntN(2) == 0
+			rec := checker.Record{Kind: checker.RequestCompleted, Start: f.History.Now(), CallID: callID, Proxy: proxyAddress, Service: "bookings", Path: "/bookings", Digest: standin.Digest([]byte(body)), Outcome: "gone"}
 			if f.Shape.PlatformMode {
 				rec.PerAttempt, rec.RequestID = true, ids.NewID()
 			}
-			fmt.Fprintf(conn, "POST /bookings HTTP/1.1\r\nHost: x\r\n%s: %s\r\n%s: %s\r\nContent-Length: %d\r\n\r\n", standin.HeaderCall, call, proxy.HeaderRequestID, rec.RequestID, len(body))
-			for at := 0; at < len(body) && (complete || at < len(body)/2); at += 16000 {
-				io.WriteString(conn, body[at:min(at+16000, len(body))])
+			fmt.Fprintf(conn, "POST /bookings HTTP/1.1\r\nHost: x\r\n%s: %s\r\n%s: %s\r\nContent-Length: %d\r\n\r\n", standin.HeaderCall, callID, proxy.HeaderRequestID, rec.RequestID, len(body))
+			for offset := 0; offset < len(body) && (sendsAll || offset < len(body)/2); offset += 16000 {
+				io.WriteString(conn, body[offset:min(offset+16000, len(body))])
 				pause(r, 40*time.Millisecond)
 			}
 			f.History.Add(rec)
--- a/internal/simulator/fence_test.go
+++ b/internal/simulator/fence_test.go
@@ -47,7 +47,7 @@
 			t.Fatal(err)
 		}
 		time.Sleep(2500 * time.Millisecond)
-		result, err := operator.Submit(f.ctx, f.setChange(f.Rand, "newer", view))
+		result, err := operator.Submit(f.ctx, f.newChangeSet(f.Rand, "newer", view))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/simulator/link_test.go
+++ b/internal/simulator/link_test.go
@@ -32,7 +32,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if n += read; n == packetMost && time.Since(began) > 300*time.Millisecond {
+			if n += read; n == maxSegmentBytes && time.Since(began) > 300*time.Millisecond {
 				t.Error("the first packet arrived after", time.Since(began))
 			}
 		}
--- a/internal/simulator/load_changesets.go
+++ b/internal/simulator/load_changesets.go
@@ -1,7 +1,7 @@
-// Whole change sets: each moves, splits, adds or drops several mappings and
-// services together, some as amendments and some as whole configurations, and
-// they race. Requests to all the paths go on all the while, so that a half set, or
-// one that was refused, would show in what a server runs.
+// Operators that submit competing change sets. Each change set moves, splits, adds or drops several
+// mappings and services together, as an amendment or as a whole configuration. Clients request all
+// the paths meanwhile, so that a partially applied or a refused change set would be visible in the
+// requests that targets execute.
 
 package simulator
 
@@ -14,77 +14,78 @@
 	"github.com/sumactrestle/sumactrestle/internal/standin"
 )
 
-// The services that come and go with change sets; their servers beat all along.
-var guestServices = []string{"alpha", "beta"}
+// optionalServices are added and dropped by change sets. Their targets send heartbeats throughout.
+var optionalServices = []string{"alpha", "beta"}
 
-const setPaths = 6
+// changeSetPathCount is the number of paths that the change sets map.
+const changeSetPathCount = 6
 
-func setPath(i int) string { return fmt.Sprintf("/set/%d", i) }
+func changeSetPath(i int) string { return fmt.Sprintf("/set/%d", i) }
 
-func setMapping(i int, services ...string) api.Mapping {
-	m := api.Mapping{Name: fmt.Sprint("set", i), Path: setPath(i), Repeatable: api.NewOptBool(true), Deadline: api.NewOptInt64(3000)}
+func changeSetMapping(i int, services ...string) api.Mapping {
+	m := api.Mapping{Name: fmt.Sprint("set", i), Path: changeSetPath(i), Repeatable: api.NewOptBool(true), Deadline: api.NewOptInt64(3000)}
 	for _, service := range services {
 		m.To = append(m.To, api.Split{Service: service, Weight: 1})
 	}
 	return m
 }
 
-func service(name string) api.Service {
+func newService(name string) api.Service {
 	return api.Service{Name: name, Key: api.NewOptString("key-" + name)}
 }
 
-// setChange draws a change set against the epoch an operator has seen.
-func (f *Fleet) setChange(r *rand.Rand, id string, view *api.EpochView) *api.Change {
-	there, hasService := map[string]bool{}, map[string]bool{}
+// newChangeSet returns a random change set based on an epoch that an operator has read.
+func (f *Fleet) newChangeSet(r *rand.Rand, id string, view *api.EpochView) *api.Change {
+	hasMapping, hasService := map[string]bool{}, map[string]bool{}
 	for _, m := range view.Config.Mappings {
-		there[m.Name] = true
+		hasMapping[m.Name] = true
 	}
-	var names []string
+	var services []string
 	for _, s := range view.Config.Services {
 		hasService[s.Name] = true
-		names = append(names, s.Name)
+		services = append(services, s.Name)
 	}
-	pick := func() string { return names[r.IntN(len(names))] }
+	pick := func() string { return services[r.IntN(len(services))] }
 	var put api.Config
 	var drops api.Drops
 	change := &api.Change{ID: id, Base: view.Epoch}
 	switch r.IntN(5) {
-	case 0: // all move together
-		to := pick()
-		for i := range setPaths {
-			put.Mappings = append(put.Mappings, setMapping(i, to))
+	case 0: // all mappings move to one service
+		target := pick()
+		for i := range changeSetPathCount {
+			put.Mappings = append(put.Mappings, changeSetMapping(i, target))
 		}
-	case 1: // some are split, with a mapping of their own
-		one, two := pick(), pick()
-		for i := range setPaths {
-			if one != two && r.IntN(2) == 0 {
-				put.Mappings = append(put.Mappings, setMapping(i, one, two))
+	case 1: // some mappings are split, and a new one is added
+		first, second := pick(), pick()
+		for i := range changeSetPathCount {
+			if first != second && r.IntN(2) == 0 {
+				put.Mappings = append(put.Mappings, changeSetMapping(i, first, second))
 			}
 		}
 		put.Mappings = append(put.Mappings, f.newChange(id, 0).Put.Value.Mappings...)
-	case 2: // some go, others come
-		for i := range setPaths {
-			if name := fmt.Sprint("set", i); r.IntN(2) == 0 && there[name] {
+	case 2: // some mappings are dropped, others put
+		for i := range changeSetPathCount {
+			if name := fmt.Sprint("set", i); r.IntN(2) == 0 && hasMapping[name] {
 				drops.Mappings = append(drops.Mappings, name)
 			} else {
-				put.Mappings = append(put.Mappings, setMapping(i, pick()))
+				put.Mappings = append(put.Mappings, changeSetMapping(i, pick()))
 			}
 		}
-	case 3: // a service comes with all its mappings, or goes and they with it
-		guest := guestServices[r.IntN(len(guestServices))]
-		to := guest
-		if hasService[guest] {
-			drops.Services = append(drops.Services, guest)
-			to = "rates"
+	case 3: // a service is added and takes all mappings, or is dropped with its mappings
+		optional := optionalServices[r.IntN(len(optionalServices))]
+		target := optional
+		if hasService[optional] {
+			drops.Services = append(drops.Services, optional)
+			target = "rates"
 		} else {
-			put.Services = append(put.Services, service(guest))
+			put.Services = append(put.Services, newService(optional))
 		}
-		for i := range setPaths {
-			put.Mappings = append(put.Mappings, setMapping(i, to))
+		for i := range changeSetPathCount {
+			put.Mappings = append(put.Mappings, changeSetMapping(i, target))
 		}
 		for _, m := range view.Config.Mappings {
 			for _, split := range m.To {
-				if split.Service == guest && len(m.Path) > 6 && m.Path[:7] == "/extra/" {
+				if split.Service == optional && len(m.Path) > 6 && m.Path[:7] == "/extra/" {
 					drops.Mappings = append(drops.Mappings, m.Name)
 					break
 				}
@@ -92,11 +93,11 @@
 		}
 	case 4: // a whole configuration
 		put = f.initialConfiguration()
-		to := guestServices[r.IntN(len(guestServices))]
-		put.Services = append(put.Services, service(to))
-		for i := range setPaths {
+		target := optionalServices[r.IntN(len(optionalServices))]
+		put.Services = append(put.Services, newService(target))
+		for i := range changeSetPathCount {
 			if r.IntN(4) > 0 {
-				put.Mappings = append(put.Mappings, setMapping(i, to))
+				put.Mappings = append(put.Mappings, changeSetMapping(i, target))
 			}
 		}
 		change.Whole = api.NewOptBool(true)
@@ -108,8 +109,8 @@
 	return change
 }
 
-// growConfiguration adds many mappings in one set.
-func growConfiguration(id string, base uint64, n int) *api.Change {
+// newBulkChange returns a change set that adds n mappings.
+func newBulkChange(id string, base uint64, n int) *api.Change {
 	config := api.Config{}
 	for i := range n {
 		config.Mappings = append(config.Mappings, api.Mapping{Name: fmt.Sprint(id, "-", i), Path: fmt.Sprintf("/extra/%s/%d", id, i), To: []api.Split{{Service: "rates", Weight: 1}}, Repeatable: api.NewOptBool(true)})
@@ -117,22 +118,23 @@
 	return &api.Change{ID: id, Base: base, Put: api.NewOptConfig(config)}
 }
 
-// StartChangeSets starts the servers of the guests, callers of all paths of the sets, and
-// operators who submit sets, repeat some of them, and call at once what they put.
+// StartChangeSets starts the targets of the optional services, clients that request all change set
+// paths, and n operators. An operator submits change sets, requests some of their paths at once,
+// and repeats some submissions.
 func (f *Fleet) StartChangeSets(n int, mean time.Duration) {
-	for i, guest := range guestServices {
-		f.StartTarget(guest, "", i%f.Shape.Zones)
+	for i, optional := range optionalServices {
+		f.StartTarget(optional, "", i%f.Shape.Zones)
 	}
 	for i, proxyNode := range f.Proxies() {
-		caller := f.newClient(i)
+		client := f.newClient(i)
 		f.goTask(func(r *rand.Rand) {
-			caller.Call(f.ctx, proxyNode.ProxyAddress(), "GET", setPath(r.IntN(setPaths)), "", nil)
+			client.Call(f.ctx, proxyNode.ProxyAddress(), "GET", changeSetPath(r.IntN(changeSetPathCount)), "", nil)
 			pause(r, 40*time.Millisecond)
 		})
 	}
 	for i := range n {
 		operators := f.operatorsOfEveryNode(50 + i)
-		caller := f.newClient(50 + i)
+		client := f.newClient(50 + i)
 		f.goTask(func(r *rand.Rand) {
 			pause(r, mean)
 			o := operators[r.IntN(len(operators))]
@@ -142,19 +144,19 @@
 			}
 			pause(r, 50*time.Millisecond)
 			id := fmt.Sprintf("s%d-%d", i, f.changeCount.Add(1))
-			change := f.setChange(r, id, view)
+			change := f.newChangeSet(r, id, view)
 			if f.Shape.Growth > 0 && r.IntN(4) == 0 {
-				change = growConfiguration(id, view.Epoch, f.Shape.Growth)
+				change = newBulkChange(id, view.Epoch, f.Shape.Growth)
 			}
-			isBad := r.IntN(6) == 0 && len(change.Put.Value.Mappings) > 1
-			if isBad {
+			isInvalid := r.IntN(6) == 0 && len(change.Put.Value.Mappings) > 1
+			if isInvalid {
 				last := len(change.Put.Value.Mappings) - 1
 				change.Put.Value.Mappings[last].To = []api.Split{{Service: standin.MissingService, Weight: 1}}
 			}
 			_, err = o.Submit(f.ctx, change)
 			for _, m := range change.Put.Value.Mappings[:min(2, len(change.Put.Value.Mappings))] {
 				proxyNode := f.Proxies()[r.IntN(len(f.Proxies()))]
-				caller.Call(f.ctx, proxyNode.ProxyAddress(), "GET", m.Path, "", nil)
+				client.Call(f.ctx, proxyNode.ProxyAddress(), "GET", m.Path, "", nil)
 			}
 			if err != nil || r.IntN(4) == 0 {
 				pause(r, 500*time.Millisecond)
--- a/internal/simulator/load_rivals.go
+++ b/internal/simulator/load_rivals.go
@@ -1,6 +1,5 @@
-// Operators on their worst days: several send different texts under one number at
-// once, their answers are lost, and they send the same again, to other nodes, at once
-// or long after.
+// Rival operators: several submit different changes under the same version number at once, lose
+// responses, and submit the same changes again to other nodes, at once or much later.
 
 package simulator
 
@@ -12,45 +11,47 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// rivalOperators is how many orders are under way at once.
-const rivalOperators = 8
+// rivalCount is the number of concurrent submissions under one version number.
+const rivalCount = 8
 
-// StartRivals starts such operators; what they are told is judged with the versions.
+// StartRivals starts a task that submits rival changes and then repeats one of those accepted so
+// far. The checker verifies the responses together with those of the other versioned changes.
 func (f *Fleet) StartRivals(mean time.Duration) {
-	var taken []*rpc.ChangeSet
+	var accepted []*rpc.ChangeSet
 	f.goTask(func(r *rand.Rand) {
 		pause(r, mean)
 		node := f.anyNode(r)
 		if node == nil {
 			return
 		}
-		view := f.readBackAll(node)
+		view := f.readConfiguration(node)
 		if view == nil {
 			return
 		}
 		var mu sync.Mutex
-		var all sync.WaitGroup
-		number := view.Version + 1
-		for range rivalOperators {
-			change, own := numberedChange(r, view.Version), rand.New(rand.NewPCG(r.Uint64(), 1))
-			change.Version = number
-			all.Go(func() {
-				if f.submitUntilAnswered(own, change) {
+		var submitters sync.WaitGroup
+		version := view.Version + 1
+		for range rivalCount {
+			change, submitterRand := numberedChange(r, view.Version), rand.New(rand.NewPCG(r.Uint64(), 1))
+			change.Version = version
+			submitters.Go(func() {
+				if f.submitUntilAnswered(submitterRand, change) {
 					mu.Lock()
-					taken = append(taken, change)
+					accepted = append(accepted, change)
 					mu.Unlock()
 				}
 			})
 		}
-		all.Wait()
-		if len(taken) > 0 {
-			f.submitUntilAnswered(r, taken[r.IntN(len(taken))])
+		submitters.Wait()
+		if len(accepted) > 0 {
+			f.submitUntilAnswered(r, accepted[r.IntN(len(accepted))])
 		}
 	})
 }
 
-// submitUntilAnswered sends an order up to four times, of which the first answers may be lost, and
-// tells whether it was taken.
+// submitUntilAnswered submits a change up to four times until it is accepted or refused, and
+// reports whether it was accepted. A short time limit makes the first two attempts lose some
+// responses.
 func (f *Fleet) submitUntilAnswered(r *rand.Rand, change *rpc.ChangeSet) bool {
 	for try := range 4 {
 		node := f.anyNode(r)
--- a/internal/simulator/load_spaces.go
+++ b/internal/simulator/load_spaces.go
@@ -1,6 +1,6 @@
-// What the users' platform asks of the nodes beyond the product's own API: sets in
-// a space and their followers, changes under operators' versions, and locks with a
-// time in each call. They are made at a node itself, as the platform's faces are.
+// Coordination calls of the users' platform that go beyond the product's own API: writes to a key
+// prefix and followers of it, and locks with a time to live in each call. They call a node in
+// process, as the platform does.
 
 package simulator
 
@@ -19,51 +19,55 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-const countedSpace = "sets/"
+// followedSpace is the prefix of the keys that are written and followed.
+const followedSpace = "sets/"
 
-// anyNode is a running node, or nil.
+// anyNode returns the node of a random machine, or nil if that machine is down.
 func (f *Fleet) anyNode(r *rand.Rand) *node.Node {
 	return f.Machines[r.IntN(len(f.Machines))].Node()
 }
 
-// callNode makes one coordination call at a node; refused is what its owner said.
+// callNode makes one coordination call through a node and records it. It returns the response and
+// the outcome: "refused" if the response has an error code, "unknown" if the call failed.
 func (f *Fleet) callNode(node *node.Node, rec checker.Record, op *rpc.CoordinationRequest) (*rpc.CoordinationResponse, string) {
-	rec.Kind, rec.Start, rec.Op = checker.CoordinationCall, f.History.Now(), cmpOr(rec.Op, op.Operation)
+	rec.Kind, rec.Start, rec.Op = checker.CoordinationCall, f.History.Now(), firstNonEmpty(rec.Op, op.Operation)
 	rec.Name, rec.Holder = op.Name, op.Holder
-	ctx, end := context.WithTimeout(f.ctx, 4*time.Second)
-	defer end()
-	got, err := node.Coordinate(ctx, op)
+	ctx, cancel := context.WithTimeout(f.ctx, 4*time.Second)
+	defer cancel()
+	response, err := node.Coordinate(ctx, op)
 	rec.Outcome = "done"
 	switch {
 	case err != nil:
-		rec.Outcome, rec.Note, rec.Code, got = "unknown", err.Error(), errcode.From(err).Code.Number, &rpc.CoordinationResponse{}
-	case got.Code != 0:
-		rec.Outcome, rec.Code = "refused", got.Code
+		rec.Outcome, rec.Note, rec.Code, response = "unknown", err.Error(), errcode.From(err).Code.Number, &rpc.CoordinationResponse{}
+	case response.Code != 0:
+		rec.Outcome, rec.Code = "refused", response.Code
 	}
 	if op.Operation == coordination.OpSet || op.Operation == coordination.OpGet {
-		rec.Revision = uint64(got.Revision)
+		rec.Revision = uint64(response.Revision)
 	}
 	if op.Operation == coordination.OpGet {
-		json.Unmarshal(got.Value, &rec.Digest)
-		if got.Code == errcode.KeyNotFound.Number {
+		json.Unmarshal(response.Value, &rec.Digest)
+		if response.Code == errcode.KeyNotFound.Number {
 			rec.Outcome = "done"
 		}
 	}
 	if rec.FencingToken == 0 {
-		rec.FencingToken = uint64(got.FencingToken)
+		rec.FencingToken = uint64(response.FencingToken)
 	}
 	f.History.Add(rec)
-	return got, rec.Outcome
+	return response, rec.Outcome
 }
 
-func cmpOr(a, b string) string {
+// firstNonEmpty returns a, or b if a is empty.
+func firstNonEmpty(a, b string) string {
 	if a != "" {
 		return a
 	}
 	return b
 }
 
-// StartSpaceClients starts those who set, look and follow in one space.
+// StartSpaceClients starts n clients that read and set keys of followedSpace, and two followers of
+// it, of which one polls slowly.
 func (f *Fleet) StartSpaceClients(n int, mean time.Duration) {
 	for range n {
 		f.goTask(func(r *rand.Rand) {
@@ -72,16 +76,16 @@
 			if node == nil {
 				return
 			}
-			key, value := fmt.Sprint(countedSpace, "k", r.IntN(3)), ids.NewID()
+			key, value := fmt.Sprint(followedSpace, "k", r.IntN(3)), ids.NewID()
 			raw, _ := json.Marshal(value)
 			op := &rpc.CoordinationRequest{Operation: coordination.OpSet, ID: value, Name: key, Value: raw}
 			rec := checker.Record{RequestID: value, Digest: value}
 			if r.IntN(2) == 0 {
-				got, outcome := f.callNode(node, checker.Record{Op: "look"}, &rpc.CoordinationRequest{Operation: coordination.OpGet, Name: key})
+				current, outcome := f.callNode(node, checker.Record{Op: "look"}, &rpc.CoordinationRequest{Operation: coordination.OpGet, Name: key})
 				if outcome != "done" {
 					return
 				}
-				rev := got.Revision
+				rev := current.Revision
 				op.IfRevision, rec.IsConditional, rec.From = &rev, true, uint64(rev)
 				pause(r, 100*time.Millisecond)
 			}
@@ -103,25 +107,27 @@
 	}
 }
 
+// useFollow records the events of followedSpace since the revision at which the previous call
+// ended.
 func (f *Fleet) useFollow(r *rand.Rand, from *ids.Index) {
 	node := f.anyNode(r)
 	if node == nil {
 		time.Sleep(100 * time.Millisecond)
 		return
 	}
-	rec := checker.Record{Kind: checker.FollowResponse, Start: f.History.Now(), Name: countedSpace, From: uint64(*from), Outcome: "done"}
-	ctx, end := context.WithTimeout(f.ctx, 6*time.Second)
-	defer end()
-	got, err := node.Coordinate(ctx, &rpc.CoordinationRequest{Operation: coordination.OpFollow, Name: countedSpace, FromIndex: *from, Wait: 2000})
+	rec := checker.Record{Kind: checker.FollowResponse, Start: f.History.Now(), Name: followedSpace, From: uint64(*from), Outcome: "done"}
+	ctx, cancel := context.WithTimeout(f.ctx, 6*time.Second)
+	defer cancel()
+	response, err := node.Coordinate(ctx, &rpc.CoordinationRequest{Operation: coordination.OpFollow, Name: followedSpace, FromIndex: *from, Wait: 2000})
 	if err != nil {
 		time.Sleep(100 * time.Millisecond)
 		return
 	}
-	rec.Revision = uint64(got.Revision)
-	if got.Code == errcode.RevisionCompacted.Number {
+	rec.Revision = uint64(response.Revision)
+	if response.Code == errcode.RevisionCompacted.Number {
 		rec.Outcome = "too old"
 	}
-	for _, e := range got.Events {
+	for _, e := range response.Events {
 		var id string
 		json.Unmarshal(e.Value, &id)
 		rec.Revisions, rec.Names = append(rec.Revisions, uint64(e.Revision)), append(rec.Names, e.Name+" "+id)
@@ -129,10 +135,11 @@
 	if *from > 0 {
 		f.History.Add(rec)
 	}
-	*from = got.Revision
+	*from = response.Revision
 }
 
-// StartTimedLocks starts those who hold a lock for a moment, with a time in each call.
+// StartTimedLocks starts n clients that acquire a lock, extend it with a new time to live in each
+// call, and release it or let it expire.
 func (f *Fleet) StartTimedLocks(n int, mean time.Duration) {
 	for i := range n {
 		f.goTask(func(r *rand.Rand) {
@@ -147,11 +154,11 @@
 				op.Name, op.Holder, op.ID = name, holder, ids.NewID()
 				return f.callNode(node, checker.Record{FencingToken: uint64(op.FencingToken), TTL: time.Duration(op.TTL) * time.Millisecond}, &op)
 			}
-			got, outcome := call(rpc.CoordinationRequest{Operation: coordination.OpAcquire, TTL: ttl()})
+			response, outcome := call(rpc.CoordinationRequest{Operation: coordination.OpAcquire, TTL: ttl()})
 			if outcome != "done" {
 				return
 			}
-			fence := got.FencingToken
+			fence := response.FencingToken
 			for range r.IntN(5) {
 				pause(r, 600*time.Millisecond)
 				if other := f.anyNode(r); other != nil {
@@ -161,7 +168,7 @@
 				if r.IntN(3) == 0 {
 					op = rpc.CoordinationRequest{Operation: coordination.OpAcquire, TTL: ttl()}
 				}
-				if got, outcome = call(op); outcome != "done" || got.FencingToken != fence {
+				if response, outcome = call(op); outcome != "done" || response.FencingToken != fence {
 					return
 				}
 			}
--- a/internal/simulator/load_versions.go
+++ b/internal/simulator/load_versions.go
@@ -1,5 +1,5 @@
-// Operators who number their changes: each names the version it was made over, they
-// race, repeat what was left unknown, and read back what they sent.
+// Operators that number their changes. Each change names the version it is based on. The operators
+// compete, retry submissions with an unknown outcome, and read back the configuration.
 
 package simulator
 
@@ -22,7 +22,7 @@
 
 const numberedPrefix = "numbered-"
 
-// StartVersionedOperators starts n such operators.
+// StartVersionedOperators starts n operators that submit numbered changes.
 func (f *Fleet) StartVersionedOperators(n int, mean time.Duration) {
 	for range n {
 		f.goTask(func(r *rand.Rand) {
@@ -31,16 +31,16 @@
 			if node == nil {
 				return
 			}
-			view := f.readBackAll(node)
+			view := f.readConfiguration(node)
 			if view == nil {
 				return
 			}
 			pause(r, 50*time.Millisecond)
 			change := numberedChange(r, view.Version)
 			if rival, other := numberedChange(r, view.Version), f.anyNode(r); other != nil && r.IntN(2) == 0 {
-				var both sync.WaitGroup
-				both.Go(func() { f.submitVersion(other, rival) })
-				defer both.Wait()
+				var racing sync.WaitGroup
+				racing.Go(func() { f.submitVersion(other, rival) })
+				defer racing.Wait()
 			}
 			for range 3 {
 				outcome := f.submitVersion(node, change)
@@ -53,33 +53,33 @@
 				}
 			}
 			if node = f.anyNode(r); node != nil {
-				f.readBackAll(node)
+				f.readConfiguration(node)
 			}
 		})
 	}
 }
 
-// numberedChange is a change over a version, with a text of its own.
-func numberedChange(r *rand.Rand, over ids.Version) *rpc.ChangeSet {
+// numberedChange returns a change based on a version, with a unique source text.
+func numberedChange(r *rand.Rand, base ids.Version) *rpc.ChangeSet {
 	id, service := numberedPrefix+ids.NewID(), "rates"
 	if r.IntN(6) == 0 {
 		service = standin.MissingService
 	}
 	source, _ := json.Marshal(map[string]string{"as": "sent", "id": id})
-	m := rpc.Route{Name: id, Path: "/numbered/" + id, Services: []rpc.WeightedService{{Service: service, Weight: 1}}, Source: source}
-	return &rpc.ChangeSet{ID: id, Version: over + 1 + ids.Version(r.IntN(2)), ExpectedVersion: &over, Put: rpc.Configuration{Routes: []rpc.Route{m}}}
+	route := rpc.Route{Name: id, Path: "/numbered/" + id, Services: []rpc.WeightedService{{Service: service, Weight: 1}}, Source: source}
+	return &rpc.ChangeSet{ID: id, Version: base + 1 + ids.Version(r.IntN(2)), ExpectedVersion: &base, Put: rpc.Configuration{Routes: []rpc.Route{route}}}
 }
 
 func (f *Fleet) submitVersion(node *node.Node, change *rpc.ChangeSet) string {
 	return f.submitWithin(8*time.Second, node, change)
 }
 
-// submitWithin sends a change and gives it up after a time; it may then be taken, or be
-// on its way.
+// submitWithin submits a change with a time limit, and records and returns its outcome. A change
+// that timed out may have been applied or may be applied later.
 func (f *Fleet) submitWithin(limit time.Duration, node *node.Node, change *rpc.ChangeSet) string {
 	rec := checker.Record{Kind: checker.VersionedChange, Start: f.History.Now(), Name: change.ID, Revision: uint64(change.Version), From: uint64(*change.ExpectedVersion), Digest: string(change.Put.Routes[0].Source), Outcome: "accepted", Invalid: change.Put.Routes[0].Services[0].Service == standin.MissingService}
-	ctx, end := context.WithTimeout(f.ctx, limit)
-	defer end()
+	ctx, cancel := context.WithTimeout(f.ctx, limit)
+	defer cancel()
 	receipt, err := node.Submit(ctx, change)
 	switch {
 	case err == nil:
@@ -93,11 +93,12 @@
 	return rec.Outcome
 }
 
-// readBackAll records what of the operators' texts is in force; nil if it can't be had.
-func (f *Fleet) readBackAll(node *node.Node) *rpc.ConfigurationView {
+// readConfiguration records the source texts of the numbered changes in effect. It returns nil if
+// the configuration cannot be read.
+func (f *Fleet) readConfiguration(node *node.Node) *rpc.ConfigurationView {
 	rec := checker.Record{Kind: checker.ConfigurationRead, Start: f.History.Now(), Destinations: map[string]string{}}
-	ctx, end := context.WithTimeout(f.ctx, 4*time.Second)
-	defer end()
+	ctx, cancel := context.WithTimeout(f.ctx, 4*time.Second)
+	defer cancel()
 	view, err := node.Config(ctx)
 	if err != nil {
 		return nil
@@ -112,14 +113,14 @@
 	return view
 }
 
-// readBackLast reads the versions once more, when nothing else goes on.
-func (f *Fleet) readBackLast() error {
-	isRead := f.WaitUntil(10*time.Second, func() bool {
+// readFinalConfiguration records the configuration after the load has ended.
+func (f *Fleet) readFinalConfiguration() error {
+	wasRead := f.WaitUntil(10*time.Second, func() bool {
 		node := f.Cores()[0].Node()
-		return node != nil && f.readBackAll(node) != nil
+		return node != nil && f.readConfiguration(node) != nil
 	})
-	if !isRead {
-		return fmt.Errorf("the versions could not be read back at the end")
+	if !wasRead {
+		return fmt.Errorf("the final configuration could not be read within 10 s")
 	}
 	return nil
 }
--- a/internal/simulator/machine.go
+++ b/internal/simulator/machine.go
@@ -12,81 +12,81 @@
 	"github.com/sumactrestle/sumactrestle/internal/node"
 )
 
-// Machine is one machine with at most one running node.
+// Machine is a simulated machine that runs at most one node.
 type Machine struct {
-	Name    string
-	Zone    string
-	IP      string
-	IsCore  bool
-	IsProxy bool
-	IsGone  bool // taken away for good; it is no seed of others any more
+	Name      string
+	Zone      string
+	IP        string
+	IsCore    bool
+	IsProxy   bool
+	IsRemoved bool // removed permanently; no longer a seed address of other machines
 
 	fleet    *Fleet
-	starting chan struct{} // a lock held while the node is started; waiting for it lets virtual time pass
+	starting chan struct{} // semaphore held while the node is started; waiting on it lets virtual time advance
 
 	mu   sync.Mutex // guards node
 	node *node.Node // nil while the machine is down
 }
 
-// RPCAddress is the node's address for other nodes.
+// RPCAddress returns the node's address for other nodes.
 func (m *Machine) RPCAddress() string { return m.IP + ":7000" }
 
-// APIAddress is the node's address for targets, applications and operators.
+// APIAddress returns the node's address for targets, applications and operators.
 func (m *Machine) APIAddress() string { return m.IP + ":7001" }
 
-// ProxyAddress is the node's address for clients.
+// ProxyAddress returns the node's address for clients.
 func (m *Machine) ProxyAddress() string { return m.IP + ":7002" }
 
-// Node is the running node, or nil.
+// Node returns the running node, or nil if the machine is down.
 func (m *Machine) Node() *node.Node {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.node
 }
 
-// Start brings the machine's process up.
+// Start starts the machine's node.
 func (m *Machine) Start() error {
-	set := map[string]string{"name": m.Name, "zone": m.Zone, "peer.address": m.RPCAddress(), "api.address": m.APIAddress(), "bootstrap.cores": fmt.Sprint(m.fleet.Shape.Cores), "log.level": "debug"}
+	settings := map[string]string{"name": m.Name, "zone": m.Zone, "peer.address": m.RPCAddress(), "api.address": m.APIAddress(), "bootstrap.cores": fmt.Sprint(m.fleet.Shape.Cores), "log.level": "debug"}
 	seeds := ""
 	for _, other := range m.fleet.Machines {
-		if other.IsCore && !other.IsGone && len(seeds) < 40 {
+		if other.IsCore && !other.IsRemoved && len(seeds) < 40 {
 			seeds += "," + other.RPCAddress()
 		}
 	}
-	set["seeds"] = seeds[1:]
+	settings["seeds"] = seeds[1:]
 	if m.IsCore {
-		set["data.folder"] = "/dream/" + m.Name
+		settings["data.folder"] = "/dream/" + m.Name
 	}
 	if m.IsProxy {
-		set["proxy.address"] = m.ProxyAddress()
+		settings["proxy.address"] = m.ProxyAddress()
 	}
 	for key, value := range m.fleet.Shape.Settings {
-		set[key] = value
+		settings[key] = value
 	}
-	p, err := config.Load("", set)
+	cfg, err := config.Load("", settings)
 	if err != nil {
 		return err
 	}
 	if m.IsProxy {
 		m.fleet.History.Add(checker.Record{Kind: checker.ProxyStarted, Proxy: m.ProxyAddress()})
 	}
-	journal := eventlog.New(m.fleet.Log, "debug", m.Name)
-	journal.Observer = m.fleet.recordEvent
-	here := &atomic.Pointer[node.Node]{}
-	r := environment.New(m.fleet.ctx, p, journal, m.hostNetwork(here))
-	r.Trace = func(step any) {
+	logger := eventlog.New(m.fleet.Log, "debug", m.Name)
+	logger.Observer = m.fleet.recordEvent
+	nodePointer := &atomic.Pointer[node.Node]{}
+	env := environment.New(m.fleet.ctx, cfg, logger, m.hostNetwork(nodePointer))
+	env.Trace = func(step any) {
 		m.fleet.conformance.Observe(step)
-		if watch := m.fleet.observer.Load(); watch != nil {
-			(*watch)(m, step)
+		if observe := m.fleet.observer.Load(); observe != nil {
+			(*observe)(m, step)
 		}
 	}
-	node, err := node.Start(r)
+	node, err := node.Start(env)
 	if err != nil {
 		m.fleet.Network.Kill(m.IP, false)
-		r.Shutdown()
+		env.Shutdown()
 		return err
 	}
-	here.Store(node)
+	nodePointer.Store(node)
 	m.mu.Lock()
 	m.node = node
 	m.mu.Unlock()
@@ -95,14 +95,14 @@
 			select {
 			case <-node.Store.Corrupted():
 				m.Kill(false)
-			case <-r.Done():
+			case <-env.Done():
 			}
 		}()
 	}
 	return nil
 }
 
-// Kill ends the process at once. If the power is lost with it, so is what was not synced.
+// Kill ends the process immediately. With a power loss, unsynced data is lost too.
 func (m *Machine) Kill(isPowerLost bool) {
 	m.mu.Lock()
 	node := m.node
@@ -115,7 +115,7 @@
 	node.Env.Shutdown()
 }
 
-// Stop is the planned stop.
+// Stop shuts the node down gracefully, then ends its process.
 func (m *Machine) Stop() {
 	m.mu.Lock()
 	node := m.node
@@ -128,7 +128,7 @@
 	m.fleet.Network.Kill(m.IP, false)
 }
 
-// Move gives a machine that is down an empty disk and a new address.
+// Move gives a machine that is down a new address and, with it, an empty disk.
 func (m *Machine) Move() {
 	var zone int
 	fmt.Sscanf(m.Zone, "zone%d", &zone)
--- a/internal/simulator/run.go
+++ b/internal/simulator/run.go
@@ -1,5 +1,5 @@
-// A run: boot, load, faults drawn from the seed, everything brought back, the
-// time until the fleet is usable again, the last questions, and the verdict.
+// A run consists of boot, load, faults drawn from the seed, the end of all faults, the time until
+// the fleet is usable again, final reads, and the check of the history.
 
 package simulator
 
@@ -10,16 +10,16 @@
 	"github.com/sumactrestle/sumactrestle/internal/checker"
 )
 
-// Result is what a run came to.
+// Result holds the checker's verdict on a run, with its availability and injected faults.
 type Result struct {
-	Verdict  *checker.Result
-	Served   checker.Availability
-	Recovery time.Duration
-	Faults   []string
-	Fleet    *Fleet
+	Verdict      *checker.Result
+	Availability checker.Availability
+	Recovery     time.Duration // from the end of all faults until the fleet was usable
+	Faults       []string
+	Fleet        *Fleet
 }
 
-// Run carries a scenario out; it must be called in a bubble of virtual time.
+// Run runs a scenario. It must be called in a synctest bubble.
 func Run(s Scenario, seed uint64, log io.Writer) (*Result, error) {
 	shape := s.Shape()
 	if s.PlatformMode {
@@ -54,33 +54,33 @@
 		s.Faults(f)
 	}
 	f.Restore()
-	back := f.History.Now()
-	rescue := checker.Record{Kind: checker.Recovery, Start: back, Outcome: "usable"}
+	restoredAt := f.History.Now()
+	recoveryRecord := checker.Record{Kind: checker.Recovery, Start: restoredAt, Outcome: "usable"}
 	if !f.WaitUntil(30*time.Second, f.IsUsable) {
-		rescue.Outcome = "not usable"
+		recoveryRecord.Outcome = "not usable"
 	}
-	f.History.Add(rescue)
-	recovery := f.History.Now() - back
+	f.History.Add(recoveryRecord)
+	recovery := f.History.Now() - restoredAt
 	time.Sleep(3 * time.Second)
 	f.loadRunning.Store(false)
 	f.loadTasks.Wait()
 	f.verifyFinalState()
-	f.incrementCounter()
-	if err := f.readBackLast(); err != nil {
+	f.readCounters()
+	if err := f.readFinalConfiguration(); err != nil {
 		return nil, err
 	}
 	f.History.Add(checker.Record{Kind: checker.ScenarioEnded})
 	records := f.History.Records()
-	return &Result{Verdict: checker.Check(records), Served: checker.MeasureAvailability(records), Recovery: recovery, Faults: f.Faults, Fleet: f}, nil
+	return &Result{Verdict: checker.Check(records), Availability: checker.MeasureAvailability(records), Recovery: recovery, Faults: f.Faults, Fleet: f}, nil
 }
 
-// verifyFinalState asks after every change set, and reads the configuration at the end.
+// verifyFinalState queries every submitted change set and records the final configuration.
 func (f *Fleet) verifyFinalState() {
 	operator := f.newOperator(92, f.Cores()[0])
-	asked := map[string]bool{}
+	queried := map[string]bool{}
 	for _, r := range f.History.Records() {
-		if r.Kind == checker.ChangeSubmitted && !asked[r.Name] {
-			asked[r.Name] = true
+		if r.Kind == checker.ChangeSubmitted && !queried[r.Name] {
+			queried[r.Name] = true
 			f.WaitUntil(10*time.Second, func() bool { _, err := operator.QueryChange(f.ctx, r.Name); return err == nil })
 		}
 	}
