--- a/internal/harness/server_process.go
+++ b/internal/harness/server_process.go
@@ -99,7 +99,7 @@
 	server.Announce(ctx, "leaving")
 	finishCtx, cancel := context.WithTimeout(ctx, server.ServiceTime+drainMargin)
 	defer cancel()
-	server.Finish(finishCtx)
+	server.Shutdown(finishCtx)
 }
 
 // serverProcess is a stand-in server that runs in a separate process, so that busy clients in this
--- a/internal/standin/api_client.go
+++ b/internal/standin/api_client.go
@@ -11,7 +11,7 @@
 	"github.com/sumactrestle/sumactrestle/internal/environment"
 )
 
-// idleTimeout is how long stand-ins keep a connection that is not in use.
+// idleTimeout is how long clients of this package keep an idle connection open.
 const idleTimeout = 5 * time.Second
 
 func newTransport(host environment.Host, maxIdlePerHost int) *http.Transport {
@@ -22,8 +22,8 @@
 	}
 }
 
-// NewAPIClient makes a client of a node's API that dials from a host. The address is a
-// host and a port; any other is a mistake of the caller.
+// NewAPIClient returns a client that dials a node's API from host. The address has the form
+// host:port; NewAPIClient panics if it is invalid.
 func NewAPIClient(host environment.Host, address string) *api.Client {
 	client, err := api.NewClient("http://"+address, api.WithClient(&http.Client{Transport: newTransport(host, 4)}))
 	if err != nil {
@@ -32,8 +32,8 @@
 	return client
 }
 
-// CodeOf returns the numbered code of a refused API call, -1 if there was no answer, and 0
-// if it was not refused.
+// CodeOf returns the numbered code of a rejected API call, 0 if err is nil, and -1 for any
+// other error, such as a missing response.
 func CodeOf(err error) int {
 	if problem := problemOf(err); problem != nil {
 		return problem.Code
@@ -44,7 +44,7 @@
 	return 0
 }
 
-// problemOf returns the API's answer to a refused call; nil if there was none.
+// problemOf returns the API's response to a rejected call, or nil if err contains none.
 func problemOf(err error) *api.Problem {
 	var problem *api.ProblemStatusCodeWithHeaders
 	if errors.As(err, &problem) {
--- a/internal/standin/arrival.go
+++ b/internal/standin/arrival.go
@@ -12,12 +12,12 @@
 	"time"
 )
 
-// timestampedListener hands out connections that know when the kernel received the first bytes of
-// each request.
+// timestampedListener accepts connections that record when the kernel received the first bytes
+// of each request.
 type timestampedListener struct{ *net.TCPListener }
 
-// withTimestamps has the kernel note when data comes. A listener of another kind, such as the
-// simulator's, is returned as it is.
+// withTimestamps enables the kernel's receive timestamps on a TCP listener. Any other listener,
+// such as the simulator's, is returned unchanged, as is one on which the kernel rejects the option.
 func withTimestamps(listener net.Listener) net.Listener {
 	tcp, ok := listener.(*net.TCPListener)
 	if !ok {
@@ -27,14 +27,14 @@
 	if err != nil {
 		return listener
 	}
-	// Connections inherit it from their listener.
+	// Accepted connections inherit the option.
 	if err := enableTimestamps(raw); err != nil {
 		return listener
 	}
 	return timestampedListener{tcp}
 }
 
-// Accept waits for the next connection.
+// Accept waits for the next connection and enables timestamps on it.
 func (l timestampedListener) Accept() (net.Conn, error) {
 	conn, err := l.AcceptTCP()
 	if err != nil {
@@ -44,81 +44,83 @@
 	if err != nil {
 		return conn, nil
 	}
-	// One that came before its listener had the option has inherited nothing.
+	// A connection established before the listener had the option has not inherited it.
 	if err := enableTimestamps(raw); err != nil {
 		return conn, nil
 	}
-	return &timestampedConn{TCPConn: conn, raw: raw, isAwaiting: true}, nil
+	return &timestampedConn{TCPConn: conn, raw: raw, isAwaitingRequest: true}, nil
 }
 
-// timestampedConn is a connection whose reads ask the kernel when the data came. A process that
-// the machine holds up notes a request when it runs again, and not when it came.
+// timestampedConn is a connection whose reads also return the kernel's receive timestamps. They
+// are needed because a stalled process reads a request only when it runs again, which may be long
+// after the request arrived.
 type timestampedConn struct {
 	*net.TCPConn
 	raw syscall.RawConn
 
-	mu         sync.Mutex // guards all that follows
-	isAwaiting bool       // nothing of the next request was read
-	receivedAt time.Time  // the first bytes of the last request; zero if the kernel did not tell
+	mu                sync.Mutex // guards the fields below
+	isAwaitingRequest bool       // no byte of the next request has been read
+	receivedAt        time.Time  // first bytes of the last request; zero if the kernel gave no timestamp
 }
 
-// Read reads data, and with the first of a request the kernel's time of it. Where more than one
-// packet is read, that is the time of the last.
+// Read reads data and, for the first bytes of a request, records when the kernel received them.
+// If one read returns several packets, the timestamp is that of the last one.
 func (c *timestampedConn) Read(buffer []byte) (int, error) {
 	if len(buffer) == 0 {
 		return 0, nil
 	}
 	n, control, err := receive(c.raw, buffer)
-	var number syscall.Errno
+	var errno syscall.Errno
 	switch {
-	case errors.As(err, &number):
-		return 0, &net.OpError{Op: "read", Net: "tcp", Source: c.LocalAddr(), Addr: c.RemoteAddr(), Err: os.NewSyscallError("recvmsg", number)}
+	case errors.As(err, &errno):
+		return 0, &net.OpError{Op: "read", Net: "tcp", Source: c.LocalAddr(), Addr: c.RemoteAddr(), Err: os.NewSyscallError("recvmsg", errno)}
 	case err != nil:
 		return 0, err
 	case n == 0:
 		return 0, io.EOF
 	}
-	c.noteReceived(kernelAge(control))
+	c.recordReceipt(receiptAge(control))
 	return n, nil
 }
 
-// noteReceived notes how long ago data was received that was just read, if that is known.
-func (c *timestampedConn) noteReceived(age time.Duration, isKnown bool) {
+// recordReceipt records the age of the data just read if it is the first of a request. isKnown is
+// false if the kernel gave no timestamp.
+func (c *timestampedConn) recordReceipt(age time.Duration, isKnown bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.isAwaiting {
+	if !c.isAwaitingRequest {
 		return
 	}
-	c.isAwaiting, c.receivedAt = false, time.Time{}
+	c.isAwaitingRequest, c.receivedAt = false, time.Time{}
 	if isKnown {
 		c.receivedAt = time.Now().Add(-age)
 	}
 }
 
-// awaitRequest has the next bytes be the first of a request.
-func (c *timestampedConn) awaitRequest() {
+// expectRequest marks the next bytes read as the first of a request.
+func (c *timestampedConn) expectRequest() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.isAwaiting = true
+	c.isAwaitingRequest = true
 }
 
-// followIdle tells a connection when its next request is awaited.
-func followIdle(conn net.Conn, state http.ConnState) {
+// handleConnState prepares a connection that has become idle for its next request.
+func handleConnState(conn net.Conn, state http.ConnState) {
 	if c, ok := conn.(*timestampedConn); ok && state == http.StateIdle {
-		c.awaitRequest()
+		c.expectRequest()
 	}
 }
 
-// connectionKey is the key of a request's connection in its context.
+// connectionKey is the context key of a request's connection.
 type connectionKey struct{}
 
 func withConnection(ctx context.Context, conn net.Conn) context.Context {
 	return context.WithValue(ctx, connectionKey{}, conn)
 }
 
-// queuedFor is for how long the first bytes of a request that is being taken have been on this
-// machine; zero if its connection does not tell.
-func queuedFor(ctx context.Context) time.Duration {
+// timeSinceReceipt returns how long ago the kernel received the first bytes of the request with
+// this context. It returns zero if that is unknown.
+func timeSinceReceipt(ctx context.Context) time.Duration {
 	c, ok := ctx.Value(connectionKey{}).(*timestampedConn)
 	if !ok {
 		return 0
--- a/internal/standin/arrival_test.go
+++ b/internal/standin/arrival_test.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-// A request's age counts from its first bytes, whatever comes behind them.
-func TestQueuedFor_CountsFromTheFirstBytesOfTheRequest(t *testing.T) {
-	const pause = 150 * time.Millisecond
+// The rest of the request arrives later, which must not change the time of receipt.
+func TestTimeSinceReceipt_CountsFromFirstBytesOfRequest(t *testing.T) {
+	const bodyDelay = 150 * time.Millisecond
 	stop, err := StartTimestamps()
 	if err != nil {
 		t.Fatal(err)
@@ -22,13 +22,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	queued := make(chan time.Duration, 1)
+	ages := make(chan time.Duration, 1)
 	server := &http.Server{
 		ConnContext: withConnection,
-		ConnState:   followIdle,
+		ConnState:   handleConnState,
 		Handler: http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 			io.Copy(io.Discard, r.Body)
-			queued <- queuedFor(r.Context())
+			ages <- timeSinceReceipt(r.Context())
 		}),
 	}
 	go server.Serve(withTimestamps(listener))
@@ -40,18 +40,18 @@
 	defer client.Close()
 	reader := bufio.NewReader(client)
 	for range 2 {
-		sent := time.Now()
+		sentAt := time.Now()
 		io.WriteString(client, "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\na")
-		<-time.After(pause)
+		<-time.After(bodyDelay)
 		io.WriteString(client, "b")
-		if age, since := <-queued, time.Since(sent); age < pause || age > since {
-			t.Errorf("queued for %s, sent %s ago", age, since)
+		if age, sinceSent := <-ages, time.Since(sentAt); age < bodyDelay || age > sinceSent {
+			t.Errorf("received %s ago, sent %s ago", age, sinceSent)
 		}
 		if _, err := http.ReadResponse(reader, nil); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if age := queuedFor(context.Background()); age != 0 {
+	if age := timeSinceReceipt(context.Background()); age != 0 {
 		t.Error("without a connection:", age)
 	}
 }
--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -17,42 +17,42 @@
 	"github.com/sumactrestle/sumactrestle/internal/proxy"
 )
 
-// clientTimeout bounds one request and the reading of its response.
+// clientTimeout limits one request, including the reading of its response.
 const clientTimeout = 15 * time.Second
 
-// Digest returns a short name of a body: the first 8 bytes of its SHA-256, in hex.
+// Digest returns the first 8 bytes of a body's SHA-256 hash, in hex.
 func Digest(body []byte) string {
 	sum := sha256.Sum256(body)
 	return hex.EncodeToString(sum[:8])
 }
 
-// Client sends requests to proxies, and holds each response against what the server must
-// have said.
+// Client sends requests to proxies and checks that each successful response belongs to its
+// request.
 type Client struct {
 	History    *checker.History
-	AtMostOnce bool // its routes never execute a call twice
-	// Opaque has it name each attempt itself; it then reads the outcome from the response's
-	// body, as a client does that knows no headers of the proxy.
+	AtMostOnce bool // its routes execute a call at most once
+	// Opaque makes the client assign the ID of each request and derive the outcome from the
+	// response's status and body, like a client that doesn't know the proxy's headers.
 	Opaque bool
 	http   *http.Client
 }
 
-// NewClient makes a client that dials from a host.
+// NewClient returns a client that dials from host.
 func NewClient(host environment.Host, history *checker.History) *Client {
 	return &Client{History: history, http: &http.Client{Transport: newTransport(host, 16), Timeout: clientTimeout}}
 }
 
-// Close ends idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Call sends one request to a proxy's address and records how it ended. The service is the
-// one that must answer; any may if it is empty.
+// Call sends one request to the proxy at address and records its outcome. A success must come
+// from the given service, or from any service if it is empty.
 func (c *Client) Call(ctx context.Context, address, method, path, service string, body []byte) checker.Record {
 	return c.CallWithID(ctx, address, method, path, service, body, ids.NewID(), false)
 }
 
-// CallWithID sends a request under a call ID that is given, so that it can be retried. Any
-// method but GET bears that ID as its idempotency key.
+// CallWithID is like Call with a given call ID, so that the call can be retried. For all methods
+// except GET, the ID is also sent as the idempotency key.
 func (c *Client) CallWithID(ctx context.Context, address, method, path, service string, body []byte, callID string, isRetry bool) checker.Record {
 	record := checker.Record{
 		Kind:       checker.RequestCompleted,
@@ -70,8 +70,8 @@
 	if err != nil {
 		return record
 	}
-	// A body that can't be had again keeps the library from repeating a request
-	// by itself, which would hide from the history what was really sent.
+	// Without GetBody, net/http can't retry the request by itself. Such a retry would be
+	// missing from the history.
 	request.Body, request.ContentLength = io.NopCloser(bytes.NewReader(body)), int64(len(body))
 	request.Header.Set(HeaderCall, callID)
 	if method != http.MethodGet {
@@ -84,14 +84,14 @@
 	if response, err := c.http.Do(request); err != nil {
 		record.Outcome, record.Note = checker.OutcomeBroken, err.Error()
 	} else {
-		c.read(response, &record)
+		c.readResponse(response, &record)
 	}
 	c.History.Add(record)
 	return record
 }
 
-// read records a response, and closes its body.
-func (c *Client) read(response *http.Response, record *checker.Record) {
+// readResponse adds a response to the record and closes the body.
+func (c *Client) readResponse(response *http.Response, record *checker.Record) {
 	defer response.Body.Close()
 	body, err := io.ReadAll(response.Body)
 	header := response.Header
@@ -101,8 +101,8 @@
 	} else if requestID != record.RequestID {
 		record.Note = "the answer names another request: " + requestID
 	}
-	record.Code, _ = strconv.Atoi(header.Get(proxy.HeaderCode))                // zero if there is none
-	record.Epoch, _ = strconv.ParseUint(header.Get(proxy.HeaderEpoch), 10, 64) // likewise
+	record.Code, _ = strconv.Atoi(header.Get(proxy.HeaderCode))                // zero if missing
+	record.Epoch, _ = strconv.ParseUint(header.Get(proxy.HeaderEpoch), 10, 64) // zero if missing
 	switch {
 	case err != nil:
 		record.Outcome, record.Note = checker.OutcomeBroken, err.Error()
@@ -117,8 +117,8 @@
 	}
 }
 
-// isResponseTo tells whether a success bears the call, the digest and the service of the
-// request.
+// isResponseTo reports whether a successful response contains the call ID, digest and service of
+// the request.
 func isResponseTo(record *checker.Record, body []byte) bool {
 	var response Response
 	if err := json.Unmarshal(body, &response); err != nil {
--- a/internal/standin/doc.go
+++ b/internal/standin/doc.go
@@ -1,5 +1,5 @@
-// Package standin holds the stand-ins at the edges of a fleet under test: servers that send
-// heartbeats, execute requests and seal their responses, clients that send requests, and
-// operators that submit change sets. Each records what it sees in a checker.History, and a
-// server can be told to misbehave.
+// Package standin implements the servers, clients and operators around a fleet under test.
+// Servers send heartbeats, execute requests and seal their responses; clients send requests;
+// operators submit change sets. Each of them records its requests and responses in a
+// checker.History. A server can be configured to misbehave.
 package standin
--- a/internal/standin/fence.go
+++ b/internal/standin/fence.go
@@ -7,7 +7,8 @@
 	"github.com/sumactrestle/sumactrestle/internal/proxy"
 )
 
-// rejectSuperseded answers a request whose epoch is too old to be executed.
+// rejectSuperseded rejects a request if the fence doesn't allow its execution under its epoch, and
+// reports whether it did. A request without an epoch is not rejected.
 func (s *Server) rejectSuperseded(w http.ResponseWriter, r *http.Request) bool {
 	epoch, err := strconv.ParseUint(r.Header.Get(proxy.HeaderEpoch), 10, 64)
 	if err != nil || s.fence.Check(epoch, s.Network.Now()) == nil {
@@ -17,7 +18,7 @@
 	return true
 }
 
-// rejectSealed says, under the server's seal, that a request was not executed, and why.
+// rejectSealed sends a sealed response that the request was not executed, with the reason.
 func (s *Server) rejectSealed(w http.ResponseWriter, r *http.Request, reason string) {
 	const status = http.StatusServiceUnavailable
 	requestID := s.recordRejection(r, status)
--- a/internal/standin/handler.go
+++ b/internal/standin/handler.go
@@ -13,15 +13,15 @@
 	"github.com/sumactrestle/sumactrestle/internal/proxy"
 )
 
-// HeaderCall is the stand-in clients' own ID of a call, the same in each retry.
+// HeaderCall contains the ID that a Client assigns to a call. It is the same in each retry.
 const HeaderCall = "X-Call"
 
 const (
-	slowness     = 2 * time.Second
-	oversizedPad = 64 << 10
+	slowDelay         = 2 * time.Second
+	oversizedPadBytes = 64 << 10
 )
 
-// Response is the body of a server's response, by which the client checks it.
+// Response is the body of a server's response. The client compares it with the request.
 type Response struct {
 	Call    string `json:"call"`
 	Service string `json:"service"`
@@ -30,16 +30,16 @@
 	Pad     string `json:"pad,omitempty"`
 }
 
-// sealedResponse is a response and what is sent along with it.
+// sealedResponse is a response body with its request ID and seal.
 type sealedResponse struct{ requestID, seal, body string }
 
-// wire is the response as a success on the wire.
-func (r sealedResponse) wire() string {
+// encode returns the response as an HTTP message with status 200.
+func (r sealedResponse) encode() string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n%s%s", len(r.body), r.headers(), r.body)
 }
 
-// unframed is the same without a length.
-func (r sealedResponse) unframed() string {
+// encodeUnframed is like encode without a Content-Length.
+func (r sealedResponse) encodeUnframed() string {
 	return "HTTP/1.1 200 OK\r\n" + r.headers() + r.body
 }
 
@@ -47,9 +47,9 @@
 	return fmt.Sprintf("%s: %s\r\n%s: %s\r\n\r\n", proxy.HeaderRequestID, r.requestID, proxy.HeaderSeal, r.seal)
 }
 
-// ServeHTTP executes a request and answers it, or misbehaves.
+// ServeHTTP executes a request and responds to it, or misbehaves as configured.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	arrival, queued := s.History.Now(), queuedFor(r.Context())
+	arrivedAt, sinceReceipt := s.History.Now(), timeSinceReceipt(r.Context())
 	misbehavior := WellBehaved
 	if n := s.requestCount.Add(1); s.Misbehavior != nil {
 		misbehavior = s.Misbehavior(n)
@@ -71,7 +71,7 @@
 	if s.Opaque && s.reject(w, r, misbehavior) {
 		return
 	}
-	if !s.work(r) {
+	if !s.simulateWork(r) {
 		return
 	}
 	if misbehavior == RejectedLate {
@@ -79,19 +79,20 @@
 		return
 	}
 	if misbehavior == Slow {
-		time.Sleep(slowness)
+		time.Sleep(slowDelay)
 	}
-	run := s.recordOf(r, checker.RequestExecuted)
-	run.Start, run.Digest = arrival, Digest(body)
-	if queued > 0 {
-		run.Received = arrival - queued
+	record := s.newRecord(r, checker.RequestExecuted)
+	record.Start, record.Digest = arrivedAt, Digest(body)
+	if sinceReceipt > 0 {
+		record.Received = arrivedAt - sinceReceipt
 	}
-	s.History.Add(run)
-	s.respond(w, s.responseTo(run, len(body), misbehavior), misbehavior)
+	s.History.Add(record)
+	s.respond(w, s.newResponse(record, len(body), misbehavior), misbehavior)
 }
 
-// work takes the time of a request, and returns false if it was left off.
-func (s *Server) work(r *http.Request) bool {
+// simulateWork waits for the service time. It returns false if the request was cancelled because
+// its connection closed.
+func (s *Server) simulateWork(r *http.Request) bool {
 	if !s.CancelsOnDisconnect {
 		if s.ServiceTime > 0 {
 			time.Sleep(s.ServiceTime)
@@ -107,8 +108,8 @@
 	}
 }
 
-// recordOf returns what a server sees of a request.
-func (s *Server) recordOf(r *http.Request, kind checker.Kind) checker.Record {
+// newRecord returns a record of a request as the server received it.
+func (s *Server) newRecord(r *http.Request, kind checker.Kind) checker.Record {
 	record := checker.Record{
 		Kind:          kind,
 		CallID:        r.Header.Get(HeaderCall),
@@ -126,32 +127,32 @@
 	if s.Opaque {
 		record.Service, record.Proxy, epoch = s.Service, r.Header.Get(HeaderActingProxy), r.Header.Get(HeaderActingEpoch)
 	}
-	record.Epoch, _ = strconv.ParseUint(epoch, 10, 64) // zero if there is none
+	record.Epoch, _ = strconv.ParseUint(epoch, 10, 64) // zero if missing
 	return record
 }
 
-// responseTo makes the sealed response to a request that was executed.
-func (s *Server) responseTo(run checker.Record, bodyBytes int, misbehavior string) sealedResponse {
-	response := Response{Call: run.CallID, Service: s.Service, Bytes: bodyBytes, Digest: run.Digest}
+// newResponse returns the sealed response to an executed request.
+func (s *Server) newResponse(record checker.Record, bodyBytes int, misbehavior string) sealedResponse {
+	response := Response{Call: record.CallID, Service: s.Service, Bytes: bodyBytes, Digest: record.Digest}
 	if misbehavior == OversizedResponse {
-		response.Pad = strings.Repeat("x", oversizedPad)
+		response.Pad = strings.Repeat("x", oversizedPadBytes)
 	}
-	body, _ := json.Marshal(response) // strings and numbers can't fail
-	seal := proxy.Seal(s.SealKey, run.RequestID, s.Service, s.Instance, statusOf(misbehavior), body)
-	return sealedResponse{run.RequestID, seal, string(body)}
+	body, _ := json.Marshal(response) // strings and numbers can always be marshalled
+	seal := proxy.Seal(s.SealKey, record.RequestID, s.Service, s.Instance, statusFor(misbehavior), body)
+	return sealedResponse{record.RequestID, seal, string(body)}
 }
 
-func statusOf(misbehavior string) int {
+func statusFor(misbehavior string) int {
 	if misbehavior == Failing {
 		return http.StatusInternalServerError
 	}
 	return http.StatusOK
 }
 
-// respond writes a response, or what the misbehaviour makes of it.
+// respond writes a response, altered as the misbehavior requires.
 func (s *Server) respond(w http.ResponseWriter, response sealedResponse, misbehavior string) {
-	previous := s.previous.Load()
-	switch wire := response.wire(); misbehavior {
+	previous := s.previousResponse.Load()
+	switch encoded := response.encode(); misbehavior {
 	case CloseUnanswered:
 		writeRaw(w, "")
 		return
@@ -159,21 +160,21 @@
 		writeRaw(w, "\x00\x01 what is this\r\n\r\n")
 		return
 	case TruncatedHeader:
-		writeRaw(w, wire[:25])
+		writeRaw(w, encoded[:25])
 		return
 	case TruncatedBody:
 		missing := (len(response.body) + 1) / 2
-		writeRaw(w, wire[:len(wire)-missing])
+		writeRaw(w, encoded[:len(encoded)-missing])
 		return
 	case UnframedResponse:
-		writeRaw(w, response.unframed())
+		writeRaw(w, response.encodeUnframed())
 		return
 	case DuplicateResponse:
-		writeRaw(w, wire+wire)
+		writeRaw(w, encoded+encoded)
 		return
 	case SurplusResponse:
 		if previous != nil {
-			writeRaw(w, previous.wire()+wire)
+			writeRaw(w, previous.encode()+encoded)
 			return
 		}
 	case SwappedResponse:
@@ -182,11 +183,11 @@
 			return
 		}
 	}
-	s.previous.Store(&response)
+	s.previousResponse.Store(&response)
 	s.writeResponse(w, response, misbehavior)
 }
 
-// writeResponse writes a response as HTTP has it.
+// writeResponse writes a response as well-formed HTTP.
 func (s *Server) writeResponse(w http.ResponseWriter, response sealedResponse, misbehavior string) {
 	if s.Opaque {
 		w.Header().Set(proxy.HeaderRequestID, response.requestID)
@@ -198,11 +199,11 @@
 		w.Header().Set(proxy.HeaderSeal, response.seal)
 	}
 	w.Header().Set("Content-Type", "application/json")
-	w.WriteHeader(statusOf(misbehavior))
+	w.WriteHeader(statusFor(misbehavior))
 	io.WriteString(w, response.body)
 }
 
-// writeRaw takes the connection over, writes just these bytes and closes it.
+// writeRaw hijacks the connection, writes text without any framing and closes the connection.
 func writeRaw(w http.ResponseWriter, text string) {
 	conn, _, err := w.(http.Hijacker).Hijack()
 	if err != nil {
--- a/internal/standin/handler_test.go
+++ b/internal/standin/handler_test.go
@@ -15,7 +15,7 @@
 	"github.com/sumactrestle/sumactrestle/internal/proxy"
 )
 
-// startServer serves a stand-in on loopback, without heartbeats, and returns its address.
+// startServer serves s on loopback, without heartbeats, and returns its address.
 func startServer(t *testing.T, s *Server) string {
 	t.Helper()
 	s.History, s.Service, s.Instance, s.SealKey = checker.NewHistory(nil), "bookings", "i1", "key"
@@ -24,7 +24,7 @@
 	return server.Listener.Addr().String()
 }
 
-// exchange sends a request on a connection of its own and returns all that comes back.
+// exchange sends a request on a new connection and returns the raw response.
 func exchange(t *testing.T, address, requestID string) string {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
@@ -40,28 +40,28 @@
 	return string(raw)
 }
 
-func TestServer_AnswersByItsMisbehavior(t *testing.T) {
+func TestServer_MisbehavesAsConfigured(t *testing.T) {
 	const sealed = proxy.HeaderSeal + ": "
 	for misbehavior, test := range map[string]struct {
-		opaque bool
-		holds  []string
-		lacks  []string
-		runs   int // of two requests
+		opaque     bool
+		want       []string
+		notWant    []string
+		executions int // of the two requests
 	}{
-		WellBehaved:         {holds: []string{"HTTP/1.1 200", sealed, `"call":"call-2"`}, runs: 2},
-		CloseUnanswered:     {lacks: []string{"H"}, runs: 2},
-		Garbage:             {holds: []string{"what is this"}, lacks: []string{"HTTP/1.1"}, runs: 2},
-		TruncatedHeader:     {holds: []string{"HTTP/1.1 200"}, lacks: []string{"call-2"}, runs: 2},
-		TruncatedBody:       {holds: []string{"Content-Length", sealed, `{"call"`}, lacks: []string{`"digest"`, "}"}, runs: 2},
-		UnframedResponse:    {holds: []string{sealed, `"call":"call-2"`}, lacks: []string{"Content-Length"}, runs: 2},
-		OversizedResponse:   {holds: []string{"HTTP/1.1 200", sealed, `"call":"call-2"`}, runs: 2},
-		DuplicateResponse:   {holds: []string{"HTTP/1.1 200 OK\r\nContent-Length: "}, runs: 2},
-		Unsealed:            {holds: []string{`"call":"call-2"`}, lacks: []string{sealed}, runs: 2},
-		Failing:             {holds: []string{"HTTP/1.1 500", sealed}, runs: 2},
-		ContradictoryNotRun: {opaque: true, holds: []string{"HTTP/1.1 200", HeaderNotRun + ": 1", sealed}, runs: 2},
-		SwappedResponse:     {opaque: true, holds: []string{"HTTP/1.1 200", proxy.HeaderRequestID + ": 1", `"call":"call-1"`}, lacks: []string{"call-2"}, runs: 2},
-		SurplusResponse:     {holds: []string{`"call":"call-1"`, `"call":"call-2"`}, runs: 2},
-		Overloaded:          {opaque: true, holds: []string{"HTTP/1.1 503", HeaderNotRun + ": 1", proxy.HeaderRequestID + ": 2"}, runs: 1},
+		WellBehaved:         {want: []string{"HTTP/1.1 200", sealed, `"call":"call-2"`}, executions: 2},
+		CloseUnanswered:     {notWant: []string{"H"}, executions: 2},
+		Garbage:             {want: []string{"what is this"}, notWant: []string{"HTTP/1.1"}, executions: 2},
+		TruncatedHeader:     {want: []string{"HTTP/1.1 200"}, notWant: []string{"call-2"}, executions: 2},
+		TruncatedBody:       {want: []string{"Content-Length", sealed, `{"call"`}, notWant: []string{`"digest"`, "}"}, executions: 2},
+		UnframedResponse:    {want: []string{sealed, `"call":"call-2"`}, notWant: []string{"Content-Length"}, executions: 2},
+		OversizedResponse:   {want: []string{"HTTP/1.1 200", sealed, `"call":"call-2"`}, executions: 2},
+		DuplicateResponse:   {want: []string{"HTTP/1.1 200 OK\r\nContent-Length: "}, executions: 2},
+		Unsealed:            {want: []string{`"call":"call-2"`}, notWant: []string{sealed}, executions: 2},
+		Failing:             {want: []string{"HTTP/1.1 500", sealed}, executions: 2},
+		ContradictoryNotRun: {opaque: true, want: []string{"HTTP/1.1 200", HeaderNotRun + ": 1", sealed}, executions: 2},
+		SwappedResponse:     {opaque: true, want: []string{"HTTP/1.1 200", proxy.HeaderRequestID + ": 1", `"call":"call-1"`}, notWant: []string{"call-2"}, executions: 2},
+		SurplusResponse:     {want: []string{`"call":"call-1"`, `"call":"call-2"`}, executions: 2},
+		Overloaded:          {opaque: true, want: []string{"HTTP/1.1 503", HeaderNotRun + ": 1", proxy.HeaderRequestID + ": 2"}, executions: 1},
 	} {
 		t.Run("misbehavior "+misbehavior, func(t *testing.T) {
 			s := &Server{Opaque: test.opaque, Misbehavior: func(request int64) string {
@@ -73,37 +73,37 @@
 			address := startServer(t, s)
 			exchange(t, address, "1")
 			got := exchange(t, address, "2")
-			for _, text := range test.holds {
+			for _, text := range test.want {
 				if !strings.Contains(got, text) {
-					t.Errorf("lacks %q: %.500q", text, got)
+					t.Errorf("response lacks %q: %.500q", text, got)
 				}
 			}
-			for _, text := range test.lacks {
+			for _, text := range test.notWant {
 				if strings.Contains(got, text) {
-					t.Errorf("holds %q: %.500q", text, got)
+					t.Errorf("response contains %q: %.500q", text, got)
 				}
 			}
 			if misbehavior == DuplicateResponse && strings.Count(got, "HTTP/1.1 200 OK") != 2 {
-				t.Errorf("not two responses: %q", got)
+				t.Errorf("want exactly two responses: %q", got)
 			}
-			// The long body comes in chunks, so its padding is counted.
-			if misbehavior == OversizedResponse && strings.Count(got, "x") < oversizedPad {
-				t.Errorf("only %d bytes", len(got))
+			// The body is sent in chunks, so the test counts the padding.
+			if misbehavior == OversizedResponse && strings.Count(got, "x") < oversizedPadBytes {
+				t.Errorf("response has only %d bytes", len(got))
 			}
-			runs := 0
+			executions := 0
 			for _, record := range s.History.Records() {
 				if record.Kind == checker.RequestExecuted {
-					runs++
+					executions++
 				}
 			}
-			if runs != test.runs {
-				t.Errorf("%d of two requests ran, want %d", runs, test.runs)
+			if executions != test.executions {
+				t.Errorf("%d of two requests executed, want %d", executions, test.executions)
 			}
 		})
 	}
 }
 
-func TestServer_RejectsWhatIsMeantForAnotherInstance(t *testing.T) {
+func TestServer_RejectsRequestForAnotherInstance(t *testing.T) {
 	s := &Server{Opaque: true}
 	address := startServer(t, s)
 	s.Instance = "i2"
@@ -115,17 +115,17 @@
 	}
 }
 
-func TestClient_KnowsItsOwnResponse(t *testing.T) {
+func TestClient_RecordsOutcomeOfResponse(t *testing.T) {
 	for name, test := range map[string]struct {
 		misbehavior string
 		outcome     string
-		note        string // how it begins
+		note        string // prefix; empty means no note
 	}{
-		"its own":     {WellBehaved, "", ""},
-		"another's":   {SwappedResponse, "", "wrong answer: "},
-		"cut short":   {TruncatedBody, checker.OutcomeBroken, "unexpected EOF"},
-		"no response": {CloseUnanswered, checker.OutcomeBroken, "Post "},
-		"a failure":   {Failing, "", `{"call"`},
+		"matching response":  {WellBehaved, "", ""},
+		"previous response":  {SwappedResponse, "", "wrong answer: "},
+		"truncated response": {TruncatedBody, checker.OutcomeBroken, "unexpected EOF"},
+		"no response":        {CloseUnanswered, checker.OutcomeBroken, "Post "},
+		"failure":            {Failing, "", `{"call"`},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := &Server{Misbehavior: func(request int64) string {
--- a/internal/standin/misbehavior.go
+++ b/internal/standin/misbehavior.go
@@ -1,23 +1,23 @@
 package standin
 
-// Ways in which a server answers a request. Servers execute the request, but where it is
-// said that they do not.
+// Values that Server.Misbehavior returns. The server executes the request unless stated
+// otherwise.
 const (
 	WellBehaved         = ""
-	CloseUnanswered     = "lose"     // closes the connection without an answer
-	Garbage             = "garbage"  // answers with bytes that are no HTTP
-	TruncatedHeader     = "halfhead" // breaks off within the header
-	TruncatedBody       = "cut"      // breaks off within the body
-	UnframedResponse    = "unframed" // answers without a length and closes
-	OversizedResponse   = "huge"     // answers with more than a proxy may hold
-	DuplicateResponse   = "twice"    // answers two times
-	SurplusResponse     = "surplus"  // answers with another's response and then with its own
-	SwappedResponse     = "swapped"  // answers with the response of another request
-	Unsealed            = "unsealed" // leaves out the seal
-	ContradictoryNotRun = "denied"   // says beside its success that it did not execute it
-	Failing             = "failing"  // answers that it failed
-	Slow                = "slow"     // takes two seconds more
-	Overloaded          = "full"     // does not execute it, and says so
-	RejectedLate        = "late"     // does not execute it, and says so after the time of a request
-	RejectedEarly       = "early"    // does not execute it, says so before the body came, and reads no more
+	CloseUnanswered     = "lose"     // closes the connection without a response
+	Garbage             = "garbage"  // sends bytes that are not HTTP
+	TruncatedHeader     = "halfhead" // closes the connection within the header
+	TruncatedBody       = "cut"      // closes the connection within the body
+	UnframedResponse    = "unframed" // sends no Content-Length and closes the connection
+	OversizedResponse   = "huge"     // sends a body larger than the proxy's limit
+	DuplicateResponse   = "twice"    // sends the response twice
+	SurplusResponse     = "surplus"  // sends the previous request's response before the right one
+	SwappedResponse     = "swapped"  // sends the previous request's response instead of the right one
+	Unsealed            = "unsealed" // omits the seal
+	ContradictoryNotRun = "denied"   // sends a success with HeaderNotRun set
+	Failing             = "failing"  // responds with status 500
+	Slow                = "slow"     // waits slowDelay before it responds
+	Overloaded          = "full"     // rejects the request without executing it; opaque servers only
+	RejectedLate        = "late"     // rejects the request after the service time without executing it
+	RejectedEarly       = "early"    // rejects the request without reading its body or executing it; opaque servers only
 )
--- a/internal/standin/opaque.go
+++ b/internal/standin/opaque.go
@@ -10,24 +10,24 @@
 	"github.com/sumactrestle/sumactrestle/internal/proxy"
 )
 
-// Headers of opaque services and clients. There the seal means nothing to a proxy: only the
-// client can check it. The client names each attempt, each response names its request, and a
-// server says in a header that it did not execute one.
+// Headers of opaque services and clients. Their seal can be checked only by the client, not by
+// the proxy. The client assigns an ID to each attempt, each response contains the ID of its
+// request, and a server that did not execute a request says so in a header.
 const (
 	HeaderNotRun           = "Sumac-Not-Run"
 	HeaderExpectedInstance = "Sumac-Instance"
 
-	// HeaderActingEpoch and HeaderActingProxy are the simulator's own: the epoch under which
-	// a proxy forwarded the request, and the proxy's address.
+	// HeaderActingEpoch and HeaderActingProxy are added by the simulator only: the epoch under
+	// which a proxy forwarded the request, and the proxy's address.
 	HeaderActingEpoch = "X-Acts-On"
 	HeaderActingProxy = "X-Acts-As"
 )
 
-// earlyLinger is how long the connection of an early rejection stays open.
-const earlyLinger = 5 * time.Second
+// earlyRejectionCloseDelay is how long the connection stays open after an early rejection.
+const earlyRejectionCloseDelay = 5 * time.Second
 
-// reject answers a request that is not to be executed here: it is meant for another
-// instance, or the server is overloaded.
+// reject rejects a request that is addressed to another instance or that misbehavior makes the
+// server reject as overloaded. It reports whether it did.
 func (s *Server) reject(w http.ResponseWriter, r *http.Request, misbehavior string) bool {
 	var status int
 	switch {
@@ -45,8 +45,8 @@
 	return true
 }
 
-// rejectEarly answers while the body is still on its way, and leaves the connection open
-// without reading on.
+// rejectEarly responds without reading the body and leaves the connection open for
+// earlyRejectionCloseDelay without reading from it.
 func (s *Server) rejectEarly(w http.ResponseWriter, r *http.Request) {
 	requestID := s.recordRejection(r, http.StatusServiceUnavailable)
 	conn, _, err := w.(http.Hijacker).Hijack()
@@ -54,19 +54,19 @@
 		return
 	}
 	fmt.Fprintf(conn, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n%s: %s\r\n%s: 1\r\n\r\n", proxy.HeaderRequestID, requestID, HeaderNotRun)
-	time.Sleep(earlyLinger)
+	time.Sleep(earlyRejectionCloseDelay)
 	conn.Close()
 }
 
 func (s *Server) recordRejection(r *http.Request, status int) (requestID string) {
-	record := s.recordOf(r, checker.RequestRejected)
+	record := s.newRecord(r, checker.RequestRejected)
 	record.Status = status
 	s.History.Add(record)
 	return record.RequestID
 }
 
-// opaqueOutcome returns how an opaque client's request ended, by the response alone. A
-// refusal that can't be read has neither outcome nor code.
+// opaqueOutcome returns the outcome and the numbered code of an opaque client's request, derived
+// from the response's status and body. Both are zero if an error response can't be decoded.
 func opaqueOutcome(status int, body []byte) (outcome string, code int) {
 	if status == http.StatusOK {
 		return checker.OutcomeRan, 0
--- a/internal/standin/operator.go
+++ b/internal/standin/operator.go
@@ -12,8 +12,8 @@
 	"github.com/sumactrestle/sumactrestle/internal/errcode"
 )
 
-// MissingService is a service that is in no configuration; a change set that leads to it is
-// invalid.
+// MissingService is the name of a service that no configuration contains. A change set with a
+// route to it is invalid.
 const MissingService = "nowhere"
 
 const (
@@ -23,19 +23,19 @@
 
 // Operator submits change sets through one node.
 type Operator struct {
-	History *checker.History
-	Client  *api.Client
-	paths   sync.Map // of the routes last seen in force, by name
+	History    *checker.History
+	Client     *api.Client
+	routePaths sync.Map // by route name, as of the last call of Epoch that returned the route
 }
 
-// NewOperator makes an operator at a host, who uses the API of the node at an address.
+// NewOperator returns an operator that dials from host and uses the API of the node at address.
 func NewOperator(host environment.Host, history *checker.History, address string) *Operator {
 	return &Operator{History: history, Client: NewAPIClient(host, address)}
 }
 
 // Submit sends a change set and records the response.
 func (o *Operator) Submit(ctx context.Context, change *api.Change) (*api.ChangeReceipt, error) {
-	record := o.recordOf(change)
+	record := o.newRecord(change)
 	ctx, cancel := context.WithTimeout(ctx, submitTimeout)
 	defer cancel()
 	response, err := o.Client.Submit(ctx, change)
@@ -52,11 +52,12 @@
 	return response, err
 }
 
-// recordOf returns a record of a change set that begins now, with where it leads each path.
-func (o *Operator) recordOf(change *api.Change) checker.Record {
+// newRecord returns a record of a change set that is submitted now, with the new destinations of
+// each path that it changes.
+func (o *Operator) newRecord(change *api.Change) checker.Record {
 	record := checker.Record{Kind: checker.ChangeSubmitted, Start: o.History.Now(), Name: change.ID, BaseEpoch: change.Base, ReplacesAll: change.Whole.Value, Destinations: map[string]string{}}
 	for _, name := range change.Drop.Value.Mappings {
-		if path, ok := o.paths.Load(name); ok {
+		if path, ok := o.routePaths.Load(name); ok {
 			record.Destinations[path.(string)] = ""
 		}
 	}
@@ -72,8 +73,8 @@
 	return record
 }
 
-// QueryChange asks what became of a change set: it is accepted, absent or unknown. Absence
-// is no error.
+// QueryChange queries and records the outcome of a change set: accepted, absent or unknown. An
+// absent change set is not an error.
 func (o *Operator) QueryChange(ctx context.Context, id string) (outcome string, err error) {
 	record := checker.Record{Kind: checker.ChangeQueried, Start: o.History.Now(), Name: id}
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
@@ -92,7 +93,8 @@
 	return record.Outcome, err
 }
 
-// Epoch reads the epoch in force, and remembers the paths of its routes.
+// Epoch returns the epoch in force and stores the paths of its routes, which records of later
+// change sets need.
 func (o *Operator) Epoch(ctx context.Context) (*api.EpochView, error) {
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
@@ -101,7 +103,7 @@
 		return view, err
 	}
 	for _, route := range view.Config.Mappings {
-		o.paths.Store(route.Name, route.Path)
+		o.routePaths.Store(route.Name, route.Path)
 	}
 	return view, nil
 }
--- a/internal/standin/timestamps.go
+++ b/internal/standin/timestamps.go
@@ -11,18 +11,19 @@
 )
 
 const (
-	// timestampTimeout bounds the wait for the kernel's first time of a receipt.
+	// timestampTimeout is how long StartTimestamps waits for the kernel's first timestamp.
 	timestampTimeout = 2 * time.Second
-	// timestampProbeInterval is the pause between two probes.
+	// timestampProbeInterval is the time between two probes.
 	timestampProbeInterval = time.Millisecond
 )
 
-// errNoTimestamps means that the kernel tells no times of receipts.
-var errNoTimestamps = errors.New("the kernel notes no times of receipts")
+// errNoTimestamps is returned by StartTimestamps if no probe was timestamped.
+var errNoTimestamps = errors.New("the kernel does not timestamp received data")
 
-// StartTimestamps has the kernel note when data comes, and returns when it does: it begins some
-// time after the first socket asks for it, and what comes before has no time. It goes on for as
-// long as any socket asks; the function that is returned ends this one's asking.
+// StartTimestamps makes the kernel timestamp received data and waits until it does. The kernel
+// starts to timestamp some time after the first socket enables it; data received earlier has no
+// timestamp. It continues for as long as any socket has timestamps enabled, which one socket does
+// until stop is called.
 func StartTimestamps() (stop func(), err error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -38,15 +39,15 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := awaitTimestamp(sender, conn.(*net.TCPConn)); err != nil {
+	if err := waitForTimestamp(sender, conn.(*net.TCPConn)); err != nil {
 		conn.Close()
 		return nil, err
 	}
 	return func() { conn.Close() }, nil
 }
 
-// awaitTimestamp sends bytes to a receiver until one comes with its time.
-func awaitTimestamp(sender net.Conn, receiver *net.TCPConn) error {
+// waitForTimestamp sends single bytes to receiver until one arrives with a timestamp.
+func waitForTimestamp(sender net.Conn, receiver *net.TCPConn) error {
 	raw, err := receiver.SyscallConn()
 	if err != nil {
 		return err
@@ -54,8 +55,8 @@
 	if err := enableTimestamps(raw); err != nil {
 		return err
 	}
-	began := time.Now()
-	for time.Since(began) < timestampTimeout {
+	startedAt := time.Now()
+	for time.Since(startedAt) < timestampTimeout {
 		if _, err := sender.Write([]byte{0}); err != nil {
 			return err
 		}
@@ -63,7 +64,7 @@
 		if err != nil {
 			return err
 		}
-		if _, isKnown := kernelAge(control); isKnown {
+		if _, isKnown := receiptAge(control); isKnown {
 			return nil
 		}
 		<-time.After(timestampProbeInterval)
@@ -71,51 +72,51 @@
 	return errNoTimestamps
 }
 
-// enableTimestamps has the kernel tell with a socket's data when it came.
+// enableTimestamps makes the kernel return a receive timestamp with a socket's data.
 func enableTimestamps(raw syscall.RawConn) error {
 	var err error
-	failed := raw.Control(func(fd uintptr) {
+	controlErr := raw.Control(func(fd uintptr) {
 		err = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_TIMESTAMPNS, 1)
 	})
-	if failed != nil {
-		return failed
+	if controlErr != nil {
+		return controlErr
 	}
 	return err
 }
 
-// receive waits for data, and returns its size and the control messages that came with it. An
-// error of the system call is a syscall.Errno.
+// receive waits for data and returns its size and control messages. An error of the system call
+// is a syscall.Errno.
 func receive(raw syscall.RawConn, buffer []byte) (n int, control []byte, err error) {
 	control = make([]byte, unix.CmsgSpace(int(unsafe.Sizeof(unix.Timespec{}))))
 	var controlSize int
-	failed := raw.Read(func(fd uintptr) bool {
+	readErr := raw.Read(func(fd uintptr) bool {
 		n, controlSize, _, _, err = unix.Recvmsg(int(fd), buffer, control, 0)
 		return err != unix.EAGAIN && err != unix.EINTR
 	})
-	if failed != nil {
-		return 0, nil, failed
+	if readErr != nil {
+		return 0, nil, readErr
 	}
 	return n, control[:controlSize], err
 }
 
-// kernelAge reads from the control messages that came beside data how long ago the kernel received
-// it; false if they don't tell.
-func kernelAge(control []byte) (time.Duration, bool) {
+// receiptAge returns how long ago the kernel received the data that came with these control
+// messages. It returns false if they contain no timestamp.
+func receiptAge(control []byte) (time.Duration, bool) {
 	messages, err := unix.ParseSocketControlMessage(control)
 	if err != nil {
 		return 0, false
 	}
 	for _, m := range messages {
-		isTime := m.Header.Level == unix.SOL_SOCKET && m.Header.Type == unix.SO_TIMESTAMPNS
-		if !isTime || len(m.Data) < int(unsafe.Sizeof(unix.Timespec{})) {
+		isTimestamp := m.Header.Level == unix.SOL_SOCKET && m.Header.Type == unix.SO_TIMESTAMPNS
+		if !isTimestamp || len(m.Data) < int(unsafe.Sizeof(unix.Timespec{})) {
 			continue
 		}
-		received := (*unix.Timespec)(unsafe.Pointer(&m.Data[0]))
+		receivedAt := (*unix.Timespec)(unsafe.Pointer(&m.Data[0]))
 		var now unix.Timespec
 		if unix.ClockGettime(unix.CLOCK_REALTIME, &now) != nil {
 			return 0, false
 		}
-		return time.Duration(now.Nano() - received.Nano()), true
+		return time.Duration(now.Nano() - receivedAt.Nano()), true
 	}
 	return 0, false
 }
