--- a/internal/approved/fill_test.go
+++ b/internal/approved/fill_test.go
@@ -1,6 +1,6 @@
-// Package approved holds what other builds, disks and callers know of this one: the
-// JSON of messages and records, byte for byte. Go names may change; what stands in
-// testdata may not.
+// Package approved tests that the formats read by other builds, by callers and from existing data
+// folders stay the same. It compares the JSON of messages and records and the responses of a node
+// with the approved files in testdata, byte for byte. Go names may change; these files may not.
 package approved
 
 import (
@@ -12,7 +12,7 @@
 	"testing"
 )
 
-// jsonName is the name of a field in JSON; none if it isn't written.
+// jsonName returns the JSON name of a field, or "" if the field isn't marshalled.
 func jsonName(f reflect.StructField) string {
 	name, _, _ := strings.Cut(f.Tag.Get("json"), ",")
 	switch {
@@ -24,20 +24,20 @@
 	return name
 }
 
-var rawType = reflect.TypeFor[json.RawMessage]()
+var rawMessageType = reflect.TypeFor[json.RawMessage]()
 
-// fill gives everything a value that is not zero, hangs on its path in JSON alone, and
-// stands once; used is the numbers that are given out.
-func fill(t *testing.T, v reflect.Value, path string, used map[uint64]bool) {
+// fill sets every value in v to a non-zero value that depends only on its JSON path, so that
+// renamed Go fields don't change it. Numbers are unique; usedNumbers contains those already set.
+func fill(t *testing.T, v reflect.Value, path string, usedNumbers map[uint64]bool) {
 	t.Helper()
 	h := fnv.New32a()
 	h.Write([]byte(path))
 	number := uint64(h.Sum32()%100000 + 1)
-	for used[number] {
+	for usedNumbers[number] {
 		number++
 	}
-	used[number] = true
-	if v.Type() == rawType {
+	usedNumbers[number] = true
+	if v.Type() == rawMessageType {
 		raw, _ := json.Marshal(map[string]string{"raw": path})
 		v.SetBytes(raw)
 		return
@@ -47,30 +47,30 @@
 		for i := range v.NumField() {
 			f := v.Type().Field(i)
 			if f.Anonymous && f.Tag.Get("json") == "" {
-				fill(t, v.Field(i), path, used)
+				fill(t, v.Field(i), path, usedNumbers)
 			} else if name := jsonName(f); name != "" {
-				fill(t, v.Field(i), path+"."+name, used)
+				fill(t, v.Field(i), path+"."+name, usedNumbers)
 			}
 		}
 	case reflect.Pointer:
 		v.Set(reflect.New(v.Type().Elem()))
-		fill(t, v.Elem(), path, used)
+		fill(t, v.Elem(), path, usedNumbers)
 	case reflect.Slice:
 		if v.Type().Elem().Kind() == reflect.Uint8 {
 			v.SetBytes([]byte(path))
 			return
 		}
 		v.Set(reflect.MakeSlice(v.Type(), 2, 2))
-		fill(t, v.Index(0), path+"[0]", used)
-		fill(t, v.Index(1), path+"[1]", used)
+		fill(t, v.Index(0), path+"[0]", usedNumbers)
+		fill(t, v.Index(1), path+"[1]", usedNumbers)
 	case reflect.Array:
 		for i := range v.Len() {
-			fill(t, v.Index(i), path+"[]", used)
+			fill(t, v.Index(i), path+"[]", usedNumbers)
 		}
 	case reflect.Map:
 		key, value := reflect.New(v.Type().Key()).Elem(), reflect.New(v.Type().Elem()).Elem()
-		fill(t, key, path+"{key}", used)
-		fill(t, value, path+"{value}", used)
+		fill(t, key, path+"{key}", usedNumbers)
+		fill(t, value, path+"{value}", usedNumbers)
 		v.Set(reflect.MakeMap(v.Type()))
 		v.SetMapIndex(key, value)
 	case reflect.String:
@@ -90,40 +90,41 @@
 	}
 }
 
-// kind is a type under an id that stays whatever the type is called.
-type kind struct {
+// jsonType is a type with an ID that doesn't change when the Go type is renamed.
+type jsonType struct {
 	id   string
 	zero any
 }
 
-// show is each type's JSON, filled and empty, and it must be read back to the same.
-func show(t *testing.T, kinds []kind) string {
+// renderJSON returns the JSON of each type, filled and empty, and checks that unmarshalling and
+// marshalling it again gives the same bytes.
+func renderJSON(t *testing.T, types []jsonType) string {
 	t.Helper()
 	var out strings.Builder
-	seen := map[string]bool{}
-	for _, k := range kinds {
-		if seen[k.id] {
-			t.Errorf("id %s stands twice", k.id)
+	ids := map[string]bool{}
+	for _, typ := range types {
+		if ids[typ.id] {
+			t.Errorf("duplicate ID %s", typ.id)
 		}
-		seen[k.id] = true
-		full := reflect.New(reflect.TypeOf(k.zero))
-		fill(t, full.Elem(), k.id, map[uint64]bool{})
-		empty := reflect.New(reflect.TypeOf(k.zero))
-		for _, what := range []struct {
+		ids[typ.id] = true
+		full := reflect.New(reflect.TypeOf(typ.zero))
+		fill(t, full.Elem(), typ.id, map[uint64]bool{})
+		empty := reflect.New(reflect.TypeOf(typ.zero))
+		for _, variant := range []struct {
 			name  string
 			value any
 		}{{"full", full.Interface()}, {"empty", empty.Interface()}} {
-			raw, err := json.Marshal(what.value)
+			raw, err := json.Marshal(variant.value)
 			if err != nil {
-				t.Fatalf("%s: %v", k.id, err)
+				t.Fatalf("%s: %v", typ.id, err)
 			}
-			back := reflect.New(reflect.TypeOf(k.zero))
-			if err := json.Unmarshal(raw, back.Interface()); err != nil {
-				t.Errorf("%s: %s is not read: %v", k.id, what.name, err)
-			} else if again, _ := json.Marshal(back.Interface()); !bytes.Equal(raw, again) {
-				t.Errorf("%s: %s is read otherwise:\n%s\n%s", k.id, what.name, raw, again)
+			decoded := reflect.New(reflect.TypeOf(typ.zero))
+			if err := json.Unmarshal(raw, decoded.Interface()); err != nil {
+				t.Errorf("%s: %s JSON can't be unmarshalled: %v", typ.id, variant.name, err)
+			} else if reencoded, _ := json.Marshal(decoded.Interface()); !bytes.Equal(raw, reencoded) {
+				t.Errorf("%s: %s JSON changes when read and written again:\n%s\n%s", typ.id, variant.name, raw, reencoded)
 			}
-			out.WriteString(k.id + " " + what.name + " " + string(raw) + "\n")
+			out.WriteString(typ.id + " " + variant.name + " " + string(raw) + "\n")
 		}
 	}
 	return out.String()
--- a/internal/approved/messages_test.go
+++ b/internal/approved/messages_test.go
@@ -14,8 +14,8 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// messages are all generated types of messages between nodes and of stored records.
-var messages = []kind{
+// messages lists all generated types of messages between nodes and of stored records.
+var messages = []jsonType{
 	{"frame", rpc.Frame{}},
 	{"peer", rpc.Peer{}},
 	{"member", rpc.Member{}},
@@ -82,20 +82,20 @@
 	{"mend-ask", rpc.RepairRequest{}},
 }
 
-func TestMessagesAreAsApproved(t *testing.T) {
-	transcript.Compare(t, "messages.txt", show(t, messages))
+func TestMessages_JSONMatchesApproved(t *testing.T) {
+	transcript.Compare(t, "messages.txt", renderJSON(t, messages))
 }
 
-// TestAllMessagesAreApproved finds a generated type that is missing above.
-func TestAllMessagesAreApproved(t *testing.T) {
+// Each generated type must be listed in messages, so that its JSON is compared.
+func TestMessages_AllGeneratedTypesAreListed(t *testing.T) {
 	first := reflect.TypeOf(messages[0].zero)
 	folder := filepath.Join("..", filepath.Base(first.PkgPath()))
-	known := map[string]bool{}
-	for _, k := range messages {
-		if reflect.TypeOf(k.zero).PkgPath() != first.PkgPath() {
-			t.Errorf("%s is not of %s", k.id, first.PkgPath())
+	listed := map[string]bool{}
+	for _, typ := range messages {
+		if reflect.TypeOf(typ.zero).PkgPath() != first.PkgPath() {
+			t.Errorf("%s is not a type of %s", typ.id, first.PkgPath())
 		}
-		known[reflect.TypeOf(k.zero).Name()] = true
+		listed[reflect.TypeOf(typ.zero).Name()] = true
 	}
 	files, err := filepath.Glob(filepath.Join(folder, "*_gen.go"))
 	if err != nil || len(files) == 0 {
@@ -114,13 +114,13 @@
 			}
 			for _, s := range g.Specs {
 				name := s.(*ast.TypeSpec).Name.Name
-				if count++; !known[name] {
-					t.Errorf("%s %s has no approved JSON", strings.TrimPrefix(file, "../"), name)
+				if count++; !listed[name] {
+					t.Errorf("%s %s is not listed in messages", strings.TrimPrefix(file, "../"), name)
 				}
 			}
 		}
 	}
 	if count != len(messages) {
-		t.Errorf("%d types are generated, %d approved", count, len(messages))
+		t.Errorf("%d types are generated, %d are listed in messages", count, len(messages))
 	}
 }
--- a/internal/approved/records_test.go
+++ b/internal/approved/records_test.go
@@ -19,22 +19,22 @@
 	"github.com/sumactrestle/sumactrestle/internal/standin"
 )
 
-// records are the types beside the generated messages that are written as JSON: for
-// the disk, for histories and figures that are read again, and between stand-ins.
-var records = []kind{
+// records lists the types that are stored or sent as JSON but are not generated messages: records
+// on disk, histories, settings, and responses between the servers and clients of package standin.
+var records = []jsonType{
 	{"term", ids.Term{}},
 	{"history-record", checker.Record{}},
 	{"stand-in-answer", standin.Response{}},
 	{"settings", config.Settings{}},
 }
 
-func TestRecordsAreAsApproved(t *testing.T) {
-	transcript.Compare(t, "records.txt", show(t, records))
+func TestRecords_JSONMatchesApproved(t *testing.T) {
+	transcript.Compare(t, "records.txt", renderJSON(t, records))
 }
 
-// TestApiIsAsApproved holds the calls of the API and the names in their JSON; what the
-// schema calls its types and operations may change.
-func TestApiIsAsApproved(t *testing.T) {
+// The test compares the calls of the API and the names in their JSON with the approved ones. The
+// schema's names of types and operations may change.
+func TestAPI_SchemaMatchesApproved(t *testing.T) {
 	raw, err := os.ReadFile(filepath.Join("..", "..", "schema", "api.yaml"))
 	if err != nil {
 		t.Fatal(err)
@@ -52,7 +52,8 @@
 	transcript.Compare(t, "api.txt", strings.Join(lines, "\n")+"\n")
 }
 
-// flatten writes a line for each leaf, with references resolved and no descriptions.
+// flatten appends one line per leaf of node to lines. It resolves references and omits
+// descriptions and operation IDs.
 func flatten(t *testing.T, doc map[string]any, node any, path string, lines *[]string) {
 	switch n := node.(type) {
 	case map[string]any:
@@ -61,11 +62,11 @@
 				*lines = append(*lines, path+" problem")
 				return
 			}
-			var to any = doc
-			for _, step := range strings.Split(strings.TrimPrefix(ref, "#/"), "/") {
-				to = to.(map[string]any)[step]
+			var target any = doc
+			for _, key := range strings.Split(strings.TrimPrefix(ref, "#/"), "/") {
+				target = target.(map[string]any)[key]
 			}
-			flatten(t, doc, to, path, lines)
+			flatten(t, doc, target, path, lines)
 			return
 		}
 		if len(n) == 0 {
--- a/tools/mutate/fit_test.go
+++ b/tools/mutate/fit_test.go
@@ -12,10 +12,9 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// TestEveryMutantFitsTheCode keeps proof/mutants.yaml true while code moves: a
-// mutant whose text is nowhere, or in more places than one, or whose test is not there,
-// tests nothing.
-func TestEveryMutantFitsTheCode(t *testing.T) {
+// TestMutants_ApplyToCode checks that proof/mutants.yaml fits the current code. A mutant tests
+// nothing if its text does not occur, if it occurs more than once, or if its test does not exist.
+func TestMutants_ApplyToCode(t *testing.T) {
 	root := filepath.Join("..", "..")
 	raw, err := os.ReadFile(filepath.Join(root, "proof", "mutants.yaml"))
 	if err != nil {
@@ -27,11 +26,11 @@
 	}
 	tests := map[string]bool{}
 	for _, folder := range testFolders {
-		maps.Copy(tests, testsUnder(t, filepath.Join(root, folder)))
+		maps.Copy(tests, findTests(t, filepath.Join(root, folder)))
 	}
 	for _, m := range mutants {
 		if m.Test != "" && !tests[m.Test] {
-			t.Errorf("%s: there is no test %s", m.Name, m.Test)
+			t.Errorf("%s: test %s does not exist", m.Name, m.Test)
 		}
 		for _, change := range append([]replacement{m.replacement}, m.More...) {
 			code, err := os.ReadFile(filepath.Join(root, change.File))
@@ -40,14 +39,14 @@
 				continue
 			}
 			if n := strings.Count(string(code), change.Old); n == 0 || n > 1 && !change.Last {
-				t.Errorf("%s: its text is %d times in %s", m.Name, n, change.File)
+				t.Errorf("%s: its text occurs %d times in %s", m.Name, n, change.File)
 			}
 		}
 	}
 }
 
-// testsUnder is the names of all tests in a folder.
-func testsUnder(t *testing.T, folder string) map[string]bool {
+// findTests returns the names of all tests below a folder.
+func findTests(t *testing.T, folder string) map[string]bool {
 	t.Helper()
 	tests, declared := map[string]bool{}, regexp.MustCompile(`(?m)^func (Test\w+)\(`)
 	err := filepath.WalkDir(folder, func(path string, entry fs.DirEntry, err error) error {
@@ -55,8 +54,8 @@
 			return err
 		}
 		code, err := os.ReadFile(path)
-		for _, found := range declared.FindAllSubmatch(code, -1) {
-			tests[string(found[1])] = true
+		for _, match := range declared.FindAllSubmatch(code, -1) {
+			tests[string(match[1])] = true
 		}
 		return err
 	})
--- a/tools/mutate/main.go
+++ b/tools/mutate/main.go
@@ -1,7 +1,7 @@
-// Mutate shows that the tests can fail: it copies the tree, takes one safeguard
-// out at a time as proof/mutants.yaml says, and demands that the run named
-// breaks the rule named. A mutant that is said to survive must do so for the
-// reason given there; if it is caught after all, that is told too.
+// Mutate checks that the tests detect faults. For each mutant in proof/mutants.yaml it removes one
+// safeguard from a copy of the source tree and runs the mutant's test or scenario, which must fail;
+// a scenario must break the mutant's rule. A mutant for which the file gives a reason to survive
+// may pass; if it is caught nevertheless, it is reported as caught.
 package main
 
 import (
@@ -17,27 +17,28 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// replacement is a text of a file and what takes its place; the last of several if Last.
+// replacement replaces the text Old in a file by New. Old must occur once, unless Last is set:
+// then its last occurrence is replaced.
 type replacement struct {
 	File, Old, New string
 	Last           bool
 }
 
-// mutant is the code without one safeguard, and the run that must show it.
+// mutant describes how to remove one safeguard, and the run that must then fail.
 type mutant struct {
 	Name        string
 	replacement `yaml:",inline"`
 	More        []replacement
 
 	Scenario, Rule, Survives string
-	Mode                     string `yaml:"manner"` // of fleets; the brief's if empty
-	Test                     string // a test that must fail, in place of a scenario
+	Mode                     string `yaml:"manner"` // mode of the simulated fleet; "brief" if empty
+	Test                     string // test that must fail; replaces the scenario
 }
 
-// testFolders hold the tests that judge mutants; the code of a mutant needs otherFolders as well.
+// testFolders contain the tests that are run on mutants. supportPaths are also needed to build them.
 var (
 	testFolders  = []string{"cmd", "fencing", "internal"}
-	otherFolders = []string{"go.mod", "go.sum", "platform"}
+	supportPaths = []string{"go.mod", "go.sum", "platform"}
 )
 
 func main() {
@@ -48,23 +49,23 @@
 	must(err)
 	var mutants []mutant
 	must(yaml.Unmarshal(raw, &mutants))
-	folder, err := os.MkdirTemp("", "mutate-")
+	tempFolder, err := os.MkdirTemp("", "mutate-")
 	must(err)
-	defer os.RemoveAll(folder)
+	defer os.RemoveAll(tempFolder)
 	failures := 0
 	for _, m := range mutants {
 		if !strings.Contains(m.Name, *only) {
 			continue
 		}
-		verdict, isFine := attempt(m, folder, *seeds)
-		if !isFine {
+		verdict, isExpected := tryMutant(m, tempFolder, *seeds)
+		if !isExpected {
 			failures++
 		}
 		fmt.Printf("%-60s %-14s %s\n", m.Name, m.Scenario, verdict)
 	}
 	if failures > 0 {
-		fmt.Printf("%d mutants were not caught\n", failures)
-		os.RemoveAll(folder)
+		fmt.Printf("%d mutants failed: not caught, not applicable, or failed for another reason\n", failures)
+		os.RemoveAll(tempFolder)
 		os.Exit(1)
 	}
 }
@@ -76,11 +77,12 @@
 	}
 }
 
-func attempt(m mutant, folder, seeds string) (string, bool) {
-	tree := filepath.Join(folder, "tree")
+// tryMutant tests one mutant and returns a verdict, and false if the mutant counts as a failure.
+func tryMutant(m mutant, tempFolder, seeds string) (string, bool) {
+	tree := filepath.Join(tempFolder, "tree")
 	must(os.RemoveAll(tree))
 	must(os.MkdirAll(tree, 0o755))
-	for _, name := range slices.Concat(testFolders, otherFolders) {
+	for _, name := range slices.Concat(testFolders, supportPaths) {
 		must(exec.Command("cp", "-r", name, tree).Run())
 	}
 	for _, change := range append([]replacement{m.replacement}, m.More...) {
@@ -89,22 +91,22 @@
 		must(err)
 		n := strings.Count(string(text), change.Old)
 		if n == 0 || n > 1 && !change.Last {
-			return fmt.Sprintf("can't be made: %q stands %d times in %s", change.Old, n, change.File), false
+			return fmt.Sprintf("not applicable: %q occurs %d times in %s", change.Old, n, change.File), false
 		}
-		at := strings.LastIndex(string(text), change.Old)
-		must(os.WriteFile(path, []byte(string(text[:at])+change.New+string(text[at+len(change.Old):])), 0o644))
+		offset := strings.LastIndex(string(text), change.Old)
+		must(os.WriteFile(path, []byte(string(text[:offset])+change.New+string(text[offset+len(change.Old):])), 0o644))
 	}
 	if m.Test != "" {
 		arguments := []string{"test", "-v", "-run", "^" + m.Test + "$", "-count=1", "-timeout", "240s"}
 		for _, name := range testFolders {
 			arguments = append(arguments, "./"+name+"/...")
 		}
-		run := exec.Command("go", arguments...)
-		run.Dir = tree
-		out, err := run.CombinedOutput()
-		if err == nil || !isFailed(string(out), m.Test) {
+		command := exec.Command("go", arguments...)
+		command.Dir = tree
+		output, err := command.CombinedOutput()
+		if err == nil || !hasTestFailed(string(output), m.Test) {
 			if m.Survives != "" {
-				return "survives, as said: " + m.Survives, true
+				return "survives as expected: " + m.Survives, true
 			}
 			return "SURVIVES " + m.Test, false
 		}
@@ -114,46 +116,46 @@
 	if mode == "" {
 		mode = "brief"
 	}
-	run := exec.Command("go", "test", "./internal/simulator", "-run", "TestSeeds", "-count=1", "-timeout", "240s", "-seeds", seeds, "-scenario", m.Scenario, "-manner", mode)
-	run.Dir = tree
-	out, err := run.CombinedOutput()
-	broken := regexp.MustCompile(`BROKEN (\S+)`).FindAllStringSubmatch(string(out), -1)
+	command := exec.Command("go", "test", "./internal/simulator", "-run", "TestSeeds", "-count=1", "-timeout", "240s", "-seeds", seeds, "-scenario", m.Scenario, "-manner", mode)
+	command.Dir = tree
+	output, err := command.CombinedOutput()
+	matches := regexp.MustCompile(`BROKEN (\S+)`).FindAllStringSubmatch(string(output), -1)
 	rules := map[string]int{}
-	for _, b := range broken {
-		rules[b[1]]++
+	for _, match := range matches {
+		rules[match[1]]++
 	}
-	if strings.Contains(string(out), "panic: ") && !strings.Contains(string(out), "panic: test timed out") {
+	if strings.Contains(string(output), "panic: ") && !strings.Contains(string(output), "panic: test timed out") {
 		rules["panic"]++
 	}
 	isCaught := false
-	wanted := regexp.MustCompile("^(" + m.Rule + ")$")
+	rulePattern := regexp.MustCompile("^(" + m.Rule + ")$")
 	for rule := range rules {
-		isCaught = isCaught || wanted.MatchString(rule)
+		isCaught = isCaught || rulePattern.MatchString(rule)
 	}
 	switch {
 	case err != nil && len(rules) == 0:
-		lines := strings.Split(strings.TrimSpace(string(out)), "\n")
-		return "failed otherwise: " + strings.Join(lines[:min(3, len(lines))], " | "), false
+		lines := strings.Split(strings.TrimSpace(string(output)), "\n")
+		return "failed without a broken rule: " + strings.Join(lines[:min(3, len(lines))], " | "), false
 	case isCaught:
 		return fmt.Sprintf("caught %v", rules), true
 	case m.Survives != "":
-		return fmt.Sprintf("survives, as said: %s (broken otherwise: %v)", m.Survives, rules), true
+		return fmt.Sprintf("survives as expected: %s (other rules broken: %v)", m.Survives, rules), true
 	}
 	return fmt.Sprintf("SURVIVES; rules broken: %v", rules), false
 }
 
-// isFailed tells from what go test -v wrote whether the test failed, or ended its process
-// by a panic, in its own goroutine or another. A panic before the test began or after it
-// passed, and one of a process that ran too long, is none of the test's.
-func isFailed(out, test string) bool {
-	if strings.Contains("\n"+out, "\n--- FAIL: "+test+" (") {
+// hasTestFailed reports whether the output of go test -v shows that the test failed or that its
+// process panicked while the test ran, in any goroutine. It does not count a panic before the test
+// started or after it passed, nor one caused by the test time-out.
+func hasTestFailed(output, test string) bool {
+	if strings.Contains("\n"+output, "\n--- FAIL: "+test+" (") {
 		return true
 	}
-	_, ran, isRun := strings.Cut("\n"+out, "\n=== RUN   "+test+"\n")
-	if !isRun {
+	_, testOutput, isStarted := strings.Cut("\n"+output, "\n=== RUN   "+test+"\n")
+	if !isStarted {
 		return false
 	}
-	ran, _, _ = strings.Cut("\n"+ran, "\nFAIL\t") // what follows is another package's
-	before, panicked, isPanic := strings.Cut(ran, "\npanic: ")
-	return isPanic && !strings.Contains(before, "\n--- PASS: "+test+" (") && !strings.HasPrefix(panicked, "test timed out")
+	testOutput, _, _ = strings.Cut("\n"+testOutput, "\nFAIL\t") // the rest is the output of other packages
+	beforePanic, panicText, isPanic := strings.Cut(testOutput, "\npanic: ")
+	return isPanic && !strings.Contains(beforePanic, "\n--- PASS: "+test+" (") && !strings.HasPrefix(panicText, "test timed out")
 }
