--- a/cmd/sumac/check.go
+++ b/cmd/sumac/check.go
@@ -20,7 +20,7 @@
 		return errcode.New(errcode.InvalidCall, "--change, --settings and --props with --set are checked one at a time; see sumac check --help")
 	}
 	if change == "" && cmd.Bool("objects") {
-		return errcode.New(errcode.InvalidCall, "--objects is of --change, which is missing; see sumac check --help")
+		return errcode.New(errcode.InvalidCall, "--objects requires --change; see sumac check --help")
 	}
 	switch {
 	case change != "":
--- a/cmd/sumac/client.go
+++ b/cmd/sumac/client.go
@@ -13,7 +13,7 @@
 // newClient returns a client of the API at the address given by --api.
 func newClient(cmd *cli.Command) (*api.Client, error) {
 	if cmd.String("api") == "" {
-		return nil, errcode.New(errcode.InvalidCall, "--api names no address; see %s --help", cmd.FullName())
+		return nil, errcode.New(errcode.InvalidCall, "--api is empty; see %s --help", cmd.FullName())
 	}
 	client, err := api.NewClient("http://" + cmd.String("api"))
 	if err != nil {
--- a/cmd/sumac/main_test.go
+++ b/cmd/sumac/main_test.go
@@ -62,9 +62,9 @@
 			if exit := commandline.ExitCode(err); exit != c.exit {
 				t.Errorf("exit %d, want %d", exit, c.exit)
 			}
-			for _, word := range c.texts {
-				if !strings.Contains(commandline.Describe(err), word) {
-					t.Errorf("error %q does not contain %q", commandline.Describe(err), word)
+			for _, text := range c.texts {
+				if !strings.Contains(commandline.Describe(err), text) {
+					t.Errorf("error %q does not contain %q", commandline.Describe(err), text)
 				}
 			}
 		})
--- a/cmd/sumac/node_test.go
+++ b/cmd/sumac/node_test.go
@@ -55,13 +55,13 @@
 	ended := make(chan error, 1)
 	go func() { ended <- run(args...) }()
 	client := http.Client{Timeout: testTimeout}
-	for began := time.Now(); ; {
+	for start := time.Now(); ; {
 		response, err := client.Get("http://" + api + "/metrics")
 		if err == nil {
 			response.Body.Close()
 			return ended
 		}
-		if time.Since(began) > testTimeout {
+		if time.Since(start) > testTimeout {
 			t.Fatal("the node did not start serving:", err)
 		}
 	}
--- a/cmd/sumac/shell.go
+++ b/cmd/sumac/shell.go
@@ -63,15 +63,17 @@
 }
 
 // shellHelp is the output of the query help.
-const shellHelp = `members   who is there, as this node sees it
-parts     the replicated parts: owner, term, commit, age of the confirmation
-targets   the servers this node hears, and whether each is in
-ages      how fresh this proxy's plan is (a node with a gate)
+const shellHelp = `members   members of the fleet: state, role, zone, addresses
+parts     shard replicas of this node: leader, term, commit index, time since confirmation
+targets   targets whose heartbeats this node receives, and their states
+ages      epoch of this proxy, and time since it was confirmed (proxies only)
 epoch     the epoch in force: number, services and their targets
-counts    counters      traffic   messages and bytes to other processes, by kind
-events    newest log events       node      this node
-latency   how long requests, calls, syncs took: median, 99 and 99.9 of a hundred, most
-A query may be followed by words; only rows holding all of them are shown.
+counts    counters: events, request outcomes, requests in flight, disk syncs
+traffic   messages and bytes sent to other processes, by kind
+events    newest log events
+node      name, zone, roles and readiness of this node
+latency   durations of requests, calls and disk syncs: median, percentiles 99 and 99.9, maximum
+If words follow a query, only rows that contain all of them are shown.
 `
 
 // query runs one query. The first word is its name; only rows that contain all other words are
@@ -98,11 +100,11 @@
 		}
 		return nil
 	}
-	what := api.ShowWhat(words[0])
-	if what.Validate() != nil {
-		return errcode.New(errcode.InvalidCall, "no query %q; try help", words[0])
+	queryName := api.ShowWhat(words[0])
+	if queryName.Validate() != nil {
+		return errcode.New(errcode.InvalidCall, "unknown query %q; try help", words[0])
 	}
-	rows, err := c.Show(limited, api.ShowParams{What: what})
+	rows, err := c.Show(limited, api.ShowParams{What: queryName})
 	if err != nil {
 		return fromAPI(err)
 	}
--- a/internal/harness/command/command.go
+++ b/internal/harness/command/command.go
@@ -1,6 +1,6 @@
 // Package command implements the command line of the harness, which runs fleets of real
-// `sumac node` processes on loopback addresses with stand-in clients and servers and validates
-// the recorded histories.
+// `sumac node` processes on loopback addresses with stand-in clients and servers and checks the
+// recorded histories.
 package command
 
 import (
@@ -34,20 +34,20 @@
 }
 
 func app() *cli.Command {
-	binary := &cli.StringFlag{Name: "sumac", Value: "bin/sumac", Usage: "the `PROGRAM` to run"}
-	folder := &cli.StringFlag{Name: "folder", Usage: "`FOLDER` for data and logs; a fresh temporary one if empty"}
+	binary := &cli.StringFlag{Name: "sumac", Value: "bin/sumac", Usage: "sumac `PROGRAM` to run"}
+	folder := &cli.StringFlag{Name: "folder", Usage: "`FOLDER` for data and logs; a new temporary folder if empty"}
 	return commandline.Strict(&cli.Command{
 		Name:        "harness",
-		Usage:       "run fleets of sumac on this machine",
-		Description: "All runs on loopback addresses. A run that broke a rule or did not come to its end ends with 1 and keeps its logs, a call that can't be read with 2.",
+		Usage:       "run fleets of sumac nodes on this machine",
+		Description: "All processes use loopback addresses. Exits with 1 if a run breaks a rule or does not complete; its logs are kept. Exits with 2 if the command line is invalid.",
 		Commands: []*cli.Command{
-			{Name: "smoke", Usage: "the bounded run of the whole path", Description: "Starts three core nodes, two proxies and stand-in servers, carries a change set to every proxy, kills and wipes nodes, and judges the history.", Flags: []cli.Flag{binary, folder}, Action: func(ctx context.Context, cmd *cli.Command) error {
+			{Name: "smoke", Usage: "run a short end-to-end test", Description: "Starts three core nodes, two proxies and stand-in servers, submits a change set that reaches every proxy, kills, wipes and stops nodes, and checks the history. Exits with 1 if the history breaks a rule or a node does not serve in time.", Flags: []cli.Flag{binary, folder}, Action: func(ctx context.Context, cmd *cli.Command) error {
 				return inFolder(cmd, func(folder string) error {
 					return harness.Smoke(ctx, cmd.String("sumac"), folder, os.Stdout)
 				})
 			}},
-			{Name: "up", Usage: "keep a fleet with stand-in servers running, to look at and to hurt", Description: "Prints how to call it and to look at it, and runs until it is interrupted.", Flags: []cli.Flag{binary, folder,
-				&cli.StringFlag{Name: "shape", Value: "small", Usage: "quoteline, municipality or small"},
+			{Name: "up", Usage: "keep a fleet with stand-in servers running, for inspection and fault injection", Description: "Prints the addresses of the nodes and example commands, and runs until SIGTERM or SIGINT.", Flags: []cli.Flag{binary, folder,
+				&cli.StringFlag{Name: "shape", Value: "small", Usage: "shape of the deployment: quoteline, municipality or small"},
 			}, Action: func(ctx context.Context, cmd *cli.Command) error {
 				shape, err := harness.FindShape(cmd.String("shape"))
 				if err != nil {
@@ -57,19 +57,19 @@
 					return harness.Up(ctx, cmd.String("sumac"), folder, shape, os.Stdout)
 				})
 			}},
-			{Name: "run", Usage: "run a whole deployment under load, with faults drawn from a seed", Description: "Real processes, callers, operators and applications under a load for some time; faults of the kind named are drawn meanwhile. The history is judged at the end, and what was served, sent and spent is printed.", Flags: []cli.Flag{binary, folder,
-				&cli.StringFlag{Name: "shape", Value: "small", Usage: "quoteline, municipality or small"},
-				&cli.FloatFlag{Name: "factor", Value: 0.2, Usage: "the rates are multiplied by this"},
-				&cli.IntFlag{Name: "seconds", Value: 30, Usage: "length of the load"},
-				&cli.StringFlag{Name: "seeds", Value: "1", Usage: "what the faults are drawn from: a number, or FIRST:LAST for a run with each"},
-				&cli.StringFlag{Name: "other", Usage: "another `PROGRAM` of sumac, for --faults roll"},
-				&cli.BoolFlag{Name: "small", Usage: "each process has only the shape's share of a processor, by stopping and continuing it"},
-				&cli.DurationFlag{Name: "work", Usage: "how long a server works on each request"},
-				&cli.FloatFlag{Name: "eager", Value: -1, Usage: "share of callers that repeat a failed order at once; the shape's if below zero"},
-				&cli.StringFlag{Name: "faults", Value: "none", Usage: "none, kill, herd, wipe, freeze, cut, stop, server, change, grow, roll or all"},
-				&cli.IntFlag{Name: "mappings", Usage: "so many more mappings in the configuration"},
-				&cli.BoolFlag{Name: "twice", Usage: "orders are not claimed, so that a repeat may run them again"},
-				&cli.StringFlag{Name: "profile", Usage: "`FOLDER` for processor profiles of one core node and one proxy"},
+			{Name: "run", Usage: "run a deployment under load and inject random faults", Description: "Starts a fleet of real processes with stand-in servers, generates the load of clients, operators and applications, and injects faults of the given kind. Checks the history at the end, and prints the response rates and, unless the faults disturb nodes or servers, the processor time, disk syncs and messages. Exits with 1 if the fleet does not become ready or the history breaks a rule.", Flags: []cli.Flag{binary, folder,
+				&cli.StringFlag{Name: "shape", Value: "small", Usage: "shape of the deployment: quoteline, municipality or small"},
+				&cli.FloatFlag{Name: "factor", Value: 0.2, Usage: "factor by which the shape's rates are multiplied"},
+				&cli.IntFlag{Name: "seconds", Value: 30, Usage: "duration of the load in seconds"},
+				&cli.StringFlag{Name: "seeds", Value: "1", Usage: "seed of the random faults: a number, or FIRST:LAST for one run per seed"},
+				&cli.StringFlag{Name: "other", Usage: "sumac `PROGRAM` of another build, for --faults roll"},
+				&cli.BoolFlag{Name: "small", Usage: "limit each process to the shape's share of a processor by stopping and continuing it"},
+				&cli.DurationFlag{Name: "work", Usage: "time that a server takes to process a request"},
+				&cli.FloatFlag{Name: "eager", Value: -1, Usage: "probability that a client retries a failed order at once; the shape's if negative"},
+				&cli.StringFlag{Name: "faults", Value: "none", Usage: "kind of fault to inject: none, kill, herd, wipe, freeze, cut, stop, server, change, grow, roll or all"},
+				&cli.IntFlag{Name: "mappings", Usage: "number of additional mappings in the configuration, which get no load"},
+				&cli.BoolFlag{Name: "twice", Usage: "disable at-most-once execution of orders, so that a retry may be executed again"},
+				&cli.StringFlag{Name: "profile", Usage: "`FOLDER` for CPU profiles of one core node and one proxy"},
 				&cli.StringFlag{Name: "history", Usage: "`FILE` to record the history in, for sumac judge and harness report"},
 			}, Action: runDeployment},
 			soakCommand(binary, folder),
@@ -90,10 +90,10 @@
 		return errcode.New(errcode.InvalidCall, "the factor must be above 0 and at most 10, the seconds 1 to 3600")
 	}
 	if cmd.Duration("work") < 0 || cmd.Duration("work") > time.Minute || cmd.Float("eager") > 1 {
-		return errcode.New(errcode.InvalidCall, "the work must be 0 to 1m, the eager share at most 1")
+		return errcode.New(errcode.InvalidCall, "--work must be 0 to 1m, and --eager at most 1")
 	}
 	if !harness.HasFault(cmd.String("faults")) {
-		return errcode.New(errcode.InvalidCall, "there are no faults %q", cmd.String("faults"))
+		return errcode.New(errcode.InvalidCall, "unknown kind of fault %q", cmd.String("faults"))
 	}
 	first, last, err := parseSeeds(cmd.String("seeds"))
 	if err != nil {
@@ -157,7 +157,7 @@
 		return historyFile{}, nil
 	}
 	if !isOneSeed {
-		return historyFile{}, errcode.New(errcode.InvalidCall, "a history is of one seed")
+		return historyFile{}, errcode.New(errcode.InvalidCall, "--history requires a single seed")
 	}
 	file, err := os.Create(path)
 	return historyFile{file, file}, err
--- a/internal/harness/command/report.go
+++ b/internal/harness/command/report.go
@@ -14,10 +14,10 @@
 )
 
 func reportCommand() *cli.Command {
-	return &cli.Command{Name: "report", Usage: "make a page with plots of recorded histories", ArgsUsage: "FILE...",
-		Description: "Each file is a history (harness run --history). The page shows what was served over time with the faults marked, latency quantiles, bytes by kind of message, and the verdict. It is one HTML file.",
+	return &cli.Command{Name: "report", Usage: "write an HTML page with plots of recorded histories", ArgsUsage: "FILE...",
+		Description: "Each FILE is a history written by harness run or harness soak with --history. The page shows the outcomes of requests over time with the injected faults marked, latency quantiles, bytes sent by kind of message, and the verdict of the checkers. Exits with 2 if a FILE is not a history or has no requests.",
 		Flags: []cli.Flag{
-			&cli.StringFlag{Name: "out", Value: "report.html", Usage: "`FILE` to write"},
+			&cli.StringFlag{Name: "out", Value: "report.html", Usage: "HTML `FILE` to write"},
 			&cli.StringFlag{Name: "title", Value: "sumactrestle: a report", Usage: "`TITLE` of the page"},
 		}, Action: writeReport}
 }
--- a/internal/harness/command/soak.go
+++ b/internal/harness/command/soak.go
@@ -14,18 +14,18 @@
 // maxSoakNodes is the most core nodes and proxies of one soak.
 const maxSoakNodes = 300
 
-// soakCommand returns the command that runs a fleet under planned work and load.
+// soakCommand returns the command that runs a fleet under load while planned work is done on it.
 func soakCommand(binary, folder cli.Flag) *cli.Command {
-	return &cli.Command{Name: "soak", Usage: "planned work in series, while clients use open connections to the last",
-		Description: "Signals, restarts and change sets come in series and overlap; nothing else is done to the fleet. Ends with 1 if a request was read and got neither an answer nor a refusal, a process did not stop by itself in time, or the history breaks a rule; the seed is then named.",
+	return &cli.Command{Name: "soak", Usage: "run a fleet under load while nodes are restarted and change sets are submitted",
+		Description: "The planned work consists of overlapping series of signals, restarts, server drains and change sets; no faults are injected. Clients use each connection until the proxy closes it. Exits with 1 if a request was read but received neither a response nor a refusal, a process exited without a stop signal or did not stop cleanly and in time, or the history breaks a rule; the failed seeds are printed.",
 		Flags: []cli.Flag{binary, folder,
-			&cli.StringFlag{Name: "seeds", Value: "1", Usage: "what the work is drawn from: a number, or FIRST:LAST for a run with each"},
-			&cli.IntFlag{Name: "seconds", Value: 20, Usage: "length of the planned work"},
-			&cli.IntFlag{Name: "cores", Value: 3, Usage: "core nodes"},
-			&cli.IntFlag{Name: "proxies", Value: 6, Usage: "proxies"},
-			&cli.IntFlag{Name: "clients", Value: 60, Usage: "clients, each with one connection"},
+			&cli.StringFlag{Name: "seeds", Value: "1", Usage: "seed of the planned work: a number, or FIRST:LAST for one run per seed"},
+			&cli.IntFlag{Name: "seconds", Value: 20, Usage: "duration of the planned work in seconds"},
+			&cli.IntFlag{Name: "cores", Value: 3, Usage: "number of core nodes"},
+			&cli.IntFlag{Name: "proxies", Value: 6, Usage: "number of proxies"},
+			&cli.IntFlag{Name: "clients", Value: 60, Usage: "number of clients, each with one connection"},
 			&cli.StringFlag{Name: "history", Usage: "`FILE` to record the history in, for sumac judge and harness report"},
-			&cli.FloatFlag{Name: "cpu", Usage: "share of a processor that each process gets, by stopping and continuing it; all of it if 0"},
+			&cli.FloatFlag{Name: "cpu", Usage: "limit each process to this share of a processor by stopping and continuing it; no limit if 0"},
 		}, Action: soak}
 }
 
--- a/internal/harness/command/upgrade.go
+++ b/internal/harness/command/upgrade.go
@@ -12,14 +12,14 @@
 
 // upgradeCommand returns the command that upgrades a fleet from an older build under load.
 func upgradeCommand(folder cli.Flag) *cli.Command {
-	return &cli.Command{Name: "upgrade", Usage: "replace the nodes of an older build one at a time, under load",
-		Description: "Starts a fleet of the older build, puts load on it, and replaces its nodes one at a time, core nodes first, while change sets are submitted. Ends with 1 if the history breaks a rule, a node was not replaced in time, or one build refused what the other sent or wrote. tools/old-sumac.sh builds sumac of a commit.",
+	return &cli.Command{Name: "upgrade", Usage: "upgrade a fleet from an older build under load, one node at a time",
+		Description: "Starts a fleet of the older build, generates load, and upgrades its nodes one at a time, core nodes first, while change sets are submitted. Exits with 1 if the history breaks a rule, a node was not upgraded in time, or a node rejected messages or stored data of the other build. tools/old-sumac.sh builds sumac from a given commit.",
 		Flags: []cli.Flag{folder,
-			&cli.StringFlag{Name: "from", Usage: "the older `PROGRAM`", Required: true},
-			&cli.StringFlag{Name: "to", Value: "bin/sumac", Usage: "the `PROGRAM` that takes its place"},
-			&cli.StringFlag{Name: "shape", Value: "small", Usage: "quoteline, municipality or small"},
-			&cli.FloatFlag{Name: "factor", Value: 1, Usage: "the rates are multiplied by this"},
-			&cli.IntFlag{Name: "seconds", Value: 40, Usage: "length of the load; all nodes must be replaced in it"},
+			&cli.StringFlag{Name: "from", Usage: "sumac `PROGRAM` of the older build", Required: true},
+			&cli.StringFlag{Name: "to", Value: "bin/sumac", Usage: "sumac `PROGRAM` to upgrade to"},
+			&cli.StringFlag{Name: "shape", Value: "small", Usage: "shape of the deployment: quoteline, municipality or small"},
+			&cli.FloatFlag{Name: "factor", Value: 1, Usage: "factor by which the shape's rates are multiplied"},
+			&cli.IntFlag{Name: "seconds", Value: 40, Usage: "duration of the load in seconds, in which all nodes must be upgraded"},
 		}, Action: upgrade}
 }
 
