--- a/internal/api/oas_client_gen.go
+++ b/internal/api/oas_client_gen.go
@@ -86,14 +86,14 @@
 	AddCounter(ctx context.Context, request *Call, options ...RequestOption) (*Receipt, error)
 	// AskChange invokes askChange operation.
 	//
-	// What became of a change set.
+	// The result of a change set.
 	//
 	// GET /v1/changes/{id}
 	AskChange(ctx context.Context, params AskChangeParams, options ...RequestOption) (*ChangeReceipt, error)
 	// Beat invokes beat operation.
 	//
-	// A server reports itself, every 300 ms or so. Draining and leaving are kept before the answer is
-	// given.
+	// Heartbeat of a target, about every 300 ms. Draining and leaving are stored before the response is
+	// sent.
 	//
 	// POST /v1/beats
 	Beat(ctx context.Context, request *Beat, options ...RequestOption) (*Taken, error)
@@ -109,7 +109,7 @@
 	Elect(ctx context.Context, request *Call, params ElectParams, options ...RequestOption) (*Receipt, error)
 	// Epoch invokes epoch operation.
 	//
-	// The epoch in force, confirmed by a majority since the call came.
+	// The epoch in force, confirmed by a majority after the call arrived.
 	//
 	// GET /v1/epoch
 	Epoch(ctx context.Context, options ...RequestOption) (*EpochView, error)
@@ -153,21 +153,20 @@
 	Ready(ctx context.Context, options ...RequestOption) (*Health, error)
 	// Show invokes show operation.
 	//
-	// What this node knows, for the shell - members, parts, targets, ages, counts, events, traffic,
-	// latency.
+	// State of this node as rows, for the shell.
 	//
 	// GET /v1/show/{what}
 	Show(ctx context.Context, params ShowParams, options ...RequestOption) (*Rows, error)
 	// Submit invokes submit operation.
 	//
-	// A change set against the epoch last seen; all of it is taken, or none.
+	// Submits a change set based on the epoch last read; it is applied completely or not at all.
 	//
 	// POST /v1/changes
 	Submit(ctx context.Context, request *Change, options ...RequestOption) (*ChangeReceipt, error)
 	// Watch invokes watch operation.
 	//
-	// Events under a name after a stamp; held until there is one. From stamp 0 it gives the keys as they
-	// are and the stamp to go on from.
+	// Long poll for the events after an index (stamp) whose names have a prefix. From index 0 it returns
+	// the current keys and the index to watch from.
 	//
 	// GET /v1/watch
 	Watch(ctx context.Context, params WatchParams, options ...RequestOption) (*Receipt, error)
@@ -261,7 +260,7 @@
 
 // AskChange invokes askChange operation.
 //
-// What became of a change set.
+// The result of a change set.
 //
 // GET /v1/changes/{id}
 func (c *Client) AskChange(ctx context.Context, params AskChangeParams, options ...RequestOption) (*ChangeReceipt, error) {
@@ -340,8 +339,8 @@
 
 // Beat invokes beat operation.
 //
-// A server reports itself, every 300 ms or so. Draining and leaving are kept before the answer is
-// given.
+// Heartbeat of a target, about every 300 ms. Draining and leaving are stored before the response is
+// sent.
 //
 // POST /v1/beats
 func (c *Client) Beat(ctx context.Context, request *Beat, options ...RequestOption) (*Taken, error) {
@@ -549,7 +548,7 @@
 
 // Epoch invokes epoch operation.
 //
-// The epoch in force, confirmed by a majority since the call came.
+// The epoch in force, confirmed by a majority after the call arrived.
 //
 // GET /v1/epoch
 func (c *Client) Epoch(ctx context.Context, options ...RequestOption) (*EpochView, error) {
@@ -1252,8 +1251,7 @@
 
 // Show invokes show operation.
 //
-// What this node knows, for the shell - members, parts, targets, ages, counts, events, traffic,
-// latency.
+// State of this node as rows, for the shell.
 //
 // GET /v1/show/{what}
 func (c *Client) Show(ctx context.Context, params ShowParams, options ...RequestOption) (*Rows, error) {
@@ -1332,7 +1330,7 @@
 
 // Submit invokes submit operation.
 //
-// A change set against the epoch last seen; all of it is taken, or none.
+// Submits a change set based on the epoch last read; it is applied completely or not at all.
 //
 // POST /v1/changes
 func (c *Client) Submit(ctx context.Context, request *Change, options ...RequestOption) (*ChangeReceipt, error) {
@@ -1396,8 +1394,8 @@
 
 // Watch invokes watch operation.
 //
-// Events under a name after a stamp; held until there is one. From stamp 0 it gives the keys as they
-// are and the stamp to go on from.
+// Long poll for the events after an index (stamp) whose names have a prefix. From index 0 it returns
+// the current keys and the index to watch from.
 //
 // GET /v1/watch
 func (c *Client) Watch(ctx context.Context, params WatchParams, options ...RequestOption) (*Receipt, error) {
--- a/internal/api/oas_handlers_gen.go
+++ b/internal/api/oas_handlers_gen.go
@@ -123,7 +123,7 @@
 
 // handleAskChangeRequest handles askChange operation.
 //
-// What became of a change set.
+// The result of a change set.
 //
 // GET /v1/changes/{id}
 func (s *Server) handleAskChangeRequest(args [1]string, argsEscaped bool, w http.ResponseWriter, r *http.Request) {
@@ -218,8 +218,8 @@
 
 // handleBeatRequest handles beat operation.
 //
-// A server reports itself, every 300 ms or so. Draining and leaving are kept before the answer is
-// given.
+// Heartbeat of a target, about every 300 ms. Draining and leaving are stored before the response is
+// sent.
 //
 // POST /v1/beats
 func (s *Server) handleBeatRequest(args [0]string, argsEscaped bool, w http.ResponseWriter, r *http.Request) {
@@ -517,7 +517,7 @@
 
 // handleEpochRequest handles epoch operation.
 //
-// The epoch in force, confirmed by a majority since the call came.
+// The epoch in force, confirmed by a majority after the call arrived.
 //
 // GET /v1/epoch
 func (s *Server) handleEpochRequest(args [0]string, argsEscaped bool, w http.ResponseWriter, r *http.Request) {
@@ -1409,8 +1409,7 @@
 
 // handleShowRequest handles show operation.
 //
-// What this node knows, for the shell - members, parts, targets, ages, counts, events, traffic,
-// latency.
+// State of this node as rows, for the shell.
 //
 // GET /v1/show/{what}
 func (s *Server) handleShowRequest(args [1]string, argsEscaped bool, w http.ResponseWriter, r *http.Request) {
@@ -1505,7 +1504,7 @@
 
 // handleSubmitRequest handles submit operation.
 //
-// A change set against the epoch last seen; all of it is taken, or none.
+// Submits a change set based on the epoch last read; it is applied completely or not at all.
 //
 // POST /v1/changes
 func (s *Server) handleSubmitRequest(args [0]string, argsEscaped bool, w http.ResponseWriter, r *http.Request) {
@@ -1600,8 +1599,8 @@
 
 // handleWatchRequest handles watch operation.
 //
-// Events under a name after a stamp; held until there is one. From stamp 0 it gives the keys as they
-// are and the stamp to go on from.
+// Long poll for the events after an index (stamp) whose names have a prefix. From index 0 it returns
+// the current keys and the index to watch from.
 //
 // GET /v1/watch
 func (s *Server) handleWatchRequest(args [0]string, argsEscaped bool, w http.ResponseWriter, r *http.Request) {
--- a/internal/api/oas_schemas_gen.go
+++ b/internal/api/oas_schemas_gen.go
@@ -16,9 +16,9 @@
 // Ref: #/components/schemas/Beat
 type Beat struct {
 	Service string `json:"service"`
-	// Random for each start of a server.
+	// Random for each start of a target.
 	Instance string `json:"instance"`
-	// Grows with every beat.
+	// Increases with every heartbeat.
 	Seq uint64 `json:"seq"`
 	// IP number and port.
 	Address string    `json:"address"`
@@ -147,11 +147,11 @@
 
 // Ref: #/components/schemas/Call
 type Call struct {
-	// Request id; a repeat gets the first receipt.
+	// Request ID; a repeated call gets the first response.
 	ID    OptString `json:"id"`
 	Name  string    `json:"name"`
 	Value jx.Raw    `json:"value"`
-	// The stamp the key must have; 0 for a new one.
+	// The index that the key must have; 0 for a new key.
 	If     OptUint64 `json:"if"`
 	Delta  OptInt64  `json:"delta"`
 	Holder OptString `json:"holder"`
@@ -243,9 +243,9 @@
 // Ref: #/components/schemas/Change
 type Change struct {
 	ID string `json:"id"`
-	// The epoch last seen.
+	// The epoch last read.
 	Base uint64 `json:"base"`
-	// Put is the whole configuration.
+	// Put is the complete configuration.
 	Whole OptBool   `json:"whole"`
 	Put   OptConfig `json:"put"`
 	Drop  OptDrops  `json:"drop"`
@@ -1711,12 +1711,12 @@
 
 // Ref: #/components/schemas/Taken
 type Taken struct {
-	// Milliseconds until the next beat.
+	// Milliseconds until the next heartbeat.
 	Again int `json:"again"`
-	// The epoch in force, by which a server refuses requests that name an older one; 0 where it is not
-	// known, absent where proxies may go on out of touch.
+	// The epoch in force, by which a target rejects requests that name an older one; 0 if it is unknown,
+	// absent if proxies may serve without contact with a control node.
 	Epoch OptUint64 `json:"epoch"`
-	// Milliseconds for which that has been confirmed, before this response.
+	// Age of the confirmation of this epoch, in milliseconds, when the response is sent.
 	Age OptInt64 `json:"age"`
 }
 
--- a/internal/api/oas_server_gen.go
+++ b/internal/api/oas_server_gen.go
@@ -14,14 +14,14 @@
 	AddCounter(ctx context.Context, req *Call) (*Receipt, error)
 	// AskChange implements askChange operation.
 	//
-	// What became of a change set.
+	// The result of a change set.
 	//
 	// GET /v1/changes/{id}
 	AskChange(ctx context.Context, params AskChangeParams) (*ChangeReceipt, error)
 	// Beat implements beat operation.
 	//
-	// A server reports itself, every 300 ms or so. Draining and leaving are kept before the answer is
-	// given.
+	// Heartbeat of a target, about every 300 ms. Draining and leaving are stored before the response is
+	// sent.
 	//
 	// POST /v1/beats
 	Beat(ctx context.Context, req *Beat) (*Taken, error)
@@ -37,7 +37,7 @@
 	Elect(ctx context.Context, req *Call, params ElectParams) (*Receipt, error)
 	// Epoch implements epoch operation.
 	//
-	// The epoch in force, confirmed by a majority since the call came.
+	// The epoch in force, confirmed by a majority after the call arrived.
 	//
 	// GET /v1/epoch
 	Epoch(ctx context.Context) (*EpochView, error)
@@ -81,21 +81,20 @@
 	Ready(ctx context.Context) (*Health, error)
 	// Show implements show operation.
 	//
-	// What this node knows, for the shell - members, parts, targets, ages, counts, events, traffic,
-	// latency.
+	// State of this node as rows, for the shell.
 	//
 	// GET /v1/show/{what}
 	Show(ctx context.Context, params ShowParams) (*Rows, error)
 	// Submit implements submit operation.
 	//
-	// A change set against the epoch last seen; all of it is taken, or none.
+	// Submits a change set based on the epoch last read; it is applied completely or not at all.
 	//
 	// POST /v1/changes
 	Submit(ctx context.Context, req *Change) (*ChangeReceipt, error)
 	// Watch implements watch operation.
 	//
-	// Events under a name after a stamp; held until there is one. From stamp 0 it gives the keys as they
-	// are and the stamp to go on from.
+	// Long poll for the events after an index (stamp) whose names have a prefix. From index 0 it returns
+	// the current keys and the index to watch from.
 	//
 	// GET /v1/watch
 	Watch(ctx context.Context, params WatchParams) (*Receipt, error)
