--- a/internal/config/loader.go
+++ b/internal/config/loader.go
@@ -39,8 +39,8 @@
 		if s.alias != "" {
 			l.byName[s.alias] = s
 		}
-		if s.fallback != "" {
-			fallbacks[s.key] = s.fallback
+		if s.defaultValue != "" {
+			fallbacks[s.key] = s.defaultValue
 		}
 	}
 	return l, l.values.Load(confmap.Provider(fallbacks, "."), nil)
--- a/internal/config/setting.go
+++ b/internal/config/setting.go
@@ -11,10 +11,10 @@
 )
 
 // setting is an entry of the table generated from schema/config.yaml. alias is the former name,
-// which is still accepted; fallback is the default value; low and high are inclusive bounds.
+// which is still accepted; minimum and maximum are inclusive bounds.
 type setting struct {
-	key, alias, kind, fallback, low, high, doc string
-	set                                        func(*Settings, any)
+	key, alias, kind, defaultValue, minimum, maximum, doc string
+	set                                                   func(*Settings, any)
 }
 
 // parse returns the setting's value, with the type of its field in Settings.
@@ -41,10 +41,10 @@
 		if err != nil {
 			return nil, fmt.Errorf("%q is not a whole number", text)
 		}
-		low, _ := strconv.Atoi(s.low) // the schema's bounds are numbers
-		high, _ := strconv.Atoi(s.high)
+		low, _ := strconv.Atoi(s.minimum) // the schema's bounds are numbers
+		high, _ := strconv.Atoi(s.maximum)
 		if n < low || n > high {
-			return nil, fmt.Errorf("%d is outside %s to %s", n, s.low, s.high)
+			return nil, fmt.Errorf("%d is outside %s to %s", n, s.minimum, s.maximum)
 		}
 		return n, nil
 	case "duration":
@@ -52,10 +52,10 @@
 		if err != nil {
 			return nil, fmt.Errorf("%q is not a duration", text)
 		}
-		low, _ := time.ParseDuration(s.low)
-		high, _ := time.ParseDuration(s.high)
+		low, _ := time.ParseDuration(s.minimum)
+		high, _ := time.ParseDuration(s.maximum)
 		if d < low || d > high {
-			return nil, fmt.Errorf("%s is outside %s to %s", d, s.low, s.high)
+			return nil, fmt.Errorf("%s is outside %s to %s", d, s.minimum, s.maximum)
 		}
 		return d, nil
 	}
--- a/internal/consensus/bootstrap.go
+++ b/internal/consensus/bootstrap.go
@@ -46,7 +46,7 @@
 	charters := make(chan *rpc.Charter, len(cores))
 	pending := 0
 	for _, m := range cores {
-		if m.Fleet == "" || m.Name == n.env.Name {
+		if m.ClusterID == "" || m.Name == n.env.Name {
 			continue
 		}
 		pending++
@@ -61,7 +61,7 @@
 	for range pending {
 		charter := <-charters
 		if charter != nil && charter.Open && n.putCharter(charter, charter.Term) == nil {
-			n.logEvent(eventlog.FleetJoined, "fleet", charter.Fleet)
+			n.logEvent(eventlog.ClusterJoined, "fleet", charter.ClusterID)
 			// A leader replaces a lost voter only by a node that is known to have joined.
 			n.members.AnnounceSelf()
 			return true
@@ -77,14 +77,14 @@
 	self := n.members.Self()
 	sort.Slice(cores, func(i, j int) bool { return cores[i].Name < cores[j].Name })
 	for _, m := range cores {
-		if m.Fleet != "" {
+		if m.ClusterID != "" {
 			return nil
 		}
-		if m.Founders == self.Founders && len(founders) < self.Founders {
+		if m.BootstrapCores == self.BootstrapCores && len(founders) < self.BootstrapCores {
 			founders = append(founders, m)
 		}
 	}
-	if self.Founders == 0 || len(founders) < self.Founders || founders[0].Name != self.Name {
+	if self.BootstrapCores == 0 || len(founders) < self.BootstrapCores || founders[0].Name != self.Name {
 		return nil
 	}
 	return founders
@@ -124,7 +124,7 @@
 }
 
 func newCharter(founders []rpc.Member) *rpc.Charter {
-	return &rpc.Charter{Fleet: ids.NewID(), Members: founders, ShardCount: ids.ShardCount}
+	return &rpc.Charter{ClusterID: ids.NewID(), Members: founders, ShardCount: ids.ShardCount}
 }
 
 // raiseBootstrapTerm raises the term number that the next proposal must exceed.
@@ -214,7 +214,7 @@
 			return nil, err
 		}
 		if request.Step == stepOpen {
-			n.logEvent(eventlog.FleetFounded, "fleet", request.Charter.Fleet, "members", len(request.Charter.Members))
+			n.logEvent(eventlog.ClusterFormed, "fleet", request.Charter.ClusterID, "members", len(request.Charter.Members))
 		}
 	default:
 		return nil, errcode.New(errcode.InvalidMessage, "unknown bootstrap step %q", request.Step)
@@ -275,7 +275,7 @@
 		r.election.timerStart = n.env.Now()
 		r.mu.Unlock()
 	}
-	n.members.UpdateSelf(func(m *rpc.Member) { m.Fleet = charter.Fleet })
+	n.members.UpdateSelf(func(m *rpc.Member) { m.ClusterID = charter.ClusterID })
 	close(n.Bootstrapped)
 }
 
@@ -292,7 +292,7 @@
 // clusterID returns the cluster's id, or "" if the charter is not open on this node.
 func (n *Node) clusterID() string {
 	if charter := n.Charter(); charter != nil {
-		return charter.Fleet
+		return charter.ClusterID
 	}
 	return ""
 }
--- a/internal/consensus/leaderless.go
+++ b/internal/consensus/leaderless.go
@@ -47,7 +47,7 @@
 	}
 	r.election.isLeaderless = isLeaderless
 	if !isLeaderless {
-		r.logEvent(eventlog.ShardLeaderHeard)
+		r.logEvent(eventlog.ShardLeaderContactRestored)
 		return
 	}
 	r.logEvent(eventlog.ShardLeaderless, "silence", contactAge.String(), "members", r.voters.String(), "down", r.node.namesOfDeadPeers(r.voters.All()))
--- a/internal/consensus/log.go
+++ b/internal/consensus/log.go
@@ -65,7 +65,7 @@
 
 // storageBrokenError returns the error for invalid records in the store.
 func storageBrokenError(shard ids.Shard, format string, args ...any) error {
-	return errcode.New(errcode.StorageBroken, "shard %d: %s", shard, fmt.Sprintf(format, args...))
+	return errcode.New(errcode.StorageFailed, "shard %d: %s", shard, fmt.Sprintf(format, args...))
 }
 
 // invalidMessageError returns the error for a message with invalid content.
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -91,7 +91,7 @@
 )
 
 // New loads a node from its store and registers its message handlers. No task runs before
-// Start. The error is StorageBroken if the store is damaged.
+// Start. The error is StorageFailed if the store is damaged.
 func New(config Config) (*Node, error) {
 	self := config.Members.Self()
 	n := &Node{
@@ -147,7 +147,7 @@
 		return false, err
 	}
 	if err := json.Unmarshal(raw, target); err != nil {
-		return false, errcode.New(errcode.StorageBroken, "%s: %v", key, err)
+		return false, errcode.New(errcode.StorageFailed, "%s: %v", key, err)
 	}
 	return true, nil
 }
@@ -235,7 +235,7 @@
 	case n.Charter() == nil:
 		return nil, errcode.New(errcode.NotLeader, "shard %d: this node has no open charter", shard)
 	case n.isDiskStalled():
-		return nil, errcode.New(errcode.StorageBroken, "shard %d: disk writes are stalled", shard)
+		return nil, errcode.New(errcode.StorageFailed, "shard %d: disk writes are stalled", shard)
 	}
 	return r, nil
 }
--- a/internal/consensus/prevote.go
+++ b/internal/consensus/prevote.go
@@ -39,7 +39,7 @@
 	response := &rpc.PreVoteResponse{From: n.self}
 	for _, shard := range request.Shards {
 		if r, err := n.replica(shard); err != nil || r.rejectsPrevote() {
-			response.LedShards = append(response.LedShards, shard)
+			response.RejectedShards = append(response.RejectedShards, shard)
 		}
 	}
 	return response, nil
@@ -97,7 +97,7 @@
 	voters := r.currentVoters()
 	supporters := []rpc.Peer{r.node.self}
 	for peer, response := range responses {
-		if !slices.Contains(response.LedShards, r.shard) {
+		if !slices.Contains(response.RejectedShards, r.shard) {
 			supporters = append(supporters, peer)
 		}
 	}
@@ -161,7 +161,7 @@
 		if peer != r.node.self && response == nil {
 			continue
 		}
-		if response != nil && slices.Contains(response.LedShards, r.shard) {
+		if response != nil && slices.Contains(response.RejectedShards, r.shard) {
 			return false
 		}
 		responders = append(responders, peer)
--- a/internal/consensus/replacement.go
+++ b/internal/consensus/replacement.go
@@ -113,7 +113,7 @@
 // clusterCores returns the live, responsive core nodes of this cluster.
 func (r *Replica) clusterCores() (cores []rpc.Member) {
 	for _, m := range r.node.members.CoreMembers() {
-		if m.Fleet == r.node.clusterID() && r.node.isResponsive(rpc.Peer{Name: m.Name, ID: m.ID}) {
+		if m.ClusterID == r.node.clusterID() && r.node.isResponsive(rpc.Peer{Name: m.Name, ID: m.ID}) {
 			cores = append(cores, m)
 		}
 	}
--- a/internal/consensus/replica.go
+++ b/internal/consensus/replica.go
@@ -75,7 +75,7 @@
 	}
 }
 
-// load reads the replica from the store. The error is StorageBroken for gaps, unreadable
+// load reads the replica from the store. The error is StorageFailed for gaps, unreadable
 // records and entries of a term above the current one.
 func (r *Replica) load() error {
 	if err := loadRecord(r.node.store, r.shard, currentTermKey, &r.currentTerm); err != nil {
--- a/internal/controlplane/change.go
+++ b/internal/controlplane/change.go
@@ -38,13 +38,13 @@
 
 // CheckPrecondition checks whether a change set may be applied to this epoch. For a change
 // set that was accepted before it returns the result of that time, and for a new one that
-// may be applied nil. The error is errcode.ChangeReused if the ID belongs to a change set
+// may be applied nil. The error is errcode.ChangeIDReused if the ID belongs to a change set
 // with another digest, errcode.ChangeConflict if the base epoch or expected version is not
 // current, and errcode.InvalidChange if the new version is not above the current one.
 func (e *EpochState) CheckPrecondition(change *rpc.ChangeSet, digest string) (*rpc.ChangeResult, error) {
 	if first, ok := e.FindChange(change.ID); ok {
 		if first.Digest != digest {
-			return nil, errcode.New(errcode.ChangeReused, "%q", change.ID)
+			return nil, errcode.New(errcode.ChangeIDReused, "%q", change.ID)
 		}
 		return &first, nil
 	}
--- a/internal/controlplane/change_test.go
+++ b/internal/controlplane/change_test.go
@@ -23,7 +23,7 @@
 		"base before the last change":                           {rpc.ChangeSet{ID: "a", BaseEpoch: 6}, "x", errcode.ChangeConflict, false},
 		"base above the current epoch":                          {rpc.ChangeSet{ID: "a", BaseEpoch: 10}, "x", errcode.ChangeConflict, false},
 		"repeated change set":                                   {rpc.ChangeSet{ID: "old", Version: 5, ExpectedVersion: version(1)}, "d", errcode.Code{}, true},
-		"ID reused for another change set":                      {rpc.ChangeSet{ID: "old", BaseEpoch: 7}, "other", errcode.ChangeReused, false},
+		"ID reused for another change set":                      {rpc.ChangeSet{ID: "old", BaseEpoch: 7}, "other", errcode.ChangeIDReused, false},
 		"expects the current version":                           {rpc.ChangeSet{ID: "a", Version: 6, ExpectedVersion: version(5)}, "x", errcode.Code{}, false},
 		"expects the current version, sets none":                {rpc.ChangeSet{ID: "a", ExpectedVersion: version(5)}, "x", errcode.Code{}, false},
 		"expects an older version":                              {rpc.ChangeSet{ID: "a", BaseEpoch: 9, Version: 6, ExpectedVersion: version(4)}, "x", errcode.ChangeConflict, false},
--- a/internal/controlplane/collect.go
+++ b/internal/controlplane/collect.go
@@ -58,7 +58,7 @@
 	for _, update := range response.Shards {
 		// The age is subtracted from the time when the request was sent, not when the response
 		// arrived: a report may be taken for older than it is, but never for newer.
-		asOf := sent.Add(-time.Duration(update.Age) * time.Microsecond)
+		asOf := sent.Add(-time.Duration(update.AgeMicros) * time.Microsecond)
 		if err := p.view.merge(&update, asOf, sent.Sub(p.startedAt).Microseconds(), p.state.Current()); err != nil {
 			p.state.reportDamage(err)
 		}
--- a/internal/controlplane/registry_report.go
+++ b/internal/controlplane/registry_report.go
@@ -41,7 +41,7 @@
 			continue
 		}
 		lists := r.listTargets(shard, term, provisional)
-		report := rpc.ShardTargets{Shard: shard, Term: term, Digest: r.reportDigest(shard, lists), Provisional: provisional, Age: r.env.Since(start).Microseconds() + 1}
+		report := rpc.ShardTargets{Shard: shard, Term: term, Digest: r.reportDigest(shard, lists), Provisional: provisional, AgeMicros: r.env.Since(start).Microseconds() + 1}
 		if request.Known[shard] != report.Digest {
 			report.Targets = lists
 		}
@@ -128,9 +128,9 @@
 		return
 	}
 	target.inRotation = inRotation
-	event := eventlog.TargetOut
+	event := eventlog.TargetRemoved
 	if inRotation {
-		event = eventlog.TargetIn
+		event = eventlog.TargetAdded
 	}
 	r.env.Events.Emit(event, "service", service, "instance", instance, "address", target.heartbeat.Address, "reason", outReason)
 }
--- a/internal/controlplane/submit.go
+++ b/internal/controlplane/submit.go
@@ -43,7 +43,7 @@
 		return first, nil
 	}
 	if err != nil {
-		if !errors.Is(err, errcode.ChangeReused) {
+		if !errors.Is(err, errcode.ChangeIDReused) {
 			p.env.Events.Emit(eventlog.ChangeRejected, "id", change.ID, "code", errcode.From(err).Code.Number)
 		}
 		return nil, err
@@ -78,7 +78,7 @@
 	return nil, merged, nil
 }
 
-// ChangeStatus returns the result of an accepted change set. The error is errcode.ChangeAbsent
+// ChangeStatus returns the result of an accepted change set. The error is errcode.ChangeNotFound
 // if no change set with this ID was accepted. All entries in the log are committed first, so
 // that the change set cannot be accepted after it was reported absent.
 func (p *Planner) ChangeStatus(ctx context.Context, id string) (*rpc.ChangeResult, error) {
@@ -98,5 +98,5 @@
 	if result, ok := p.state.Current().FindChange(id); ok {
 		return &result, nil
 	}
-	return nil, errcode.New(errcode.ChangeAbsent, "%q", id)
+	return nil, errcode.New(errcode.ChangeNotFound, "%q", id)
 }
--- a/internal/coordination/event.go
+++ b/internal/coordination/event.go
@@ -31,9 +31,9 @@
 // restoreEventLog returns the event log of a snapshot. The retention of its events restarts.
 func restoreEventLog(state *rpc.CoordinationState) eventLog {
 	l := newEventLog()
-	l.events, l.compactedIndex = state.Events, state.Start
-	if state.Starts != nil {
-		l.compactedRevisions = state.Starts
+	l.events, l.compactedIndex = state.Events, state.CompactedIndex
+	if state.CompactedRevisions != nil {
+		l.compactedRevisions = state.CompactedRevisions
 	}
 	l.addedAt = make([]time.Time, len(l.events))
 	for i := range l.addedAt {
--- a/internal/coordination/snapshot.go
+++ b/internal/coordination/snapshot.go
@@ -23,10 +23,10 @@
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	state := &rpc.CoordinationState{
-		Applied: s.appliedIndex,
-		Events:  slices.Clone(s.events.events),
-		Start:   s.events.compactedIndex,
-		Starts:  maps.Clone(s.events.compactedRevisions),
+		Applied:            s.appliedIndex,
+		Events:             slices.Clone(s.events.events),
+		CompactedIndex:     s.events.compactedIndex,
+		CompactedRevisions: maps.Clone(s.events.compactedRevisions),
 	}
 	state.Completed = append(state.Completed, s.completed.list()...)
 	for _, kind := range s.records {
--- a/internal/distribution/compression.go
+++ b/internal/distribution/compression.go
@@ -33,7 +33,7 @@
 	return &compressor{cache: newBoundedCache[[]byte](maxCachedResponses)}
 }
 
-// compress replaces Groups by their compressed form in Packed if they have an estimated size
+// compress replaces Groups by their compressed form in Compressed if they have an estimated size
 // of at least minCompressedSize.
 func (c *compressor) compress(response *rpc.FetchResponse) {
 	size, key := 0, strings.Builder{}
@@ -55,7 +55,7 @@
 		compressed = deflate(encoded)
 		c.cache.put(key.String(), compressed)
 	}
-	response.Groups, response.Packed = nil, compressed
+	response.Groups, response.Compressed = nil, compressed
 }
 
 func deflate(data []byte) []byte {
@@ -67,7 +67,7 @@
 	return buffer.Bytes()
 }
 
-// inflate decompresses and decodes the groups of FetchResponse.Packed. It returns
+// inflate decompresses and decodes the groups of FetchResponse.Compressed. It returns
 // errcode.MessageTooLong if they are larger than limit bytes uncompressed.
 func inflate(compressed []byte, limit int64) (map[string]rpc.Group, error) {
 	data, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(compressed)), limit+1))
@@ -86,18 +86,18 @@
 
 // fetch fetches groups from a control node and decompresses them.
 func (c *Client) fetch(ctx context.Context, address string, request *rpc.FetchRequest) (*rpc.FetchResponse, error) {
-	request.AcceptsPacked = true
+	request.AcceptsCompressed = true
 	response := &rpc.FetchResponse{}
 	if err := c.transport.Call(ctx, address, kindFetch, request, response); err != nil {
 		return nil, err
 	}
-	if len(response.Packed) == 0 {
+	if len(response.Compressed) == 0 {
 		return response, nil
 	}
-	groups, err := inflate(response.Packed, int64(c.env.Config.PeerMaxMessageBytes))
+	groups, err := inflate(response.Compressed, int64(c.env.Config.PeerMaxMessageBytes))
 	if err != nil {
 		return nil, errcode.New(errcode.InvalidMessage, "%s from %s: %v", kindFetch, address, err)
 	}
-	response.Groups, response.Packed = groups, nil
+	response.Groups, response.Compressed = groups, nil
 	return response, nil
 }
--- a/internal/distribution/encoder.go
+++ b/internal/distribution/encoder.go
@@ -64,7 +64,7 @@
 	response := &rpc.FetchResponse{Epoch: epoch.Epoch, Manifest: manifest}
 	var encoded json.RawMessage
 	if compress && len(object) >= minCompressedSize {
-		response.Packed = deflate(object)
+		response.Compressed = deflate(object)
 		encoded, err = json.Marshal(response)
 	} else {
 		encoded, err = appendGroups(response, object)
--- a/internal/distribution/full_fetch.go
+++ b/internal/distribution/full_fetch.go
@@ -25,7 +25,7 @@
 
 // handle returns the encoded epoch, or immediately a response with RetryAfterMillis if the
 // limit is reached. A fetch occupies its slot until the response is written. It fails with
-// errcode.ReplyLost if ctx ends before the epoch is encoded.
+// errcode.PeerResponseLost if ctx ends before the epoch is encoded.
 func (h *fullFetchHandler) handle(ctx context.Context, epoch *controlplane.EpochState, compress bool) (any, error) {
 	started := time.Now()
 	retryAfter, ok := h.limiter.acquire(started)
@@ -36,7 +36,7 @@
 	encoded, err := h.encoder.encodeEpoch(epoch, compress)
 	if err != nil || ctx.Err() != nil {
 		release()
-		return nil, errcode.New(errcode.ReplyLost, "full fetch aborted: %v", err)
+		return nil, errcode.New(errcode.PeerResponseLost, "full fetch aborted: %v", err)
 	}
 	return &rpc.EncodedResponse{Body: encoded, Release: release}, nil
 }
--- a/internal/distribution/initial_fetch.go
+++ b/internal/distribution/initial_fetch.go
@@ -59,7 +59,7 @@
 		response, err := c.fetch(ctx, source.RPCAddress, &rpc.FetchRequest{})
 		cancel()
 		if err != nil {
-			result.overloaded = result.overloaded || errors.Is(err, errcode.ReplyLost)
+			result.overloaded = result.overloaded || errors.Is(err, errcode.PeerResponseLost)
 			c.env.Events.Emit(eventlog.FetchFailed, "node", string(source.Name), "cause", err.Error())
 			continue
 		}
--- a/internal/distribution/listener.go
+++ b/internal/distribution/listener.go
@@ -127,7 +127,7 @@
 	if response.Epoch <= snapshot.Epoch {
 		return true, nil
 	}
-	appliedAt := time.Now().Add(-time.Duration(response.Age) * time.Millisecond)
+	appliedAt := time.Now().Add(-time.Duration(response.AgeMillis) * time.Millisecond)
 	changed = len(response.Deltas) > 0 && c.Cache.Stage(response.Deltas)
 	manifest := applyChanges(snapshot.Manifest, response)
 	if len(c.Cache.Missing(manifest)) > 0 {
@@ -162,15 +162,15 @@
 		sources := c.sources()
 		err := c.transport.Call(ctx, address, kindListen, &rpc.ListenRequest{
 			Epoch:          snapshot.Epoch,
-			CombinedDigest: snapshot.manifestDigest,
+			ManifestDigest: snapshot.manifestDigest,
 			AcceptsDeltas:  c.env.Config.DistributionMaxServers > 0 && len(sources) > 0 && sources[0].RPCAddress == address,
 		}, response)
-		if err != nil || !response.UnknownDigest {
+		if err != nil || !response.UnknownManifest {
 			return response, err
 		}
 	}
 	response := &rpc.ListenResponse{}
-	err := c.transport.Call(ctx, address, kindListen, &rpc.ListenRequest{Epoch: snapshot.Epoch, Versions: snapshot.Manifest}, response)
+	err := c.transport.Call(ctx, address, kindListen, &rpc.ListenRequest{Epoch: snapshot.Epoch, Manifest: snapshot.Manifest}, response)
 	return response, err
 }
 
@@ -207,7 +207,7 @@
 	}
 	ctx, cancel := context.WithTimeout(c.env, changedFetchTimeout)
 	defer cancel()
-	response, err := c.fetch(ctx, address, &rpc.FetchRequest{Groups: missing, HeldDigests: c.Cache.HeldDigests(missing)})
+	response, err := c.fetch(ctx, address, &rpc.FetchRequest{Groups: missing, BaseDigests: c.Cache.HeldDigests(missing)})
 	if err != nil {
 		return false, err
 	}
--- a/internal/distribution/listener_test.go
+++ b/internal/distribution/listener_test.go
@@ -134,7 +134,7 @@
 		if changed, err := c.poll(ctx, serverAddress); !changed || err != nil || c.Cache.Epoch() != 2 {
 			t.Fatalf("epoch %d, changed %v, error %v; want epoch 2, changed", c.Cache.Epoch(), changed, err)
 		}
-		if len(server.listens) != 1 || server.listens[0].CombinedDigest == "" || server.listens[0].Versions != nil {
+		if len(server.listens) != 1 || server.listens[0].ManifestDigest == "" || server.listens[0].Manifest != nil {
 			t.Errorf("listener requests are %+v", server.listens)
 		}
 		want := []string{controlplane.LimitsGroup, controlplane.RoutesPrefix + "2"}
@@ -150,7 +150,7 @@
 		defer cancel()
 		epochs := newEpochs(t, 1)
 		server := &fakeServer{listen: func(request *rpc.ListenRequest) *rpc.ListenResponse {
-			return &rpc.ListenResponse{Epoch: request.Epoch, UnknownDigest: request.CombinedDigest != ""}
+			return &rpc.ListenResponse{Epoch: request.Epoch, UnknownManifest: request.ManifestDigest != ""}
 		}}
 		c := newTestClient(t, ctx, server)
 		c.Cache.Stage(epochs[0].Groups)
@@ -160,7 +160,7 @@
 		if _, err := c.poll(ctx, serverAddress); err != nil {
 			t.Fatal(err)
 		}
-		if len(server.listens) != 2 || server.listens[1].CombinedDigest != "" || !maps.Equal(server.listens[1].Versions, epochs[0].Manifest()) {
+		if len(server.listens) != 2 || server.listens[1].ManifestDigest != "" || !maps.Equal(server.listens[1].Manifest, epochs[0].Manifest()) {
 			t.Errorf("listener requests are %+v", server.listens)
 		}
 	})
@@ -178,7 +178,7 @@
 				return &rpc.ListenResponse{Epoch: 2, Changed: manifest(map[string]rpc.Group{name: full})}
 			},
 			fetch: func(request *rpc.FetchRequest) *rpc.FetchResponse {
-				if len(request.HeldDigests) > 0 {
+				if len(request.BaseDigests) > 0 {
 					return &rpc.FetchResponse{Epoch: 2, Groups: map[string]rpc.Group{name: inapplicable}}
 				}
 				return &rpc.FetchResponse{Epoch: 2, Groups: map[string]rpc.Group{name: full}}
--- a/internal/distribution/server.go
+++ b/internal/distribution/server.go
@@ -82,11 +82,11 @@
 func (s *Server) listen(ctx context.Context, request *rpc.ListenRequest) (*rpc.ListenResponse, error) {
 	pollTimer := time.NewTimer(s.env.Config.DistributionLongPollTimeout)
 	defer pollTimer.Stop()
-	clientManifest := request.Versions
-	if request.CombinedDigest != "" {
+	clientManifest := request.Manifest
+	if request.ManifestDigest != "" {
 		epoch := s.state.AtEpoch(request.Epoch)
-		if epoch == nil || epoch.ManifestDigest() != request.CombinedDigest {
-			return &rpc.ListenResponse{Epoch: request.Epoch, UnknownDigest: true}, nil
+		if epoch == nil || epoch.ManifestDigest() != request.ManifestDigest {
+			return &rpc.ListenResponse{Epoch: request.Epoch, UnknownManifest: true}, nil
 		}
 		clientManifest = epoch.Manifest()
 	}
@@ -98,7 +98,7 @@
 				return nil, err
 			}
 			response := changesSince(epoch, clientManifest)
-			response.Age = epoch.Age().Milliseconds()
+			response.AgeMillis = epoch.Age().Milliseconds()
 			if request.AcceptsDeltas {
 				response.Deltas = s.deltas.inline(epoch, clientManifest, response.Changed)
 			}
@@ -145,7 +145,7 @@
 	if s.checkQuorumContact() != nil {
 		return &rpc.FetchResponse{}, nil
 	}
-	return s.fullFetch.handle(ctx, s.state.Current(), request.AcceptsPacked)
+	return s.fullFetch.handle(ctx, s.state.Current(), request.AcceptsCompressed)
 }
 
 func (s *Server) fetchGroups(request *rpc.FetchRequest) (any, error) {
@@ -156,11 +156,11 @@
 	response := &rpc.FetchResponse{Epoch: epoch.Epoch, Groups: map[string]rpc.Group{}}
 	for _, name := range request.Groups {
 		if group, ok := epoch.PublishedGroup(name); ok {
-			response.Groups[name] = s.deltas.encode(name, request.HeldDigests[name], group)
+			response.Groups[name] = s.deltas.encode(name, request.BaseDigests[name], group)
 		}
 	}
-	if request.AcceptsPacked {
-		if s.compressor.compress(response); response.Packed != nil {
+	if request.AcceptsCompressed {
+		if s.compressor.compress(response); response.Compressed != nil {
 			return response, nil
 		}
 	}
--- a/internal/errcode/codes_gen.go
+++ b/internal/errcode/codes_gen.go
@@ -10,19 +10,19 @@
 	BudgetExhausted   = Code{Number: 1005, Name: "BudgetSpent", Status: 429, Outcome: "unknown", Text: "a repeat of an order that was handed over; the service's budget of extra tries is spent"}
 	NotWritten        = Code{Number: 1006, Name: "NotWritten", Status: 503, Outcome: "not run", Text: "no target could be reached; nothing was written"}
 	ResponseLost      = Code{Number: 1007, Name: "AnswerLost", Status: 502, Outcome: "unknown", Text: "the request was handed over and no whole answer came back"}
-	SealBroken        = Code{Number: 1008, Name: "SealBroken", Status: 502, Outcome: "unknown", Text: "the answer does not bear the server's seal"}
+	InvalidSeal       = Code{Number: 1008, Name: "SealBroken", Status: 502, Outcome: "unknown", Text: "the answer does not bear the server's seal"}
 	ResponseTooLarge  = Code{Number: 1009, Name: "AnswerTooLarge", Status: 502, Outcome: "unknown", Text: "the answer is larger than the proxy may hold"}
 	RequestTooLarge   = Code{Number: 1010, Name: "RequestTooLarge", Status: 413, Outcome: "not run", Text: "the request body is too large"}
 	BadRequest        = Code{Number: 1011, Name: "BadRequest", Status: 400, Outcome: "not run", Text: "the request can't be read"}
 	Stopping          = Code{Number: 1012, Name: "Stopping", Status: 503, Outcome: "not run", Text: "the proxy is stopping"}
-	BodyCut           = Code{Number: 1013, Name: "BodyCut", Status: 400, Outcome: "unknown", Text: "the caller's body ended early; the server never got it whole"}
+	BodyTruncated     = Code{Number: 1013, Name: "BodyCut", Status: 400, Outcome: "unknown", Text: "the caller's body ended early; the server never got it whole"}
 	DeadlinePassed    = Code{Number: 1014, Name: "DeadlinePassed", Status: 504, Outcome: "unknown", Text: "the deadline passed after hand-over"}
 	ClientGone        = Code{Number: 1015, Name: "CallerGone", Status: 499, Outcome: "unknown", Text: "the caller went away after hand-over"}
 	InvalidChange     = Code{Number: 2001, Name: "BadChange", Status: 422, Outcome: "", Text: "the change set is invalid"}
 	ChangeConflict    = Code{Number: 2002, Name: "ChangeConflict", Status: 409, Outcome: "", Text: "another change set was accepted after the epoch named"}
 	ChangeUnknown     = Code{Number: 2003, Name: "ChangeUnknown", Status: 503, Outcome: "unknown", Text: "it is not known whether the change was accepted"}
-	ChangeAbsent      = Code{Number: 2004, Name: "ChangeAbsent", Status: 404, Outcome: "", Text: "no change of that id was accepted"}
-	ChangeReused      = Code{Number: 2005, Name: "ChangeReused", Status: 409, Outcome: "", Text: "the id was used for another change set"}
+	ChangeNotFound    = Code{Number: 2004, Name: "ChangeAbsent", Status: 404, Outcome: "", Text: "no change of that id was accepted"}
+	ChangeIDReused    = Code{Number: 2005, Name: "ChangeReused", Status: 409, Outcome: "", Text: "the id was used for another change set"}
 	InvalidHeartbeat  = Code{Number: 2006, Name: "BadBeat", Status: 400, Outcome: "", Text: "the beat is invalid"}
 	UnknownService    = Code{Number: 2007, Name: "UnknownService", Status: 404, Outcome: "", Text: "no such service in the configuration"}
 	InvalidCall       = Code{Number: 2008, Name: "BadCall", Status: 400, Outcome: "", Text: "the call can't be read"}
@@ -35,22 +35,22 @@
 	RevisionMismatch  = Code{Number: 3007, Name: "StampDiffers", Status: 409, Outcome: "", Text: "the key's stamp is not the one named"}
 	KeyNotFound       = Code{Number: 3008, Name: "NoKey", Status: 404, Outcome: "", Text: "no such name"}
 	RevisionCompacted = Code{Number: 3009, Name: "StampTooOld", Status: 410, Outcome: "", Text: "the events after that stamp are no longer kept"}
-	StorageBroken     = Code{Number: 3010, Name: "StorageBroken", Status: 503, Outcome: "unknown", Text: "the node's storage failed"}
+	StorageFailed     = Code{Number: 3010, Name: "StorageBroken", Status: 503, Outcome: "unknown", Text: "the node's storage failed"}
 	InvalidMessage    = Code{Number: 4001, Name: "BadMessage", Status: 400, Outcome: "", Text: "a message between processes can't be read"}
 	MessageTooLong    = Code{Number: 4002, Name: "LineTooLong", Status: 413, Outcome: "", Text: "a message between processes is too long"}
 	Unreachable       = Code{Number: 4003, Name: "Unreached", Status: 503, Outcome: "not run", Text: "the peer can't be reached"}
-	ReplyLost         = Code{Number: 4004, Name: "ReplyLost", Status: 503, Outcome: "unknown", Text: "the peer's reply did not come"}
+	PeerResponseLost  = Code{Number: 4004, Name: "ReplyLost", Status: 503, Outcome: "unknown", Text: "the peer's reply did not come"}
 	UnknownKind       = Code{Number: 4005, Name: "UnknownKind", Status: 400, Outcome: "", Text: "no such kind of message"}
 	WrongVersion      = Code{Number: 4006, Name: "WrongVersion", Status: 400, Outcome: "not run", Text: "the peer speaks another version of the wire"}
 	InvalidSettings   = Code{Number: 5001, Name: "BadProps", Status: 400, Outcome: "", Text: "the settings are faulty"}
 	Internal          = Code{Number: 5002, Name: "Internal", Status: 500, Outcome: "unknown", Text: "a fault of the program"}
-	OrderRan          = Code{Number: 1016, Name: "OrderRan", Status: 409, Outcome: "ran", Text: "an order under this key ran already"}
-	OrderUnknown      = Code{Number: 1017, Name: "OrderUnknown", Status: 409, Outcome: "unknown", Text: "an order under this key was handed over, and it is not known how it ended"}
-	OrderInFlight     = Code{Number: 1018, Name: "OrderUnderWay", Status: 409, Outcome: "unknown", Text: "an order under this key is under way"}
+	DuplicateRan      = Code{Number: 1016, Name: "OrderRan", Status: 409, Outcome: "ran", Text: "an order under this key ran already"}
+	DuplicateUnknown  = Code{Number: 1017, Name: "OrderUnknown", Status: 409, Outcome: "unknown", Text: "an order under this key was handed over, and it is not known how it ended"}
+	DuplicateInFlight = Code{Number: 1018, Name: "OrderUnderWay", Status: 409, Outcome: "unknown", Text: "an order under this key is under way"}
 	TargetRejected    = Code{Number: 1019, Name: "TargetRefused", Status: 503, Outcome: "not run", Text: "every target that was asked turned the request away without running it"}
 )
 
-// Codes holds every code by its number.
+// Codes maps numbers to codes.
 var Codes = map[int]Code{
 	1001: NoRoute,
 	1002: NotFresh,
@@ -59,19 +59,19 @@
 	1005: BudgetExhausted,
 	1006: NotWritten,
 	1007: ResponseLost,
-	1008: SealBroken,
+	1008: InvalidSeal,
 	1009: ResponseTooLarge,
 	1010: RequestTooLarge,
 	1011: BadRequest,
 	1012: Stopping,
-	1013: BodyCut,
+	1013: BodyTruncated,
 	1014: DeadlinePassed,
 	1015: ClientGone,
 	2001: InvalidChange,
 	2002: ChangeConflict,
 	2003: ChangeUnknown,
-	2004: ChangeAbsent,
-	2005: ChangeReused,
+	2004: ChangeNotFound,
+	2005: ChangeIDReused,
 	2006: InvalidHeartbeat,
 	2007: UnknownService,
 	2008: InvalidCall,
@@ -84,17 +84,17 @@
 	3007: RevisionMismatch,
 	3008: KeyNotFound,
 	3009: RevisionCompacted,
-	3010: StorageBroken,
+	3010: StorageFailed,
 	4001: InvalidMessage,
 	4002: MessageTooLong,
 	4003: Unreachable,
-	4004: ReplyLost,
+	4004: PeerResponseLost,
 	4005: UnknownKind,
 	4006: WrongVersion,
 	5001: InvalidSettings,
 	5002: Internal,
-	1016: OrderRan,
-	1017: OrderUnknown,
-	1018: OrderInFlight,
+	1016: DuplicateRan,
+	1017: DuplicateUnknown,
+	1018: DuplicateInFlight,
 	1019: TargetRejected,
 }
--- a/internal/eventlog/events_gen.go
+++ b/internal/eventlog/events_gen.go
@@ -3,67 +3,67 @@
 package eventlog
 
 var (
-	NodeStarted         = Event{Number: 101, Name: "NodeStarted", Level: "info", Text: "node started"}
-	NodeStopping        = Event{Number: 102, Name: "NodeStopping", Level: "info", Text: "node is stopping"}
-	NodeStopped         = Event{Number: 103, Name: "NodeStopped", Level: "info", Text: "node stopped"}
-	RequestsCutOff      = Event{Number: 104, Name: "RequestsCutOff", Level: "warn", Text: "requests got no answer before the node ended"}
-	MemberUp            = Event{Number: 201, Name: "MemberUp", Level: "info", Text: "member is up"}
-	MemberSuspect       = Event{Number: 202, Name: "MemberSuspect", Level: "info", Text: "member is suspected"}
-	MemberDown          = Event{Number: 203, Name: "MemberDown", Level: "warn", Text: "member is down"}
-	MemberIDChanged     = Event{Number: 204, Name: "MemberReborn", Level: "warn", Text: "member came back with another member ID"}
-	FleetFounded        = Event{Number: 301, Name: "FleetFounded", Level: "info", Text: "the fleet's charter is in force"}
-	FleetJoined         = Event{Number: 302, Name: "FleetJoined", Level: "info", Text: "node joined the fleet"}
-	LeadershipAcquired  = Event{Number: 303, Name: "PartOwned", Level: "info", Text: "leadership of a shard acquired"}
-	LeadershipLost      = Event{Number: 304, Name: "PartLost", Level: "info", Text: "leadership of a shard lost"}
-	ReplicasChanged     = Event{Number: 305, Name: "GroupChanged", Level: "info", Text: "voters of a shard changed"}
-	StoreDamaged        = Event{Number: 306, Name: "StoreDamaged", Level: "error", Text: "the data folder is damaged and was set aside"}
-	StoreFailed         = Event{Number: 307, Name: "StoreFailed", Level: "error", Text: "the data folder takes no writes; they are tried again"}
-	ElectionFailed      = Event{Number: 308, Name: "StandFailed", Level: "debug", Text: "campaign for a shard failed"}
-	ReplicaRepaired     = Event{Number: 309, Name: "PartMended", Level: "warn", Text: "a replica differed and was repaired"}
-	ReplicasDiverged    = Event{Number: 310, Name: "PartBroken", Level: "error", Text: "replicas of a shard contradict one another; leadership is given up"}
-	MemberRemoved       = Event{Number: 311, Name: "MemberRemoved", Level: "info", Text: "this node is no longer a voter of a shard; its replica is kept"}
-	StoreRecovered      = Event{Number: 312, Name: "StoreBack", Level: "warn", Text: "the data folder takes writes again"}
-	ReplacementStarted  = Event{Number: 313, Name: "ReplacementStarted", Level: "warn", Text: "a voter is lost, and its replacement begins"}
-	ReplacementFinished = Event{Number: 314, Name: "ReplacementFinished", Level: "warn", Text: "a lost voter is replaced"}
-	ReplacementFailed   = Event{Number: 315, Name: "ReplacementFailed", Level: "warn", Text: "a lost voter could not be replaced; it is tried again"}
-	ShardLeaderless     = Event{Number: 316, Name: "ShardLeaderless", Level: "error", Text: "this voter hears no leader of a shard"}
-	ShardLeaderHeard    = Event{Number: 317, Name: "ShardLeaderHeard", Level: "warn", Text: "this voter hears a leader of the shard again"}
-	EpochCommitted      = Event{Number: 401, Name: "EpochCommitted", Level: "info", Text: "epoch committed"}
-	ChangeAccepted      = Event{Number: 402, Name: "ChangeAccepted", Level: "info", Text: "change set accepted"}
-	ChangeRejected      = Event{Number: 403, Name: "ChangeRefused", Level: "warn", Text: "change set refused"}
-	TargetIn            = Event{Number: 404, Name: "TargetIn", Level: "info", Text: "target listed"}
-	TargetOut           = Event{Number: 405, Name: "TargetOut", Level: "info", Text: "target removed"}
-	AddressConflict     = Event{Number: 406, Name: "AddressClash", Level: "warn", Text: "two instances claim one address"}
-	TargetLeaving       = Event{Number: 407, Name: "TargetGoing", Level: "info", Text: "a target reports that it drains or leaves"}
-	GroupDamaged        = Event{Number: 408, Name: "GroupDamaged", Level: "error", Text: "a group or an entry of the configuration can't be decoded; nothing is planned from it"}
-	EpochApplied        = Event{Number: 501, Name: "EpochServed", Level: "info", Text: "epoch applied"}
-	FetchFailed         = Event{Number: 502, Name: "FetchFailed", Level: "warn", Text: "fetch failed, trying the next control node"}
-	LongPollFailed      = Event{Number: 503, Name: "ListenFailed", Level: "warn", Text: "listener request failed"}
-	FreshnessLost       = Event{Number: 504, Name: "FreshLost", Level: "warn", Text: "configuration no longer freshly confirmed"}
-	FreshnessRegained   = Event{Number: 505, Name: "FreshAgain", Level: "info", Text: "configuration freshly confirmed"}
-	SealRejected        = Event{Number: 601, Name: "SealRefused", Level: "warn", Text: "a response without a valid seal was rejected"}
-	AttemptFailed       = Event{Number: 602, Name: "TryFailed", Level: "debug", Text: "an attempt failed"}
-	MessageRejected     = Event{Number: 701, Name: "MessageRefused", Level: "warn", Text: "a message was rejected"}
-	HeartbeatRejected   = Event{Number: 702, Name: "BeatRefused", Level: "warn", Text: "a heartbeat was rejected"}
-	SettingsReloaded    = Event{Number: 801, Name: "PropsReread", Level: "info", Text: "the settings were read again"}
-	SettingsRejected    = Event{Number: 802, Name: "PropsRefused", Level: "warn", Text: "changed settings are faulty; the old ones stay"}
-	ProxyListenFailed   = Event{Number: 803, Name: "GateFailed", Level: "error", Text: "the address for callers can't be taken"}
-	SettingsRenamed     = Event{Number: 804, Name: "SettingsRenamed", Level: "warn", Text: "settings are given under former names"}
-	ProcessStalled      = Event{Number: 805, Name: "ProcessStalled", Level: "info", Text: "the machine held this process up"}
+	NodeStarted                = Event{Number: 101, Name: "NodeStarted", Level: "info", Text: "node started"}
+	NodeStopping               = Event{Number: 102, Name: "NodeStopping", Level: "info", Text: "node is stopping"}
+	NodeStopped                = Event{Number: 103, Name: "NodeStopped", Level: "info", Text: "node stopped"}
+	RequestsAborted            = Event{Number: 104, Name: "RequestsCutOff", Level: "warn", Text: "requests got no response before the node stopped"}
+	MemberUp                   = Event{Number: 201, Name: "MemberUp", Level: "info", Text: "member is up"}
+	MemberSuspect              = Event{Number: 202, Name: "MemberSuspect", Level: "info", Text: "member is suspected"}
+	MemberDown                 = Event{Number: 203, Name: "MemberDown", Level: "warn", Text: "member is down"}
+	MemberIDChanged            = Event{Number: 204, Name: "MemberReborn", Level: "warn", Text: "member returned with another member ID"}
+	ClusterFormed              = Event{Number: 301, Name: "FleetFounded", Level: "info", Text: "cluster formed"}
+	ClusterJoined              = Event{Number: 302, Name: "FleetJoined", Level: "info", Text: "node joined the cluster"}
+	LeadershipAcquired         = Event{Number: 303, Name: "PartOwned", Level: "info", Text: "leadership of a shard acquired"}
+	LeadershipLost             = Event{Number: 304, Name: "PartLost", Level: "info", Text: "leadership of a shard lost"}
+	ReplicasChanged            = Event{Number: 305, Name: "GroupChanged", Level: "info", Text: "voters of a shard changed"}
+	StoreDamaged               = Event{Number: 306, Name: "StoreDamaged", Level: "error", Text: "the data folder is damaged and was renamed"}
+	StoreFailed                = Event{Number: 307, Name: "StoreFailed", Level: "error", Text: "writes to the data folder fail and are retried"}
+	ElectionFailed             = Event{Number: 308, Name: "StandFailed", Level: "debug", Text: "campaign for a shard failed"}
+	ReplicaRepaired            = Event{Number: 309, Name: "PartMended", Level: "warn", Text: "a replica differed and was repaired"}
+	ReplicasDiverged           = Event{Number: 310, Name: "PartBroken", Level: "error", Text: "replicas of a shard have diverged; this replica steps down if it leads"}
+	MemberRemoved              = Event{Number: 311, Name: "MemberRemoved", Level: "info", Text: "this node is no longer a voter of a shard; its replica is kept"}
+	StoreRecovered             = Event{Number: 312, Name: "StoreBack", Level: "warn", Text: "writes to the data folder succeed again"}
+	ReplacementStarted         = Event{Number: 313, Name: "ReplacementStarted", Level: "warn", Text: "a voter was lost, and its replacement has started"}
+	ReplacementFinished        = Event{Number: 314, Name: "ReplacementFinished", Level: "warn", Text: "a lost voter was replaced"}
+	ReplacementFailed          = Event{Number: 315, Name: "ReplacementFailed", Level: "warn", Text: "a voter could not be added or replaced; the leader will retry"}
+	ShardLeaderless            = Event{Number: 316, Name: "ShardLeaderless", Level: "error", Text: "this voter has no contact with a leader of the shard"}
+	ShardLeaderContactRestored = Event{Number: 317, Name: "ShardLeaderHeard", Level: "warn", Text: "this voter has contact with a leader of the shard again"}
+	EpochCommitted             = Event{Number: 401, Name: "EpochCommitted", Level: "info", Text: "epoch committed"}
+	ChangeAccepted             = Event{Number: 402, Name: "ChangeAccepted", Level: "info", Text: "change set accepted"}
+	ChangeRejected             = Event{Number: 403, Name: "ChangeRefused", Level: "warn", Text: "change set rejected"}
+	TargetAdded                = Event{Number: 404, Name: "TargetIn", Level: "info", Text: "target added to rotation"}
+	TargetRemoved              = Event{Number: 405, Name: "TargetOut", Level: "info", Text: "target removed from rotation"}
+	AddressConflict            = Event{Number: 406, Name: "AddressClash", Level: "warn", Text: "two instances claim one address"}
+	TargetLeaving              = Event{Number: 407, Name: "TargetGoing", Level: "info", Text: "a target reported that it is draining or leaving"}
+	GroupDamaged               = Event{Number: 408, Name: "GroupDamaged", Level: "error", Text: "a group or an entry of the configuration can't be decoded; no epoch is planned from it"}
+	EpochApplied               = Event{Number: 501, Name: "EpochServed", Level: "info", Text: "epoch applied"}
+	FetchFailed                = Event{Number: 502, Name: "FetchFailed", Level: "warn", Text: "fetch failed, trying the next control node"}
+	LongPollFailed             = Event{Number: 503, Name: "ListenFailed", Level: "warn", Text: "long poll failed"}
+	FreshnessLost              = Event{Number: 504, Name: "FreshLost", Level: "warn", Text: "configuration no longer freshly confirmed"}
+	FreshnessRegained          = Event{Number: 505, Name: "FreshAgain", Level: "info", Text: "configuration freshly confirmed again"}
+	SealRejected               = Event{Number: 601, Name: "SealRefused", Level: "warn", Text: "a response without a valid seal was rejected"}
+	AttemptFailed              = Event{Number: 602, Name: "TryFailed", Level: "debug", Text: "an attempt failed"}
+	MessageRejected            = Event{Number: 701, Name: "MessageRefused", Level: "warn", Text: "a message was rejected"}
+	HeartbeatRejected          = Event{Number: 702, Name: "BeatRefused", Level: "warn", Text: "a heartbeat was rejected"}
+	SettingsReloaded           = Event{Number: 801, Name: "PropsReread", Level: "info", Text: "settings reloaded"}
+	SettingsRejected           = Event{Number: 802, Name: "PropsRefused", Level: "warn", Text: "changed settings are invalid; the previous ones stay in force"}
+	ProxyListenFailed          = Event{Number: 803, Name: "GateFailed", Level: "error", Text: "can't listen on the address for clients"}
+	SettingsRenamed            = Event{Number: 804, Name: "SettingsRenamed", Level: "warn", Text: "settings are given under former names"}
+	ProcessStalled             = Event{Number: 805, Name: "ProcessStalled", Level: "info", Text: "the machine stalled this process"}
 )
 
-// Events is the whole table.
+// Events contains all events.
 var Events = []Event{
 	NodeStarted,
 	NodeStopping,
 	NodeStopped,
-	RequestsCutOff,
+	RequestsAborted,
 	MemberUp,
 	MemberSuspect,
 	MemberDown,
 	MemberIDChanged,
-	FleetFounded,
-	FleetJoined,
+	ClusterFormed,
+	ClusterJoined,
 	LeadershipAcquired,
 	LeadershipLost,
 	ReplicasChanged,
@@ -78,12 +78,12 @@
 	ReplacementFinished,
 	ReplacementFailed,
 	ShardLeaderless,
-	ShardLeaderHeard,
+	ShardLeaderContactRestored,
 	EpochCommitted,
 	ChangeAccepted,
 	ChangeRejected,
-	TargetIn,
-	TargetOut,
+	TargetAdded,
+	TargetRemoved,
 	AddressConflict,
 	TargetLeaving,
 	GroupDamaged,
--- a/internal/metrics/metrics_gen.go
+++ b/internal/metrics/metrics_gen.go
@@ -34,7 +34,7 @@
 	ShardLastIndex           = Metric{Name: "sumac_part_last_index", Kind: "gauge", Help: "The last index of the shard's log here.", Labels: []string{"part"}}
 	ShardServing             = Metric{Name: "sumac_part_serving", Kind: "gauge", Help: "1 if this node leads the shard and serves it.", Labels: []string{"part"}}
 	ShardConfirmationAge     = Metric{Name: "sumac_part_confirmation_age_seconds", Kind: "gauge", Help: "Time since a majority confirmed this node's term, for shards that it leads.", Labels: []string{"part"}}
-	ShardLeaderSilence       = Metric{Name: "sumac_part_leader_silence_seconds", Kind: "gauge", Help: "Time since this voter heard a leader of the shard, or, where it leads, since a majority confirmed it; a node that is no voter shows none.", Labels: []string{"part"}}
+	ShardLeaderContactAge    = Metric{Name: "sumac_part_leader_silence_seconds", Kind: "gauge", Help: "Time since this voter heard a leader of the shard, or, where it leads, since a majority confirmed it; a node that is no voter shows none.", Labels: []string{"part"}}
 	CoordinationCallDuration = Metric{Name: "sumac_bond_call_seconds", Kind: "histogram", Help: "Duration of a coordination call that came to this node, watches excepted.", Labels: []string(nil)}
 	StoreSyncs               = Metric{Name: "sumac_store_syncs_total", Kind: "counter", Help: "Batches written and synced to the disk.", Labels: []string(nil)}
 	StoreSyncDuration        = Metric{Name: "sumac_store_sync_seconds", Kind: "histogram", Help: "Time of one batch's write and sync.", Labels: []string(nil)}
@@ -46,7 +46,7 @@
 	PlannerAddressConflicts  = Metric{Name: "sumac_planner_address_clashes", Kind: "gauge", Help: "Pairs of targets that claimed one address since the start.", Labels: []string(nil)}
 )
 
-// Metrics is the whole table.
+// Metrics contains all metrics.
 var Metrics = []Metric{
 	NodeInfo,
 	NodeReady,
@@ -79,7 +79,7 @@
 	ShardLastIndex,
 	ShardServing,
 	ShardConfirmationAge,
-	ShardLeaderSilence,
+	ShardLeaderContactAge,
 	CoordinationCallDuration,
 	StoreSyncs,
 	StoreSyncDuration,
--- a/internal/node/calls.go
+++ b/internal/node/calls.go
@@ -133,7 +133,7 @@
 	response, err := n.coordinate(limited, request)
 	if err != nil {
 		isNotRun := errcode.From(err).Code.Outcome == "not run"
-		if errors.Is(err, errcode.ReplyLost) || isNotRun && request.ID != "" {
+		if errors.Is(err, errcode.PeerResponseLost) || isNotRun && request.ID != "" {
 			err = errcode.New(errcode.WriteUnknown, "%v", err)
 		}
 		return nil, err
--- a/internal/node/collector.go
+++ b/internal/node/collector.go
@@ -213,7 +213,7 @@
 			ledShards++
 		}
 		if contactAge, isVoter := replica.LeaderContactAge(); isVoter {
-			c.add(metrics.ShardLeaderSilence, contactAge.Seconds(), shard)
+			c.add(metrics.ShardLeaderContactAge, contactAge.Seconds(), shard)
 		}
 	}
 	c.add(metrics.ShardsLed, float64(ledShards))
--- a/internal/node/forward.go
+++ b/internal/node/forward.go
@@ -114,8 +114,8 @@
 	var response rpc.ForwardResponse
 	err := n.RPC.Forward(limited, address, messageForward, hops+1, &rpc.ForwardRequest{Shard: c.shard, Operation: c.operation, Body: c.body}, &response)
 	if err != nil {
-		wasReached := !errors.Is(err, errcode.Unreachable) && !errors.Is(err, errcode.ReplyLost)
-		if c.longPoll != nil && (context.Cause(limited) == errLeaderChanged || errors.Is(err, errcode.ReplyLost)) {
+		wasReached := !errors.Is(err, errcode.Unreachable) && !errors.Is(err, errcode.PeerResponseLost)
+		if c.longPoll != nil && (context.Cause(limited) == errLeaderChanged || errors.Is(err, errcode.PeerResponseLost)) {
 			err = errcode.New(errcode.NoLeader, "part %d: %v", c.shard, err)
 		}
 		n.leaders.RecordError(c.shard, address, wasReached)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -160,10 +160,10 @@
 	if self.ID, err = consensus.LoadOrCreateMemberID(n.Store); err != nil {
 		return self, err
 	}
-	self.Core, self.Founders = true, settings.BootstrapCores
+	self.Core, self.BootstrapCores = true, settings.BootstrapCores
 	// A core node that lost its state must not bootstrap a second cluster.
 	if n.Store.ReplacesCorruptStore() {
-		self.Founders = 0
+		self.BootstrapCores = 0
 	}
 	return self, nil
 }
@@ -262,7 +262,7 @@
 		n.shutdownServers(ctx, ctx)
 	} else {
 		if count := n.shutdownServers(n.Proxy.AbortContext(), ctx); count > 0 {
-			n.Env.Events.Emit(eventlog.RequestsCutOff, "requests", count)
+			n.Env.Events.Emit(eventlog.RequestsAborted, "requests", count)
 		}
 		n.Proxy.Close()
 	}
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -95,7 +95,7 @@
 		return nil
 	case <-diskFailed:
 		n.Env.Shutdown()
-		return errcode.New(errcode.StorageBroken, "%s", n.Env.Config.DataFolder)
+		return errcode.New(errcode.StorageFailed, "%s", n.Env.Config.DataFolder)
 	}
 }
 
--- a/internal/node/show.go
+++ b/internal/node/show.go
@@ -72,7 +72,7 @@
 func (n *Node) showMembers() *table {
 	t := newTable("name", "state", "role", "zone", "wire", "gate", "strength", "birth", "fleet")
 	for name, m := range n.Members.View() {
-		t.add(name, m.State, roleOf(m.Core, m.ProxyAddress), m.Zone, m.RPCAddress, m.ProxyAddress, m.Strength, m.ID, m.Fleet)
+		t.add(name, m.State, roleOf(m.Core, m.ProxyAddress), m.Zone, m.RPCAddress, m.ProxyAddress, m.Strength, m.ID, m.ClusterID)
 	}
 	return t
 }
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -214,11 +214,11 @@
 	p.rpc.RecordSent(kind, "", bytes)
 }
 
-// writeError returns the error of a request whose writing failed: BodyCut if the client's body
-// couldn't be read, NotWritten if certainly nothing was written, else ResponseLost.
+// writeError returns the error of a request whose writing failed: BodyTruncated if the client's
+// body couldn't be read, NotWritten if certainly nothing was written, else ResponseLost.
 func writeError(request *http.Request, written int, err error) error {
 	if stream := streamOf(request); stream != nil && stream.sourceErr != nil {
-		return errcode.New(errcode.BodyCut, "%v", stream.sourceErr)
+		return errcode.New(errcode.BodyTruncated, "%v", stream.sourceErr)
 	}
 	if written == 0 && request.ContentLength == 0 {
 		return errcode.New(errcode.NotWritten, "%v", err)
--- a/internal/proxy/forward.go
+++ b/internal/proxy/forward.go
@@ -77,7 +77,7 @@
 		if !anyMayHaveRun || mayHaveRun {
 			lastErr = result.err
 		}
-		if mayHaveRun && !plan.idempotent || result.wrote && !replayable && !result.withheld || errors.Is(result.err, errcode.NotFresh) && result.response == nil || errors.Is(result.err, errcode.BodyCut) {
+		if mayHaveRun && !plan.idempotent || result.wrote && !replayable && !result.withheld || errors.Is(result.err, errcode.NotFresh) && result.response == nil || errors.Is(result.err, errcode.BodyTruncated) {
 			break
 		}
 	}
--- a/internal/proxy/forward_test.go
+++ b/internal/proxy/forward_test.go
@@ -108,7 +108,7 @@
 		"nothing written, without a body":  {&http.Request{}, 0, errcode.NotWritten},
 		"one byte written, without a body": {&http.Request{}, 1, errcode.ResponseLost},
 		"nothing written, with a body":     {request(9, nil), 0, errcode.ResponseLost},
-		"client's body failed":             {request(9, errors.New("reset")), 99, errcode.BodyCut},
+		"client's body failed":             {request(9, errors.New("reset")), 99, errcode.BodyTruncated},
 	} {
 		t.Run(name, func(t *testing.T) {
 			err := writeError(test.request, test.written, errors.New("broken pipe"))
--- a/internal/proxy/idempotency/records_test.go
+++ b/internal/proxy/idempotency/records_test.go
@@ -58,12 +58,12 @@
 		want   int // error code; zero for none
 	}{
 		"free":                                        {succeed, 0},
-		"held by a request that ran":                  {heldBy("m gone r", `"ran"`), errcode.OrderRan.Number},
-		"held by a lost request":                      {heldBy("m gone r", `"unknown"`), errcode.OrderUnknown.Number},
-		"held by a running request":                   {heldBy("n id-2 other", ""), errcode.OrderInFlight.Number},
-		"held by a request whose proxy is not live":   {heldBy("m gone r", ""), errcode.OrderUnknown.Number},
-		"held by a request of an earlier incarnation": {heldBy("n id-1 r", ""), errcode.OrderUnknown.Number},
-		"with an invalid outcome":                     {heldBy("n id-2 other", `{"`), errcode.OrderUnknown.Number},
+		"held by a request that ran":                  {heldBy("m gone r", `"ran"`), errcode.DuplicateRan.Number},
+		"held by a lost request":                      {heldBy("m gone r", `"unknown"`), errcode.DuplicateUnknown.Number},
+		"held by a running request":                   {heldBy("n id-2 other", ""), errcode.DuplicateInFlight.Number},
+		"held by a request whose proxy is not live":   {heldBy("m gone r", ""), errcode.DuplicateUnknown.Number},
+		"held by a request of an earlier incarnation": {heldBy("n id-1 r", ""), errcode.DuplicateUnknown.Number},
+		"with an invalid outcome":                     {heldBy("n id-2 other", `{"`), errcode.DuplicateUnknown.Number},
 		"no response from the leader":                 {func() (*rpc.CoordinationResponse, error) { return nil, errors.New("no leader") }, errcode.NoLeader.Number},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/proxy/idempotency/tracker.go
+++ b/internal/proxy/idempotency/tracker.go
@@ -32,9 +32,9 @@
 // StateAfter returns the state of a request after an attempt that ended with err.
 func StateAfter(err error) State {
 	switch {
-	case err == nil || errors.Is(err, errcode.OrderRan):
+	case err == nil || errors.Is(err, errcode.DuplicateRan):
 		return Ran
-	case errcode.From(err).Code.Outcome == "unknown" && !errors.Is(err, errcode.OrderInFlight):
+	case errcode.From(err).Code.Outcome == "unknown" && !errors.Is(err, errcode.DuplicateInFlight):
 		return Unknown
 	}
 	return Unrecorded
@@ -44,11 +44,11 @@
 func Conflict(state State, note string) error {
 	switch state {
 	case Ran:
-		return errcode.New(errcode.OrderRan, "%s", note)
+		return errcode.New(errcode.DuplicateRan, "%s", note)
 	case Unknown:
-		return errcode.New(errcode.OrderUnknown, "%s", note)
+		return errcode.New(errcode.DuplicateUnknown, "%s", note)
 	}
-	return errcode.New(errcode.OrderInFlight, "%s", note)
+	return errcode.New(errcode.DuplicateInFlight, "%s", note)
 }
 
 // Rejection returns the error with which an attempt of a request is rejected, where state is
--- a/internal/proxy/idempotency/tracker_test.go
+++ b/internal/proxy/idempotency/tracker_test.go
@@ -95,11 +95,11 @@
 		want    int
 	}{
 		"first request":                {Unrecorded, overload, errcode.Overload.Number},
-		"repeat of a running request":  {Running, overload, errcode.OrderInFlight.Number},
-		"repeat of a lost request":     {Unknown, overload, errcode.OrderUnknown.Number},
-		"repeat of a request that ran": {Ran, overload, errcode.OrderRan.Number},
+		"repeat of a running request":  {Running, overload, errcode.DuplicateInFlight.Number},
+		"repeat of a lost request":     {Unknown, overload, errcode.DuplicateUnknown.Number},
+		"repeat of a request that ran": {Ran, overload, errcode.DuplicateRan.Number},
 		"over budget, request lost":    {Unknown, budgetExhausted, errcode.BudgetExhausted.Number},
-		"over budget, request ran":     {Ran, budgetExhausted, errcode.OrderRan.Number},
+		"over budget, request ran":     {Ran, budgetExhausted, errcode.DuplicateRan.Number},
 		"attempt lost, request lost":   {Unknown, responseLost, errcode.ResponseLost.Number},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -118,9 +118,9 @@
 		"response":                     {nil, Ran},
 		"nothing written":              {errcode.New(errcode.NotWritten, ""), Unrecorded},
 		"lost response":                {errcode.New(errcode.ResponseLost, ""), Unknown},
-		"repeat of a request that ran": {errcode.New(errcode.OrderRan, ""), Ran},
-		"repeat of a running request":  {errcode.New(errcode.OrderInFlight, ""), Unrecorded},
-		"repeat of a lost request":     {errcode.New(errcode.OrderUnknown, ""), Unknown},
+		"repeat of a request that ran": {errcode.New(errcode.DuplicateRan, ""), Ran},
+		"repeat of a running request":  {errcode.New(errcode.DuplicateInFlight, ""), Unrecorded},
+		"repeat of a lost request":     {errcode.New(errcode.DuplicateUnknown, ""), Unknown},
 		"overloaded proxy":             {errcode.New(errcode.Overload, ""), Unrecorded},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/proxy/seal.go
+++ b/internal/proxy/seal.go
@@ -46,7 +46,7 @@
 	}
 	if !sealed {
 		p.environment.Events.Emit(eventlog.SealRejected, "request", plan.requestID, "service", plan.service.Name, "instance", target.Instance, "address", target.Address, "status", response.HTTP.StatusCode)
-		return errcode.New(errcode.SealBroken, "%s", target.Instance)
+		return errcode.New(errcode.InvalidSeal, "%s", target.Instance)
 	}
 	return nil
 }
--- a/internal/rpc/client.go
+++ b/internal/rpc/client.go
@@ -37,7 +37,7 @@
 		return err
 	}
 	if reply.Version != Version {
-		return errcode.New(errcode.ReplyLost, "%s %s: response has protocol version %d, want %d", address, kind, reply.Version, Version)
+		return errcode.New(errcode.PeerResponseLost, "%s %s: response has protocol version %d, want %d", address, kind, reply.Version, Version)
 	}
 	if reply.Code != 0 {
 		return reply.responseError()
--- a/internal/rpc/client_conn.go
+++ b/internal/rpc/client_conn.go
@@ -22,7 +22,7 @@
 )
 
 // clientConn is an outgoing connection to a peer. It is shared by all calls to that peer and
-// closed on the first failure; every pending call then fails with errcode.ReplyLost.
+// closed on the first failure; every pending call then fails with errcode.PeerResponseLost.
 type clientConn struct {
 	transport *Transport
 	address   string
@@ -194,19 +194,19 @@
 	c.transport.RecordSent(request.Kind, c.address, encoded.size())
 	if err := c.write(encoded); err != nil {
 		c.close()
-		return nil, errcode.New(errcode.ReplyLost, "%s: %v", c.address, err)
+		return nil, errcode.New(errcode.PeerResponseLost, "%s: %v", c.address, err)
 	}
 	select {
 	case response, ok := <-call:
 		if !ok {
-			return nil, errcode.New(errcode.ReplyLost, "%s: connection closed", c.address)
+			return nil, errcode.New(errcode.PeerResponseLost, "%s: connection closed", c.address)
 		}
 		return response, nil
 	case <-ctx.Done():
 		if c.abandon(request.ID, sentAt) {
 			c.close()
 		}
-		return nil, errcode.New(errcode.ReplyLost, "%s %s: %v", c.address, request.Kind, ctx.Err())
+		return nil, errcode.New(errcode.PeerResponseLost, "%s %s: %v", c.address, request.Kind, ctx.Err())
 	}
 }
 
--- a/internal/rpc/client_test.go
+++ b/internal/rpc/client_test.go
@@ -57,9 +57,9 @@
 		want errcode.Code
 	}{
 		{"dial refused", refused, errcode.Unreachable},
-		{"closed without a response", peerDialer(func(*Frame) (*Frame, bool) { return nil, false }), errcode.ReplyLost},
-		{"timeout without a response", peerDialer(func(*Frame) (*Frame, bool) { return nil, true }), errcode.ReplyLost},
-		{"response with another version", peerDialer(func(*Frame) (*Frame, bool) { return &Frame{Version: Version + 1, Body: json.RawMessage(`1`)}, true }), errcode.ReplyLost},
+		{"closed without a response", peerDialer(func(*Frame) (*Frame, bool) { return nil, false }), errcode.PeerResponseLost},
+		{"timeout without a response", peerDialer(func(*Frame) (*Frame, bool) { return nil, true }), errcode.PeerResponseLost},
+		{"response with another version", peerDialer(func(*Frame) (*Frame, bool) { return &Frame{Version: Version + 1, Body: json.RawMessage(`1`)}, true }), errcode.PeerResponseLost},
 		{"response of the wrong type", peerDialer(func(*Frame) (*Frame, bool) { return &Frame{Version: Version, Body: json.RawMessage(`"one"`)}, true }), errcode.InvalidMessage},
 		{"response with a code", peerDialer(func(*Frame) (*Frame, bool) { return &Frame{Version: Version, Code: errcode.NoLeader.Number}, true }), errcode.NoLeader},
 		{"response with an unknown code", peerDialer(func(*Frame) (*Frame, bool) { return &Frame{Version: Version, Code: 999_999}, true }), errcode.Internal},
@@ -112,7 +112,7 @@
 						call("answered")
 					}()
 				}
-				if err := call("unanswered"); !errors.Is(err, errcode.ReplyLost) {
+				if err := call("unanswered"); !errors.Is(err, errcode.PeerResponseLost) {
 					t.Error(err)
 				}
 				if err := call("answered"); err != nil || dialCount.Load() != test.wantDials {
--- a/internal/rpc/doc.go
+++ b/internal/rpc/doc.go
@@ -6,7 +6,7 @@
 // schema/wire.yaml) of at most peer.max_message_bytes.
 //
 // Errors are those of package errcode. errcode.Unreachable means that the request was not
-// written, so the peer has not executed it. errcode.ReplyLost means that the request may
+// written, so the peer has not executed it. errcode.PeerResponseLost means that the request may
 // have been written but no valid response was received, so the peer may have executed it.
 // Any other code was returned by the peer, or reports that a message could not be encoded or
 // decoded locally (errcode.Internal, errcode.InvalidMessage). A malformed message is
--- a/internal/rpc/messages_gen.go
+++ b/internal/rpc/messages_gen.go
@@ -9,8 +9,8 @@
 )
 
 // Frame is one line on a connection between two processes: a request, or the response
-// with the same ID. Deadline is in microseconds from its arrival; Hops counts how often a
-// request was forwarded.
+// with the same ID. Deadline is the time left for the request in microseconds, counted
+// from its arrival; Hops is the number of times that it was forwarded.
 type Frame struct {
 	Version  int             `json:"v,omitempty"`
 	ID       uint64          `json:"id"`
@@ -23,14 +23,17 @@
 	Body     json.RawMessage `json:"body,omitempty"`
 }
 
-// Peer names one life of a node. The same name with another member ID is another member.
+// Peer identifies a node by its name and member ID. A node that restarts without its disk
+// gets a new member ID and is another member.
 type Peer struct {
 	Name ids.NodeName `json:"name"`
 	ID   ids.MemberID `json:"birth"`
 }
 
-// Member is what a node knows of another node. HoldsConfiguration tells that it is a
-// member of the configuration shard; Incarnation orders what is said of it, as in SWIM.
+// Member is a node's record in the member list. BootstrapCores is the node's
+// bootstrap.cores setting, or 0 if it takes no part in bootstrap; ClusterID is empty
+// until it has joined one. HoldsConfiguration is set if the node is a voter of the
+// configuration shard. Incarnation orders the updates about a member, as in SWIM.
 type Member struct {
 	Name               ids.NodeName `json:"name"`
 	ID                 ids.MemberID `json:"birth"`
@@ -41,14 +44,15 @@
 	Strength           int          `json:"strength"`
 	Core               bool         `json:"core,omitempty"`
 	HoldsConfiguration bool         `json:"keeps,omitempty"`
-	Founders           int          `json:"founders,omitempty"`
-	Fleet              string       `json:"fleet,omitempty"`
+	BootstrapCores     int          `json:"founders,omitempty"`
+	ClusterID          string       `json:"fleet,omitempty"`
 	Incarnation        uint64       `json:"incarnation"`
 	State              string       `json:"state"`
 }
 
-// Probe is one datagram of the membership protocol: a ping, an acknowledgement, a ping on
-// another node's behalf, or the question who the sender is.
+// Probe is one datagram of the membership protocol: a ping, an acknowledgement, a request
+// for an indirect ping, a request for the receiver's record, or updates alone. Via and
+// Back are unused.
 type Probe struct {
 	Kind     string       `json:"kind"`
 	Sequence uint64       `json:"seq"`
@@ -60,12 +64,13 @@
 	Updates  []Member     `json:"news,omitempty"`
 }
 
-// MembershipSync exchanges member lists. A request bears a digest of all that its sender
-// knows. RangeCount is into how many ranges of names the sender wants the list cut (1
-// asks for the complete list; 0 comes from older builds and does too), and Members is
-// what the sender tells. The response says that both lists are the same, or gives each
-// range's digest, or members, or after how many milliseconds to come again. A request
-// with DifferingRanges names the ranges that differ, with the sender's members of these.
+// MembershipSync is a request or a response of a push/pull exchange of member lists. A
+// request contains a digest of the sender's complete list and the number of ranges of
+// names to compare (1 requests the complete list, and so does 0, which older builds
+// send); Members holds the records that the sender pushes. The response contains Same if
+// the digests match, otherwise the digest of each range, or members, or a delay before a
+// retry. A request with DifferingRanges names the ranges that differ and contains the
+// sender's members in them.
 type MembershipSync struct {
 	Digest           uint64   `json:"digest,omitempty"`
 	RangeCount       int      `json:"ranges,omitempty"`
@@ -77,7 +82,7 @@
 }
 
 // Entry is one entry of a shard's log. A voters entry with outgoing voters is the joint
-// step of a membership change, under which a decision needs a majority of both (Raft,
+// step of a membership change, during which decisions need a majority of both sets (Raft,
 // joint consensus).
 type Entry struct {
 	Index          ids.Index       `json:"index"`
@@ -88,8 +93,10 @@
 	Body           json.RawMessage `json:"body,omitempty"`
 }
 
-// VoteRequest asks a member to vote for the sender's term, and so to reject all terms
-// below it. LastIndex and LastTerm tell how far the candidate's log goes.
+// VoteRequest asks a member to vote for the candidate in a term; a member that grants the
+// vote rejects all lower terms. Commit is the candidate's commit index, LastIndex and
+// LastTerm are those of its last log entry. LeadershipTransfer is set if the leader
+// requested the campaign.
 type VoteRequest struct {
 	Shard              ids.Shard `json:"part"`
 	Term               ids.Term  `json:"term"`
@@ -100,9 +107,10 @@
 	LeadershipTransfer bool      `json:"invited,omitempty"`
 }
 
-// VoteResponse is a vote, synced to disk before it is sent, with the member's log after
-// the candidate's commit index and the voters that this log names. NotMember rejects a
-// candidate that was removed from the group.
+// VoteResponse is the response to a VoteRequest. A granted vote is synced to disk before
+// it is sent, and contains the snapshot and entries that the candidate may lack, and the
+// voters that the member's log specifies. NotMember rejects a candidate that was removed
+// from the voters.
 type VoteResponse struct {
 	Granted        bool      `json:"granted"`
 	CurrentTerm    ids.Term  `json:"promised"`
@@ -116,17 +124,17 @@
 	Entries        []Entry   `json:"entries,omitempty"`
 }
 
-// PreVoteRequest asks a member for which of these shards it knows a leader or a
-// candidate.
+// PreVoteRequest asks a member for which of the shards it would reject a candidate.
 type PreVoteRequest struct {
 	Shards []ids.Shard `json:"parts"`
 }
 
-// PreVoteResponse names the shards that have a leader or a candidate as far as the member
-// knows.
+// PreVoteResponse lists the shards for which the member rejects the pre-vote: it leads
+// the shard, had recent contact with its leader or voted recently, or there is no such
+// shard.
 type PreVoteResponse struct {
-	From      Peer        `json:"from"`
-	LedShards []ids.Shard `json:"spoken,omitempty"`
+	From           Peer        `json:"from"`
+	RejectedShards []ids.Shard `json:"spoken,omitempty"`
 }
 
 // Snapshot is a shard's complete state at an index.
@@ -149,9 +157,9 @@
 	Entries   []Entry   `json:"entries,omitempty"`
 }
 
-// SnapshotChunkRequest carries a chunk of a packed snapshot from a leader to a follower.
-// Size is that of the complete packed snapshot in bytes, Digest its SHA-256, SnapshotTerm
-// the term of its last entry.
+// SnapshotChunkRequest carries a chunk of a compressed snapshot from a leader to a
+// follower. Size is the size of the complete compressed snapshot in bytes, Digest its
+// SHA-256, SnapshotTerm the term of its last entry.
 type SnapshotChunkRequest struct {
 	Shard        ids.Shard `json:"part"`
 	Term         ids.Term  `json:"term"`
@@ -164,8 +172,8 @@
 	Data         []byte    `json:"data"`
 }
 
-// SnapshotChunkResponse tells how many bytes of a snapshot a follower has, or, once it
-// has all of it, up to which index its log is synced.
+// SnapshotChunkResponse reports how many bytes of a snapshot a follower has received, or,
+// once it has the complete snapshot, the index up to which its log is synced.
 type SnapshotChunkResponse struct {
 	From        Peer      `json:"from"`
 	CurrentTerm ids.Term  `json:"promised"`
@@ -173,7 +181,7 @@
 	MatchIndex  ids.Index `json:"match,omitempty"`
 }
 
-// AppendResponse tells up to which index a follower has synced the leader's log.
+// AppendResponse reports the index up to which a follower has synced the leader's log.
 type AppendResponse struct {
 	From        Peer      `json:"from"`
 	Success     bool      `json:"ok"`
@@ -181,7 +189,7 @@
 	MatchIndex  ids.Index `json:"match"`
 }
 
-// LeaderClaim says that the sender leads a shard in a term.
+// LeaderClaim states that the sender leads a shard in a term.
 type LeaderClaim struct {
 	Shard   ids.Shard `json:"part"`
 	Term    ids.Term  `json:"term"`
@@ -189,9 +197,9 @@
 	Serving bool      `json:"serving,omitempty"`
 }
 
-// HeartbeatRequest confirms, in one message, all the terms in which a node leads. It
-// holds the claims that differ from those of the message BaseSequence, and the shards
-// that were released since.
+// HeartbeatRequest confirms all terms in which a node leads in one message. It contains
+// the claims that differ from those of the heartbeat BaseSequence, and the shards whose
+// leadership was released since.
 type HeartbeatRequest struct {
 	From         Peer          `json:"from"`
 	Sequence     uint64        `json:"no"`
@@ -200,9 +208,9 @@
 	Released     []ids.Shard   `json:"gone,omitempty"`
 }
 
-// HeartbeatResponse lists the claims that are rejected, each with the receiver's current
-// term. BaseLost says that the receiver no longer knows the message that the request
-// builds on, and took nothing from it.
+// HeartbeatResponse lists the rejected claims, each with the receiver's current term.
+// BaseLost is set if the receiver does not have the heartbeat that the request is based
+// on; it has then ignored the request.
 type HeartbeatResponse struct {
 	From     Peer          `json:"from"`
 	Sequence uint64        `json:"no"`
@@ -210,23 +218,24 @@
 	BaseLost bool          `json:"lost,omitempty"`
 }
 
-// CampaignRequest asks a member to campaign for a shard at once; a leader that stops
-// sends it (Raft, leadership transfer).
+// CampaignRequest asks a member to campaign for a shard immediately. A leader sends it to
+// transfer its leadership (Raft, leadership transfer).
 type CampaignRequest struct {
 	Shard ids.Shard `json:"part"`
 	Term  ids.Term  `json:"term"`
 }
 
-// Charter is the bootstrap record of a fleet: its identity and its first members.
+// Charter is the bootstrap record of a cluster: its ID, its first members and its number
+// of shards. Open is set once all of these members have accepted it.
 type Charter struct {
-	Fleet      string   `json:"fleet"`
+	ClusterID  string   `json:"fleet"`
 	Term       ids.Term `json:"round"`
 	Members    []Member `json:"members"`
 	ShardCount int      `json:"parts"`
 	Open       bool     `json:"open,omitempty"`
 }
 
-// BootstrapRequest is one step of bootstrapping a fleet: prepare, accept or open.
+// BootstrapRequest is one step of bootstrapping a cluster: prepare, accept or open.
 type BootstrapRequest struct {
 	Step    string   `json:"step"`
 	Term    ids.Term `json:"round"`
@@ -234,7 +243,7 @@
 	From    Peer     `json:"from"`
 }
 
-// BootstrapResponse answers one step of bootstrapping.
+// BootstrapResponse is the response to a BootstrapRequest.
 type BootstrapResponse struct {
 	Accepted    bool     `json:"ok"`
 	From        Peer     `json:"from"`
@@ -250,14 +259,14 @@
 }
 
 // ForwardResponse is the leader's response to a forwarded call. LeaderAddress is the RPC
-// address of the node that executed it; earlier builds do not tell.
+// address of the node that executed it; older builds leave it empty.
 type ForwardResponse struct {
 	Body          json.RawMessage `json:"body"`
 	LeaderAddress string          `json:"leader,omitempty"`
 }
 
-// TargetHeartbeat is what a target reports of itself. SlowStartMillis is for how long it
-// is slow after its first heartbeat.
+// TargetHeartbeat is a heartbeat of a target, with its description of itself.
+// SlowStartMillis is the duration of its slow start.
 type TargetHeartbeat struct {
 	Service         string `json:"service"`
 	Instance        string `json:"instance"`
@@ -271,8 +280,8 @@
 	Build           string `json:"build,omitempty"`
 }
 
-// Target is one target of a service in an epoch. SlowStartMillis is for how long it is
-// slow after its first heartbeat.
+// Target is one target of a service in an epoch. SlowStartMillis is the duration of its
+// slow start, which a proxy counts from the first epoch with this target.
 type Target struct {
 	Instance        string `json:"instance"`
 	Address         string `json:"address"`
@@ -282,8 +291,9 @@
 	SlowStartMillis int64  `json:"cold,omitempty"`
 }
 
-// ReportedTarget is a target in a shard's report. Since is when its first heartbeat came,
-// in microseconds before the report; OutReason says why it takes no traffic.
+// ReportedTarget is a target in a shard's report. Since is the time since its first
+// heartbeat in microseconds; the planner replaces it by the time of that heartbeat.
+// OutReason is why the target is out of rotation, empty if it is in rotation.
 type ReportedTarget struct {
 	Instance        string `json:"instance"`
 	Address         string `json:"address"`
@@ -295,67 +305,70 @@
 	OutReason       string `json:"out,omitempty"`
 }
 
-// TargetReportRequest collects the target lists of the shards that a node leads. Known
-// holds the digests that the sender has.
+// TargetReportRequest requests the target lists of the shards that a node leads. Known
+// holds the digests of the lists that the sender has.
 type TargetReportRequest struct {
 	Known map[ids.Shard]string `json:"known,omitempty"`
 }
 
-// ShardTargets is the target lists of one shard. Age is how old they are, in
-// microseconds. Provisional says that the leader is new and may not have heard from all
-// targets yet.
+// ShardTargets holds the target lists of one shard by service. They include everything
+// known AgeMicros before the report, and are omitted if the requester has them.
+// Provisional is set while the leader is new and may not have a heartbeat from every
+// target.
 type ShardTargets struct {
 	Shard       ids.Shard                   `json:"part"`
 	Term        ids.Term                    `json:"term"`
 	Digest      string                      `json:"digest"`
-	Age         int64                       `json:"age"`
+	AgeMicros   int64                       `json:"age"`
 	Provisional bool                        `json:"young,omitempty"`
 	Targets     map[string][]ReportedTarget `json:"lists"`
 }
 
-// TargetReportResponse answers TargetReportRequest.
+// TargetReportResponse is the response to a TargetReportRequest.
 type TargetReportResponse struct {
 	Shards []ShardTargets `json:"parts,omitempty"`
 }
 
-// GroupVersion is the digest and version of a configuration group, as a cache holds it.
+// GroupVersion identifies a version of a configuration group.
 type GroupVersion struct {
 	Digest string    `json:"digest"`
 	Index  ids.Index `json:"stamp"`
 }
 
-// ListenRequest is the pending listener request of the paper's long polling: each group's
-// digest and version, or, where the control node knows the epoch named, one digest over
-// them all. AcceptsDeltas asks for small differences at once.
+// ListenRequest is a listener's long poll for a newer epoch, as in the paper. It contains
+// the version of each group that the listener has, or only the digest of this manifest if
+// the control node knows the epoch. AcceptsDeltas requests small deltas in the response.
 type ListenRequest struct {
 	Epoch          ids.Epoch               `json:"epoch"`
-	CombinedDigest string                  `json:"sum,omitempty"`
+	ManifestDigest string                  `json:"sum,omitempty"`
 	AcceptsDeltas  bool                    `json:"small,omitempty"`
-	Versions       map[string]GroupVersion `json:"have,omitempty"`
+	Manifest       map[string]GroupVersion `json:"have,omitempty"`
 }
 
-// ListenResponse names the groups that changed; none when the hold time is over.
-// UnknownDigest says that the combined digest fits nothing known here. Deltas are
-// differences small enough to come along.
+// ListenResponse lists the groups that changed; none after the long-poll timeout.
+// UnknownManifest is set if the control node does not know the epoch, or has another
+// manifest for it. AgeMillis is the time since the control node applied the epoch. Deltas
+// holds the changed groups, as deltas if possible, if they are small.
 type ListenResponse struct {
-	Epoch         ids.Epoch               `json:"epoch"`
-	Age           int64                   `json:"age,omitempty"`
-	UnknownDigest bool                    `json:"lost,omitempty"`
-	Deltas        map[string]Group        `json:"groups,omitempty"`
-	Changed       map[string]GroupVersion `json:"changed,omitempty"`
-	Removed       []string                `json:"removed,omitempty"`
+	Epoch           ids.Epoch               `json:"epoch"`
+	AgeMillis       int64                   `json:"age,omitempty"`
+	UnknownManifest bool                    `json:"lost,omitempty"`
+	Deltas          map[string]Group        `json:"groups,omitempty"`
+	Changed         map[string]GroupVersion `json:"changed,omitempty"`
+	Removed         []string                `json:"removed,omitempty"`
 }
 
-// FetchRequest fetches groups, or all of them when none is named. For groups held under a
-// digest a difference will do. AcceptsPacked tells that the sender reads deflated groups.
+// FetchRequest fetches the named groups, or all groups if none is named. BaseDigests
+// holds the digests of cached groups, from which target lists may be sent as deltas.
+// AcceptsCompressed is set if the sender can decompress groups.
 type FetchRequest struct {
-	Groups        []string          `json:"groups,omitempty"`
-	HeldDigests   map[string]string `json:"held,omitempty"`
-	AcceptsPacked bool              `json:"packs,omitempty"`
+	Groups            []string          `json:"groups,omitempty"`
+	BaseDigests       map[string]string `json:"held,omitempty"`
+	AcceptsCompressed bool              `json:"packs,omitempty"`
 }
 
-// Group is one configuration group. A target list may be a difference from the one with
-// BaseDigest.
+// Group is one configuration group. With BaseDigest it is a target list as a delta from
+// the version with that digest.
 type Group struct {
 	Digest         string          `json:"digest"`
 	Index          ids.Index       `json:"stamp"`
@@ -365,24 +378,24 @@
 	RemovedTargets []string        `json:"gone,omitempty"`
 }
 
-// FetchResponse is groups of one epoch, with the manifest if all were asked for.
-// RetryAfterMillis is set when too many fetch everything just now. Packed is the groups,
-// deflated.
+// FetchResponse holds groups of one epoch, and the manifest if all groups were requested.
+// RetryAfterMillis is set instead if the limit of concurrent full fetches is reached.
+// Compressed holds the groups compressed with deflate.
 type FetchResponse struct {
 	Epoch            ids.Epoch               `json:"epoch"`
 	RetryAfterMillis int64                   `json:"later,omitempty"`
 	Manifest         map[string]GroupVersion `json:"manifest,omitempty"`
 	Groups           map[string]Group        `json:"groups,omitempty"`
-	Packed           []byte                  `json:"packed,omitempty"`
+	Compressed       []byte                  `json:"packed,omitempty"`
 }
 
-// FreshnessRequest asks how old the control node's confirmations are.
+// FreshnessRequest requests the ages of the control node's confirmations.
 type FreshnessRequest struct {
 }
 
-// FreshnessResponse tells how old the confirmations of the configuration and of each
-// shard are, in microseconds; below zero is never. BindingEpoch is the last epoch that
-// bore a change set or took a target away.
+// FreshnessResponse holds the ages of the confirmations of the configuration and of each
+// shard, in microseconds; negative means never. BindingEpoch is the last epoch that
+// contains a change set or removes a target.
 type FreshnessResponse struct {
 	Epoch          ids.Epoch `json:"epoch"`
 	BindingEpoch   ids.Epoch `json:"binding,omitempty"`
@@ -390,8 +403,8 @@
 	ShardAgeMicros []int64   `json:"parts"`
 }
 
-// CoordinationRequest is one call on a space's locks, counters, keys or watches. TTL and
-// Wait are in milliseconds.
+// CoordinationRequest is one call on the locks, counters, keys or watches of a space. TTL
+// and Wait are in milliseconds.
 type CoordinationRequest struct {
 	ID           string               `json:"id,omitempty"`
 	Operation    string               `json:"op"`
@@ -409,8 +422,8 @@
 	Records      []CoordinationRecord `json:"records,omitempty"`
 }
 
-// CoordinationResponse is the response to such a call. Code is zero when it was done.
-// Revision is the space's own count.
+// CoordinationResponse is the response to a CoordinationRequest. Code is zero on success.
+// Index is an index of the shard's log, Revision a revision of the space.
 type CoordinationResponse struct {
 	Code         int                  `json:"code,omitempty"`
 	Note         string               `json:"note,omitempty"`
@@ -425,7 +438,7 @@
 	Records      []CoordinationRecord `json:"keys,omitempty"`
 }
 
-// WatchEvent is one change that a watch sees.
+// WatchEvent is one change of a name, as returned to a watch.
 type WatchEvent struct {
 	Index    ids.Index       `json:"stamp"`
 	Revision ids.Index       `json:"rev,omitempty"`
@@ -449,22 +462,23 @@
 	Index        ids.Index       `json:"stamp"`
 }
 
-// CompletedRequest is the response kept for a request ID, so that a repeated request gets
-// it again.
+// CompletedRequest is the response stored for a request ID, which a repeat of the request
+// receives.
 type CompletedRequest struct {
 	ID       string               `json:"id"`
 	Response CoordinationResponse `json:"receipt"`
 }
 
-// CoordinationState is the complete coordination state of a data shard. Start is the
-// index from which watches can resume.
+// CoordinationState is the complete coordination state of a data shard. Its events are
+// those after CompactedIndex; CompactedRevisions has the last dropped revision of each
+// space.
 type CoordinationState struct {
-	Records   []CoordinationRecord `json:"records"`
-	Completed []CompletedRequest   `json:"seen"`
-	Events    []WatchEvent         `json:"events"`
-	Starts    map[string]ids.Index `json:"starts,omitempty"`
-	Start     ids.Index            `json:"start"`
-	Applied   ids.Index            `json:"applied"`
+	Records            []CoordinationRecord `json:"records"`
+	Completed          []CompletedRequest   `json:"seen"`
+	Events             []WatchEvent         `json:"events"`
+	CompactedRevisions map[string]ids.Index `json:"starts,omitempty"`
+	CompactedIndex     ids.Index            `json:"start"`
+	Applied            ids.Index            `json:"applied"`
 }
 
 // WeightedService is one service's weight in a route.
@@ -473,8 +487,7 @@
 	Weight  int    `json:"weight"`
 }
 
-// Route leads requests to services. DeadlineMillis and LatencyTargetMillis are in
-// milliseconds.
+// Route assigns the requests that it matches to services.
 type Route struct {
 	Name                string            `json:"name"`
 	Host                string            `json:"host,omitempty"`
@@ -490,8 +503,8 @@
 	Source              json.RawMessage   `json:"source,omitempty"`
 }
 
-// Service is a group of targets that answer alike. MaxConnections bounds the connections
-// to each of them from all proxies together.
+// Service is a group of equivalent targets. MaxConnections limits the connections to each
+// target from all proxies together.
 type Service struct {
 	Name           string          `json:"name"`
 	Key            string          `json:"key,omitempty"`
@@ -500,8 +513,8 @@
 	Source         json.RawMessage `json:"source,omitempty"`
 }
 
-// Limit bounds a service over the complete fleet: requests in flight, and retries as a
-// percentage of first requests and a base.
+// Limit limits a service across all proxies: requests in flight, and retries as a
+// percentage of first requests plus a base.
 type Limit struct {
 	Service      string `json:"service"`
 	MaxInFlight  int    `json:"inflight,omitempty"`
@@ -509,8 +522,8 @@
 	RetryBase    *int   `json:"extra_base,omitempty"`
 }
 
-// ClientLimits bounds what clients may send: bytes of a header and of a body, and
-// milliseconds for a header and of idling.
+// ClientLimits limits what clients may send: the bytes of a header and of a body, and the
+// milliseconds to send a header and to keep a connection idle.
 type ClientLimits struct {
 	HeaderBytes         int             `json:"header,omitempty"`
 	BodyBytes           int64           `json:"body,omitempty"`
@@ -527,14 +540,15 @@
 	ClientLimits *ClientLimits `json:"manners,omitempty"`
 }
 
-// Removals names what a change set takes out.
+// Removals names what a change set removes.
 type Removals struct {
 	Routes   []string `json:"mappings,omitempty"`
 	Services []string `json:"services,omitempty"`
 	Limits   []string `json:"limits,omitempty"`
 }
 
-// ChangeSet is a change of the configuration: all of it is applied, or nothing.
+// ChangeSet is an atomic change of the configuration. If Complete is set, Put is the
+// complete configuration.
 type ChangeSet struct {
 	ID              string        `json:"id"`
 	BaseEpoch       ids.Epoch     `json:"base"`
@@ -546,7 +560,7 @@
 	Note            string        `json:"note,omitempty"`
 }
 
-// ChangeResult tells what became of a change set.
+// ChangeResult is the result of a change set.
 type ChangeResult struct {
 	ID      string      `json:"id"`
 	State   string      `json:"state"`
@@ -555,9 +569,9 @@
 	Version ids.Version `json:"version,omitempty"`
 }
 
-// EpochEntry is one entry of the configuration shard: a complete epoch, as what differs
-// from the one before. ResultsKept is how many results of change sets all members
-// remember from this entry on; 0 comes from older builds.
+// EpochEntry is one entry of the configuration shard's log: an epoch as its differences
+// from the previous one. ResultsKept is how many results of change sets all members keep
+// from this entry on; older builds send 0, which means the default.
 type EpochEntry struct {
 	Epoch       ids.Epoch                  `json:"epoch"`
 	Change      *ChangeResult              `json:"change,omitempty"`
@@ -566,7 +580,8 @@
 	Remove      []string                   `json:"drop,omitempty"`
 }
 
-// ConfigurationState is the complete state of the configuration shard.
+// ConfigurationState is the complete state of the configuration shard. ChangedEpoch is
+// the last epoch with a change set.
 type ConfigurationState struct {
 	Epoch        ids.Epoch        `json:"epoch"`
 	ChangedEpoch ids.Epoch        `json:"changed"`
@@ -575,7 +590,7 @@
 	Results      []ChangeResult   `json:"changes"`
 }
 
-// EpochView is what operators see of the epoch in force.
+// EpochView is the epoch in force as shown to operators.
 type EpochView struct {
 	Epoch         ids.Epoch               `json:"epoch"`
 	ChangedEpoch  ids.Epoch               `json:"changed"`
@@ -585,37 +600,39 @@
 	Shares        map[ids.NodeName]int    `json:"shares"`
 }
 
-// ConfigurationView is the operators' configuration as they sent it, with their own
-// version.
+// ConfigurationView is the configuration as operators submitted it, with their version
+// number.
 type ConfigurationView struct {
 	Version       ids.Version   `json:"version"`
 	Epoch         ids.Epoch     `json:"epoch"`
 	Configuration Configuration `json:"config"`
 }
 
-// InstanceLookupRequest asks which service an instance serves.
+// InstanceLookupRequest requests the service of an instance.
 type InstanceLookupRequest struct {
 	Instance string `json:"instance"`
 }
 
-// InstanceLookupResponse names the service of an instance; none if it is not known.
+// InstanceLookupResponse holds the service of an instance; empty if the instance is
+// unknown.
 type InstanceLookupResponse struct {
 	Service string `json:"service,omitempty"`
 }
 
-// UnansweredRequests tells other proxies of keyed requests that were handed to a target
-// and got no answer, by the hash of method, path and idempotency key.
+// UnansweredRequests reports to other proxies the requests with an idempotency key that
+// were forwarded to a target and got no response, by the hash of method, path and key.
 type UnansweredRequests struct {
 	Keys []uint64 `json:"keys"`
 }
 
-// FailureReport tells other proxies how often targets failed since the last report, by
-// the hash of service, instance and address.
+// FailureReport reports to other proxies how often each target failed since the last
+// report, by the hash of service, instance and address.
 type FailureReport struct {
 	Failures map[string]int `json:"fails"`
 }
 
-// RangeDigestRequest names the digests of a shard's key ranges at an index.
+// RangeDigestRequest contains the digests of a shard's key ranges at an index, to compare
+// with a replica.
 type RangeDigestRequest struct {
 	Shard   ids.Shard         `json:"part"`
 	Term    ids.Term          `json:"term"`
@@ -623,15 +640,16 @@
 	Digests map[string]string `json:"digests"`
 }
 
-// RangeDigestResponse names the ranges that differ; none when the member is not at that
-// index.
+// RangeDigestResponse lists the ranges that differ. AtIndex is false if the member could
+// not compare its ranges at that index.
 type RangeDigestResponse struct {
 	From            Peer     `json:"from"`
 	AtIndex         bool     `json:"is_there"`
 	DifferingRanges []string `json:"differ,omitempty"`
 }
 
-// RepairRequest carries complete key ranges as they are at an index.
+// RepairRequest carries complete key ranges at an index, which replace those of a
+// replica.
 type RepairRequest struct {
 	Shard  ids.Shard                  `json:"part"`
 	Term   ids.Term                   `json:"term"`
--- a/internal/rpc/server.go
+++ b/internal/rpc/server.go
@@ -131,7 +131,7 @@
 		ctx = withDeadline
 	}
 	if ctx.Err() != nil {
-		return fail(errcode.New(errcode.ReplyLost, "%s: not executed, deadline exceeded", request.Kind))
+		return fail(errcode.New(errcode.PeerResponseLost, "%s: not executed, deadline exceeded", request.Kind))
 	}
 	body, err := handler(&Request{Context: ctx, Hops: request.Hops, body: request.Body})
 	encoded, isEncoded := body.(*EncodedResponse)
@@ -145,7 +145,7 @@
 		return fail(err)
 	}
 	if ctx.Err() != nil {
-		return fail(errcode.New(errcode.ReplyLost, "%s: deadline exceeded", request.Kind))
+		return fail(errcode.New(errcode.PeerResponseLost, "%s: deadline exceeded", request.Kind))
 	}
 	if isEncoded {
 		response.Body = encoded.Body
--- a/internal/rpc/server_test.go
+++ b/internal/rpc/server_test.go
@@ -32,7 +32,7 @@
 		request := &Frame{Version: Version, ID: 5, Kind: "slow", Deadline: 20_000}
 		received := time.Now()
 		response, release := transport.dispatch(ctx, request, received)
-		if handlerCalls != 1 || response.Body != nil || response.Code != errcode.ReplyLost.Number || response.ID != 5 || release == nil {
+		if handlerCalls != 1 || response.Body != nil || response.Code != errcode.PeerResponseLost.Number || response.ID != 5 || release == nil {
 			t.Errorf("handler calls: %d, %+v", handlerCalls, response)
 		}
 		release()
@@ -41,7 +41,7 @@
 		}
 		// The deadline has passed before the handler is called.
 		response, release = transport.dispatch(ctx, request, received)
-		if handlerCalls != 1 || release != nil || !reflect.DeepEqual(response, &Frame{Version: Version, ID: 5, Code: errcode.ReplyLost.Number, Note: "slow: not executed, deadline exceeded"}) {
+		if handlerCalls != 1 || release != nil || !reflect.DeepEqual(response, &Frame{Version: Version, ID: 5, Code: errcode.PeerResponseLost.Number, Note: "slow: not executed, deadline exceeded"}) {
 			t.Errorf("handler calls: %d, %+v", handlerCalls, response)
 		}
 	})
--- a/internal/simulator/bootstrap_test.go
+++ b/internal/simulator/bootstrap_test.go
@@ -26,7 +26,7 @@
 	for _, m := range f.Cores() {
 		if node := m.Node(); node != nil {
 			if charter := node.Consensus.Charter(); charter != nil {
-				ids[charter.Fleet] = true
+				ids[charter.ClusterID] = true
 				n++
 			}
 		}
--- a/internal/simulator/contact_test.go
+++ b/internal/simulator/contact_test.go
@@ -53,7 +53,7 @@
 		groups = append(groups, name)
 	}
 	for kind, request := range map[string]any{
-		"flow.listen": &rpc.ListenRequest{Versions: map[string]rpc.GroupVersion{}},
+		"flow.listen": &rpc.ListenRequest{Manifest: map[string]rpc.GroupVersion{}},
 		"flow.fetch":  &rpc.FetchRequest{Groups: groups},
 		"flow.pulse":  &rpc.FreshnessRequest{},
 	} {
--- a/internal/simulator/idempotency_test.go
+++ b/internal/simulator/idempotency_test.go
@@ -35,7 +35,7 @@
 		}
 		time.Sleep(3 * time.Second)
 		repeat := caller.CallWithID(f.ctx, f.Machine("proxy2").ProxyAddress(), "POST", "/bookings", "desk", []byte("{}"), "moved", true)
-		if repeat.Code != errcode.OrderRan.Number || repeat.Outcome != "ran" || countExecutions(f, "moved") != 1 {
+		if repeat.Code != errcode.DuplicateRan.Number || repeat.Outcome != "ran" || countExecutions(f, "moved") != 1 {
 			t.Errorf("the request ran %d times, its repeat returned %+v", countExecutions(f, "moved"), repeat)
 		}
 	})
--- a/internal/simulator/successor_test.go
+++ b/internal/simulator/successor_test.go
@@ -98,7 +98,7 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 		for _, m := range f.Cores()[:3] {
-			if m.Node().Members.View()["core4"].Fleet == "" {
+			if m.Node().Members.View()["core4"].ClusterID == "" {
 				t.Errorf("%s does not know that the new node has joined", m.Name)
 			}
 		}
--- a/internal/standin/operator.go
+++ b/internal/standin/operator.go
@@ -83,7 +83,7 @@
 	switch {
 	case err == nil:
 		record.Outcome, record.Epoch = checker.OutcomeAccepted, response.Epoch
-	case record.Code == errcode.ChangeAbsent.Number:
+	case record.Code == errcode.ChangeNotFound.Number:
 		record.Outcome, err = checker.OutcomeAbsent, nil
 	default:
 		record.Outcome = checker.OutcomeUnknown
--- a/internal/storage/recovery.go
+++ b/internal/storage/recovery.go
@@ -80,7 +80,7 @@
 	quarantine := folder + ".damaged-" + time.Now().Format("20060102-150405")
 	s.env.Events.Emit(eventlog.StoreDamaged, "folder", folder, "quarantine", quarantine, "cause", cause.Error())
 	if err := s.env.Host.Rename(folder, quarantine); err != nil {
-		return errcode.New(errcode.StorageBroken, "%s is corrupt (%v) and can't be renamed: %v", folder, cause, err)
+		return errcode.New(errcode.StorageFailed, "%s is corrupt (%v) and can't be renamed: %v", folder, cause, err)
 	}
 	return nil
 }
--- a/internal/storage/storage.go
+++ b/internal/storage/storage.go
@@ -50,7 +50,7 @@
 // Open opens the data folder named in the settings and starts the writer task, which closes the
 // folder when the environment is done. A corrupt folder is quarantined and replaced by an empty
 // one. While the disk is too full to open the folder, Open retries. Errors have the code
-// StorageBroken.
+// StorageFailed.
 func Open(env *environment.Environment) (*Store, error) {
 	s := &Store{env: env, wakeup: make(chan struct{}, 1), openStarted: time.Now(), corrupted: make(chan struct{})}
 	for {
@@ -61,7 +61,7 @@
 		}
 		s.close()
 		if !isDiskFull(err) {
-			return nil, errcode.New(errcode.StorageBroken, "%s: %v", env.Config.DataFolder, err)
+			return nil, errcode.New(errcode.StorageFailed, "%s: %v", env.Config.DataFolder, err)
 		}
 		if !s.failing.Swap(true) {
 			env.Events.Emit(eventlog.StoreFailed, "cause", err.Error())
@@ -128,5 +128,5 @@
 // SyncCount returns the number of group commits since Open.
 func (s *Store) SyncCount() int64 { return s.syncCount.Load() }
 
-func errStopping() error { return errcode.New(errcode.StorageBroken, "the node is stopping") }
-func errNotOpen() error  { return errcode.New(errcode.StorageBroken, "the data folder is not open") }
+func errStopping() error { return errcode.New(errcode.StorageFailed, "the node is stopping") }
+func errNotOpen() error  { return errcode.New(errcode.StorageFailed, "the data folder is not open") }
--- a/internal/storage/writer.go
+++ b/internal/storage/writer.go
@@ -140,7 +140,7 @@
 			s.env.Events.Emit(eventlog.StoreFailed, "cause", err.Error())
 			close(s.corrupted)
 			<-s.env.Done()
-			return errcode.New(errcode.StorageBroken, "%v", err)
+			return errcode.New(errcode.StorageFailed, "%v", err)
 		}
 	}
 	return errStopping()
--- a/schema/generate.go
+++ b/schema/generate.go
@@ -1,5 +1,5 @@
-// Package schema holds the schemas of messages, settings, codes, events and of
-// the API; the code and the tables made from them are committed.
+// Package schema contains the schemas of messages, settings, codes, events, metrics and the
+// HTTP API. The Go code and the tables in docs that are generated from them are committed.
 package schema
 
 //go:generate go run ../tools/schemagen ..
--- a/schema/generate_test.go
+++ b/schema/generate_test.go
@@ -7,17 +7,18 @@
 	"testing"
 )
 
-// requireSameFiles fails for each file below fresh that differs from its namesake below root.
-func requireSameFiles(t *testing.T, root, fresh string) {
+// requireSameFiles fails for each file below generatedRoot that differs from the file of the
+// same name below root.
+func requireSameFiles(t *testing.T, root, generatedRoot string) {
 	t.Helper()
-	err := filepath.Walk(fresh, func(path string, info os.FileInfo, err error) error {
+	err := filepath.Walk(generatedRoot, func(path string, info os.FileInfo, err error) error {
 		if err != nil || info.IsDir() {
 			return err
 		}
-		name, _ := filepath.Rel(fresh, path)
-		want, _ := os.ReadFile(path)
-		have, _ := os.ReadFile(filepath.Join(root, name))
-		if string(want) != string(have) {
+		name, _ := filepath.Rel(generatedRoot, path)
+		generated, _ := os.ReadFile(path)
+		committed, _ := os.ReadFile(filepath.Join(root, name))
+		if string(generated) != string(committed) {
 			t.Errorf("%s is not current; run go generate ./...", name)
 		}
 		return nil
@@ -28,18 +29,18 @@
 }
 
 func TestSchemagen_OutputIsCurrent(t *testing.T) {
-	fresh := t.TempDir()
-	if out, err := exec.Command("go", "run", "../tools/schemagen", "..", fresh).CombinedOutput(); err != nil {
-		t.Fatalf("%v: %s", err, out)
+	generatedRoot := t.TempDir()
+	if output, err := exec.Command("go", "run", "../tools/schemagen", "..", generatedRoot).CombinedOutput(); err != nil {
+		t.Fatalf("%v: %s", err, output)
 	}
-	requireSameFiles(t, "..", fresh)
+	requireSameFiles(t, "..", generatedRoot)
 }
 
 func TestOgen_OutputIsCurrent(t *testing.T) {
-	fresh := t.TempDir()
-	target := filepath.Join(fresh, "internal", "api")
-	if out, err := exec.Command("go", "tool", "ogen", "--target", target, "--package", "api", "--clean", "--config", "ogen.yaml", "api.yaml").CombinedOutput(); err != nil {
-		t.Fatalf("%v: %s", err, out)
+	generatedRoot := t.TempDir()
+	target := filepath.Join(generatedRoot, "internal", "api")
+	if output, err := exec.Command("go", "tool", "ogen", "--target", target, "--package", "api", "--clean", "--config", "ogen.yaml", "api.yaml").CombinedOutput(); err != nil {
+		t.Fatalf("%v: %s", err, output)
 	}
-	requireSameFiles(t, "..", fresh)
+	requireSameFiles(t, "..", generatedRoot)
 }
--- a/tools/schemagen/codes.go
+++ b/tools/schemagen/codes.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// code is one line of the codes' schema. Name is what answers show; Go is the name in the
-// code, if it is another.
+// code is an entry of schema/codes.yaml. Name is used in responses; Go is the name of the Go
+// variable, if it differs.
 type code struct {
 	Number                              int `yaml:"no"`
 	Name, Go, Status, Outcome, Text, Do string
@@ -20,7 +20,7 @@
 	for _, c := range codes {
 		fmt.Fprintf(&b, "%s = Code{Number: %d, Name: %q, Status: %s, Outcome: %q, Text: %q}\n", goName(c.Go, c.Name), c.Number, c.Name, c.Status, c.Outcome, c.Text)
 	}
-	b.WriteString(")\n\n// Codes holds every code by its number.\nvar Codes = map[int]Code{\n")
+	b.WriteString(")\n\n// Codes maps numbers to codes.\nvar Codes = map[int]Code{\n")
 	for _, c := range codes {
 		fmt.Fprintf(&b, "%d: %s,\n", c.Number, goName(c.Go, c.Name))
 	}
@@ -30,7 +30,7 @@
 
 func codesPage(codes []code) string {
 	var b strings.Builder
-	b.WriteString("# Result codes\n\nMade from `schema/codes.yaml`. Every failed answer carries its number in `Sumac-Code`, and, where a request to a server is concerned, its outcome in `Sumac-Outcome`.\n\n| number | name | status | outcome | meaning | what to do |\n| --- | --- | --- | --- | --- | --- |\n")
+	b.WriteString("# Result codes\n\nGenerated from `schema/codes.yaml`. Every error response contains the number in `Sumac-Code`, and, if it is the response to a request for a target, the outcome in `Sumac-Outcome`.\n\n| number | name | status | outcome | meaning | what to do |\n| --- | --- | --- | --- | --- | --- |\n")
 	for _, c := range codes {
 		fmt.Fprintf(&b, "| %d | %s | %s | %s | %s | %s |\n", c.Number, c.Name, c.Status, c.Outcome, c.Text, c.Do)
 	}
--- a/tools/schemagen/events.go
+++ b/tools/schemagen/events.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// event is one line of the events' schema. Name is what the shell and the metrics show; Go
-// is the name in the code, if it is another.
+// event is an entry of schema/events.yaml. Name is used in the shell and in metrics; Go is the
+// name of the Go variable, if it differs.
 type event struct {
 	Number                    int `yaml:"no"`
 	Name, Go, Level, Text, Do string
@@ -19,7 +19,7 @@
 	for _, e := range events {
 		fmt.Fprintf(&b, "%s = Event{Number: %d, Name: %q, Level: %q, Text: %q}\n", goName(e.Go, e.Name), e.Number, e.Name, e.Level, e.Text)
 	}
-	b.WriteString(")\n\n// Events is the whole table.\nvar Events = []Event{\n")
+	b.WriteString(")\n\n// Events contains all events.\nvar Events = []Event{\n")
 	for _, e := range events {
 		fmt.Fprintf(&b, "%s,\n", goName(e.Go, e.Name))
 	}
@@ -29,7 +29,7 @@
 
 func eventsPage(events []event) string {
 	var b strings.Builder
-	b.WriteString("# Log events\n\nMade from `schema/events.yaml`. Every log line carries its number as `event`.\n\n| number | name | level | text | what to do |\n| --- | --- | --- | --- | --- |\n")
+	b.WriteString("# Log events\n\nGenerated from `schema/events.yaml`. Every log line contains the number as `event`.\n\n| number | name | level | text | what to do |\n| --- | --- | --- | --- | --- |\n")
 	for _, e := range events {
 		fmt.Fprintf(&b, "| %d | %s | %s | %s | %s |\n", e.Number, e.Name, e.Level, e.Text, e.Do)
 	}
--- a/tools/schemagen/main.go
+++ b/tools/schemagen/main.go
@@ -1,6 +1,8 @@
-// Command schemagen turns the schemas of this project into Go code and into the tables of
-// the docs: messages between processes, settings, result codes, log events, metrics.
-// It is run by `go generate ./...`; the tests check that its output is current.
+// Command schemagen generates Go code and tables in docs from the schemas of messages between
+// processes, settings, result codes, log events and metrics. The first argument is the root of
+// the repository, by default the working directory; the second is the root of the output, by
+// default the same. It is run by `go generate ./schema`; a test checks that the committed output
+// is current.
 package main
 
 import (
@@ -18,9 +20,9 @@
 	if len(os.Args) > 1 {
 		root = os.Args[1]
 	}
-	out := root
+	outputRoot := root
 	if len(os.Args) > 2 {
-		out = os.Args[2]
+		outputRoot = os.Args[2]
 	}
 	var messages []message
 	var settings []setting
@@ -32,29 +34,29 @@
 	read(root, "codes.yaml", &codes)
 	read(root, "events.yaml", &events)
 	read(root, "metrics.yaml", &metrics)
-	write(out, "internal/rpc/messages_gen.go", generateMessages(messages))
-	write(out, "internal/config/settings_gen.go", generateSettings(settings))
-	write(out, "internal/errcode/codes_gen.go", generateCodes(codes))
-	write(out, "internal/eventlog/events_gen.go", generateEvents(events))
-	write(out, "internal/metrics/metrics_gen.go", generateMetrics(metrics))
-	write(out, "docs/settings.md", settingsPage(settings))
-	write(out, "docs/codes.md", codesPage(codes))
-	write(out, "docs/events.md", eventsPage(events))
-	write(out, "docs/metrics.md", metricsPage(metrics))
+	write(outputRoot, "internal/rpc/messages_gen.go", generateMessages(messages))
+	write(outputRoot, "internal/config/settings_gen.go", generateSettings(settings))
+	write(outputRoot, "internal/errcode/codes_gen.go", generateCodes(codes))
+	write(outputRoot, "internal/eventlog/events_gen.go", generateEvents(events))
+	write(outputRoot, "internal/metrics/metrics_gen.go", generateMetrics(metrics))
+	write(outputRoot, "docs/settings.md", settingsPage(settings))
+	write(outputRoot, "docs/codes.md", codesPage(codes))
+	write(outputRoot, "docs/events.md", eventsPage(events))
+	write(outputRoot, "docs/metrics.md", metricsPage(metrics))
 }
 
-// read decodes a schema; a schema that can't be read ends the program.
-func read(root, name string, into any) {
+// read decodes a schema into target. It exits with an error if it can't.
+func read(root, name string, target any) {
 	raw, err := os.ReadFile(filepath.Join(root, "schema", name))
 	if err == nil {
-		err = yaml.Unmarshal(raw, into)
+		err = yaml.Unmarshal(raw, target)
 	}
 	if err != nil {
 		fail(name, err)
 	}
 }
 
-// write formats and writes one generated file below root.
+// write writes a generated file below root; Go code is formatted first.
 func write(root, name string, text string) {
 	raw := []byte(text)
 	if strings.HasSuffix(name, ".go") {
@@ -72,7 +74,7 @@
 	}
 }
 
-// fail ends the program with an error about one file.
+// fail prints an error about a file and exits.
 func fail(name string, err error) {
 	fmt.Fprintln(os.Stderr, "schemagen:", name+":", err)
 	os.Exit(1)
--- a/tools/schemagen/messages.go
+++ b/tools/schemagen/messages.go
@@ -8,14 +8,14 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// message is one message or record of schema/wire.yaml.
+// message is a message or stored record of schema/wire.yaml.
 type message struct {
 	Name   string
 	Doc    string
 	Fields yaml.Node
 }
 
-// field is one field of a message: its JSON name and, apart from it, its Go name.
+// field is a field of a message. It is omitted from JSON when empty if it is optional.
 type field struct {
 	json     string
 	goName   string
@@ -23,8 +23,8 @@
 	optional bool
 }
 
-// fieldsOf reads a message's fields in their order. A field's value is its type, or
-// a mapping with its type and its Go name.
+// fieldsOf returns a message's fields in the order of the schema. The value of a field in the
+// schema is its type, or a mapping with its type and its Go name.
 func fieldsOf(m message) ([]field, error) {
 	var fields []field
 	for i := 0; i+1 < len(m.Fields.Content); i += 2 {
--- a/tools/schemagen/names.go
+++ b/tools/schemagen/names.go
@@ -4,10 +4,10 @@
 	"strings"
 )
 
-// initialisms are the words that Go writes in capitals throughout.
+// initialisms maps words to their spelling in Go names.
 var initialisms = map[string]string{"api": "API", "id": "ID", "ttl": "TTL"}
 
-// camelCase returns the Go name of a key, as in APIAddress for api.address.
+// camelCase returns the Go name of a key: APIAddress for api.address.
 func camelCase(key string) string {
 	var b strings.Builder
 	for _, word := range strings.FieldsFunc(key, func(r rune) bool { return r == '_' || r == '.' || r == '-' }) {
@@ -20,7 +20,7 @@
 	return b.String()
 }
 
-// comment wraps a text into comment lines.
+// comment formats a text as a comment with wrapped lines.
 func comment(text string) string {
 	const width = 90
 	var b strings.Builder
@@ -36,9 +36,9 @@
 	return b.String()
 }
 
-// shownAs returns the name under which the check of settings prints a key, as in
-// ApiAddress for api.address; it does not follow the Go name.
-func shownAs(key string) string {
+// printedFieldName returns the JSON name of a key in printed settings: ApiAddress for
+// api.address. It does not depend on the Go name.
+func printedFieldName(key string) string {
 	var name strings.Builder
 	for _, word := range strings.FieldsFunc(key, func(r rune) bool { return r == '_' || r == '.' }) {
 		name.WriteString(strings.ToUpper(word[:1]) + word[1:])
@@ -46,10 +46,10 @@
 	return name.String()
 }
 
-// goName is the name in the code: the one given, or else the one that follows.
-func goName(given, otherwise string) string {
-	if given != "" {
-		return given
+// goName returns the name of a Go variable: the override if there is one, otherwise the name.
+func goName(override, name string) string {
+	if override != "" {
+		return override
 	}
-	return otherwise
+	return name
 }
