--- a/internal/controlplane/binding.go
+++ b/internal/controlplane/binding.go
@@ -1,7 +1,7 @@
 package controlplane
 
 // An epoch is binding if a proxy must not serve under an earlier one: it has a change set,
-// which is acknowledged as in force, or it removes a target, which may rely on receiving no
+// which is acknowledged once in effect, or it removes a target, which may rely on receiving no
 // more requests. An epoch that only adds targets or changes shares is not binding: a proxy
 // that has not applied it yet still serves correctly.
 
--- a/internal/controlplane/change.go
+++ b/internal/controlplane/change.go
@@ -39,8 +39,10 @@
 // CheckPrecondition checks whether a change set may be applied to this epoch. For a change
 // set that was accepted before it returns the result of that time, and for a new one that
 // may be applied nil. The error is errcode.ChangeReused if the ID belongs to a change set
-// with another digest, errcode.ChangeConflict if the base epoch or expected version is not
-// current, and errcode.InvalidChange if the new version is not above the current one.
+// with another digest, errcode.ChangeConflict if the expected version is not the current one,
+// and errcode.InvalidChange if the new version is not above the current one. Without an expected
+// version, it is errcode.ChangeConflict if the base epoch is before the last epoch with a change
+// set or above the current epoch.
 func (e *EpochState) CheckPrecondition(change *rpc.ChangeSet, digest string) (*rpc.ChangeResult, error) {
 	if first, ok := e.FindChange(change.ID); ok {
 		if first.Digest != digest {
@@ -62,7 +64,7 @@
 
 // MergeChange merges a change set into a configuration and validates the result. It also
 // returns the faults found, each prefixed with the path of the item and field, such as
-// "mappings.a.path: ...". If there is any, the whole change set must be refused.
+// "mappings.a.path: ...". If there is any, the whole change set must be rejected.
 func MergeChange(config rpc.Configuration, change *rpc.ChangeSet) (rpc.Configuration, []string) {
 	var v validator
 	if change.ID == "" || len(change.ID) > maxNameBytes {
--- a/internal/controlplane/doc.go
+++ b/internal/controlplane/doc.go
@@ -1,4 +1,4 @@
-// Package controlplane turns the operators' change sets and the heartbeats of servers
+// Package controlplane turns the operators' change sets and the heartbeats of targets
 // into epochs: complete, numbered versions of everything that a proxy needs in order to
 // route requests. It has four parts.
 //
@@ -9,7 +9,7 @@
 //     to the current epoch. MergeChange merges it into the current configuration and
 //     validates the result as a whole before anything is proposed.
 //   - TargetRegistry runs at the leader of each data shard. It keeps, in memory, the last
-//     heartbeat of every target (server instance) of the shard's services. Only the states
+//     heartbeat of every target (service instance) of the shard's services. Only the states
 //     draining and leaving are committed to the shard's log.
 //   - Planner runs at the leader of the configuration shard. It collects the reports of all
 //     registries, resolves address conflicts, and commits a new epoch when one is needed.
--- a/internal/controlplane/heartbeat.go
+++ b/internal/controlplane/heartbeat.go
@@ -7,7 +7,7 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// States of a target. Servers send the first three in their heartbeats.
+// States of a target. Targets send the first three in their heartbeats.
 const (
 	StateServing  = "serving"
 	StateDraining = "draining"
--- a/internal/controlplane/registry.go
+++ b/internal/controlplane/registry.go
@@ -191,7 +191,7 @@
 }
 
 // waitForPropagation waits for controlplane.acknowledge_delay, or until ctx or the environment
-// ends. It delays the acknowledgement of a change that is in effect, so that proxies on busy
+// ends. It delays the acknowledgment of a change that is in effect, so that proxies on busy
 // links receive the change first.
 func waitForPropagation(ctx context.Context, env *environment.Environment) {
 	if env.Config.ControlplaneAcknowledgeDelay == 0 {
--- a/internal/controlplane/registry_test.go
+++ b/internal/controlplane/registry_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-func TestTargetRegistry_NewTermForgetsTargets(t *testing.T) {
+func TestTargetRegistry_NewTermDiscardsTargets(t *testing.T) {
 	r, shard := newRegistry(t, nil), ids.ShardOf("s")
 	r.addTarget(rpc.TargetHeartbeat{Service: "s", Instance: "a", Address: "A", State: StateServing})
 	if lists := r.listTargets(shard, ids.Term{}, false); len(lists["s"]) != 1 {
--- a/internal/controlplane/state.go
+++ b/internal/controlplane/state.go
@@ -12,7 +12,7 @@
 )
 
 // maxPreviousEpochs is how many epochs before the current one are kept. A proxy that has one
-// of them is sent only the difference.
+// of them is sent only the changes since then.
 const maxPreviousEpochs = 64
 
 // ConfigState is the state machine of the configuration shard: the current epoch, including
--- a/internal/controlplane/submit.go
+++ b/internal/controlplane/submit.go
@@ -13,7 +13,7 @@
 // stateAccepted is the state of a change set in its result.
 const stateAccepted = "accepted"
 
-// Submit accepts or refuses a change set as a whole. For a change set that was accepted before
+// Submit accepts or rejects a change set as a whole. For a change set that was accepted before
 // it returns the first result. The error is one of CheckPrecondition's, errcode.InvalidChange
 // with the paths of the faults, errcode.NotLeader if this node does not lead the configuration
 // shard, or errcode.ChangeUnknown if it is unknown whether the change set was accepted:
@@ -84,7 +84,7 @@
 func (p *Planner) ChangeStatus(ctx context.Context, id string) (*rpc.ChangeResult, error) {
 	result, err := p.changeStatus(ctx, id)
 	if err == nil {
-		waitForPropagation(ctx, p.env) // the result is an acknowledgement, as in Submit
+		waitForPropagation(ctx, p.env) // the result is an acknowledgment, as in Submit
 	}
 	return result, err
 }
--- a/internal/controlplane/target_diff.go
+++ b/internal/controlplane/target_diff.go
@@ -10,13 +10,12 @@
 )
 
 // Target lists are long and usually change by a few targets, so a proxy that has an earlier
-// version of a list is sent only the difference. It checks the result against the digest.
+// version of a list is sent only the delta. It checks the result against the digest.
 
-// Delta returns a target list as its difference from the version with the given digest.
-// Applying the difference to that version is verified to give exactly this list. ok is false
-// if the group must be sent in full: it is not a target list, none of the previous epochs has
-// that version, the difference is not shorter, or one of the lists cannot be decoded, which
-// is reported as damage.
+// Delta returns a target list as a delta from the version with the given digest. ok is false if
+// the group must be sent in full: it is not a target list, none of the previous epochs has that
+// version, the delta is not shorter, applying it does not give exactly this list, or one of the
+// lists cannot be decoded, which is reported as damage.
 func (c *ConfigState) Delta(name, baseDigest string, group rpc.Group) (delta rpc.Group, ok bool) {
 	if baseDigest == "" || !strings.HasPrefix(name, TargetsPrefix) {
 		return rpc.Group{}, false
@@ -42,7 +41,7 @@
 	return rpc.Group{Digest: group.Digest, Index: group.Index, BaseDigest: baseDigest, PutTargets: put, RemovedTargets: removed}, true
 }
 
-// PatchTargets applies a difference to an encoded target list and returns the encoded result.
+// PatchTargets applies a delta to an encoded target list and returns the encoded result.
 func PatchTargets(from json.RawMessage, put []rpc.Target, removed []string) (json.RawMessage, error) {
 	var before []rpc.Target
 	if err := json.Unmarshal(from, &before); err != nil {
@@ -79,7 +78,7 @@
 	return put, removed
 }
 
-// patchTargets applies a difference to a list, and encodes the result sorted by instance.
+// patchTargets applies a delta to a list, and encodes the result sorted by instance.
 func patchTargets(before, put []rpc.Target, removed []string) json.RawMessage {
 	superseded := make(map[string]bool, len(removed)+len(put))
 	for _, instance := range removed {
--- a/internal/controlplane/target_diff_test.go
+++ b/internal/controlplane/target_diff_test.go
@@ -49,14 +49,14 @@
 		ok         bool
 		reports    int
 	}{
-		"shorter difference":             {name, long, changed, Digest(long), true, 0},
-		"difference as long as the list": {name, mustMarshal([]rpc.Target{}), long, Digest(mustMarshal([]rpc.Target{})), false, 0},
-		"list in another order":          {name, long, unsorted, Digest(long), false, 0},
-		"no base digest":                 {name, long, changed, "", false, 0},
-		"unknown base digest":            {name, long, changed, Digest(changed), false, 0},
-		"not a target list":              {LimitsGroup, long, changed, Digest(long), false, 0},
-		"damaged base list":              {name, damaged, changed, Digest(damaged), false, 1},
-		"damaged list":                   {name, long, damaged, Digest(long), false, 1},
+		"shorter delta":             {name, long, changed, Digest(long), true, 0},
+		"delta as long as the list": {name, mustMarshal([]rpc.Target{}), long, Digest(mustMarshal([]rpc.Target{})), false, 0},
+		"list in another order":     {name, long, unsorted, Digest(long), false, 0},
+		"no base digest":            {name, long, changed, "", false, 0},
+		"unknown base digest":       {name, long, changed, Digest(changed), false, 0},
+		"not a target list":         {LimitsGroup, long, changed, Digest(long), false, 0},
+		"damaged base list":         {name, damaged, changed, Digest(damaged), false, 1},
+		"damaged list":              {name, long, damaged, Digest(long), false, 1},
 	} {
 		t.Run(title, func(t *testing.T) {
 			state := NewConfigState()
--- a/internal/coordination/idempotency.go
+++ b/internal/coordination/idempotency.go
@@ -12,13 +12,13 @@
 // kept. Within this time, a request with the same key does not run twice.
 const IdempotencyRetention = 10 * time.Minute
 
-// cancelledValue is the value of the record of a cancelled reservation: none of its request
-// was sent to a target. The string is stored in snapshots.
-const cancelledValue = `"given back"`
+// canceledValue is the value of the record of a canceled reservation, whose request was not sent
+// to a target. The string is stored in snapshots.
+const canceledValue = `"given back"`
 
-// kindReservedByOther is the kind of a record in the response to a batch whose key is
-// reserved by another request.
-const kindReservedByOther = "held"
+// kindRejected is the kind of a record in the response to a batch if the reservation was
+// rejected: another request holds the key, or the reservation was canceled before it arrived.
+const kindRejected = "held"
 
 // reserve reserves a batch of idempotency keys. The holder of each record in the batch is the
 // request that reserves the key. If the key is reserved by another request, the response has
@@ -28,14 +28,14 @@
 	response := &rpc.CoordinationResponse{Index: index}
 	for _, reservation := range request.Records {
 		current, ok := s.records[KindIdempotency][reservation.Name]
-		isCancelled := string(current.Value) == cancelledValue
+		isCanceled := string(current.Value) == canceledValue
 		isOtherHolder := current.Holder != reservation.Holder
-		if !ok || isOtherHolder == isCancelled {
+		if !ok || isOtherHolder == isCanceled {
 			s.records.put(rpc.CoordinationRecord{Name: reservation.Name, Kind: KindIdempotency, Holder: reservation.Holder, Index: index})
 			response.Records = append(response.Records, rpc.CoordinationRecord{Name: reservation.Name, Holder: reservation.Holder})
 			continue
 		}
-		response.Records = append(response.Records, rpc.CoordinationRecord{Name: reservation.Name, Kind: kindReservedByOther, Holder: current.Holder, Value: current.Value})
+		response.Records = append(response.Records, rpc.CoordinationRecord{Name: reservation.Name, Kind: kindRejected, Holder: current.Holder, Value: current.Value})
 	}
 	return response
 }
@@ -45,7 +45,7 @@
 func (s *Store) cancelReservation(index ids.Index, request *rpc.CoordinationRequest) *rpc.CoordinationResponse {
 	current, ok := s.records[KindIdempotency][request.Name]
 	if !ok || current.Holder == request.Holder && current.Value == nil {
-		s.records.put(rpc.CoordinationRecord{Name: request.Name, Kind: KindIdempotency, Holder: request.Holder, Value: []byte(cancelledValue), Index: index})
+		s.records.put(rpc.CoordinationRecord{Name: request.Name, Kind: KindIdempotency, Holder: request.Holder, Value: []byte(canceledValue), Index: index})
 	}
 	return &rpc.CoordinationResponse{Index: index}
 }
--- a/internal/coordination/idempotency_test.go
+++ b/internal/coordination/idempotency_test.go
@@ -14,18 +14,18 @@
 	return apply(store, index, batch).Records[0]
 }
 
-// A reservation may be applied after its caller has given up and cancelled it. If it were
+// A reservation may be applied after its caller has given up and canceled it. If it were
 // accepted then, it would block the key for IdempotencyRetention.
 func TestIdempotency_ReservationAfterItsCancellationIsRejected(t *testing.T) {
 	store := NewStore()
 	apply(store, 1, rpc.CoordinationRequest{Operation: "unclaim", Name: "orders/a", Holder: "one"})
-	if reserve(store, 2, "orders/a", "one").Kind != kindReservedByOther {
+	if reserve(store, 2, "orders/a", "one").Kind != kindRejected {
 		t.Error("a reservation after its cancellation was accepted")
 	}
-	if reserve(store, 3, "orders/a", "two").Kind == kindReservedByOther {
+	if reserve(store, 3, "orders/a", "two").Kind == kindRejected {
 		t.Error("the next reservation was rejected")
 	}
-	if reserve(store, 4, "orders/a", "three").Kind != kindReservedByOther {
+	if reserve(store, 4, "orders/a", "three").Kind != kindRejected {
 		t.Error("two requests hold a reservation of one key")
 	}
 }
@@ -33,7 +33,7 @@
 func TestIdempotency_RepeatedRequestGetsFirstOutcome(t *testing.T) {
 	store := NewStore()
 	reserve(store, 1, "orders/a", "one")
-	if got := reserve(store, 2, "orders/a", "two"); got.Kind != kindReservedByOther || got.Holder != "one" || got.Value != nil {
+	if got := reserve(store, 2, "orders/a", "two"); got.Kind != kindRejected || got.Holder != "one" || got.Value != nil {
 		t.Fatal("before completion:", got)
 	}
 	complete := func(index ids.Index, holder string) {
@@ -42,7 +42,7 @@
 	complete(3, "two")
 	complete(4, "one")
 	apply(store, 5, rpc.CoordinationRequest{Operation: "unclaim", Name: "orders/a", Holder: "one"})
-	if got := reserve(store, 6, "orders/a", "two"); got.Kind != kindReservedByOther || got.Holder != "one" || string(got.Value) != `"one ran"` {
+	if got := reserve(store, 6, "orders/a", "two"); got.Kind != kindRejected || got.Holder != "one" || string(got.Value) != `"one ran"` {
 		t.Fatal("after completion:", got)
 	}
 }
--- a/internal/coordination/operation.go
+++ b/internal/coordination/operation.go
@@ -95,69 +95,69 @@
 
 // validate returns an InvalidCall error that lists every invalid field, or nil.
 func validate(request *rpc.CoordinationRequest) error {
-	var problems []string
+	var faults []string
 	if request.Name == "" || len(request.Name) > maxNameBytes {
-		problems = append(problems, "name: is missing or longer than 512 bytes")
+		faults = append(faults, "name: is missing or longer than 512 bytes")
 	}
 	if len(request.Value) > maxValueBytes {
-		problems = append(problems, "value: is larger than 64 KiB")
+		faults = append(faults, "value: is larger than 64 KiB")
 	}
 	switch operation, ok := operations[request.Operation]; {
 	case !ok:
-		problems = append(problems, "op: "+request.Operation+" is not known")
+		faults = append(faults, "op: "+request.Operation+" is not known")
 	case operation.validate != nil:
-		problems = append(problems, operation.validate(request)...)
+		faults = append(faults, operation.validate(request)...)
 	}
-	if len(problems) > 0 {
-		return errcode.NewPaths(errcode.InvalidCall, problems)
+	if len(faults) > 0 {
+		return errcode.NewPaths(errcode.InvalidCall, faults)
 	}
 	return nil
 }
 
-func validateSet(request *rpc.CoordinationRequest) (problems []string) {
+func validateSet(request *rpc.CoordinationRequest) (faults []string) {
 	if space, key, _ := strings.Cut(request.Name, "/"); space == "" || key == "" {
-		problems = append(problems, "name: is not of the form space/rest")
+		faults = append(faults, "name: is not of the form space/rest")
 	}
 	if len(request.Value) == 0 {
-		problems = append(problems, "value: is missing")
+		faults = append(faults, "value: is missing")
 	}
-	return problems
+	return faults
 }
 
-func validateFollow(request *rpc.CoordinationRequest) (problems []string) {
+func validateFollow(request *rpc.CoordinationRequest) (faults []string) {
 	if space, key, hasSlash := strings.Cut(request.Name, "/"); space == "" || !hasSlash || key != "" {
-		problems = append(problems, "name: is not of the form space/")
+		faults = append(faults, "name: is not of the form space/")
 	}
-	return problems
+	return faults
 }
 
-func validateAcquire(request *rpc.CoordinationRequest) (problems []string) {
+func validateAcquire(request *rpc.CoordinationRequest) (faults []string) {
 	if request.Holder == "" {
-		problems = append(problems, "holder: is missing")
+		faults = append(faults, "holder: is missing")
 	}
-	return append(problems, validateTTL(request)...)
+	return append(faults, validateTTL(request)...)
 }
 
-func validateHolder(request *rpc.CoordinationRequest) (problems []string) {
+func validateHolder(request *rpc.CoordinationRequest) (faults []string) {
 	if request.Holder == "" || request.FencingToken == 0 {
-		problems = append(problems, "holder, fence: are missing")
+		faults = append(faults, "holder, fence: are missing")
 	}
-	return problems
+	return faults
 }
 
 func validateRenew(request *rpc.CoordinationRequest) []string {
-	problems := validateHolder(request)
+	faults := validateHolder(request)
 	if request.TTL != 0 {
-		problems = append(problems, validateTTL(request)...)
+		faults = append(faults, validateTTL(request)...)
 	}
-	return problems
+	return faults
 }
 
-func validateTTL(request *rpc.CoordinationRequest) (problems []string) {
+func validateTTL(request *rpc.CoordinationRequest) (faults []string) {
 	if request.TTL < minTTL.Milliseconds() || request.TTL > maxTTL.Milliseconds() {
-		problems = append(problems, "ttl: is outside 10 ms to 1 h")
+		faults = append(faults, "ttl: is outside 10 ms to 1 h")
 	}
-	return problems
+	return faults
 }
 
 // transitions maps each operation in log entries to the function that applies it to the store.
--- a/internal/coordination/operation_test.go
+++ b/internal/coordination/operation_test.go
@@ -12,8 +12,8 @@
 
 func TestValidate_ReportsEachInvalidField(t *testing.T) {
 	for name, test := range map[string]struct {
-		request  rpc.CoordinationRequest
-		problems []string // nil for a valid request
+		request rpc.CoordinationRequest
+		faults  []string // nil for a valid request
 	}{
 		"get":                       {rpc.CoordinationRequest{Operation: "get", Name: "k"}, nil},
 		"expire":                    {rpc.CoordinationRequest{Operation: "expire", Name: "l"}, nil},
@@ -36,7 +36,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			err := validate(&test.request)
-			if test.problems == nil {
+			if test.faults == nil {
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -45,8 +45,8 @@
 			if !errors.Is(err, errcode.InvalidCall) {
 				t.Fatal(err)
 			}
-			if got := errcode.From(err).Paths; strings.Join(got, "; ") != strings.Join(test.problems, "; ") {
-				t.Fatalf("got %q, want %q", got, test.problems)
+			if got := errcode.From(err).Paths; strings.Join(got, "; ") != strings.Join(test.faults, "; ") {
+				t.Fatalf("got %q, want %q", got, test.faults)
 			}
 		})
 	}
--- a/internal/coordination/reservation.go
+++ b/internal/coordination/reservation.go
@@ -44,7 +44,7 @@
 	}
 	record := batch.response.Records[position]
 	response := &rpc.CoordinationResponse{Index: batch.response.Index, Holder: record.Holder, Value: record.Value}
-	if record.Kind == kindReservedByOther {
+	if record.Kind == kindRejected {
 		response.Code = errcode.LockHeld.Number
 	}
 	return response, nil
--- a/internal/distribution/client.go
+++ b/internal/distribution/client.go
@@ -10,8 +10,7 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// Client keeps a proxy's configuration up to date. Its sources are the control nodes that
-// hold a replica of the configuration shard.
+// Client keeps a proxy's configuration up to date. Its sources are the control nodes.
 type Client struct {
 	Cache *Cache
 
--- a/internal/distribution/doc.go
+++ b/internal/distribution/doc.go
@@ -1,5 +1,5 @@
 // Package distribution transfers the configuration from the control nodes to the proxies by
-// long polling.
+// long polling. A control node is a core node with a replica of the configuration shard.
 //
 // It follows "Soul Gateway Learns Http Long Polling Analysis 02", called the paper in this
 // package. As in the paper, the configuration is divided into groups, and a cache stores each
--- a/internal/distribution/encoder.go
+++ b/internal/distribution/encoder.go
@@ -13,7 +13,7 @@
 )
 
 // groupEncoder caches encoded groups by digest and index, and the encoded full fetch response
-// of one epoch, so that each is marshalled once for all proxies. The zero value is ready for
+// of one epoch, so that each is marshaled once for all proxies. The zero value is ready for
 // use.
 type groupEncoder struct {
 	// mu guards the fields below.
--- a/internal/distribution/fetch_limiter.go
+++ b/internal/distribution/fetch_limiter.go
@@ -13,8 +13,8 @@
 	minAverageDuration = 20 * time.Millisecond
 )
 
-// fetchLimiter limits the number of concurrent fetches. Each refused fetch gets a later retry
-// time than the one refused before it, so that retries do not arrive together.
+// fetchLimiter limits the number of concurrent fetches. Each rejected fetch gets a later retry
+// time than the one rejected before it, so that retries do not arrive together.
 type fetchLimiter struct {
 	limit         int
 	maxRetryAfter time.Duration
@@ -23,7 +23,7 @@
 	mu              sync.Mutex
 	inFlight        int
 	averageDuration time.Duration // exponential moving average over completed fetches
-	lastRetryAt     time.Time     // retry time computed for the last refused fetch
+	lastRetryAt     time.Time     // retry time computed for the last rejected fetch
 }
 
 // acquire takes a slot, which must be returned with release. If no slot is free, it returns
--- a/internal/distribution/fetch_limiter_test.go
+++ b/internal/distribution/fetch_limiter_test.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-func TestFetchLimiter_RetryAfterGrowsWithEachRefusal(t *testing.T) {
+func TestFetchLimiter_RetryAfterGrowsWithEachRejection(t *testing.T) {
 	now := time.Now()
 	l := &fetchLimiter{limit: 2, maxRetryAfter: time.Second}
 	for range 2 {
 		if retryAfter, ok := l.acquire(now); !ok || retryAfter != 0 {
-			t.Fatal("refused while a slot is free")
+			t.Fatal("rejected while a slot is free")
 		}
 	}
 	// With two slots and the minimum average of 20 ms, retry times are 10 ms apart. The first
 	// delays are raised to the minimum of 50 ms.
 	for i, want := range []time.Duration{50, 50, 50, 50, 50, 60, 70} {
 		if retryAfter, ok := l.acquire(now); ok || retryAfter != want*time.Millisecond {
-			t.Errorf("refusal %d: ok %v, retry after %s, want %d ms", i, ok, retryAfter, want)
+			t.Errorf("rejection %d: ok %v, retry after %s, want %d ms", i, ok, retryAfter, want)
 		}
 	}
 	l.release(800 * time.Millisecond) // raises the average to 200 ms
 	if _, ok := l.acquire(now); !ok {
-		t.Error("refused although a slot was released")
+		t.Error("rejected although a slot was released")
 	}
 	if retryAfter, _ := l.acquire(now); retryAfter != 170*time.Millisecond {
 		t.Errorf("retry after %s following a slow fetch, want 170 ms", retryAfter)
--- a/internal/distribution/freshness.go
+++ b/internal/distribution/freshness.go
@@ -11,7 +11,7 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// Confirmation holds the times as of which an epoch was known to be in force and to reflect
+// Confirmation holds the times as of which an epoch was known to be current and to reflect
 // each data shard. The times are on this node's clock (Environment.Now). Messages carry only
 // ages, and each hop adds the time since it sent its request. A zero time means never.
 type Confirmation struct {
@@ -101,7 +101,7 @@
 //
 // By default the configuration and the service's shard must have been confirmed within
 // distribution.max_age. A confirmation of an older epoch is also valid for a newer snapshot,
-// which contains everything that was in force then. A confirmation as of a time before this
+// which is at least as recent as that epoch. A confirmation as of a time before this
 // process started is not valid: an earlier run of this proxy may have used an epoch that a
 // deposed leader does not know.
 //
--- a/internal/distribution/freshness_relay.go
+++ b/internal/distribution/freshness_relay.go
@@ -27,11 +27,11 @@
 	queryLeader func() (*rpc.FreshnessResponse, error)
 
 	// mu guards the fields below.
-	mu           sync.Mutex
-	running      bool
-	pending      *relayedRequest // next request to send; nil if no caller waits
-	lastSent     time.Time
-	lastAnswered *relayedRequest
+	mu            sync.Mutex
+	running       bool
+	pending       *relayedRequest // next request to send; nil if no caller waits
+	lastSent      time.Time
+	lastSucceeded *relayedRequest
 }
 
 // relayedRequest is one request to the leader. The other fields are not written after done is
@@ -66,7 +66,7 @@
 // to the ages. It returns nil if there was none.
 func (r *freshnessRelay) last() *rpc.FreshnessResponse {
 	r.mu.Lock()
-	request := r.lastAnswered
+	request := r.lastSucceeded
 	r.mu.Unlock()
 	if request == nil {
 		return nil
@@ -89,13 +89,13 @@
 	return &response
 }
 
-// join returns the last answered request if it is recent enough, and otherwise the pending
+// join returns the last successful request if it is recent enough, and otherwise the pending
 // request, which it creates if necessary. It starts run if that is not running.
 func (r *freshnessRelay) join() *relayedRequest {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.lastAnswered != nil && r.env.Since(r.lastAnswered.sent) < relayReusePeriod {
-		return r.lastAnswered
+	if r.lastSucceeded != nil && r.env.Since(r.lastSucceeded.sent) < relayReusePeriod {
+		return r.lastSucceeded
 	}
 	if r.pending == nil {
 		r.pending = &relayedRequest{done: make(chan struct{})}
@@ -132,7 +132,7 @@
 		close(request.done)
 		if request.err == nil {
 			r.mu.Lock()
-			r.lastAnswered = request
+			r.lastSucceeded = request
 			r.mu.Unlock()
 		}
 	}
--- a/internal/distribution/full_fetch_test.go
+++ b/internal/distribution/full_fetch_test.go
@@ -25,17 +25,17 @@
 			}
 			return nil, got.(*rpc.FetchResponse).RetryAfterMillis
 		}
-		cancelled, cancel := context.WithCancel(ctx)
+		canceled, cancel := context.WithCancel(ctx)
 		cancel()
 		for range 5 {
-			if response, retryAfter := fetch(cancelled); response != nil || retryAfter != 0 {
-				t.Fatal("a fetch with a cancelled context was processed")
+			if response, retryAfter := fetch(canceled); response != nil || retryAfter != 0 {
+				t.Fatal("a fetch with a canceled context was processed")
 			}
 		}
 		first, _ := fetch(ctx)
 		second, _ := fetch(ctx)
 		if first == nil || second == nil {
-			t.Fatal("refused while a slot is free")
+			t.Fatal("rejected while a slot is free")
 		}
 		time.Sleep(400 * time.Millisecond)
 		if response, retryAfter := fetch(ctx); response != nil || retryAfter == 0 {
@@ -43,7 +43,7 @@
 		}
 		first.Release()
 		if first, _ = fetch(ctx); first == nil {
-			t.Fatal("refused although a slot was released")
+			t.Fatal("rejected although a slot was released")
 		}
 		previous := int64(0)
 		for i := range 8 {
--- a/internal/distribution/initial_fetch.go
+++ b/internal/distribution/initial_fetch.go
@@ -46,7 +46,7 @@
 // fullFetchResult is the result of one attempt to fetch all groups.
 type fullFetchResult struct {
 	done bool
-	// overloaded is set if a control node requested a retry delay or did not reply in time.
+	// overloaded is set if a control node requested a retry delay or did not respond in time.
 	overloaded bool
 	retryAfter time.Duration // shortest delay requested by a control node; 0 if none did
 }
--- a/internal/distribution/renewal.go
+++ b/internal/distribution/renewal.go
@@ -66,13 +66,13 @@
 			continue
 		}
 		timeout := min(c.env.Config.DistributionRenewalInterval, maxRenewalWait) + renewalGrace
-		answered := false
+		responded := false
 		for range min(renewalAttempts, len(sources)) {
-			if answered = c.renew(sources, timeout); answered {
+			if responded = c.renew(sources, timeout); responded {
 				break
 			}
 		}
-		c.renewal.lastSucceeded.Store(answered)
+		c.renewal.lastSucceeded.Store(responded)
 		c.freshness.report()
 	}
 }
@@ -116,7 +116,7 @@
 
 // renew sends a freshness request to one control node and reports whether it responded. If it
 // did not, the next renewal skips it.
-func (c *Client) renew(sources []rpc.Member, timeout time.Duration) (answered bool) {
+func (c *Client) renew(sources []rpc.Member, timeout time.Duration) (responded bool) {
 	cursor := c.renewal.cursor.Load()
 	source := sources[cursor%uint64(len(sources))]
 	sent := c.env.Now()
--- a/internal/distribution/server.go
+++ b/internal/distribution/server.go
@@ -180,7 +180,7 @@
 	return s.relay.get(ctx)
 }
 
-// Confirmation returns the epoch in force and the time since it was confirmed. If the leader
+// Confirmation returns the current epoch and the time since it was confirmed. If the leader
 // cannot be reached, it returns the leader's last response with its age; it fails only if
 // there was none.
 func (s *Server) Confirmation(ctx context.Context) (ids.Epoch, time.Duration, error) {
--- a/internal/metrics/histogram.go
+++ b/internal/metrics/histogram.go
@@ -122,7 +122,7 @@
 	ProxyOverhead    Histogram // of a request that ran: its duration minus the time spent by targets
 	CoordinationCall Histogram // duration of a coordination call
 	StoreSync        Histogram // duration of a write and sync
-	EpochAge         Histogram // age of an epoch when the node applied it
+	EpochAge         Histogram // age of an epoch when this proxy activated it
 
 	MaxServices int // number of services with their own histograms; all others share one set
 
