--- a/internal/controlplane/binding_test.go
+++ b/internal/controlplane/binding_test.go
@@ -45,7 +45,7 @@
 			t.Errorf("step %d: the last binding epoch is %d, want %d", i+1, got, c.want)
 		}
 	}
-	if other := restored(t, snapshot(t, state)); other.Current().LastBinding != other.Current().Epoch {
+	if member := restored(t, snapshot(t, state)); member.Current().LastBinding != member.Current().Epoch {
 		t.Error("the epoch of a restored snapshot does not count as binding")
 	}
 }
--- a/internal/controlplane/epoch.go
+++ b/internal/controlplane/epoch.go
@@ -36,12 +36,12 @@
 
 // decode decodes a group into the given value. It leaves the value unchanged if the epoch
 // has no such group. The error is a *DamagedGroupError.
-func (e *EpochState) decode(name string, into any) error {
+func (e *EpochState) decode(name string, value any) error {
 	group, ok := e.Groups[name]
 	if !ok {
 		return nil
 	}
-	if err := json.Unmarshal(group.Data, into); err != nil {
+	if err := json.Unmarshal(group.Data, value); err != nil {
 		return &DamagedGroupError{Epoch: e.Epoch, Group: name, Digest: group.Digest, Err: err}
 	}
 	return nil
@@ -128,8 +128,8 @@
 		}
 	}
 	sortRoutes(config.Routes)
-	for name, into := range map[string]any{ServicesGroup: &config.Services, LimitsGroup: &config.Limits, ClientLimitsGroup: &config.ClientLimits} {
-		if err := e.decode(name, into); err != nil {
+	for name, value := range map[string]any{ServicesGroup: &config.Services, LimitsGroup: &config.Limits, ClientLimitsGroup: &config.ClientLimits} {
+		if err := e.decode(name, value); err != nil {
 			return rpc.Configuration{}, err
 		}
 	}
--- a/internal/controlplane/planner_test.go
+++ b/internal/controlplane/planner_test.go
@@ -107,9 +107,9 @@
 
 func TestPlanner_LogsEachConflictOnce(t *testing.T) {
 	p := newPlanner(t)
-	one, two := addressConflict{"A", "s/a", "s/b"}, addressConflict{"B", "s/a", "s/b"}
-	p.logConflicts([]addressConflict{one, two, one})
-	p.logConflicts([]addressConflict{two})
+	first, second := addressConflict{"A", "s/a", "s/b"}, addressConflict{"B", "s/a", "s/b"}
+	p.logConflicts([]addressConflict{first, second, first})
+	p.logConflicts([]addressConflict{second})
 	if got := p.env.Events.Counts()[eventlog.AddressConflict.Name]; got != 2 {
 		t.Errorf("%d events, want 2", got)
 	}
--- a/internal/controlplane/registry_report.go
+++ b/internal/controlplane/registry_report.go
@@ -155,8 +155,8 @@
 }
 
 // equalLists reports whether two sets of lists are equal apart from the ages.
-func equalLists(one, two targetLists) bool {
-	return maps.EqualFunc(one, two, func(a, b []rpc.ReportedTarget) bool {
+func equalLists(first, second targetLists) bool {
+	return maps.EqualFunc(first, second, func(a, b []rpc.ReportedTarget) bool {
 		return slices.EqualFunc(a, b, func(x, y rpc.ReportedTarget) bool {
 			x.Since, y.Since = 0, 0
 			return x == y
--- a/internal/controlplane/target_diff.go
+++ b/internal/controlplane/target_diff.go
@@ -42,9 +42,9 @@
 }
 
 // PatchTargets applies a delta to an encoded target list and returns the encoded result.
-func PatchTargets(from json.RawMessage, put []rpc.Target, removed []string) (json.RawMessage, error) {
+func PatchTargets(base json.RawMessage, put []rpc.Target, removed []string) (json.RawMessage, error) {
 	var before []rpc.Target
-	if err := json.Unmarshal(from, &before); err != nil {
+	if err := json.Unmarshal(base, &before); err != nil {
 		return nil, err
 	}
 	return patchTargets(before, put, removed), nil
