--- a/internal/proxy/admit.go
+++ b/internal/proxy/admit.go
@@ -29,23 +29,24 @@
 		}
 	}
 	state := p.keyed.tracker.Begin(plan.keyHash, plan.recordName != "")
-	plan.clientRetry = state != idempotency.Unrecorded
-	if plan.clientRetry && plan.recordName != "" {
+	plan.isClientRepeat = state != idempotency.Unrecorded
+	if plan.isClientRepeat && plan.recordName != "" {
 		release()
 		return nil, idempotency.Conflict(state, "this proxy handed it over")
 	}
-	if plan.clientRetry && !p.withdrawRetry(plan) {
+	if plan.isClientRepeat && !p.withdrawRetry(plan) {
 		p.keyed.tracker.End(plan.keyHash, idempotency.Unrecorded)
 		release()
-		return nil, errcode.New(errcode.BudgetExhausted, "%s: retry of a request with a known idempotency key", plan.service.Name)
+		return nil, errcode.New(errcode.BudgetExhausted, "%s: repeat of a request with a known idempotency key", plan.service.Name)
 	}
 	return release, nil
 }
 
-// checkLossCoverage rejects a request with a key if its loss couldn't be accounted for: the
-// client's retry may reach a proxy that has not received the loss report. Reports go only to
-// proxies that the epoch lists, so it must list this one, and the retry budget must cover
-// retries that go unrecognized.
+// checkLossCoverage rejects a request with a key if the repeat of a lost request could go
+// unrecognized without being charged. A loss is charged to the retry budget of the proxy that
+// lost it unless every proxy that the epoch lists received the report, so the epoch must list
+// this proxy. The budget must also cover the repeats of this proxy's losses that may go
+// unrecognized.
 func (p *Proxy) checkLossCoverage(plan *requestPlan) error {
 	if _, ok := plan.snapshot.Shares[p.environment.Name]; !ok {
 		return errcode.New(errcode.Overload, "epoch %d does not list this proxy yet", plan.snapshot.Epoch)
--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -30,10 +30,12 @@
 	err      error
 }
 
-// isFinal reports whether the target ran the request and responded without a server error.
+// isFinal reports whether the target ran the request and responded without a server error, so
+// that no other target could give a better response.
 func (a attemptResult) isFinal() bool { return a.err == nil && a.response.HTTP.StatusCode < 500 }
 
-// mayHaveRun reports whether the target may have run the request without a valid response.
+// mayHaveRun reports whether the target may have run the request although it sent no valid
+// response.
 func (a attemptResult) mayHaveRun() bool { return a.wrote && a.response == nil && !a.withheld }
 
 // attempt writes the request to one target, at most once, and awaits the response. index is the
@@ -107,7 +109,7 @@
 			return nil
 		},
 		onFirstWrite: func() {
-			p.retryBudget.RecordRequest(plan.service.Name, p.retryLimits(plan), plan.keyHash, plan.clientRetry || index > 0)
+			p.retryBudget.RecordRequest(plan.service.Name, p.retryLimits(plan), plan.keyHash, plan.isClientRepeat || index > 0)
 			plan.recordWrittenEpoch(snapshot.Epoch)
 		},
 	}
@@ -196,7 +198,7 @@
 	case notRun && header.Get(p.environment.Config.HeaderNotExecuted) == NotRunSuperseded:
 		return attemptResult{response: response, wrote: true, err: errcode.New(errcode.NotFresh, "%s: the target rejected the epoch", ep.Target.Instance)}
 	case notRun:
-		ep.RecordRefusal(now, plan.endpoints.TypicalLatency())
+		ep.RecordRejection(now, plan.endpoints.TypicalLatency())
 		return attemptResult{response: response, wrote: true, err: errcode.New(errcode.TargetRejected, "%s: %d", ep.Target.Instance, status)}
 	}
 	if status < 500 {
--- a/internal/proxy/endpoint/endpoint.go
+++ b/internal/proxy/endpoint/endpoint.go
@@ -38,11 +38,11 @@
 	maxEjection       = 4 * time.Second
 	maxEjectionShift  = 4
 
-	// An endpoint that refused a request is unusable for half the typical latency. The
-	// back-off doubles with each further refusal.
-	minRefusalBackoff = 10 * time.Millisecond
-	maxRefusalBackoff = time.Second
-	maxRefusalShift   = 6
+	// An endpoint that rejected a request is unusable for half the typical latency. The
+	// back-off doubles with each further rejection in a row.
+	minRejectionBackoff = 10 * time.Millisecond
+	maxRejectionBackoff = time.Second
+	maxRejectionShift   = 6
 
 	// latencyDivisor is the inverse weight of one response in an endpoint's moving average.
 	latencyDivisor = 8
@@ -66,21 +66,21 @@
 	Target   rpc.Target
 	SameZone bool // whether the target is in this proxy's zone
 
-	mu                  sync.Mutex    // guards the fields below
-	inFlight            int           // requests from this proxy
-	overdue             int           // requests in flight whose responses are overdue
-	latency             time.Duration // moving average; zero before the first response
-	lastResponse        time.Time
-	unresponsiveSince   time.Time // last response, or first request in flight if later
-	ejectedUntil        time.Time
-	barred              bool // another instance has the address
-	consecutiveFailures int
-	refusingUntil       time.Time
-	consecutiveRefusals int
-	slowStartUntil      time.Time
-	load                loadReport
-	failures            float64 // the failure score as of failuresAt; see failureScore
-	failuresAt          time.Time
+	mu                    sync.Mutex    // guards the fields below
+	inFlight              int           // requests from this proxy
+	overdue               int           // requests in flight whose responses are overdue
+	latency               time.Duration // moving average; zero before the first response
+	lastResponse          time.Time
+	unresponsiveSince     time.Time // last response, or first request in flight if later
+	ejectedUntil          time.Time
+	barred                bool // another instance has the address
+	consecutiveFailures   int
+	rejectingUntil        time.Time
+	consecutiveRejections int
+	slowStartUntil        time.Time
+	load                  loadReport
+	failures              float64 // the failure score as of failuresAt; see failureScore
+	failuresAt            time.Time
 }
 
 // loadReport is the load that a target reported with a response.
@@ -132,14 +132,15 @@
 	}
 	excess := e.excessScore(now, totalScore, peers)
 	expected *= 1 + 2*excess
-	usable = now.After(e.ejectedUntil) && now.After(e.refusingUntil) && excess < 1
+	usable = now.After(e.ejectedUntil) && now.After(e.rejectingUntil) && excess < 1
 	if e.overdue > 0 || e.inFlight > 0 && now.Sub(e.unresponsiveSince) > max(minUnresponsive, unresponsiveFactor*latency) {
 		usable = false
 	}
 	return time.Duration(expected), usable
 }
 
-// Usable reports whether the endpoint is neither barred, ejected, refusing nor unresponsive.
+// Usable reports whether the endpoint is neither barred, ejected, backing off after
+// a rejection, nor unresponsive.
 func (e *Endpoint) Usable(now time.Time) bool {
 	_, ok := e.expectedLatency(now, time.Second, 1, 0, 1)
 	return ok
@@ -170,7 +171,7 @@
 }
 
 // RecordResponse records a response. Only the response of a request that ran updates the
-// latency, because a refusal or a failure may arrive much faster. A healthy response ends an
+// latency, because a rejection or a failure may arrive much faster. A healthy response ends an
 // ejection. load is the load report of the response, empty if it has none.
 func (e *Endpoint) RecordResponse(now time.Time, took time.Duration, ran, healthy bool, load string) {
 	e.mu.Lock()
@@ -180,7 +181,7 @@
 		e.consecutiveFailures, e.ejectedUntil = 0, time.Time{}
 	}
 	if ran {
-		e.consecutiveRefusals = 0
+		e.consecutiveRejections = 0
 		if e.latency == 0 {
 			e.latency = took
 		}
@@ -191,11 +192,11 @@
 	}
 }
 
-// RecordRefusal records that the target refused a request.
-func (e *Endpoint) RecordRefusal(now time.Time, typical time.Duration) {
+// RecordRejection records that the target rejected a request without running it.
+func (e *Endpoint) RecordRejection(now time.Time, typical time.Duration) {
 	e.mu.Lock()
-	e.refusingUntil = now.Add(min(max(typical/2, minRefusalBackoff)<<min(e.consecutiveRefusals, maxRefusalShift), maxRefusalBackoff))
-	e.consecutiveRefusals++
+	e.rejectingUntil = now.Add(min(max(typical/2, minRejectionBackoff)<<min(e.consecutiveRejections, maxRejectionShift), maxRejectionBackoff))
+	e.consecutiveRejections++
 	e.mu.Unlock()
 }
 
--- a/internal/proxy/forward.go
+++ b/internal/proxy/forward.go
@@ -23,8 +23,8 @@
 	ctx, cancel := context.WithDeadline(p.lifecycle.forwardContext, plan.deadline)
 	defer cancel()
 	if plan.idempotent {
-		// Cancel only idempotent requests when the client disconnects. Others may have run,
-		// so their outcome is awaited.
+		// Cancel only idempotent requests when the client disconnects, to save the target
+		// useless work. Others may have run, so their outcome is awaited.
 		defer context.AfterFunc(r.Context(), cancel)()
 	}
 	body, replayable, err := p.requestBody(ctx, plan, r)
--- a/internal/proxy/handover.go
+++ b/internal/proxy/handover.go
@@ -65,9 +65,9 @@
 	return buffer.Flush()
 }
 
-// awaitContinue waits until the target requests the body. If that takes longer than
-// upstream.UnackedTimeout since the check before the first byte, even because this process was
-// suspended, the body is withheld: the target would run the request under an outdated
+// awaitContinue waits until the target requests the body. If that is more than
+// upstream.UnackedTimeout after the check before the first byte, even if only this process was
+// delayed, the body is withheld: the target would run the request under an outdated
 // configuration.
 func (w *requestWriter) awaitContinue(ctx context.Context) error {
 	if err := w.connection.AwaitContinue(ctx); err != nil {
@@ -75,7 +75,7 @@
 	}
 	switch {
 	case ctx.Err() != nil:
-		// The connection's end at the same moment may be mistaken for a response.
+		// The connection may close at the same moment, which also makes AwaitContinue succeed.
 		return ctx.Err()
 	case time.Since(w.checkedAt) > upstream.UnackedTimeout:
 		return upstream.ErrContinueTimeout
--- a/internal/proxy/idempotency/loss_report.go
+++ b/internal/proxy/idempotency/loss_report.go
@@ -48,7 +48,7 @@
 }
 
 // NewLossReporter returns a reporter, registers it as the handler of other proxies' reports,
-// and starts its goroutine in the environment.
+// and starts its background task in the environment.
 func NewLossReporter(config LossReporterConfig) *LossReporter {
 	l := &LossReporter{config: config, queue: make(chan loss, maxReportBatch)}
 	rpc.Handle(config.RPC, lossReportKind, l.receive)
--- a/internal/proxy/idempotency/records.go
+++ b/internal/proxy/idempotency/records.go
@@ -49,8 +49,8 @@
 	state  State
 }
 
-// NewRecords returns the records, and starts the goroutine in the environment that writes
-// outcomes.
+// NewRecords returns the records, and starts the background task in the environment that
+// writes outcomes.
 func NewRecords(config RecordsConfig) *Records {
 	r := &Records{config: config, outcomes: make(chan recordedOutcome, outcomeQueueSize)}
 	config.Environment.Go(r.writeOutcomes)
--- a/internal/proxy/idempotency/records_test.go
+++ b/internal/proxy/idempotency/records_test.go
@@ -19,19 +19,19 @@
 
 const testHolder = "n id-2 request" // holder of the records that the tests acquire
 
-// fakeLeader answers the requests to the replicated state, and passes them to the test.
+// fakeLeader responds to requests to the replicated state, and passes them to the test.
 type fakeLeader struct {
-	answer   func() (*rpc.CoordinationResponse, error)
+	respond  func() (*rpc.CoordinationResponse, error)
 	requests chan *rpc.CoordinationRequest
 }
 
 func (l *fakeLeader) coordinate(_ context.Context, request *rpc.CoordinationRequest) (*rpc.CoordinationResponse, error) {
 	l.requests <- request
-	return l.answer()
+	return l.respond()
 }
 
-// withRecords runs a test in virtual time, with records whose leader responds with answer.
-func withRecords(t *testing.T, answer func() (*rpc.CoordinationResponse, error), run func(t *testing.T, records *Records, leader *fakeLeader)) {
+// withRecords runs a test in virtual time, with records whose leader responds with respond.
+func withRecords(t *testing.T, respond func() (*rpc.CoordinationResponse, error), run func(t *testing.T, records *Records, leader *fakeLeader)) {
 	synctest.Test(t, func(t *testing.T) {
 		settings, err := config.Load("", map[string]string{"name": "n", "zone": "a", "peer.address": "10.0.0.1:1", "api.address": "10.0.0.1:2", "proxy.address": "10.0.0.1:3"})
 		if err != nil {
@@ -40,7 +40,7 @@
 		env := environment.New(t.Context(), settings, eventlog.New(t.Output(), "error", "n"), environment.Host{})
 		defer env.Shutdown()
 		members := membership.New(env, rpc.New(env), rpc.Member{Name: "n", ID: "id-2"})
-		leader := &fakeLeader{answer: answer, requests: make(chan *rpc.CoordinationRequest, 1000)}
+		leader := &fakeLeader{respond: respond, requests: make(chan *rpc.CoordinationRequest, 1000)}
 		run(t, NewRecords(RecordsConfig{Environment: env, Membership: members, Coordinate: leader.coordinate}), leader)
 	})
 }
@@ -54,8 +54,8 @@
 		}
 	}
 	for name, test := range map[string]struct {
-		answer func() (*rpc.CoordinationResponse, error)
-		want   int // error code; zero for none
+		respond func() (*rpc.CoordinationResponse, error)
+		want    int // error code; zero for none
 	}{
 		"free":                                        {succeed, 0},
 		"held by a request that ran":                  {heldBy("m gone r", `"ran"`), errcode.OrderRan.Number},
@@ -67,7 +67,7 @@
 		"no response from the leader":                 {func() (*rpc.CoordinationResponse, error) { return nil, errors.New("no leader") }, errcode.NoLeader.Number},
 	} {
 		t.Run(name, func(t *testing.T) {
-			withRecords(t, test.answer, func(t *testing.T, records *Records, leader *fakeLeader) {
+			withRecords(t, test.respond, func(t *testing.T, records *Records, leader *fakeLeader) {
 				err := records.Acquire("orders/x", "request", time.Now().Add(time.Minute))
 				code := 0
 				if err != nil {
--- a/internal/proxy/lifecycle.go
+++ b/internal/proxy/lifecycle.go
@@ -14,8 +14,8 @@
 type lifecycle struct {
 	draining atomic.Bool // requests are served, but each client connection closes after its next response
 	stopping atomic.Bool // all new requests are rejected
-	// responseDeadline is when requests in flight are aborted and answered; nil before the
-	// shutdown begins. It caps the deadline of each request planned after that.
+	// responseDeadline is when requests in flight are aborted and get an error response; nil
+	// before the shutdown begins. It caps the deadline of each request planned after that.
 	responseDeadline atomic.Pointer[time.Time]
 
 	// admissionContext is canceled to abort large bodies that wait for admission,
@@ -44,7 +44,7 @@
 
 // Drain begins the shutdown and returns immediately. Requests are still served, but each client
 // connection closes after its next response. Requests still in flight shortly before end are
-// aborted and answered with an error that states whether they may have run.
+// aborted and get an error response that states whether they may have run.
 func (p *Proxy) Drain(end time.Time) {
 	responseDeadline := end.Add(-responseMargin)
 	p.lifecycle.responseDeadline.Store(&responseDeadline)
--- a/internal/proxy/plan.go
+++ b/internal/proxy/plan.go
@@ -46,9 +46,9 @@
 	deadline      time.Time
 
 	// Derived from the client's idempotency key.
-	keyHash     uint64 // zero without a key
-	recordName  string // idempotency record to acquire; empty if none is needed
-	clientRetry bool   // the key is already known to this proxy's tracker
+	keyHash        uint64 // zero without a key
+	recordName     string // idempotency record to acquire; empty if none is needed
+	isClientRepeat bool   // the client repeats a request whose key this proxy's tracker knows
 
 	// Progress.
 	bodyRead     bool // reading the body may have begun
@@ -133,7 +133,7 @@
 	return latest
 }
 
-// recordHandOver records that the request is written to a target under an epoch.
+// recordWrittenEpoch records that the request is written to a target under an epoch.
 func (rp *requestPlan) recordWrittenEpoch(epoch ids.Epoch) {
 	for {
 		recorded := rp.writtenEpoch.Load()
--- a/internal/proxy/proxy.go
+++ b/internal/proxy/proxy.go
@@ -2,9 +2,9 @@
 //
 // ServeHTTP plans each request (plan.go), admits it (admit.go), forwards it to one target
 // after another until one responds (forward.go, attempt.go, hedge.go), and writes the response
-// (respond.go). A request that can't be served is rejected immediately with a numbered error
-// code, its outcome as far as it is known ("ran", "not run" or "unknown"), and a randomized
-// Retry-After.
+// (respond.go). A request that can't be served is rejected immediately, never queued. The
+// rejection has a numbered error code, the request's outcome as far as it is known ("ran",
+// "not run" or "unknown"), and a randomized Retry-After.
 //
 // Subpackages: routing finds the route, endpoint selects the target, outlier shares failures
 // among proxies, upstream pools the connections, retry limits extra requests, admission
--- a/internal/proxy/upstream/connection.go
+++ b/internal/proxy/upstream/connection.go
@@ -27,9 +27,9 @@
 	maxKeepAlive = 86400
 )
 
-// ErrContinueTimeout is returned if a server did not send 100 Continue in time (RFC 9110,
+// ErrContinueTimeout is returned if a target did not send 100 Continue in time (RFC 9110,
 // section 10.1.1). The request did not run, because its body was not sent.
-var ErrContinueTimeout = errors.New("the server did not send 100 Continue in time")
+var ErrContinueTimeout = errors.New("the target did not send 100 Continue in time")
 
 // Connection is one HTTP/1.1 connection to a target. It carries one request at a time: the
 // caller uses Begin, Write and RequestWritten, and receives the response from the channel that
@@ -52,9 +52,9 @@
 	request   *http.Request // pending; nil while the connection is idle
 	maxBody   int           // largest response body, in bytes
 	responses chan Response
-	continued chan struct{} // closed when the server asks for the body, or has responded
+	continued chan struct{} // closed when the target asks for the body, or has responded
 	// writing is set while the request is being written. A response that arrives meanwhile ends
-	// the connection: the server may not have read the rest of the request, and would take the
+	// the connection: the target may not have read the rest of the request, and would take the
 	// next request for that rest.
 	writing bool
 	dead    bool
@@ -116,7 +116,7 @@
 	c.mu.Unlock()
 }
 
-// AwaitContinue waits until the server asks for the body of the pending request, for at most
+// AwaitContinue waits until the target asks for the body of the pending request, for at most
 // UnackedTimeout. It then raises the user timeout to UnackedStreamTimeout.
 func (c *Connection) AwaitContinue(ctx context.Context) error {
 	c.mu.Lock()
@@ -148,7 +148,7 @@
 }
 
 // ApplyKeepAlive limits the idle time to 90 % of the timeout parameter of a response's
-// Keep-Alive field (RFC 2068, section 19.7.1.1), so that the server is never the first to close.
+// Keep-Alive field (RFC 2068, section 19.7.1.1), so that the target is never the first to close.
 func (c *Connection) ApplyKeepAlive(header string) {
 	_, value, ok := strings.Cut(header, "timeout=")
 	if !ok {
--- a/internal/proxy/upstream/response.go
+++ b/internal/proxy/upstream/response.go
@@ -15,7 +15,7 @@
 // Errors of unusable responses.
 var (
 	ErrTooLarge          = errors.New("response too large")
-	ErrSwitchedProtocols = errors.New("the server switched protocols")
+	ErrSwitchedProtocols = errors.New("the target switched protocols")
 )
 
 // Response is a complete response or an error: either HTTP and Body are set, or Err is.
--- a/internal/proxy/upstream/sockopt.go
+++ b/internal/proxy/upstream/sockopt.go
@@ -15,7 +15,7 @@
 	// UnackedTimeout applies to a request that is sent at once: a head, or a head and a body.
 	UnackedTimeout = time.Second
 
-	// UnackedStreamTimeout applies to a streamed body, after the server has accepted the head.
+	// UnackedStreamTimeout applies to a streamed body, after the target has accepted the head.
 	UnackedStreamTimeout = 10 * time.Second
 
 	tcpUserTimeout = 18 // Linux's TCP_USER_TIMEOUT; its value is in milliseconds
