--- a/cmd/harness/main.go
+++ b/cmd/harness/main.go
@@ -1,4 +1,4 @@
-// Command harness runs clusters of real `sumac node` processes on loopback addresses with
+// Command harness runs fleets of real `sumac node` processes on loopback addresses with
 // simulated clients and targets, and checks the recorded history.
 package main
 
--- a/cmd/sumac/check.go
+++ b/cmd/sumac/check.go
@@ -36,7 +36,7 @@
 	return nil
 }
 
-// checkChange checks a change set against the cluster's configuration if --api is given, or else
+// checkChange checks a change set against the fleet's configuration if --api is given, or else
 // against an empty one.
 func checkChange(ctx context.Context, cmd *cli.Command, path string) error {
 	change, err := readChange(path, cmd.Bool("objects"))
--- a/cmd/sumac/main.go
+++ b/cmd/sumac/main.go
@@ -1,5 +1,5 @@
 // Command sumac runs a node of the API gateway. Its other commands check settings, submit change
-// sets and query the state of the cluster.
+// sets and query the state of the fleet.
 package main
 
 import (
--- a/cmd/sumac/main_test.go
+++ b/cmd/sumac/main_test.go
@@ -37,7 +37,7 @@
 	t.Setenv(platform.SettingsVariable, "")
 	for name, c := range map[string]struct {
 		args  []string
-		exit  int
+		exit  int // 1 if the call was not executed, 2 if the call or its input is invalid
 		texts []string
 	}{
 		"node with invalid settings":                {[]string{"node", "--set", "name=a", "--set", "strenght=3"}, 2, []string{"5001", "strenght: no such setting", "peer.address: is missing"}},
--- a/cmd/sumac/node_test.go
+++ b/cmd/sumac/node_test.go
@@ -15,7 +15,7 @@
 const testTimeout = 10 * time.Second
 
 // A log file that blocks writes, as on a disk that hangs, must not block the node. When each
-// goroutine wrote its own log lines, all of them blocked, including those that answer requests
+// goroutine wrote its own log lines, all of them blocked, including those that respond to requests
 // and that stop the node.
 func TestNode_ServesAndStopsWhileLogFileBlocks(t *testing.T) {
 	ended := startNode(t, "--set", "log.file="+fullPipe(t))
--- a/cmd/sumac/usage_test.go
+++ b/cmd/sumac/usage_test.go
@@ -8,6 +8,9 @@
 	"github.com/sumactrestle/sumactrestle/platform"
 )
 
+// The transcripts in testdata hold the help of every command and the errors of invalid calls. Run
+// the tests with -approve to update them.
+
 func TestTranscriptHelp(t *testing.T) { commandlinetest.Help(t, app) }
 
 func TestHelpIsComplete(t *testing.T) { commandlinetest.HelpIsComplete(t, app) }
--- a/internal/gatewayapi/gatewayapi.go
+++ b/internal/gatewayapi/gatewayapi.go
@@ -20,7 +20,7 @@
 // Annotations of an HTTPRoute for settings without a field in the Gateway API.
 const (
 	RepeatableAnnotation = "sumactrestle/repeatable" // "true" sets rpc.Route.Idempotent
-	OnceAnnotation       = "sumactrestle/once"       // "true" or any other value sets rpc.Route.Deduplicate to true or false
+	OnceAnnotation       = "sumactrestle/once"       // "true" sets rpc.Route.Deduplicate to true, any other value to false
 )
 
 // converter collects the change set and the problems of one file.
@@ -36,7 +36,7 @@
 }
 
 // Read converts a file of YAML documents, one object each, to a change set without ID and
-// base. It returns an errcode.InvalidChange that lists all problems with their field paths.
+// base. Its error is an errcode.InvalidChange that lists all problems with their field paths.
 func Read(raw []byte) (*rpc.ChangeSet, error) {
 	c := &converter{services: map[string]bool{}}
 	for i, document := range bytes.Split(raw, []byte("\n---")) {
--- a/internal/node/collector.go
+++ b/internal/node/collector.go
@@ -184,8 +184,8 @@
 		c.add(metrics.ProxyEndpoints, float64(endpoints.Ejected), endpoints.Service, "out")
 		c.add(metrics.ProxyEndpoints, float64(endpoints.Barred), endpoints.Service, "barred")
 	}
-	proxy.VisitRetryBudgets(func(service string, tries, debt float64) {
-		c.add(metrics.RetryBudget, tries, service)
+	proxy.VisitRetryBudgets(func(service string, tokens, debt float64) {
+		c.add(metrics.RetryBudget, tokens, service)
 		c.add(metrics.RetryBudgetDebt, debt, service)
 	})
 	epoch := c.n.Distribution.Cache.Epoch()
--- a/internal/node/forward.go
+++ b/internal/node/forward.go
@@ -148,7 +148,7 @@
 	return n.forward(r, c, r.Hops)
 }
 
-// cancelOnLeaderChange returns a context that is cancelled with errLeaderChanged once another
+// cancelOnLeaderChange returns a context that is canceled with errLeaderChanged once another
 // node leads the shard. Without it a long poll to a leader that crashed would wait until its
 // own timeout, because a missing reply is normal for that long.
 func (n *Node) cancelOnLeaderChange(ctx context.Context, shard ids.Shard, address string) (context.Context, context.CancelFunc) {
--- a/internal/node/http.go
+++ b/internal/node/http.go
@@ -82,8 +82,8 @@
 }
 
 // shutdownServers waits for requests in flight and closes all connections. The proxy's server
-// waits until proxyCtx ends and the requests abandoned then are answered; the others wait until
-// otherCtx ends. It returns the number of client connections whose requests got no response.
+// waits until proxyCtx ends and the requests aborted then have got a response; the others wait
+// until otherCtx ends. It returns the number of client connections whose requests got no response.
 func (n *Node) shutdownServers(proxyCtx, otherCtx context.Context) (unanswered int) {
 	n.mu.Lock()
 	servers := n.servers
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -161,7 +161,7 @@
 		return self, err
 	}
 	self.Core, self.Founders = true, settings.BootstrapCores
-	// A core node that lost its state must not bootstrap a second cluster.
+	// A core node that lost its state must not bootstrap a second fleet.
 	if n.Store.ReplacesCorruptStore() {
 		self.Founders = 0
 	}
@@ -238,11 +238,11 @@
 
 // Stop shuts the node down gracefully within shutdown.grace_period, and then ends the
 // environment. It transfers the leadership of its shards. A proxy reports that it is not
-// ready, still serves clients that have not noticed for proxy.drain_delay, and then rejects
+// ready, keeps serving for proxy.drain_delay so that clients can notice, and then rejects
 // new requests. The node announces to the other members that it leaves, and finishes
-// requests in flight. A proxy abandons the requests that are not finished in time, answers
-// them, and only then closes their connections, even if that happens after the grace period
-// because this process was stalled.
+// requests in flight. A proxy aborts the requests that are not finished in time, responds
+// to them, and only then closes their connections, even if that happens after the grace
+// period because this process was stalled.
 func (n *Node) Stop() {
 	n.Env.Events.Emit(eventlog.NodeStopping)
 	n.stopping.Store(true)
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -87,7 +87,7 @@
 	if n.Store != nil {
 		diskFailed = n.Store.Corrupted()
 	}
-	// A plain goroutine, which shutdown doesn't wait for: reading a file can't be cancelled.
+	// A plain goroutine, which shutdown doesn't wait for: reading a file can't be canceled.
 	go n.reloadSettings(options)
 	select {
 	case <-options.Signals.stop:
--- a/internal/node/stop_test.go
+++ b/internal/node/stop_test.go
@@ -64,15 +64,15 @@
 
 const testRequest = "GET / HTTP/1.1\r\nHost: x\r\n\r\n"
 
-// A proxy that is starved of processor time (up to 9.2 s in a soak run) must still answer its
-// abandoned requests before it ends. It used to end half a second after it had abandoned the last
-// one, even if the goroutine that writes the answer had not run by then.
-func TestShutdownServers_AnswersAbandonedRequestsWhenTasksRunLate(t *testing.T) {
-	// Delays before a request is abandoned, and from then until it is answered.
+// A proxy that is starved of processor time (up to 9.2 s in a soak run) must still respond to its
+// aborted requests before it ends. It used to end half a second after it had aborted the last
+// one, even if the goroutine that writes the response had not run by then.
+func TestShutdownServers_AnswersAbortedRequestsWhenTasksRunLate(t *testing.T) {
+	// Delays before a request is aborted, and from then until its response is written.
 	for _, delay := range []struct{ before, after time.Duration }{{time.Hour, 0}, {0, time.Second}} {
 		synctest.Test(t, func(t *testing.T) {
 			listener := newPipeListener()
-			proxyCtx, abandon := context.WithCancel(t.Context())
+			proxyCtx, abort := context.WithCancel(t.Context())
 			n := serveClients(t, listener, func(w http.ResponseWriter, _ *http.Request) {
 				<-proxyCtx.Done()
 				time.Sleep(delay.after)
@@ -89,11 +89,11 @@
 			}()
 			go func() {
 				time.Sleep(delay.before)
-				abandon()
+				abort()
 			}()
 			response, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			if err != nil || response.StatusCode != http.StatusServiceUnavailable {
-				t.Errorf("delays %+v: a request that was read got no answer: %v %v", delay, response, err)
+				t.Errorf("delays %+v: a request that was read got no response: %v %v", delay, response, err)
 			}
 			<-n.Env.Done()
 			synctest.Wait()
@@ -111,8 +111,8 @@
 		if _, err := io.WriteString(conn, testRequest); err != nil {
 			t.Fatal(err)
 		}
-		proxyCtx, abandon := context.WithCancel(t.Context())
-		abandon()
+		proxyCtx, abort := context.WithCancel(t.Context())
+		abort()
 		began := time.Now()
 		unanswered := n.shutdownServers(proxyCtx, n.Env)
 		if took := time.Since(began); unanswered != 1 || took > timeout {
