--- a/cmd/sumac/change.go
+++ b/cmd/sumac/change.go
@@ -98,9 +98,9 @@
 			dropKnownServices(change, view)
 		}
 	}
-	limited, cancel := context.WithTimeout(ctx, 10*time.Second)
+	submitCtx, cancel := context.WithTimeout(ctx, 10*time.Second)
 	defer cancel()
-	result, err := client.Submit(limited, change)
+	result, err := client.Submit(submitCtx, change)
 	if err != nil {
 		problem := fromAPI(err)
 		if errors.Is(problem, errcode.ChangeUnknown) || errors.Is(problem, errcode.Unreachable) {
@@ -116,13 +116,13 @@
 // only the names of services, so submitting them would overwrite the services' other fields,
 // such as the key.
 func dropKnownServices(change *api.Change, view *api.EpochView) {
-	known := map[string]bool{}
+	existing := map[string]bool{}
 	for _, s := range view.Config.Services {
-		known[s.Name] = true
+		existing[s.Name] = true
 	}
 	var added []api.Service
 	for _, s := range change.Put.Value.Services {
-		if !known[s.Name] {
+		if !existing[s.Name] {
 			added = append(added, s)
 		}
 	}
--- a/cmd/sumac/main.go
+++ b/cmd/sumac/main.go
@@ -93,21 +93,21 @@
 	if err != nil {
 		return err
 	}
-	var out io.Writer = os.Stderr
+	var logOutput io.Writer = os.Stderr
 	if settings.LogFile != "" {
 		file, err := os.OpenFile(settings.LogFile, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o644)
 		if err != nil {
 			return errcode.New(errcode.InvalidSettings, "log.file: %v", err)
 		}
 		defer file.Close()
-		out = file
+		logOutput = file
 	}
 	if settings.DataFolder != "" {
 		if err := os.MkdirAll(settings.DataFolder, 0o755); err != nil {
 			return errcode.New(errcode.InvalidSettings, "data.folder: %v", err)
 		}
 	}
-	events := eventlog.NewAsync(out, settings.LogLevel, settings.Name)
+	events := eventlog.NewAsync(logOutput, settings.LogLevel, settings.Name)
 	defer events.Close(node.LogFlushTime)
 	env := environment.New(ctx, settings, events, environment.NewHost(settings.PeerAddress))
 	return node.Run(env, node.RunConfig{
--- a/cmd/sumac/shell.go
+++ b/cmd/sumac/shell.go
@@ -77,7 +77,7 @@
 // query runs one query. The first word is its name; only rows that contain all other words are
 // printed.
 func query(ctx context.Context, c *api.Client, words []string, out io.Writer) error {
-	limited, cancel := context.WithTimeout(ctx, 5*time.Second)
+	queryCtx, cancel := context.WithTimeout(ctx, 5*time.Second)
 	defer cancel()
 	table := tabwriter.NewWriter(out, 2, 8, 2, ' ', 0)
 	defer table.Flush()
@@ -86,7 +86,7 @@
 		fmt.Fprint(out, shellHelp)
 		return nil
 	case "epoch":
-		view, err := c.Epoch(limited)
+		view, err := c.Epoch(queryCtx)
 		if err != nil {
 			return fromAPI(err)
 		}
@@ -102,7 +102,7 @@
 	if what.Validate() != nil {
 		return errcode.New(errcode.InvalidCall, "no query %q; try help", words[0])
 	}
-	rows, err := c.Show(limited, api.ShowParams{What: what})
+	rows, err := c.Show(queryCtx, api.ShowParams{What: what})
 	if err != nil {
 		return fromAPI(err)
 	}
--- a/internal/node/api.go
+++ b/internal/node/api.go
@@ -47,15 +47,15 @@
 }
 
 func (h *apiHandler) AskChange(ctx context.Context, params api.AskChangeParams) (*api.ChangeReceipt, error) {
-	limited, cancel := context.WithTimeout(ctx, callTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	return changeStatusOperation.call(limited, h.n, ids.ConfigShard, &params.ID)
+	return changeStatusOperation.call(callCtx, h.n, ids.ConfigShard, &params.ID)
 }
 
 func (h *apiHandler) Epoch(ctx context.Context) (*api.EpochView, error) {
-	limited, cancel := context.WithTimeout(ctx, callTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	return epochOperation.call(limited, h.n, ids.ConfigShard, nil)
+	return epochOperation.call(callCtx, h.n, ids.ConfigShard, nil)
 }
 
 // coordinate executes a coordination call, and returns a code in the response as an error.
--- a/internal/node/calls.go
+++ b/internal/node/calls.go
@@ -37,7 +37,7 @@
 // leader or the leader is not known.
 func (n *Node) Heartbeat(ctx context.Context, heartbeat *rpc.TargetHeartbeat) (leaderAPIAddress string, err error) {
 	n.heartbeats.Add(1)
-	limited, cancel := context.WithTimeout(ctx, heartbeatTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
 	if err := controlplane.ValidateHeartbeat(heartbeat); err != nil {
 		n.Env.Events.Emit(eventlog.HeartbeatRejected, "service", heartbeat.Service, "instance", heartbeat.Instance, "cause", err.Error())
@@ -47,7 +47,7 @@
 		n.Env.Events.Emit(eventlog.TargetLeaving, "service", heartbeat.Service, "instance", heartbeat.Instance, "state", heartbeat.State)
 	}
 	shard := ids.ShardOf(heartbeat.Service)
-	if _, err := heartbeatOperation.call(limited, n, shard, heartbeat); err != nil {
+	if _, err := heartbeatOperation.call(callCtx, n, shard, heartbeat); err != nil {
 		return "", err
 	}
 	if n.Consensus == nil || !n.Consensus.Replica(shard).IsServing() {
@@ -59,15 +59,15 @@
 // Deregister removes an instance whose service the caller does not name. It returns an
 // errcode.UnknownService if no core node knows the instance.
 func (n *Node) Deregister(ctx context.Context, instance string) error {
-	limited, cancel := context.WithTimeout(ctx, heartbeatTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
-	service := n.serviceOf(limited, instance)
+	service := n.serviceOf(callCtx, instance)
 	if service == "" {
 		return errcode.New(errcode.UnknownService, "of instance %q", instance)
 	}
 	n.Env.Events.Emit(eventlog.TargetLeaving, "service", service, "instance", instance, "state", controlplane.StateLeaving)
 	heartbeat := &rpc.TargetHeartbeat{Service: service, Instance: instance, Sequence: maxSequence, Address: "0.0.0.0:0", State: controlplane.StateLeaving}
-	_, err := heartbeatOperation.call(limited, n, ids.ShardOf(service), heartbeat)
+	_, err := heartbeatOperation.call(callCtx, n, ids.ShardOf(service), heartbeat)
 	return err
 }
 
@@ -82,7 +82,7 @@
 	cores := n.Members.CoreMembers()
 	services := make(chan string, len(cores))
 	var lookups sync.WaitGroup
-	limited, cancel := context.WithTimeout(ctx, lookupTimeout)
+	lookupCtx, cancel := context.WithTimeout(ctx, lookupTimeout)
 	defer cancel()
 	for _, m := range cores {
 		if m.Name == n.Env.Name {
@@ -92,7 +92,7 @@
 		n.Env.Go(func() {
 			defer lookups.Done()
 			var response rpc.InstanceLookupResponse
-			if n.RPC.Call(limited, m.RPCAddress, messageLookup, &rpc.InstanceLookupRequest{Instance: instance}, &response) == nil && response.Service != "" {
+			if n.RPC.Call(lookupCtx, m.RPCAddress, messageLookup, &rpc.InstanceLookupRequest{Instance: instance}, &response) == nil && response.Service != "" {
 				services <- response.Service
 			}
 		})
@@ -105,9 +105,9 @@
 // it may have been accepted in an earlier attempt under the same ID. So an error whose code
 // has an outcome, such as NoLeader, becomes an errcode.ChangeUnknown.
 func (n *Node) Submit(ctx context.Context, change *rpc.ChangeSet) (*rpc.ChangeResult, error) {
-	limited, cancel := context.WithTimeout(ctx, submitTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, submitTimeout)
 	defer cancel()
-	result, err := submitOperation.call(limited, n, ids.ConfigShard, change)
+	result, err := submitOperation.call(callCtx, n, ids.ConfigShard, change)
 	if err != nil && errcode.From(err).Code.Outcome != "" {
 		err = errcode.New(errcode.ChangeUnknown, "%v", err)
 	}
@@ -116,21 +116,21 @@
 
 // Config returns the active configuration in the form in which operators submitted it.
 func (n *Node) Config(ctx context.Context) (*rpc.ConfigurationView, error) {
-	limited, cancel := context.WithTimeout(ctx, callTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	return configOperation.call(limited, n, ids.ConfigShard, nil)
+	return configOperation.call(callCtx, n, ids.ConfigShard, nil)
 }
 
 // Coordinate executes a coordination call. A call with an ID may repeat one that was already
 // executed, which only the leader knows. So an error that says such a call did not run, and
 // a lost reply to any call, become an errcode.WriteUnknown.
 func (n *Node) Coordinate(ctx context.Context, request *rpc.CoordinationRequest) (*rpc.CoordinationResponse, error) {
-	limited, cancel := context.WithTimeout(ctx, callTimeout+time.Duration(request.Wait)*time.Millisecond)
+	callCtx, cancel := context.WithTimeout(ctx, callTimeout+time.Duration(request.Wait)*time.Millisecond)
 	defer cancel()
 	if request.Operation != coordination.OpWatch && request.Operation != coordination.OpFollow {
 		defer n.observeCall(time.Now())
 	}
-	response, err := n.coordinate(limited, request)
+	response, err := n.coordinate(callCtx, request)
 	if err != nil {
 		isNotRun := errcode.From(err).Code.Outcome == "not run"
 		if errors.Is(err, errcode.ReplyLost) || isNotRun && request.ID != "" {
--- a/internal/node/confirmed_epoch.go
+++ b/internal/node/confirmed_epoch.go
@@ -36,9 +36,9 @@
 	if n.configServer == nil {
 		return 0, 0
 	}
-	limited, cancel := context.WithTimeout(ctx, confirmationTimeout)
+	confirmationCtx, cancel := context.WithTimeout(ctx, confirmationTimeout)
 	defer cancel()
-	epoch, age, err := n.configServer.Confirmation(limited)
+	epoch, age, err := n.configServer.Confirmation(confirmationCtx)
 	if err != nil {
 		return 0, 0
 	}
--- a/internal/node/forward.go
+++ b/internal/node/forward.go
@@ -106,16 +106,16 @@
 // long poll ends with an errcode.NoLeader, which is retried, when the leader changes or the
 // reply is lost.
 func (n *Node) forwardTo(ctx context.Context, c call, hops int, address string) (*rpc.ForwardResponse, error) {
-	limited, cancel := ctx, context.CancelFunc(func() {})
+	callCtx, cancel := ctx, context.CancelFunc(func() {})
 	if c.longPoll != nil {
-		limited, cancel = n.cancelOnLeaderChange(ctx, c.shard, address)
+		callCtx, cancel = n.cancelOnLeaderChange(ctx, c.shard, address)
 	}
 	defer cancel()
 	var response rpc.ForwardResponse
-	err := n.RPC.Forward(limited, address, messageForward, hops+1, &rpc.ForwardRequest{Shard: c.shard, Operation: c.operation, Body: c.body}, &response)
+	err := n.RPC.Forward(callCtx, address, messageForward, hops+1, &rpc.ForwardRequest{Shard: c.shard, Operation: c.operation, Body: c.body}, &response)
 	if err != nil {
 		wasReached := !errors.Is(err, errcode.Unreachable) && !errors.Is(err, errcode.ReplyLost)
-		if c.longPoll != nil && (context.Cause(limited) == errLeaderChanged || errors.Is(err, errcode.ReplyLost)) {
+		if c.longPoll != nil && (context.Cause(callCtx) == errLeaderChanged || errors.Is(err, errcode.ReplyLost)) {
 			err = errcode.New(errcode.NoLeader, "part %d: %v", c.shard, err)
 		}
 		n.leaders.RecordError(c.shard, address, wasReached)
@@ -152,14 +152,14 @@
 // node leads the shard. Without it a long poll to a leader that crashed would wait until its
 // own timeout, because a missing reply is normal for that long.
 func (n *Node) cancelOnLeaderChange(ctx context.Context, shard ids.Shard, address string) (context.Context, context.CancelFunc) {
-	limited, cancel := context.WithCancelCause(ctx)
+	callCtx, cancel := context.WithCancelCause(ctx)
 	if n.Consensus != nil {
 		n.Env.Go(func() {
 			ticker := time.NewTicker(leaderCheckInterval)
 			defer ticker.Stop()
 			for {
 				select {
-				case <-limited.Done():
+				case <-callCtx.Done():
 					return
 				case <-ticker.C:
 				}
@@ -170,7 +170,7 @@
 			}
 		})
 	}
-	return limited, func() { cancel(nil) }
+	return callCtx, func() { cancel(nil) }
 }
 
 // isLedElsewhere reports whether a node at another address is known to lead the shard.
--- a/internal/proxy/idempotency/records.go
+++ b/internal/proxy/idempotency/records.go
@@ -80,7 +80,7 @@
 			return Conflict(Unknown, "request "+response.Holder+": its record can't be read: "+err.Error())
 		}
 	}
-	if state == Unrecorded && !r.isHolderAlive(response.Holder) {
+	if state == Unrecorded && !r.isHolderLive(response.Holder) {
 		state = Unknown
 	}
 	return Conflict(state, "request "+response.Holder)
@@ -110,9 +110,9 @@
 	return string(self.Name) + " " + string(self.ID) + " " + requestID
 }
 
-// isHolderAlive reports whether the proxy that acquired a record is live. If it is not, it
+// isHolderLive reports whether the proxy that acquired a record is live. If it is not, it
 // will not write the outcome.
-func (r *Records) isHolderAlive(holder string) bool {
+func (r *Records) isHolderLive(holder string) bool {
 	fields := strings.Split(holder, " ")
 	return len(fields) != 3 || r.config.Membership.IsLive(rpc.Peer{Name: ids.NodeName(fields[0]), ID: ids.MemberID(fields[1])})
 }
--- a/internal/proxy/outlier/outlier_test.go
+++ b/internal/proxy/outlier/outlier_test.go
@@ -32,8 +32,8 @@
 	return &Reporter{config: Config{Lookup: lookup}, failures: map[string]int{}, wake: make(chan struct{}, 1)}
 }
 
-// selections returns how many of 1000 requests select the endpoint.
-func selections(pool *endpoint.Pool, wanted *endpoint.Endpoint) (count int) {
+// countSelections returns how many of 1000 requests select the endpoint.
+func countSelections(pool *endpoint.Pool, wanted *endpoint.Endpoint) (count int) {
 	for range 1000 {
 		if pool.Select(endpoint.Selection{LatencyTarget: time.Second, Proxies: 1}) == wanted {
 			count++
@@ -50,7 +50,7 @@
 			reporter.Report(failing)
 		}
 		time.Sleep(100 * time.Millisecond)
-		if got := selections(pool, failing); got > 0 {
+		if got := countSelections(pool, failing); got > 0 {
 			t.Errorf("%d of 1000 requests selected the failing endpoint", got)
 		}
 		if got := reporter.failures[failing.ReportID]; got != 4 || len(reporter.failures) != 1 {
@@ -82,10 +82,10 @@
 			t.Fatal(err)
 		}
 		time.Sleep(100 * time.Millisecond)
-		if got := selections(pool, failing); got > 0 {
+		if got := countSelections(pool, failing); got > 0 {
 			t.Errorf("%d of 1000 requests selected the failing endpoint", got)
 		}
-		if got := selections(pool, healthy); got == 0 {
+		if got := countSelections(pool, healthy); got == 0 {
 			t.Error("no request selected the healthy endpoint")
 		}
 		if len(reporter.failures) > 0 {
