--- a/cmd/sumac/shell.go
+++ b/cmd/sumac/shell.go
@@ -79,7 +79,7 @@
 // query runs one query. The first word is its name; only rows that contain all other words are
 // printed.
 func query(ctx context.Context, c *api.Client, words []string, out io.Writer) error {
-	limited, cancel := context.WithTimeout(ctx, 5*time.Second)
+	queryCtx, cancel := context.WithTimeout(ctx, 5*time.Second)
 	defer cancel()
 	table := tabwriter.NewWriter(out, 2, 8, 2, ' ', 0)
 	defer table.Flush()
@@ -88,7 +88,7 @@
 		fmt.Fprint(out, shellHelp)
 		return nil
 	case "epoch":
-		view, err := c.Epoch(limited)
+		view, err := c.Epoch(queryCtx)
 		if err != nil {
 			return fromAPI(err)
 		}
@@ -104,7 +104,7 @@
 	if queryName.Validate() != nil {
 		return errcode.New(errcode.InvalidCall, "unknown query %q; try help", words[0])
 	}
-	rows, err := c.Show(limited, api.ShowParams{What: queryName})
+	rows, err := c.Show(queryCtx, api.ShowParams{What: queryName})
 	if err != nil {
 		return fromAPI(err)
 	}
