--- a/internal/consensus/bootstrap.go
+++ b/internal/consensus/bootstrap.go
@@ -135,7 +135,7 @@
 }
 
 // hasNewMemberID reports whether both lists contain the same nodes and at least one node
-// has a different member id.
+// has a different member ID.
 func hasNewMemberID(members, founders []rpc.Member) bool {
 	memberIDs := map[ids.NodeName]ids.MemberID{}
 	for _, m := range members {
@@ -263,7 +263,7 @@
 	return nil
 }
 
-// enterCluster sets the initial voters of every shard and announces the cluster id to the
+// enterCluster sets the initial voters of every shard and announces the cluster ID to the
 // other members.
 func (n *Node) enterCluster(charter *rpc.Charter) {
 	for _, r := range n.replicas {
@@ -289,7 +289,7 @@
 	return n.charter
 }
 
-// clusterID returns the cluster's id, or "" if the charter is not open on this node.
+// clusterID returns the cluster's ID, or "" if the charter is not open on this node.
 func (n *Node) clusterID() string {
 	if charter := n.Charter(); charter != nil {
 		return charter.Fleet
--- a/internal/consensus/contact.go
+++ b/internal/consensus/contact.go
@@ -39,7 +39,7 @@
 }
 
 // longestHeartbeatPause returns the longest normal pause between two heartbeats to one peer:
-// the idle interval plus twice heartbeatTimeout.
+// the idle interval, plus twice heartbeatTimeout to allow for a heartbeat that times out.
 func (n *Node) longestHeartbeatPause() time.Duration {
 	return idleHeartbeatFactor*n.env.Config.ConsensusHeartbeatPeriod + 2*heartbeatTimeout
 }
--- a/internal/consensus/contact_test.go
+++ b/internal/consensus/contact_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestPeerContact_UnresponsiveSinceFirstUnansweredRequest(t *testing.T) {
+func TestPeerContact_UnresponsiveSinceFirstUnansweredHeartbeat(t *testing.T) {
 	const longestPause = 2 * time.Second
 	send := func(c *peerContact, at time.Time) { c.recordSent(at, longestPause) }
 	receive := func(c *peerContact, _ time.Time) { c.recordReceived() }
--- a/internal/consensus/doc.go
+++ b/internal/consensus/doc.go
@@ -11,7 +11,7 @@
 //     Viewstamped Replication, so any voter can become leader.
 //   - The voters change by joint consensus (section 6 of the Raft paper). A candidate
 //     needs a quorum of the voters in the adopted log, not of those in its own log.
-//   - A member is identified by its name and member id. The id is stored on disk, so a
+//   - A member is identified by its name and member ID. The ID is stored on disk, so a
 //     node that lost its disk is a new member without a vote.
 //   - Reads are confirmed by heartbeats (ReadIndex in section 6.4 of Ongaro's thesis),
 //     never by a lease alone.
--- a/internal/consensus/heartbeat.go
+++ b/internal/consensus/heartbeat.go
@@ -39,7 +39,7 @@
 }
 
 // updateHeartbeaters starts a heartbeater for each new core node, and stops those of nodes
-// that left the member list or have a different member id.
+// that left the member list or have a different member ID.
 func (n *Node) updateHeartbeaters() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -96,7 +96,7 @@
 	return false
 }
 
-// runHeartbeats sends heartbeats to a peer until ctx is cancelled.
+// runHeartbeats sends heartbeats to a peer until ctx is canceled.
 func (n *Node) runHeartbeats(ctx context.Context, peer rpc.Peer, h *heartbeater) {
 	due := time.Now().Add(1)
 	for {
@@ -106,8 +106,8 @@
 		}
 		interval := n.env.Config.ConsensusHeartbeatPeriod
 		if isTriggered {
-			// Triggers come about once per heartbeat period. The longer interval avoids a
-			// periodic heartbeat in addition to each triggered one.
+			// Heartbeats are triggered about once per heartbeat period. The longer interval
+			// avoids a periodic heartbeat in addition to each triggered one.
 			interval = interval * 3 / 2
 		}
 		if !n.isVoterOfLedShard(peer) {
--- a/internal/consensus/leadership.go
+++ b/internal/consensus/leadership.go
@@ -21,7 +21,7 @@
 	// whole log.
 	isTransferring bool
 	firstIndex     ids.Index // the first entry of the leader's own term
-	// ctx is cancelled when the leadership ends, which stops the replication streams.
+	// ctx is canceled when the leadership ends, which stops the replication streams.
 	ctx      context.Context
 	cancel   context.CancelFunc
 	progress map[rpc.Peer]*progress
@@ -94,7 +94,7 @@
 // member appends no more entries.
 func (r *Replica) reportCorruption(cause string, fields ...any) {
 	r.logEvent(eventlog.ReplicasDiverged, append([]any{"term", r.currentTerm.String(), "cause", cause}, fields...)...)
-	r.stepDown("replicas contradict one another")
+	r.stepDown("replicas have diverged")
 }
 
 // resign takes the lock and steps down for a cause outside the replica.
--- a/internal/consensus/leadership_transfer.go
+++ b/internal/consensus/leadership_transfer.go
@@ -10,9 +10,9 @@
 )
 
 // Leadership is transferred as in section 3.10 of Ongaro's thesis: the leader stops accepting
-// proposals, waits until a member has caught up with its log, steps down, and requests that
-// member to campaign immediately. Without the wait, a shard with constant writes might never
-// have a member with the whole log and would need an ordinary election.
+// proposals, waits until a member has caught up with its log, steps down, and sends that
+// member a request to campaign immediately. Without the wait, a shard with constant writes
+// might never have a member with the whole log and would need an ordinary election.
 
 const (
 	// transferTimeout bounds the campaign request to the next leader.
@@ -28,10 +28,10 @@
 func (r *Replica) transferLeadership(ctx context.Context) {
 	r.stopProposals()
 	r.awaitSuccessor(ctx)
-	target, term := r.releaseLeadership()
-	if target != nil {
+	nextLeader, term := r.releaseLeadership()
+	if nextLeader != nil {
 		// If the request is lost, an ordinary election follows.
-		_ = r.node.call(ctx, transferTimeout, target.RPCAddress, kindTransfer, &rpc.CampaignRequest{Shard: r.shard, Term: term}, nil)
+		_ = r.node.call(ctx, transferTimeout, nextLeader.RPCAddress, kindTransfer, &rpc.CampaignRequest{Shard: r.shard, Term: term}, nil)
 	}
 }
 
@@ -62,15 +62,15 @@
 
 // releaseLeadership steps down if this member is the serving leader, and returns the member
 // that can take over; nil if there is none.
-func (r *Replica) releaseLeadership() (target *rpc.Member, term ids.Term) {
+func (r *Replica) releaseLeadership() (nextLeader *rpc.Member, term ids.Term) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.leadership.isServing {
 		return nil, ids.Term{}
 	}
-	target = r.successor()
+	nextLeader = r.successor()
 	r.stepDown("leadership transferred")
-	return target, r.currentTerm
+	return nextLeader, r.currentTerm
 }
 
 // successor returns the first responsive voter in election order that has the whole log.
--- a/internal/consensus/learner.go
+++ b/internal/consensus/learner.go
@@ -9,7 +9,7 @@
 
 const (
 	learnerPollInterval = 50 * time.Millisecond
-	learnerStallTimeout = 2 * time.Second // without progress, after which catching up fails
+	learnerStallTimeout = 2 * time.Second // time without progress after which catching up fails
 	maxLearnerLag       = 16              // entries that a learner may lack when it becomes a voter
 )
 
--- a/internal/consensus/log.go
+++ b/internal/consensus/log.go
@@ -154,7 +154,7 @@
 }
 
 // entriesFrom returns the entries from index next on, and the term of the entry before next;
-// false if these are no longer all in memory and the snapshot is needed.
+// false if these or that term are no longer in memory, so that the snapshot is needed.
 func (l *replicaLog) entriesFrom(next ids.Index) (prevTerm ids.Term, entries []rpc.Entry, found bool) {
 	if next > l.snapshot.Index {
 		prevTerm, found = l.termAt(next - 1)
--- a/internal/consensus/membership_change.go
+++ b/internal/consensus/membership_change.go
@@ -28,7 +28,7 @@
 // the new and the outgoing voters, and from it on every decision needs a quorum of both.
 // Once it is committed, the second entry removes the outgoing voters. If the leader fails in
 // between, the next leader finishes the change. A voter that lost its disk, or has not
-// answered for consensus.replacement_delay, is replaced by a learner that has caught up.
+// responded for consensus.replacement_delay, is replaced by a learner that has caught up.
 func (r *Replica) superviseVoters() {
 	r.mu.Lock()
 	voters, isCommitted := r.voters, r.hasCommittedVoters()
--- a/internal/consensus/model/actions.go
+++ b/internal/consensus/model/actions.go
@@ -8,7 +8,7 @@
 	SingleServerChanges bool // a replacement removes one voter, then adds one, without a joint step
 	OwnVotersSuffice    bool // a candidate needs a quorum of the voters in its own log only
 	KeepOwnLog          bool // a new leader keeps its own log instead of the most advanced
-	WipedMembersVote    bool // a member with a new member id counts as the old one
+	WipedMembersVote    bool // a member with a new member ID counts as the old one
 	CommitOldTerms      bool // a leader commits entries of older terms by counting replicas
 	OverlappingChanges  bool // a membership change may start before the previous one is committed
 	SkipJointStep       bool // a replacement takes effect at once, without the joint step
@@ -16,7 +16,7 @@
 	ForgetVotes         bool // a restart forgets a vote
 	AcceptStaleTerms    bool // a member accepts entries below its current term
 	CommitBeforeSync    bool // a leader counts members that have not synced the entry
-	LearnersVote        bool // members without a vote count towards a quorum
+	LearnersVote        bool // members without a vote count toward a quorum
 	CopyCommitIndex     bool // a member adopts the leader's commit index even if it is below its own
 	AppendWithoutTerm   bool // a member accepts entries without raising its current term
 	TermsWithoutNode    bool // two candidates may have the same term
@@ -329,7 +329,7 @@
 	w.visit(action{name: restarts, actor: m, to: -1}, next)
 }
 
-// wipe replaces a member's disk by an empty one, which gives the member a new member id.
+// wipe replaces a member's disk by an empty one, which gives the member a new member ID.
 func (w *walker) wipe(s *state, m int) {
 	if int(s.wipes) >= w.scope.Wipes || s.members[m].memberID+1 >= maxMemberIDs {
 		return
--- a/internal/consensus/model/explore.go
+++ b/internal/consensus/model/explore.go
@@ -204,4 +204,4 @@
 	}
 }
 
-func (b *Violation) String() string { return fmt.Sprintf("%s: %q", b.Invariant, b.Schedule) }
+func (v *Violation) String() string { return fmt.Sprintf("%s: %q", v.Invariant, v.Schedule) }
--- a/internal/consensus/model/state.go
+++ b/internal/consensus/model/state.go
@@ -18,7 +18,7 @@
 	kindEmpty            = 1 // the first entry of a leader
 	kindCommand          = 2 // a write of a client
 	kindMembershipChange = 3 // sets the voters from this entry on
-	maxMemberIDs         = 2 // disks, and so member ids, that one member can have in turn
+	maxMemberIDs         = 2 // disks, and so member IDs, that one member can have in turn
 )
 
 // term is a term number and the candidate's member index, ordered by the number first. No two
@@ -30,7 +30,7 @@
 func newTerm(number, member int) term { return term(number*membersPerTerm + member) }
 func (t term) number() int            { return int(t) / membersPerTerm }
 
-// peerSet is a set of identities, with one bit for each member id of each member.
+// peerSet is a set of identities, with one bit for each member ID of each member.
 type peerSet uint16
 
 func identity(member, memberID int) peerSet { return 1 << (member*maxMemberIDs + memberID) }
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -66,7 +66,7 @@
 	StateMachines []StateMachine
 }
 
-// LoadOrCreateMemberID returns the member id in the store. If there is none, it creates one
+// LoadOrCreateMemberID returns the member ID in the store. If there is none, it creates one
 // and syncs it first.
 func LoadOrCreateMemberID(store *storage.Store) (ids.MemberID, error) {
 	raw, err := store.Get(memberIDKey)
@@ -263,7 +263,7 @@
 }
 
 // memberState returns a peer's entry in the member list; false if the peer is unknown or
-// listed with another member id.
+// listed with another member ID.
 func (n *Node) memberState(peer rpc.Peer) (membership.NodeState, bool) {
 	m, ok := n.members.View()[peer.Name]
 	return m, ok && m.ID == peer.ID
--- a/internal/consensus/placement.go
+++ b/internal/consensus/placement.go
@@ -8,8 +8,8 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// ElectionOrder returns the voters of a shard by preference as its leader. All nodes compute
-// the same order, by rendezvous hashing, which spreads the leaders over the nodes.
+// ElectionOrder returns the voters of a shard in order of preference as its leader. All nodes
+// compute the same order, by rendezvous hashing, which spreads the leaders over the nodes.
 func ElectionOrder(shard ids.Shard, voters []rpc.Peer) []rpc.Peer {
 	order := append([]rpc.Peer(nil), voters...)
 	seed := fmt.Sprint("part", shard)
--- a/internal/consensus/replacement.go
+++ b/internal/consensus/replacement.go
@@ -8,7 +8,7 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// lostVoters returns the voters that returned under a new member id or have not responded to
+// lostVoters returns the voters that returned under a new member ID or have not responded to
 // the leader for consensus.replacement_delay. A leader that has just started serving first
 // waits for heartbeatTimeout, so that each voter has had time to respond.
 func (r *Replica) lostVoters(voters []rpc.Peer) (lost []rpc.Peer) {
@@ -121,7 +121,7 @@
 }
 
 // isNodeUnavailable reports whether the node with the given name, under its present member
-// id, is dead or unresponsive for longer than consensus.replacement_delay.
+// ID, is dead or unresponsive for longer than consensus.replacement_delay.
 func (r *Replica) isNodeUnavailable(view map[ids.NodeName]membership.NodeState, name ids.NodeName) bool {
 	m, isKnown := view[name]
 	isDead := isKnown && !m.IsLive() && time.Since(m.StateChange) > r.node.env.Config.ConsensusReplacementDelay
--- a/internal/consensus/replica.go
+++ b/internal/consensus/replica.go
@@ -48,7 +48,7 @@
 	startedAt time.Time
 	// isLeaderless is set while the shard is reported as having no leader.
 	isLeaderless bool
-	// isRemoved is set when a voter answered that this member is no longer a voter. The member
+	// isRemoved is set when a voter responded that this member is no longer a voter. The member
 	// does not campaign until a leader sends it entries or a snapshot.
 	isRemoved bool
 }
@@ -232,7 +232,7 @@
 	IsServing       bool
 	Voters          []rpc.Peer
 	OutgoingVoters  []rpc.Peer    // empty unless a membership change is in progress
-	ConfirmationAge time.Duration // time since a quorum confirmed the leader's term; -1 if not leader
+	ConfirmationAge time.Duration // time since a quorum confirmed the leader's term; -1 if this member is not the leader
 }
 
 // Status returns the current status.
--- a/internal/consensus/replica_test.go
+++ b/internal/consensus/replica_test.go
@@ -288,7 +288,7 @@
 		}
 		r.markRemoved()
 		if !r.election.isRemoved || r.node.env.Events.Counts()["MemberRemoved"] != 1 {
-			t.Error("markRemoved did not mark the member, or not log it once")
+			t.Error("markRemoved did not set isRemoved, or did not log exactly one MemberRemoved event")
 		}
 	})
 }
--- a/internal/consensus/snapshot_transfer.go
+++ b/internal/consensus/snapshot_transfer.go
@@ -70,7 +70,7 @@
 	return snapshot, nil
 }
 
-// packCurrentSnapshot returns the current snapshot as it is sent. The result is cached for all
+// packCurrentSnapshot returns the current snapshot in packed form, which is cached for all
 // members. The lock is not held while the snapshot is packed.
 func (r *Replica) packCurrentSnapshot() *packedSnapshot {
 	r.mu.Lock()
@@ -118,7 +118,7 @@
 		case err != nil:
 			return 0, err
 		case response.From != peer:
-			return 0, errcode.New(errcode.Unreachable, "response to %s came from %s", peer.Name, response.From.Name)
+			return 0, errcode.New(errcode.Unreachable, "request to %s was answered by %s", peer.Name, response.From.Name)
 		case term.Less(response.CurrentTerm):
 			r.mu.Lock()
 			r.stepDownForTerm(term, response.CurrentTerm)
--- a/internal/consensus/supervise.go
+++ b/internal/consensus/supervise.go
@@ -55,7 +55,7 @@
 	var due []*Replica
 	for _, r := range n.replicas {
 		if isStalled {
-			r.resign("disk stalls")
+			r.resign("disk writes are stalled")
 			continue
 		}
 		r.checkQuorum()
--- a/internal/consensus/voters.go
+++ b/internal/consensus/voters.go
@@ -99,7 +99,7 @@
 	return n
 }
 
-// String lists the voters by name and abbreviated member id, and the outgoing ones during a
+// String lists the voters by name and abbreviated member ID, and the outgoing ones during a
 // change.
 func (v Voters) String() string {
 	if v.IsJoint() {
@@ -108,7 +108,7 @@
 	return joinNames(v.Current)
 }
 
-// joinNames lists peers by name and the first four characters of the member id.
+// joinNames lists peers by name and the first four characters of the member ID.
 func joinNames(peers []rpc.Peer) string {
 	var names []string
 	for _, peer := range peers {
--- a/internal/consensus/voters_test.go
+++ b/internal/consensus/voters_test.go
@@ -7,7 +7,7 @@
 	"github.com/sumactrestle/sumactrestle/internal/rpc"
 )
 
-// peers returns one peer for each letter of names: core-A for A, all with member id "b".
+// peers returns one peer for each letter of names: core-A for A, all with member ID "b".
 func peers(names string) (list []rpc.Peer) {
 	for _, name := range names {
 		list = append(list, rpc.Peer{Name: ids.NodeName("core-" + string(name)), ID: "b"})
@@ -28,7 +28,7 @@
 	}
 	renewed := rpc.Peer{Name: peers("A")[0].Name, ID: "other"}
 	if joint.HasQuorum([]rpc.Peer{renewed, peers("B")[0]}) {
-		t.Error("a node with a new member id counts as the old voter")
+		t.Error("a node with a new member ID counts as the old voter")
 	}
 }
 
--- a/internal/environment/environment.go
+++ b/internal/environment/environment.go
@@ -82,7 +82,7 @@
 // was the signal; the error is that of the context if it is done. It creates a timer only if due
 // is in the future: a timer that expires before anyone waits for it crashes the process in the
 // case described at Sleep.
-func WaitUntil(ctx context.Context, due time.Time, signal <-chan struct{}) (isSignalled bool, err error) {
+func WaitUntil(ctx context.Context, due time.Time, signal <-chan struct{}) (isSignaled bool, err error) {
 	remaining := time.Until(due)
 	if remaining <= 0 {
 		select {
--- a/internal/environment/environment_test.go
+++ b/internal/environment/environment_test.go
@@ -61,7 +61,7 @@
 		untilDue                 time.Duration
 		signalAfter, cancelAfter time.Duration // from the start; immediately if negative
 		wantWait                 time.Duration
-		wantSignalled, wantErr   bool
+		wantSignaled, wantErr    bool
 	}{
 		{"due time first", pause, 2 * pause, 3 * pause, pause, false, false},
 		{"signal first", 2 * pause, pause, 3 * pause, pause, true, false},
@@ -84,9 +84,9 @@
 			after(c.signalAfter, func() { signal <- struct{}{} })
 			after(c.cancelAfter, cancel)
 			start := time.Now()
-			isSignalled, err := WaitUntil(ctx, start.Add(c.untilDue), signal)
-			if waited := time.Since(start); isSignalled != c.wantSignalled || (err != nil) != c.wantErr || waited != c.wantWait {
-				t.Errorf("%s: signalled %v, error %v, after %s", c.name, isSignalled, err, waited)
+			isSignaled, err := WaitUntil(ctx, start.Add(c.untilDue), signal)
+			if waited := time.Since(start); isSignaled != c.wantSignaled || (err != nil) != c.wantErr || waited != c.wantWait {
+				t.Errorf("%s: signaled %v, error %v, after %s", c.name, isSignaled, err, waited)
 			}
 			time.Sleep(3 * pause)
 		})
--- a/internal/environment/host.go
+++ b/internal/environment/host.go
@@ -22,7 +22,7 @@
 	// SuspendedTime returns the total time for which the machine has been suspended; nil if it
 	// never is.
 	SuspendedTime func() time.Duration
-	// Waits returns the wait times that the kernel has counted so far; nil if there are none.
+	// Waits returns the wait times that the kernel has counted so far; nil if the host provides none.
 	Waits func() Waits
 }
 
--- a/internal/environment/sync.go
+++ b/internal/environment/sync.go
@@ -10,7 +10,7 @@
 type taskGroup struct {
 	mu      sync.Mutex // guards running
 	running int
-	idle    *sync.Cond // signalled when running becomes zero
+	idle    *sync.Cond // signaled when running becomes zero
 }
 
 func newTaskGroup() *taskGroup {
--- a/internal/ids/ids.go
+++ b/internal/ids/ids.go
@@ -13,9 +13,9 @@
 // NodeName is a node's permanent name, unique in the fleet.
 type NodeName string
 
-// MemberID is the random ID of one incarnation of a node. It lasts as long as the node's data
-// folder, or as its process if it has no data folder. A node with the same name and another
-// member ID is another member.
+// MemberID is a node's random ID. It is kept as long as the node's data folder, or as long as
+// its process if it has no data folder. A node with the same name and another member ID is
+// another member.
 type MemberID string
 
 // Shard is the number of a replicated state machine: the data shards from 0, then ConfigShard.
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -77,8 +77,8 @@
 	fastPushPullInterval = time.Second
 	recoveryPeriod       = 10 * time.Second
 	pushPullTimeout      = time.Second
-	// A node retries joining after minJoinRetryDelay. Each time a seed refuses because of
-	// its load, the delay doubles, up to maxJoinRetryDelay.
+	// A node retries joining after minJoinRetryDelay. The delay doubles, up to
+	// maxJoinRetryDelay, each time a seed rejects the exchange because of its load.
 	minJoinRetryDelay = 100 * time.Millisecond
 	maxJoinRetryDelay = 2 * time.Second
 
--- a/internal/membership/memberlist_test.go
+++ b/internal/membership/memberlist_test.go
@@ -148,7 +148,7 @@
 	})
 }
 
-// node returns a Memberlist that answers requests over connections. Its own loops are not
+// node returns a Memberlist that responds to requests over connections. Its own loops are not
 // running.
 func (c *cluster) node(self rpc.Member) *Memberlist {
 	c.Helper()
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -52,16 +52,16 @@
 
 // pingOverConnection requests a member's record over a connection, since datagrams are
 // lost first on a congested link. It reports whether a node with the same name and member
-// ID answered.
+// ID responded.
 func (m *Memberlist) pingOverConnection(target rpc.Member) bool {
 	ctx, cancel := context.WithTimeout(m.env, max(2*m.config.probeTimeout, minConnectionPingTimeout))
 	defer cancel()
-	var answer rpc.Member
-	if m.transport.Call(ctx, target.RPCAddress, kindMemberRecord, struct{}{}, &answer) != nil || answer.Name != target.Name {
+	var record rpc.Member
+	if m.transport.Call(ctx, target.RPCAddress, kindMemberRecord, struct{}{}, &record) != nil || record.Name != target.Name {
 		return false
 	}
-	m.applyUpdates([]rpc.Member{answer})
-	return answer.ID == target.ID
+	m.applyUpdates([]rpc.Member{record})
+	return record.ID == target.ID
 }
 
 // sendPing sends a ping. A ping to a suspect includes the suspicion, so that it can refute.
--- a/internal/membership/pushpull.go
+++ b/internal/membership/pushpull.go
@@ -15,9 +15,9 @@
 
 // pushPullState is the state of push/pull exchanges.
 type pushPullState struct {
-	// refused is set when a node refuses an exchange because of its load. pushPullLoop
+	// rejected is set when a node rejects an exchange because of its load. pushPullLoop
 	// resets it before each attempt.
-	refused atomic.Bool
+	rejected atomic.Bool
 	// fullSyncs counts the complete lists that are being sent.
 	fullSyncs atomic.Int64
 	// encoded caches the last complete list that was encoded.
@@ -30,26 +30,26 @@
 	raw  json.RawMessage
 }
 
-// pushPullLoop exchanges lists with the seeds until one answers, then periodically with a
+// pushPullLoop exchanges lists with the seeds until one responds, then periodically with a
 // random member, which also spreads updates that gossip missed.
 func (m *Memberlist) pushPullLoop() {
 	joined, retryDelay := false, minJoinRetryDelay
 	for {
-		m.pushPull.refused.Store(false)
+		m.pushPull.rejected.Store(false)
 		if m.pushPullAny(m.pushPullAddresses(joined)) {
 			joined = true
 		}
-		refused := m.pushPull.refused.Load()
+		rejected := m.pushPull.rejected.Load()
 		pause := retryDelay
 		switch {
 		case joined && (len(m.View()) < 3 || m.recentlyRecovered()):
 			pause = fastPushPullInterval
 		case joined:
 			pause = pushPullInterval
-		case refused:
+		case rejected:
 			retryDelay = min(2*retryDelay, maxJoinRetryDelay)
 		}
-		if joined || refused {
+		if joined || rejected {
 			pause = environment.Jitter(pause)
 		}
 		if !m.env.Sleep(pause) {
@@ -83,20 +83,20 @@
 }
 
 // pushPullAny exchanges lists with all addresses concurrently and returns true as soon as
-// one has answered. It does so concurrently because a dead node delays its exchange until
+// one has responded. It does so concurrently because a dead node delays its exchange until
 // the dial times out.
 func (m *Memberlist) pushPullAny(addresses []string) bool {
-	answers := make(chan bool, len(addresses))
+	results := make(chan bool, len(addresses))
 	attempts := 0
 	for _, address := range addresses {
 		if address == m.config.bindAddress || address == m.config.advertiseAddress {
 			continue
 		}
 		attempts++
-		m.env.Go(func() { answers <- m.PushPull(address) })
+		m.env.Go(func() { results <- m.PushPull(address) })
 	}
 	for range attempts {
-		if <-answers {
+		if <-results {
 			return true
 		}
 	}
@@ -110,8 +110,8 @@
 }
 
 // PushPull synchronizes the live members of this node's list and the list of the node at
-// an address, and reports whether that node answered. If the exchange made this node refute
-// its own suspicion or death, a second exchange delivers the refutation.
+// an address, and reports whether that node responded. If the exchange made this node
+// refute a report that it is suspect or dead, a second exchange delivers the refutation.
 func (m *Memberlist) PushPull(address string) bool {
 	incarnation := m.Self().Incarnation
 	if !m.pushPullNode(address, false) {
@@ -138,8 +138,8 @@
 }
 
 // AnnounceSelf sends this node's own record to all live core members over connections.
-// Gossip spreads the record only after another member has probed this node. That is too
-// late for a leader that needs to know a node that has joined to replace a lost voter.
+// Gossip spreads the record only after another member has probed this node, which is too
+// late when a leader waits for a node to join so that it can replace a lost voter.
 func (m *Memberlist) AnnounceSelf() {
 	for _, member := range m.CoreMembers() {
 		if member.Name != m.env.Name {
@@ -149,7 +149,7 @@
 }
 
 // pushPullNode runs one exchange. The request contains a digest of the complete list. If
-// the other node's digest differs, it answers with a digest per range of names, and only
+// the other node's digest differs, it responds with a digest per range of names, and only
 // the members of differing ranges are sent, so that the cost depends on the number of
 // changes and not on the fleet size. A node that knows at most membersPerRange members
 // requests the complete list instead. The request includes this node's own record if
@@ -167,7 +167,7 @@
 	case !ok:
 		return false
 	case response.RetryAfterMillis > 0:
-		m.pushPull.refused.Store(true)
+		m.pushPull.rejected.Store(true)
 		return false
 	case response.Same:
 		return true
--- a/internal/membership/pushpull_test.go
+++ b/internal/membership/pushpull_test.go
@@ -12,7 +12,7 @@
 		a.mergeList(testMembers(460))
 		b.mergeList(testMembers(460))
 		if !a.PushPull(b.Self().RPCAddress) {
-			c.Fatal("no answer")
+			c.Fatal("no response")
 		}
 		if sent := bytesSent(a, b); sent > 400 {
 			c.Errorf("exchange of equal lists sent %d bytes", sent)
@@ -36,7 +36,7 @@
 		// The joiner never learns of the dead member. The digests must be equal nevertheless.
 		before = bytesSent(b, joiner)
 		if !joiner.PushPull(b.Self().RPCAddress) {
-			c.Fatal("no answer")
+			c.Fatal("no response")
 		}
 		if sent := bytesSent(b, joiner) - before; sent > 400 {
 			c.Errorf("exchange of lists that differ only in a dead member sent %d bytes", sent)
@@ -50,26 +50,26 @@
 		a.mergeList(testMembers(460))
 		var lists []*rpc.EncodedResponse
 		for range maxFullSyncs {
-			answer, err := a.handlePushPull(&rpc.MembershipSync{Digest: 1, RangeCount: 1})
-			list, ok := answer.(*rpc.EncodedResponse)
+			result, err := a.handlePushPull(&rpc.MembershipSync{Digest: 1, RangeCount: 1})
+			list, ok := result.(*rpc.EncodedResponse)
 			if !ok || err != nil {
-				c.Fatal(answer, err)
+				c.Fatal(result, err)
 			}
 			lists = append(lists, list)
 		}
 		if &lists[0].Body[0] != &lists[1].Body[0] {
 			c.Error("the list is encoded for each response")
 		}
-		answer, _ := a.handlePushPull(&rpc.MembershipSync{Digest: 1, RangeCount: 1})
-		if response, ok := answer.(*rpc.MembershipSync); !ok || response.RetryAfterMillis == 0 {
-			c.Errorf("response over the limit: %T, want a retry delay", answer)
+		result, _ := a.handlePushPull(&rpc.MembershipSync{Digest: 1, RangeCount: 1})
+		if response, ok := result.(*rpc.MembershipSync); !ok || response.RetryAfterMillis == 0 {
+			c.Errorf("response over the limit: %T, want a retry delay", result)
 		}
-		if answer, _ := a.handlePushPull(&rpc.MembershipSync{Digest: 1, RangeCount: 16}); len(answer.(*rpc.MembershipSync).RangeDigests) != 16 {
-			c.Error("range digests are refused over the limit")
+		if result, _ := a.handlePushPull(&rpc.MembershipSync{Digest: 1, RangeCount: 16}); len(result.(*rpc.MembershipSync).RangeDigests) != 16 {
+			c.Error("range digests are rejected over the limit")
 		}
 		b := c.node(testMember(1))
-		if b.PushPull(a.Self().RPCAddress) || !b.pushPull.refused.Load() {
-			c.Error("the refusal is not recorded")
+		if b.PushPull(a.Self().RPCAddress) || !b.pushPull.rejected.Load() {
+			c.Error("the rejection is not recorded")
 		}
 		lists[0].Release()
 		if !b.PushPull(a.Self().RPCAddress) || len(b.View()) != 460 {
--- a/internal/rpc/client.go
+++ b/internal/rpc/client.go
@@ -32,18 +32,18 @@
 		}
 		frame.Deadline = remaining.Microseconds() + 1 // at least 1, since 0 means no deadline
 	}
-	reply, err := t.roundTrip(ctx, address, frame)
+	responseFrame, err := t.roundTrip(ctx, address, frame)
 	if err != nil {
 		return err
 	}
-	if reply.Version != Version {
-		return errcode.New(errcode.ReplyLost, "%s %s: response has protocol version %d, want %d", address, kind, reply.Version, Version)
+	if responseFrame.Version != Version {
+		return errcode.New(errcode.ReplyLost, "%s %s: response has protocol version %d, want %d", address, kind, responseFrame.Version, Version)
 	}
-	if reply.Code != 0 {
-		return reply.responseError()
+	if responseFrame.Code != 0 {
+		return responseFrame.responseError()
 	}
 	if response != nil {
-		if err := json.Unmarshal(reply.Body, response); err != nil {
+		if err := json.Unmarshal(responseFrame.Body, response); err != nil {
 			return errcode.New(errcode.InvalidMessage, "%s from %s: %v", kind, address, err)
 		}
 	}
--- a/internal/rpc/client_test.go
+++ b/internal/rpc/client_test.go
@@ -16,9 +16,9 @@
 const peerAddress = "10.0.0.1:1"
 
 // peerDialer returns a dial function that connects to a simulated peer. For each request the
-// peer writes the response that answer returns, unless that is nil, and closes the
+// peer writes the response that respond returns, unless that is nil, and closes the
 // connection unless keepOpen.
-func peerDialer(answer func(request *Frame) (response *Frame, keepOpen bool)) func(context.Context) (net.Conn, error) {
+func peerDialer(respond func(request *Frame) (response *Frame, keepOpen bool)) func(context.Context) (net.Conn, error) {
 	return func(context.Context) (net.Conn, error) {
 		local, remote := net.Pipe()
 		go func() {
@@ -33,7 +33,7 @@
 				if json.Unmarshal(line, request) != nil {
 					return
 				}
-				response, keepOpen := answer(request)
+				response, keepOpen := respond(request)
 				if response != nil {
 					response.ID = request.ID
 					if encoded, err := encodeFrame(response); err != nil || encoded.writeTo(remote) != nil {
--- a/internal/rpc/frame.go
+++ b/internal/rpc/frame.go
@@ -14,7 +14,7 @@
 
 const (
 	// maxInlineBodyBytes is the maximum length of a body that is copied into its frame, so
-	// that the frame is written at once.
+	// that the frame is sent in one write.
 	maxInlineBodyBytes = 64 << 10
 	// readBufferSize is the size in bytes of each connection's read buffer. Longer lines are
 	// assembled from several reads.
--- a/internal/rpc/server.go
+++ b/internal/rpc/server.go
@@ -33,10 +33,10 @@
 }
 
 // Handler handles requests of one kind. It is called in a new goroutine for each request.
-// Its result is marshalled unless it is an *EncodedResponse.
+// Its result is marshaled unless it is an *EncodedResponse.
 type Handler func(*Request) (any, error)
 
-// EncodedResponse is an already marshalled response, which can be shared between requests.
+// EncodedResponse is an already marshaled response, which can be shared between requests.
 // Release, if not nil, is called exactly once, after the response was written or dropped.
 type EncodedResponse struct {
 	Body    json.RawMessage
@@ -47,7 +47,7 @@
 func (t *Transport) Handle(kind string, handler Handler) { t.handlers[kind] = handler }
 
 // Handle registers the handler of a message kind whose requests have the type Body. Requests
-// that cannot be unmarshalled as Body are rejected with errcode.InvalidMessage.
+// that cannot be unmarshaled as Body are rejected with errcode.InvalidMessage.
 func Handle[Body, Response any](t *Transport, kind string, handler func(context.Context, *Body) (Response, error)) {
 	t.Handle(kind, func(request *Request) (any, error) {
 		body := new(Body)
--- a/internal/storage/storage.go
+++ b/internal/storage/storage.go
@@ -38,7 +38,7 @@
 
 	mu      sync.Mutex // guards pending
 	pending []*Batch
-	wakeup  chan struct{} // signalled when pending is not empty
+	wakeup  chan struct{} // signaled when pending is not empty
 
 	// writeStarted is the start of the write in progress, nil if there is none.
 	writeStarted atomic.Pointer[time.Time]
