--- a/internal/consensus/bootstrap.go
+++ b/internal/consensus/bootstrap.go
@@ -22,11 +22,12 @@
 // bootstrapTimeout bounds one bootstrap step.
 const bootstrapTimeout = 2 * time.Second
 
-// bootstrap joins an existing cluster or tries to form a new one. Once the expected number
-// of empty core nodes have discovered one another, the first of them by name proposes a
-// charter. It opens only after all founders have promised, accepted and synced it, so two
-// charters can never open; a later proposer adopts the newest charter that was accepted.
-// An empty node that finds an open charter adopts it and proposes none.
+// bootstrap joins an existing cluster or tries to form a new one. A cluster consists of the
+// core nodes that share an open charter. Once the expected number of empty core nodes have
+// discovered one another, the first of them by name proposes a charter. It opens only after
+// all founders have promised, accepted and synced it, so two charters can never open; a later
+// proposer adopts the newest charter that was accepted. An empty node that finds an open
+// charter adopts it and proposes none.
 func (n *Node) bootstrap() {
 	cores := n.members.CoreMembers()
 	if n.joinCluster(cores) {
--- a/internal/consensus/contact.go
+++ b/internal/consensus/contact.go
@@ -74,8 +74,8 @@
 // newlyUnresponsivePeriod is how long a core node counts as newly unresponsive.
 const newlyUnresponsivePeriod = time.Second
 
-// hasNewlyUnresponsivePeer reports whether a core node exceeded consensus.replacement_delay
-// without a response less than newlyUnresponsivePeriod ago.
+// hasNewlyUnresponsivePeer reports whether the time without a response from a core node has
+// exceeded consensus.replacement_delay for less than newlyUnresponsivePeriod.
 func (n *Node) hasNewlyUnresponsivePeer() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -21,8 +21,8 @@
 }
 
 // isElectionDue reports whether this member's election timer has expired. The first live
-// voter in election order waits for consensus.election_timeout, and each following one half
-// of that longer, so that they don't campaign at the same time.
+// voter in election order waits for consensus.election_timeout, and each following voter half
+// a timeout longer than the one before it, so that they don't campaign at the same time.
 func (r *Replica) isElectionDue() bool {
 	if r.node.IsStopping() {
 		return false
@@ -113,7 +113,7 @@
 // collectVotes requests votes until those granted are a quorum of the voters in the most
 // advanced log among them. It returns the vote with that log and the members that voted, or
 // nil if there is no quorum within voteTimeout. This member's own list of voters may be
-// outdated, so each more advanced log adds its voters to those requested.
+// outdated, so it also requests the votes of the voters in each more advanced log.
 func (r *Replica) collectVotes(request *rpc.VoteRequest, ownVote *rpc.VoteResponse) (bestVote *rpc.VoteResponse, granted []rpc.Peer) {
 	ctx, cancel := context.WithTimeout(r.node.env, voteTimeout)
 	defer cancel()
--- a/internal/consensus/heartbeat.go
+++ b/internal/consensus/heartbeat.go
@@ -12,7 +12,7 @@
 const (
 	heartbeatTimeout = 500 * time.Millisecond
 	// idleHeartbeatFactor multiplies the heartbeat period for nodes that vote in no shard led
-	// by this node; the heartbeats tell them the leaders.
+	// by this node; heartbeats only announce the leaders to them.
 	idleHeartbeatFactor = 4
 )
 
--- a/internal/consensus/log.go
+++ b/internal/consensus/log.go
@@ -95,7 +95,7 @@
 			return storageBrokenError(l.shard, "%s: %v", key, err)
 		}
 		if last, _ := l.last(); entry.Index != last+1 {
-			return storageBrokenError(l.shard, "found entry %d, want %d", entry.Index, last+1)
+			return storageBrokenError(l.shard, "found entry %d, expected %d", entry.Index, last+1)
 		}
 		if currentTerm.Less(entry.Term) {
 			return storageBrokenError(l.shard, "entry %d has a term above the current one", entry.Index)
@@ -188,11 +188,11 @@
 
 // truncateAfter removes the entries above an index.
 func (l *replicaLog) truncateAfter(batch *storage.Batch, index ids.Index) {
-	kept := index - l.snapshot.Index
-	for _, entry := range l.entries[kept:] {
+	keptCount := index - l.snapshot.Index
+	for _, entry := range l.entries[keptCount:] {
 		batch.Delete(l.entryKey(entry.Index))
 	}
-	l.entries = slices.Concat(l.entries[:kept])
+	l.entries = slices.Concat(l.entries[:keptCount])
 }
 
 // merge adds a leader's entries, some of which may be in the log already. From the first one
@@ -230,7 +230,7 @@
 	for _, entry := range entries {
 		index++
 		if entry.Index != index {
-			return invalidMessageError(l.shard, "found entry %d, want %d", entry.Index, index)
+			return invalidMessageError(l.shard, "found entry %d, expected %d", entry.Index, index)
 		}
 		if entry.Kind != entryMembershipChange {
 			continue
--- a/internal/consensus/model/actions.go
+++ b/internal/consensus/model/actions.go
@@ -267,34 +267,34 @@
 		updated.match[m] = updated.log.length
 		w.visit(action{name: name, actor: m, to: to}, next)
 	}
-	for in := range w.scope.Members {
-		joining := s.identity(in)
+	for added := range w.scope.Members {
+		joining := s.identity(added)
 		if newestVoters.all()&joining != 0 {
 			continue
 		}
 		if w.rules.SingleServerChanges && newestVoters.current.size() < 3 {
-			propose("adds", in, voters{current: newestVoters.current | joining})
+			propose("adds", added, voters{current: newestVoters.current | joining})
 		}
 		if w.rules.SingleServerChanges {
 			continue
 		}
-		for out := range w.scope.Members {
+		for removed := range w.scope.Members {
 			for id := range maxMemberIDs {
-				leaving := identity(out, id)
-				if newestVoters.current&leaving == 0 || out == m {
+				leaving := identity(removed, id)
+				if newestVoters.current&leaving == 0 || removed == m {
 					continue
 				}
 				next := voters{current: newestVoters.current&^leaving | joining, outgoing: newestVoters.current}
 				if w.rules.SkipJointStep {
 					next.outgoing = 0
 				}
-				propose(fmt.Sprintf("replaces %c by", 'A'+out), in, next)
+				propose(fmt.Sprintf("replaces %c by", 'A'+removed), added, next)
 			}
 		}
 	}
-	for out := range w.scope.Members {
-		if leaving := s.identity(out); w.rules.SingleServerChanges && out != m && newestVoters.current&leaving != 0 && newestVoters.current.size() == 3 {
-			propose("removes", out, voters{current: newestVoters.current &^ leaving})
+	for removed := range w.scope.Members {
+		if leaving := s.identity(removed); w.rules.SingleServerChanges && removed != m && newestVoters.current&leaving != 0 && newestVoters.current.size() == 3 {
+			propose("removes", removed, voters{current: newestVoters.current &^ leaving})
 		}
 	}
 }
--- a/internal/consensus/model/conformance.go
+++ b/internal/consensus/model/conformance.go
@@ -126,7 +126,7 @@
 		if index > step.Index {
 			reportViolation(AcknowledgedEntryLost, "entry %d of term %s is missing, the log ends at %d", index, entry.term, step.Index)
 		} else if logTerm, isInLog := step.TermAt(index); isInLog && logTerm != entry.term {
-			reportViolation(AcknowledgedEntryLost, "entry %d has term %s, want %s", index, logTerm, entry.term)
+			reportViolation(AcknowledgedEntryLost, "entry %d has term %s, expected %s", index, logTerm, entry.term)
 		}
 	}
 }
--- a/internal/consensus/snapshot_transfer.go
+++ b/internal/consensus/snapshot_transfer.go
@@ -54,7 +54,7 @@
 // unpack checks and decodes a complete snapshot.
 func (p *packedSnapshot) unpack() (*rpc.Snapshot, error) {
 	if digest := digestOf(p.data); digest != p.digest {
-		return nil, errcode.New(errcode.InvalidMessage, "snapshot %d: digest is %.8s, want %.8s", p.index, digest, p.digest)
+		return nil, errcode.New(errcode.InvalidMessage, "snapshot %d: digest is %.8s, expected %.8s", p.index, digest, p.digest)
 	}
 	raw, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(p.data)), maxSnapshotBytes))
 	if err != nil {
--- a/internal/consensus/trace.go
+++ b/internal/consensus/trace.go
@@ -15,7 +15,7 @@
 	TraceTermRaised TraceKind = "raised"    // the member raised its term to Term and rejects lower ones; not synced yet
 	TraceVoted      TraceKind = "promised"  // the member synced its vote for Term
 	TraceElected    TraceKind = "elected"   // the member became leader of Term by the votes of Granted
-	TraceCommitted  TraceKind = "committed" // the member knows the entry at Index, of EntryTerm, as committed
+	TraceCommitted  TraceKind = "committed" // the member knows that the entry at Index, of EntryTerm, is committed
 	TraceRead       TraceKind = "read"      // a read that began at Since may be served from the state at Index
 )
 
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -75,14 +75,14 @@
 
 // sendIndirectPings asks up to indirectProbes random members to ping the target.
 func (m *Memberlist) sendIndirectPings(target rpc.Member, sequence uint64) {
-	sent := 0
+	sentCount := 0
 	for name, member := range m.View() {
-		if sent == indirectProbes {
+		if sentCount == indirectProbes {
 			return
 		}
 		if name != m.env.Name && name != target.Name && member.State == StateAlive {
 			m.sendPacket(member.RPCAddress, rpc.Probe{Kind: packetIndirectPing, Sequence: sequence, To: target.Name})
-			sent++
+			sentCount++
 		}
 	}
 }
--- a/internal/rpc/client.go
+++ b/internal/rpc/client.go
@@ -37,7 +37,7 @@
 		return err
 	}
 	if responseFrame.Version != Version {
-		return errcode.New(errcode.ReplyLost, "%s %s: response has protocol version %d, want %d", address, kind, responseFrame.Version, Version)
+		return errcode.New(errcode.ReplyLost, "%s %s: response has protocol version %d, expected %d", address, kind, responseFrame.Version, Version)
 	}
 	if responseFrame.Code != 0 {
 		return responseFrame.responseError()
--- a/internal/rpc/server.go
+++ b/internal/rpc/server.go
@@ -118,7 +118,7 @@
 	}
 	if request.Version != Version {
 		t.env.Events.Emit(eventlog.MessageRejected, "code", errcode.WrongVersion.Number, "kind", request.Kind, "version", request.Version)
-		return fail(errcode.New(errcode.WrongVersion, "protocol version %d, want %d", request.Version, Version))
+		return fail(errcode.New(errcode.WrongVersion, "protocol version %d, expected %d", request.Version, Version))
 	}
 	handler, ok := t.handlers[request.Kind]
 	if !ok {
