--- a/internal/consensus/bootstrap.go
+++ b/internal/consensus/bootstrap.go
@@ -22,11 +22,12 @@
 // bootstrapTimeout bounds one bootstrap step.
 const bootstrapTimeout = 2 * time.Second
 
-// bootstrap joins an existing cluster or tries to form a new one. Once the expected number
-// of empty core nodes have discovered one another, the first of them by name proposes a
-// charter. It opens only after all founders have promised, accepted and synced it, so two
-// charters can never open; a later proposer adopts the newest charter that was accepted.
-// An empty node that finds an open charter adopts it and proposes none.
+// bootstrap joins an existing cluster or tries to form a new one. A cluster consists of the
+// core nodes that share an open charter. Once the expected number of empty core nodes have
+// discovered one another, the first of them by name proposes a charter. It opens only after
+// all founders have promised, accepted and synced it, so two charters can never open; a later
+// proposer adopts the newest charter that was accepted. An empty node that finds an open
+// charter adopts it and proposes none.
 func (n *Node) bootstrap() {
 	cores := n.members.CoreMembers()
 	if n.joinCluster(cores) {
@@ -135,7 +136,7 @@
 }
 
 // hasNewMemberID reports whether both lists contain the same nodes and at least one node
-// has a different member id.
+// has a different member ID.
 func hasNewMemberID(members, founders []rpc.Member) bool {
 	memberIDs := map[ids.NodeName]ids.MemberID{}
 	for _, m := range members {
@@ -263,7 +264,7 @@
 	return nil
 }
 
-// enterCluster sets the initial voters of every shard and announces the cluster id to the
+// enterCluster sets the initial voters of every shard and announces the cluster ID to the
 // other members.
 func (n *Node) enterCluster(charter *rpc.Charter) {
 	for _, r := range n.replicas {
@@ -289,7 +290,7 @@
 	return n.charter
 }
 
-// clusterID returns the cluster's id, or "" if the charter is not open on this node.
+// clusterID returns the cluster's ID, or "" if the charter is not open on this node.
 func (n *Node) clusterID() string {
 	if charter := n.Charter(); charter != nil {
 		return charter.ClusterID
--- a/internal/consensus/contact.go
+++ b/internal/consensus/contact.go
@@ -39,7 +39,7 @@
 }
 
 // longestHeartbeatPause returns the longest normal pause between two heartbeats to one peer:
-// the idle interval plus twice heartbeatTimeout.
+// the idle interval, plus twice heartbeatTimeout to allow for a heartbeat that times out.
 func (n *Node) longestHeartbeatPause() time.Duration {
 	return idleHeartbeatFactor*n.env.Config.ConsensusHeartbeatPeriod + 2*heartbeatTimeout
 }
@@ -74,8 +74,8 @@
 // newlyUnresponsivePeriod is how long a core node counts as newly unresponsive.
 const newlyUnresponsivePeriod = time.Second
 
-// hasNewlyUnresponsivePeer reports whether a core node exceeded consensus.replacement_delay
-// without a response less than newlyUnresponsivePeriod ago.
+// hasNewlyUnresponsivePeer reports whether the time without a response from a core node has
+// exceeded consensus.replacement_delay for less than newlyUnresponsivePeriod.
 func (n *Node) hasNewlyUnresponsivePeer() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/consensus/model/actions.go
+++ b/internal/consensus/model/actions.go
@@ -8,7 +8,7 @@
 	SingleServerChanges bool // a replacement removes one voter, then adds one, without a joint step
 	OwnVotersSuffice    bool // a candidate needs a quorum of the voters in its own log only
 	KeepOwnLog          bool // a new leader keeps its own log instead of the most advanced
-	WipedMembersVote    bool // a member with a new member id counts as the old one
+	WipedMembersVote    bool // a member with a new member ID counts as the old one
 	CommitOldTerms      bool // a leader commits entries of older terms by counting replicas
 	OverlappingChanges  bool // a membership change may start before the previous one is committed
 	SkipJointStep       bool // a replacement takes effect at once, without the joint step
@@ -16,7 +16,7 @@
 	ForgetVotes         bool // a restart forgets a vote
 	AcceptStaleTerms    bool // a member accepts entries below its current term
 	CommitBeforeSync    bool // a leader counts members that have not synced the entry
-	LearnersVote        bool // members without a vote count towards a quorum
+	LearnersVote        bool // members without a vote count toward a quorum
 	CopyCommitIndex     bool // a member adopts the leader's commit index even if it is below its own
 	AppendWithoutTerm   bool // a member accepts entries without raising its current term
 	TermsWithoutNode    bool // two candidates may have the same term
@@ -267,34 +267,34 @@
 		updated.match[m] = updated.log.length
 		w.visit(action{name: name, actor: m, to: to}, next)
 	}
-	for in := range w.scope.Members {
-		joining := s.identity(in)
+	for added := range w.scope.Members {
+		joining := s.identity(added)
 		if newestVoters.all()&joining != 0 {
 			continue
 		}
 		if w.rules.SingleServerChanges && newestVoters.current.size() < 3 {
-			propose("adds", in, voters{current: newestVoters.current | joining})
+			propose("adds", added, voters{current: newestVoters.current | joining})
 		}
 		if w.rules.SingleServerChanges {
 			continue
 		}
-		for out := range w.scope.Members {
+		for removed := range w.scope.Members {
 			for id := range maxMemberIDs {
-				leaving := identity(out, id)
-				if newestVoters.current&leaving == 0 || out == m {
+				leaving := identity(removed, id)
+				if newestVoters.current&leaving == 0 || removed == m {
 					continue
 				}
 				next := voters{current: newestVoters.current&^leaving | joining, outgoing: newestVoters.current}
 				if w.rules.SkipJointStep {
 					next.outgoing = 0
 				}
-				propose(fmt.Sprintf("replaces %c by", 'A'+out), in, next)
+				propose(fmt.Sprintf("replaces %c by", 'A'+removed), added, next)
 			}
 		}
 	}
-	for out := range w.scope.Members {
-		if leaving := s.identity(out); w.rules.SingleServerChanges && out != m && newestVoters.current&leaving != 0 && newestVoters.current.size() == 3 {
-			propose("removes", out, voters{current: newestVoters.current &^ leaving})
+	for removed := range w.scope.Members {
+		if leaving := s.identity(removed); w.rules.SingleServerChanges && removed != m && newestVoters.current&leaving != 0 && newestVoters.current.size() == 3 {
+			propose("removes", removed, voters{current: newestVoters.current &^ leaving})
 		}
 	}
 }
@@ -329,7 +329,7 @@
 	w.visit(action{name: restarts, actor: m, to: -1}, next)
 }
 
-// wipe replaces a member's disk by an empty one, which gives the member a new member id.
+// wipe replaces a member's disk by an empty one, which gives the member a new member ID.
 func (w *walker) wipe(s *state, m int) {
 	if int(s.wipes) >= w.scope.Wipes || s.members[m].memberID+1 >= maxMemberIDs {
 		return
