--- a/internal/approved/fill_test.go
+++ b/internal/approved/fill_test.go
@@ -12,7 +12,7 @@
 	"testing"
 )
 
-// jsonName returns the JSON name of a field, or "" if the field isn't marshalled.
+// jsonName returns the JSON name of a field, or "" if the field isn't marshaled.
 func jsonName(f reflect.StructField) string {
 	name, _, _ := strings.Cut(f.Tag.Get("json"), ",")
 	switch {
@@ -96,8 +96,8 @@
 	zero any
 }
 
-// renderJSON returns the JSON of each type, filled and empty, and checks that unmarshalling and
-// marshalling it again gives the same bytes.
+// renderJSON returns the JSON of each type, filled and empty, and checks that unmarshaling and
+// marshaling it again gives the same bytes.
 func renderJSON(t *testing.T, types []jsonType) string {
 	t.Helper()
 	var out strings.Builder
@@ -120,7 +120,7 @@
 			}
 			decoded := reflect.New(reflect.TypeOf(typ.zero))
 			if err := json.Unmarshal(raw, decoded.Interface()); err != nil {
-				t.Errorf("%s: %s JSON can't be unmarshalled: %v", typ.id, variant.name, err)
+				t.Errorf("%s: %s JSON can't be unmarshaled: %v", typ.id, variant.name, err)
 			} else if reencoded, _ := json.Marshal(decoded.Interface()); !bytes.Equal(raw, reencoded) {
 				t.Errorf("%s: %s JSON changes when read and written again:\n%s\n%s", typ.id, variant.name, raw, reencoded)
 			}
--- a/internal/checker/availability.go
+++ b/internal/checker/availability.go
@@ -11,7 +11,7 @@
 // because a run that rejects every request breaks none of them.
 type Availability struct {
 	Total, Succeeded, Unknown, Broken int
-	AlreadyRan                        int         // retries answered that the call was already executed
+	AlreadyRan                        int         // retries whose response states that the call was already executed
 	Rejected                          map[int]int // outcome "not run", by code
 }
 
--- a/internal/checker/change.go
+++ b/internal/checker/change.go
@@ -34,13 +34,13 @@
 }
 
 // checkRaces reports each pair of accepted change sets that share an epoch, or of which the later
-// one has a base epoch before the earlier one.
+// one is based on an epoch before that of the earlier one and so does not include it.
 func checkRaces(records []Record, report reporter) {
 	var accepted []Record // the first acknowledgment of each
-	seen := map[string]bool{}
+	addedNames := map[string]bool{}
 	for _, r := range ofKind(records, ChangeSubmitted) {
-		if r.Outcome == OutcomeAccepted && !seen[r.Name] {
-			seen[r.Name] = true
+		if r.Outcome == OutcomeAccepted && !addedNames[r.Name] {
+			addedNames[r.Name] = true
 			accepted = append(accepted, r)
 		}
 	}
--- a/internal/checker/checker.go
+++ b/internal/checker/checker.go
@@ -21,7 +21,7 @@
 	"not-run":        falseNotRun,
 	"wrong-answer":   wrongResponse,
 	"dropped":        droppedRequests,
-	"answered":       numberedRefusals,
+	"answered":       numberedRejections,
 	"late-hand-over": lateForward,
 	"wrong-service":  misroutedRequest,
 	"extra-tries":    retryBudget,
--- a/internal/checker/checker_test.go
+++ b/internal/checker/checker_test.go
@@ -10,7 +10,7 @@
 
 const s = time.Second
 
-// validHistory returns a history that breaks no rule and has records for the rules to check.
+// validHistory returns a history that breaks no rule and has records for each rule to check.
 func validHistory() []Record {
 	return []Record{
 		{Kind: ScenarioStarted, At: 1},
@@ -233,7 +233,7 @@
 			}
 			return list
 		}()},
-		"a server without heartbeats past its own time-out": {"late-hand-over", []Record{{Kind: HeartbeatsStopped, At: 3 * s, Service: "bookings", Instance: "i7", TTL: 4500 * time.Millisecond}, {Kind: RequestExecuted, At: 10 * s, CallID: "c", RequestID: "rc", Service: "bookings", ServerService: "bookings", Instance: "i7", Epoch: 9}}},
+		"a server without heartbeats past its own timeout": {"late-hand-over", []Record{{Kind: HeartbeatsStopped, At: 3 * s, Service: "bookings", Instance: "i7", TTL: 4500 * time.Millisecond}, {Kind: RequestExecuted, At: 10 * s, CallID: "c", RequestID: "rc", Service: "bookings", ServerService: "bookings", Instance: "i7", Epoch: 9}}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			expectViolations(t, append(validHistory(), c.faults...), c.rule)
--- a/internal/checker/execution.go
+++ b/internal/checker/execution.go
@@ -53,14 +53,14 @@
 			continue
 		}
 		if r.RequestID == "" {
-			report(r.At, "call %s was answered not run (%d) without a request ID, so it can't be checked", r.CallID, r.Code)
+			report(r.At, "call %s got a \"not run\" response (%d) without a request ID, so it can't be checked", r.CallID, r.Code)
 		}
 		if execution, ok := executed[r.RequestID]; ok {
-			report(r.At, "call %s, request %s was answered not run (%d) and was executed by %s", r.CallID, r.RequestID, r.Code, execution.Instance)
+			report(r.At, "call %s, request %s got a \"not run\" response (%d) but was executed by %s", r.CallID, r.RequestID, r.Code, execution.Instance)
 		}
 		for _, forwardedRequest := range forwarded[r.CallID] {
 			if isRemembered(forwardedRequest, r, proxyStarts[r.Proxy]) {
-				report(r.At, "a retry of call %s was answered not run (%d) by the proxy that had forwarded it as request %s", r.CallID, r.Code, forwardedRequest.RequestID)
+				report(r.At, "a retry of call %s got a \"not run\" response (%d) from the proxy that had forwarded it as request %s", r.CallID, r.Code, forwardedRequest.RequestID)
 			}
 		}
 	}
@@ -121,12 +121,12 @@
 	}
 }
 
-// numberedRefusals reports rejected requests without a numbered code, and those with a 5xx status
-// and no Retry-After.
-func numberedRefusals(records []Record, report reporter) {
+// numberedRejections reports "not run" responses without a numbered code, and those with a 5xx status,
+// after which a retry may succeed, without Retry-After.
+func numberedRejections(records []Record, report reporter) {
 	for _, r := range ofKind(records, RequestCompleted) {
 		if r.Outcome == OutcomeNotRun && (r.Code == 0 || r.Status >= 500 && r.RetryAfter == "") {
-			report(r.At, "call %s was refused with code %d and Retry-After %q", r.CallID, r.Code, r.RetryAfter)
+			report(r.At, "call %s was rejected with code %d and Retry-After %q", r.CallID, r.Code, r.RetryAfter)
 		}
 	}
 }
--- a/internal/checker/history.go
+++ b/internal/checker/history.go
@@ -24,7 +24,7 @@
 	RequestExecuted    Kind = "ran"      // a server executed a request; Start, if set, is its arrival
 	RequestRejected    Kind = "reached"  // a server received a request and rejected it
 	DrainAcknowledged  Kind = "known"    // a target's draining or leaving was acknowledged
-	HeartbeatsStopped  Kind = "silent"   // a target sent its last heartbeat; TTL is its failure time-out, if set
+	HeartbeatsStopped  Kind = "silent"   // a target sent its last heartbeat; TTL is its failure timeout, if set
 	ChangeSubmitted    Kind = "changed"  // an operator's change set, from Start to At
 	ChangeQueried      Kind = "asked"    // an operator's query for a change set's outcome, from Start to At
 	VersionedChange    Kind = "version"  // a change set with an operator's version number, from Start to At
--- a/internal/checker/routing.go
+++ b/internal/checker/routing.go
@@ -66,7 +66,7 @@
 		isExtra bool
 	}
 	byService := map[string][]attempt{}
-	seen := map[string]bool{}
+	seenIDs := map[string]bool{}
 	for _, r := range records {
 		if r.Kind != RequestExecuted && r.Kind != RequestRejected {
 			continue
@@ -75,8 +75,8 @@
 		if r.PerAttempt {
 			id = r.RequestID
 		}
-		byService[r.Service] = append(byService[r.Service], attempt{r.At, seen[id]})
-		seen[id] = true
+		byService[r.Service] = append(byService[r.Service], attempt{r.At, seenIDs[id]})
+		seenIDs[id] = true
 	}
 	for service, attempts := range byService {
 		sort.SliceStable(attempts, func(i, j int) bool { return attempts[i].at < attempts[j].at })
--- a/internal/harness/command/command.go
+++ b/internal/harness/command/command.go
@@ -87,7 +87,7 @@
 		return err
 	}
 	if f := cmd.Float("factor"); f <= 0 || f > 10 || cmd.Int("seconds") < 1 || cmd.Int("seconds") > 3600 {
-		return errcode.New(errcode.InvalidCall, "the factor must be above 0 and at most 10, the seconds 1 to 3600")
+		return errcode.New(errcode.InvalidCall, "--factor must be above 0 and at most 10, and --seconds 1 to 3600")
 	}
 	if cmd.Duration("work") < 0 || cmd.Duration("work") > time.Minute || cmd.Float("eager") > 1 {
 		return errcode.New(errcode.InvalidCall, "--work must be 0 to 1m, and --eager at most 1")
--- a/internal/harness/command/soak.go
+++ b/internal/harness/command/soak.go
@@ -17,7 +17,7 @@
 // soakCommand returns the command that runs a fleet under load while planned work is done on it.
 func soakCommand(binary, folder cli.Flag) *cli.Command {
 	return &cli.Command{Name: "soak", Usage: "run a fleet under load while nodes are restarted and change sets are submitted",
-		Description: "The planned work consists of overlapping series of signals, restarts, server drains and change sets; no faults are injected. Clients use each connection until the proxy closes it. Exits with 1 if a request was read but received neither a response nor a refusal, a process exited without a stop signal or did not stop cleanly and in time, or the history breaks a rule; the failed seeds are printed.",
+		Description: "The planned work consists of overlapping series of signals, restarts, server drains and change sets; no faults are injected. Clients use each connection until the proxy closes it. Exits with 1 if a request was read but received no response, a process exited without a stop signal or did not stop cleanly and in time, or the history breaks a rule; the failed seeds are printed.",
 		Flags: []cli.Flag{binary, folder,
 			&cli.StringFlag{Name: "seeds", Value: "1", Usage: "seed of the planned work: a number, or FIRST:LAST for one run per seed"},
 			&cli.IntFlag{Name: "seconds", Value: 20, Usage: "duration of the planned work in seconds"},
@@ -55,7 +55,7 @@
 	case cmd.Int("clients") < 1 || cmd.Int("seconds") < 1 || cmd.Int("seconds") > 3600:
 		return errcode.New(errcode.InvalidCall, "a soak needs at least 1 client, and 1 to 3600 seconds")
 	case share < 0 || share > 1:
-		return errcode.New(errcode.InvalidCall, "the processor share must be 0 to 1")
+		return errcode.New(errcode.InvalidCall, "--cpu must be 0 to 1")
 	}
 	history, err := createHistory(cmd.String("history"), first == last)
 	if err != nil {
--- a/internal/harness/command/upgrade.go
+++ b/internal/harness/command/upgrade.go
@@ -29,7 +29,7 @@
 		return err
 	}
 	if f := cmd.Float("factor"); f <= 0 || f > 10 || cmd.Int("seconds") < 1 || cmd.Int("seconds") > 600 {
-		return errcode.New(errcode.InvalidCall, "the factor must be above 0 and at most 10, the seconds 1 to 600")
+		return errcode.New(errcode.InvalidCall, "--factor must be above 0 and at most 10, and --seconds 1 to 600")
 	}
 	return inFolder(cmd, func(folder string) error {
 		return harness.Upgrade(ctx, harness.Options{
--- a/internal/harness/end_watch.go
+++ b/internal/harness/end_watch.go
@@ -199,15 +199,15 @@
 	return processExit{}, false
 }
 
-// describeStopFailure describes why the stop of an exited process failed, given when it received the
-// signal. It returns "" if the process exited within stopTimeout.
-func (w *exitWatcher) describeStopFailure(pid int, signalledAt time.Time) string {
+// describeStopFailure describes why the stop of an exited process failed, given when it was sent SIGTERM.
+// It returns "" if the process exited within stopTimeout.
+func (w *exitWatcher) describeStopFailure(pid int, signaledAt time.Time) string {
 	exit, isKnown := w.exitOf(pid)
 	if !isKnown {
 		return "no report of its exit"
 	}
-	if took := exit.At.Sub(signalledAt); took > stopTimeout {
-		return fmt.Sprintf("it exited after %s%s", took, exit.describeLastRunning(signalledAt))
+	if took := exit.At.Sub(signaledAt); took > stopTimeout {
+		return fmt.Sprintf("it exited after %s%s", took, exit.describeLastRunning(signaledAt))
 	}
 	return ""
 }
--- a/internal/harness/faults.go
+++ b/internal/harness/faults.go
@@ -98,7 +98,7 @@
 // restored before the next fault, because the fleet doesn't tolerate the loss of two disks at once.
 func wipeCore(r *run, random *rand.Rand) {
 	m := pick(random, r.fleet.CoreMachines())
-	r.recordFault("%s is lost with its disk", m.Name)
+	r.recordFault("kill %s and delete its data", m.Name)
 	m.Kill()
 	if err := m.Wipe(); err != nil {
 		r.logf("deleting a core node's data failed: %v", err)
@@ -133,22 +133,22 @@
 }
 
 // partitionNetwork cuts one link in one direction, or isolates a machine, a zone or every core
-// node, and heals the network some seconds later.
+// node, and heals the network up to six seconds later.
 func partitionNetwork(r *run, random *rand.Rand) {
 	from, to := pick(random, r.fleet.Machines), pick(random, r.fleet.Machines)
 	relay := r.fleet.Relay
 	switch random.IntN(4) {
 	case 0:
-		r.recordFault("cut %s to %s one way", from.Name, to.Name)
+		r.recordFault("cut link %s to %s", from.Name, to.Name)
 		relay.Cut(from, to)
 	case 1:
-		r.recordFault("cut %s off", from.Name)
+		r.recordFault("isolate %s", from.Name)
 		relay.Isolate(func(m *Machine) bool { return m == from })
 	case 2:
-		r.recordFault("cut %s off", from.Zone)
+		r.recordFault("isolate %s", from.Zone)
 		relay.Isolate(func(m *Machine) bool { return m.Zone == from.Zone })
 	case 3:
-		r.recordFault("split the core apart")
+		r.recordFault("isolate every core node")
 		for _, core := range r.fleet.CoreMachines() {
 			relay.Isolate(func(m *Machine) bool { return m == core })
 		}
@@ -175,7 +175,7 @@
 		return
 	}
 	other := r.Shape.Loads[random.IntN(len(r.Shape.Loads))].Service
-	r.recordFault("%s %s crashes; %s takes %s after two seconds", server.Service, server.Instance, other, server.Address)
+	r.recordFault("%s %s crashes; a server of %s starts at %s after two seconds", server.Service, server.Instance, other, server.Address)
 	server.Crash()
 	r.sleepBetween(random, 2000, 2001)
 	r.startServer(other, server.Address, server.Zone)
@@ -195,7 +195,7 @@
 }
 
 // submitRoutes submits count new routes to the first service in one change set. Every outcome is
-// recorded in the history, including a rejected or unknown one.
+// recorded in the history, including a refused or unknown one.
 func (r *run) submitRoutes(prefix string, count int) {
 	r.changesSubmitted++
 	id := fmt.Sprint(prefix, r.changesSubmitted)
--- a/internal/harness/load.go
+++ b/internal/harness/load.go
@@ -94,7 +94,7 @@
 }
 
 // sendRequest sends one request to a service. A failed order is retried with the probability
-// RetryShare, at most maxRetries times. The request isn't cancelled when the load ends, so that its
+// RetryShare, at most maxRetries times. The request isn't canceled when the load ends, so that its
 // outcome is recorded.
 func (r *run) sendRequest(client *standin.Client, load Load, body []byte) {
 	ctx := context.Background()
--- a/internal/harness/relay.go
+++ b/internal/harness/relay.go
@@ -163,7 +163,7 @@
 	}
 }
 
-// forwardDatagrams forwards datagrams to a machine's node. Each sender has its own socket towards
+// forwardDatagrams forwards datagrams to a machine's node. Each sender has its own socket toward
 // the node, so that the node's replies can be returned to the sender.
 func (r *Relay) forwardDatagrams(packets net.PacketConn, m *Machine) {
 	node := net.UDPAddrFromAddrPort(netip.MustParseAddrPort(m.relayedAddress()))
--- a/internal/harness/run.go
+++ b/internal/harness/run.go
@@ -77,7 +77,7 @@
 
 // Run starts a deployment as real processes, puts load on it, injects faults drawn from the seed,
 // checks the recorded history, and prints response rates and costs. It fails if the fleet doesn't
-// become ready or the history violates a rule.
+// become ready or the history breaks a rule.
 func Run(ctx context.Context, options Options) error {
 	r, err := newRun(ctx, options)
 	if err != nil {
@@ -285,12 +285,12 @@
 	r.history.Add(record)
 }
 
-// checkHistory checks the history, prints the verdict, and fails if the history violates a rule.
+// checkHistory checks the history, prints the verdict, and fails if the history breaks a rule.
 func (r *run) checkHistory() error {
 	verdict := checker.Check(r.history.Records())
 	fmt.Fprint(r.Output, verdict)
 	if !verdict.IsValid() {
-		return errcode.New(errcode.Internal, "the history violates a rule")
+		return errcode.New(errcode.Internal, "the history breaks a rule")
 	}
 	return nil
 }
--- a/internal/harness/shape.go
+++ b/internal/harness/shape.go
@@ -59,7 +59,7 @@
 func FindShape(name string) (Shape, error) {
 	shape, ok := Shapes[name]
 	if !ok {
-		return Shape{}, errcode.New(errcode.InvalidCall, "no shape %q; there are %v", name, slices.Sorted(maps.Keys(Shapes)))
+		return Shape{}, errcode.New(errcode.InvalidCall, "unknown shape %q; known shapes: %v", name, slices.Sorted(maps.Keys(Shapes)))
 	}
 	return shape, nil
 }
--- a/internal/harness/soak.go
+++ b/internal/harness/soak.go
@@ -71,9 +71,8 @@
 
 // Soak runs a fleet of real processes under planned work only: overlapping series of signals,
 // restarts, server drains and change sets, while clients keep using open connections until the proxy
-// closes them. It fails if a request was read but received neither a response nor a refusal, if a
-// process exited without a stop signal or did not stop cleanly and in time, or if the history breaks a
-// rule.
+// closes them. It fails if a request was read but received no response, if a process exited
+// without a stop signal or did not stop cleanly and in time, or if the history breaks a rule.
 func Soak(ctx context.Context, options SoakOptions) error {
 	shape := soakShape
 	shape.Cores, shape.Proxies = options.Cores, options.Proxies
--- a/internal/harness/soak_client.go
+++ b/internal/harness/soak_client.go
@@ -208,8 +208,8 @@
 	header := response.Header
 	record.Status, record.Outcome, record.RetryAfter = response.StatusCode, header.Get(proxy.HeaderOutcome), header.Get("Retry-After")
 	record.RequestID = header.Get(proxy.HeaderRequestID)
-	record.Code, _ = strconv.Atoi(header.Get(proxy.HeaderCode))                // zero if there is none
-	record.Epoch, _ = strconv.ParseUint(header.Get(proxy.HeaderEpoch), 10, 64) // likewise
+	record.Code, _ = strconv.Atoi(header.Get(proxy.HeaderCode))                // zero if missing
+	record.Epoch, _ = strconv.ParseUint(header.Get(proxy.HeaderEpoch), 10, 64) // zero if missing
 	if response.StatusCode != http.StatusOK {
 		record.Note = string(bytes.TrimSpace(body))
 		return
--- a/internal/harness/soak_close.go
+++ b/internal/harness/soak_close.go
@@ -60,7 +60,7 @@
 	return info
 }
 
-// lastReceiptAge returns the time since the last acknowledgement was received on a connection, or zero
+// lastReceiptAge returns the time since the last acknowledgment was received on a connection, or zero
 // if the kernel does not report it. Every segment but a reset acknowledges, also a FIN, so that a FIN
 // arrived at least this long ago. It may have arrived earlier, as the peer still acknowledges what it
 // receives after it.
--- a/internal/harness/soak_servers.go
+++ b/internal/harness/soak_servers.go
@@ -19,7 +19,7 @@
 	}
 }
 
-// randomServer returns a random server of a service that has not left.
+// randomServer returns a random server of a service that has not been drained.
 func (s *soak) randomServer(service string, random *rand.Rand) *serverProcess {
 	s.launchMu.Lock()
 	defer s.launchMu.Unlock()
@@ -36,7 +36,7 @@
 func (s *soak) replaceServer(p *serverProcess) {
 	s.recordFault("%s at %s drains", p.server.Service, p.server.Address)
 	if err := json.NewEncoder(p.input).Encode(serverControl{Drain: true}); err != nil {
-		s.fail("%s at %s did not accept the order to drain: %v", p.server.Service, p.server.Address, err)
+		s.fail("%s at %s can't be sent the drain message: %v", p.server.Service, p.server.Address, err)
 	}
 	<-p.done
 	s.launchMu.Lock()
--- a/internal/harness/soak_signals.go
+++ b/internal/harness/soak_signals.go
@@ -37,9 +37,9 @@
 	}
 }
 
-// signalDuringStop sends more signals to a process that got SIGTERM at signalledAt: some at
+// signalDuringStop sends more signals to a process that got SIGTERM at signaledAt: some at
 // random times, a burst within milliseconds, or one near the end of its grace period.
-func (s *soak) signalDuringStop(m *Machine, signalledAt time.Time, random *rand.Rand) {
+func (s *soak) signalDuringStop(m *Machine, signaledAt time.Time, random *rand.Rand) {
 	stopping := m.process.Load()
 	switch random.IntN(3) {
 	case 0:
@@ -51,7 +51,7 @@
 		delay := soakGracePeriod - lateSignalLead + time.Duration(random.Int64N(int64(lateSignalLead+lateSignalLead/2)))
 		select {
 		case <-stopping.done:
-		case <-time.After(time.Until(signalledAt.Add(delay))):
+		case <-time.After(time.Until(signaledAt.Add(delay))):
 			m.signal(randomStopOrReload(random))
 		}
 	default:
--- a/internal/harness/soak_test.go
+++ b/internal/harness/soak_test.go
@@ -25,7 +25,7 @@
 		{"response cut off", func(conn net.Conn, _ *http.Request) {
 			io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n{")
 		}, true, checker.OutcomeBroken},
-		{"refused", func(conn net.Conn, _ *http.Request) {
+		{"rejected", func(conn net.Conn, _ *http.Request) {
 			io.WriteString(conn, "HTTP/1.1 503 Service Unavailable\r\nSumac-Outcome: not run\r\nContent-Length: 0\r\n\r\n")
 		}, false, checker.OutcomeNotRun},
 		{"executed", func(conn net.Conn, request *http.Request) {
--- a/internal/harness/soak_verdict.go
+++ b/internal/harness/soak_verdict.go
@@ -55,7 +55,7 @@
 	v.logf("requests waited at most %s for their server's process", longest.Round(time.Millisecond))
 }
 
-// printRejected prints how many requests servers refused for a superseded epoch. Such requests come
+// printRejected prints how many requests servers rejected for a superseded epoch. Such requests come
 // from processes that stalled for longer than the rules allow.
 func (v *soakVerdict) printRejected() {
 	count := 0
@@ -64,7 +64,7 @@
 			count++
 		}
 	}
-	v.logf("servers refused %d requests under superseded epochs", count)
+	v.logf("servers rejected %d requests under superseded epochs", count)
 }
 
 // checkDropped records a failure for each request that a server executed but that got no whole
--- a/internal/harness/soak_work.go
+++ b/internal/harness/soak_work.go
@@ -55,10 +55,10 @@
 		m.signal(syscall.SIGHUP)
 	}
 	m.signal(syscall.SIGTERM)
-	signalledAt := time.Now()
-	s.signalDuringStop(m, signalledAt, random)
-	lateState, blocked := s.awaitStop(m, stopping, signalledAt.Add(stopTimeout))
-	s.checkStop(m, stopping.cmd.Process.Pid, signalledAt, lateState, blocked)
+	signaledAt := time.Now()
+	s.signalDuringStop(m, signaledAt, random)
+	lateState, blocked := s.awaitStop(m, stopping, signaledAt.Add(stopTimeout))
+	s.checkStop(m, stopping.cmd.Process.Pid, signaledAt, lateState, blocked)
 	if isServing {
 		s.checkExit(m, stopping, lateState != "")
 	}
@@ -93,8 +93,8 @@
 
 // checkStop records a failure if an exited process did not stop within stopTimeout, whatever delayed
 // it. If it stopped in time but this process did not observe that in time, lateState is only logged.
-func (s *soak) checkStop(m *Machine, pid int, signalledAt time.Time, lateState, blocked string) {
-	failure := s.exits.describeStopFailure(pid, signalledAt)
+func (s *soak) checkStop(m *Machine, pid int, signaledAt time.Time, lateState, blocked string) {
+	failure := s.exits.describeStopFailure(pid, signaledAt)
 	if failure != "" {
 		s.fail("%s did not stop within %s: %s; threads in a disk write (state D): %s; %s", m.Name, stopTimeout, failure, cmp.Or(blocked, "none"), lateState)
 	} else if lateState != "" {
--- a/internal/harness/upgrade.go
+++ b/internal/harness/upgrade.go
@@ -31,7 +31,7 @@
 
 // Upgrade runs a fleet of the build Options.Binary under load and upgrades its nodes one at a time,
 // core nodes first, to the build Options.OtherBinary. Change sets are submitted throughout. It
-// fails if the history violates a rule, if a node was not upgraded in time, or if a node rejected
+// fails if the history breaks a rule, if a node was not upgraded in time, or if a node rejected
 // messages or stored data of the other build.
 func Upgrade(ctx context.Context, options Options) error {
 	options.Fault = faultUpgrade
--- a/internal/harness/wait.go
+++ b/internal/harness/wait.go
@@ -20,7 +20,7 @@
 	deadline := time.Now().Add(timeout)
 	for !condition() {
 		if time.Now().After(deadline) || ctx.Err() != nil {
-			return errcode.New(errcode.Internal, "timed out or cancelled")
+			return errcode.New(errcode.Internal, "timed out or canceled")
 		}
 		time.Sleep(attemptInterval)
 	}
--- a/internal/report/history.go
+++ b/internal/report/history.go
@@ -78,11 +78,11 @@
 		requests += interval.requests
 	}
 	if requests == 0 {
-		return Section{}, errcode.New(errcode.InvalidCall, "%s: there is no call in it", name)
+		return Section{}, errcode.New(errcode.InvalidCall, "%s: the history has no requests", name)
 	}
 	faults, faultLines := injectedFaults(records)
 	section := Section{Title: name, Text: summary(records, faultLines)}
-	span := fmt.Sprintf("each point is %s, by when the call began", length)
+	span := fmt.Sprintf("each point covers the requests that started within %s", length)
 
 	outcomes, err := plotOutcomes(intervals, length, faults)
 	if err != nil {
@@ -93,8 +93,8 @@
 		return section, err
 	}
 	section.Plots = append(section.Plots,
-		Plot{"Share of the callers' tries that ran, were refused (not run), or got no sure answer; " + span, outcomes},
-		Plot{"Quantiles as the callers saw them; " + span, latency})
+		Plot{"Percentage of requests that ran, did not run, or have an unknown outcome; " + span, outcomes},
+		Plot{"Latency quantiles as measured by the clients; " + span, latency})
 
 	traffic, err := plotTraffic(records, faults)
 	if err != nil || traffic == nil {
@@ -120,7 +120,7 @@
 	result := checker.Check(records)
 	text := fmt.Sprintf("%s\n\nrules broken: %d\n\n%s", checker.MeasureAvailability(records), len(result.Violations), result)
 	if len(faultLines) > 0 {
-		text += "\nfaults, by the history's clock:\n" + strings.Join(faultLines, "\n") + "\n"
+		text += "\nfaults, by time since the start of the history:\n" + strings.Join(faultLines, "\n") + "\n"
 	}
 	return text
 }
@@ -146,7 +146,7 @@
 			shares[outcome] = append(shares[outcome], plotter.XY{X: midpoint(i, length), Y: percent})
 		}
 	}
-	p := newPlot("Outcomes of calls", "seconds", "percent of calls")
+	p := newPlot("Outcomes of requests", "seconds", "percent of requests")
 	p.Y.Max = 105
 	for i, outcome := range []string{outcomeRan, outcomeNotRun, outcomeUnknown} {
 		if err := addLine(p, i, outcome, shares[outcome]); err != nil {
@@ -159,8 +159,8 @@
 
 // plotLatency plots quantiles of the latency of requests that ran.
 func plotLatency(intervals []interval, length time.Duration, faults []float64) (*plot.Plot, error) {
-	p := newPlot("Latency of calls that ran", "seconds", "milliseconds")
-	for colourIndex, q := range quantiles {
+	p := newPlot("Latency of requests that ran", "seconds", "milliseconds")
+	for colorIndex, q := range quantiles {
 		var points plotter.XYs
 		for i, interval := range intervals {
 			slices.Sort(interval.latencies)
@@ -170,7 +170,7 @@
 			}
 			points = append(points, plotter.XY{X: midpoint(i, length), Y: value})
 		}
-		if err := addLine(p, colourIndex, q.name, points); err != nil {
+		if err := addLine(p, colorIndex, q.name, points); err != nil {
 			return nil, err
 		}
 	}
@@ -222,7 +222,7 @@
 	sort.Slice(sortedKinds, func(i, j int) bool {
 		return totals[sortedKinds[i]] > totals[sortedKinds[j]] || totals[sortedKinds[i]] == totals[sortedKinds[j]] && sortedKinds[i] < sortedKinds[j]
 	})
-	p := newPlot("Bytes sent by kind of message", "seconds", "kilobytes a second")
+	p := newPlot("Bytes sent by kind of message", "seconds", "kilobytes per second")
 	for i, kind := range sortedKinds {
 		if i == maxKinds {
 			if err := addLine(p, i, fmt.Sprintf("%d more kinds", len(sortedKinds)-i), sumRates(rates, sortedKinds[i:])); err != nil {
@@ -235,7 +235,7 @@
 		}
 	}
 	addVerticalLines(p, "faults", faults)
-	return &Plot{"What the nodes sent to other processes, summed over all; \"between\" went to another zone", p}, nil
+	return &Plot{"Bytes that all nodes together sent to other processes; \"between\" marks traffic to another zone", p}, nil
 }
 
 // sumRates returns the sum of lines that have the same X values.
--- a/internal/report/report.go
+++ b/internal/report/report.go
@@ -36,8 +36,8 @@
 	legendWidth = 2.4 * vg.Inch
 )
 
-// colours are distinguishable for readers with colour vision deficiency.
-var colours = []color.Color{
+// colors are distinguishable for readers with color vision deficiency.
+var colors = []color.Color{
 	color.RGBA{0x00, 0x72, 0xb2, 0xff}, color.RGBA{0xd5, 0x5e, 0x00, 0xff}, color.RGBA{0x00, 0x9e, 0x73, 0xff}, color.RGBA{0xcc, 0x79, 0xa7, 0xff},
 	color.RGBA{0xe6, 0x9f, 0x00, 0xff}, color.RGBA{0x56, 0xb4, 0xe9, 0xff}, color.RGBA{0x55, 0x55, 0x55, 0xff}, color.RGBA{0x94, 0x67, 0xbd, 0xff},
 }
@@ -118,7 +118,7 @@
 }
 
 // addLine adds points as one line with a legend entry. A point whose Y is NaN is a gap in the line.
-func addLine(p *plot.Plot, colourIndex int, name string, points plotter.XYs) error {
+func addLine(p *plot.Plot, colorIndex int, name string, points plotter.XYs) error {
 	var segment plotter.XYs
 	isInLegend := false
 	flush := func() error {
@@ -129,7 +129,7 @@
 		if err != nil {
 			return err
 		}
-		line.Color, line.Width = colours[colourIndex%len(colours)], vg.Points(1.4)
+		line.Color, line.Width = colors[colorIndex%len(colors)], vg.Points(1.4)
 		dots.Color, dots.Radius, dots.Shape = line.Color, vg.Points(1.6), draw.CircleGlyph{}
 		p.Add(line, dots)
 		if !isInLegend {
--- a/internal/simulator/abandoned_read_test.go
+++ b/internal/simulator/abandoned_read_test.go
@@ -22,7 +22,7 @@
 			}
 			cancelled := func() (n int64) {
 				for _, s := range f.Targets("rates") {
-					n += s.Cancelled.Load()
+					n += s.Canceled.Load()
 				}
 				return n
 			}
--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -99,7 +99,7 @@
 	if requestID := header.Get(proxy.HeaderRequestID); !c.Opaque {
 		record.RequestID = requestID
 	} else if requestID != record.RequestID {
-		record.Note = "the answer names another request: " + requestID
+		record.Note = "the response has another request ID: " + requestID
 	}
 	record.Code, _ = strconv.Atoi(header.Get(proxy.HeaderCode))                // zero if missing
 	record.Epoch, _ = strconv.ParseUint(header.Get(proxy.HeaderEpoch), 10, 64) // zero if missing
--- a/internal/standin/handler.go
+++ b/internal/standin/handler.go
@@ -90,7 +90,7 @@
 	s.respond(w, s.newResponse(record, len(body), misbehavior), misbehavior)
 }
 
-// simulateWork waits for the service time. It returns false if the request was cancelled because
+// simulateWork waits for the service time. It returns false if the request was canceled because
 // its connection closed.
 func (s *Server) simulateWork(r *http.Request) bool {
 	if !s.CancelsOnDisconnect {
@@ -103,7 +103,7 @@
 	case <-time.After(s.ServiceTime):
 		return true
 	case <-r.Context().Done():
-		s.Cancelled.Add(1)
+		s.Canceled.Add(1)
 		return false
 	}
 }
@@ -137,7 +137,7 @@
 	if misbehavior == OversizedResponse {
 		response.Pad = strings.Repeat("x", oversizedPadBytes)
 	}
-	body, _ := json.Marshal(response) // strings and numbers can always be marshalled
+	body, _ := json.Marshal(response) // strings and numbers can always be marshaled
 	seal := proxy.Seal(s.SealKey, record.RequestID, s.Service, s.Instance, statusFor(misbehavior), body)
 	return sealedResponse{record.RequestID, seal, string(body)}
 }
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -51,9 +51,9 @@
 	// responses contain the request ID, and rejections are not sealed.
 	Opaque bool
 	// CancelsOnDisconnect makes the server cancel a request whose connection closes.
-	// Cancelled counts these requests.
+	// Canceled counts these requests.
 	CancelsOnDisconnect bool
-	Cancelled           atomic.Int64
+	Canceled            atomic.Int64
 
 	fence             fencing.Fence
 	heartbeatSequence atomic.Uint64 // of the last heartbeat
@@ -67,7 +67,7 @@
 }
 
 // Start serves requests and sends heartbeats until Crash or Close. Heartbeats also stop when
-// parent is cancelled.
+// parent is canceled.
 func (s *Server) Start(parent context.Context) error {
 	if s.Instance == "" {
 		s.Instance = ids.NewID()
@@ -139,7 +139,7 @@
 }
 
 // Announce changes the reported state, sends heartbeats until one is acknowledged, and records
-// the acknowledgement. It returns false if ctx was cancelled first.
+// the acknowledgment. It returns false if ctx was canceled first.
 func (s *Server) Announce(ctx context.Context, state string) bool {
 	if state == stateServing {
 		s.fence.Serve()
@@ -174,7 +174,7 @@
 }
 
 // Shutdown stops accepting connections and waits until all active requests have been answered or
-// ctx is cancelled. Close ends the remaining requests and the heartbeats.
+// ctx is canceled. Close ends the remaining requests and the heartbeats.
 func (s *Server) Shutdown(ctx context.Context) { s.server.Shutdown(ctx) }
 
 // Close stops the server without a record in the history.
--- a/tools/mutate/main.go
+++ b/tools/mutate/main.go
@@ -146,7 +146,7 @@
 
 // hasTestFailed reports whether the output of go test -v shows that the test failed or that its
 // process panicked while the test ran, in any goroutine. It does not count a panic before the test
-// started or after it passed, nor one caused by the test time-out.
+// started or after it passed, nor one caused by the test timeout.
 func hasTestFailed(output, test string) bool {
 	if strings.Contains("\n"+output, "\n--- FAIL: "+test+" (") {
 		return true
--- a/tools/old-sumac.sh
+++ b/tools/old-sumac.sh
@@ -1,7 +1,8 @@
 #!/bin/bash
 # Builds sumac of another commit and prints the program's path, for
 #   bin/harness upgrade --from "$(tools/old-sumac.sh COMMIT)"
-# The commit is checked out by git worktree in a folder of its own; remove both with
+# The commit is checked out with git worktree in FOLDER, the second argument or a new temporary
+# folder; remove both with
 #   git worktree remove --force FOLDER/source && rm -r FOLDER
 set -euo pipefail
 commit=${1:?the commit to build}
