--- a/internal/harness/fleet.go
+++ b/internal/harness/fleet.go
@@ -28,7 +28,7 @@
 
 	// Settings are passed to every node in addition to those of its machine.
 	Settings map[string]string
-	// Profiled has every node serve processor profiles at its debug address.
+	// Profiled has every node serve CPU profiles at its debug address.
 	Profiled bool
 	// SingleThreaded runs every node with GOMAXPROCS=1.
 	SingleThreaded bool
--- a/internal/harness/machine_test.go
+++ b/internal/harness/machine_test.go
@@ -69,8 +69,8 @@
 	}
 }
 
-// Guards against invalid addresses such as 127.1.2.269 in fleets with many proxies, which prevent
-// the nodes from starting.
+// Guards against invalid addresses such as 127.1.2.269, with which the proxies from number 157 on
+// did not start.
 func TestNewFleet_AssignsUniqueAddresses(t *testing.T) {
 	names := map[string]string{}
 	for _, m := range NewFleet(FleetConfig{Port: 10000, Cores: 99, Proxies: 500, Zones: 3}).Machines {
--- a/internal/harness/profile.go
+++ b/internal/harness/profile.go
@@ -12,7 +12,7 @@
 
 const profileSeconds = 10
 
-// recordProfiles writes processor profiles of a core node and a proxy to ProfileDir. Errors are
+// recordProfiles writes CPU profiles of a core node and a proxy to ProfileDir. Errors are
 // printed.
 func (r *run) recordProfiles(ctx context.Context, tasks *sync.WaitGroup) {
 	for _, m := range []*Machine{r.fleet.CoreMachines()[0], r.fleet.ProxyMachines()[0]} {
--- a/internal/harness/run.go
+++ b/internal/harness/run.go
@@ -52,7 +52,7 @@
 
 	// ThrottleCPU limits each process to the shape's share of a processor.
 	ThrottleCPU bool
-	// ProfileDir is the folder for processor profiles of a core node and a proxy; none if empty.
+	// ProfileDir is the folder for CPU profiles of a core node and a proxy; none if empty.
 	ProfileDir string
 }
 
