--- a/internal/simulator/acknowledge_repeat_test.go
+++ b/internal/simulator/acknowledge_repeat_test.go
@@ -16,10 +16,10 @@
 	shape := singleProxyShape()
 	shape.Settings["controlplane.acknowledge_delay"] = "500ms"
 	inFleet(t, shape, func(t *testing.T, f *Fleet) {
-		server, node := f.Targets("rates")[0], f.Cores()[0].Node()
+		target, node := f.Targets("rates")[0], f.Cores()[0].Node()
 		began := time.Now()
 		drain := func(sequence uint64) (took time.Duration, err error) {
-			_, err = node.Heartbeat(f.ctx, &rpc.TargetHeartbeat{Service: "rates", Instance: server.Instance, Sequence: sequence, Address: server.Address, Zone: "zone1", Weight: 100, State: "draining"})
+			_, err = node.Heartbeat(f.ctx, &rpc.TargetHeartbeat{Service: "rates", Instance: target.Instance, Sequence: sequence, Address: target.Address, Zone: "zone1", Weight: 100, State: "draining"})
 			return time.Since(began), err
 		}
 		first := make(chan time.Duration, 1)
--- a/internal/simulator/changeset_test.go
+++ b/internal/simulator/changeset_test.go
@@ -27,8 +27,8 @@
 			var result *rpc.ChangeResult
 			var err error
 			f.WaitUntil(10*time.Second, func() bool {
-				ctx, end := context.WithTimeout(f.ctx, time.Second)
-				defer end()
+				ctx, cancel := context.WithTimeout(f.ctx, time.Second)
+				defer cancel()
 				result, err = m.Node().Submit(ctx, change)
 				return err == nil || errcode.From(err).Code.Outcome == ""
 			})
--- a/internal/simulator/conn.go
+++ b/internal/simulator/conn.go
@@ -65,10 +65,10 @@
 	return dialer, accepted
 }
 
-// reset ends one end of a connection after a process was killed. The end of the killed process
-// is closed. The peer's end is unaffected unless peerNotified is set, as after a power loss. If
-// notified, its reads fail with ECONNRESET at once if sendsReset is set, and otherwise return the
-// data sent so far and then EOF.
+// reset updates one end of a connection after a process was killed. The killed process's own end
+// is closed. The peer's end is unaffected if peerNotified is false, as after a power loss.
+// Otherwise its writes fail with EPIPE, and its reads fail with ECONNRESET at once if sendsReset is
+// set, or else return the data sent so far and then EOF.
 func (c *conn) reset(isLocalEnd, peerNotified, sendsReset bool) {
 	if isLocalEnd {
 		c.mu.Lock()
@@ -230,8 +230,8 @@
 }
 
 // splitIntoSegments splits written data into segments with their delivery times: a single
-// segment, unless a link on the path has limited bandwidth. Each uses
-// bandwidth for 40 more bytes of IP and TCP headers.
+// segment, unless a link on the path has limited bandwidth. Each segment uses bandwidth for 40 more
+// bytes of IP and TCP headers.
 func (c *conn) splitIntoSegments(p []byte) (segments []segment) {
 	c.network.mu.Lock()
 	defer c.network.mu.Unlock()
--- a/internal/simulator/contact_test.go
+++ b/internal/simulator/contact_test.go
@@ -123,8 +123,8 @@
 		t.Errorf("without quorum contact the node serves %v", got)
 	}
 	client := standin.NewAPIClient(f.Network.HostAt(f.clientHost(1)), m.APIAddress())
-	server := f.Targets("rates")[0]
-	heartbeat := &api.Beat{Service: server.Service, Instance: server.Instance, Seq: 1 << 40, Address: server.Address, Zone: api.NewOptString(server.Zone), Weight: api.NewOptInt(1), State: "serving"}
+	target := f.Targets("rates")[0]
+	heartbeat := &api.Beat{Service: target.Service, Instance: target.Instance, Seq: 1 << 40, Address: target.Address, Zone: api.NewOptString(target.Zone), Weight: api.NewOptInt(1), State: "serving"}
 	for name, call := range f.apiCalls(client, heartbeat, f.newChangeSet(f.Rand, "cut off", view)) {
 		began := time.Now()
 		err := call()
--- a/internal/simulator/deposed_leader_test.go
+++ b/internal/simulator/deposed_leader_test.go
@@ -14,9 +14,9 @@
 func TestDrain_DeposedLeaderAcknowledgesNothing(t *testing.T) {
 	inFleet(t, singleProxyShape(), func(t *testing.T, f *Fleet) {
 		shard := ids.ShardOf("rates")
-		deposed, server := leaderOf(f, shard, nil), f.Targets("rates")[0]
+		deposed, target := leaderOf(f, shard, nil), f.Targets("rates")[0]
 		heartbeat := func(m *Machine, sequence uint64, state string) error {
-			_, err := m.Node().Heartbeat(f.ctx, &rpc.TargetHeartbeat{Service: "rates", Instance: server.Instance, Sequence: sequence, Address: server.Address, Zone: "zone1", Weight: 100, State: state})
+			_, err := m.Node().Heartbeat(f.ctx, &rpc.TargetHeartbeat{Service: "rates", Instance: target.Instance, Sequence: sequence, Address: target.Address, Zone: "zone1", Weight: 100, State: state})
 			return err
 		}
 		if err := heartbeat(deposed, 1<<30, "draining"); err != nil {
--- a/internal/simulator/distribution_test.go
+++ b/internal/simulator/distribution_test.go
@@ -173,7 +173,7 @@
 
 // withFakeCores runs a test with one proxy and n fake control nodes. The first of them is in the
 // proxy's zone.
-func withFakeCores(t *testing.T, n int, settings map[string]string, play func(t *testing.T, client *distribution.Client, cores []*fakeCore)) {
+func withFakeCores(t *testing.T, n int, settings map[string]string, test func(t *testing.T, client *distribution.Client, cores []*fakeCore)) {
 	synctest.Test(t, func(t *testing.T) {
 		network := NewNetwork(1)
 		var environments []*environment.Environment
@@ -210,7 +210,7 @@
 		if snapshot := client.Cache.Snapshot(); snapshot == nil || snapshot.Epoch != 1 || len(members.CoreMembers()) != n {
 			t.Fatalf("the proxy has snapshot %+v and knows %d core nodes", snapshot, len(members.CoreMembers()))
 		}
-		play(t, client, cores)
+		test(t, client, cores)
 		for _, env := range environments {
 			env.Shutdown()
 		}
--- a/internal/simulator/drain_test.go
+++ b/internal/simulator/drain_test.go
@@ -16,9 +16,9 @@
 	shape := singleProxyShape()
 	shape.Settings["controlplane.acknowledge_delay"] = "500ms"
 	inFleet(t, shape, func(t *testing.T, f *Fleet) {
-		server, proxyNode := f.Targets("rates")[0], f.Machine("proxy1").Node()
+		target, proxyNode := f.Targets("rates")[0], f.Machine("proxy1").Node()
 		began := time.Now()
-		heartbeat := &rpc.TargetHeartbeat{Service: "rates", Instance: server.Instance, Sequence: 1 << 30, Address: server.Address, Zone: "zone1", Weight: 100, State: "draining"}
+		heartbeat := &rpc.TargetHeartbeat{Service: "rates", Instance: target.Instance, Sequence: 1 << 30, Address: target.Address, Zone: "zone1", Weight: 100, State: "draining"}
 		if _, err := f.Cores()[0].Node().Heartbeat(f.ctx, heartbeat); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/simulator/faults.go
+++ b/internal/simulator/faults.go
@@ -125,7 +125,7 @@
 	from, to := f.pick(f.Machines), f.pick(f.Machines)
 	switch f.Rand.IntN(5) {
 	case 0:
-		f.Logf("partition %s to %s, one direction", from.Name, to.Name)
+		f.Logf("block traffic from %s to %s", from.Name, to.Name)
 		f.Network.Partition(from.IP, to.IP)
 	case 1:
 		f.Logf("isolate %s", from.Name)
--- a/internal/simulator/faults_compound.go
+++ b/internal/simulator/faults_compound.go
@@ -98,7 +98,8 @@
 	}
 }
 
-// readBack records a read of a key through a random proxy. A missing key counts as a result.
+// readBack records a read of a key through a random proxy. A missing key (code 3008) is recorded as
+// a successful read.
 func (f *Fleet) readBack(name string) {
 	client := standin.NewAPIClient(f.Network.HostAt(f.clientHost(70)), f.pick(f.Proxies()).APIAddress())
 	f.recordCoordination(checker.Record{Op: "get", Name: name}, func(ctx context.Context, rec *checker.Record) error {
--- a/internal/simulator/faults_membership.go
+++ b/internal/simulator/faults_membership.go
@@ -74,8 +74,8 @@
 // coreFaults are the faults that pairCoreFaults combines.
 var coreFaults = []func(*Fleet){killMachines, losePower, wipeDisks, partitionNetwork, pauseMachines, stallDisks, fillDisks, slowDisks, replaceMembers, forceLeaderChanges, stopMachines}
 
-// pairCoreFaults runs two kinds of core faults concurrently, each twice. Over the seeds, every pair
-// occurs.
+// pairCoreFaults runs two random kinds of core faults concurrently, each twice. Over many seeds,
+// every pair occurs.
 func pairCoreFaults(f *Fleet) {
 	first := f.Rand.IntN(len(coreFaults))
 	second := (first + 1 + f.Rand.IntN(len(coreFaults)-1)) % len(coreFaults)
--- a/internal/simulator/faults_targets.go
+++ b/internal/simulator/faults_targets.go
@@ -11,8 +11,8 @@
 )
 
 // disturbTargets injects one random fault of a target: it drains and leaves, crashes, stops its
-// heartbeats, or is replaced by one that misbehaves. In some cases another service takes over the
-// address of a crashed target after two seconds.
+// heartbeats, or is replaced by one that misbehaves. In some cases a target of a random service
+// takes over the address of a crashed target after 2 s.
 func disturbTargets(f *Fleet) {
 	f.sleepBetween(200*time.Millisecond, 1500*time.Millisecond)
 	services := []string{"bookings", "rates"}
--- a/internal/simulator/fence_test.go
+++ b/internal/simulator/fence_test.go
@@ -36,8 +36,8 @@
 	return response.StatusCode, response.Header.Get(standin.HeaderNotRun)
 }
 
-// The request is the one of a proxy that was paused right before its write and therefore sends a long
-// superseded epoch.
+// A proxy that stalls right before its write sends a request with an epoch that was superseded long
+// ago.
 func TestTarget_RejectsEpochSupersededLongAgo(t *testing.T) {
 	inFleet(t, singleProxyShape(), func(t *testing.T, f *Fleet) {
 		target := f.Targets("rates")[0]
@@ -101,10 +101,10 @@
 	shape.HeartbeatPeriod, shape.FailureTimeout = 2*time.Second, 6*time.Second
 	inFleet(t, shape, func(t *testing.T, f *Fleet) {
 		time.Sleep(10 * time.Second)
-		caller := f.newClient(5)
-		defer caller.Close()
+		client := f.newClient(5)
+		defer client.Close()
 		for range 300 {
-			if got := caller.Call(f.ctx, f.Machine("proxy1").ProxyAddress(), "GET", "/rates", "rates", nil); got.Outcome != checker.OutcomeRan {
+			if got := client.Call(f.ctx, f.Machine("proxy1").ProxyAddress(), "GET", "/rates", "rates", nil); got.Outcome != checker.OutcomeRan {
 				t.Fatalf("%+v", got)
 			}
 			time.Sleep(50 * time.Millisecond)
@@ -131,9 +131,9 @@
 	})
 }
 
-// A target that is already contained in an epoch is paused before it receives the response to its
-// first heartbeat.
-func TestTarget_PausedNewTargetObservesNewerEpoch(t *testing.T) {
+// A target that is already listed in an epoch is frozen before it receives the response to its first
+// heartbeat.
+func TestTarget_FrozenNewTargetObservesNewerEpoch(t *testing.T) {
 	runStallTest(t, 1, func(p *proxyStallTest) {
 		previous := p.Targets("rates")[0]
 		p.RemoveTarget(previous)
--- a/internal/simulator/freeze.go
+++ b/internal/simulator/freeze.go
@@ -30,12 +30,12 @@
 	return n.armWriteHold(from, to, &writeHold{duration: d, freezesMachine: true, started: make(chan struct{})})
 }
 
-func (n *Network) armWriteHold(from, to string, s *writeHold) <-chan struct{} {
+func (n *Network) armWriteHold(from, to string, hold *writeHold) <-chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.writeHolds[writeDirection{from, to}] = s
+	n.writeHolds[writeDirection{from, to}] = hold
 	n.faultCount++
-	return s.started
+	return hold.started
 }
 
 // Freeze stops the network activity of a machine's process for d: it reads, accepts and writes
@@ -73,15 +73,15 @@
 func (n *Network) beginWrite(from, to string) {
 	n.mu.Lock()
 	direction := writeDirection{from, to}
-	s := n.writeHolds[direction]
+	hold := n.writeHolds[direction]
 	delete(n.writeHolds, direction)
-	if s != nil && s.freezesMachine {
-		n.freeze(from, s.duration)
+	if hold != nil && hold.freezesMachine {
+		n.freeze(from, hold.duration)
 	}
 	n.mu.Unlock()
-	if s != nil {
-		close(s.started)
-		time.Sleep(s.duration)
+	if hold != nil {
+		close(hold.started)
+		time.Sleep(hold.duration)
 	}
 	n.awaitUnfrozen(from)
 }
--- a/internal/simulator/hedge_test.go
+++ b/internal/simulator/hedge_test.go
@@ -13,7 +13,7 @@
 
 // withUnhealthyTarget runs a test on a fleet with three targets per service, after the proxy has
 // measured their response times and one target of the service has been replaced by a misbehaving one.
-func withUnhealthyTarget(t *testing.T, service, misbehavior string, play func(f *Fleet, call func(method, path string) (int, time.Duration))) {
+func withUnhealthyTarget(t *testing.T, service, misbehavior string, test func(f *Fleet, call func(method, path string) (int, time.Duration))) {
 	shape := singleProxyShape()
 	shape.Targets = map[string]int{"rates": 3, "bookings": 3}
 	shape.Settings["proxy.hedge_percent"] = "6"
@@ -23,11 +23,11 @@
 				s.ServiceTime = 50 * time.Millisecond
 			}
 		}
-		caller := standin.NewClient(f.Network.HostAt(f.clientHost(5)), f.History)
-		defer caller.Close()
+		client := standin.NewClient(f.Network.HostAt(f.clientHost(5)), f.History)
+		defer client.Close()
 		call := func(method, path string) (int, time.Duration) {
 			began := time.Now()
-			record := caller.Call(f.ctx, f.Machine("proxy1").ProxyAddress(), method, path, "", nil)
+			record := client.Call(f.ctx, f.Machine("proxy1").ProxyAddress(), method, path, "", nil)
 			return record.Status, time.Since(began)
 		}
 		// The targets were faster during boot, and the proxy's estimate adapts slowly.
@@ -37,7 +37,7 @@
 		}
 		f.replaceTarget(f.Targets(service)[0], func(int64) string { return misbehavior })
 		time.Sleep(2 * time.Second)
-		play(f, call)
+		test(f, call)
 	})
 }
 
@@ -115,10 +115,10 @@
 			shape.Targets = map[string]int{"rates": 2, "bookings": 1}
 			shape.Settings["proxy.hedge_percent"] = "50"
 			inFleet(t, shape, func(t *testing.T, f *Fleet) {
-				caller := f.newClient(5)
-				defer caller.Close()
+				client := f.newClient(5)
+				defer client.Close()
 				call := func() checker.Record {
-					return caller.Call(f.ctx, f.Machine("proxy1").ProxyAddress(), "GET", "/rates", "rates", nil)
+					return client.Call(f.ctx, f.Machine("proxy1").ProxyAddress(), "GET", "/rates", "rates", nil)
 				}
 				for _, s := range f.Targets("rates") {
 					s.ServiceTime = 50 * time.Millisecond
--- a/internal/simulator/idempotency_test.go
+++ b/internal/simulator/idempotency_test.go
@@ -18,9 +18,9 @@
 	shape := Small()
 	shape.Targets = map[string]int{"bookings": 1, "rates": 1, "desk": 1}
 	inFleet(t, shape, func(t *testing.T, f *Fleet) {
-		caller := standin.NewClient(f.Network.HostAt(f.clientHost(3)), f.History)
-		defer caller.Close()
-		first := caller.CallWithID(f.ctx, f.Machine("proxy1").ProxyAddress(), "POST", "/bookings", "bookings", []byte("{}"), "moved", false)
+		client := standin.NewClient(f.Network.HostAt(f.clientHost(3)), f.History)
+		defer client.Close()
+		first := client.CallWithID(f.ctx, f.Machine("proxy1").ProxyAddress(), "POST", "/bookings", "bookings", []byte("{}"), "moved", false)
 		if first.Outcome != "ran" {
 			t.Fatalf("%+v", first)
 		}
@@ -34,7 +34,7 @@
 			t.Fatal(err)
 		}
 		time.Sleep(3 * time.Second)
-		repeat := caller.CallWithID(f.ctx, f.Machine("proxy2").ProxyAddress(), "POST", "/bookings", "desk", []byte("{}"), "moved", true)
+		repeat := client.CallWithID(f.ctx, f.Machine("proxy2").ProxyAddress(), "POST", "/bookings", "desk", []byte("{}"), "moved", true)
 		if repeat.Code != errcode.DuplicateRan.Number || repeat.Outcome != "ran" || countExecutions(f, "moved") != 1 {
 			t.Errorf("the request ran %d times, its repeat returned %+v", countExecutions(f, "moved"), repeat)
 		}
@@ -46,7 +46,7 @@
 func TestProxy_RepeatWithoutLeaderIsUnknown(t *testing.T) {
 	inFleet(t, Small(), func(t *testing.T, f *Fleet) {
 		proxyNode := f.Machine("proxy1")
-		client := standin.NewAPIClient(f.Network.HostAt(f.clientHost(4)), proxyNode.APIAddress())
+		apiClient := standin.NewAPIClient(f.Network.HostAt(f.clientHost(4)), proxyNode.APIAddress())
 		operator := f.newOperator(4, proxyNode)
 		view, err := operator.Epoch(f.ctx)
 		if err != nil {
@@ -55,13 +55,13 @@
 		submit := func() string {
 			ctx, cancel := context.WithTimeout(f.ctx, 20*time.Second)
 			defer cancel()
-			_, err := client.Submit(ctx, f.newChange("again", view.Epoch))
+			_, err := apiClient.Submit(ctx, f.newChange("again", view.Epoch))
 			return outcomeOf(err)
 		}
 		add := func() string {
 			ctx, cancel := context.WithTimeout(f.ctx, 20*time.Second)
 			defer cancel()
-			_, err := client.AddCounter(ctx, &api.Call{Name: "again", ID: api.NewOptString("a1")})
+			_, err := apiClient.AddCounter(ctx, &api.Call{Name: "again", ID: api.NewOptString("a1")})
 			return outcomeOf(err)
 		}
 		for _, m := range f.Cores() {
--- a/internal/simulator/link_test.go
+++ b/internal/simulator/link_test.go
@@ -52,14 +52,14 @@
 		f.Network.LimitBandwidth(proxyNode.IP, 100_000)
 		longResult := make(chan error, 1)
 		go func() {
-			ctx, end := context.WithTimeout(f.ctx, 10*time.Second)
-			defer end()
+			ctx, cancel := context.WithTimeout(f.ctx, 10*time.Second)
+			defer cancel()
 			var response string
 			longResult <- proxyNode.Node().RPC.Call(ctx, core.RPCAddress(), "test.long", struct{}{}, &response)
 		}()
 		time.Sleep(500 * time.Millisecond)
-		ctx, end := context.WithTimeout(f.ctx, 500*time.Millisecond)
-		defer end()
+		ctx, cancel := context.WithTimeout(f.ctx, 500*time.Millisecond)
+		defer cancel()
 		if err := proxyNode.Node().RPC.Call(ctx, core.RPCAddress(), "test.short", struct{}{}, nil); err == nil {
 			t.Fatal("the short response overtook the long one")
 		}
--- a/internal/simulator/load_changesets.go
+++ b/internal/simulator/load_changesets.go
@@ -1,6 +1,6 @@
 // Operators that submit competing change sets. Each change set moves, splits, adds or drops several
 // mappings and services together, as an amendment or as a whole configuration. Clients request all
-// the paths meanwhile, so that a partially applied or a refused change set would be visible in the
+// the paths meanwhile, so that a partially applied or a rejected change set would be visible in the
 // requests that targets execute.
 
 package simulator
@@ -51,9 +51,9 @@
 	change := &api.Change{ID: id, Base: view.Epoch}
 	switch r.IntN(5) {
 	case 0: // all mappings move to one service
-		target := pick()
+		destination := pick()
 		for i := range changeSetPathCount {
-			put.Mappings = append(put.Mappings, changeSetMapping(i, target))
+			put.Mappings = append(put.Mappings, changeSetMapping(i, destination))
 		}
 	case 1: // some mappings are split, and a new one is added
 		first, second := pick(), pick()
@@ -73,15 +73,15 @@
 		}
 	case 3: // a service is added and takes all mappings, or is dropped with its mappings
 		optional := optionalServices[r.IntN(len(optionalServices))]
-		target := optional
+		destination := optional
 		if hasService[optional] {
 			drops.Services = append(drops.Services, optional)
-			target = "rates"
+			destination = "rates"
 		} else {
 			put.Services = append(put.Services, newService(optional))
 		}
 		for i := range changeSetPathCount {
-			put.Mappings = append(put.Mappings, changeSetMapping(i, target))
+			put.Mappings = append(put.Mappings, changeSetMapping(i, destination))
 		}
 		for _, m := range view.Config.Mappings {
 			for _, split := range m.To {
@@ -93,11 +93,11 @@
 		}
 	case 4: // a whole configuration
 		put = f.initialConfiguration()
-		target := optionalServices[r.IntN(len(optionalServices))]
-		put.Services = append(put.Services, newService(target))
+		destination := optionalServices[r.IntN(len(optionalServices))]
+		put.Services = append(put.Services, newService(destination))
 		for i := range changeSetPathCount {
 			if r.IntN(4) > 0 {
-				put.Mappings = append(put.Mappings, changeSetMapping(i, target))
+				put.Mappings = append(put.Mappings, changeSetMapping(i, destination))
 			}
 		}
 		change.Whole = api.NewOptBool(true)
--- a/internal/simulator/load_clients.go
+++ b/internal/simulator/load_clients.go
@@ -59,7 +59,7 @@
 }
 
 // StartRetryStorm starts n clients that send bookings. A failed booking is repeated at once under
-// the same call id, up to 30 attempts in total.
+// the same call ID, up to 30 attempts in total.
 func (f *Fleet) StartRetryStorm(n int) {
 	for range n {
 		client := f.newClient(30)
@@ -79,7 +79,7 @@
 	}
 }
 
-// newChange returns a change set that adds one mapping, named after its id.
+// newChange returns a change set that adds one mapping, named after the change set's ID.
 func (f *Fleet) newChange(id string, base uint64) *api.Change {
 	service := "rates"
 	for name := range f.Shape.Targets {
@@ -120,7 +120,7 @@
 }
 
 // StartOperators starts n competing operators. Each reads the epoch, pauses, and submits a change
-// based on it. After an error it may query the change once by its id.
+// based on it. After an error it may query the change once by its ID.
 func (f *Fleet) StartOperators(n int, mean time.Duration) {
 	for i := range n {
 		operators := f.operatorsOfEveryNode(41 + i)
--- a/internal/simulator/load_coordination.go
+++ b/internal/simulator/load_coordination.go
@@ -1,5 +1,5 @@
 // Further coordination calls of applications: compare-and-set, deletes, lists, elections, watches
-// of a key prefix, and retries of calls with an unknown outcome under the same id.
+// of a key prefix, and retries of calls with an unknown outcome under the same ID.
 
 package simulator
 
@@ -22,8 +22,8 @@
 // watchedSpace is the prefix of the keys that are listed and watched together.
 const watchedSpace = "space/"
 
-// retryUnknown makes a call under a new id and repeats it up to three times while its outcome is
-// unknown, and sometimes after it was done. Each attempt is recorded with the id.
+// retryUnknown makes a call under a new ID and repeats it up to three times while its outcome is
+// unknown, and sometimes after it was done. Each attempt is recorded with the ID.
 func (f *Fleet) retryUnknown(r *rand.Rand, clients []*api.Client, rec checker.Record, call func(ctx context.Context, client *api.Client, id string, rec *checker.Record) error) (done bool) {
 	rec.RequestID = ids.NewID()
 	for range 4 {
--- a/internal/simulator/load_rivals.go
+++ b/internal/simulator/load_rivals.go
@@ -49,7 +49,7 @@
 	})
 }
 
-// submitUntilAnswered submits a change up to four times until it is accepted or refused, and
+// submitUntilAnswered submits a change up to four times until it is accepted or rejected, and
 // reports whether it was accepted. A short time limit makes the first two attempts lose some
 // responses.
 func (f *Fleet) submitUntilAnswered(r *rand.Rand, change *rpc.ChangeSet) bool {
--- a/internal/simulator/load_spaces.go
+++ b/internal/simulator/load_spaces.go
@@ -28,7 +28,8 @@
 }
 
 // callNode makes one coordination call through a node and records it. It returns the response and
-// the outcome: "refused" if the response has an error code, "unknown" if the call failed.
+// the outcome: "unknown" if the call failed, "refused" if the response has an error code, and
+// otherwise "done". A missing key in a get is "done".
 func (f *Fleet) callNode(node *node.Node, rec checker.Record, op *rpc.CoordinationRequest) (*rpc.CoordinationResponse, string) {
 	rec.Kind, rec.Start, rec.Op = checker.CoordinationCall, f.History.Now(), firstNonEmpty(rec.Op, op.Operation)
 	rec.Name, rec.Holder = op.Name, op.Holder
--- a/internal/simulator/metrics_test.go
+++ b/internal/simulator/metrics_test.go
@@ -43,7 +43,7 @@
 func (s *session) scrape(address string) {
 	response, err := s.client.Get("http://" + address + "/metrics")
 	if err != nil {
-		fmt.Fprintln(&s.text, "< no answer")
+		fmt.Fprintln(&s.text, "< no response")
 		return
 	}
 	defer response.Body.Close()
@@ -222,8 +222,8 @@
 		}
 		s := newSession(f)
 		defer s.client.CloseIdleConnections()
-		for _, server := range f.Targets("rates") {
-			server.Crash()
+		for _, target := range f.Targets("rates") {
+			target.Crash()
 		}
 		time.Sleep(5 * time.Second)
 		proxyNode := f.Machine("proxy1")
--- a/internal/simulator/network.go
+++ b/internal/simulator/network.go
@@ -213,7 +213,7 @@
 	}
 }
 
-// HostAt returns the host interface of a machine for its current process. After the process is
+// HostAt returns the environment.Host of a machine for its current process. After the process is
 // killed, dialing and listening fail.
 func (n *Network) HostAt(ip string) environment.Host {
 	n.mu.Lock()
--- a/internal/simulator/platform_mode.go
+++ b/internal/simulator/platform_mode.go
@@ -66,7 +66,7 @@
 	return misbehaviors
 }
 
-// hostNetwork returns the machine's host interface. In platform mode, connections of a proxy to
+// hostNetwork returns the machine's environment.Host. In platform mode, connections of a proxy to
 // targets report the epoch that the proxy acts on.
 func (m *Machine) hostNetwork(node *atomic.Pointer[node.Node]) environment.Host {
 	n := m.fleet.Network.HostAt(m.IP)
--- a/internal/simulator/proxy_handover_test.go
+++ b/internal/simulator/proxy_handover_test.go
@@ -1,14 +1,14 @@
-// What a request names when it is sent to a target, and how its outcome is reported.
+// The epoch that a proxy sends with a request, and the outcome of an upload whose body was not sent.
 //
-// Its epoch: a proxy plans a request under the active epoch and may then wait for the body, for a
+// Epoch: a proxy routes a request under the active epoch and may then wait for the body, for a
 // connection or for other targets. Before the first byte it checks that the active epoch has the
-// same route, but the request used to name the epoch of its plan. Under heavy load, requests that
-// had waited for 1.4 to 2.9 s reached their server over a second after a newer epoch was
-// acknowledged, although no process had stalled for more than 0.36 s.
+// same route, but the request used to carry the epoch under which it was routed. Under heavy load,
+// requests that had waited for 1.4 to 2.9 s reached their target over a second after a newer epoch
+// was acknowledged, although no process had stalled for more than 0.36 s.
 //
-// Its body: a streamed upload sends its header with "Expect: 100-continue". Without a 100 Continue
-// within a second nothing can have run, but the client got an unknown outcome, and no other target
-// was tried.
+// Upload: a proxy sends the header of a streamed upload with "Expect: 100-continue". Without a 100
+// Continue within a second nothing can have run, but the client got an unknown outcome, and no other
+// target was tried.
 
 package simulator
 
@@ -105,7 +105,7 @@
 		f.Targets("bookings")[0].HeadDelay = 900 * time.Millisecond
 		record, _ := f.callDuringShutdown(f.Machine("proxy1"), "POST", "/bookings", []byte(strings.Repeat("x", 200_000)))
 		if record.Outcome != checker.OutcomeNotRun || record.Code != errcode.Stopping.Number {
-			t.Errorf("the proxy stops before the server sends 100 Continue: %+v", record)
+			t.Errorf("the proxy stops before the target sends 100 Continue: %+v", record)
 		}
 		time.Sleep(2 * time.Second)
 		if records := executions(f, record.CallID); len(records) != 0 {
--- a/internal/simulator/proxy_standstill_test.go
+++ b/internal/simulator/proxy_stall_test.go
@@ -3,7 +3,7 @@
 // Right before the first byte a proxy checks whether it may still send a request; the operating
 // system takes the bytes after that. On an overloaded or suspended machine the process may stall
 // between the two for any time, and a target's process may leave received bytes unread in its
-// socket for any time. Under heavy load, requests were handled 2.3 to 4.8 s after their server had
+// socket for any time. Under heavy load, requests were handled 2.3 to 4.8 s after their target had
 // received them. No load test has stalled a proxy for that long; these tests do.
 
 package simulator
@@ -29,8 +29,8 @@
 type stallFunc func(n *Network, from, to string, d time.Duration) <-chan struct{}
 
 var stallKinds = []struct {
-	name string
-	arm  stallFunc
+	name  string
+	stall stallFunc
 }{
 	{"one goroutine", (*Network).HoldNextWrite},
 	{"whole machine", (*Network).FreezeAtNextWrite},
@@ -147,10 +147,10 @@
 }
 
 // forEachStall runs a subtest for each kind and duration of stall.
-func forEachStall(t *testing.T, durations []time.Duration, test func(t *testing.T, arm stallFunc, d time.Duration)) {
+func forEachStall(t *testing.T, durations []time.Duration, test func(t *testing.T, stall stallFunc, d time.Duration)) {
 	for _, kind := range stallKinds {
 		for _, d := range durations {
-			t.Run(fmt.Sprint(kind.name, "/", d), func(t *testing.T) { test(t, kind.arm, d) })
+			t.Run(fmt.Sprint(kind.name, "/", d), func(t *testing.T) { test(t, kind.stall, d) })
 		}
 	}
 }
@@ -158,32 +158,33 @@
 // Guards against a request that is handled under an old epoch because its proxy stalled between
 // the check and the write.
 func TestProxy_StallBeforeWriteRespectsNewerEpoch(t *testing.T) {
-	forEachStall(t, stallDurations, func(t *testing.T, arm stallFunc, d time.Duration) {
-		runStallTest(t, 1, func(p *proxyStallTest) { p.stallBeforeFirstByte(arm, d, p.submitUnrelatedChange) })
+	forEachStall(t, stallDurations, func(t *testing.T, stall stallFunc, d time.Duration) {
+		runStallTest(t, 1, func(p *proxyStallTest) { p.stallBeforeFirstByte(stall, d, p.submitUnrelatedChange) })
 	})
 }
 
 // Guards against a request that reaches a target of its former route.
 func TestProxy_StallBeforeWriteRespectsChangedRoute(t *testing.T) {
-	forEachStall(t, stallDurations, func(t *testing.T, arm stallFunc, d time.Duration) {
-		runStallTest(t, 1, func(p *proxyStallTest) { p.stallBeforeFirstByte(arm, d, p.rerouteRates) })
+	forEachStall(t, stallDurations, func(t *testing.T, stall stallFunc, d time.Duration) {
+		runStallTest(t, 1, func(p *proxyStallTest) { p.stallBeforeFirstByte(stall, d, p.rerouteRates) })
 	})
 }
 
-// Guards against a request that reaches a server long after its drain was acknowledged.
+// Guards against a request that reaches a target long after its drain was acknowledged.
 func TestProxy_StallBeforeWriteRespectsDrain(t *testing.T) {
-	forEachStall(t, stallDurations, func(t *testing.T, arm stallFunc, d time.Duration) {
+	forEachStall(t, stallDurations, func(t *testing.T, stall stallFunc, d time.Duration) {
 		runStallTest(t, 1, func(p *proxyStallTest) {
-			p.stallBeforeFirstByte(arm, d, func() { p.drain(p.Targets("rates")[0]) })
+			p.stallBeforeFirstByte(stall, d, func() { p.drain(p.Targets("rates")[0]) })
 		})
 	})
 }
 
-// Guards against an old epoch when the check relied on a confirmation of the greatest age allowed:
-// a partitioned proxy then checks as late as possible after a newer epoch was acknowledged.
+// Guards against a request that is handled under an old epoch when the check relied on a confirmation
+// of the maximum age: a partitioned proxy then checks as late as possible after a newer epoch was
+// acknowledged.
 func TestProxy_StallAfterOldConfirmationRespectsNewerEpoch(t *testing.T) {
 	durations := []time.Duration{1100 * time.Millisecond, 1500 * time.Millisecond, 2500 * time.Millisecond}
-	forEachStall(t, durations, func(t *testing.T, arm stallFunc, d time.Duration) {
+	forEachStall(t, durations, func(t *testing.T, stall stallFunc, d time.Duration) {
 		runStallTest(t, 1, func(p *proxyStallTest) {
 			confirmedAt := p.awaitConfirmation()
 			for _, m := range p.Cores() {
@@ -193,7 +194,7 @@
 			p.submitUnrelatedChange()
 			const margin = 15 * time.Millisecond // for the request to reach the check
 			time.Sleep(time.Until(confirmedAt.Add(p.proxy.Node().Env.Config.DistributionMaxAge - margin)))
-			p.stallBeforeFirstByte(arm, d, func() {})
+			p.stallBeforeFirstByte(stall, d, func() {})
 		})
 	})
 }
@@ -249,9 +250,9 @@
 // writing the header.
 func TestProxy_StallBeforeUploadHeaderRespectsNewerEpoch(t *testing.T) {
 	upload := []byte(strings.Repeat("x", 200_000))
-	forEachStall(t, stallDurations, func(t *testing.T, arm stallFunc, d time.Duration) {
+	forEachStall(t, stallDurations, func(t *testing.T, stall stallFunc, d time.Duration) {
 		runStallTest(t, 1, func(p *proxyStallTest) {
-			stalled := arm(p.Network, p.proxy.IP, p.Targets("bookings")[0].Address, d)
+			stalled := stall(p.Network, p.proxy.IP, p.Targets("bookings")[0].Address, d)
 			records := p.startRequest("POST", "/bookings", upload)
 			p.awaitStall(stalled, records)
 			p.submitUnrelatedChange()
@@ -264,13 +265,13 @@
 // its second check, before writing the body.
 func TestProxy_StallBeforeUploadBodyRespectsNewerEpoch(t *testing.T) {
 	upload := []byte(strings.Repeat("x", 200_000))
-	forEachStall(t, stallDurations, func(t *testing.T, arm stallFunc, d time.Duration) {
+	forEachStall(t, stallDurations, func(t *testing.T, stall stallFunc, d time.Duration) {
 		runStallTest(t, 1, func(p *proxyStallTest) {
 			target := p.Targets("bookings")[0].Address
 			headerWritten := p.Network.HoldNextWrite(p.proxy.IP, target, 0)
 			records := p.startRequest("POST", "/bookings", upload)
 			p.awaitStall(headerWritten, records)
-			p.awaitStall(arm(p.Network, p.proxy.IP, target, d), records)
+			p.awaitStall(stall(p.Network, p.proxy.IP, target, d), records)
 			p.submitUnrelatedChange()
 			p.checkHistory(<-records)
 		})
@@ -280,7 +281,7 @@
 // Guards against a second attempt that is handled under an old epoch because its proxy stalled
 // between the check and the write.
 func TestProxy_StallBeforeSecondAttemptRespectsNewerEpoch(t *testing.T) {
-	forEachStall(t, stallDurations, func(t *testing.T, arm stallFunc, d time.Duration) {
+	forEachStall(t, stallDurations, func(t *testing.T, stall stallFunc, d time.Duration) {
 		runStallTest(t, 2, func(p *proxyStallTest) {
 			targets, stalled := p.Targets("rates"), make(chan (<-chan struct{}), 1)
 			hasFailed := false
@@ -291,7 +292,7 @@
 						return standin.WellBehaved
 					}
 					hasFailed = true
-					stalled <- arm(p.Network, p.proxy.IP, other, d)
+					stalled <- stall(p.Network, p.proxy.IP, other, d)
 					return standin.Failing
 				}
 			}
@@ -306,9 +307,9 @@
 // Guards against a request that reaches another service, which took over its target's address while
 // the proxy was stalled.
 func TestProxy_StallBeforeWriteNeverReachesNewAddressOwner(t *testing.T) {
-	forEachStall(t, stallDurations, func(t *testing.T, arm stallFunc, d time.Duration) {
+	forEachStall(t, stallDurations, func(t *testing.T, stall stallFunc, d time.Duration) {
 		runStallTest(t, 1, func(p *proxyStallTest) {
-			p.stallBeforeFirstByte(arm, d, func() {
+			p.stallBeforeFirstByte(stall, d, func() {
 				target := p.Targets("rates")[0]
 				target.Announce(p.ctx, "leaving")
 				p.ackedAt = p.History.Now()
--- a/internal/simulator/proxy_test.go
+++ b/internal/simulator/proxy_test.go
@@ -1,5 +1,5 @@
 // The proxy under difficult requests: interrupted uploads, more requests than the quota shares
-// allow, services without targets, too large responses, and requests delayed by a partition.
+// allow, services without targets, oversized responses, and requests delayed by a partition.
 
 package simulator
 
@@ -122,8 +122,8 @@
 	})
 }
 
-// A shard that has never received a heartbeat is known to have no targets: it does not count as one
-// whose targets are not known yet.
+// A shard that has never received a heartbeat has no targets, rather than targets that are not known
+// yet.
 func TestProxy_ServiceWithoutTargetsIsRejected(t *testing.T) {
 	inFleet(t, singleProxyShape(), func(t *testing.T, f *Fleet) {
 		apiClient := standin.NewAPIClient(f.Network.HostAt(f.clientHost(4)), f.Cores()[0].APIAddress())
@@ -170,11 +170,11 @@
 // its epoch is outdated and its client has a response.
 func TestProxy_RequestHeldBackByPartitionDoesNotArriveLater(t *testing.T) {
 	inFleet(t, singleProxyShape(), func(t *testing.T, f *Fleet) {
-		proxyNode, server := f.Machine("proxy1"), f.Targets("bookings")[0]
+		proxyNode, target := f.Machine("proxy1"), f.Targets("bookings")[0]
 		client := standin.NewClient(f.Network.HostAt(f.clientHost(5)), f.History)
 		defer client.Close()
 		warm := client.CallWithID(f.ctx, proxyNode.ProxyAddress(), "POST", "/bookings", "bookings", []byte("{}"), "warm", false)
-		f.Network.Partition(proxyNode.IP, hostOf(server.Address))
+		f.Network.Partition(proxyNode.IP, hostOf(target.Address))
 		held := client.CallWithID(f.ctx, proxyNode.ProxyAddress(), "POST", "/bookings", "bookings", []byte("{}"), "held", false)
 		f.Network.Heal()
 		time.Sleep(5 * time.Second)
@@ -184,16 +184,16 @@
 	})
 }
 
-// The body of a streamed upload is sent only if the server answers the header with 100 Continue
+// The body of a streamed upload is sent only if the target answers the header with 100 Continue
 // within a second. Otherwise the upload has not run, and its client gets that outcome.
 func TestProxy_UploadHeldBackByPartitionDoesNotArriveLater(t *testing.T) {
 	inFleet(t, singleProxyShape(), func(t *testing.T, f *Fleet) {
-		proxyNode, server := f.Machine("proxy1"), f.Targets("bookings")[0]
+		proxyNode, target := f.Machine("proxy1"), f.Targets("bookings")[0]
 		client := standin.NewClient(f.Network.HostAt(f.clientHost(5)), f.History)
 		defer client.Close()
 		body := []byte(strings.Repeat("x", 300000))
 		warm := client.CallWithID(f.ctx, proxyNode.ProxyAddress(), "POST", "/bookings", "bookings", body, "warm", false)
-		f.Network.Partition(proxyNode.IP, hostOf(server.Address))
+		f.Network.Partition(proxyNode.IP, hostOf(target.Address))
 		time.AfterFunc(2600*time.Millisecond, f.Network.Heal)
 		held := client.CallWithID(f.ctx, proxyNode.ProxyAddress(), "POST", "/bookings", "bookings", body, "held", false)
 		time.Sleep(5 * time.Second)
--- a/internal/simulator/rpc_test.go
+++ b/internal/simulator/rpc_test.go
@@ -44,7 +44,7 @@
 		} {
 			response := send(line)
 			if wantCode == "" && response != "" || !strings.Contains(response, wantCode) {
-				t.Errorf("%.60q was answered %q", line, response)
+				t.Errorf("response to %.60q: %q", line, response)
 			}
 		}
 		packet, err := f.Network.HostAt(f.clientHost(6)).ListenPacket(f.clientHost(6) + ":7000")
--- a/internal/simulator/successor_test.go
+++ b/internal/simulator/successor_test.go
@@ -1,5 +1,5 @@
 // Core nodes that are permanently lost and replaced by empty ones, one after another, each as soon
-// as the previous successor has had catchUp to become a voter.
+// as the previous successor has had maxRecoveryTime to become a voter.
 
 package simulator
 
@@ -64,7 +64,7 @@
 }
 
 // replaceAllCores replaces the core nodes one after another, each as soon as the previous successor
-// has had catchUp, and checks that an acknowledged write is kept.
+// has become a voter within maxRecoveryTime, and checks that an acknowledged write is kept.
 func replaceAllCores(t *testing.T, f *Fleet, delay time.Duration) {
 	client := standin.NewAPIClient(f.Network.HostAt(f.clientHost(1)), f.Machine("proxy1").APIAddress())
 	if _, err := client.PutKey(f.ctx, &api.Call{Name: "app/a", Value: jx.Raw(`"kept"`)}); err != nil {
@@ -76,7 +76,7 @@
 		f.replaceCore(lost, fmt.Sprint("core", i+4), delay)
 		start := time.Now()
 		if !f.WaitUntil(maxRecoveryTime, func() bool { return f.countUnsettledShards(lost) == 0 }) {
-			t.Fatalf("%d shards of %d have not replaced %s by its successor %s after the start", f.countUnsettledShards(lost), ids.ShardCount+1, name, maxRecoveryTime)
+			t.Fatalf("%d of %d shards have not replaced %s by its successor %s after the start", f.countUnsettledShards(lost), ids.ShardCount+1, name, maxRecoveryTime)
 		}
 		t.Logf("%s was replaced %s after its successor's start", name, time.Since(start))
 	}
--- a/internal/simulator/transcript_test.go
+++ b/internal/simulator/transcript_test.go
@@ -75,7 +75,7 @@
 	}
 	response, err := s.client.Do(request)
 	if err != nil {
-		fmt.Fprintln(&s.text, "< no answer")
+		fmt.Fprintln(&s.text, "< no response")
 		return ""
 	}
 	defer response.Body.Close()
