--- a/internal/simulator/connectivity.go
+++ b/internal/simulator/connectivity.go
@@ -47,8 +47,8 @@
 }
 
 // recordConnectivity records when each proxy becomes connected or disconnected. A proxy is
-// connected if, for connectivityWindow, it could reach every running core node and the leaders
-// did not change.
+// connected if, for connectivityWindow, it did not restart, it could reach every running core node
+// and the leaders did not change.
 func (f *Fleet) recordConnectivity() {
 	lastInterruption, wasConnected, lastLeaders := map[*Machine]time.Time{}, map[*Machine]bool{}, ""
 	lastNodes := map[*Machine]*node.Node{}
